--- a/crates/sanddrum-cli/src/call.rs
+++ b/crates/sanddrum-cli/src/call.rs
@@ -54,7 +54,11 @@
             eprintln!("{end} ({}) in {ms:.1} ms", answer.status);
             let _ = std::io::stdout().write_all(&answer.body);
             println!();
-            ExitCode::from(if answer.status == 200 { exit::GOOD } else { exit::BAD })
+            ExitCode::from(if answer.status == 200 {
+                exit::GOOD
+            } else {
+                exit::BAD
+            })
         }
         Err(problem) => fail(exit::TROUBLE, format!("{}: {problem}", args.edge)),
     }
@@ -62,8 +66,12 @@
 
 fn ask(args: &CallArgs) -> Result<http::Answer, String> {
     let limit = args.time_limit.map(|ms| ms.to_string());
-    let token =
-        args.token.as_ref().map(std::fs::read_to_string).transpose().map_err(|e| format!("--token: {e}"))?;
+    let token = args
+        .token
+        .as_ref()
+        .map(std::fs::read_to_string)
+        .transpose()
+        .map_err(|e| format!("--token: {e}"))?;
     let token = token.map(|text| format!("Bearer {}", text.trim()));
     let mut fields = Vec::new();
     let optional = [
@@ -72,12 +80,18 @@
         ("authorization", token.as_deref()),
         ("idempotency-key", args.idempotency_key.as_deref()),
     ];
-    fields.extend(optional.iter().filter_map(|(name, value)| value.map(|v| (*name, v))));
+    fields.extend(
+        optional
+            .iter()
+            .filter_map(|(name, value)| value.map(|v| (*name, v))),
+    );
     let path = format!("/v1/calls/{}/{}", args.workload, args.function);
     let request = http::write_request("POST", &path, &fields, args.body.as_bytes());
     let mut socket = TcpStream::connect(&args.edge).map_err(|e| e.to_string())?;
     let patience = Duration::from_millis(args.time_limit.unwrap_or(60_000) + 1000);
-    socket.set_read_timeout(Some(patience)).map_err(|e| e.to_string())?;
+    socket
+        .set_read_timeout(Some(patience))
+        .map_err(|e| e.to_string())?;
     match &args.roots {
         None => exchange(&mut socket, &request),
         Some(roots) => {
@@ -93,11 +107,23 @@
         (Some(chain), Some(key)) => Some((read(chain)?, read(key)?)),
         _ => None,
     };
-    let papers = Papers { roots: read(roots)?, own, ..Papers::default() };
+    let papers = Papers {
+        roots: read(roots)?,
+        own,
+        ..Papers::default()
+    };
     let terms = Terms::new(&papers, &Rules::default()).map_err(|e| e.to_string())?;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
-    let host = args.edge.rsplit_once(':').map_or(args.edge.as_str(), |(host, _)| host);
-    terms.call(now, args.name.as_deref().unwrap_or(host)).map_err(|e| e.to_string())
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as i64;
+    let host = args
+        .edge
+        .rsplit_once(':')
+        .map_or(args.edge.as_str(), |(host, _)| host);
+    terms
+        .call(now, args.name.as_deref().unwrap_or(host))
+        .map_err(|e| e.to_string())
 }
 
 fn exchange(stream: &mut (impl Read + Write), request: &[u8]) -> Result<http::Answer, String> {
--- a/crates/sanddrum-cli/src/capacity.rs
+++ b/crates/sanddrum-cli/src/capacity.rs
@@ -30,13 +30,23 @@
 }
 
 fn plays() -> clap::builder::PossibleValuesParser {
-    PLAYS.iter().map(|play| play.name).collect::<Vec<_>>().into()
+    PLAYS
+        .iter()
+        .map(|play| play.name)
+        .collect::<Vec<_>>()
+        .into()
 }
 
 pub fn run(args: &CapacityArgs) -> ExitCode {
     let shipped = if args.short { SHORT_PLAN } else { DEFAULT_PLAN };
-    let text = args.file.as_ref().map_or(Ok(shipped.to_string()), std::fs::read_to_string);
-    let name = args.file.as_ref().map_or("the shipped plan".into(), |file| file.display().to_string());
+    let text = args
+        .file
+        .as_ref()
+        .map_or(Ok(shipped.to_string()), std::fs::read_to_string);
+    let name = args
+        .file
+        .as_ref()
+        .map_or("the shipped plan".into(), |file| file.display().to_string());
     let text = match text {
         Ok(text) => text,
         Err(e) => return fail(exit::USAGE, format!("{name}: {e}")),
@@ -60,15 +70,25 @@
         Ok(output) => output,
         Err(problem) => return fail(exit::TROUBLE, problem),
     };
-    let summary = Summary { plan: text, seed: args.seed, ..Summary::default() };
+    let summary = Summary {
+        plan: text,
+        seed: args.seed,
+        ..Summary::default()
+    };
     let mut sink = Sink::new(output, summary);
     let ran = capacity::run(&plan, &args.only, &mut sink, &stop);
     print!("{}", sink.summary().text());
-    let drawn = args.plots.as_ref().map_or(Ok(()), |folder| capacity::draw(folder, sink.points()));
+    let drawn = args
+        .plots
+        .as_ref()
+        .map_or(Ok(()), |folder| capacity::draw(folder, sink.points()));
     match ran.and(drawn) {
         Err(problem) => fail(exit::TROUBLE, problem),
         Ok(()) if stop.is_set() => {
-            println!("cut short by a signal: {} has what was measured until then", args.out.display());
+            println!(
+                "cut short by a signal: {} has what was measured until then",
+                args.out.display()
+            );
             ExitCode::from(exit::BAD)
         }
         Ok(()) => ExitCode::from(exit::GOOD),
--- a/crates/sanddrum-cli/src/certs.rs
+++ b/crates/sanddrum-cli/src/certs.rs
@@ -5,8 +5,8 @@
 use clap::Subcommand;
 use rcgen::{
     date_time_ymd, BasicConstraints, CertificateParams, CertificateRevocationListParams, DnType,
-    GeneralSubtree, IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose, NameConstraints, RevokedCertParams,
-    SerialNumber,
+    GeneralSubtree, IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose, NameConstraints,
+    RevokedCertParams, SerialNumber,
 };
 use sanddrum_tls::{describe, read_denied, Described};
 use std::fs::{self, OpenOptions};
@@ -55,12 +55,20 @@
 
 pub fn run(command: &Certs) -> ExitCode {
     let done = match command {
-        Certs::Make { folder, names, until, authority, limit_to } => {
-            make(folder, names, *until, authority, limit_to.as_deref())
-        }
+        Certs::Make {
+            folder,
+            names,
+            until,
+            authority,
+            limit_to,
+        } => make(folder, names, *until, authority, limit_to.as_deref()),
         Certs::Show { file } => show(file),
         Certs::Revoke { folder, name } => revoke(folder, name),
-        Certs::Deny { file, certificate, remark } => deny(file, certificate, remark),
+        Certs::Deny {
+            file,
+            certificate,
+            remark,
+        } => deny(file, certificate, remark),
     };
     match done {
         Ok(text) => {
@@ -78,7 +86,10 @@
     fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))
 }
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 fn params(names: Vec<String>, until: i32) -> Result<CertificateParams, String> {
@@ -105,8 +116,8 @@
                 folder.display()
             ));
         }
-        let key =
-            KeyPair::from_pem(&read(&key_file)?).map_err(|_| format!("{}: no key", key_file.display()))?;
+        let key = KeyPair::from_pem(&read(&key_file)?)
+            .map_err(|_| format!("{}: no key", key_file.display()))?;
         return Issuer::from_ca_cert_pem(&read(&roots)?, key)
             .map_err(|e| format!("{}: {e}", roots.display()));
     }
@@ -123,7 +134,10 @@
     if let Some(limit) = limit {
         // RFC 5280, section 4.2.1.10: a name and all below it.
         let permitted_subtrees = vec![GeneralSubtree::DnsName(limit.to_string())];
-        authority.name_constraints = Some(NameConstraints { permitted_subtrees, excluded_subtrees: vec![] });
+        authority.name_constraints = Some(NameConstraints {
+            permitted_subtrees,
+            excluded_subtrees: vec![],
+        });
     }
     let key = KeyPair::generate().map_err(told)?;
     let certificate = authority.self_signed(&key).map_err(told)?;
@@ -140,23 +154,45 @@
     limit: Option<&str>,
 ) -> Result<String, String> {
     fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    if let Some(name) = names.iter().find(|name| name.contains('/') || name.starts_with('.')) {
+    if let Some(name) = names
+        .iter()
+        .find(|name| name.contains('/') || name.starts_with('.'))
+    {
         return Err(format!("{name:?} can't be a file's name"));
     }
     let issuer = authority(folder, until, name, limit)?;
     for name in names {
         let key = KeyPair::generate().map_err(told)?;
-        let leaf = params(vec![name.clone()], until)?.signed_by(&key, &issuer).map_err(told)?;
+        let leaf = params(vec![name.clone()], until)?
+            .signed_by(&key, &issuer)
+            .map_err(told)?;
         replace(&folder.join(format!("{name}.pem")), &leaf.pem(), 0o644)?;
-        replace(&folder.join(format!("{name}.key")), &key.serialize_pem(), 0o600)?;
+        replace(
+            &folder.join(format!("{name}.key")),
+            &key.serialize_pem(),
+            0o600,
+        )?;
     }
-    Ok(format!("{}: roots.pem, and NAME.pem with NAME.key for {}\n", folder.display(), names.join(", ")))
+    Ok(format!(
+        "{}: roots.pem, and NAME.pem with NAME.key for {}\n",
+        folder.display(),
+        names.join(", ")
+    ))
 }
 
 fn show(file: &Path) -> Result<String, String> {
     let mut text = String::new();
-    for described in describe(read(file)?.as_bytes()).map_err(|e| format!("{}: {e}", file.display()))? {
-        let Described { names, authority, signs_for_others, until, key, .. } = described;
+    for described in
+        describe(read(file)?.as_bytes()).map_err(|e| format!("{}: {e}", file.display()))?
+    {
+        let Described {
+            names,
+            authority,
+            signs_for_others,
+            until,
+            key,
+            ..
+        } = described;
         let days = (until - now() as i64) as f64 / 86_400e6;
         let what = if signs_for_others { "authority" } else { "for" };
         text += &format!("{what} {}\n  signed by {authority}\n", names.join(", "));
@@ -172,7 +208,10 @@
 /// The serials that a folder's authority has revoked are kept beside its list, a line each.
 fn revoke(folder: &Path, name: &str) -> Result<String, String> {
     if !folder.join("authority.key").exists() {
-        return Err(format!("{}: no authority's key is here; its keeper can revoke", folder.display()));
+        return Err(format!(
+            "{}: no authority's key is here; its keeper can revoke",
+            folder.display()
+        ));
     }
     let issuer = authority(folder, 0, "", None)?;
     let pem = read(&folder.join(format!("{name}.pem")))?;
@@ -182,17 +221,24 @@
     if !lines.lines().any(|line| line.starts_with(&serial)) {
         lines += &format!("{serial} {name}\n");
     }
-    let revoked =
-        lines.lines().filter_map(|line| line.split(' ').next()).map(|serial| -> Result<_, String> {
+    let revoked = lines.lines().filter_map(|line| line.split(' ').next()).map(
+        |serial| -> Result<_, String> {
             let digits: Vec<u8> = (0..serial.len() / 2)
                 .map(|n| {
                     u8::from_str_radix(&serial[2 * n..2 * n + 2], 16)
                         .map_err(|_| format!("{serial}: no serial"))
                 })
                 .collect::<Result<_, String>>()?;
-            let (serial_number, revocation_time) = (SerialNumber::from(digits), date_time_ymd(2020, 1, 2));
-            Ok(RevokedCertParams { serial_number, revocation_time, reason_code: None, invalidity_date: None })
-        });
+            let (serial_number, revocation_time) =
+                (SerialNumber::from(digits), date_time_ymd(2020, 1, 2));
+            Ok(RevokedCertParams {
+                serial_number,
+                revocation_time,
+                reason_code: None,
+                invalidity_date: None,
+            })
+        },
+    );
     let this_update = SystemTime::now().into();
     let list = CertificateRevocationListParams {
         this_update,
@@ -202,17 +248,29 @@
         revoked_certs: revoked.collect::<Result<_, String>>()?,
         key_identifier_method: KeyIdMethod::Sha256,
     };
-    let list = list.signed_by(&issuer).and_then(|list| list.pem()).map_err(told)?;
+    let list = list
+        .signed_by(&issuer)
+        .and_then(|list| list.pem())
+        .map_err(told)?;
     write(&record, &lines, 0o644)?;
     replace(&folder.join("revoked.pem"), &list, 0o644)?;
-    Ok(format!("{}: {name} is revoked; name it as revoked-file\n", folder.join("revoked.pem").display()))
+    Ok(format!(
+        "{}: {name} is revoked; name it as revoked-file\n",
+        folder.join("revoked.pem").display()
+    ))
 }
 
 fn deny(file: &Path, certificate: &Path, remark: &str) -> Result<String, String> {
-    let described =
-        describe(read(certificate)?.as_bytes()).map_err(|e| format!("{}: {e}", certificate.display()))?;
-    let Some(Described { key, names, .. }) = described.first() else { return Err("no certificate".into()) };
-    let mut text = if file.exists() { read(file)? } else { String::new() };
+    let described = describe(read(certificate)?.as_bytes())
+        .map_err(|e| format!("{}: {e}", certificate.display()))?;
+    let Some(Described { key, names, .. }) = described.first() else {
+        return Err("no certificate".into());
+    };
+    let mut text = if file.exists() {
+        read(file)?
+    } else {
+        String::new()
+    };
     let denied = read_denied(text.as_bytes()).map_err(|e| format!("{}: {e}", file.display()))?;
     if !denied.contains(key) {
         if !text.is_empty() && !text.ends_with('\n') {
@@ -222,12 +280,22 @@
         text.push('\n');
         replace(file, &text, 0o644)?;
     }
-    Ok(format!("{}: the key of {} is denied\n", file.display(), names.join(", ")))
+    Ok(format!(
+        "{}: the key of {} is denied\n",
+        file.display(),
+        names.join(", ")
+    ))
 }
 
 fn write(file: &Path, text: &str, mode: u32) -> Result<(), String> {
-    let made = OpenOptions::new().write(true).create(true).truncate(true).mode(mode).open(file);
-    made.and_then(|mut file| file.write_all(text.as_bytes())).map_err(|e| format!("{}: {e}", file.display()))
+    let made = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .mode(mode)
+        .open(file);
+    made.and_then(|mut file| file.write_all(text.as_bytes()))
+        .map_err(|e| format!("{}: {e}", file.display()))
 }
 /// Whole or not at all, as an edge may be watching it.
 fn replace(file: &Path, text: &str, mode: u32) -> Result<(), String> {
--- a/crates/sanddrum-cli/src/config.rs
+++ b/crates/sanddrum-cli/src/config.rs
@@ -9,16 +9,23 @@
     match load(file, scenario) {
         Ok(loaded) => {
             let (workloads, functions) = (loaded.count("workloads"), loaded.count("functions"));
-            println!("{}: good; {workloads} workloads, {functions} functions", file.display());
+            println!(
+                "{}: good; {workloads} workloads, {functions} functions",
+                file.display()
+            );
             ExitCode::from(exit::GOOD)
         }
         Err(problem) => fail(exit::USAGE, problem),
     }
 }
 
-fn load(file: &Path, scenario: bool) -> Result<sanddrum_settings::Loaded, sanddrum_settings::Problem> {
+fn load(
+    file: &Path,
+    scenario: bool,
+) -> Result<sanddrum_settings::Loaded, sanddrum_settings::Problem> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| sanddrum_settings::Problem::of_file(&name, &e))?;
+    let text = std::fs::read_to_string(file)
+        .map_err(|e| sanddrum_settings::Problem::of_file(&name, &e))?;
     if scenario {
         return sanddrum_lab::Scenario::read(&name, &text, 1).map(|s| s.settings);
     }
@@ -37,9 +44,14 @@
             Value::Text(t) => format!("{t:?}"),
             Value::Flag(f) => if *f { "yes" } else { "no" }.to_string(),
         };
-        let origin = loaded.origins.get(name).map_or_else(|| "counted".to_string(), ToString::to_string);
+        let origin = loaded
+            .origins
+            .get(name)
+            .map_or_else(|| "counted".to_string(), ToString::to_string);
         println!("{name:36} {value:20} ; {origin}; {}", loaded.about(name));
     }
-    println!("; what is not named here is as the decision module has it by itself (docs/settings.md)");
+    println!(
+        "; what is not named here is as the decision module has it by itself (docs/settings.md)"
+    );
     ExitCode::from(exit::GOOD)
 }
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -67,7 +67,11 @@
     let path = args.settings.clone().unwrap_or_default();
     let file = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| Problem::of_file(&file, &e))?;
-    let more = if args.scenario { sanddrum_lab::SCENARIO } else { &[] };
+    let more = if args.scenario {
+        sanddrum_lab::SCENARIO
+    } else {
+        &[]
+    };
     let mut loaded = sanddrum_settings::read_with(&file, &text, more)?;
     let given = [
         ("edge.listen", args.listen.clone(), "--listen"),
@@ -75,8 +79,16 @@
         ("edge.name", args.name.clone(), "--name"),
         ("edge.zone", args.zone.clone(), "--zone"),
         ("edge.edges", args.edges.map(|n| n.to_string()), "--edges"),
-        ("edge.number", args.number.map(|n| n.to_string()), "--number"),
-        ("edge.state-file", args.state_file.as_ref().map(|f| f.display().to_string()), "--state-file"),
+        (
+            "edge.number",
+            args.number.map(|n| n.to_string()),
+            "--number",
+        ),
+        (
+            "edge.state-file",
+            args.state_file.as_ref().map(|f| f.display().to_string()),
+            "--state-file",
+        ),
     ];
     for (name, value, by) in given {
         if let Some(value) = value {
@@ -140,10 +152,20 @@
 }
 
 /// The settings that name the watched files of the TLS layer, in its order.
-const CALL_KEYS: [&str; 5] =
-    ["tls.roots-file", "tls.certificate-file", "tls.key-file", "tls.revoked-file", "tls.denied-file"];
-const DOOR_KEYS: [&str; 5] =
-    ["door.roots-file", "door.certificate-file", "door.key-file", "door.revoked-file", "door.denied-file"];
+const CALL_KEYS: [&str; 5] = [
+    "tls.roots-file",
+    "tls.certificate-file",
+    "tls.key-file",
+    "tls.revoked-file",
+    "tls.denied-file",
+];
+const DOOR_KEYS: [&str; 5] = [
+    "door.roots-file",
+    "door.certificate-file",
+    "door.key-file",
+    "door.revoked-file",
+    "door.denied-file",
+];
 
 /// What an edge starts on; it does not start on papers that are not good.
 fn side(l: &Loaded, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
@@ -157,27 +179,49 @@
         true => Some((read(keys[1])?, read(keys[2])?)),
         false => None,
     };
-    let papers = Papers { roots: read(keys[0])?, own, revoked: read(keys[3])?, denied: read(keys[4])? };
+    let papers = Papers {
+        roots: read(keys[0])?,
+        own,
+        revoked: read(keys[3])?,
+        denied: read(keys[4])?,
+    };
     let side = Side::new(papers, rules).map_err(|e| e.to_string())?;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
-    side.terms().hold(now).map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as i64;
+    side.terms()
+        .hold(now)
+        .map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
     Ok(side)
 }
 fn limited(l: &Loaded) -> Vec<Limited> {
     let authorities = l.names("authorities").into_iter().enumerate();
     authorities
-        .map(|(n, authority)| Limited { authority, names: l.names(&format!("authorities.{n}.names")) })
+        .map(|(n, authority)| Limited {
+            authority,
+            names: l.names(&format!("authorities.{n}.names")),
+        })
         .collect()
 }
 
 /// The edge within the TLS that it speaks to workers and clients, where it does.
 fn within_tls(l: &Loaded, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
-    let (workers, clients) = (l.text("tls.workers") == "verified", l.text("door.speaks") == "tls");
+    let (workers, clients) = (
+        l.text("tls.workers") == "verified",
+        l.text("door.speaks") == "tls",
+    );
     if !workers {
-        tracing::warn!(reason = "plain-text", "workers are spoken to in plain text, as tls workers is set");
+        tracing::warn!(
+            reason = "plain-text",
+            "workers are spoken to in plain text, as tls workers is set"
+        );
     }
     if !clients {
-        tracing::warn!(reason = "plain-text", "clients are spoken to in plain text, as door speaks is set");
+        tracing::warn!(
+            reason = "plain-text",
+            "clients are spoken to in plain text, as door speaks is set"
+        );
     }
     if !workers && !clients {
         return Ok(Box::new(edge));
@@ -185,7 +229,11 @@
     let mut layer = Layer::new(edge, sanddrum_lab::tls_bounds(l));
     let sessions = l.size("tls.sessions");
     if workers {
-        let rules = Rules { sessions, limited: limited(l), ..Rules::default() };
+        let rules = Rules {
+            sessions,
+            limited: limited(l),
+            ..Rules::default()
+        };
         layer = layer.with_calls(side(l, CALL_KEYS, rules)?);
     }
     if clients {
@@ -194,7 +242,15 @@
             "optional" => Asks::May,
             _ => Asks::No,
         };
-        layer = layer.with_doors(side(l, DOOR_KEYS, Rules { callers, sessions, ..Rules::default() })?);
+        layer = layer.with_doors(side(
+            l,
+            DOOR_KEYS,
+            Rules {
+                callers,
+                sessions,
+                ..Rules::default()
+            },
+        )?);
     }
     Ok(Box::new(layer))
 }
@@ -206,11 +262,23 @@
     if args.with_parent {
         crate::fleet::end_with_parent();
     }
-    let recorder = PrometheusBuilder::new().install_recorder().map_err(|e| e.to_string())?;
-    let state_file = settings.has("edge.state-file").then(|| PathBuf::from(settings.text("edge.state-file")));
-    let begun = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+    let recorder = PrometheusBuilder::new()
+        .install_recorder()
+        .map_err(|e| e.to_string())?;
+    let state_file = settings
+        .has("edge.state-file")
+        .then(|| PathBuf::from(settings.text("edge.state-file")));
+    let begun = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64;
     let seed = args.seed.unwrap_or(begun ^ u64::from(std::process::id()));
-    tracing::info!(listen = at, list = settings.text("edge.list"), seed, "an edge begins");
+    tracing::info!(
+        listen = at,
+        list = settings.text("edge.list"),
+        seed,
+        "an edge begins"
+    );
     let start = Start {
         kept: state_file.as_deref().and_then(kept),
         seed,
@@ -219,10 +287,12 @@
         settings: settings.clone(),
         platform: None,
     };
-    let keys_file =
-        settings.has("identity.keys-file").then(|| PathBuf::from(settings.text("identity.keys-file")));
-    let audit_file =
-        settings.has("identity.audit-file").then(|| PathBuf::from(settings.text("identity.audit-file")));
+    let keys_file = settings
+        .has("identity.keys-file")
+        .then(|| PathBuf::from(settings.text("identity.keys-file")));
+    let audit_file = settings
+        .has("identity.audit-file")
+        .then(|| PathBuf::from(settings.text("identity.audit-file")));
     if keys_file.is_some() && state_file.is_none() {
         tracing::warn!(
             reason = "no-state-file",
@@ -231,16 +301,33 @@
     }
     // A fleet that has grown is told of later; an edge that would not start for it would be worse.
     if settings.number("me") >= settings.number("routers") {
-        tracing::warn!(reason = "edges", "this edge's number is not below the number of edges it is told of");
+        tracing::warn!(
+            reason = "edges",
+            "this edge's number is not below the number of edges it is told of"
+        );
     }
     let core = within_tls(&settings, Edge::new(start))?;
-    let host = driver.add(core, vec![door], state_file).map_err(|e| e.to_string())?;
-    let files = CALL_FILES.into_iter().zip(CALL_KEYS).chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
+    let host = driver
+        .add(core, vec![door], state_file)
+        .map_err(|e| e.to_string())?;
+    let files = CALL_FILES
+        .into_iter()
+        .zip(CALL_KEYS)
+        .chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
     for (name, key) in files.filter(|(_, key)| settings.has(key)) {
-        driver.watch(host, name, PathBuf::from(settings.text(key)), settings.span("tls.watch-every-us"));
+        driver.watch(
+            host,
+            name,
+            PathBuf::from(settings.text(key)),
+            settings.span("tls.watch-every-us"),
+        );
     }
     if let Some(file) = audit_file {
-        driver.audit_to(host, file, settings.size("identity.audit-most-bytes") as u64);
+        driver.audit_to(
+            host,
+            file,
+            settings.size("identity.audit-most-bytes") as u64,
+        );
     }
     if let Some(file) = keys_file {
         driver.watch(host, KEYS, file, settings.span("identity.watch-every-us"));
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -4,8 +4,8 @@
 use crate::{exit, fail};
 use clap::{Args, ValueEnum};
 use sanddrum_lab::{
-    play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who, FAULTS,
-    FLEET_DAY, LATE, OURS,
+    play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who,
+    FAULTS, FLEET_DAY, LATE, OURS,
 };
 use sanddrum_net::{Core, EventLoop, NoTap};
 use sanddrum_worker::{ListService, Marks, Shared, Store, Worker};
@@ -16,7 +16,10 @@
 use std::rc::Rc;
 
 /// What is played where no scenario is given.
-const FLEET: Shipped = Shipped { name: "fleet-day.sx", text: FLEET_DAY };
+const FLEET: Shipped = Shipped {
+    name: "fleet-day.sx",
+    text: FLEET_DAY,
+};
 
 #[derive(Args, Clone, Debug)]
 pub struct FleetArgs {
@@ -37,8 +40,13 @@
 
 /// Each process is this program again.
 fn processes(set: &[String]) -> Result<MakeProcess, String> {
-    let (program, set) = (std::env::current_exe().map_err(|e| e.to_string())?, set.to_vec());
-    Ok(Box::new(move |start: &ProcessStart| command(&program, start, &set)))
+    let (program, set) = (
+        std::env::current_exe().map_err(|e| e.to_string())?,
+        set.to_vec(),
+    );
+    Ok(Box::new(move |start: &ProcessStart| {
+        command(&program, start, &set)
+    }))
 }
 
 fn command(program: &Path, start: &ProcessStart, set: &[String]) -> Command {
@@ -48,11 +56,27 @@
     let seed = scenario.seed.to_string();
     match start.who {
         Who::Edge(n) => {
-            command.args(["edge", "--scenario", "--settings"]).arg(&file);
-            command.args(["--list", start.list, "--name", &Scenario::edge_name(n), "--with-parent"]);
-            command.args(["--zone", &scenario.zones[scenario.zone_of(n)], "--number", &n.to_string()]);
+            command
+                .args(["edge", "--scenario", "--settings"])
+                .arg(&file);
+            command.args([
+                "--list",
+                start.list,
+                "--name",
+                &Scenario::edge_name(n),
+                "--with-parent",
+            ]);
+            command.args([
+                "--zone",
+                &scenario.zones[scenario.zone_of(n)],
+                "--number",
+                &n.to_string(),
+            ]);
             command.args(["--edges", &scenario.told_edges().to_string()]);
-            command.args(["--seed", &start.seed.wrapping_add(n as u64 * 101).to_string()]);
+            command.args([
+                "--seed",
+                &start.seed.wrapping_add(n as u64 * 101).to_string(),
+            ]);
             command.arg("--state-file").arg(start.state_file);
         }
         part => {
@@ -64,7 +88,14 @@
             command.args(["lab", "part", kind]).arg(&file);
             command.args(["--number", &number.to_string(), "--seed", &seed]);
             command.args(["--incarnation", &start.incarnation.to_string()]);
-            command.args(["--known-as", start.known_as, "--list", start.list, "--store", start.store]);
+            command.args([
+                "--known-as",
+                start.known_as,
+                "--list",
+                start.list,
+                "--store",
+                start.store,
+            ]);
             command.arg("--faults").arg(start.faults_file);
             if start.cold {
                 command.arg("--cold");
@@ -74,21 +105,36 @@
     for set in set {
         command.args(["--set", set]);
     }
-    command.args(["--listen", "127.0.0.1:0"]).arg("--address-file").arg(start.address_file);
+    command
+        .args(["--listen", "127.0.0.1:0"])
+        .arg("--address-file")
+        .arg(start.address_file);
     command
 }
 
 pub fn run(args: &FleetArgs) -> ExitCode {
-    let (name, scenario) = match read_scenario(FLEET, args.file.as_deref(), args.seed, &args.set, args.edges)
-    {
+    let (name, scenario) = match read_scenario(
+        FLEET,
+        args.file.as_deref(),
+        args.seed,
+        &args.set,
+        args.edges,
+    ) {
         Ok(read) => read,
         Err(problem) => return fail(exit::USAGE, problem),
     };
     let (edges, workers) = (scenario.edges, scenario.workers);
-    println!("{name}: {edges} edges and {workers} workers as processes, seed {}", args.seed);
+    println!(
+        "{name}: {edges} edges and {workers} workers as processes, seed {}",
+        args.seed
+    );
     match played(scenario, &args.set) {
         Ok((outcome, late, latest, short_of_files, waited)) => {
-            let limit = if waited > WAITED { "the machine was the limit: " } else { "" };
+            let limit = if waited > WAITED {
+                "the machine was the limit: "
+            } else {
+                ""
+            };
             let (ms, counts) = (waited / 1000, WAITED / 1000);
             println!("{limit}a process waited up to {ms} ms for a processor within a second (over {counts} ms counts)");
             if short_of_files {
@@ -115,18 +161,29 @@
     let recording = Recording::default();
     let seconds = scenario.length / 1_000_000;
     let make = processes(set)?;
-    let mut stage =
-        ProcessStage::new(scenario, &recording, folder.0.clone(), make).map_err(|e| e.to_string())?;
+    let mut stage = ProcessStage::new(scenario, &recording, folder.0.clone(), make)
+        .map_err(|e| e.to_string())?;
     stage.catch_signals().map_err(|e| e.to_string())?;
     stage.call(&recording).map_err(|e| e.to_string())?;
     let begun = sanddrum_lab::Stage::now(&stage);
-    stage.progress = Some(Box::new(move |now| eprint!("\r{} of {seconds} s ", (now - begun) / 1_000_000)));
+    stage.progress = Some(Box::new(move |now| {
+        eprint!("\r{} of {seconds} s ", (now - begun) / 1_000_000)
+    }));
     let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
     eprintln!();
     let log = &recording.0.borrow().log;
     let processes = log.waits.iter().filter(|(name, _)| *name != OURS);
-    let waited = processes.map(|(_, waits)| waits.worst_second()).max().unwrap_or(0);
-    Ok((outcome, stage.late, stage.latest, stage.short_of_files, waited))
+    let waited = processes
+        .map(|(_, waits)| waits.worst_second())
+        .max()
+        .unwrap_or(0);
+    Ok((
+        outcome,
+        stage.late,
+        stage.latest,
+        stage.short_of_files,
+        waited,
+    ))
 }
 
 #[derive(Args, Clone, Debug)]
@@ -155,7 +212,10 @@
         Ok(read) => read,
         Err(problem) => return fail(exit::USAGE, problem),
     };
-    let threads = args.threads.or(std::thread::available_parallelism().map(usize::from).ok()).unwrap_or(1);
+    let threads = args
+        .threads
+        .or(std::thread::available_parallelism().map(usize::from).ok())
+        .unwrap_or(1);
     let runs = args.edges.len() as u64 * args.seeds;
     let told = |done: usize| eprint!("\r{done} of {runs} runs ");
     let all = match sanddrum_lab::sizes(&scenario, &args.edges, args.seeds, threads, told) {
@@ -182,10 +242,21 @@
             println!("    {name}: {}", told(*figure, 0));
         }
     }
-    let name = args.file.file_stem().unwrap_or_default().to_string_lossy().into_owned();
-    let drawn = args.plots.as_ref().map_or(Ok(()), |folder| sanddrum_lab::plot_sizes(folder, &name, &all));
+    let name = args
+        .file
+        .file_stem()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned();
+    let drawn = args.plots.as_ref().map_or(Ok(()), |folder| {
+        sanddrum_lab::plot_sizes(folder, &name, &all)
+    });
     match drawn {
-        Ok(()) => ExitCode::from(if all.iter().all(|of| of.broken == 0) { exit::GOOD } else { exit::BAD }),
+        Ok(()) => ExitCode::from(if all.iter().all(|of| of.broken == 0) {
+            exit::GOOD
+        } else {
+            exit::BAD
+        }),
         Err(problem) => fail(exit::TROUBLE, problem),
     }
 }
@@ -273,7 +344,10 @@
             let seed = args.seed.wrapping_mul(31).wrapping_add(args.number as u64);
             let (faults, marks) = (shared(), Rc::new(RefCell::new(Marks::new(0))));
             let started = if args.cold { now } else { 0 };
-            steered(Worker::new(spec, seed, started, args.incarnation, faults.clone(), marks), faults)
+            steered(
+                Worker::new(spec, seed, started, args.incarnation, faults.clone(), marks),
+                faults,
+            )
         }
         Part::Store => {
             let faults = shared();
@@ -281,15 +355,24 @@
         }
         Part::List => {
             let faults = shared();
-            let workers = std::fs::read_to_string(args.file.with_file_name("workers")).unwrap_or_default();
+            let workers =
+                std::fs::read_to_string(args.file.with_file_name("workers")).unwrap_or_default();
             let workers: Vec<String> = workers.lines().map(String::from).collect();
-            let list = ListService::new(scenario.list(), args.seed ^ 0x115, args.incarnation, faults.clone());
+            let list = ListService::new(
+                scenario.list(),
+                args.seed ^ 0x115,
+                args.incarnation,
+                faults.clone(),
+            );
             steered(list.with_rows(now, &scenario.list_rows(&workers)), faults)
         }
     };
-    let host = driver.add(core, vec![door], None).map_err(|e| e.to_string())?;
+    let host = driver
+        .add(core, vec![door], None)
+        .map_err(|e| e.to_string())?;
     driver.watch(host, FAULTS, args.faults.clone(), FAULTS_EVERY);
-    tell_address(&args.address_file, &at).map_err(|e| format!("{}: {e}", args.address_file.display()))?;
+    tell_address(&args.address_file, &at)
+        .map_err(|e| format!("{}: {e}", args.address_file.display()))?;
     while !driver.signalled() {
         let next = driver.now() + 1_000_000;
         driver.run_until(next).map_err(|e| e.to_string())?;
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -16,7 +16,9 @@
 #[derive(Subcommand, Clone, Debug)]
 pub enum Keys {
     /// Make a key: the first one of a set signs at once, a further one is coming
-    #[command(after_help = "Example:\n  sanddrum keys new keys.json --secrets secrets/ --name 2027-01")]
+    #[command(
+        after_help = "Example:\n  sanddrum keys new keys.json --secrets secrets/ --name 2027-01"
+    )]
     New {
         /// The set, as edges read it
         file: PathBuf,
@@ -85,7 +87,10 @@
 }
 
 fn now() -> Seconds {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs() as Seconds
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs() as Seconds
 }
 
 fn said(result: Result<String, String>) -> ExitCode {
@@ -100,7 +105,11 @@
 
 pub fn keys(command: &Keys) -> ExitCode {
     said(match command {
-        Keys::New { file, secrets, name } => new_key(file, secrets, name),
+        Keys::New {
+            file,
+            secrets,
+            name,
+        } => new_key(file, secrets, name),
         Keys::Rotate { file, retire_after } => change(file, |set| {
             let kid = set.rotate(now() + retire_after)?;
             Ok(format!("{kid} signs; version {}", set.version))
@@ -110,10 +119,13 @@
             Ok(format!("{name} is revoked; version {}", set.version))
         }),
         Keys::List { file } => read_set(file).map(|set| {
-            let line = |(kid, key): (&String, &sanddrum_identity::keys::PublicKey)| match key.state {
+            let line = |(kid, key): (&String, &sanddrum_identity::keys::PublicKey)| match key.state
+            {
                 KeyState::Coming => format!("{kid}: coming"),
                 KeyState::Signing => format!("{kid}: signing"),
-                KeyState::Retiring(until) => format!("{kid}: retiring, {} s left", (until - now()).max(0)),
+                KeyState::Retiring(until) => {
+                    format!("{kid}: retiring, {} s left", (until - now()).max(0))
+                }
                 KeyState::Revoked => format!("{kid}: revoked"),
             };
             let lines: Vec<String> = set.keys.iter().map(line).collect();
@@ -134,7 +146,10 @@
     written.map_err(|e| format!("{}: {e}", file.display()))
 }
 
-fn change(file: &Path, how: impl FnOnce(&mut KeySet) -> Result<String, String>) -> Result<String, String> {
+fn change(
+    file: &Path,
+    how: impl FnOnce(&mut KeySet) -> Result<String, String>,
+) -> Result<String, String> {
     let mut set = read_set(file)?;
     let said = how(&mut set)?;
     write_set(file, &set)?;
@@ -145,19 +160,37 @@
     if name.contains('/') || name.starts_with('.') {
         return Err(format!("{name:?} can't be a file's name"));
     }
-    let mut set = if file.exists() { read_set(file)? } else { KeySet::default() };
+    let mut set = if file.exists() {
+        read_set(file)?
+    } else {
+        KeySet::default()
+    };
     let mut seed = [0; 32];
-    SystemRandom::new().fill(&mut seed).map_err(|_| "the system gives no random bytes".to_string())?;
+    SystemRandom::new()
+        .fill(&mut seed)
+        .map_err(|_| "the system gives no random bytes".to_string())?;
     let secret = SecretKey::from_seed(name, seed);
     set.add(name, secret.x()?)?;
     fs::create_dir_all(secrets).map_err(|e| format!("{}: {e}", secrets.display()))?;
     let path = secrets.join(format!("{name}.secret"));
-    let made = OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path);
+    let made = OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .mode(0o600)
+        .open(&path);
     let written = made.and_then(|mut file| file.write_all(&secret.write()));
     written.map_err(|e| format!("{}: {e}", path.display()))?;
     write_set(file, &set)?;
-    let state = if set.signing() == Some(name) { "signs" } else { "is coming" };
-    Ok(format!("{name} {state}; version {}; its secret half is in {}", set.version, path.display()))
+    let state = if set.signing() == Some(name) {
+        "signs"
+    } else {
+        "is coming"
+    };
+    Ok(format!(
+        "{name} {state}; version {}; its secret half is in {}",
+        set.version,
+        path.display()
+    ))
 }
 
 /// A secret that others can read is no secret.
@@ -184,24 +217,44 @@
 fn issue(args: &IssueArgs) -> Result<String, String> {
     let secret = read_secret(&args.secret)?;
     let mut id = [0; 16];
-    SystemRandom::new().fill(&mut id).map_err(|_| "the system gives no random bytes".to_string())?;
+    SystemRandom::new()
+        .fill(&mut id)
+        .map_err(|_| "the system gives no random bytes".to_string())?;
     let jti = id.iter().map(|byte| format!("{byte:02x}")).collect();
     let (sub, aud, at) = (args.customer.clone(), args.audience.clone(), now());
-    token::issue(&Claims { sub, aud, exp: at + args.lasts, nbf: Some(at), iat: Some(at), jti }, &secret)
+    token::issue(
+        &Claims {
+            sub,
+            aud,
+            exp: at + args.lasts,
+            nbf: Some(at),
+            iat: Some(at),
+            jti,
+        },
+        &secret,
+    )
 }
 
 fn inspect(keys: Option<&Path>, audience: &str) -> Result<String, String> {
     let mut text = String::new();
-    std::io::stdin().read_line(&mut text).map_err(|e| e.to_string())?;
+    std::io::stdin()
+        .read_line(&mut text)
+        .map_err(|e| e.to_string())?;
     let text = text.trim();
     let customer = token::claimed(text).unwrap_or_else(|| "nobody".into());
     let key = token::named_key(text).unwrap_or_else(|| "no key".into());
     let Some(file) = keys else {
-        return Ok(format!("claims to be of {customer}, signed with {key}; not checked"));
+        return Ok(format!(
+            "claims to be of {customer}, signed with {key}; not checked"
+        ));
     };
     let set = read_set(file)?;
-    let terms =
-        Terms { audience: audience.into(), leeway: 60, longest: Seconds::MAX / 4, longest_bytes: 1 << 16 };
+    let terms = Terms {
+        audience: audience.into(),
+        leeway: 60,
+        longest: Seconds::MAX / 4,
+        longest_bytes: 1 << 16,
+    };
     let checked = token::glance(text, &set, &terms, now());
     let checked = checked.and_then(|kid| token::check(text, &kid, &set, &terms, now()));
     match checked {
@@ -212,22 +265,35 @@
             claims.jti,
             claims.exp - now()
         )),
-        Err(why) => {
-            Err(format!("claims to be of {customer}, signed with {key}: {}: {}", why.reason(), why.detail()))
-        }
+        Err(why) => Err(format!(
+            "claims to be of {customer}, signed with {key}: {}: {}",
+            why.reason(),
+            why.detail()
+        )),
     }
 }
 
 pub fn rights(command: &RightsCommand) -> ExitCode {
-    let RightsCommand::Explain { settings, customer, function } = command;
+    let RightsCommand::Explain {
+        settings,
+        customer,
+        function,
+    } = command;
     let loaded = match sanddrum_settings::load(settings) {
         Ok(loaded) => loaded,
         Err(problem) => return fail(exit::USAGE, problem),
     };
     let Some((workload, function)) = function.split_once('/') else {
-        return fail(exit::USAGE, format!("{function:?}: write workload/function"));
+        return fail(
+            exit::USAGE,
+            format!("{function:?}: write workload/function"),
+        );
     };
     let ruling = rights_of(&loaded).rule(customer, workload, function);
     println!("{customer} running {workload}/{function}: {ruling}");
-    ExitCode::from(if ruling.allowed { exit::GOOD } else { exit::BAD })
+    ExitCode::from(if ruling.allowed {
+        exit::GOOD
+    } else {
+        exit::BAD
+    })
 }
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    hunt::Day, play, play_virtually, product_edge, report, EdgesAs, Experiment, Outcome, Recording, Scenario,
-    SocketStage, Stage, BAD_DAY,
+    hunt::Day, play, play_virtually, product_edge, report, EdgesAs, Experiment, Outcome, Recording,
+    Scenario, SocketStage, Stage, BAD_DAY,
 };
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Stdio};
@@ -40,7 +40,10 @@
 }
 
 /// The demo's.
-pub const DEMO: Shipped = Shipped { name: "bad-day.sx", text: BAD_DAY };
+pub const DEMO: Shipped = Shipped {
+    name: "bad-day.sx",
+    text: BAD_DAY,
+};
 
 /// A scenario's name and what it says, the shipped one's where no file is given, with these settings and so many edges
 /// over its own.
@@ -55,29 +58,41 @@
     edges: Option<usize>,
 ) -> Result<(String, Scenario), String> {
     if edges.is_some() && set.iter().any(|set| set.starts_with("fleet.edges=")) {
-        return Err("--edges and --set fleet.edges both say how many edges there are: give one".into());
+        return Err(
+            "--edges and --set fleet.edges both say how many edges there are: give one".into(),
+        );
     }
     let (name, text) = match file {
         None => (shipped.name.to_string(), shipped.text.to_string()),
         Some(file) => {
-            let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+            let text =
+                std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
             (file.display().to_string(), text)
         }
     };
-    let mut scenario = Scenario::read_with(&name, &text, seed, set, "--set").map_err(|e| e.to_string())?;
+    let mut scenario =
+        Scenario::read_with(&name, &text, seed, set, "--set").map_err(|e| e.to_string())?;
     scenario.edges = edges.unwrap_or(scenario.edges);
     Ok((name, scenario))
 }
 
 pub fn run(args: &RunArgs) -> ExitCode {
-    let (name, scenario) = match read_scenario(DEMO, args.file.as_deref(), args.seed, &args.set, args.edges) {
-        Ok(read) => read,
-        Err(problem) => return fail(exit::USAGE, problem),
-    };
+    let (name, scenario) =
+        match read_scenario(DEMO, args.file.as_deref(), args.seed, &args.set, args.edges) {
+            Ok(read) => read,
+            Err(problem) => return fail(exit::USAGE, problem),
+        };
     let seconds = scenario.length / 1_000_000;
-    let how = if args.in_virtual_time { "in virtual time" } else { "on loopback sockets" };
+    let how = if args.in_virtual_time {
+        "in virtual time"
+    } else {
+        "on loopback sockets"
+    };
     let (workers, edges) = (scenario.workers, scenario.edges);
-    println!("{name}: {workers} workers, {edges} edges, {seconds} s of calls, seed {}, {how}", args.seed);
+    println!(
+        "{name}: {workers} workers, {edges} edges, {seconds} s of calls, seed {}, {how}",
+        args.seed
+    );
     let played = if args.in_virtual_time {
         play_virtually(scenario, product_edge()).map_err(|e| e.to_string())
     } else {
@@ -94,7 +109,11 @@
     if json {
         println!("{}", outcome.json());
     }
-    ExitCode::from(if outcome.is_good() { exit::GOOD } else { exit::BAD })
+    ExitCode::from(if outcome.is_good() {
+        exit::GOOD
+    } else {
+        exit::BAD
+    })
 }
 
 /// A folder of this run's own that goes with it.
@@ -124,10 +143,24 @@
     list: &str,
 ) -> Command {
     let mut command = Command::new(program);
-    command.args(["edge", "--scenario", "--settings"]).arg(settings);
-    command.args(["--listen", listen, "--list", list, "--name", &Scenario::edge_name(n)]);
+    command
+        .args(["edge", "--scenario", "--settings"])
+        .arg(settings);
+    command.args([
+        "--listen",
+        listen,
+        "--list",
+        list,
+        "--name",
+        &Scenario::edge_name(n),
+    ]);
     command.args(["--zone", &scenario.zones[scenario.zone_of(n)]]);
-    command.args(["--number", &n.to_string(), "--edges", &scenario.told_edges().to_string()]);
+    command.args([
+        "--number",
+        &n.to_string(),
+        "--edges",
+        &scenario.told_edges().to_string(),
+    ]);
     command.stdin(Stdio::null());
     command
 }
@@ -143,7 +176,11 @@
 
 /// A fleet with one edge and no calls, until a signal.
 pub fn stand(args: &StandArgs) -> ExitCode {
-    let read = args.file.as_ref().map(std::fs::read_to_string).unwrap_or_else(|| Ok(BAD_DAY.to_string()));
+    let read = args
+        .file
+        .as_ref()
+        .map(std::fs::read_to_string)
+        .unwrap_or_else(|| Ok(BAD_DAY.to_string()));
     let text = match read {
         Ok(text) => text,
         Err(e) => return fail(exit::USAGE, e),
@@ -153,7 +190,11 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     scenario.edges = 1;
-    let names: Vec<String> = scenario.calls.iter().map(|c| format!("{}/{}1", c.workload, c.prefix)).collect();
+    let names: Vec<String> = scenario
+        .calls
+        .iter()
+        .map(|c| format!("{}/{}1", c.workload, c.prefix))
+        .collect();
     let kept = || -> Result<(), String> {
         let folder = Folder::new().map_err(|e| e.to_string())?;
         let (recording, edges) = (Recording::default(), processes(&folder, &[])?);
@@ -185,22 +226,32 @@
     let settings = folder.0.join("scenario.sx");
     let (home, set) = (folder.0.clone(), set.to_vec());
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    Ok(EdgesAs::Processes(Box::new(move |n, fleet, state, seed| {
-        let (listen, list) = (&fleet.addresses.edges[n], &fleet.addresses.list);
-        let mut command = edge_process(&program, &settings, &fleet.scenario, n, listen, list);
-        command.arg("--state-file").arg(state).args(["--seed", &seed.to_string()]);
-        for set in &set {
-            command.args(["--set", set]);
-        }
-        if fleet.authority.is_some() {
-            command.arg("--set").arg(format!("tls.roots-file={}", home.join("roots.pem").display()));
-        }
-        if fleet.wallet.is_some() {
-            let file = home.join(fleet.scenario.settings.text("identity.keys-file"));
-            command.arg("--set").arg(format!("identity.keys-file={}", file.display()));
-        }
-        command
-    })))
+    Ok(EdgesAs::Processes(Box::new(
+        move |n, fleet, state, seed| {
+            let (listen, list) = (&fleet.addresses.edges[n], &fleet.addresses.list);
+            let mut command = edge_process(&program, &settings, &fleet.scenario, n, listen, list);
+            command
+                .arg("--state-file")
+                .arg(state)
+                .args(["--seed", &seed.to_string()]);
+            for set in &set {
+                command.args(["--set", set]);
+            }
+            if fleet.authority.is_some() {
+                command.arg("--set").arg(format!(
+                    "tls.roots-file={}",
+                    home.join("roots.pem").display()
+                ));
+            }
+            if fleet.wallet.is_some() {
+                let file = home.join(fleet.scenario.settings.text("identity.keys-file"));
+                command
+                    .arg("--set")
+                    .arg(format!("identity.keys-file={}", file.display()));
+            }
+            command
+        },
+    )))
 }
 
 fn on_sockets(scenario: Scenario, set: &[String]) -> Result<Outcome, String> {
@@ -244,7 +295,10 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     let all = experiment.seeds as usize * experiment.variants.len();
-    let threads = args.threads.or(std::thread::available_parallelism().map(usize::from).ok()).unwrap_or(1);
+    let threads = args
+        .threads
+        .or(std::thread::available_parallelism().map(usize::from).ok())
+        .unwrap_or(1);
     let told = |done: usize| {
         if done.is_multiple_of(threads) || done == all {
             eprint!("\r{done} of {all} runs ");
@@ -257,8 +311,9 @@
     eprintln!();
     print!("{}", report::text(&experiment, &figures));
     if let Some(file) = &args.report {
-        let written = report::html(&experiment, &figures)
-            .and_then(|page| std::fs::write(file, page).map_err(|e| format!("{}: {e}", file.display())));
+        let written = report::html(&experiment, &figures).and_then(|page| {
+            std::fs::write(file, page).map_err(|e| format!("{}: {e}", file.display()))
+        });
         if let Err(problem) = written {
             return fail(exit::TROUBLE, problem);
         }
@@ -286,7 +341,10 @@
 
 pub fn hunt(args: &HuntArgs) -> ExitCode {
     use std::sync::atomic::{AtomicU64, Ordering};
-    let threads = args.threads.or(std::thread::available_parallelism().map(usize::from).ok()).unwrap_or(1);
+    let threads = args
+        .threads
+        .or(std::thread::available_parallelism().map(usize::from).ok())
+        .unwrap_or(1);
     let began = std::time::Instant::now();
     let (next, played, found) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let one = |seed: u64| -> Result<(), String> {
@@ -301,7 +359,12 @@
         std::fs::create_dir_all(&args.keep).map_err(|e| e.to_string())?;
         let file = args.keep.join(format!("day-{seed}.sx"));
         std::fs::write(&file, find.text()).map_err(|e| format!("{}: {e}", file.display()))?;
-        println!("{}: {} after {} runs", file.display(), find.broken.join("; "), find.runs);
+        println!(
+            "{}: {} after {} runs",
+            file.display(),
+            find.broken.join("; "),
+            find.runs
+        );
         Ok(())
     };
     std::thread::scope(|scope| {
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    limits_at, lines, measure, storm, AtSize, Decides, Hammer, HammerSpec, Hammered, Line, MeasureSpec,
-    Measured, Policy, Speaks, Storm, StormSpec,
+    limits_at, lines, measure, storm, AtSize, Decides, Hammer, HammerSpec, Hammered, Line,
+    MeasureSpec, Measured, Policy, Speaks, Storm, StormSpec,
 };
 use sanddrum_net::{EventLoop, NoTap};
 use serde_json::{json, Value};
@@ -58,7 +58,11 @@
             if args.json {
                 println!("{}", figures(&seen));
             }
-            ExitCode::from(if seen.finished > 0 { exit::GOOD } else { exit::BAD })
+            ExitCode::from(if seen.finished > 0 {
+                exit::GOOD
+            } else {
+                exit::BAD
+            })
         }
         Err(problem) => fail(exit::TROUBLE, problem),
     }
@@ -82,15 +86,26 @@
 fn line(h: &Hammered) -> String {
     let q = |q| h.quantile_us(q) as f64 / 1000.0;
     let (p50, p99, p999) = (q(0.5), q(0.99), q(0.999));
-    let others: Vec<String> = h.others.iter().map(|(status, n)| format!("{n} x {status}")).collect();
-    let others = if others.is_empty() { "none".into() } else { others.join(", ") };
+    let others: Vec<String> = h
+        .others
+        .iter()
+        .map(|(status, n)| format!("{n} x {status}"))
+        .collect();
+    let others = if others.is_empty() {
+        "none".into()
+    } else {
+        others.join(", ")
+    };
     let rate = h.rate();
     format!("{rate:.0} calls/s finished; {p50:.3} ms (p50), {p99:.3} (p99), {p999:.3} (p999); others: {others}; dropped {}", h.dropped)
 }
 
 fn figures(h: &Hammered) -> Value {
-    let others: Vec<Value> =
-        h.others.iter().map(|(status, n)| json!({"status": status, "calls": n})).collect();
+    let others: Vec<Value> = h
+        .others
+        .iter()
+        .map(|(status, n)| json!({"status": status, "calls": n}))
+        .collect();
     json!({
         "finished": h.finished,
         "calls_per_s": h.rate().round(),
@@ -194,7 +209,11 @@
 fn spread(mut figures: Vec<f64>) -> (f64, f64, f64) {
     figures.sort_by(f64::total_cmp);
     let at = |n: usize| figures.get(n).copied().unwrap_or(0.0);
-    (at(0), at(figures.len() / 2), at(figures.len().saturating_sub(1)))
+    (
+        at(0),
+        at(figures.len() / 2),
+        at(figures.len().saturating_sub(1)),
+    )
 }
 
 fn told((least, middle, most): (f64, f64, f64)) -> String {
@@ -204,33 +223,63 @@
 /// The module beside a bare forwarder: calls a second when saturated, then latencies at half the module's rate.
 fn rate(args: &MeasureArgs) -> Result<(), String> {
     let pairs = |rate: f64| -> Result<Vec<(Measured, Measured)>, String> {
-        let one = |decides| measure(&MeasureSpec { rate, ..spec(args, decides) });
-        (0..args.runs).map(|_| Ok((one(Decides::Module)?, one(Decides::Forwarder)?))).collect()
+        let one = |decides| {
+            measure(&MeasureSpec {
+                rate,
+                ..spec(args, decides)
+            })
+        };
+        (0..args.runs)
+            .map(|_| Ok((one(Decides::Module)?, one(Decides::Forwarder)?)))
+            .collect()
     };
     let saturated = pairs(0.0)?;
-    println!("saturated, 10 workers, 100 functions, 64 connections, {} runs in turn:", args.runs);
-    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| spread(saturated.iter().map(figure).collect());
-    println!("  calls a second, module         {}", told(of(&|(m, _)| m.load.rate())));
-    println!("  calls a second, forwarder      {}", told(of(&|(_, f)| f.load.rate())));
-    println!("  module over forwarder          {}", told(of(&|(m, f)| m.load.rate() / f.load.rate())));
-    println!("  edge CPU a call, module (us)   {}", told(of(&|(m, _)| m.cpu_us_per_call)));
-    println!("  edge CPU a call, forwarder     {}", told(of(&|(_, f)| f.cpu_us_per_call)));
+    println!(
+        "saturated, 10 workers, 100 functions, 64 connections, {} runs in turn:",
+        args.runs
+    );
+    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+        spread(saturated.iter().map(figure).collect())
+    };
+    println!(
+        "  calls a second, module         {}",
+        told(of(&|(m, _)| m.load.rate()))
+    );
+    println!(
+        "  calls a second, forwarder      {}",
+        told(of(&|(_, f)| f.load.rate()))
+    );
+    println!(
+        "  module over forwarder          {}",
+        told(of(&|(m, f)| m.load.rate() / f.load.rate()))
+    );
+    println!(
+        "  edge CPU a call, module (us)   {}",
+        told(of(&|(m, _)| m.cpu_us_per_call))
+    );
+    println!(
+        "  edge CPU a call, forwarder     {}",
+        told(of(&|(_, f)| f.cpu_us_per_call))
+    );
     let half = of(&|(m, _)| m.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     println!(
         "open loop at half of that, {half:.0} calls a second, latency in ms from when each call was meant:"
     );
     for (name, q) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
-        let of =
-            |figure: &dyn Fn(&(Measured, Measured)) -> f64| told(spread(open.iter().map(figure).collect()));
+        let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+            told(spread(open.iter().map(figure).collect()))
+        };
         let (module, forwarder) = (
             of(&|(m, _)| m.load.quantile_us(q) as f64 / 1000.0),
             of(&|(_, f)| f.load.quantile_us(q) as f64 / 1000.0),
         );
         println!("  {name:5} module {module}, forwarder {forwarder}");
     }
-    let others: u64 =
-        open.iter().flat_map(|(m, f)| m.load.others.values().chain(f.load.others.values())).sum();
+    let others: u64 = open
+        .iter()
+        .flat_map(|(m, f)| m.load.others.values().chain(f.load.others.values()))
+        .sum();
     println!("  answers that were not finished {others}");
     Ok(())
 }
@@ -238,16 +287,36 @@
 /// CPU a call as the fleet grows, at one rate.
 fn fleet(args: &MeasureArgs) -> Result<(), String> {
     println!("edge CPU a call (us) at 2,000 calls a second:");
-    for (workers, functions) in
-        [(10, 100), (100, 100), (1000, 100), (10, 10_000), (100, 10_000), (1000, 10_000)]
-    {
-        let one = |decides| measure(&MeasureSpec { workers, functions, rate: 2000.0, ..spec(args, decides) });
+    for (workers, functions) in [
+        (10, 100),
+        (100, 100),
+        (1000, 100),
+        (10, 10_000),
+        (100, 10_000),
+        (1000, 10_000),
+    ] {
+        let one = |decides| {
+            measure(&MeasureSpec {
+                workers,
+                functions,
+                rate: 2000.0,
+                ..spec(args, decides)
+            })
+        };
         let runs: Vec<(Measured, Measured)> = (0..args.runs)
             .map(|_| Ok((one(Decides::Module)?, one(Decides::Forwarder)?)))
             .collect::<Result<_, String>>()?;
-        let module = told(spread(runs.iter().map(|(m, _)| m.cpu_us_per_call).collect()));
-        let forwarder = told(spread(runs.iter().map(|(_, f)| f.cpu_us_per_call).collect()));
-        let p99 = told(spread(runs.iter().map(|(m, _)| m.load.quantile_us(0.99) as f64 / 1000.0).collect()));
+        let module = told(spread(
+            runs.iter().map(|(m, _)| m.cpu_us_per_call).collect(),
+        ));
+        let forwarder = told(spread(
+            runs.iter().map(|(_, f)| f.cpu_us_per_call).collect(),
+        ));
+        let p99 = told(spread(
+            runs.iter()
+                .map(|(m, _)| m.load.quantile_us(0.99) as f64 / 1000.0)
+                .collect(),
+        ));
         println!("  {workers:5} workers {functions:6} functions: module {module}, forwarder {forwarder}; module's p99 {p99} ms");
     }
     Ok(())
@@ -257,7 +326,13 @@
 fn memory_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.trim().split(' ').next().and_then(|kb| kb.parse::<f64>().ok())).unwrap_or(0.0)
+    line.and_then(|l| {
+        l.trim()
+            .split(' ')
+            .next()
+            .and_then(|kb| kb.parse::<f64>().ok())
+    })
+    .unwrap_or(0.0)
         / 1024.0
 }
 
@@ -265,7 +340,11 @@
 fn idle(args: &MeasureArgs) -> Result<(), String> {
     for idle_clients in [0, 9_000] {
         let before = memory_mb();
-        let m = measure(&MeasureSpec { idle_clients, rate: 2000.0, ..spec(args, Decides::Module) })?;
+        let m = measure(&MeasureSpec {
+            idle_clients,
+            rate: 2000.0,
+            ..spec(args, Decides::Module)
+        })?;
         let grown = memory_mb() - before;
         println!("{idle_clients} idle clients, 2,000 calls a second: {}; CPU a call {:.1} us; memory grown by {grown:.1} MB (both ends)", line(&m.load), m.cpu_us_per_call);
     }
@@ -281,9 +360,11 @@
     for edges in [10, 100, 300] {
         let mut plotted = Vec::new();
         for policy in [Policy::Seen, Policy::Even, Policy::None] {
-            let runs: Vec<AtSize> =
-                (0..args.runs as u64).map(|seed| limits_at(edges, policy, seed)).collect();
-            let of = |figure: &dyn Fn(&AtSize) -> f64| told(spread(runs.iter().map(figure).collect()));
+            let runs: Vec<AtSize> = (0..args.runs as u64)
+                .map(|seed| limits_at(edges, policy, seed))
+                .collect();
+            let of =
+                |figure: &dyn Fn(&AtSize) -> f64| told(spread(runs.iter().map(figure).collect()));
             let moved: Vec<String> = (0..8)
                 .map(|n| format!("{:.2}", spread(runs.iter().map(|r| r.moved[n]).collect()).1))
                 .collect();
@@ -298,12 +379,18 @@
                 Policy::None => continue,
             };
             let middle = |n: usize| spread(runs.iter().map(|r| r.moved[n]).collect()).1;
-            let points = (0..8).map(|n| (n as f64 + 1.0, (middle(n) - 1.0).abs())).collect();
-            plotted.push(Line { name: name.into(), points });
+            let points = (0..8)
+                .map(|n| (n as f64 + 1.0, (middle(n) - 1.0).abs()))
+                .collect();
+            plotted.push(Line {
+                name: name.into(),
+                points,
+            });
         }
         if let Some(folder) = &args.plots {
-            let title =
-                format!("Error of a summed rate limit after its customer moved to another of {edges} edges");
+            let title = format!(
+                "Error of a summed rate limit after its customer moved to another of {edges} edges"
+            );
             lines(
                 &folder.join(format!("limits-{edges}.svg")),
                 &title,
@@ -318,13 +405,29 @@
 /// The same edge over TLS and in plain text, saturated and then at half the rate over TLS.
 fn tls(args: &MeasureArgs) -> Result<(), String> {
     let pairs = |rate: f64| -> Result<Vec<(Measured, Measured)>, String> {
-        let one = |tls| measure(&MeasureSpec { tls, rate, ..spec(args, Decides::Module) });
-        (0..args.runs).map(|_| Ok((one(true)?, one(false)?))).collect()
+        let one = |tls| {
+            measure(&MeasureSpec {
+                tls,
+                rate,
+                ..spec(args, Decides::Module)
+            })
+        };
+        (0..args.runs)
+            .map(|_| Ok((one(true)?, one(false)?)))
+            .collect()
     };
     let saturated = pairs(0.0)?;
-    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| spread(saturated.iter().map(figure).collect());
-    println!("TLS toward 10 workers beside plain text, {} runs in turn:", args.runs);
-    println!("  calls a second over plain      {}", told(of(&|(t, p)| t.load.rate() / p.load.rate())));
+    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+        spread(saturated.iter().map(figure).collect())
+    };
+    println!(
+        "TLS toward 10 workers beside plain text, {} runs in turn:",
+        args.runs
+    );
+    println!(
+        "  calls a second over plain      {}",
+        told(of(&|(t, p)| t.load.rate() / p.load.rate()))
+    );
     println!(
         "  edge CPU a call over plain     {}",
         told(of(&|(t, p)| t.cpu_us_per_call / p.cpu_us_per_call))
@@ -332,8 +435,9 @@
     let half = of(&|(t, _)| t.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
-        let of =
-            |figure: &dyn Fn(&(Measured, Measured)) -> f64| told(spread(open.iter().map(figure).collect()));
+        let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+            told(spread(open.iter().map(figure).collect()))
+        };
         let (over, plain) = (
             of(&|(t, _)| t.load.quantile_us(q) as f64 / 1000.0),
             of(&|(_, p)| p.load.quantile_us(q) as f64 / 1000.0),
@@ -347,16 +451,40 @@
 fn tokens(args: &MeasureArgs) -> Result<(), String> {
     // More new tokens than calls can be made in a run.
     let new = args.length as usize * 80_000;
-    let one = |tokens| measure(&MeasureSpec { tokens, ..spec(args, Decides::Module) });
-    let runs: Vec<[Measured; 3]> =
-        (0..args.runs).map(|_| Ok([one(0)?, one(1)?, one(new)?])).collect::<Result<_, String>>()?;
-    println!("tokens, saturated, {} runs in turn, over calls without one:", args.runs);
+    let one = |tokens| {
+        measure(&MeasureSpec {
+            tokens,
+            ..spec(args, Decides::Module)
+        })
+    };
+    let runs: Vec<[Measured; 3]> = (0..args.runs)
+        .map(|_| Ok([one(0)?, one(1)?, one(new)?]))
+        .collect::<Result<_, String>>()?;
+    println!(
+        "tokens, saturated, {} runs in turn, over calls without one:",
+        args.runs
+    );
     for (n, name) in [(1, "a remembered token"), (2, "a new token each call")] {
-        let rate = spread(runs.iter().map(|r| r[n].load.rate() / r[0].load.rate()).collect());
-        let cpu = spread(runs.iter().map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call).collect());
-        println!("  {name:22} calls a second {}, edge CPU a call {} us more", told(rate), told(cpu));
+        let rate = spread(
+            runs.iter()
+                .map(|r| r[n].load.rate() / r[0].load.rate())
+                .collect(),
+        );
+        let cpu = spread(
+            runs.iter()
+                .map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call)
+                .collect(),
+        );
+        println!(
+            "  {name:22} calls a second {}, edge CPU a call {} us more",
+            told(rate),
+            told(cpu)
+        );
     }
-    for (n, name) in ["no token", "a remembered token", "a new token each call"].iter().enumerate() {
+    for (n, name) in ["no token", "a remembered token", "a new token each call"]
+        .iter()
+        .enumerate()
+    {
         let mut others: std::collections::BTreeMap<u16, u64> = std::collections::BTreeMap::new();
         let each = runs.iter().flat_map(|r| &r[n].load.others);
         each.for_each(|(status, count)| *others.entry(*status).or_default() += count);
@@ -380,16 +508,37 @@
         ("certificate, resumed a call", Certificate, true, true),
     ];
     let one = |(_, door, fresh, resumes): (&str, Speaks, bool, bool)| {
-        measure(&MeasureSpec { door, fresh, resumes, connections: 16, ..spec(args, Decides::Module) })
+        measure(&MeasureSpec {
+            door,
+            fresh,
+            resumes,
+            connections: 16,
+            ..spec(args, Decides::Module)
+        })
     };
     let runs: Vec<Vec<Measured>> = (0..args.runs)
         .map(|_| kinds.iter().map(|kind| one(*kind)).collect())
         .collect::<Result<_, String>>()?;
-    println!("the client door, saturated, 16 connections, {} runs in turn, over plain and kept:", args.runs);
+    println!(
+        "the client door, saturated, 16 connections, {} runs in turn, over plain and kept:",
+        args.runs
+    );
     for (n, (name, ..)) in kinds.iter().enumerate() {
-        let rate = told(spread(runs.iter().map(|r| r[n].load.rate() / r[0].load.rate()).collect()));
-        let cpu = told(spread(runs.iter().map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call).collect()));
-        let p50 = told(spread(runs.iter().map(|r| r[n].load.quantile_us(0.5) as f64 / 1000.0).collect()));
+        let rate = told(spread(
+            runs.iter()
+                .map(|r| r[n].load.rate() / r[0].load.rate())
+                .collect(),
+        ));
+        let cpu = told(spread(
+            runs.iter()
+                .map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call)
+                .collect(),
+        ));
+        let p50 = told(spread(
+            runs.iter()
+                .map(|r| r[n].load.quantile_us(0.5) as f64 / 1000.0)
+                .collect(),
+        ));
         let others: u64 = runs.iter().flat_map(|r| r[n].load.others.values()).sum();
         println!(
             "  {name:30} calls a second {rate}, edge CPU a call {cpu} us more, p50 {p50} ms, others {others}"
@@ -402,13 +551,25 @@
 fn bodies(args: &MeasureArgs) -> Result<(), String> {
     let body_bytes = 1 << 20;
     let one = |door, tls| {
-        measure(&MeasureSpec { door, tls, body_bytes, connections: 4, ..spec(args, Decides::Module) })
+        measure(&MeasureSpec {
+            door,
+            tls,
+            body_bytes,
+            connections: 4,
+            ..spec(args, Decides::Module)
+        })
     };
     let runs: Vec<[Measured; 2]> = (0..args.runs)
         .map(|_| Ok([one(Speaks::Plain, false)?, one(Speaks::Tls, true)?]))
         .collect::<Result<_, String>>()?;
-    println!("bodies of 1 MB, saturated, 4 connections, {} runs in turn:", args.runs);
-    for (n, name) in ["plain on both sides", "TLS on both sides"].iter().enumerate() {
+    println!(
+        "bodies of 1 MB, saturated, 4 connections, {} runs in turn:",
+        args.runs
+    );
+    for (n, name) in ["plain on both sides", "TLS on both sides"]
+        .iter()
+        .enumerate()
+    {
         let each = |r: &[Measured; 2]| r[n].cpu_us_per_call * 1000.0 / f64::from(body_bytes as u32);
         let each = told(spread(runs.iter().map(each).collect()));
         let finished: u64 = runs.iter().map(|r| r[n].load.finished).sum();
@@ -422,16 +583,36 @@
 
 /// Honest callers beside somebody who sends tokens with bad signatures as fast as they are refused.
 fn flood(args: &MeasureArgs) -> Result<(), String> {
-    let one =
-        |flood| measure(&MeasureSpec { flood, rate: 2000.0, tokens: 20, ..spec(args, Decides::Module) });
-    let runs: Vec<[Measured; 3]> =
-        (0..args.runs).map(|_| Ok([one(0)?, one(8)?, one(64)?])).collect::<Result<_, String>>()?;
-    println!("2,000 honest calls a second with 20 tokens, {} runs in turn:", args.runs);
-    for (n, name) in
-        ["no flood", "8 connections of bad tokens", "64 connections of bad tokens"].iter().enumerate()
+    let one = |flood| {
+        measure(&MeasureSpec {
+            flood,
+            rate: 2000.0,
+            tokens: 20,
+            ..spec(args, Decides::Module)
+        })
+    };
+    let runs: Vec<[Measured; 3]> = (0..args.runs)
+        .map(|_| Ok([one(0)?, one(8)?, one(64)?]))
+        .collect::<Result<_, String>>()?;
+    println!(
+        "2,000 honest calls a second with 20 tokens, {} runs in turn:",
+        args.runs
+    );
+    for (n, name) in [
+        "no flood",
+        "8 connections of bad tokens",
+        "64 connections of bad tokens",
+    ]
+    .iter()
+    .enumerate()
     {
-        let q =
-            |q: f64| told(spread(runs.iter().map(|r| r[n].load.quantile_us(q) as f64 / 1000.0).collect()));
+        let q = |q: f64| {
+            told(spread(
+                runs.iter()
+                    .map(|r| r[n].load.quantile_us(q) as f64 / 1000.0)
+                    .collect(),
+            ))
+        };
         let part = told(spread(
             runs.iter()
                 .map(|r| {
@@ -440,7 +621,11 @@
                 })
                 .collect(),
         ));
-        println!("  {name:30} finished {part}, p50 {} ms, p99 {} ms", q(0.5), q(0.99));
+        println!(
+            "  {name:30} finished {part}, p50 {} ms, p99 {} ms",
+            q(0.5),
+            q(0.99)
+        );
     }
     Ok(())
 }
@@ -464,25 +649,45 @@
             };
             let specs = (1..=args.runs as u64).map(|seed| StormSpec { seed, ..spec });
             // Each in a thread of its own, as many as there are processors.
-            let threads: Vec<_> = specs.map(|spec| std::thread::spawn(move || storm(&spec))).collect();
+            let threads: Vec<_> = specs
+                .map(|spec| std::thread::spawn(move || storm(&spec)))
+                .collect();
             let mut runs: Vec<Storm> = Vec::new();
             for thread in threads {
-                runs.push(thread.join().map_err(|_| "a thread panicked")?.map_err(|e| e.to_string())?);
+                runs.push(
+                    thread
+                        .join()
+                        .map_err(|_| "a thread panicked")?
+                        .map_err(|e| e.to_string())?,
+                );
             }
-            let of = |figure: &dyn Fn(&Storm) -> f64| told(spread(runs.iter().map(figure).collect()));
+            let of =
+                |figure: &dyn Fn(&Storm) -> f64| told(spread(runs.iter().map(figure).collect()));
             let name = if on_demand { "on demand" } else { "as decided" };
             println!(
                 "  {edges:3} edges, {name:10}: service {}, calm after {} s, worst worker {} handshakes a second, all {}, p99 {} ms, rules broken {}",
                 of(&|r| r.service), of(&|r| r.calm), of(&|r| f64::from(r.worst)), of(&|r| f64::from(r.handshakes)), of(&|r| r.p99_ms), of(&|r| r.broken as f64)
             );
             let mean = |n: usize| {
-                runs.iter().map(|r| r.seconds.get(n).copied().unwrap_or(0.0)).sum::<f64>() / runs.len() as f64
+                runs.iter()
+                    .map(|r| r.seconds.get(n).copied().unwrap_or(0.0))
+                    .sum::<f64>()
+                    / runs.len() as f64
             };
-            plotted.push(Line { name: name.into(), points: (0..24).map(|n| (n as f64, mean(n))).collect() });
+            plotted.push(Line {
+                name: name.into(),
+                points: (0..24).map(|n| (n as f64, mean(n))).collect(),
+            });
         }
         if let Some(folder) = &args.plots {
-            let title = format!("Service a second, {edges} edges; a zone lost at 6 s, back cold at 9 s");
-            lines(&folder.join(format!("storm-{edges}.svg")), &title, ("second", "calls in time"), &plotted)?;
+            let title =
+                format!("Service a second, {edges} edges; a zone lost at 6 s, back cold at 9 s");
+            lines(
+                &folder.join(format!("storm-{edges}.svg")),
+                &title,
+                ("second", "calls in time"),
+                &plotted,
+            )?;
         }
     }
     Ok(())
--- a/crates/sanddrum-cli/src/logs.rs
+++ b/crates/sanddrum-cli/src/logs.rs
@@ -30,7 +30,9 @@
 /// The filter can't be understood.
 pub fn begin(logs: &Logs) -> Result<(), String> {
     let filter = EnvFilter::try_new(&logs.log).map_err(|e| format!("--log {}: {e}", logs.log))?;
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(|| LineWriter);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(|| LineWriter);
     let begun = match logs.log_format {
         Format::Text => lines.try_init(),
         Format::Json => lines.json().flatten_event(true).try_init(),
@@ -50,7 +52,10 @@
 
 fn has_room(stderr: &io::Stderr) -> bool {
     let mut waits = [PollFd::new(stderr, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let at_once = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     poll(&mut waits, Some(&at_once)).is_ok_and(|ready| ready > 0)
 }
 
@@ -63,9 +68,9 @@
         }
         let dropped = DROPPED.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            let _ = stderr
-                .lock()
-                .write(format!("{dropped} lines were dropped, as nobody read the log\n").as_bytes());
+            let _ = stderr.lock().write(
+                format!("{dropped} lines were dropped, as nobody read the log\n").as_bytes(),
+            );
             if !has_room(&stderr) {
                 DROPPED.fetch_add(1, Ordering::Relaxed);
                 return Ok(line.len());
--- a/crates/sanddrum-cli/src/main.rs
+++ b/crates/sanddrum-cli/src/main.rs
@@ -1,7 +1,9 @@
 //! The operators' command line.
 
 use clap::{Args, Parser, Subcommand};
-use sanddrum_cli::{call, capacity, certs, config, edge, exit, fail, fleet, keys, lab, load, logs, soak};
+use sanddrum_cli::{
+    call, capacity, certs, config, edge, exit, fail, fleet, keys, lab, load, logs, soak,
+};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -149,7 +151,11 @@
                 seed: args.seed,
                 edges: None,
                 json: args.json,
-                set: if args.tls { lab::TLS.map(String::from).to_vec() } else { Vec::new() },
+                set: if args.tls {
+                    lab::TLS.map(String::from).to_vec()
+                } else {
+                    Vec::new()
+                },
             };
             lab::run(&args)
         }
--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -15,10 +15,17 @@
 /// Reads the configuration that the environment names; the environment's own name and address count before it.
 fn configuration() -> Result<(PathBuf, Configuration), String> {
     let variable = |name: &str| std::env::var(name).ok().filter(|text| !text.is_empty());
-    let file = variable("RELAY_CONFIG").map(PathBuf::from).ok_or("RELAY_CONFIG: no file is named")?;
-    let text = until_it_works(|| std::fs::read_to_string(&file))
-        .map_err(|e| format!("RELAY_CONFIG: {}: {e}; give a file that can be read", file.display()))?;
-    let mut read = Configuration::read(&text).map_err(|why| format!("{}: {why}", file.display()))?;
+    let file = variable("RELAY_CONFIG")
+        .map(PathBuf::from)
+        .ok_or("RELAY_CONFIG: no file is named")?;
+    let text = until_it_works(|| std::fs::read_to_string(&file)).map_err(|e| {
+        format!(
+            "RELAY_CONFIG: {}: {e}; give a file that can be read",
+            file.display()
+        )
+    })?;
+    let mut read =
+        Configuration::read(&text).map_err(|why| format!("{}: {why}", file.display()))?;
     read.name = variable("RELAY_NAME").unwrap_or(read.name);
     read.listen = variable("RELAY_LISTEN").unwrap_or(read.listen);
     // Guards against a configuration that promises more descriptors than there are: idle clients would take the last.
@@ -42,10 +49,17 @@
 fn serve(mut driver: EventLoop, file: PathBuf, read: &Configuration) -> Result<Shutdown, String> {
     let settings = read.deployment()?;
     let now = driver.now();
-    let platform = Platform { known: read.told()?, kinds: read.kinds() };
+    let platform = Platform {
+        known: read.told()?,
+        kinds: read.kinds(),
+    };
     let door = until_it_works(|| EventLoop::bind(&read.listen));
     let (door, at) = door.map_err(|e| format!("{}: {e}", read.listen))?;
-    tracing::info!(listen = at, feed = read.feed, "a router of the platform begins");
+    tracing::info!(
+        listen = at,
+        feed = read.feed,
+        "a router of the platform begins"
+    );
     let start = Start {
         settings,
         seed: read.seed,
@@ -55,7 +69,9 @@
         platform: Some(platform),
     };
     let edge = Edge::with_settings(start, &read.module());
-    let host = driver.add(Box::new(edge), vec![door], None).map_err(|e| e.to_string())?;
+    let host = driver
+        .add(Box::new(edge), vec![door], None)
+        .map_err(|e| e.to_string())?;
     driver.watch(host, CONFIGURATION, file, LOOK_EVERY);
     driver.end_in_order_only();
     driver.run().map_err(|e| e.to_string())
--- a/crates/sanddrum-cli/src/retry.rs
+++ b/crates/sanddrum-cli/src/retry.rs
@@ -22,7 +22,9 @@
         Errno::ADDRINUSE,
         Errno::ADDRNOTAVAIL,
     ];
-    error.raw_os_error().is_some_and(|code| passing.iter().any(|errno| errno.raw_os_error() == code))
+    error
+        .raw_os_error()
+        .is_some_and(|code| passing.iter().any(|errno| errno.raw_os_error() == code))
 }
 
 /// Tries until it works, or fails for good, or for too long.
--- a/crates/sanddrum-cli/src/soak.rs
+++ b/crates/sanddrum-cli/src/soak.rs
@@ -47,7 +47,10 @@
 
 fn played(args: &SoakArgs) -> Result<SoakReport, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let program = args.program.clone().unwrap_or_else(|| own.with_file_name("sanddrum-edge"));
+    let program = args
+        .program
+        .clone()
+        .unwrap_or_else(|| own.with_file_name("sanddrum-edge"));
     let folder = Folder::new().map_err(|e| e.to_string())?;
     let spec = SoakSpec {
         seed: args.replay.unwrap_or(args.seed),
@@ -72,11 +75,22 @@
 fn tell(args: &SoakArgs, report: &SoakReport) -> ExitCode {
     println!("troubles {:?}", report.troubles);
     println!("faults {:?}", report.faults);
-    println!("counts {:?}, the lab itself late for {} ms in all", report.counts, report.lab_late_ms);
-    report.breaks.iter().take(BREAKS_TOLD).for_each(|found| println!("{found}"));
+    println!(
+        "counts {:?}, the lab itself late for {} ms in all",
+        report.counts, report.lab_late_ms
+    );
+    report
+        .breaks
+        .iter()
+        .take(BREAKS_TOLD)
+        .for_each(|found| println!("{found}"));
     if args.json {
         println!("{}", report.json());
     }
     println!("{}", report.verdict());
-    ExitCode::from(if report.is_good() { exit::GOOD } else { exit::BAD })
+    ExitCode::from(if report.is_good() {
+        exit::GOOD
+    } else {
+        exit::BAD
+    })
 }
--- a/crates/sanddrum-cli/tests/ci.rs
+++ b/crates/sanddrum-cli/tests/ci.rs
@@ -31,7 +31,8 @@
 
 /// Whether the script passes, what it prints, and how it called cargo.
 fn run(name: &str, known_red: Option<&str>, rest: &str) -> (bool, String, String) {
-    let tree = Tree(std::env::temp_dir().join(format!("sanddrum-ci-{name}-{}", std::process::id())));
+    let tree =
+        Tree(std::env::temp_dir().join(format!("sanddrum-ci-{name}-{}", std::process::id())));
     for folder in [".ci", "bin"] {
         fs::create_dir_all(tree.0.join(folder)).unwrap();
     }
@@ -39,8 +40,14 @@
     let cargo = tree.0.join("bin/cargo");
     fs::write(&cargo, CARGO).unwrap();
     fs::set_permissions(&cargo, fs::Permissions::from_mode(0o755)).unwrap();
-    known_red.into_iter().for_each(|text| fs::write(tree.0.join("KNOWN-RED.txt"), text).unwrap());
-    let path = format!("{}:{}", tree.0.join("bin").display(), std::env::var("PATH").unwrap());
+    known_red
+        .into_iter()
+        .for_each(|text| fs::write(tree.0.join("KNOWN-RED.txt"), text).unwrap());
+    let path = format!(
+        "{}:{}",
+        tree.0.join("bin").display(),
+        std::env::var("PATH").unwrap()
+    );
     let calls = tree.0.join("calls");
     let output = Command::new("bash")
         .arg(tree.0.join(".ci/run"))
@@ -50,7 +57,11 @@
         .output()
         .unwrap();
     let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    (output.status.success(), said, fs::read_to_string(calls).unwrap_or_default())
+    (
+        output.status.success(),
+        said,
+        fs::read_to_string(calls).unwrap_or_default(),
+    )
 }
 
 #[rstest]
@@ -59,8 +70,14 @@
 #[case::only_a_remark("remark", Some("# none\n\n"))]
 fn without_known_red_tests_all_tests_count(#[case] name: &str, #[case] list: Option<&str>) {
     let (passes, said, calls) = run(name, list, "0");
-    assert!(passes && calls.starts_with("cargo test --workspace --locked\n"), "{said}{calls}");
-    assert!(!run(&format!("{name}-red"), list, "101").0, "one that fails");
+    assert!(
+        passes && calls.starts_with("cargo test --workspace --locked\n"),
+        "{said}{calls}"
+    );
+    assert!(
+        !run(&format!("{name}-red"), list, "101").0,
+        "one that fails"
+    );
 }
 
 #[rstest]
@@ -68,7 +85,10 @@
     let (passes, said, calls) = run("red", Some("a::fails, a cause, issue 1\n"), "101");
     assert!(passes, "{said}{calls}");
     assert!(said.contains("a::fails, a cause, issue 1"));
-    assert!(calls.contains("cargo test --workspace --locked -- --exact --skip a::fails\n"), "{calls}");
+    assert!(
+        calls.contains("cargo test --workspace --locked -- --exact --skip a::fails\n"),
+        "{calls}"
+    );
 }
 
 #[rstest]
@@ -76,7 +96,10 @@
 #[case::that_no_test_has("unknown", "a::gone, a cause, issue 1")]
 #[case::that_two_tests_have("twice", "b::twice, a cause, issue 1")]
 #[case::that_is_part_of_a_name("part", "fails, a cause, issue 1")]
-#[case::among_more_than_three("many", "a::fails, c, 1\na::fails, c, 1\na::fails, c, 1\na::fails, c, 1")]
+#[case::among_more_than_three(
+    "many",
+    "a::fails, c, 1\na::fails, c, 1\na::fails, c, 1\na::fails, c, 1"
+)]
 fn a_name_fails(#[case] name: &str, #[case] list: &str) {
     let (passes, said, calls) = run(name, Some(list), "0");
     assert!(!passes, "{said}{calls}");
--- a/crates/sanddrum-cli/tests/clock_steps.rs
+++ b/crates/sanddrum-cli/tests/clock_steps.rs
@@ -71,16 +71,32 @@
     let mut feed = accept(&feeds);
     question(&mut feed);
     let (mut web, mut servers) = (Web::connects(&router.at), [first, second]);
-    assert_eq!(served(&mut web, &mut servers, 0, 30), 0, "the other one is not told yet");
-    faults.step_wall_clock(step.before_start_us + step.while_running_us).unwrap();
-    let servers_offset = if step.servers_step_too { step.while_running_us } else { 0 };
+    assert_eq!(
+        served(&mut web, &mut servers, 0, 30),
+        0,
+        "the other one is not told yet"
+    );
+    faults
+        .step_wall_clock(step.before_start_us + step.while_running_us)
+        .unwrap();
+    let servers_offset = if step.servers_step_too {
+        step.while_running_us
+    } else {
+        0
+    };
     let mut starts = member("c", &second_at, "in_service");
     starts["up_since_ms"] = json!(wall_ms(servers_offset) - 200);
     feed.write_all(&told(2, json!([event(2, starts)]))).unwrap();
     question(&mut feed);
     let got = served(&mut web, &mut servers, 30, REQUESTS);
-    assert!(faults.get(Word::WallReadsStepped).unwrap() > 0, "the step never came");
-    assert!(got <= MOST_IN_SLOW_START, "{got} of {REQUESTS} went to a server that has just started");
+    assert!(
+        faults.get(Word::WallReadsStepped).unwrap() > 0,
+        "the step never came"
+    );
+    assert!(
+        got <= MOST_IN_SLOW_START,
+        "{got} of {REQUESTS} went to a server that has just started"
+    );
 }
 
 #[rstest]
@@ -95,15 +111,22 @@
         server
     };
     let mut configuration = slow_start(&feed_at, &first_at);
-    let long_warm = [member("w", &first_at, "in_service"), server(wall_ms(0) - 120_000)];
+    let long_warm = [
+        member("w", &first_at, "in_service"),
+        server(wall_ms(0) - 120_000),
+    ];
     configuration["known"]["events"][0]["members"]["members"] = json!(long_warm);
     let router = Router::start_with("again", &configuration, Some(&faults));
     let mut feed = accept(&feeds);
     question(&mut feed);
     let (mut web, mut servers) = (Web::connects(&router.at), [first, second]);
     faults.step_wall_clock(-HOUR_US).unwrap();
-    feed.write_all(&told(2, json!([event(2, server(wall_ms(-HOUR_US) - 200))]))).unwrap();
+    feed.write_all(&told(2, json!([event(2, server(wall_ms(-HOUR_US) - 200))])))
+        .unwrap();
     question(&mut feed);
     let got = served(&mut web, &mut servers, 0, REQUESTS);
-    assert!(got <= MOST_IN_SLOW_START, "{got} of {REQUESTS} went to a server that has just started");
+    assert!(
+        got <= MOST_IN_SLOW_START,
+        "{got} of {REQUESTS} went to a server that has just started"
+    );
 }
--- a/crates/sanddrum-cli/tests/cold.rs
+++ b/crates/sanddrum-cli/tests/cold.rs
@@ -43,12 +43,20 @@
     #[values(3, 20, 30, 300)] edges: usize,
     #[values(0, 1)] uneven: u32,
 ) {
-    holds(&format!("young-{edges}-{uneven}"), &scenario(edges, uneven), &["run", "--virtual"]);
+    holds(
+        &format!("young-{edges}-{uneven}"),
+        &scenario(edges, uneven),
+        &["run", "--virtual"],
+    );
 }
 
 #[rstest]
 #[case::twenty(20, 0)]
 #[case::thirty_of_uneven_parts(30, 1)]
 fn nor_from_all_edges_as_processes(#[case] edges: usize, #[case] uneven: u32) {
-    holds(&format!("young-processes-{edges}"), &scenario(edges, uneven), &["fleet"]);
+    holds(
+        &format!("young-processes-{edges}"),
+        &scenario(edges, uneven),
+        &["fleet"],
+    );
 }
--- a/crates/sanddrum-cli/tests/fleet.rs
+++ b/crates/sanddrum-cli/tests/fleet.rs
@@ -23,9 +23,21 @@
 /// What happens, and from which second on nearly all is served again.
 #[rstest]
 #[case::everything_cold_at_one_instant("cold", "", 5)]
-#[case::all_edges_killed("all-killed", r#"(trouble "edge-crash" (part 100%) (at 3s) (length 300ms))"#, 6)]
-#[case::seven_in_ten_killed("seven", r#"(trouble "edge-crash" (part 70%) (at 3s) (length 300ms))"#, 6)]
-#[case::back_without_lists("anew", r#"(trouble "edge-anew" (part 70%) (at 3s) (length 300ms))"#, 6)]
+#[case::all_edges_killed(
+    "all-killed",
+    r#"(trouble "edge-crash" (part 100%) (at 3s) (length 300ms))"#,
+    6
+)]
+#[case::seven_in_ten_killed(
+    "seven",
+    r#"(trouble "edge-crash" (part 70%) (at 3s) (length 300ms))"#,
+    6
+)]
+#[case::back_without_lists(
+    "anew",
+    r#"(trouble "edge-anew" (part 70%) (at 3s) (length 300ms))"#,
+    6
+)]
 #[case::one_stopped("stopped", r#"(trouble "edge-stop" (count 1) (at 3s) (length 2s))"#, 7)]
 #[case::ended_in_order("ended", r#"(trouble "edge-end" (count 2) (at 3s) (length 1s))"#, 6)]
 #[case::list_stopped(
@@ -77,7 +89,11 @@
     7
 )]
 #[case::store_refuses_and_edges_die("refuses", r#"(trouble "store-refuse" (at 0s) (length 1500ms)) (trouble "edge-crash" (part 50%) (at 1s) (length 200ms))"#, 7)]
-fn processes_keep_the_rules_and_come_back(#[case] name: &str, #[case] troubles: &str, #[case] again: usize) {
+fn processes_keep_the_rules_and_come_back(
+    #[case] name: &str,
+    #[case] troubles: &str,
+    #[case] again: usize,
+) {
     let scenario = format!("{}{troubles}", HEAD.replace("TOLD", ""));
     keeps_the_rules_and_comes_back(name, &scenario, again);
 }
@@ -95,7 +111,11 @@
 fn keeps_the_rules_and_comes_back(name: &str, scenario: &str, again: usize) {
     let played = play(name, scenario, &["fleet"]);
     assert_eq!(played.exit, Some(0), "{}", played.text);
-    assert!(played.summary["jobs_taken"].as_u64() > Some(400), "{}", played.text);
+    assert!(
+        played.summary["jobs_taken"].as_u64() > Some(400),
+        "{}",
+        played.text
+    );
     assert!(played.service(again..9) >= 0.9, "{}", played.text);
     let virtually = play(&format!("{name}-virtual"), scenario, &["run", "--virtual"]);
     assert_eq!(virtually.exit, Some(0), "{}", virtually.text);
--- a/crates/sanddrum-cli/tests/hunt.rs
+++ b/crates/sanddrum-cli/tests/hunt.rs
@@ -48,12 +48,19 @@
         out.extend_from_slice(&body);
         web.says(&out);
     }
-    requests.clone().for_each(|id| web.says(&header(Kind::Stdin, id, 0)));
+    requests
+        .clone()
+        .for_each(|id| web.says(&header(Kind::Stdin, id, 0)));
     for _ in requests {
         let next = worker.request();
         assert_eq!(next.1.body.len(), LARGEST_BODY);
         worker.serve(&next);
-        assert_eq!(web.answer().expect("no connection is closed with requests open").status(), "200");
+        assert_eq!(
+            web.answer()
+                .expect("no connection is closed with requests open")
+                .status(),
+            "200"
+        );
     }
 }
 
@@ -79,7 +86,11 @@
     members.push(member("stands", &second_at, "in_service"));
     let list = json!({"n": 2, "members": {"revision": 2, "complete": true, "members": members}});
     feed.write_all(&told(2, json!([list]))).unwrap();
-    assert_eq!(question(&mut feed), 2, "the list is taken, and the next one asked for");
+    assert_eq!(
+        question(&mut feed),
+        2,
+        "the list is taken, and the next one asked for"
+    );
     let mut web = Web::connects(&router.at);
     web.calls(1, A);
     let next = second.request();
@@ -89,7 +100,8 @@
 
 #[rstest]
 fn a_configuration_that_is_half_written_at_its_signal_is_read_once_it_is_whole() {
-    let ((_worker, worker_at), (feeds, feed_at), (moved, moved_at)) = (listener(), listener(), listener());
+    let ((_worker, worker_at), (feeds, feed_at), (moved, moved_at)) =
+        (listener(), listener(), listener());
     let router = Router::start("half-configured", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
     question(&mut feed);
@@ -148,7 +160,10 @@
     web.calls(2, B);
     let also = worker.request();
     std::thread::sleep(Duration::from_millis(50));
-    worker.says(out.0, &frames::answer(97, out.1.id, "remark=hot", &out.1.body));
+    worker.says(
+        out.0,
+        &frames::answer(97, out.1.id, "remark=hot", &out.1.body),
+    );
     worker.serve(&also);
     assert_eq!(web.answer().unwrap().status(), "200");
     assert_eq!(web.answer().unwrap().status(), "200");
@@ -188,7 +203,11 @@
     let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-poller-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
-    let router = Router::start_with("poller", &configuration(&feed_at, &worker_at, "once"), Some(&faults));
+    let router = Router::start_with(
+        "poller",
+        &configuration(&feed_at, &worker_at, "once"),
+        Some(&faults),
+    );
     let mut feed = accept(&feeds);
     question(&mut feed);
     let mut web = Web::connects(&router.at);
--- a/crates/sanddrum-cli/tests/overload.rs
+++ b/crates/sanddrum-cli/tests/overload.rs
@@ -46,7 +46,11 @@
     r#"(trouble "link" (part 50%) (to workers) (fault silent-from) (at 5s) (length 1s))"#,
     11
 )]
-#[case::answers_are_lost("lost", r#"(trouble "lose-answers" (part 50%) (at 5s) (length 2s) (size 0.5))"#, 11)]
+#[case::answers_are_lost(
+    "lost",
+    r#"(trouble "lose-answers" (part 50%) (at 5s) (length 2s) (size 0.5))"#,
+    11
+)]
 #[case::the_store_stalls(
     "store",
     r#"(trouble "flush" (at 5s)) (trouble "store-stall" (at 5s) (length 1s))"#,
@@ -74,14 +78,22 @@
        (trouble "crash" (count 3) (at 6s) (length 300ms))"#,
     11
 )]
-#[case::an_edge_is_stopped("stopped", r#"(trouble "edge-stop" (count 1) (at 4500ms) (length 5s))"#, 11)]
+#[case::an_edge_is_stopped(
+    "stopped",
+    r#"(trouble "edge-stop" (count 1) (at 4500ms) (length 5s))"#,
+    11
+)]
 fn four_times_the_load_is_turned_away_at_the_door_and_over_when_it_ends(
     #[case] name: &str,
     #[case] beside: &str,
     #[case] again: usize,
 ) {
     let scenario = format!("{HEAD}{FOUR_TIMES}{beside}");
-    let played = play(&format!("over-{name}-virtual"), &scenario, &["run", "--virtual"]);
+    let played = play(
+        &format!("over-{name}-virtual"),
+        &scenario,
+        &["run", "--virtual"],
+    );
     assert_eq!(played.exit, Some(0), "{}", played.text);
     assert!(played.executions_each() < 1.5, "{}", played.text);
     assert!(played.service(again..13) >= 0.95, "{}", played.text);
@@ -93,8 +105,9 @@
     let all = all.inspect(|played| assert_eq!(played.exit, Some(0), "{}", played.text));
     let mut all = all.map(|played| (turned_away_and_over(&played, again), played));
     let held_up = |played: &Played| played.text.contains("the machine was the limit");
-    let (held, played) =
-        all.find(|(held, played)| *held || !held_up(played)).expect("the machine was the limit in all three");
+    let (held, played) = all
+        .find(|(held, played)| *held || !held_up(played))
+        .expect("the machine was the limit in all three");
     assert!(held, "{}", played.text);
 }
 
@@ -130,7 +143,11 @@
         let played = play(&format!("over-greedy-{}", how.len()), &scenario, how);
         assert_eq!(played.exit, Some(0), "{}", played.text);
         let served = |name: &str| played.summary["customers"][name].as_f64().unwrap();
-        assert!(served("modest") >= 0.9 && served("greedy") < served("modest"), "{}", played.text);
+        assert!(
+            served("modest") >= 0.9 && served("greedy") < served("modest"),
+            "{}",
+            played.text
+        );
         assert!(played.service(10..13) >= 0.95, "{}", played.text);
     }
 }
--- a/crates/sanddrum-cli/tests/overrides.rs
+++ b/crates/sanddrum-cli/tests/overrides.rs
@@ -24,8 +24,20 @@
 #[case::two("two", &["--set", "fleet.edges=3", "--set", "fleet.workers=6"], "6 workers, 3 edges, 2 s of calls")]
 #[case::edges_of_their_own("own", &["--edges", "5"], "4 workers, 5 edges, 2 s of calls")]
 fn an_override_takes_effect(#[case] name: &str, #[case] set: &[&str], #[case] told: &str) {
-    let played = play(&format!("set-{name}"), SCENARIO, &[&["run", "--virtual"], set].concat());
-    assert!(played.text.lines().next().is_some_and(|line| line.contains(told)), "{}", played.text);
+    let played = play(
+        &format!("set-{name}"),
+        SCENARIO,
+        &[&["run", "--virtual"], set].concat(),
+    );
+    assert!(
+        played
+            .text
+            .lines()
+            .next()
+            .is_some_and(|line| line.contains(told)),
+        "{}",
+        played.text
+    );
     assert_eq!(played.exit, Some(0), "{}", played.text);
 }
 
@@ -56,7 +68,11 @@
 /// A stand-in as a process is told as well; it would have read the file alone.
 #[rstest]
 fn a_part_of_a_fleet_of_processes_reads_them() {
-    let played = play("refused-part", SCENARIO, &["part", "--set", "fleet.egdes=9"]);
+    let played = play(
+        "refused-part",
+        SCENARIO,
+        &["part", "--set", "fleet.egdes=9"],
+    );
     assert_eq!(played.exit, Some(2), "{}", played.text);
 }
 
@@ -64,7 +80,8 @@
 #[rstest]
 fn a_variants_settings_take_effect() {
     let variants = r#"(variant "as built") (variant "shorter" (set "traffic.length=1s"))"#;
-    let experiment = Experiment::read("story", &(SCENARIO.to_string() + variants), Some(1)).unwrap();
+    let experiment =
+        Experiment::read("story", &(SCENARIO.to_string() + variants), Some(1)).unwrap();
     let figures = experiment.run_all(1, |_| ()).unwrap();
     let seconds: Vec<usize> = figures.iter().map(|of| of[0].seconds.len()).collect();
     assert_eq!(seconds, [2, 1]);
@@ -73,6 +90,10 @@
 #[rstest]
 fn a_variants_unknown_setting_is_refused() {
     let variants = r#"(variant "as built") (variant "another" (set "edge.edges=4"))"#;
-    let problem = Experiment::read("story", &(SCENARIO.to_string() + variants), Some(1)).unwrap_err();
-    assert!(problem.to_string().starts_with("another: edge.edges=4"), "{problem}");
+    let problem =
+        Experiment::read("story", &(SCENARIO.to_string() + variants), Some(1)).unwrap_err();
+    assert!(
+        problem.to_string().starts_with("another: edge.edges=4"),
+        "{problem}"
+    );
 }
--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -46,7 +46,12 @@
             }
             thread::sleep(Duration::from_millis(50));
             let body = json!({"n": 1, "events": []}).to_string();
-            let _ = conn.write_all(&sanddrum_wire::http::response(200, &[], body.as_bytes(), true));
+            let _ = conn.write_all(&sanddrum_wire::http::response(
+                200,
+                &[],
+                body.as_bytes(),
+                true,
+            ));
         }
     }
 }
@@ -67,7 +72,8 @@
 }
 impl Router {
     fn start(name: &str, configuration: &str, listen: &str) -> Router {
-        let file = std::env::temp_dir().join(format!("sanddrum-{name}-{}.json", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("sanddrum-{name}-{}.json", std::process::id()));
         std::fs::write(&file, configuration).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_sanddrum-edge"));
         command
@@ -75,19 +81,25 @@
             .env("RELAY_CONFIG", &file)
             .env("RELAY_NAME", "n1")
             .env("RELAY_LISTEN", listen);
-        let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
+        let child = command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         Router(child, file)
     }
     fn signal(&self, which: &str) {
-        let sent = Command::new("sh").args(["-c", &format!("kill -{which} {}", self.0.id())]).status();
+        let sent = Command::new("sh")
+            .args(["-c", &format!("kill -{which} {}", self.0.id())])
+            .status();
         assert!(sent.unwrap().success());
     }
 }
 
 fn configuration(listen: &str, feed: &str, worker: &str) -> serde_json::Value {
-    let member =
-        json!({"id": "w", "host_port": worker, "locality": "here", "phase": "in_service", "size": 4});
-    let known = json!({"n": 1, "events": [{"n": 1, "members": {"complete": true, "members": [member]}}]});
+    let member = json!({"id": "w", "host_port": worker, "locality": "here", "phase": "in_service", "size": 4});
+    let known =
+        json!({"n": 1, "events": [{"n": 1, "members": {"complete": true, "members": [member]}}]});
     json!({
         "name": "n1", "listen": listen, "seed": "5", "feed": feed, "known": known,
         "limits": {"sockets": 256, "memory_mb": 32},
@@ -142,19 +154,32 @@
     thread::spawn(|| worker(w));
     thread::spawn(|| feed(f, tell));
     thread::spawn(|| feed(moved, tell_moved));
-    let mut router =
-        Router::start("serves", &configuration(&listen, &feed_at, &worker_at).to_string(), &listen);
+    let mut router = Router::start(
+        "serves",
+        &configuration(&listen, &feed_at, &worker_at).to_string(),
+        &listen,
+    );
     // It asks its feed once it is up and listens.
-    assert!(told.recv_timeout(Duration::from_secs(20)).unwrap().starts_with("GET /v1/events?SUB=1&wait="));
+    assert!(told
+        .recv_timeout(Duration::from_secs(20))
+        .unwrap()
+        .starts_with("GET /v1/events?SUB=1&wait="));
     assert!(asked(&listen, &[("SCRIPT_NAME", "/health")], b"").starts_with("Status: 200\r\n"));
     let answer = job(&listen, "00000000000000a1");
     assert!(
         answer.starts_with("Status: 200\r\n") && answer.ends_with("\r\n\r\n00000000000000a1"),
         "{answer}"
     );
-    std::fs::write(&router.1, configuration(&listen, &moved_at, &worker_at).to_string()).unwrap();
+    std::fs::write(
+        &router.1,
+        configuration(&listen, &moved_at, &worker_at).to_string(),
+    )
+    .unwrap();
     router.signal("HUP");
-    assert!(told_moved.recv_timeout(Duration::from_secs(20)).unwrap().contains("SUB=1&"));
+    assert!(told_moved
+        .recv_timeout(Duration::from_secs(20))
+        .unwrap()
+        .contains("SUB=1&"));
     router.signal("TERM");
     // What still comes is served.
     assert!(job(&listen, "00000000000000a2").starts_with("Status: 200\r\n"));
@@ -167,7 +192,13 @@
     json["feed"] = json!("nowhere");
     let mut router = Router::start("bad", &json.to_string(), "127.0.0.1:1");
     let mut said = String::new();
-    router.0.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    router
+        .0
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut said)
+        .unwrap();
     assert_eq!(router.0.wait().unwrap().code(), Some(2));
     assert!(said.contains("feed"), "{said}");
 }
--- a/crates/sanddrum-cli/tests/played/mod.rs
+++ b/crates/sanddrum-cli/tests/played/mod.rs
@@ -16,19 +16,26 @@
     pub fn service(&self, seconds: std::ops::Range<usize>) -> f64 {
         let sums = seconds.fold((0, 0), |(begun, in_time), n| {
             let second = &self.summary["seconds"][n];
-            (begun + second[0].as_u64().unwrap_or(0), in_time + second[1].as_u64().unwrap_or(0))
+            (
+                begun + second[0].as_u64().unwrap_or(0),
+                in_time + second[1].as_u64().unwrap_or(0),
+            )
         });
         sums.1 as f64 / (sums.0 as f64).max(1.0)
     }
     /// Calls begun over these seconds and answered in time.
     #[allow(dead_code)] // not every story asks for it
     pub fn in_time(&self, seconds: std::ops::Range<usize>) -> u64 {
-        seconds.filter_map(|n| self.summary["seconds"][n][1].as_u64()).sum()
+        seconds
+            .filter_map(|n| self.summary["seconds"][n][1].as_u64())
+            .sum()
     }
     /// Executions that reached workers for each job that finished.
     #[allow(dead_code)] // not every story asks for it
     pub fn executions_each(&self) -> f64 {
-        self.summary["whole"]["for_each_finished"]["executions"].as_f64().unwrap_or(f64::MAX)
+        self.summary["whole"]["for_each_finished"]["executions"]
+            .as_f64()
+            .unwrap_or(f64::MAX)
     }
 }
 
@@ -41,7 +48,8 @@
 
 /// Plays a scenario's text; `how` is a subcommand with its arguments.
 pub fn play(name: &str, scenario: &str, how: &[&str]) -> Played {
-    let folder = Folder(std::env::temp_dir().join(format!("sanddrum-fleet-{name}-{}", std::process::id())));
+    let folder =
+        Folder(std::env::temp_dir().join(format!("sanddrum-fleet-{name}-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
     let file = folder.0.join("scenario.sx");
     std::fs::write(&file, scenario).unwrap();
@@ -57,5 +65,9 @@
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let summary = serde_json::from_str(text.lines().last().unwrap_or_default()).unwrap_or_default();
     let text = text + &String::from_utf8_lossy(&output.stderr);
-    Played { exit: output.status.code(), summary, text }
+    Played {
+        exit: output.status.code(),
+        summary,
+        text,
+    }
 }
--- a/crates/sanddrum-cli/tests/processes.rs
+++ b/crates/sanddrum-cli/tests/processes.rs
@@ -43,18 +43,43 @@
 impl Edge {
     /// Starts one and learns its door from its log.
     fn start(folder: &Folder, listen: &str) -> Edge {
-        Edge::start_by(folder, listen, Command::new(env!("CARGO_BIN_EXE_sanddrum-edge")))
+        Edge::start_by(
+            folder,
+            listen,
+            Command::new(env!("CARGO_BIN_EXE_sanddrum-edge")),
+        )
     }
     fn start_by(folder: &Folder, listen: &str, mut command: Command) -> Edge {
         let (settings, state) = (folder.0.join("settings.sx"), folder.0.join("state"));
-        command.args(["--settings", settings.to_str().unwrap(), "--state-file", state.to_str().unwrap()]);
-        command.args(["--listen", listen, "--list", "127.0.0.1:1", "--log", "info", "--log-format", "json"]);
-        let mut child = command.stderr(Stdio::piped()).stdin(Stdio::null()).spawn().unwrap();
+        command.args([
+            "--settings",
+            settings.to_str().unwrap(),
+            "--state-file",
+            state.to_str().unwrap(),
+        ]);
+        command.args([
+            "--listen",
+            listen,
+            "--list",
+            "127.0.0.1:1",
+            "--log",
+            "info",
+            "--log-format",
+            "json",
+        ]);
+        let mut child = command
+            .stderr(Stdio::piped())
+            .stdin(Stdio::null())
+            .spawn()
+            .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
         let at = loop {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it listened");
+            assert!(
+                log.read_line(&mut line).unwrap() > 0,
+                "it ended before it listened"
+            );
             if let Some((_, rest)) = line.split_once("\"listen\":\"") {
                 break rest.split('"').next().unwrap().to_string();
             }
@@ -64,7 +89,9 @@
         Edge { child, at }
     }
     fn signal(&self, which: &str) {
-        let sent = Command::new("sh").args(["-c", &format!("kill -{which} {}", self.child.id())]).status();
+        let sent = Command::new("sh")
+            .args(["-c", &format!("kill -{which} {}", self.child.id())])
+            .status();
         assert!(sent.unwrap().success());
     }
     fn ends_with(&mut self) -> Option<i32> {
@@ -87,11 +114,15 @@
 }
 
 fn call(socket: &mut TcpStream) {
-    socket.write_all(&http::write_request("POST", "/v1/calls/job/f1", &[], b"")).unwrap();
+    socket
+        .write_all(&http::write_request("POST", "/v1/calls/job/f1", &[], b""))
+        .unwrap();
 }
 
 fn answer(socket: &mut TcpStream) -> http::Answer {
-    socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    socket
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     let mut bytes = Vec::new();
     let mut piece = [0; 4096];
     loop {
@@ -107,7 +138,9 @@
 /// Asked for its health, it has read all that came before; one that knows no worker says that it is of no use yet.
 fn healthy(at: &str) -> u16 {
     let mut socket = TcpStream::connect(at).unwrap();
-    socket.write_all(&http::write_request("GET", "/health", &[], b"")).unwrap();
+    socket
+        .write_all(&http::write_request("GET", "/health", &[], b""))
+        .unwrap();
     answer(&mut socket).status
 }
 
@@ -136,16 +169,25 @@
     std::fs::write(folder.0.join("state"), b"torn").unwrap();
     let again = Edge::start(&folder, &edge.at);
     assert_eq!(healthy(&again.at), 503, "no list yet");
-    assert!(folder.0.join("state.set-aside").exists(), "a foreign state file is set aside");
+    assert!(
+        folder.0.join("state.set-aside").exists(),
+        "a foreign state file is set aside"
+    );
 }
 
 #[rstest]
 fn without_free_descriptors_it_waits_and_goes_on_once_there_are_some() {
     let folder = Folder::new("descriptors");
     let mut command = Command::new("sh");
-    command.args(["-c", "ulimit -n 40; exec \"$0\" \"$@\"", env!("CARGO_BIN_EXE_sanddrum-edge")]);
+    command.args([
+        "-c",
+        "ulimit -n 40; exec \"$0\" \"$@\"",
+        env!("CARGO_BIN_EXE_sanddrum-edge"),
+    ]);
     let edge = Edge::start_by(&folder, "127.0.0.1:0", command);
-    let clients: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(&edge.at).unwrap()).collect();
+    let clients: Vec<TcpStream> = (0..60)
+        .map(|_| TcpStream::connect(&edge.at).unwrap())
+        .collect();
     drop(clients);
     assert_eq!(healthy(&edge.at), 503, "no list yet");
 }
@@ -162,7 +204,10 @@
     let good = sanddrum(&["config", "check", path]).output().unwrap();
     assert_eq!(good.status.code(), Some(0), "{}", text(&good));
     let shown = text(&sanddrum(&["config", "show", path]).output().unwrap());
-    assert!(shown.contains("limits.stop-within-us") && shown.contains("line 4, column 13"), "{shown}");
+    assert!(
+        shown.contains("limits.stop-within-us") && shown.contains("line 4, column 13"),
+        "{shown}"
+    );
     std::fs::write(&file, format!("{SETTINGS}\n(limit (max-open 3))")).unwrap();
     let bad = sanddrum(&["config", "check", path]).output().unwrap();
     assert_eq!(bad.status.code(), Some(2));
@@ -176,11 +221,25 @@
 #[rstest]
 fn equal_seeds_print_equal_summaries() {
     let run = |seed: &str| {
-        let output = sanddrum(&["lab", "run", "--virtual", "--json", "--log", "off", "--seed", seed])
-            .output()
-            .unwrap();
+        let output = sanddrum(&[
+            "lab",
+            "run",
+            "--virtual",
+            "--json",
+            "--log",
+            "off",
+            "--seed",
+            seed,
+        ])
+        .output()
+        .unwrap();
         assert_eq!(output.status.code(), Some(0), "{}", text(&output));
-        String::from_utf8(output.stdout).unwrap().lines().last().unwrap().to_string()
+        String::from_utf8(output.stdout)
+            .unwrap()
+            .lines()
+            .last()
+            .unwrap()
+            .to_string()
     };
     let first = run("9");
     assert_eq!(first, run("9"));
@@ -195,27 +254,60 @@
     let path = |name: &str| folder.0.join(name).to_str().unwrap().to_string();
     let (keys, secrets, settings) = (path("keys.json"), path("secrets"), path("settings.sx"));
     let run = |args: &[&str]| sanddrum(args).output().unwrap();
-    assert_eq!(run(&["keys", "new", &keys, "--secrets", &secrets, "--name", "a"]).status.code(), Some(0));
-    let identity =
-        format!("(identity (tokens required) (keys-file {keys:?}) (watch-every 20ms)) (deny \"x*\")");
+    assert_eq!(
+        run(&["keys", "new", &keys, "--secrets", &secrets, "--name", "a"])
+            .status
+            .code(),
+        Some(0)
+    );
+    let identity = format!(
+        "(identity (tokens required) (keys-file {keys:?}) (watch-every 20ms)) (deny \"x*\")"
+    );
     std::fs::write(&settings, format!("{SETTINGS}{identity}")).unwrap();
     let edge = Edge::start(&folder, "127.0.0.1:0");
     let secret = format!("{secrets}/a.secret");
     let token = |customer: &str| {
-        let issued = run(&["token", "issue", "--secret", &secret, "--customer", customer]);
+        let issued = run(&[
+            "token",
+            "issue",
+            "--secret",
+            &secret,
+            "--customer",
+            customer,
+        ]);
         assert_eq!(issued.status.code(), Some(0), "{}", text(&issued));
         let file = path("token");
         std::fs::write(&file, &issued.stdout).unwrap();
         file
     };
     let call = |file: &str| {
-        text(&run(&["call", "job", "f1", "--edge", &edge.at, "--token", file, "--time-limit", "300"]))
+        text(&run(&[
+            "call",
+            "job",
+            "f1",
+            "--edge",
+            &edge.at,
+            "--token",
+            file,
+            "--time-limit",
+            "300",
+        ]))
     };
     let good = token("obs-brest");
     let answered = call(&good);
-    assert!(answered.contains("not-in-time") || answered.contains("time-limit"), "{answered}");
+    assert!(
+        answered.contains("not-in-time") || answered.contains("time-limit"),
+        "{answered}"
+    );
     assert!(call(&token("xenon")).contains("not-allowed"));
-    let explained = run(&["rights", "explain", "--settings", &settings, "xenon", "job/f1"]);
+    let explained = run(&[
+        "rights",
+        "explain",
+        "--settings",
+        &settings,
+        "xenon",
+        "job/f1",
+    ]);
     assert!(text(&explained).contains("denied by (deny") && explained.status.code() == Some(1));
     let good = token("obs-brest");
     assert_eq!(run(&["keys", "revoke", &keys, "a"]).status.code(), Some(0));
@@ -226,8 +318,19 @@
     assert!(text(&run(&["keys", "list", &keys])).contains("a: revoked"));
     use std::os::unix::fs::PermissionsExt;
     std::fs::set_permissions(&secret, std::fs::Permissions::from_mode(0o644)).unwrap();
-    let loose = run(&["token", "issue", "--secret", &secret, "--customer", "obs-brest"]);
-    assert!(loose.status.code() == Some(1) && text(&loose).contains("chmod 600"), "{}", text(&loose));
+    let loose = run(&[
+        "token",
+        "issue",
+        "--secret",
+        &secret,
+        "--customer",
+        "obs-brest",
+    ]);
+    assert!(
+        loose.status.code() == Some(1) && text(&loose).contains("chmod 600"),
+        "{}",
+        text(&loose)
+    );
 }
 
 /// Clients of a TLS door show certificates; the key of one is denied in service, and a foreign one never gets in.
@@ -251,19 +354,56 @@
     std::fs::write(folder.0.join("settings.sx"), format!("{SETTINGS}{door}")).unwrap();
     let edge = Edge::start(&folder, "127.0.0.1:0");
     let call = |whose: &str| {
-        let (roots, chain, key) =
-            (file("ours/roots.pem"), file(&format!("{whose}/gw-1.pem")), file(&format!("{whose}/gw-1.key")));
-        let args = ["call", "--edge", &edge.at, "--name", "localhost", "--roots", &roots];
-        let shown = ["--certificate", &chain, "--key", &key, "--time-limit", "200", "job", "f1"];
-        text(&sanddrum(&[&args[..], &shown[..]].concat()).output().unwrap())
+        let (roots, chain, key) = (
+            file("ours/roots.pem"),
+            file(&format!("{whose}/gw-1.pem")),
+            file(&format!("{whose}/gw-1.key")),
+        );
+        let args = [
+            "call",
+            "--edge",
+            &edge.at,
+            "--name",
+            "localhost",
+            "--roots",
+            &roots,
+        ];
+        let shown = [
+            "--certificate",
+            &chain,
+            "--key",
+            &key,
+            "--time-limit",
+            "200",
+            "job",
+            "f1",
+        ];
+        text(
+            &sanddrum(&[&args[..], &shown[..]].concat())
+                .output()
+                .unwrap(),
+        )
     };
-    assert!(call("ours").contains("(503)"), "taken, and no worker is there: {}", call("ours"));
+    assert!(
+        call("ours").contains("(503)"),
+        "taken, and no worker is there: {}",
+        call("ours")
+    );
     assert!(!call("theirs").contains("(503)"));
-    certs(&["deny", &file("denied"), &file("ours/gw-1.pem"), "--remark", "stolen"]);
+    certs(&[
+        "deny",
+        &file("denied"),
+        &file("ours/gw-1.pem"),
+        "--remark",
+        "stolen",
+    ]);
     let until = Instant::now() + Duration::from_secs(10);
     while call("ours").contains("(503)") {
         assert!(Instant::now() < until, "a denied key is believed on");
     }
     certs(&["make", &file("ours"), "gw-1"]);
-    assert!(call("ours").contains("(503)"), "with a new key it is believed again");
+    assert!(
+        call("ours").contains("(503)"),
+        "with a new key it is believed again"
+    );
 }
--- a/crates/sanddrum-cli/tests/races.rs
+++ b/crates/sanddrum-cli/tests/races.rs
@@ -100,7 +100,11 @@
     }
     for _ in 0..6 {
         let answer = web.answer().unwrap();
-        assert!(answer.status() == "200" && answer.text.len() > 150_000, "{}", answer.text.len());
+        assert!(
+            answer.status() == "200" && answer.text.len() > 150_000,
+            "{}",
+            answer.text.len()
+        );
     }
     assert!(web.answer().is_none());
     assert_eq!(router.ends().code(), Some(0));
@@ -112,8 +116,15 @@
 fn a_signal_before_it_is_ready_is_heard_once_it_is(#[values("HUP", "TERM")] which: &str) {
     let ((_workers, worker_at), (feeds, feed_at)) = (listener(), listener());
     // Its configuration is a pipe: opened, it has begun and read nothing.
-    let file = std::env::temp_dir().join(format!("sanddrum-race-early-{which}-{}", std::process::id()));
-    assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
+    let file = std::env::temp_dir().join(format!(
+        "sanddrum-race-early-{which}-{}",
+        std::process::id()
+    ));
+    assert!(Command::new("mkfifo")
+        .arg(&file)
+        .status()
+        .unwrap()
+        .success());
     let child = Router::command(&file).spawn().unwrap();
     let router = Router::of(child, file.clone());
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
@@ -146,7 +157,12 @@
 fn a_new_configuration_around_the_end_is_taken_and_nothing_is_lost(#[case] signals: &[&str]) {
     let ((mut worker, worker_at), (feeds, feed_at), (moved, moved_at)) =
         (Worker::listens(), listener(), listener());
-    let mut router = Router::start(&format!("hup-{}", signals.join("-")), &feed_at, &worker_at, "once");
+    let mut router = Router::start(
+        &format!("hup-{}", signals.join("-")),
+        &feed_at,
+        &worker_at,
+        "once",
+    );
     let mut feed = accept(&feeds);
     question(&mut feed);
     let mut web = Web::connects(&router.at);
@@ -194,8 +210,15 @@
     let mut anew = accept(&feeds);
     assert_eq!(question(&mut anew), 1);
     // The old one speaks up after all; what it tells is not what holds.
-    let _ = silent.write_all(&told(2, json!([event(2, member("w", &other_at, "in_service"))])));
-    anew.write_all(&told(2, json!([event(2, member("v", &other_at, "terminated"))]))).unwrap();
+    let _ = silent.write_all(&told(
+        2,
+        json!([event(2, member("w", &other_at, "in_service"))]),
+    ));
+    anew.write_all(&told(
+        2,
+        json!([event(2, member("v", &other_at, "terminated"))]),
+    ))
+    .unwrap();
     assert_eq!(question(&mut anew), 2);
     let mut web = Web::connects(&_router.at);
     web.calls(1, A);
@@ -208,11 +231,23 @@
 #[case::broken_in_an_event(true)]
 fn a_watch_that_closes_as_it_answers_is_taken_up_to_its_last_whole_event(#[case] breaks: bool) {
     let ((_workers, worker_at), (feeds, feed_at)) = (listener(), listener());
-    let _router = Router::start(&format!("watch-closes-{breaks}"), &feed_at, &worker_at, "once");
+    let _router = Router::start(
+        &format!("watch-closes-{breaks}"),
+        &feed_at,
+        &worker_at,
+        "once",
+    );
     let mut feed = accept(&feeds);
     assert_eq!(question(&mut feed), 1);
-    let answer = told(2, json!([event(2, member("v", "127.0.0.1:9", "in_service"))]));
-    let cut = if breaks { answer.len() - 20 } else { answer.len() };
+    let answer = told(
+        2,
+        json!([event(2, member("v", "127.0.0.1:9", "in_service"))]),
+    );
+    let cut = if breaks {
+        answer.len() - 20
+    } else {
+        answer.len()
+    };
     feed.write_all(&answer[..cut]).unwrap();
     drop(feed);
     assert_eq!(question(&mut accept(&feeds)), if breaks { 1 } else { 2 });
@@ -250,9 +285,16 @@
 // ---- Attempts
 
 #[rstest]
-fn a_client_that_leaves_while_the_dial_hangs_has_nothing_sent(#[values(false, true)] withdraws: bool) {
+fn a_client_that_leaves_while_the_dial_hangs_has_nothing_sent(
+    #[values(false, true)] withdraws: bool,
+) {
     let ((hangs, hangs_at, full), (feeds, feed_at)) = (full_listener(), listener());
-    let router = Router::start(&format!("gone-dial-{withdraws}"), &feed_at, &hangs_at, "once");
+    let router = Router::start(
+        &format!("gone-dial-{withdraws}"),
+        &feed_at,
+        &hangs_at,
+        "once",
+    );
     let mut feed = accept(&feeds);
     question(&mut feed);
     let mut leaves = Web::connects(&router.at);
@@ -288,10 +330,16 @@
     assert_eq!(again.1.id, request.id);
     assert_ne!(again.0, first);
     worker.says(first, &full);
-    worker.says(first, &frames::answer(97, request.id, "remark=hot", b"the wrong one's"));
+    worker.says(
+        first,
+        &frames::answer(97, request.id, "remark=hot", b"the wrong one's"),
+    );
     worker.serve(&again);
     let answer = web.answer().unwrap();
-    assert!(answer.status() == "200" && answer.text.ends_with(A), "{answer:?}");
+    assert!(
+        answer.status() == "200" && answer.text.ends_with(A),
+        "{answer:?}"
+    );
 }
 
 #[rstest]
@@ -357,11 +405,17 @@
     drop(feeds);
     let mut json = configuration(&feed_at, &worker_at, "once");
     json["limits"]["sockets"] = json!(told);
-    let file = std::env::temp_dir().join(format!("sanddrum-race-full-{told}-{}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "sanddrum-race-full-{told}-{}.json",
+        std::process::id()
+    ));
     std::fs::write(&file, json.to_string()).unwrap();
     let program = env!("CARGO_BIN_EXE_sanddrum-edge");
     let mut command = Command::new("sh");
-    command.args(["-c", &format!("ulimit -n 64; exec {program} --platform --log info")]);
+    command.args([
+        "-c",
+        &format!("ulimit -n 64; exec {program} --platform --log info"),
+    ]);
     command.env("RELAY_CONFIG", &file).stderr(Stdio::piped());
     let mut router = Router::of(command.spawn().unwrap(), file).begins();
     let at = router.at.clone();
--- a/crates/sanddrum-cli/tests/soak.rs
+++ b/crates/sanddrum-cli/tests/soak.rs
@@ -4,7 +4,10 @@
 use std::process::{Command, Output};
 
 fn sanddrum(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_sanddrum")).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_sanddrum"))
+        .args(args)
+        .output()
+        .unwrap()
 }
 fn said(output: &Output) -> String {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -13,7 +16,17 @@
 
 #[rstest]
 fn routers_keep_every_rule_through_overlapping_troubles(#[values("1", "4")] seed: &str) {
-    let output = sanddrum(&["lab", "soak", "--platform", "--seed", seed, "--seconds", "9", "--routers", "6"]);
+    let output = sanddrum(&[
+        "lab",
+        "soak",
+        "--platform",
+        "--seed",
+        seed,
+        "--seconds",
+        "9",
+        "--routers",
+        "6",
+    ]);
     let said = said(&output);
     assert!(output.status.success(), "{said}");
     let last = said.lines().last().unwrap_or_default();
@@ -22,8 +35,15 @@
 
 #[rstest]
 fn a_router_that_can_not_be_started_is_told_and_not_taken_for_a_run() {
-    let output =
-        sanddrum(&["lab", "soak", "--platform", "--seed", "77", "--program", "/nowhere/sanddrum-edge"]);
+    let output = sanddrum(&[
+        "lab",
+        "soak",
+        "--platform",
+        "--seed",
+        "77",
+        "--program",
+        "/nowhere/sanddrum-edge",
+    ]);
     assert_eq!(output.status.code(), Some(3), "{}", said(&output));
 }
 
@@ -32,5 +52,8 @@
     let output = sanddrum(&["lab", "fleet", "--json"]);
     let said = said(&output);
     assert!(output.status.success(), "{said}");
-    assert!(said.contains("all five rules held, as seen from the traffic"), "{said}");
+    assert!(
+        said.contains("all five rules held, as seen from the traffic"),
+        "{said}"
+    );
 }
--- a/crates/sanddrum-cli/tests/stalls.rs
+++ b/crates/sanddrum-cli/tests/stalls.rs
@@ -49,7 +49,11 @@
 ) {
     let name = format!("left-{}-{}", on as u8, goes as u8);
     let (router, mut worker, kept, _feed) = stalled_router(&name);
-    let mut client = if on == On::Kept { kept } else { Web::connects(&router.at) };
+    let mut client = if on == On::Kept {
+        kept
+    } else {
+        Web::connects(&router.at)
+    };
     client.calls(2, LEFT);
     let client = match goes {
         Goes::Closes => {
@@ -66,23 +70,37 @@
     let mut stays = Web::connects(&router.at);
     stays.calls(1, STAYS);
     let next = worker.request();
-    assert_eq!(next.1.body, STAYS.as_bytes(), "an attempt for a client that had left");
+    assert_eq!(
+        next.1.body,
+        STAYS.as_bytes(),
+        "an attempt for a client that had left"
+    );
     worker.serve(&next);
     assert_eq!(stays.answer().unwrap().status(), "200");
     drop(client);
 }
 
 #[rstest]
-fn a_deadline_passed_on_after_a_stall_is_what_the_client_has_left(#[values(On::Kept, On::New)] on: On) {
+fn a_deadline_passed_on_after_a_stall_is_what_the_client_has_left(
+    #[values(On::Kept, On::New)] on: On,
+) {
     let (router, mut worker, kept, _feed) = stalled_router(&format!("deadline-{}", on as u8));
-    let mut client = if on == On::Kept { kept } else { Web::connects(&router.at) };
+    let mut client = if on == On::Kept {
+        kept
+    } else {
+        Web::connects(&router.at)
+    };
     let (sent, patience) = (Instant::now(), Duration::from_millis(3000));
     client.says(&asks(2, STAYS, patience.as_millis() as u32, b"in"));
     std::thread::sleep(STALL);
     router.resume();
     let next = worker.request();
     let left = patience.saturating_sub(sent.elapsed());
-    assert!(deadline(&next.1) <= left + SLACK, "{:?} where {left:?} are left", deadline(&next.1));
+    assert!(
+        deadline(&next.1) <= left + SLACK,
+        "{:?} where {left:?} are left",
+        deadline(&next.1)
+    );
     worker.serve(&next);
     assert_eq!(client.answer().unwrap().status(), "200");
 }
@@ -107,7 +125,11 @@
     let mut worker = Worker::at(listener);
     let next = worker.request();
     let left = patience.saturating_sub(sent.elapsed());
-    assert!(deadline(&next.1) <= left + SLACK, "{:?} where {left:?} are left", deadline(&next.1));
+    assert!(
+        deadline(&next.1) <= left + SLACK,
+        "{:?} where {left:?} are left",
+        deadline(&next.1)
+    );
     worker.serve(&next);
     assert_eq!(client.answer().unwrap().status(), "200");
 }
@@ -140,5 +162,11 @@
         worker.serve(&next);
     }
     assert_eq!(new.answer().unwrap().status(), "200");
-    assert_eq!(clients[0].answer().expect("not closed with its request unread").status(), "200");
+    assert_eq!(
+        clients[0]
+            .answer()
+            .expect("not closed with its request unread")
+            .status(),
+        "200"
+    );
 }
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -35,14 +35,23 @@
 /// A listener on which dials hang until what fills its backlog is dropped and accepted.
 pub fn full_listener() -> (TcpListener, String, Vec<Socket>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    listener
+        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     listener.listen(0).unwrap();
     let at = listener.local_addr().unwrap();
     let mut waiting = Vec::new();
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        if socket.connect_timeout(&at, Duration::from_millis(100)).is_err() {
-            return (listener.into(), at.as_socket().unwrap().to_string(), waiting);
+        if socket
+            .connect_timeout(&at, Duration::from_millis(100))
+            .is_err()
+        {
+            return (
+                listener.into(),
+                at.as_socket().unwrap().to_string(),
+                waiting,
+            );
         }
         waiting.push(socket);
     }
@@ -75,7 +84,10 @@
 }
 /// The deadline that a request passes on.
 pub fn deadline(request: &Frame) -> Duration {
-    let told = request.fields.split(',').find_map(|field| field.strip_prefix("max="));
+    let told = request
+        .fields
+        .split(',')
+        .find_map(|field| field.strip_prefix("max="));
     Duration::from_millis(told.unwrap().parse().unwrap())
 }
 /// A worker: every connection to it, in the order in which they came, with what is read of it.
@@ -87,7 +99,10 @@
 impl Worker {
     pub fn at(listener: TcpListener) -> Worker {
         listener.set_nonblocking(true).unwrap();
-        Worker { listener, conns: Vec::new() }
+        Worker {
+            listener,
+            conns: Vec::new(),
+        }
     }
     pub fn listens() -> (Worker, String) {
         let (listener, at) = listener();
@@ -111,17 +126,30 @@
     }
     fn next_frame(&mut self) -> Option<(usize, Frame)> {
         for (n, (_, bytes)) in self.conns.iter_mut().enumerate() {
-            let Some(head) = bytes.first_chunk::<16>() else { continue };
+            let Some(head) = bytes.first_chunk::<16>() else {
+                continue;
+            };
             let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
             let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
-            let (id, code) = (u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n])), head[1]);
+            let (id, code) = (
+                u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n])),
+                head[1],
+            );
             if bytes.len() < 20 + fields + body {
                 continue;
             }
             let whole: Vec<u8> = bytes.drain(..20 + fields + body).collect();
             let text = String::from_utf8(whole[16..16 + fields].to_vec()).unwrap();
             let body = whole[16 + fields..16 + fields + body].to_vec();
-            return Some((n, Frame { code, id, fields: text, body }));
+            return Some((
+                n,
+                Frame {
+                    code,
+                    id,
+                    fields: text,
+                    body,
+                },
+            ));
         }
         None
     }
@@ -138,7 +166,9 @@
                 (n, frame) if frame.code == 69 => {
                     self.says(n, &frames::answer(97, frame.id, "copies=1", b""))
                 }
-                (n, frame) if frame.code == 67 => self.says(n, &frames::answer(103, frame.id, "", b"")),
+                (n, frame) if frame.code == 67 => {
+                    self.says(n, &frames::answer(103, frame.id, "", b""))
+                }
                 _ => {}
             }
         }
@@ -146,7 +176,9 @@
     /// What kinds of frames have come and are not taken yet.
     pub fn codes(&mut self) -> Vec<u8> {
         self.look();
-        std::iter::from_fn(|| self.next_frame()).map(|(_, frame)| frame.code).collect()
+        std::iter::from_fn(|| self.next_frame())
+            .map(|(_, frame)| frame.code)
+            .collect()
     }
     pub fn says(&mut self, n: usize, bytes: &[u8]) {
         if let Some(conn) = &mut self.conns[n].0 {
@@ -156,7 +188,10 @@
         }
     }
     pub fn serve(&mut self, (n, request): &(usize, Frame)) {
-        self.says(*n, &frames::answer(97, request.id, "remark=hot", &request.body));
+        self.says(
+            *n,
+            &frames::answer(97, request.id, "remark=hot", &request.body),
+        );
     }
     /// Ends a connection in order, or as a dead process does.
     pub fn ends(&mut self, n: usize, resets: bool) {
@@ -199,14 +234,24 @@
 
 impl Answered {
     pub fn status(&self) -> &str {
-        self.text.lines().next().unwrap_or_default().trim_start_matches("Status: ")
+        self.text
+            .lines()
+            .next()
+            .unwrap_or_default()
+            .trim_start_matches("Status: ")
     }
 }
 
 pub fn asks(id: u16, call: &str, patience_ms: u32, body: &[u8]) -> Vec<u8> {
     asks_function(id, call, "7f3a9c21e0b4d655", patience_ms, body)
 }
-pub fn asks_function(id: u16, call: &str, function: &str, patience_ms: u32, body: &[u8]) -> Vec<u8> {
+pub fn asks_function(
+    id: u16,
+    call: &str,
+    function: &str,
+    patience_ms: u32,
+    body: &[u8],
+) -> Vec<u8> {
     let patience = patience_ms.to_string();
     let pairs = [
         ("SCRIPT_NAME", "/rpc/job"),
@@ -226,16 +271,26 @@
     pub fn connects(at: &str) -> Web {
         let conn = TcpStream::connect(at).unwrap();
         conn.set_read_timeout(Some(PATIENCE)).unwrap();
-        Web { conn, bytes: Vec::new(), texts: BTreeMap::new() }
+        Web {
+            conn,
+            bytes: Vec::new(),
+            texts: BTreeMap::new(),
+        }
     }
     /// The same with little room for what it does not read.
     pub fn connects_narrowly(at: &str) -> Web {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
-        socket.connect(&at.parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket
+            .connect(&at.parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         let conn = TcpStream::from(socket);
         conn.set_read_timeout(Some(PATIENCE)).unwrap();
-        Web { conn, bytes: Vec::new(), texts: BTreeMap::new() }
+        Web {
+            conn,
+            bytes: Vec::new(),
+            texts: BTreeMap::new(),
+        }
     }
     pub fn says(&mut self, bytes: &[u8]) {
         self.conn.write_all(bytes).unwrap();
@@ -256,10 +311,17 @@
                 match kind {
                     Kind::End => {
                         let text = self.texts.remove(&id).unwrap_or_default();
-                        return Some(Answered { id, text, protocol: content[4] });
+                        return Some(Answered {
+                            id,
+                            text,
+                            protocol: content[4],
+                        });
                     }
                     _ => {
-                        self.texts.entry(id).or_default().push_str(&String::from_utf8_lossy(&content));
+                        self.texts
+                            .entry(id)
+                            .or_default()
+                            .push_str(&String::from_utf8_lossy(&content));
                     }
                 }
             }
@@ -277,10 +339,16 @@
 pub fn question(conn: &mut TcpStream) -> u64 {
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with("\r\n\r\n") {
-        assert!(conn.read(&mut byte).unwrap() > 0, "closed before its question");
+        assert!(
+            conn.read(&mut byte).unwrap() > 0,
+            "closed before its question"
+        );
         text.push(byte[0] as char);
     }
-    let number = text.split("SUB=").nth(1).and_then(|rest| rest.split('&').next());
+    let number = text
+        .split("SUB=")
+        .nth(1)
+        .and_then(|rest| rest.split('&').next());
     number.unwrap().parse().unwrap()
 }
 pub fn told(last: u64, events: Value) -> Vec<u8> {
@@ -326,8 +394,7 @@
 }
 
 pub fn configuration(feed: &str, worker: &str, effect: &str) -> Value {
-    let first =
-        json!({"n": 1, "members": {"complete": true, "members": [member("w", worker, "in_service")]}});
+    let first = json!({"n": 1, "members": {"complete": true, "members": [member("w", worker, "in_service")]}});
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "seed": "5", "feed": feed, "known": {"n": 1, "events": [first]},
         "limits": {"sockets": 256, "memory_mb": 32},
@@ -343,26 +410,46 @@
 impl Router {
     pub fn command(file: &PathBuf) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sanddrum-edge"));
-        command.args(["--platform", "--log", "info,sanddrum_edge=debug"]).env("RELAY_CONFIG", file);
+        command
+            .args(["--platform", "--log", "info,sanddrum_edge=debug"])
+            .env("RELAY_CONFIG", file);
         command.env_remove("RELAY_NAME").env_remove("RELAY_LISTEN");
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         command
     }
     /// One that has been started, whether it has begun or not.
     pub fn of(mut child: Child, file: PathBuf) -> Router {
-        let (stderr, said) = (child.stderr.take().unwrap(), Arc::<Mutex<String>>::default());
+        let (stderr, said) = (
+            child.stderr.take().unwrap(),
+            Arc::<Mutex<String>>::default(),
+        );
         let into = said.clone();
         let reader = std::thread::spawn(move || read_log(stderr, &into));
-        Router { child, file, at: String::new(), said, reader: Some(reader) }
+        Router {
+            child,
+            file,
+            at: String::new(),
+            said,
+            reader: Some(reader),
+        }
     }
     /// Waits until it listens, and learns where.
     pub fn begins(mut self) -> Router {
         let begun = std::time::Instant::now();
         while self.at.is_empty() {
-            assert!(begun.elapsed() < PATIENCE && self.child.try_wait().unwrap().is_none(), "it never began");
+            assert!(
+                begun.elapsed() < PATIENCE && self.child.try_wait().unwrap().is_none(),
+                "it never began"
+            );
             let said = self.said.lock().unwrap().clone();
-            let line = said.lines().find(|line| line.contains("a router of the platform begins"));
-            let at = line.and_then(|line| line.split('"').find(|text| text.starts_with("127.0.0.1:")));
+            let line = said
+                .lines()
+                .find(|line| line.contains("a router of the platform begins"));
+            let at =
+                line.and_then(|line| line.split('"').find(|text| text.starts_with("127.0.0.1:")));
             self.at = at.unwrap_or_default().to_string();
             std::thread::yield_now();
         }
@@ -374,10 +461,13 @@
     }
     /// Starts one with this configuration, and with injected faults where a control of them is given.
     pub fn start_with(name: &str, configuration: &Value, faults: Option<&FaultControl>) -> Router {
-        let file = std::env::temp_dir().join(format!("sanddrum-race-{name}-{}.json", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("sanddrum-race-{name}-{}.json", std::process::id()));
         std::fs::write(&file, configuration.to_string()).unwrap();
         let mut command = Router::command(&file);
-        faults.iter().for_each(|faults| faults.preload(&mut command).unwrap());
+        faults
+            .iter()
+            .for_each(|faults| faults.preload(&mut command).unwrap());
         Router::of(command.spawn().unwrap(), file).begins()
     }
     /// Stops the process, as one that gets no processor, and waits until it stands still.
@@ -390,7 +480,9 @@
         self.signal("CONT");
     }
     pub fn signal(&self, which: &str) {
-        let sent = Command::new("sh").args(["-c", &format!("kill -{which} {}", self.child.id())]).status();
+        let sent = Command::new("sh")
+            .args(["-c", &format!("kill -{which} {}", self.child.id())])
+            .status();
         assert!(sent.unwrap().success());
     }
     pub fn ends(&mut self) -> ExitStatus {
@@ -402,7 +494,10 @@
     }
     /// What it logged until its end.
     pub fn log(&mut self) -> String {
-        self.reader.take().into_iter().for_each(|reader| reader.join().unwrap());
+        self.reader
+            .take()
+            .into_iter()
+            .for_each(|reader| reader.join().unwrap());
         self.said.lock().unwrap().clone()
     }
 }
--- a/crates/sanddrum-connect/src/backoff.rs
+++ b/crates/sanddrum-connect/src/backoff.rs
@@ -14,7 +14,12 @@
 
 impl Backoff {
     pub fn new(least: Micros, most: Micros) -> Self {
-        Backoff { least, most: most.max(least), wait: 0, until: Micros::MIN }
+        Backoff {
+            least,
+            most: most.max(least),
+            wait: 0,
+            until: Micros::MIN,
+        }
     }
     /// It failed after a while, which is the least that it is left alone for now. `part` is drawn, from nought to one.
     pub fn failed(&mut self, now: Micros, after: Micros, part: f64) -> Micros {
--- a/crates/sanddrum-connect/src/cost.rs
+++ b/crates/sanddrum-connect/src/cost.rs
@@ -18,10 +18,17 @@
 impl Costs {
     pub(crate) fn new(time_out: Micros) -> Self {
         let first = time_out as f64 * FIRST_PART;
-        Costs { full: first, short: first }
+        Costs {
+            full: first,
+            short: first,
+        }
     }
     pub(crate) fn took(&mut self, span: Micros, short: bool) {
-        let known = if short { &mut self.short } else { &mut self.full };
+        let known = if short {
+            &mut self.short
+        } else {
+            &mut self.full
+        };
         let told = (span.max(1) as f64).min(*known * MOST_TIMES);
         *known += (told - *known) * WEIGHT;
     }
--- a/crates/sanddrum-connect/src/lib.rs
+++ b/crates/sanddrum-connect/src/lib.rs
@@ -224,7 +224,10 @@
                 span("limits.retire-within-us", 30e6),
                 number("limits.retire-at-once", 4.0),
             ),
-            backoff: (span("limits.left-alone-least-us", 1e5), span("limits.left-alone-most-us", 1e7)),
+            backoff: (
+                span("limits.left-alone-least-us", 1e5),
+                span("limits.left-alone-most-us", 1e7),
+            ),
         }
     }
     /// What handshakes take, as learned.
@@ -252,7 +255,10 @@
 
     fn record(&mut self, now: Micros, news: &News) {
         for row in &news.listed {
-            let worker = self.workers.entry(row.worker).or_insert_with(|| Worker::new(self.backoff));
+            let worker = self
+                .workers
+                .entry(row.worker)
+                .or_insert_with(|| Worker::new(self.backoff));
             if worker.started != row.started {
                 // A new process: what the old one did to us says nothing of it.
                 worker.backoff.good();
@@ -266,16 +272,33 @@
             self.workers.entry(*id).and_modify(|w| w.ready = false);
         }
         for wanted in &news.wanted {
-            let Wanted { link, worker, need, due } = *wanted;
+            let Wanted {
+                link,
+                worker,
+                need,
+                due,
+            } = *wanted;
             if self.begun.contains_key(&link) || self.up.contains_key(&link) {
                 continue;
             }
-            let waiting = self.waiting.entry(link).or_insert(Waiting { worker, need, due });
+            let waiting = self
+                .waiting
+                .entry(link)
+                .or_insert(Waiting { worker, need, due });
             (waiting.need, waiting.due) = (waiting.need.min(need), waiting.due.max(due));
         }
         for (link, short) in &news.up {
-            let Some(begun) = self.begun.remove(link) else { continue };
-            let (span, usual) = (now - begun.at, if *short { self.costs.short() } else { self.costs.full() });
+            let Some(begun) = self.begun.remove(link) else {
+                continue;
+            };
+            let (span, usual) = (
+                now - begun.at,
+                if *short {
+                    self.costs.short()
+                } else {
+                    self.costs.full()
+                },
+            );
             self.costs.took(span, *short);
             if span > QUEUES * usual {
                 self.spare(now, begun.worker);
@@ -292,7 +315,9 @@
             let part = self.part();
             let (begun, up) = (self.begun.remove(link), self.up.remove(link));
             let id = begun.as_ref().map(|begun| begun.worker).or(up);
-            let Some(worker) = id.and_then(|id| self.workers.get_mut(&id)) else { continue };
+            let Some(worker) = id.and_then(|id| self.workers.get_mut(&id)) else {
+                continue;
+            };
             worker.under_way -= usize::from(begun.is_some());
             worker.open -= usize::from(up.is_some());
             // What took long to fail is left alone for at least as long, or it would be tried all the time.
@@ -308,7 +333,9 @@
             self.waiting.remove(link);
             self.retiring.ended(Old::Link(*link));
             if let Some(begun) = self.begun.remove(link) {
-                self.workers.entry(begun.worker).and_modify(|w| w.under_way -= 1);
+                self.workers
+                    .entry(begun.worker)
+                    .and_modify(|w| w.under_way -= 1);
             }
             if let Some(worker) = self.up.remove(link) {
                 self.workers.entry(worker).and_modify(|w| w.open -= 1);
@@ -330,7 +357,8 @@
         self.look_ahead |= !(news.listed.is_empty() && news.up.is_empty() && news.ended.is_empty());
         if !news.gone.is_empty() {
             let waited: BTreeSet<WorkerId> = self.waiting.values().map(|w| w.worker).collect();
-            self.workers.retain(|id, w| w.ready || w.open + w.under_way > 0 || waited.contains(id));
+            self.workers
+                .retain(|id, w| w.ready || w.open + w.under_way > 0 || waited.contains(id));
         }
     }
 
@@ -338,10 +366,13 @@
     /// guards against a queue of handshakes that is longer than anybody waits, so that all are done for nobody.
     fn spare(&mut self, now: Micros, id: WorkerId) {
         let part = self.part();
-        let Some(gap) = self.workers.get(&id).map(|worker| self.gap(now, worker)) else { return };
+        let Some(gap) = self.workers.get(&id).map(|worker| self.gap(now, worker)) else {
+            return;
+        };
         if let Some(worker) = self.workers.get_mut(&id) {
             // Where no part of a worker is for handshakes the gap is without end.
-            worker.spared_until = now.saturating_add(SPARED_GAPS.saturating_mul(gap.max(self.time_out)));
+            worker.spared_until =
+                now.saturating_add(SPARED_GAPS.saturating_mul(gap.max(self.time_out)));
             worker.next = Some(now.saturating_add((part * gap as f64) as Micros));
         }
     }
@@ -357,14 +388,21 @@
         }
         // Alone there is nobody to keep a distance from.
         let others = 1.0 - 1.0 / self.routers;
-        Some(*worker.next.get_or_insert(now.saturating_add((part * others * gap as f64) as Micros)))
+        Some(
+            *worker
+                .next
+                .get_or_insert(now.saturating_add((part * others * gap as f64) as Micros)),
+        )
     }
     /// The distance between two handshakes from here to a worker that is spared: with all edges keeping it, all
     /// handshakes together take their part of what it can do by now.
     fn gap(&self, now: Micros, worker: &Worker) -> Micros {
         let age = (now - worker.started).max(0) as f64 / self.cold.max(1) as f64;
-        let warmth =
-            if worker.started <= 0 { 1.0 } else { self.cold_from + (1.0 - self.cold_from) * age.min(1.0) };
+        let warmth = if worker.started <= 0 {
+            1.0
+        } else {
+            self.cold_from + (1.0 - self.cold_from) * age.min(1.0)
+        };
         let spent = worker.size * warmth * self.handshake_part.max(f64::MIN_POSITIVE);
         (self.costs.full() as f64 * self.routers / spent) as Micros
     }
@@ -383,11 +421,16 @@
     /// Begins what waits, in the order of needs and then of times, as far as there is room; tells the rest whether to
     /// wait or to go elsewhere.
     fn serve(&mut self, now: Micros, out: &mut impl Decisions) {
-        let mut order: Vec<(Need, Micros, LinkId)> =
-            self.waiting.iter().map(|(link, w)| (w.need, w.due, *link)).collect();
+        let mut order: Vec<(Need, Micros, LinkId)> = self
+            .waiting
+            .iter()
+            .map(|(link, w)| (w.need, w.due, *link))
+            .collect();
         order.sort_unstable();
         for (need, due, link) in order {
-            let Some(id) = self.waiting.get(&link).map(|w| w.worker) else { continue };
+            let Some(id) = self.waiting.get(&link).map(|w| w.worker) else {
+                continue;
+            };
             let spared = self.next(now, id);
             let listed = self.workers.get(&id);
             let Some(worker) = listed.filter(|worker| !worker.backoff.is_left_alone(now)) else {
@@ -395,7 +438,8 @@
                 continue;
             };
             if let Some(at) = spared.filter(|at| *at > now) {
-                match need < Need::Ahead && (at - now) as f64 > PATIENCE * (due - now).max(0) as f64 {
+                match need < Need::Ahead && (at - now) as f64 > PATIENCE * (due - now).max(0) as f64
+                {
                     true => self.give_up(link, Why::Spared, out),
                     false => out.wake_at(at),
                 }
@@ -405,7 +449,10 @@
                 continue;
             }
             if worker.backoff.is_doubtful()
-                && self.again.take(now, self.again_per_s, self.again_per_s).is_err()
+                && self
+                    .again
+                    .take(now, self.again_per_s, self.again_per_s)
+                    .is_err()
             {
                 self.give_up(link, Why::Again, out);
                 continue;
@@ -420,8 +467,17 @@
         out.give_up(link, why);
     }
     fn begin(&mut self, now: Micros, link: LinkId, id: WorkerId) {
-        self.begun.insert(link, Begun { worker: id, at: now });
-        let gap = self.workers.get(&id).map_or(0, |worker| self.gap(now, worker));
+        self.begun.insert(
+            link,
+            Begun {
+                worker: id,
+                at: now,
+            },
+        );
+        let gap = self
+            .workers
+            .get(&id)
+            .map_or(0, |worker| self.gap(now, worker));
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.under_way += 1;
             worker.next = worker.next.map(|_| now + gap);
@@ -435,33 +491,52 @@
             return;
         }
         let room = (self.handshakes as f64 * AHEAD_PART) as usize;
-        let ready = |w: &Worker| w.ready && !w.backoff.is_doubtful() && w.load < w.size && w.under_way == 0;
+        let ready =
+            |w: &Worker| w.ready && !w.backoff.is_doubtful() && w.load < w.size && w.under_way == 0;
         let waited: BTreeSet<WorkerId> = self.waiting.values().map(|w| w.worker).collect();
         let tight = std::mem::take(&mut self.tight);
-        let tight = tight.into_iter().filter(|id| self.workers.get(id).is_some_and(ready));
+        let tight = tight
+            .into_iter()
+            .filter(|id| self.workers.get(id).is_some_and(ready));
         let mut wanted: Vec<WorkerId> = tight.filter(|id| !waited.contains(id)).collect();
         if self.ahead > 0 && self.look_ahead {
             self.look_ahead = false;
-            let used = self.workers.iter().filter(|(_, w)| w.use_now(now, self.idle) >= 1.0);
-            let mut used: Vec<(f64, WorkerId)> =
-                used.map(|(id, w)| (-w.use_now(now, self.idle), *id)).collect();
+            let used = self
+                .workers
+                .iter()
+                .filter(|(_, w)| w.use_now(now, self.idle) >= 1.0);
+            let mut used: Vec<(f64, WorkerId)> = used
+                .map(|(id, w)| (-w.use_now(now, self.idle), *id))
+                .collect();
             used.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             let missing = used.iter().take(self.ahead).filter(|(_, id)| {
-                !waited.contains(id) && self.workers.get(id).is_some_and(|w| w.open == 0 && ready(w))
+                !waited.contains(id)
+                    && self
+                        .workers
+                        .get(id)
+                        .is_some_and(|w| w.open == 0 && ready(w))
             });
             wanted.extend(missing.map(|(_, id)| *id));
         }
         let room = room.saturating_sub(self.begun.len() + self.waiting.len());
-        wanted.into_iter().take(room).for_each(|id| out.open_ahead(id));
+        wanted
+            .into_iter()
+            .take(room)
+            .for_each(|id| out.open_ahead(id));
     }
 
     /// Replaces connections made on past terms: where one is in use, its successor is made first.
     fn retire(&mut self, now: Micros, out: &mut impl Decisions) {
-        self.retiring.take_denied().into_iter().for_each(|old| out.retire(old));
+        self.retiring
+            .take_denied()
+            .into_iter()
+            .for_each(|old| out.retire(old));
         for old in self.retiring.due(now) {
             let in_use = match old {
                 Old::Link(link) => self.up.get(&link).copied().filter(|id| {
-                    self.workers.get(id).is_some_and(|w| w.ready && w.use_now(now, self.idle) >= 1.0)
+                    self.workers
+                        .get(id)
+                        .is_some_and(|w| w.ready && w.use_now(now, self.idle) >= 1.0)
                 }),
                 Old::Client(_) => None,
             };
--- a/crates/sanddrum-connect/src/rests.rs
+++ b/crates/sanddrum-connect/src/rests.rs
@@ -22,7 +22,11 @@
 impl Rests {
     /// `time_out` is the time within which a connection is up or given up.
     pub fn new(time_out: Micros) -> Self {
-        Rests { least: (time_out / TELLS).max(1), trusted: None, since: 0 }
+        Rests {
+            least: (time_out / TELLS).max(1),
+            trusted: None,
+            since: 0,
+        }
     }
     /// A connection broke under what it carried, unanswered, after such a rest and so long after it was written to. What
     /// is dropped shows at once; a break later than that has another cause, such as a worker that died.
--- a/crates/sanddrum-connect/src/retiring.rs
+++ b/crates/sanddrum-connect/src/retiring.rs
@@ -21,7 +21,14 @@
     pub fn new(within: Micros, at_once: f64) -> Self {
         let at_once = (at_once as usize).max(1);
         let (due, followed, up) = (BTreeSet::new(), BTreeMap::new(), BTreeSet::new());
-        Retiring { within, at_once, due, followed, up, denied: Vec::new() }
+        Retiring {
+            within,
+            at_once,
+            due,
+            followed,
+            up,
+            denied: Vec::new(),
+        }
     }
     /// Spreads those told of over the stated time, a few at a time: first what carries nothing, then what carries the
     /// least. Successors have their part of the time at its end.
@@ -29,11 +36,16 @@
         if old.is_empty() {
             return;
         }
-        let mut told: Vec<(usize, Old)> = old.iter().map(|(old, carries)| (*carries, *old)).collect();
+        let mut told: Vec<(usize, Old)> =
+            old.iter().map(|(old, carries)| (*carries, *old)).collect();
         told.sort_unstable();
         // Those that have a time already keep their order before these.
-        let pending = std::mem::take(&mut self.due).into_iter().map(|(_, old)| old);
-        let all: Vec<Old> = pending.chain(told.into_iter().map(|(_, old)| old)).collect();
+        let pending = std::mem::take(&mut self.due)
+            .into_iter()
+            .map(|(_, old)| old);
+        let all: Vec<Old> = pending
+            .chain(told.into_iter().map(|(_, old)| old))
+            .collect();
         let steps = all.len().div_ceil(self.at_once) as Micros;
         let within = self.within - self.within / SUCCESSOR_PART;
         for (n, old) in all.into_iter().enumerate() {
@@ -56,12 +68,16 @@
     /// Those whose time has come.
     pub fn due(&mut self, now: Micros) -> Vec<Old> {
         let later = self.due.split_off(&(now + 1, Old::Link(crate::LinkId(0))));
-        std::mem::replace(&mut self.due, later).into_iter().map(|(_, old)| old).collect()
+        std::mem::replace(&mut self.due, later)
+            .into_iter()
+            .map(|(_, old)| old)
+            .collect()
     }
     /// Waits for a successor, which is to be begun.
     pub fn waits_for(&mut self, old: Old, worker: WorkerId, now: Micros) {
         self.up.remove(&worker);
-        self.followed.insert(old, (worker, now + self.within / SUCCESSOR_PART));
+        self.followed
+            .insert(old, (worker, now + self.within / SUCCESSOR_PART));
     }
     /// A new connection to this worker is up.
     pub fn replaced(&mut self, worker: WorkerId) {
@@ -71,12 +87,22 @@
     pub fn succeeded(&mut self, now: Micros) -> Vec<Old> {
         let up = std::mem::take(&mut self.up);
         let over = |(worker, at): &(WorkerId, Micros)| up.contains(worker) || *at <= now;
-        let done: Vec<Old> = self.followed.iter().filter(|(_, of)| over(of)).map(|(old, _)| *old).collect();
+        let done: Vec<Old> = self
+            .followed
+            .iter()
+            .filter(|(_, of)| over(of))
+            .map(|(old, _)| *old)
+            .collect();
         self.followed.retain(|old, _| !done.contains(old));
         done
     }
     pub fn next(&self) -> Option<Micros> {
         let followed = self.followed.values().map(|(_, at)| *at).min();
-        self.due.first().map(|(at, _)| *at).into_iter().chain(followed).min()
+        self.due
+            .first()
+            .map(|(at, _)| *at)
+            .into_iter()
+            .chain(followed)
+            .min()
     }
 }
--- a/crates/sanddrum-connect/tests/stories.rs
+++ b/crates/sanddrum-connect/tests/stories.rs
@@ -45,11 +45,18 @@
     }
     fn of_edge(seed: u64, set: &[(&str, f64)]) -> Story {
         let mut settings = Settings::default();
-        let usual = [("rules.cold-us", 10e6), ("rules.cold-from", 0.2), ("limits.left-alone-most-us", 2e6)];
+        let usual = [
+            ("rules.cold-us", 10e6),
+            ("rules.cold-from", 0.2),
+            ("limits.left-alone-most-us", 2e6),
+        ];
         for (name, value) in usual.iter().chain(set) {
             settings.0.insert(name.to_string(), Value::Number(*value));
         }
-        Story { now: 1000 * S, connections: Connections::new(seed, &settings) }
+        Story {
+            now: 1000 * S,
+            connections: Connections::new(seed, &settings),
+        }
     }
     fn hears(&mut self, news: &News) -> Seen {
         let mut seen = Seen::default();
@@ -57,25 +64,53 @@
         seen
     }
     fn lists(&mut self, workers: u64, started: Micros) -> Seen {
-        let listed = |n| Listed { worker: WorkerId(n), size: 4.0, started, ready: true };
-        self.hears(&News { listed: (0..workers).map(listed).collect(), ..News::default() })
+        let listed = |n| Listed {
+            worker: WorkerId(n),
+            size: 4.0,
+            started,
+            ready: true,
+        };
+        self.hears(&News {
+            listed: (0..workers).map(listed).collect(),
+            ..News::default()
+        })
     }
     fn wants(&mut self, link: u64, worker: u64, need: Need) -> Seen {
         let due = self.now + 5 * S;
-        let wanted = Wanted { link: LinkId(link), worker: WorkerId(worker), need, due };
-        self.hears(&News { wanted: vec![wanted], ..News::default() })
+        let wanted = Wanted {
+            link: LinkId(link),
+            worker: WorkerId(worker),
+            need,
+            due,
+        };
+        self.hears(&News {
+            wanted: vec![wanted],
+            ..News::default()
+        })
     }
     fn up(&mut self, link: u64) -> Seen {
-        self.hears(&News { up: vec![(LinkId(link), false)], ..News::default() })
+        self.hears(&News {
+            up: vec![(LinkId(link), false)],
+            ..News::default()
+        })
     }
     fn fails(&mut self, link: u64) -> Seen {
-        self.hears(&News { failed: vec![LinkId(link)], ..News::default() })
+        self.hears(&News {
+            failed: vec![LinkId(link)],
+            ..News::default()
+        })
     }
     fn ends(&mut self, link: u64) -> Seen {
-        self.hears(&News { ended: vec![LinkId(link)], ..News::default() })
+        self.hears(&News {
+            ended: vec![LinkId(link)],
+            ..News::default()
+        })
     }
     fn uses(&mut self, worker: u64) {
-        self.hears(&News { used: vec![(WorkerId(worker), 0.1)], ..News::default() });
+        self.hears(&News {
+            used: vec![(WorkerId(worker), 0.1)],
+            ..News::default()
+        });
     }
 }
 
@@ -87,7 +122,11 @@
     assert_eq!(s.wants(2, 2, Need::Job).opened, [2]);
     assert!(s.wants(3, 3, Need::Errand).opened.is_empty());
     assert!(s.wants(4, 4, Need::Job).opened.is_empty());
-    assert_eq!(s.up(1).opened, [4], "the job, although the errand came before");
+    assert_eq!(
+        s.up(1).opened,
+        [4],
+        "the job, although the errand came before"
+    );
     assert_eq!(s.ends(2).opened, [3]);
 }
 
@@ -95,7 +134,10 @@
 fn a_pressed_worker_has_one_handshake_at_a_time() {
     let mut s = Story::new(&[]);
     s.lists(2, 0);
-    s.hears(&News { loads: vec![(WorkerId(0), 9.0)], ..News::default() });
+    s.hears(&News {
+        loads: vec![(WorkerId(0), 9.0)],
+        ..News::default()
+    });
     assert_eq!(s.wants(1, 0, Need::Job).opened, [1]);
     assert!(s.wants(2, 0, Need::Job).opened.is_empty());
     assert_eq!(s.wants(3, 1, Need::Job).opened, [3]);
@@ -124,7 +166,11 @@
     s.now += S;
     s.fails(50);
     s.now += 400 * MS;
-    assert_eq!(s.wants(51, 1, Need::Job).given_up, [(51, Why::Failing)], "it took a second to fail");
+    assert_eq!(
+        s.wants(51, 1, Need::Job).given_up,
+        [(51, Why::Failing)],
+        "it took a second to fail"
+    );
 }
 
 #[rstest]
@@ -140,7 +186,10 @@
 
 #[rstest]
 fn all_tries_at_what_failed_share_one_budget() {
-    let mut s = Story::new(&[("limits.connect-again", 5.0), ("limits.handshakes-out", 1000.0)]);
+    let mut s = Story::new(&[
+        ("limits.connect-again", 5.0),
+        ("limits.handshakes-out", 1000.0),
+    ]);
     s.lists(100, 0);
     for n in 0..100 {
         s.wants(n, n, Need::Job);
@@ -165,7 +214,10 @@
 #[rstest]
 fn edges_that_know_nothing_of_each_other_spare_a_cold_worker(#[values(40, 150, 300)] edges: u64) {
     let begun: Micros = 1000 * S;
-    let set = [("routers", edges as f64), ("limits.connect-time-out-us", 2e6)];
+    let set = [
+        ("routers", edges as f64),
+        ("limits.connect-time-out-us", 2e6),
+    ];
     let mut stories: Vec<Story> = (0..edges).map(|n| Story::of_edge(n, &set)).collect();
     let mut at: Vec<Micros> = Vec::new();
     for s in &mut stories {
@@ -182,7 +234,10 @@
     // Handshakes are thought to take 4 ms at first; a worker of size 4 at a fifth does 800 ms a second, and a quarter
     // of that goes to handshakes: 50 a second.
     at.sort_unstable();
-    let busiest = at.iter().map(|from| at.iter().filter(|t| (*from..from + S).contains(*t)).count()).max();
+    let busiest = at
+        .iter()
+        .map(|from| at.iter().filter(|t| (*from..from + S).contains(*t)).count())
+        .max();
     assert!(busiest.unwrap() <= 75, "{busiest:?}");
     assert!(*at.last().unwrap() <= edges as Micros * S / 50);
 }
@@ -206,7 +261,10 @@
     s.wants(7, 1, Need::Ahead);
     s.up(7);
     assert_eq!(s.ends(7).ahead, [1, 3], "it is missed again");
-    let tight = s.hears(&News { used: vec![(WorkerId(2), 0.8)], ..News::default() });
+    let tight = s.hears(&News {
+        used: vec![(WorkerId(2), 0.8)],
+        ..News::default()
+    });
     assert_eq!(tight.ahead, [2]);
     s.now += 100 * S;
     assert!(s.lists(5, 0).ahead.is_empty(), "nothing was used for long");
@@ -214,15 +272,23 @@
 
 #[rstest]
 fn connections_of_past_terms_go_a_few_at_a_time_and_idle_ones_first() {
-    let mut s = Story::new(&[("limits.retire-at-once", 2.0), ("limits.retire-within-us", 10e6)]);
+    let mut s = Story::new(&[
+        ("limits.retire-at-once", 2.0),
+        ("limits.retire-within-us", 10e6),
+    ]);
     s.lists(8, 0);
     for n in 0..8 {
         s.wants(n, n, Need::Job);
         s.up(n);
     }
-    let old = (0..8).map(|n| (Old::Link(LinkId(n)), if n < 6 { 1 } else { 0 })).collect();
+    let old = (0..8)
+        .map(|n| (Old::Link(LinkId(n)), if n < 6 { 1 } else { 0 }))
+        .collect();
     let mut retired = vec![];
-    let mut seen = s.hears(&News { old, ..News::default() });
+    let mut seen = s.hears(&News {
+        old,
+        ..News::default()
+    });
     let begun = s.now;
     loop {
         retired.extend(seen.retired.iter().map(|old| (s.now - begun, *old)));
@@ -250,11 +316,17 @@
         s.up(n);
         s.uses(n);
     }
-    let seen = s.hears(&News { old: vec![(Old::Link(LinkId(0)), 1)], ..News::default() });
+    let seen = s.hears(&News {
+        old: vec![(Old::Link(LinkId(0)), 1)],
+        ..News::default()
+    });
     assert_eq!((seen.ahead, seen.retired.len()), (vec![0], 0));
     s.wants(10, 0, Need::Ahead);
     assert_eq!(s.up(10).retired, [Old::Link(LinkId(0))]);
-    let seen = s.hears(&News { denied: vec![Old::Link(LinkId(1))], ..News::default() });
+    let seen = s.hears(&News {
+        denied: vec![Old::Link(LinkId(1))],
+        ..News::default()
+    });
     assert_eq!(seen.retired, [Old::Link(LinkId(1))]);
     assert_eq!(seen.ahead, []);
 }
@@ -272,7 +344,11 @@
     ]);
     s.lists(2, 0);
     for n in 0..40 {
-        assert_eq!(s.wants(n, 1, Need::Job).opened, [n], "usual ones need no distance");
+        assert_eq!(
+            s.wants(n, 1, Need::Job).opened,
+            [n],
+            "usual ones need no distance"
+        );
         s.now += MS;
         s.up(n);
     }
@@ -295,7 +371,11 @@
         }
     }
     assert!((1..200).contains(&opened), "{opened}");
-    assert_eq!(s.wants(5000, 1, Need::Job).opened, [5000], "the other worker is as before");
+    assert_eq!(
+        s.wants(5000, 1, Need::Job).opened,
+        [5000],
+        "the other worker is as before"
+    );
 }
 
 #[rstest]
@@ -309,12 +389,21 @@
     let mut rests = sanddrum_connect::Rests::new(250_000);
     assert!(rests.is_trusted(0, 60_000_000), "nothing speaks against it");
     rests.broke(0, 5_000, 100);
-    assert!(rests.is_trusted(0, 60_000_000), "no rest to speak of: it broke for another cause");
+    assert!(
+        rests.is_trusted(0, 60_000_000),
+        "no rest to speak of: it broke for another cause"
+    );
     rests.broke(0, 200_000, 60_000);
-    assert!(rests.is_trusted(0, 60_000_000), "long after it was written to: so did this");
+    assert!(
+        rests.is_trusted(0, 60_000_000),
+        "long after it was written to: so did this"
+    );
     rests.broke(0, 200_000, 100);
     assert!(rests.is_trusted(1_000_000, 100_000) && !rests.is_trusted(1_000_000, 150_000));
-    assert!(rests.is_trusted(11_000_000, 150_000), "it has held for long");
+    assert!(
+        rests.is_trusted(11_000_000, 150_000),
+        "it has held for long"
+    );
     rests.broke(11_000_000, 150_000, 100);
     assert!(!rests.is_trusted(12_000_000, 100_000));
 }
@@ -324,12 +413,36 @@
     let mut story = Story::new(&[("limits.handshake-part", 0.0)]);
     story.lists(1, 0);
     let due = story.now + S;
-    let wanted = |link| Wanted { link: LinkId(link), worker: WorkerId(0), need: Need::Job, due };
-    assert_eq!(story.hears(&News { wanted: vec![wanted(1)], ..News::default() }).opened, [1]);
+    let wanted = |link| Wanted {
+        link: LinkId(link),
+        worker: WorkerId(0),
+        need: Need::Job,
+        due,
+    };
+    assert_eq!(
+        story
+            .hears(&News {
+                wanted: vec![wanted(1)],
+                ..News::default()
+            })
+            .opened,
+        [1]
+    );
     story.now += S;
-    story.hears(&News { failed: vec![LinkId(1)], ..News::default() });
+    story.hears(&News {
+        failed: vec![LinkId(1)],
+        ..News::default()
+    });
     story.now += S;
     let due = story.now + S;
     let again = Wanted { due, ..wanted(2) };
-    assert_eq!(story.hears(&News { wanted: vec![again], ..News::default() }).opened, [2]);
+    assert_eq!(
+        story
+            .hears(&News {
+                wanted: vec![again],
+                ..News::default()
+            })
+            .opened,
+        [2]
+    );
 }
--- a/crates/sanddrum-dialect/src/lib.rs
+++ b/crates/sanddrum-dialect/src/lib.rs
@@ -49,13 +49,37 @@
 
 /// Keys whose texts are codes, each code with our word for it. Other texts are names and are kept to the letter.
 const CODES: [(&str, &[(&str, &str)]); 7] = [
-    ("effect", &[("repeatable", "restartable"), ("by_key", "fingerprinted"), ("once", "run-once")]),
-    ("key-scope", &[("all", "all"), ("zone", "zone"), ("cell", "cell")]),
+    (
+        "effect",
+        &[
+            ("repeatable", "restartable"),
+            ("by_key", "fingerprinted"),
+            ("once", "run-once"),
+        ],
+    ),
+    (
+        "key-scope",
+        &[("all", "all"), ("zone", "zone"), ("cell", "cell")],
+    ),
     ("if-cold", &[("load", "load"), ("miss", "miss")]),
-    ("membership-mode", &[("automatic", "automatic"), ("subscribe", "subscribe")]),
-    ("via", &[("answers", "answers"), ("probe", "probe"), ("none", "none")]),
+    (
+        "membership-mode",
+        &[("automatic", "automatic"), ("subscribe", "subscribe")],
+    ),
+    (
+        "via",
+        &[("answers", "answers"), ("probe", "probe"), ("none", "none")],
+    ),
     ("value-by", &[("request", "request"), ("work", "work")]),
-    ("weight-kind", &[("none", "none"), ("nominal", "nominal"), ("rough", "rough"), ("live", "live")]),
+    (
+        "weight-kind",
+        &[
+            ("none", "none"),
+            ("nominal", "nominal"),
+            ("rough", "rough"),
+            ("live", "live"),
+        ],
+    ),
 ];
 
 /// Keys that allow something or not.
@@ -72,29 +96,56 @@
 
 /// Flattens one value of the settings: `wire` is its dotted name as the platform words it, `at` as we do.
 fn flatten(wire: &str, at: &str, value: &Json, into: &mut Settings) -> Result<(), String> {
-    let join = |to: &str, name: &str| if to.is_empty() { name.to_string() } else { format!("{to}.{name}") };
+    let join = |to: &str, name: &str| {
+        if to.is_empty() {
+            name.to_string()
+        } else {
+            format!("{to}.{name}")
+        }
+    };
     let key = wire.rsplit('.').next().unwrap_or_default();
-    let codes = CODES.iter().find(|(name, _)| *name == key).map(|(_, codes)| *codes);
+    let codes = CODES
+        .iter()
+        .find(|(name, _)| *name == key)
+        .map(|(_, codes)| *codes);
     let plain = match value {
         Json::Object(map) => {
             for (name, v) in map {
-                let own = WORDS.iter().find(|(wire, _)| wire == name).map_or(name.as_str(), |(_, own)| own);
+                let own = WORDS
+                    .iter()
+                    .find(|(wire, _)| wire == name)
+                    .map_or(name.as_str(), |(_, own)| own);
                 flatten(&join(wire, name), &join(at, own), v, into)?;
             }
             return Ok(());
         }
         Json::Array(list) => {
             for (n, v) in list.iter().enumerate() {
-                flatten(&join(wire, &n.to_string()), &join(at, &n.to_string()), v, into)?;
+                flatten(
+                    &join(wire, &n.to_string()),
+                    &join(at, &n.to_string()),
+                    v,
+                    into,
+                )?;
             }
-            into.0.insert(join(at, "count"), Value::Number(list.len() as f64));
+            into.0
+                .insert(join(at, "count"), Value::Number(list.len() as f64));
             return Ok(());
         }
         Json::Null => return Ok(()),
         Json::Bool(b) => Value::Flag(*b),
         Json::String(text) => {
-            let own = codes.map(|codes| codes.iter().find(|(code, _)| code == text).map(|(_, own)| *own));
-            Value::Text(own.unwrap_or(Some(text)).ok_or_else(|| unusable(wire, value))?.to_string())
+            let own = codes.map(|codes| {
+                codes
+                    .iter()
+                    .find(|(code, _)| code == text)
+                    .map(|(_, own)| *own)
+            });
+            Value::Text(
+                own.unwrap_or(Some(text))
+                    .ok_or_else(|| unusable(wire, value))?
+                    .to_string(),
+            )
         }
         Json::Number(n) => Value::Number(n.as_f64().unwrap_or_default()),
     };
@@ -104,7 +155,10 @@
         // Prices bear the names of what they are for, and are numbers.
         Value::Number(n) => {
             let price = wire.starts_with("prices.");
-            price || (codes.is_none() && !FLAGS.contains(&key) && (!key.ends_with("-us") || *n >= 0.0))
+            price
+                || (codes.is_none()
+                    && !FLAGS.contains(&key)
+                    && (!key.ends_with("-us") || *n >= 0.0))
         }
     };
     if !fits {
@@ -117,7 +171,11 @@
 fn unusable(wire: &str, value: &Json) -> String {
     let key = wire.rsplit('.').next().unwrap_or_default();
     let wanted = match CODES.iter().find(|(name, _)| *name == key) {
-        Some((_, codes)) => codes.iter().map(|(code, _)| *code).collect::<Vec<_>>().join(", "),
+        Some((_, codes)) => codes
+            .iter()
+            .map(|(code, _)| *code)
+            .collect::<Vec<_>>()
+            .join(", "),
         None if FLAGS.contains(&key) => "true, false".to_string(),
         None => "a number of microseconds, nought or more".to_string(),
     };
@@ -143,13 +201,18 @@
 /// The names of a list in the settings, as the platform writes them: `classes`, `kinds`, `azs`.
 pub fn names(info: &Json, list: &str) -> Vec<String> {
     let each = info[list].as_array().into_iter().flatten();
-    each.filter_map(|v| v.as_str().or(v["name"].as_str()).map(String::from)).collect()
+    each.filter_map(|v| v.as_str().or(v["name"].as_str()).map(String::from))
+        .collect()
 }
 
 /// What each value of a load report is called, in the order of the reports.
 pub fn report_fields(info: &Json) -> Vec<String> {
     let fields = info["stats"]["fields"].as_array();
-    fields.into_iter().flatten().filter_map(|v| v.as_str().map(String::from)).collect()
+    fields
+        .into_iter()
+        .flatten()
+        .filter_map(|v| v.as_str().map(String::from))
+        .collect()
 }
 
 /// A load report; values of other names are skipped.
--- a/crates/sanddrum-dialect/tests/words.rs
+++ b/crates/sanddrum-dialect/tests/words.rs
@@ -48,7 +48,10 @@
     });
     let map = sanddrum_dialect::settings(&info).unwrap();
     assert_eq!(map.text("workloads.0.name"), Some("once"));
-    assert_eq!((map.text("zones.0"), map.text("customers.0.name")), (Some("az"), Some("worth")));
+    assert_eq!(
+        (map.text("zones.0"), map.text("customers.0.name")),
+        (Some("az"), Some("worth"))
+    );
     assert_eq!(map.text("new-key.deeper"), Some("by_key"));
     assert_eq!(map.number("prices.membership-mode"), Some(0.1));
 }
@@ -56,7 +59,15 @@
 #[rstest]
 fn reports_are_read_by_either_name_and_new_values_skipped() {
     let report = sanddrum_dialect::report(
-        [("inflight", Some(7.0)), ("q", Some(2.0)), ("fresh", Some(1.0))].into_iter(),
+        [
+            ("inflight", Some(7.0)),
+            ("q", Some(2.0)),
+            ("fresh", Some(1.0)),
+        ]
+        .into_iter(),
+    );
+    assert_eq!(
+        (report.held, report.queued, report.busy),
+        (Some(7.0), Some(2.0), None)
     );
-    assert_eq!((report.held, report.queued, report.busy), (Some(7.0), Some(2.0), None));
 }
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -33,7 +33,12 @@
         let settings = l.values_for_module();
         let (sharing, repeats) = (Sharing::new(&settings), Repeats::new(&settings));
         let news = News::default();
-        Admission { sharing, repeats, news, asking: BTreeMap::new() }
+        Admission {
+            sharing,
+            repeats,
+            news,
+            asking: BTreeMap::new(),
+        }
     }
     pub fn is_waiting(&self) -> bool {
         !self.asking.is_empty()
@@ -58,14 +63,28 @@
         // Who has left meanwhile asks for nothing.
         let jobs = &self.jobs.jobs;
         let stays = |job: &&sanddrum::Job| jobs.get(&job.id).is_some_and(|job| !job.closed);
-        let asking = self.admission.asking.values().filter(stays).map(|job| (job.id, job.repeat));
-        let asked = Asked { jobs: asking.collect(), pressed: self.admission.news.pressed };
+        let asking = self
+            .admission
+            .asking
+            .values()
+            .filter(stays)
+            .map(|job| (job.id, job.repeat));
+        let asked = Asked {
+            jobs: asking.collect(),
+            pressed: self.admission.news.pressed,
+        };
         let mut ruled = Ruled::default();
-        self.admission.repeats.round(now, &asked, &mut |job, judged| ruled.0.push((job, judged.err())));
+        self.admission
+            .repeats
+            .round(now, &asked, &mut |job, judged| {
+                ruled.0.push((job, judged.err()))
+            });
         let limits = self.admission.sharing.limits_anything();
         let mut news = std::mem::take(&mut self.admission.news);
         for (id, over) in std::mem::take(&mut ruled.0) {
-            let Some(job) = self.admission.asking.get(&id) else { continue };
+            let Some(job) = self.admission.asking.get(&id) else {
+                continue;
+            };
             match over {
                 None if limits => news.asked.push((id, job.customer)),
                 over => ruled.0.push((id, over)),
@@ -75,9 +94,14 @@
             self.admission.sharing.round(now, &news, &mut ruled);
         }
         for (id, over) in ruled.0 {
-            let Some(job) = self.admission.asking.remove(&id) else { continue };
+            let Some(job) = self.admission.asking.remove(&id) else {
+                continue;
+            };
             let Some((why, wait)) = over else {
-                self.jobs.jobs.entry(id).and_modify(|job| job.admitted = limits);
+                self.jobs
+                    .jobs
+                    .entry(id)
+                    .and_modify(|job| job.admitted = limits);
                 self.round.jobs.push(job);
                 continue;
             };
--- a/crates/sanddrum-edge/src/carry.rs
+++ b/crates/sanddrum-edge/src/carry.rs
@@ -23,7 +23,11 @@
     let function = functions.get(job.function);
     wire::Execute {
         id: execution,
-        workload: functions.workloads.get(job.workload.0).cloned().unwrap_or_default(),
+        workload: functions
+            .workloads
+            .get(job.workload.0)
+            .cloned()
+            .unwrap_or_default(),
         function: function.map(|f| f.name.clone()).unwrap_or_default(),
         limit_us: limit,
         memory_mb: function.map_or(0.0, |f| f.memory_mb),
@@ -39,14 +43,20 @@
     fn execute(&mut self, id: JobId, worker: WorkerId, limit: Micros) {
         let (inner, now) = (&mut *self.inner, self.now);
         let execution = inner.jobs.next_execution();
-        let Some(job) = inner.jobs.jobs.get_mut(&id) else { return };
+        let Some(job) = inner.jobs.jobs.get_mut(&id) else {
+            return;
+        };
         let number = job.executions.len();
         job.executions.push(execution);
         job.out += 1;
         let limit = limit.min(job.due - now).max(0);
         let message = execute_message(&inner.functions, job, execution, limit);
         let call = job.number;
-        let wire_id = if inner.speech.carries_call_ids() { call } else { execution };
+        let wire_id = if inner.speech.carries_call_ids() {
+            call
+        } else {
+            execution
+        };
         let closed = job.closed;
         let customer = job.customer_id;
         let due = now + limit;
@@ -54,13 +64,31 @@
             Err(End::Moot)
         } else {
             let bytes = inner.speech.execute(message, call);
-            let piece = Piece { mark: Mark::Execution(execution), id: wire_id, bytes: &bytes };
+            let piece = Piece {
+                mark: Mark::Execution(execution),
+                id: wire_id,
+                bytes: &bytes,
+            };
             inner.send(now, worker, piece, due)
         };
         let link = sent.unwrap_or(LinkId(u64::MAX));
-        let record = Execution { job: id, number, worker, link, sent: now, stated: now, due };
+        let record = Execution {
+            job: id,
+            number,
+            worker,
+            link,
+            sent: now,
+            stated: now,
+            due,
+        };
         inner.jobs.executions.insert(execution, record);
-        tracing::debug!(job = id.0, execution = number, worker = inner.links.name(worker), limit, "executed");
+        tracing::debug!(
+            job = id.0,
+            execution = number,
+            worker = inner.links.name(worker),
+            limit,
+            "executed"
+        );
         match sent {
             Ok(_) => {
                 inner.admission.news.sent.push((customer, worker));
@@ -72,18 +100,39 @@
 
     fn cancel(&mut self, id: JobId, number: usize) {
         let inner = &mut *self.inner;
-        let Some(job) = inner.jobs.jobs.get(&id) else { return };
-        let Some(execution) = job.executions.get(number).copied() else { return };
-        let Some(link) = inner.jobs.executions.get(&execution).map(|e| e.link) else { return };
+        let Some(job) = inner.jobs.jobs.get(&id) else {
+            return;
+        };
+        let Some(execution) = job.executions.get(number).copied() else {
+            return;
+        };
+        let Some(link) = inner.jobs.executions.get(&execution).map(|e| e.link) else {
+            return;
+        };
         if inner.links.take_back(link, execution) {
-            return inner.execution_ended(self.now, execution, End::Moot, Warmth::Unknown, None, None);
+            return inner.execution_ended(
+                self.now,
+                execution,
+                End::Moot,
+                Warmth::Unknown,
+                None,
+                None,
+            );
         }
         inner.give_up_execution(link, execution);
-        inner.execution_ended(self.now, execution, End::Cancelled, Warmth::Unknown, None, None);
+        inner.execution_ended(
+            self.now,
+            execution,
+            End::Cancelled,
+            Warmth::Unknown,
+            None,
+            None,
+        );
     }
 
     fn push_back(&mut self, id: JobId, wait: Micros) {
-        let detail = "the job has not run, or running it again is harmless; come back after the stated time";
+        let detail =
+            "the job has not run, or running it again is harmless; come back after the stated time";
         let refusal = Refusal {
             status: 503,
             end: "pushed-back",
@@ -97,13 +146,33 @@
     }
 
     fn kill(&mut self, id: JobId) {
-        let late = self.inner.jobs.jobs.get(&id).is_some_and(|job| job.due <= self.now);
+        let late = self
+            .inner
+            .jobs
+            .jobs
+            .get(&id)
+            .is_some_and(|job| job.due <= self.now);
         let (status, reason, detail) = if late {
-            (504, "time-limit", "no answer came within the time limit; the job may have run")
+            (
+                504,
+                "time-limit",
+                "no answer came within the time limit; the job may have run",
+            )
         } else {
-            (502, "failed", "the job failed and may have run; nothing is promised")
+            (
+                502,
+                "failed",
+                "the job failed and may have run; nothing is promised",
+            )
+        };
+        let refusal = Refusal {
+            status,
+            end: "killed",
+            reason,
+            detail,
+            retry_after: None,
+            job: Some(id),
         };
-        let refusal = Refusal { status, end: "killed", reason, detail, retry_after: None, job: Some(id) };
         self.inner.refuse(self.now, id, &refusal);
     }
 
@@ -112,11 +181,22 @@
     }
 
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
-        let Some(name) = self.inner.functions.get(function).map(|f| f.name.clone()) else { return };
+        let Some(name) = self.inner.functions.get(function).map(|f| f.name.clone()) else {
+            return;
+        };
         let bytes = self.inner.speech.unload(name);
         // Nothing is owed for it: where it can't be sent the copies lapse by themselves.
         let due = self.now + self.inner.limits.order_time_out;
-        let _ = self.inner.send(self.now, worker, Piece { mark: Mark::Other, id: 0, bytes: &bytes }, due);
+        let _ = self.inner.send(
+            self.now,
+            worker,
+            Piece {
+                mark: Mark::Other,
+                id: 0,
+                bytes: &bytes,
+            },
+            due,
+        );
     }
 
     fn probe(&mut self, worker: WorkerId) {
