--- a/crates/sanddrum-fastcgi/src/record.rs
+++ b/crates/sanddrum-fastcgi/src/record.rs
@@ -40,13 +40,18 @@
         Kind::UnknownType,
     ];
     pub fn of(number: u8) -> Kind {
-        let known = usize::from(number).checked_sub(1).and_then(|n| Kind::KNOWN.get(n));
+        let known = usize::from(number)
+            .checked_sub(1)
+            .and_then(|n| Kind::KNOWN.get(n));
         known.copied().unwrap_or(Kind::Other(number))
     }
     pub fn number(self) -> u8 {
         match self {
             Kind::Other(number) => number,
-            known => Kind::KNOWN.iter().position(|k| *k == known).map_or(0, |n| n as u8 + 1),
+            known => Kind::KNOWN
+                .iter()
+                .position(|k| *k == known)
+                .map_or(0, |n| n as u8 + 1),
         }
     }
 }
@@ -69,14 +74,22 @@
             Some(version) if *version != VERSION => return Err(*version),
             _ => {}
         }
-        let Some((head, rest)) = bytes.split_first_chunk::<HEADER>() else { return Ok(None) };
+        let Some((head, rest)) = bytes.split_first_chunk::<HEADER>() else {
+            return Ok(None);
+        };
         let [_, kind, id1, id0, length1, length0, padding, _] = *head;
         let length = usize::from(u16::from_be_bytes([length1, length0]));
-        let Some(content) = rest.get(..length) else { return Ok(None) };
+        let Some(content) = rest.get(..length) else {
+            return Ok(None);
+        };
         if rest.len() < length + usize::from(padding) {
             return Ok(None);
         }
-        let record = Record { kind: Kind::of(kind), id: u16::from_be_bytes([id1, id0]), content };
+        let record = Record {
+            kind: Kind::of(kind),
+            id: u16::from_be_bytes([id1, id0]),
+            content,
+        };
         Ok(Some((record, HEADER + length + usize::from(padding))))
     }
 }
--- a/crates/sanddrum-fastcgi/src/responder.rs
+++ b/crates/sanddrum-fastcgi/src/responder.rs
@@ -100,7 +100,14 @@
 
 impl Responder {
     pub fn new(bounds: Bounds) -> Self {
-        Responder { bounds, bytes: Vec::new(), read: 0, open: BTreeMap::new(), held: 0, closes: false }
+        Responder {
+            bounds,
+            bytes: Vec::new(),
+            read: 0,
+            open: BTreeMap::new(),
+            held: 0,
+            closes: false,
+        }
     }
     /// Requests that are open, whole or not.
     pub fn open(&self) -> usize {
@@ -112,7 +119,12 @@
     }
     /// Gives up all requests that have not come whole; what still comes of them is skipped. Their numbers are free.
     pub fn drop_partial(&mut self) -> Vec<u16> {
-        let partial: Vec<u16> = self.open.iter().filter(|(_, open)| !open.whole).map(|(id, _)| *id).collect();
+        let partial: Vec<u16> = self
+            .open
+            .iter()
+            .filter(|(_, open)| !open.whole)
+            .map(|(id, _)| *id)
+            .collect();
         for id in &partial {
             self.closes |= self.drop_open(*id).is_some_and(|open| !open.keep);
         }
@@ -130,7 +142,9 @@
     fn drop_open(&mut self, id: u16) -> Option<Open> {
         let open = self.open.remove(&id)?;
         if !open.whole {
-            self.held = self.held.saturating_sub(open.params.len() + open.body.len());
+            self.held = self
+                .held
+                .saturating_sub(open.params.len() + open.body.len());
         }
         Some(open)
     }
@@ -190,7 +204,9 @@
     }
 
     fn begin(&mut self, id: u16, content: &[u8]) -> Result<Option<Said>, Broken> {
-        let [role1, role0, flags, ..] = *content else { return Err(Broken::Malformed) };
+        let [role1, role0, flags, ..] = *content else {
+            return Err(Broken::Malformed);
+        };
         if content.len() < 8 {
             return Err(Broken::Malformed);
         }
@@ -201,11 +217,23 @@
             return Ok(Some(Said::Refuse { id, why: Why::Role }));
         }
         if self.open.len() >= self.bounds.open {
-            return Ok(Some(Said::Refuse { id, why: Why::TooMany }));
+            return Ok(Some(Said::Refuse {
+                id,
+                why: Why::TooMany,
+            }));
         }
         let keep = flags & 1 != 0;
         let (params, body) = (Vec::new(), Vec::new());
-        self.open.insert(id, Open { keep, params, params_done: false, body, whole: false });
+        self.open.insert(
+            id,
+            Open {
+                keep,
+                params,
+                params_done: false,
+                body,
+                whole: false,
+            },
+        );
         Ok(None)
     }
 
@@ -225,7 +253,9 @@
 
     fn more_params(&mut self, id: u16, content: &[u8]) -> Result<Option<Said>, Broken> {
         let most = self.bounds.params;
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.params_done) else { return Ok(None) };
+        let Some(open) = self.open.get_mut(&id).filter(|open| !open.params_done) else {
+            return Ok(None);
+        };
         if content.is_empty() {
             open.params_done = true;
             return Ok(None);
@@ -240,7 +270,9 @@
 
     fn more_body(&mut self, id: u16, content: &[u8]) -> Result<Option<Said>, Broken> {
         let most = self.bounds.body;
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.whole) else { return Ok(None) };
+        let Some(open) = self.open.get_mut(&id).filter(|open| !open.whole) else {
+            return Ok(None);
+        };
         if !content.is_empty() {
             if open.body.len() + content.len() > most {
                 return Ok(self.refuse(id, Why::BodyTooLong));
@@ -252,23 +284,36 @@
         let texts = read_params(&open.params).filter(|_| open.params_done);
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok();
         let params = texts.and_then(|pairs| {
-            pairs.into_iter().map(|(name, value)| Some((text(name)?, text(value)?))).collect::<Option<_>>()
+            pairs
+                .into_iter()
+                .map(|(name, value)| Some((text(name)?, text(value)?)))
+                .collect::<Option<_>>()
         });
-        let Some(params) = params else { return Ok(self.refuse(id, Why::Params)) };
+        let Some(params) = params else {
+            return Ok(self.refuse(id, Why::Params));
+        };
         open.whole = true;
         let body = std::mem::take(&mut open.body);
         self.held = self.held.saturating_sub(open.params.len() + body.len());
         open.params = Vec::new();
-        Ok(Some(Said::Request { id, request: Request { params, body } }))
+        Ok(Some(Said::Request {
+            id,
+            request: Request { params, body },
+        }))
     }
 
     /// Section 4.1.
     fn values(&self, content: &[u8]) -> Vec<u8> {
         let open = self.bounds.open.to_string();
-        let known =
-            [("FCGI_MAX_CONNS", open.as_str()), ("FCGI_MAX_REQS", open.as_str()), ("FCGI_MPXS_CONNS", "1")];
+        let known = [
+            ("FCGI_MAX_CONNS", open.as_str()),
+            ("FCGI_MAX_REQS", open.as_str()),
+            ("FCGI_MPXS_CONNS", "1"),
+        ];
         let asked = read_params(content).unwrap_or_default();
-        let told = known.iter().filter(|(name, _)| asked.iter().any(|(n, _)| *n == name.as_bytes()));
+        let told = known
+            .iter()
+            .filter(|(name, _)| asked.iter().any(|(n, _)| *n == name.as_bytes()));
         let content = record::params(&told.copied().collect::<Vec<_>>());
         let mut out = header(Kind::GetValuesResult, 0, content.len()).to_vec();
         out.extend_from_slice(&content);
--- a/crates/sanddrum-fastcgi/tests/records.rs
+++ b/crates/sanddrum-fastcgi/tests/records.rs
@@ -4,7 +4,12 @@
 use rstest::rstest;
 use sanddrum_fastcgi::*;
 
-const BOUNDS: Bounds = Bounds { open: 4, params: 1000, body: 2000, held: 10_000 };
+const BOUNDS: Bounds = Bounds {
+    open: 4,
+    params: 1000,
+    body: 2000,
+    held: 10_000,
+};
 
 fn asked(id: u16, pairs: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
@@ -26,14 +31,19 @@
 #[rstest]
 fn requests_on_one_connection_come_whole_in_any_order() {
     let mut responder = Responder::new(BOUNDS);
-    let (one, two) = (asked(1, &[("A", "1")], b"first"), asked(2, &[("A", "2")], b"second"));
+    let (one, two) = (
+        asked(1, &[("A", "1")], b"first"),
+        asked(2, &[("A", "2")], b"second"),
+    );
     // The second one is whole before the first one's last record.
     let (most, last) = one.split_at(one.len() - HEADER);
     let said = heard(&mut responder, &[most, &two, last].concat()).unwrap();
     let whole: Vec<_> = said
         .iter()
         .map(|said| match said {
-            Said::Request { id, request } => (*id, request.param("A").unwrap(), request.body.as_slice()),
+            Said::Request { id, request } => {
+                (*id, request.param("A").unwrap(), request.body.as_slice())
+            }
             other => panic!("{other:?}"),
         })
         .collect();
@@ -52,9 +62,15 @@
     stream(&mut out, Kind::Stdin, 1, &[]);
     out
 }, Why::Params)]
-fn a_request_out_of_bounds_is_refused_once_and_its_number_is_free(#[case] bytes: Vec<u8>, #[case] why: Why) {
+fn a_request_out_of_bounds_is_refused_once_and_its_number_is_free(
+    #[case] bytes: Vec<u8>,
+    #[case] why: Why,
+) {
     let mut responder = Responder::new(BOUNDS);
-    assert_eq!(heard(&mut responder, &bytes).unwrap(), [Said::Refuse { id: 1, why }]);
+    assert_eq!(
+        heard(&mut responder, &bytes).unwrap(),
+        [Said::Refuse { id: 1, why }]
+    );
     assert_eq!(responder.open(), 0);
     let next = heard(&mut responder, &asked(1, &[], b"x")).unwrap();
     assert!(matches!(next[..], [Said::Request { id: 1, .. }]));
@@ -67,7 +83,13 @@
         heard(&mut responder, &asked(id, &[], b"")).unwrap();
     }
     let fifth = heard(&mut responder, &asked(5, &[], b"")).unwrap();
-    assert_eq!(fifth, [Said::Refuse { id: 5, why: Why::TooMany }]);
+    assert_eq!(
+        fifth,
+        [Said::Refuse {
+            id: 5,
+            why: Why::TooMany
+        }]
+    );
     assert_eq!(responder.open(), 4);
 }
 
@@ -75,7 +97,10 @@
 fn a_number_that_is_open_can_not_begin_again() {
     let mut responder = Responder::new(BOUNDS);
     heard(&mut responder, &asked(1, &[], b"")).unwrap();
-    assert_eq!(heard(&mut responder, &asked(1, &[], b"")), Err(Broken::NumberInUse(1)));
+    assert_eq!(
+        heard(&mut responder, &asked(1, &[], b"")),
+        Err(Broken::NumberInUse(1))
+    );
 }
 
 #[rstest]
@@ -83,7 +108,10 @@
     let mut responder = Responder::new(BOUNDS);
     heard(&mut responder, &asked(1, &[], b"")).unwrap();
     let abort = header(Kind::Abort, 1, 0);
-    assert_eq!(heard(&mut responder, &abort).unwrap(), [Said::Abort { id: 1 }]);
+    assert_eq!(
+        heard(&mut responder, &abort).unwrap(),
+        [Said::Abort { id: 1 }]
+    );
     assert_eq!(heard(&mut responder, &abort).unwrap(), []);
 }
 
@@ -104,7 +132,10 @@
         .collect();
     assert_eq!(replies[0].kind, Kind::GetValuesResult);
     assert_eq!(replies[0].content, params(&[("FCGI_MPXS_CONNS", "1")]));
-    assert_eq!((replies[1].kind, replies[1].content[0]), (Kind::UnknownType, 77));
+    assert_eq!(
+        (replies[1].kind, replies[1].content[0]),
+        (Kind::UnknownType, 77)
+    );
 }
 
 #[rstest]
--- a/crates/sanddrum-faults/src/lib.rs
+++ b/crates/sanddrum-faults/src/lib.rs
@@ -7,7 +7,9 @@
 pub mod layout;
 
 use layout::{Word, BYTES, CONTROL_VARIABLE};
-use libc::{c_int, c_void, clockid_t, size_t, sockaddr, socklen_t, ssize_t, time_t, timespec, timeval};
+use libc::{
+    c_int, c_void, clockid_t, size_t, sockaddr, socklen_t, ssize_t, time_t, timespec, timeval,
+};
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicBool, AtomicPtr, AtomicU64, Ordering};
 
@@ -26,8 +28,12 @@
 }
 
 fn map_control() -> *mut AtomicU64 {
-    let Ok(file) = std::env::var(CONTROL_VARIABLE) else { return missing() };
-    let Ok(path) = std::ffi::CString::new(file) else { return missing() };
+    let Ok(file) = std::env::var(CONTROL_VARIABLE) else {
+        return missing();
+    };
+    let Ok(path) = std::ffi::CString::new(file) else {
+        return missing();
+    };
     // SAFETY: a path that ends in NUL, a mapping of a size that is checked, never unmapped.
     unsafe {
         let fd = libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC);
@@ -38,7 +44,14 @@
         let large_enough = libc::fstat(fd, &mut stat) == 0 && stat.st_size >= BYTES as i64;
         let protection = libc::PROT_READ | libc::PROT_WRITE;
         let mapped = match large_enough {
-            true => libc::mmap(std::ptr::null_mut(), BYTES, protection, libc::MAP_SHARED, fd, 0),
+            true => libc::mmap(
+                std::ptr::null_mut(),
+                BYTES,
+                protection,
+                libc::MAP_SHARED,
+                fd,
+                0,
+            ),
             false => libc::MAP_FAILED,
         };
         libc::close(fd);
@@ -139,7 +152,8 @@
     let (mut domain, mut length): (c_int, socklen_t) = (0, 4);
     let target = std::ptr::addr_of_mut!(domain).cast();
     // SAFETY: room for one integer, whose size is told.
-    let known = unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_DOMAIN, target, &mut length) };
+    let known =
+        unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_DOMAIN, target, &mut length) };
     known == 0 && domain == libc::AF_INET
 }
 
@@ -165,7 +179,10 @@
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, at: *mut timespec) -> c_int {
-    let result = real!(c"clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int)(clock, at);
+    let result = real!(
+        c"clock_gettime",
+        unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int
+    )(clock, at);
     if result == 0 && (clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE) {
         let nanos = (*at).tv_nsec;
         let micros = stepped_micros((*at).tv_sec, nanos / 1000);
@@ -179,7 +196,10 @@
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn gettimeofday(at: *mut timeval, zone: *mut c_void) -> c_int {
-    let result = real!(c"gettimeofday", unsafe extern "C" fn(*mut timeval, *mut c_void) -> c_int)(at, zone);
+    let result = real!(
+        c"gettimeofday",
+        unsafe extern "C" fn(*mut timeval, *mut c_void) -> c_int
+    )(at, zone);
     if result == 0 && !at.is_null() {
         let micros = stepped_micros((*at).tv_sec, (*at).tv_usec);
         ((*at).tv_sec, (*at).tv_usec) = (micros.div_euclid(MICROS), micros.rem_euclid(MICROS));
@@ -191,7 +211,10 @@
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn time(into: *mut time_t) -> time_t {
-    let mut now = timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut now = timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     clock_gettime(libc::CLOCK_REALTIME, &mut now);
     if !into.is_null() {
         *into = now.tv_sec;
@@ -202,8 +225,13 @@
 // ---- Sockets
 
 /// Errors of accept(2) that say nothing of the listener.
-const ACCEPT_ERRORS: [c_int; 5] =
-    [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EINTR, libc::EPROTO];
+const ACCEPT_ERRORS: [c_int; 5] = [
+    libc::ECONNABORTED,
+    libc::ENFILE,
+    libc::ENOBUFS,
+    libc::EINTR,
+    libc::EPROTO,
+];
 const SOCKET_ERRORS: [c_int; 2] = [libc::ENFILE, libc::ENOBUFS];
 const CONNECT_ERRORS: [c_int; 3] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS];
 /// Of a failing read or write of a socket: one in so many breaks a connection that was made from here, half of the rest are
@@ -270,7 +298,10 @@
     if domain == libc::AF_INET && fails(Word::Socket, Word::SocketsFailed) {
         return fail_with(&SOCKET_ERRORS);
     }
-    real!(c"socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int)(domain, kind, protocol)
+    real!(
+        c"socket",
+        unsafe extern "C" fn(c_int, c_int, c_int) -> c_int
+    )(domain, kind, protocol)
 }
 
 /// # Safety
@@ -310,7 +341,12 @@
 /// # Safety
 /// As the C library's.
 #[no_mangle]
-pub unsafe extern "C" fn recv(fd: c_int, into: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn recv(
+    fd: c_int,
+    into: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     let length = match failing(fd, length, Word::Receive, Word::ReceivesFailed) {
         Some(Failing::Error(result)) => return result,
         Some(Failing::Short(length)) => length,
@@ -323,7 +359,12 @@
 /// # Safety
 /// As the C library's.
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    from: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     let length = match failing(fd, length, Word::Send, Word::SendsFailed) {
         Some(Failing::Error(result)) => return result,
         Some(Failing::Short(length)) => length,
@@ -352,7 +393,10 @@
     if disk_fails(fd) {
         return fail_with(&DISK_ERRORS) as ssize_t;
     }
-    real!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t)(fd, from, length)
+    real!(
+        c"write",
+        unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t
+    )(fd, from, length)
 }
 
 /// # Safety
--- a/crates/sanddrum-identity/src/certificates.rs
+++ b/crates/sanddrum-identity/src/certificates.rs
@@ -34,7 +34,9 @@
             Doubt::Unknown => "the certificate's names are no customer's here",
             Doubt::Ambiguous => "the certificate's names are several customers'; use one for each",
             Doubt::Denied => "the certificate is not believed any more; get a new one",
-            Doubt::Disagrees => "what the call names, its token and its certificate are not one customer",
+            Doubt::Disagrees => {
+                "what the call names, its token and its certificate are not one customer"
+            }
         }
     }
 }
@@ -59,7 +61,9 @@
     }
     fn of_name(&self, name: &str) -> Option<&str> {
         let fitting = self.0.iter().filter(|(pattern, _)| pattern.fits(name));
-        fitting.max_by_key(|(pattern, _)| pattern.length()).map(|(_, customer)| customer.as_str())
+        fitting
+            .max_by_key(|(pattern, _)| pattern.length())
+            .map(|(_, customer)| customer.as_str())
     }
     /// The customer whose certificate it is; `None` where nothing was shown.
     ///
@@ -72,7 +76,11 @@
         if shown.key.is_empty() {
             return Ok(None);
         }
-        let mut owners: Vec<&str> = shown.names.iter().filter_map(|name| self.of_name(name)).collect();
+        let mut owners: Vec<&str> = shown
+            .names
+            .iter()
+            .filter_map(|name| self.of_name(name))
+            .collect();
         owners.sort_unstable();
         owners.dedup();
         match owners[..] {
--- a/crates/sanddrum-identity/src/gate.rs
+++ b/crates/sanddrum-identity/src/gate.rs
@@ -59,7 +59,10 @@
 impl Gate {
     pub fn new(limits: GateLimits, terms: Terms) -> Self {
         let full = limits.checks_per_s.max(1.0);
-        let budget = || Budget { left: full, at: i64::MIN / 2 };
+        let budget = || Budget {
+            left: full,
+            at: i64::MIN / 2,
+        };
         Gate {
             limits,
             terms,
@@ -85,7 +88,12 @@
     ) -> Result<(Claims, bool), Refused> {
         let judged = self.judged(now_us, token, keys, *standing);
         match &judged {
-            Ok(_) => *standing = Standing { known: true, bad: 0 },
+            Ok(_) => {
+                *standing = Standing {
+                    known: true,
+                    bad: 0,
+                }
+            }
             Err(Refused::Busy) => {}
             Err(_) => standing.bad += 1,
         }
@@ -110,7 +118,11 @@
             return Ok((claims.clone(), true));
         }
         let kid = token::glance(token, keys, &self.terms, now)?;
-        let budget = if standing.known { &mut self.known } else { &mut self.strangers };
+        let budget = if standing.known {
+            &mut self.known
+        } else {
+            &mut self.strangers
+        };
         if !budget.take(now_us, self.limits.checks_per_s) {
             return Err(Refused::Busy);
         }
@@ -123,12 +135,15 @@
             return;
         }
         while self.good.len() >= self.limits.remembered {
-            let Some((_, oldest)) = self.uses.pop_first() else { break };
+            let Some((_, oldest)) = self.uses.pop_first() else {
+                break;
+            };
             self.good.remove(&oldest);
         }
         self.used += 1;
         self.uses.insert(self.used, token.to_string());
-        self.good.insert(token.to_string(), (kid, claims, self.used));
+        self.good
+            .insert(token.to_string(), (kid, claims, self.used));
     }
     /// Whether a connection has sent so many bad tokens that it is to be closed.
     pub fn is_out(&self, standing: Standing) -> bool {
--- a/crates/sanddrum-identity/src/keys.rs
+++ b/crates/sanddrum-identity/src/keys.rs
@@ -55,12 +55,20 @@
                 write!(f, "version {has} is older than {floor}, which was in force")
             }
             SetRefused::SameVersion(v) => {
-                write!(f, "version {v} is in force with another content; raise the version")
+                write!(
+                    f,
+                    "version {v} is in force with another content; raise the version"
+                )
             }
             SetRefused::Shrunken(kid) => {
-                write!(f, "key {kid} still verifies and is missing; retire or revoke it first")
+                write!(
+                    f,
+                    "key {kid} still verifies and is missing; retire or revoke it first"
+                )
+            }
+            SetRefused::Revived(kid) => {
+                write!(f, "key {kid} was revoked and stays so; make a new key")
             }
-            SetRefused::Revived(kid) => write!(f, "key {kid} was revoked and stays so; make a new key"),
         }
     }
 }
@@ -112,7 +120,9 @@
             Err(e) => return wrong(e.to_string()),
         };
         if set.version == 0 || set.keys.is_empty() || set.keys.len() > MOST_KEYS {
-            return wrong(format!("a version from 1 on and 1 to {MOST_KEYS} keys are wanted"));
+            return wrong(format!(
+                "a version from 1 on and 1 to {MOST_KEYS} keys are wanted"
+            ));
         }
         let mut keys = BTreeMap::new();
         for jwk in set.keys {
@@ -120,10 +130,16 @@
             if kid.is_empty() || kid.len() > LONGEST_KID {
                 return wrong(format!("a kid of 1 to {LONGEST_KID} bytes is wanted"));
             }
-            if jwk.kty != "OKP" || jwk.crv != "Ed25519" || !(jwk.alg.is_empty() || jwk.alg == "EdDSA") {
+            if jwk.kty != "OKP"
+                || jwk.crv != "Ed25519"
+                || !(jwk.alg.is_empty() || jwk.alg == "EdDSA")
+            {
                 return wrong(format!("key {kid} is not an Ed25519 key (RFC 8037)"));
             }
-            if URL_SAFE_NO_PAD.decode(&jwk.x).map_or(true, |x| x.len() != 32) {
+            if URL_SAFE_NO_PAD
+                .decode(&jwk.x)
+                .map_or(true, |x| x.len() != 32)
+            {
                 return wrong(format!("key {kid}: x is not 32 bytes in base64url"));
             }
             let state = match (jwk.state.as_str(), jwk.until) {
@@ -131,13 +147,23 @@
                 ("signing", _) => KeyState::Signing,
                 ("retiring", Some(until)) => KeyState::Retiring(until),
                 ("revoked", _) => KeyState::Revoked,
-                (other, _) => return wrong(format!("key {kid}: state {other:?} (retiring wants an until)")),
+                (other, _) => {
+                    return wrong(format!(
+                        "key {kid}: state {other:?} (retiring wants an until)"
+                    ))
+                }
             };
-            if keys.insert(kid.clone(), PublicKey { x: jwk.x, state }).is_some() {
+            if keys
+                .insert(kid.clone(), PublicKey { x: jwk.x, state })
+                .is_some()
+            {
                 return wrong(format!("key {kid} stands twice"));
             }
         }
-        Ok(KeySet { version: set.version, keys })
+        Ok(KeySet {
+            version: set.version,
+            keys,
+        })
     }
 
     pub fn write(&self) -> Vec<u8> {
@@ -158,7 +184,10 @@
                 until,
             }
         };
-        let set = JwkSet { version: self.version, keys: self.keys.iter().map(jwk).collect() };
+        let set = JwkSet {
+            version: self.version,
+            keys: self.keys.iter().map(jwk).collect(),
+        };
         let mut bytes = serde_json::to_vec_pretty(&set).unwrap_or_default();
         bytes.push(b'\n');
         bytes
@@ -176,13 +205,22 @@
         now: Seconds,
     ) -> Result<(), SetRefused> {
         if self.version < floor.version {
-            return Err(SetRefused::Older { has: self.version, floor: floor.version });
+            return Err(SetRefused::Older {
+                has: self.version,
+                floor: floor.version,
+            });
         }
-        let alive = |kid: &&String| self.keys.get(*kid).is_some_and(|key| key.state != KeyState::Revoked);
+        let alive = |kid: &&String| {
+            self.keys
+                .get(*kid)
+                .is_some_and(|key| key.state != KeyState::Revoked)
+        };
         if let Some(kid) = floor.revoked.iter().find(alive) {
             return Err(SetRefused::Revived(kid.clone()));
         }
-        let Some(current) = current else { return Ok(()) };
+        let Some(current) = current else {
+            return Ok(());
+        };
         if self.version == current.version && self != current {
             return Err(SetRefused::SameVersion(self.version));
         }
@@ -201,15 +239,24 @@
 
     /// What a restart must remember of this set, beside what it remembered before.
     pub fn floor(&self, before: &Floor) -> Floor {
-        let revoked =
-            self.keys.iter().filter(|(_, key)| key.state == KeyState::Revoked).map(|(kid, _)| kid.clone());
+        let revoked = self
+            .keys
+            .iter()
+            .filter(|(_, key)| key.state == KeyState::Revoked)
+            .map(|(kid, _)| kid.clone());
         let revoked = before.revoked.iter().cloned().chain(revoked).collect();
-        Floor { version: self.version.max(before.version), revoked }
+        Floor {
+            version: self.version.max(before.version),
+            revoked,
+        }
     }
 
     /// The key that signs, if there is one.
     pub fn signing(&self) -> Option<&str> {
-        let mut signing = self.keys.iter().filter(|(_, key)| key.state == KeyState::Signing);
+        let mut signing = self
+            .keys
+            .iter()
+            .filter(|(_, key)| key.state == KeyState::Signing);
         signing.next().map(|(kid, _)| kid.as_str())
     }
 
@@ -225,7 +272,11 @@
                 "key {kid:?} is there already, or its name is not of 1 to {LONGEST_KID} bytes"
             ));
         }
-        let state = if self.signing().is_none() { KeyState::Signing } else { KeyState::Coming };
+        let state = if self.signing().is_none() {
+            KeyState::Signing
+        } else {
+            KeyState::Coming
+        };
         self.keys.insert(kid.to_string(), PublicKey { x, state });
         self.version += 1;
         Ok(())
@@ -235,11 +286,19 @@
     /// # Errors
     /// No key is coming.
     pub fn rotate(&mut self, until: Seconds) -> Result<String, String> {
-        let coming =
-            self.keys.iter().find(|(_, key)| key.state == KeyState::Coming).map(|(kid, _)| kid.clone());
-        let coming =
-            coming.ok_or("no key is coming; add one first, so that every edge knows it before it signs")?;
-        for key in self.keys.values_mut().filter(|key| key.state == KeyState::Signing) {
+        let coming = self
+            .keys
+            .iter()
+            .find(|(_, key)| key.state == KeyState::Coming)
+            .map(|(kid, _)| kid.clone());
+        let coming = coming.ok_or(
+            "no key is coming; add one first, so that every edge knows it before it signs",
+        )?;
+        for key in self
+            .keys
+            .values_mut()
+            .filter(|key| key.state == KeyState::Signing)
+        {
             key.state = KeyState::Retiring(until);
         }
         if let Some(key) = self.keys.get_mut(&coming) {
@@ -251,7 +310,10 @@
     /// # Errors
     /// There is no such key.
     pub fn revoke(&mut self, kid: &str) -> Result<(), String> {
-        let key = self.keys.get_mut(kid).ok_or_else(|| format!("no key {kid:?} in this set"))?;
+        let key = self
+            .keys
+            .get_mut(kid)
+            .ok_or_else(|| format!("no key {kid:?} in this set"))?;
         key.state = KeyState::Revoked;
         self.version += 1;
         Ok(())
@@ -280,11 +342,16 @@
 }
 
 /// PKCS #8 around the 32 bytes of an Ed25519 key (RFC 8410, section 7).
-const PKCS8: [u8; 16] = [0x30, 0x2e, 2, 1, 0, 0x30, 5, 6, 3, 0x2b, 0x65, 0x70, 4, 0x22, 4, 0x20];
+const PKCS8: [u8; 16] = [
+    0x30, 0x2e, 2, 1, 0, 0x30, 5, 6, 3, 0x2b, 0x65, 0x70, 4, 0x22, 4, 0x20,
+];
 
 impl SecretKey {
     pub fn from_seed(kid: &str, seed: [u8; 32]) -> SecretKey {
-        SecretKey { kid: kid.to_string(), d: URL_SAFE_NO_PAD.encode(seed) }
+        SecretKey {
+            kid: kid.to_string(),
+            d: URL_SAFE_NO_PAD.encode(seed),
+        }
     }
     /// # Errors
     /// It is not a secret key file; nothing of its content is told.
@@ -298,7 +365,10 @@
         serde_json::to_vec(self).unwrap_or_default()
     }
     fn seed(&self) -> Result<Vec<u8>, String> {
-        let seed = URL_SAFE_NO_PAD.decode(&self.d).ok().filter(|seed| seed.len() == 32);
+        let seed = URL_SAFE_NO_PAD
+            .decode(&self.d)
+            .ok()
+            .filter(|seed| seed.len() == 32);
         seed.ok_or_else(|| "not a secret key of 32 bytes".to_string())
     }
     /// The public half, as it stands in a set.
--- a/crates/sanddrum-identity/src/rights.rs
+++ b/crates/sanddrum-identity/src/rights.rs
@@ -48,8 +48,9 @@
 
 impl Line {
     fn fits(&self, customer: &str, workload: &str, function: &str) -> bool {
-        let any =
-            |patterns: &[Pattern], name: &str| patterns.is_empty() || patterns.iter().any(|p| p.fits(name));
+        let any = |patterns: &[Pattern], name: &str| {
+            patterns.is_empty() || patterns.iter().any(|p| p.fits(name))
+        };
         self.customers.iter().any(|p| p.fits(customer))
             && any(&self.workloads, workload)
             && any(&self.functions, function)
@@ -65,7 +66,10 @@
 impl Default for Rights {
     /// With no word on rights everyone may run everything.
     fn default() -> Self {
-        Rights { lines: Vec::new(), allows_by_default: true }
+        Rights {
+            lines: Vec::new(),
+            allows_by_default: true,
+        }
     }
 }
 
@@ -79,11 +83,21 @@
 
 impl Rights {
     pub fn rule(&self, customer: &str, workload: &str, function: &str) -> Ruling {
-        let mut fitting = self.lines.iter().enumerate().filter(|(_, l)| l.fits(customer, workload, function));
+        let mut fitting = self
+            .lines
+            .iter()
+            .enumerate()
+            .filter(|(_, l)| l.fits(customer, workload, function));
         let denies = fitting.clone().find(|(_, line)| !line.allows);
         match denies.or_else(|| fitting.next()) {
-            Some((n, line)) => Ruling { allowed: line.allows, line: Some((n, line.place.clone())) },
-            None => Ruling { allowed: self.allows_by_default, line: None },
+            Some((n, line)) => Ruling {
+                allowed: line.allows,
+                line: Some((n, line.place.clone())),
+            },
+            None => Ruling {
+                allowed: self.allows_by_default,
+                line: None,
+            },
         }
     }
 }
--- a/crates/sanddrum-identity/src/token.rs
+++ b/crates/sanddrum-identity/src/token.rs
@@ -54,10 +54,14 @@
         match self {
             Refused::Missing => "send a token as Authorization: Bearer ...",
             Refused::TooLong | Refused::Malformed => "the token is no JWS in compact form",
-            Refused::Algorithm => "tokens are signed with EdDSA here, whatever they say of themselves",
+            Refused::Algorithm => {
+                "tokens are signed with EdDSA here, whatever they say of themselves"
+            }
             Refused::NoKey | Refused::UnknownKey => "the token names no key that is known here",
             Refused::KeyNotYet => "the key does not sign yet",
-            Refused::KeyRetired | Refused::KeyRevoked => "the key is no longer in service; get a new token",
+            Refused::KeyRetired | Refused::KeyRevoked => {
+                "the key is no longer in service; get a new token"
+            }
             Refused::Signature => "the signature does not fit",
             Refused::Audience => "the token is for somebody else",
             Refused::Expired => "the token is over; get a new one, and look at the clocks",
@@ -133,7 +137,13 @@
 ///
 /// # Errors
 /// Why it is not taken.
-pub fn check(token: &str, kid: &str, keys: &KeySet, terms: &Terms, now: Seconds) -> Result<Claims, Refused> {
+pub fn check(
+    token: &str,
+    kid: &str,
+    keys: &KeySet,
+    terms: &Terms,
+    now: Seconds,
+) -> Result<Claims, Refused> {
     let key = keys.keys.get(kid).ok_or(Refused::UnknownKey)?;
     let verifier = DecodingKey::from_ed_components(&key.x).map_err(|_| Refused::UnknownKey)?;
     let mut terms_of_library = Validation::new(Algorithm::EdDSA);
@@ -155,7 +165,11 @@
     if claims.sub.is_empty() || claims.jti.is_empty() {
         return Err(Refused::Claims);
     }
-    if claims.exp > now.saturating_add(terms.longest).saturating_add(terms.leeway) {
+    if claims.exp
+        > now
+            .saturating_add(terms.longest)
+            .saturating_add(terms.leeway)
+    {
         return Err(Refused::TooLasting);
     }
     Ok(claims)
@@ -169,7 +183,10 @@
     if now >= claims.exp.saturating_add(terms.leeway) {
         return Err(Refused::Expired);
     }
-    if claims.nbf.is_some_and(|nbf| now < nbf.saturating_sub(terms.leeway)) {
+    if claims
+        .nbf
+        .is_some_and(|nbf| now < nbf.saturating_sub(terms.leeway))
+    {
         return Err(Refused::NotYet);
     }
     Ok(())
@@ -180,23 +197,34 @@
 /// # Errors
 /// The key is none.
 pub fn issue(claims: &Claims, key: &SecretKey) -> Result<String, String> {
-    let header = Header { kid: Some(key.kid.clone()), ..Header::new(Algorithm::EdDSA) };
+    let header = Header {
+        kid: Some(key.kid.clone()),
+        ..Header::new(Algorithm::EdDSA)
+    };
     let signer = EncodingKey::from_ed_der(&key.pkcs8()?);
     jsonwebtoken::encode(&header, claims, &signer).map_err(|e| e.to_string())
 }
 
 /// What a token says of its subject, unchecked: for a log, never for a decision.
 pub fn claimed(token: &str) -> Option<String> {
-    let body = token.split('.').nth(1).filter(|part| part.len() < UNCHECKED)?;
-    let bytes = base64::Engine::decode(&base64::engine::general_purpose::URL_SAFE_NO_PAD, body).ok()?;
+    let body = token
+        .split('.')
+        .nth(1)
+        .filter(|part| part.len() < UNCHECKED)?;
+    let bytes =
+        base64::Engine::decode(&base64::engine::general_purpose::URL_SAFE_NO_PAD, body).ok()?;
     let claims: serde_json::Value = serde_json::from_slice(&bytes).ok()?;
     claims.get("sub").and_then(|sub| sub.as_str()).map(tame)
 }
 
 /// The key that a token names, unchecked: for a log.
 pub fn named_key(token: &str) -> Option<String> {
-    let header = token.split('.').next().filter(|part| part.len() < UNCHECKED)?;
-    let bytes = base64::Engine::decode(&base64::engine::general_purpose::URL_SAFE_NO_PAD, header).ok()?;
+    let header = token
+        .split('.')
+        .next()
+        .filter(|part| part.len() < UNCHECKED)?;
+    let bytes =
+        base64::Engine::decode(&base64::engine::general_purpose::URL_SAFE_NO_PAD, header).ok()?;
     let header: serde_json::Value = serde_json::from_slice(&bytes).ok()?;
     header.get("kid").and_then(|kid| kid.as_str()).map(tame)
 }
@@ -206,5 +234,8 @@
 
 /// A stranger's text, short and without anything that could break a line.
 pub fn tame(text: &str) -> String {
-    text.chars().take(64).map(|c| if c.is_ascii_graphic() { c } else { '?' }).collect()
+    text.chars()
+        .take(64)
+        .map(|c| if c.is_ascii_graphic() { c } else { '?' })
+        .collect()
 }
--- a/crates/sanddrum-identity/tests/stories.rs
+++ b/crates/sanddrum-identity/tests/stories.rs
@@ -23,20 +23,47 @@
 }
 
 fn terms() -> Terms {
-    Terms { audience: "armor".into(), leeway: 60, longest: 3600, longest_bytes: 4096 }
+    Terms {
+        audience: "armor".into(),
+        leeway: 60,
+        longest: 3600,
+        longest_bytes: 4096,
+    }
 }
 
 fn gate() -> Gate {
-    Gate::new(GateLimits { checks_per_s: 5.0, remembered: 100, bad_tokens: 3 }, terms())
+    Gate::new(
+        GateLimits {
+            checks_per_s: 5.0,
+            remembered: 100,
+            bad_tokens: 3,
+        },
+        terms(),
+    )
 }
 
 fn claims(id: &str) -> Claims {
     let (sub, aud) = ("obs-brest".to_string(), "armor".to_string());
-    Claims { sub, aud, exp: NOW + 600, nbf: None, iat: Some(NOW), jti: id.to_string() }
+    Claims {
+        sub,
+        aud,
+        exp: NOW + 600,
+        nbf: None,
+        iat: Some(NOW),
+        jti: id.to_string(),
+    }
 }
 
 fn judge(gate: &mut Gate, token: &str, set: &KeySet, now: Seconds) -> Result<bool, Refused> {
-    let judged = gate.judge(now * 1_000_000, token, set, &mut Standing { known: true, bad: 0 });
+    let judged = gate.judge(
+        now * 1_000_000,
+        token,
+        set,
+        &mut Standing {
+            known: true,
+            bad: 0,
+        },
+    );
     judged.map(|(_, remembered)| remembered)
 }
 
@@ -49,7 +76,10 @@
 #[case::for_nobody(Claims { sub: String::new(), ..claims("a") }, Err(Refused::Claims))]
 #[case::without_id(claims(""), Err(Refused::Claims))]
 #[case::for_ever(Claims { exp: Seconds::MAX, ..claims("a") }, Err(Refused::TooLasting))]
-fn claims_are_judged_by_the_clock_given(#[case] claims: Claims, #[case] judged: Result<bool, Refused>) {
+fn claims_are_judged_by_the_clock_given(
+    #[case] claims: Claims,
+    #[case] judged: Result<bool, Refused>,
+) {
     let token = token::issue(&claims, &key("k1")).unwrap();
     assert_eq!(judge(&mut gate(), &token, &set(), NOW), judged);
 }
@@ -63,7 +93,10 @@
     set.rotate(NOW + 100).unwrap();
     assert_eq!(judge(&mut gate, &old, &set, NOW + 99), Ok(false));
     assert_eq!(judge(&mut gate, &new, &set, NOW + 99), Ok(false));
-    assert_eq!(judge(&mut gate, &old, &set, NOW + 100), Err(Refused::KeyRetired));
+    assert_eq!(
+        judge(&mut gate, &old, &set, NOW + 100),
+        Err(Refused::KeyRetired)
+    );
 }
 
 #[rstest]
@@ -73,8 +106,14 @@
     assert_eq!(judge(&mut gate, &token, &set, NOW), Ok(false));
     assert_eq!(judge(&mut gate, &token, &set, NOW), Ok(true), "remembered");
     set.revoke("k1").unwrap();
-    assert_eq!(judge(&mut gate, &token, &set, NOW), Err(Refused::KeyRevoked));
-    assert_eq!(judge(&mut gate, &token, &set, NOW + 700), Err(Refused::KeyRevoked));
+    assert_eq!(
+        judge(&mut gate, &token, &set, NOW),
+        Err(Refused::KeyRevoked)
+    );
+    assert_eq!(
+        judge(&mut gate, &token, &set, NOW + 700),
+        Err(Refused::KeyRevoked)
+    );
 }
 
 /// Parts of a token as an attacker would put them together.
@@ -98,23 +137,42 @@
 
 #[rstest]
 fn a_token_of_a_megabyte_costs_nothing() {
-    assert_eq!(judge(&mut gate(), &"a".repeat(1 << 20), &set(), NOW), Err(Refused::TooLong));
+    assert_eq!(
+        judge(&mut gate(), &"a".repeat(1 << 20), &set(), NOW),
+        Err(Refused::TooLong)
+    );
 }
 
 #[rstest]
 fn a_flood_of_strangers_uses_up_only_its_own_budget() {
     let (set, mut gate) = (set(), gate());
     let mut stranger = Standing::default();
-    let bad = |n: u32| forged(r#"{"alg":"EdDSA","kid":"k1"}"#, &format!("{{\"n\":{n}}}"), &"s".repeat(64));
+    let bad = |n: u32| {
+        forged(
+            r#"{"alg":"EdDSA","kid":"k1"}"#,
+            &format!("{{\"n\":{n}}}"),
+            &"s".repeat(64),
+        )
+    };
     let mut refused = Vec::new();
     for n in 0..20 {
         stranger.bad = 0;
-        refused.push(gate.judge(NOW * 1_000_000, &bad(n), &set, &mut stranger).unwrap_err());
+        refused.push(
+            gate.judge(NOW * 1_000_000, &bad(n), &set, &mut stranger)
+                .unwrap_err(),
+        );
     }
-    assert_eq!(refused.iter().filter(|r| **r == Refused::Signature).count(), 5);
+    assert_eq!(
+        refused.iter().filter(|r| **r == Refused::Signature).count(),
+        5
+    );
     assert_eq!(refused[19], Refused::Busy);
     let honest = token::issue(&claims("a"), &key("k1")).unwrap();
-    assert_eq!(judge(&mut gate, &honest, &set, NOW), Ok(false), "a caller that is known has its own");
+    assert_eq!(
+        judge(&mut gate, &honest, &set, NOW),
+        Ok(false),
+        "a caller that is known has its own"
+    );
     stranger.bad = 0;
     (0..3).for_each(|_| drop(gate.judge(NOW * 1_000_000, "x.y.z", &set, &mut stranger)));
     assert!(gate.is_out(stranger));
@@ -122,7 +180,11 @@
 
 #[rstest]
 fn remembered_tokens_are_bounded() {
-    let limits = GateLimits { checks_per_s: 1000.0, remembered: 3, bad_tokens: 3 };
+    let limits = GateLimits {
+        checks_per_s: 1000.0,
+        remembered: 3,
+        bad_tokens: 3,
+    };
     let (set, mut gate) = (set(), Gate::new(limits, terms()));
     for n in 0..10 {
         let token = token::issue(&claims(&n.to_string()), &key("k1")).unwrap();
@@ -139,16 +201,29 @@
     next.rotate(NOW + 100).unwrap();
     assert_eq!(next.may_follow(Some(&first), &floor, NOW), Ok(()));
     let floor = next.floor(&floor);
-    assert!(matches!(first.may_follow(Some(&next), &floor, NOW), Err(SetRefused::Older { .. })));
+    assert!(matches!(
+        first.may_follow(Some(&next), &floor, NOW),
+        Err(SetRefused::Older { .. })
+    ));
     let mut other = next.clone();
     other.revoke("k2").unwrap();
     other.version = next.version;
-    assert_eq!(other.may_follow(Some(&next), &floor, NOW), Err(SetRefused::SameVersion(next.version)));
+    assert_eq!(
+        other.may_follow(Some(&next), &floor, NOW),
+        Err(SetRefused::SameVersion(next.version))
+    );
     let mut small = next.clone();
     small.keys.remove("k1");
     small.version += 1;
-    assert_eq!(small.may_follow(Some(&next), &floor, NOW), Err(SetRefused::Shrunken("k1".into())));
-    assert_eq!(small.may_follow(Some(&next), &floor, NOW + 100), Ok(()), "it has retired");
+    assert_eq!(
+        small.may_follow(Some(&next), &floor, NOW),
+        Err(SetRefused::Shrunken("k1".into()))
+    );
+    assert_eq!(
+        small.may_follow(Some(&next), &floor, NOW + 100),
+        Ok(()),
+        "it has retired"
+    );
 }
 
 #[rstest]
@@ -157,10 +232,16 @@
     let before = set.clone();
     set.revoke("k1").unwrap();
     let floor = set.floor(&Floor::default());
-    assert!(before.may_follow(None, &floor, NOW).is_err(), "the old file, found after a restart");
+    assert!(
+        before.may_follow(None, &floor, NOW).is_err(),
+        "the old file, found after a restart"
+    );
     let mut tricked = before.clone();
     tricked.version = 99;
-    assert_eq!(tricked.may_follow(None, &floor, NOW), Err(SetRefused::Revived("k1".into())));
+    assert_eq!(
+        tricked.may_follow(None, &floor, NOW),
+        Err(SetRefused::Revived("k1".into()))
+    );
 }
 
 #[rstest]
@@ -178,14 +259,34 @@
         line(false, "lycees-*", pattern("magnitude-*"), 2),
         line(true, "obs-brest", vec![], 3),
     ];
-    let rights = Rights { lines, allows_by_default: false };
+    let rights = Rights {
+        lines,
+        allows_by_default: false,
+    };
     let ruling = rights.rule("lycees-reseau", "trace-pass", "magnitude-3");
-    assert_eq!((ruling.allowed, ruling.to_string()), (false, "denied by line 2".into()));
-    assert!(rights.rule("lycees-reseau", "trace-pass", "noise-1").allowed);
-    assert!(rights.rule("obs-brest", "trace-pass", "magnitude-3").allowed);
+    assert_eq!(
+        (ruling.allowed, ruling.to_string()),
+        (false, "denied by line 2".into())
+    );
+    assert!(
+        rights
+            .rule("lycees-reseau", "trace-pass", "noise-1")
+            .allowed
+    );
+    assert!(
+        rights
+            .rule("obs-brest", "trace-pass", "magnitude-3")
+            .allowed
+    );
     assert!(Rights::default().rule("anyone", "w", "f").allowed);
-    let nobody = Rights { lines: vec![], allows_by_default: false };
-    assert_eq!(nobody.rule("x", "w", "f").to_string(), "denied by default: no line fits");
+    let nobody = Rights {
+        lines: vec![],
+        allows_by_default: false,
+    };
+    assert_eq!(
+        nobody.rule("x", "w", "f").to_string(),
+        "denied by default: no line fits"
+    );
     assert!(Pattern::new("a*b").is_err() && Pattern::new("").is_err());
 }
 
@@ -235,7 +336,11 @@
     ])
 }
 fn shown(names: &[&str]) -> Shown {
-    Shown { names: names.iter().map(|n| n.to_string()).collect(), key: "sha256:1".into(), denied: false }
+    Shown {
+        names: names.iter().map(|n| n.to_string()).collect(),
+        key: "sha256:1".into(),
+        denied: false,
+    }
 }
 
 #[rstest]
@@ -245,13 +350,22 @@
 #[case::nobody(&["laptop"], Err(Doubt::Unknown))]
 #[case::no_name_at_all(&[], Err(Doubt::Unknown))]
 fn a_certificate_is_one_customers(#[case] names: &[&str], #[case] is: Result<Option<&str>, Doubt>) {
-    assert_eq!(owners().who(&shown(names)), is.map(|who| who.map(String::from)));
+    assert_eq!(
+        owners().who(&shown(names)),
+        is.map(|who| who.map(String::from))
+    );
 }
 
 #[rstest]
 fn nothing_shown_is_nobody_and_a_denied_one_is_refused() {
     assert_eq!(owners().who(&Shown::default()), Ok(None));
-    assert_eq!(owners().who(&Shown { denied: true, ..shown(&["gw-1"]) }), Err(Doubt::Denied));
+    assert_eq!(
+        owners().who(&Shown {
+            denied: true,
+            ..shown(&["gw-1"])
+        }),
+        Err(Doubt::Denied)
+    );
 }
 
 #[rstest]
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -3,7 +3,8 @@
 //! may be repeated and gives up at the limit; what differs is only how a worker is chosen.
 
 use sanddrum::{
-    Decisions, End, FunctionId, Job, JobId, Micros, Round, Settings, WorkerId, WorkerState, WorkloadId,
+    Decisions, End, FunctionId, Job, JobId, Micros, Round, Settings, WorkerId, WorkerState,
+    WorkloadId,
 };
 use sanddrum_edge::Module;
 use sanddrum_net::Chance;
@@ -79,7 +80,12 @@
     }
     fn load(&self, worker: &WorkerId) -> f64 {
         let own = f64::from(self.in_flight.get(worker).copied().unwrap_or(0));
-        own / self.sizes.get(worker).copied().unwrap_or(1.0).max(f64::MIN_POSITIVE)
+        own / self
+            .sizes
+            .get(worker)
+            .copied()
+            .unwrap_or(1.0)
+            .max(f64::MIN_POSITIVE)
     }
     fn least(&self, among: impl Iterator<Item = WorkerId>) -> Option<WorkerId> {
         among.min_by(|a, b| self.load(a).total_cmp(&self.load(b)).then(a.cmp(b)))
@@ -115,9 +121,14 @@
                     let part = self.sizes[w] / self.sizes.values().sum::<f64>();
                     (f64::from(sum + 1) * part * BOUND).ceil().max(1.0)
                 };
-                let has_room =
-                    |w: &&WorkerId| f64::from(self.in_flight.get(w).copied().unwrap_or(0)) < bound(w);
-                order.iter().find(has_room).copied().or(order.first().copied())
+                let has_room = |w: &&WorkerId| {
+                    f64::from(self.in_flight.get(w).copied().unwrap_or(0)) < bound(w)
+                };
+                order
+                    .iter()
+                    .find(has_room)
+                    .copied()
+                    .or(order.first().copied())
             }
             Choice::Oracle => self.best(now, job, &all),
         }
@@ -130,9 +141,14 @@
         let done = |worker: &WorkerId| -> Option<f64> {
             let w = truth.0.get(&worker.0).filter(|w| w.serves && w.room > 0)?;
             let pace = w.pace.max(0.01);
-            let queue =
-                (w.backlog - work * (w.cores.max(1) - 1) as f64).max(0.0) / w.cores.max(1) as f64 / pace;
-            let f = w.functions.get(&job.function.0).copied().unwrap_or_default();
+            let queue = (w.backlog - work * (w.cores.max(1) - 1) as f64).max(0.0)
+                / w.cores.max(1) as f64
+                / pace;
+            let f = w
+                .functions
+                .get(&job.function.0)
+                .copied()
+                .unwrap_or_default();
             let copies = match (f.lanes, f.loading) {
                 (0, true) => load * 0.6 + f64::from(f.held) * work / pace,
                 (0, false) => load,
@@ -142,9 +158,13 @@
         };
         let timed = all.iter().filter_map(|w| done(w).map(|at| (at, *w)));
         // What would come after its start target is worth nothing, and would make the next one late.
-        let target = self.settings.number(&format!("workloads.{}.start-target-us", job.workload.0));
+        let target = self
+            .settings
+            .number(&format!("workloads.{}.start-target-us", job.workload.0));
         // A repeat has used up part of it before: what is gone of its client's time.
-        let patience = self.settings.number(&format!("workloads.{}.time-limit-us", job.workload.0));
+        let patience = self
+            .settings
+            .number(&format!("workloads.{}.time-limit-us", job.workload.0));
         let gone = patience.map_or(0.0, |patience| patience - (job.due - now) as f64);
         let target = target.unwrap_or(1e6) * IN_TIME - gone.max(0.0);
         timed
@@ -154,20 +174,30 @@
     }
 
     fn restartable(&self, workload: WorkloadId) -> bool {
-        self.settings.text(&format!("workloads.{}.effect", workload.0)) == Some("restartable")
+        self.settings
+            .text(&format!("workloads.{}.effect", workload.0))
+            == Some("restartable")
     }
     fn place(&mut self, now: Micros, id: JobId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get(&id) else { return };
+        let Some(held) = self.jobs.get(&id) else {
+            return;
+        };
         let (job, tries) = (held.job, held.tries);
         let most = self.settings.number("limits.max-executions").unwrap_or(3.0) as u32;
-        let chosen = if tries < most && now < job.due { self.choose(now, &job) } else { None };
+        let chosen = if tries < most && now < job.due {
+            self.choose(now, &job)
+        } else {
+            None
+        };
         match chosen {
             Some(worker) => self.send(now, id, worker, out),
             None => self.give_up(id, out),
         }
     }
     fn send(&mut self, now: Micros, id: JobId, worker: WorkerId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get_mut(&id) else { return };
+        let Some(held) = self.jobs.get_mut(&id) else {
+            return;
+        };
         held.tries += 1;
         *self.in_flight.entry(worker).or_default() += 1;
         if let Some(w) = self.truth.borrow_mut().0.get_mut(&worker.0) {
@@ -179,7 +209,9 @@
         out.execute(id, worker, held.job.due - now);
     }
     fn give_up(&mut self, id: JobId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.remove(&id) else { return };
+        let Some(held) = self.jobs.remove(&id) else {
+            return;
+        };
         if held.may_have_run && !self.restartable(held.job.workload) {
             out.kill(id);
         } else {
@@ -203,13 +235,20 @@
         }
         let mut again = BTreeSet::new();
         for end in &round.ends {
-            self.in_flight.entry(end.worker).and_modify(|n| *n = n.saturating_sub(1));
+            self.in_flight
+                .entry(end.worker)
+                .and_modify(|n| *n = n.saturating_sub(1));
             if end.settled || end.end == End::Finished {
                 self.jobs.remove(&end.job);
                 continue;
             }
-            let Some(held) = self.jobs.get_mut(&end.job) else { continue };
-            held.may_have_run |= !matches!(end.end, End::Full | End::NoConnection | End::Miss | End::Moot);
+            let Some(held) = self.jobs.get_mut(&end.job) else {
+                continue;
+            };
+            held.may_have_run |= !matches!(
+                end.end,
+                End::Full | End::NoConnection | End::Miss | End::Moot
+            );
             match end.end {
                 End::Miss => {
                     // It is loaded there and comes back.
@@ -225,7 +264,10 @@
             }
         }
         for order in &round.orders {
-            let waits = self.loading.remove(&(order.worker, order.function)).unwrap_or_default();
+            let waits = self
+                .loading
+                .remove(&(order.worker, order.function))
+                .unwrap_or_default();
             for id in waits {
                 match order.end {
                     End::Finished if self.jobs.get(&id).is_some_and(|h| now < h.job.due) => {
@@ -237,12 +279,21 @@
         }
         self.jobs.retain(|id, _| !round.left.contains(id));
         for job in &round.jobs {
-            self.jobs.insert(job.id, Held { job: *job, tries: 0, may_have_run: false });
+            self.jobs.insert(
+                job.id,
+                Held {
+                    job: *job,
+                    tries: 0,
+                    may_have_run: false,
+                },
+            );
             again.insert(job.id);
         }
         for id in again {
-            let lost =
-                self.jobs.get(&id).is_some_and(|h| h.may_have_run && !self.restartable(h.job.workload));
+            let lost = self
+                .jobs
+                .get(&id)
+                .is_some_and(|h| h.may_have_run && !self.restartable(h.job.workload));
             if lost {
                 self.give_up(id, out);
             } else {
@@ -258,8 +309,13 @@
             .copied()
             .collect();
         late.into_iter().for_each(|id| self.give_up(id, out));
-        let next =
-            self.loading.values().flatten().filter_map(|id| self.jobs.get(id)).map(|h| h.job.due).min();
+        let next = self
+            .loading
+            .values()
+            .flatten()
+            .filter_map(|id| self.jobs.get(id))
+            .map(|h| h.job.due)
+            .min();
         if let Some(at) = next {
             out.wake_at(at);
         }
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -21,7 +21,11 @@
 
 impl Default for Mood {
     fn default() -> Self {
-        Mood { rate: 1.0, hot: 0.0, greedy: 0.0 }
+        Mood {
+            rate: 1.0,
+            hot: 0.0,
+            greedy: 0.0,
+        }
     }
 }
 
@@ -95,7 +99,11 @@
             Some(*sum)
         });
         Callers {
-            parts: if uneven > 0.0 { sums.collect() } else { Vec::new() },
+            parts: if uneven > 0.0 {
+                sums.collect()
+            } else {
+                Vec::new()
+            },
             popularity: popularity.collect(),
             idle: vec![VecDeque::new(); edges.len()],
             edges,
@@ -118,7 +126,8 @@
     }
     fn pick(chance: &mut Chance, sums: &[f64]) -> usize {
         let at = chance.part() * sums.last().copied().unwrap_or(1.0);
-        sums.partition_point(|sum| *sum <= at).min(sums.len().saturating_sub(1))
+        sums.partition_point(|sum| *sum <= at)
+            .min(sums.len().saturating_sub(1))
     }
     fn begin(&mut self, now: Micros, io: &mut dyn Io) {
         let mood = self.mood.borrow().clone();
@@ -143,9 +152,17 @@
         let function = if self.chance.is_below(mood.hot) {
             format!("{}hot-{}", what.prefix, self.chance.below(HOT))
         } else {
-            format!("{}{}", what.prefix, Self::pick(&mut self.chance, &self.popularity))
+            format!(
+                "{}{}",
+                what.prefix,
+                Self::pick(&mut self.chance, &self.popularity)
+            )
         };
-        let work = self.chance.gap(what.work as f64).min(what.work as f64 * 6.0).max(100.0) as Micros;
+        let work = self
+            .chance
+            .gap(what.work as f64)
+            .min(what.work as f64 * 6.0)
+            .max(100.0) as Micros;
         let l = &self.scenario.settings;
         let shares: Vec<f64> = (0..l.count("customers"))
             .scan(0.0, |sum, n| {
@@ -162,8 +179,22 @@
         let customer = customer.map(|n| l.text(&format!("customers.{n}.name")).to_string());
         let id = self.next;
         self.next += 1;
-        self.calls.insert(id, (Call { of, function, customer, work, began: now, tries: 0 }, None));
-        self.due.insert((now + self.scenario.calls[of].time_limit, Due::GiveUp(id)));
+        self.calls.insert(
+            id,
+            (
+                Call {
+                    of,
+                    function,
+                    customer,
+                    work,
+                    began: now,
+                    tries: 0,
+                },
+                None,
+            ),
+        );
+        self.due
+            .insert((now + self.scenario.calls[of].time_limit, Due::GiveUp(id)));
         self.attempt(now, id, io);
     }
 
@@ -172,13 +203,18 @@
             true => self.chance.below(self.edges.len()),
             false => Self::pick(&mut self.chance, &self.parts),
         };
-        let Some((call, at)) = self.calls.get_mut(&id) else { return };
+        let Some((call, at)) = self.calls.get_mut(&id) else {
+            return;
+        };
         let what = &self.scenario.calls[call.of];
         let left = call.began + what.time_limit - now;
         // The call, its try, and how long ago it began: what a reader of the traffic needs to know.
         let trace = format!("c{id}.{}.{}", call.tries, now - call.began);
         let (limit, mark) = ((left / 1000).to_string(), format!("m{id}"));
-        let mut fields = vec![("sanddrum-trace", trace.as_str()), ("sanddrum-time-limit-ms", limit.as_str())];
+        let mut fields = vec![
+            ("sanddrum-trace", trace.as_str()),
+            ("sanddrum-time-limit-ms", limit.as_str()),
+        ];
         if what.effect == "fingerprinted" {
             fields.push(("idempotency-key", &mark));
         }
@@ -201,13 +237,24 @@
             fields.push(("sanddrum-repeat", "1"));
         }
         let path = format!("/v1/calls/{}/{}", what.workload, call.function);
-        let bytes = http::write_request("POST", &path, &fields, format!("work-us={}", call.work).as_bytes());
+        let bytes = http::write_request(
+            "POST",
+            &path,
+            &fields,
+            format!("work-us={}", call.work).as_bytes(),
+        );
         call.tries += 1;
         let conn = match self.idle[edge].pop_back() {
             Some(conn) => conn,
             None => {
                 let conn = io.connect(&self.edges[edge]);
-                let line = Line { edge, call: None, out: Outbox::new(1 << 20), bytes: Vec::new(), up: false };
+                let line = Line {
+                    edge,
+                    call: None,
+                    out: Outbox::new(1 << 20),
+                    bytes: Vec::new(),
+                    up: false,
+                };
                 self.lines.insert(conn, line);
                 conn
             }
@@ -223,16 +270,24 @@
     }
 
     fn answered(&mut self, now: Micros, conn: Conn, answer: &http::Answer) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
+        let Some(line) = self.lines.get_mut(&conn) else {
+            return;
+        };
         let Some(id) = line.call.take() else { return };
         if self.idle[line.edge].len() < IDLE {
             self.idle[line.edge].push_back(conn);
         }
-        let wait = answer.field("sanddrum-retry-after-ms").and_then(|ms| ms.parse::<Micros>().ok());
+        let wait = answer
+            .field("sanddrum-retry-after-ms")
+            .and_then(|ms| ms.parse::<Micros>().ok());
         if answer.status == 503 {
-            let heeds = self.chance.is_below(self.scenario.settings.number("traffic.heeds"));
+            let heeds = self
+                .chance
+                .is_below(self.scenario.settings.number("traffic.heeds"));
             let usual = self.scenario.settings.span("traffic.retry-wait-us");
-            let wait = wait.filter(|_| heeds).map_or(usual, |ms| (ms * 1000).max(usual));
+            let wait = wait
+                .filter(|_| heeds)
+                .map_or(usual, |ms| (ms * 1000).max(usual));
             return self.again(now, id, wait);
         }
         self.over(id);
@@ -240,11 +295,13 @@
     /// Tries again after a while, if there is a try and time left.
     fn again(&mut self, now: Micros, id: u64, wait: Micros) {
         let retries = self.scenario.settings.size("traffic.retries");
-        let Some((call, at)) = self.calls.get_mut(&id) else { return };
+        let Some((call, at)) = self.calls.get_mut(&id) else {
+            return;
+        };
         *at = None;
         // No answer could be back in time: nobody asks for one.
-        let last =
-            self.scenario.calls[call.of].time_limit - self.scenario.settings.span("limits.answer-ahead-us");
+        let last = self.scenario.calls[call.of].time_limit
+            - self.scenario.settings.span("limits.answer-ahead-us");
         if call.tries > retries || now + wait >= call.began + last {
             return self.over(id);
         }
@@ -252,14 +309,21 @@
     }
     fn over(&mut self, id: u64) {
         if let Some((call, _)) = self.calls.remove(&id) {
-            self.due.remove(&(call.began + self.scenario.calls[call.of].time_limit, Due::GiveUp(id)));
+            self.due.remove(&(
+                call.began + self.scenario.calls[call.of].time_limit,
+                Due::GiveUp(id),
+            ));
         }
     }
     fn lost(&mut self, now: Micros, conn: Conn, how: Closed) {
-        let Some(line) = self.lines.remove(&conn) else { return };
+        let Some(line) = self.lines.remove(&conn) else {
+            return;
+        };
         self.idle[line.edge].retain(|idle| *idle != conn);
         let Some(id) = line.call else { return };
-        let Some((call, _)) = self.calls.get(&id) else { return };
+        let Some((call, _)) = self.calls.get(&id) else {
+            return;
+        };
         // Unreachable, or nothing of it was read: harmless for any workload. Else only where a repeat is.
         let unsent = how == Closed::Refused || !line.up || line.out.holds(&());
         let restartable = self.scenario.calls[call.of].effect == "restartable";
@@ -270,11 +334,16 @@
         self.over(id);
     }
     fn give_up(&mut self, now: Micros, id: u64, io: &mut dyn Io) {
-        let Some((_, Some(conn))) = self.calls.remove(&id) else { return };
+        let Some((_, Some(conn))) = self.calls.remove(&id) else {
+            return;
+        };
         if self.patience == 0 {
             return self.leave(conn, io);
         }
-        self.lines.get_mut(&conn).into_iter().for_each(|line| line.call = None);
+        self.lines
+            .get_mut(&conn)
+            .into_iter()
+            .for_each(|line| line.call = None);
         self.due.insert((now + self.patience, Due::Leave(conn)));
     }
     fn leave(&mut self, conn: Conn, io: &mut dyn Io) {
@@ -304,7 +373,9 @@
                 }
             }
             Event::Bytes { conn, bytes } => {
-                let Some(line) = self.lines.get_mut(&conn) else { return };
+                let Some(line) = self.lines.get_mut(&conn) else {
+                    return;
+                };
                 line.bytes.extend_from_slice(bytes);
                 match http::answer(&line.bytes) {
                     Ok(Some((answer, took))) => {
--- a/crates/sanddrum-lab/src/capacity.rs
+++ b/crates/sanddrum-lab/src/capacity.rs
@@ -53,14 +53,22 @@
 }
 
 /// All plays, in the order in which they run.
-pub const PLAYS: &[Play] = &[router::PLAY, start_target::PLAY, list_service::PLAY, configuration::PLAY];
+pub const PLAYS: &[Play] = &[
+    router::PLAY,
+    start_target::PLAY,
+    list_service::PLAY,
+    configuration::PLAY,
+];
 
 /// Plays those named, or all, until done or told to stop; what was measured is with the sink.
 ///
 /// # Errors
 /// A play could not be set up, or the files could not be written.
 pub fn run(plan: &Plan, only: &[String], sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    for play in PLAYS.iter().filter(|p| only.is_empty() || only.iter().any(|name| name == p.name)) {
+    for play in PLAYS
+        .iter()
+        .filter(|p| only.is_empty() || only.iter().any(|name| name == p.name))
+    {
         if stop.is_set() {
             break;
         }
--- a/crates/sanddrum-lab/src/capacity/beside.rs
+++ b/crates/sanddrum-lab/src/capacity/beside.rs
@@ -10,7 +10,11 @@
 /// A scenario of one edge with the plan's calls a router and the model's workers.
 fn scenario(plan: &Plan, workers: u64) -> Result<Scenario, String> {
     let l = &plan.settings;
-    let zones: Vec<String> = l.names("zones").iter().map(|zone| format!("{zone:?}")).collect();
+    let zones: Vec<String> = l
+        .names("zones")
+        .iter()
+        .map(|zone| format!("{zone:?}"))
+        .collect();
     let text = format!(
         r#"(deployment (name "beside") (zones {}))
 (workload "call" (start-target {}us) (time-limit {}us) (effect restartable))
@@ -47,13 +51,16 @@
         if stop.is_set() {
             return Ok(());
         }
-        sink.told(&format!("a real edge and a hollow router, {workers} workers"));
+        sink.told(&format!(
+            "a real edge and a hollow router, {workers} workers"
+        ));
         let scenario = scenario(plan, workers)?;
         let seen = real(scenario.clone())?;
         let mut fleet = hollow(&scenario, &seen)?;
         fleet.log = Some(Vec::new());
         let until = seen.decisions.last().map_or(0, |(at, _)| *at);
-        let limit = Duration::from_micros(plan.settings.span("capacity.time-a-point-us").max(0) as u64);
+        let limit =
+            Duration::from_micros(plan.settings.span("capacity.time-a-point-us").max(0) as u64);
         let played = fleet.run_until(until, Instant::now() + limit, stop);
         let log = fleet.log.take().unwrap_or_default();
         let same = |(one, other): &(&(i64, usize, Decision), &(i64, Decision))| {
@@ -78,7 +85,11 @@
         };
         let calls = seen.jobs.len().max(1) as f64;
         let of = |figure: fn(&Decision) -> bool| {
-            seen.decisions.iter().filter(|(_, decision)| figure(decision)).count() as f64 / calls
+            seen.decisions
+                .iter()
+                .filter(|(_, decision)| figure(decision))
+                .count() as f64
+                / calls
         };
         let counts = fleet.counts();
         let hollow = |n: u64| n as f64 / counts.calls.max(1) as f64;
@@ -88,15 +99,45 @@
         let us = |nanoseconds: u64| nanoseconds as f64 / 1e3 / calls;
         let hollow_us = hollow(counts.nanoseconds) / 1e3;
         for (play, figure, unit, value) in [
-            ("real edge", "processor time a call", "us", us(seen.edge_nanoseconds)),
-            ("real edge", "processor time a call, its module", "us", us(seen.module_nanoseconds)),
+            (
+                "real edge",
+                "processor time a call",
+                "us",
+                us(seen.edge_nanoseconds),
+            ),
+            (
+                "real edge",
+                "processor time a call, its module",
+                "us",
+                us(seen.module_nanoseconds),
+            ),
             ("real edge", "asks a call", "", asks),
             ("real edge", "orders a call", "", orders),
             ("real edge", "probes a call", "", probes),
-            ("hollow, the same calls", "processor time a call, its module", "us", hollow_us),
-            ("hollow, the same calls", "asks a call", "", hollow(counts.asks)),
-            ("hollow, the same calls", "orders a call", "", hollow(counts.orders)),
-            ("hollow, the same calls", "probes a call", "", hollow(counts.probes)),
+            (
+                "hollow, the same calls",
+                "processor time a call, its module",
+                "us",
+                hollow_us,
+            ),
+            (
+                "hollow, the same calls",
+                "asks a call",
+                "",
+                hollow(counts.asks),
+            ),
+            (
+                "hollow, the same calls",
+                "orders a call",
+                "",
+                hollow(counts.orders),
+            ),
+            (
+                "hollow, the same calls",
+                "probes a call",
+                "",
+                hollow(counts.probes),
+            ),
         ] {
             sink.point(Point {
                 role: Role::Router,
@@ -106,7 +147,11 @@
                 axis: "workers",
                 at: workers as f64,
                 value,
-                source: if play == "real edge" { Source::Played } else { source },
+                source: if play == "real edge" {
+                    Source::Played
+                } else {
+                    source
+                },
             })?;
         }
     }
--- a/crates/sanddrum-lab/src/capacity/clock.rs
+++ b/crates/sanddrum-lab/src/capacity/clock.rs
@@ -16,7 +16,9 @@
         (1..READINGS).for_each(|_| {
             std::hint::black_box(Self::now());
         });
-        Clock { reading: (Self::now() - began) / READINGS }
+        Clock {
+            reading: (Self::now() - began) / READINGS,
+        }
     }
     /// What one reading takes, in nanoseconds.
     pub fn reading(&self) -> u64 {
--- a/crates/sanddrum-lab/src/capacity/configuration.rs
+++ b/crates/sanddrum-lab/src/capacity/configuration.rs
@@ -29,8 +29,14 @@
 /// What routers read anew while they run, with how often they look, once somebody has put the file on their machine.
 /// On SIGHUP they look at once.
 const WATCHED: [(&str, &str); 2] = [
-    ("the key set, by each router from its own file", "identity.watch-every-us"),
-    ("certificates, roots and lists of the revoked, by each router from its own files", "tls.watch-every-us"),
+    (
+        "the key set, by each router from its own file",
+        "identity.watch-every-us",
+    ),
+    (
+        "certificates, roots and lists of the revoked, by each router from its own files",
+        "tls.watch-every-us",
+    ),
 ];
 
 fn play(plan: &Plan, sink: &mut Sink, _: &Stop) -> Result<(), String> {
@@ -62,5 +68,10 @@
                 the feed's address is taken up";
     tell(play, "looked at every", "s", PLATFORM)?;
     let a_day = l.number("capacity.changes");
-    tell("changes of the configuration", "a second, in the mean", "changes", a_day / 86_400.0)
+    tell(
+        "changes of the configuration",
+        "a second, in the mean",
+        "changes",
+        a_day / 86_400.0,
+    )
 }
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -33,20 +33,33 @@
 /// # Errors
 /// A process could not be started or did not get its list.
 pub(crate) fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    let Some(program) = &plan.program else { return Ok(()) };
+    let Some(program) = &plan.program else {
+        return Ok(());
+    };
     for workers in plan.settings.wholes("router-plays.workers") {
         if stop.is_set() {
             return Ok(());
         }
         sink.told(&format!("an edge process with a list of {workers} workers"));
-        let Some((bytes, core)) = stand(program, plan, workers, stop)? else { return Ok(()) };
+        let Some((bytes, core)) = stand(program, plan, workers, stop)? else {
+            return Ok(());
+        };
         for (figure, unit, value) in [
             ("memory, standing by", "MB", bytes / (1 << 20) as f64),
             ("processor time, standing by", "of a core", core),
         ] {
             let (play, figure) = ("edge process".to_string(), figure.to_string());
             let (axis, at, source) = ("workers", workers as f64, Source::Played);
-            sink.point(Point { role: Role::Router, play, figure, unit, axis, at, value, source })?;
+            sink.point(Point {
+                role: Role::Router,
+                play,
+                figure,
+                unit,
+                axis,
+                at,
+                value,
+                source,
+            })?;
         }
     }
     Ok(())
@@ -55,8 +68,16 @@
 fn row(n: u64, zones: &[String]) -> Row {
     Row {
         name: format!("worker-{n}"),
-        address: format!("10.{}.{}.{}:7000", 100 + n / 62_500, n / 250 % 250, n % 250 + 1),
-        zone: zones.get(n as usize % zones.len().max(1)).cloned().unwrap_or_default(),
+        address: format!(
+            "10.{}.{}.{}:7000",
+            100 + n / 62_500,
+            n / 250 % 250,
+            n % 250 + 1
+        ),
+        zone: zones
+            .get(n as usize % zones.len().max(1))
+            .cloned()
+            .unwrap_or_default(),
         size: 8.0,
         phase: Phase::Ready,
         incarnation: 1,
@@ -65,7 +86,12 @@
     }
 }
 
-fn stand(program: &Path, plan: &Plan, workers: u64, stop: &Stop) -> Result<Option<(f64, f64)>, String> {
+fn stand(
+    program: &Path,
+    plan: &Plan,
+    workers: u64,
+    stop: &Stop,
+) -> Result<Option<(f64, f64)>, String> {
     let text = |e: std::io::Error| e.to_string();
     let (door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let mut driver = EventLoop::new(Box::new(NoTap)).map_err(text)?;
@@ -81,7 +107,10 @@
     let rows: Vec<Row> = (0..workers).map(|n| row(n, &zones)).collect();
     let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
     driver.add(Box::new(list), vec![door], None).map_err(text)?;
-    let folder = std::env::temp_dir().join(format!("sanddrum-capacity-{}-{workers}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "sanddrum-capacity-{}-{workers}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).map_err(text)?;
     let names: Vec<String> = zones.iter().map(|zone| format!("{zone:?}")).collect();
     let settings = format!(
@@ -92,10 +121,28 @@
     std::fs::write(&file, settings).map_err(text)?;
     let routers = plan.settings.size("capacity.routers").to_string();
     let mut command = Command::new(program);
-    command.arg("edge").arg("--settings").arg(&file).arg("--address-file").arg(&address);
-    command.args(["--listen", "127.0.0.1:0", "--list", &list_at, "--edges", &routers, "--with-parent"]);
-    command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
-    let child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
+    command
+        .arg("edge")
+        .arg("--settings")
+        .arg(&file)
+        .arg("--address-file")
+        .arg(&address);
+    command.args([
+        "--listen",
+        "127.0.0.1:0",
+        "--list",
+        &list_at,
+        "--edges",
+        &routers,
+        "--with-parent",
+    ]);
+    command
+        .stdin(Stdio::piped())
+        .stdout(Stdio::null())
+        .stderr(Stdio::null());
+    let child = command
+        .spawn()
+        .map_err(|e| format!("{}: {e}", program.display()))?;
     let standing = Standing { child, folder };
     let wanted = format!("sanddrum_workers_listed {workers}");
     let until = driver.now() + UP_WITHIN;
@@ -104,7 +151,9 @@
             return Ok(None);
         }
         if driver.now() > until {
-            return Err(format!("an edge did not get its list of {workers} workers within half a minute"));
+            return Err(format!(
+                "an edge did not get its list of {workers} workers within half a minute"
+            ));
         }
         let next = driver.now() + LOOKS_EVERY;
         driver.run_until(next).map_err(text)?;
@@ -118,7 +167,10 @@
     let before = ticks(&standing.child)?;
     wait(looked_at)?;
     let spent = (ticks(&standing.child)? - before) / rustix::param::clock_ticks_per_second() as f64;
-    Ok(Some((resident(&standing.child)?, spent / (looked_at as f64 / 1e6))))
+    Ok(Some((
+        resident(&standing.child)?,
+        spent / (looked_at as f64 / 1e6),
+    )))
 }
 
 /// The edge's metrics page; empty where it doesn't answer.
@@ -142,7 +194,10 @@
 /// Resident memory, in bytes.
 fn resident(child: &Child) -> Result<f64, String> {
     let text = of_process(child, "statm")?;
-    let pages: Option<f64> = text.split_whitespace().nth(1).and_then(|pages| pages.parse().ok());
+    let pages: Option<f64> = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse().ok());
     Ok(pages.unwrap_or_default() * rustix::param::page_size() as f64)
 }
 
@@ -151,6 +206,11 @@
     let text = of_process(child, "stat")?;
     // The name, in brackets, may have spaces in it.
     let after = text.rsplit(')').next().unwrap_or_default();
-    let fields: Vec<f64> = after.split_whitespace().skip(11).take(2).filter_map(|n| n.parse().ok()).collect();
+    let fields: Vec<f64> = after
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|n| n.parse().ok())
+        .collect();
     Ok(fields.iter().sum())
 }
--- a/crates/sanddrum-lab/src/capacity/fit.rs
+++ b/crates/sanddrum-lab/src/capacity/fit.rs
@@ -41,7 +41,9 @@
     pub fn residual(&self) -> f64 {
         match self.shape {
             Form::Power => self.power_residual.unwrap_or(self.line_residual),
-            Form::Neither => self.line_residual.min(self.power_residual.unwrap_or(f64::INFINITY)),
+            Form::Neither => self
+                .line_residual
+                .min(self.power_residual.unwrap_or(f64::INFINITY)),
             _ => self.line_residual,
         }
     }
@@ -53,10 +55,17 @@
             (Form::TooFew, _) => "too few points for a slope".into(),
             (Form::Flat, _) => format!("flat at {} (residual {residual:.1} %)", figure(a)),
             (Form::Line, _) => {
-                format!("{} + {} * at (line, residual {residual:.1} %)", figure(a), figure(b))
+                format!(
+                    "{} + {} * at (line, residual {residual:.1} %)",
+                    figure(a),
+                    figure(b)
+                )
             }
             (Form::Power, Some((c, k))) => {
-                format!("{} * at^{k:.2} (power law, residual {residual:.1} %)", figure(c))
+                format!(
+                    "{} * at^{k:.2} (power law, residual {residual:.1} %)",
+                    figure(c)
+                )
             }
             _ => format!("neither line nor power law (residual {residual:.0} %)"),
         }
@@ -81,14 +90,28 @@
     let line_residual = residual(points, |at| line.0 + line.1 * at);
     let power = power(points);
     let power_residual = power.map(|(c, k)| residual(points, |at| c * at.powf(k)));
-    let mut fit = Fit { shape: Form::TooFew, line, line_residual, power, power_residual };
+    let mut fit = Fit {
+        shape: Form::TooFew,
+        line,
+        line_residual,
+        power,
+        power_residual,
+    };
     if points.len() < FEW_POINTS {
         return fit;
     }
     let mean = points.iter().map(|p| p.1).sum::<f64>() / points.len() as f64;
-    if points.iter().all(|p| (p.1 - mean).abs() <= FLAT * mean.abs()) {
+    if points
+        .iter()
+        .all(|p| (p.1 - mean).abs() <= FLAT * mean.abs())
+    {
         let line_residual = residual(points, |_| mean);
-        return Fit { shape: Form::Flat, line: (mean, 0.0), line_residual, ..fit };
+        return Fit {
+            shape: Form::Flat,
+            line: (mean, 0.0),
+            line_residual,
+            ..fit
+        };
     }
     fit.shape = match power_residual {
         Some(power) if power < line_residual => Form::Power,
@@ -101,7 +124,9 @@
 }
 
 fn residual(points: &[(f64, f64)], of: impl Fn(f64) -> f64) -> f64 {
-    let misses = points.iter().map(|(at, value)| miss(of(*at), *value).powi(2));
+    let misses = points
+        .iter()
+        .map(|(at, value)| miss(of(*at), *value).powi(2));
     (misses.sum::<f64>() / points.len().max(1) as f64).sqrt()
 }
 
@@ -114,12 +139,23 @@
 
 /// The line with the least relative misses; a figure of nought weighs as the least of the others.
 fn line(points: &[(f64, f64)]) -> (f64, f64) {
-    let least = points.iter().map(|p| p.1.abs()).filter(|v| *v > 0.0).fold(f64::MAX, f64::min);
-    let weight = |value: f64| 1.0 / value.abs().max(least.min(1e300)).max(f64::MIN_POSITIVE).powi(2);
+    let least = points
+        .iter()
+        .map(|p| p.1.abs())
+        .filter(|v| *v > 0.0)
+        .fold(f64::MAX, f64::min);
+    let weight = |value: f64| {
+        1.0 / value
+            .abs()
+            .max(least.min(1e300))
+            .max(f64::MIN_POSITIVE)
+            .powi(2)
+    };
     if least == f64::MAX {
         return (0.0, 0.0);
     }
-    let sum = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(|p| weight(p.1) * of(p)).sum::<f64>();
+    let sum =
+        |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(|p| weight(p.1) * of(p)).sum::<f64>();
     let (w, x, y) = (sum(&|_| 1.0), sum(&|p| p.0), sum(&|p| p.1));
     let (xx, xy) = (sum(&|p| p.0 * p.0), sum(&|p| p.0 * p.1));
     let spread = w * xx - x * x;
@@ -135,9 +171,15 @@
     if points.len() < 2 || points.iter().any(|(at, value)| *at <= 0.0 || *value <= 0.0) {
         return None;
     }
-    let logs: Vec<(f64, f64)> = points.iter().map(|(at, value)| (at.ln(), value.ln())).collect();
+    let logs: Vec<(f64, f64)> = points
+        .iter()
+        .map(|(at, value)| (at.ln(), value.ln()))
+        .collect();
     let n = logs.len() as f64;
-    let (x, y) = (logs.iter().map(|p| p.0).sum::<f64>() / n, logs.iter().map(|p| p.1).sum::<f64>() / n);
+    let (x, y) = (
+        logs.iter().map(|p| p.0).sum::<f64>() / n,
+        logs.iter().map(|p| p.1).sum::<f64>() / n,
+    );
     let spread: f64 = logs.iter().map(|p| (p.0 - x).powi(2)).sum();
     let k = logs.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / spread;
     (spread > 1e-12).then(|| ((y - k * x).exp(), k))
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow.rs
@@ -1,15 +1,17 @@
 //! The hollow fleet: decision modules as they are, with hollow hosts, workers and callers, in virtual time. One queue
 //! of events in one order; equal seeds give equal plays.
 
-use super::host::{end_of, order_end_of, report_of, warmth_of, Asked, Counts, Decision, Host, HostedJob};
+use super::host::{
+    end_of, order_end_of, report_of, warmth_of, Asked, Counts, Decision, Host, HostedJob,
+};
 use super::host::{Mark, Out, Written};
 use super::model::{Functions, HollowWorker, Model, Others};
 use super::sizes::Bytes;
 use super::starts::Starts;
 use super::{clock::Clock, Stop};
 use sanddrum::{
-    CellId, End, FunctionId, Job, JobId, KindId, ListKind, Micros, OrderEnd, ProbeEnd, Report, Round,
-    Settings, Warmth, WorkerId, WorkerList, WorkerRow, WorkerState, WorkloadId, ZoneId,
+    CellId, End, FunctionId, Job, JobId, KindId, ListKind, Micros, OrderEnd, ProbeEnd, Report,
+    Round, Settings, Warmth, WorkerId, WorkerList, WorkerRow, WorkerState, WorkloadId, ZoneId,
 };
 use sanddrum_connect::LinkId;
 use sanddrum_net::Chance;
@@ -114,17 +116,46 @@
 }
 
 pub(crate) enum Message {
-    Execute { id: u64, function: usize, work: f64, limit: Micros },
-    Cancel { id: u64 },
-    Hold { id: u64, function: usize, copies: u32 },
-    Unload { function: usize },
-    Probe { id: u64 },
+    Execute {
+        id: u64,
+        function: usize,
+        work: f64,
+        limit: Micros,
+    },
+    Cancel {
+        id: u64,
+    },
+    Hold {
+        id: u64,
+        function: usize,
+        copies: u32,
+    },
+    Unload {
+        function: usize,
+    },
+    Probe {
+        id: u64,
+    },
 }
 
 enum Answer {
-    Done { id: u64, ended: Ended, copy: Option<Copy>, report: LoadReport, worker: usize },
-    Held { id: u64, ended: Ended, copies: u32 },
-    Probed { id: u64, report: LoadReport, worker: usize },
+    Done {
+        id: u64,
+        ended: Ended,
+        copy: Option<Copy>,
+        report: LoadReport,
+        worker: usize,
+    },
+    Held {
+        id: u64,
+        ended: Ended,
+        copies: u32,
+    },
+    Probed {
+        id: u64,
+        report: LoadReport,
+        worker: usize,
+    },
 }
 
 enum Event {
@@ -218,11 +249,23 @@
 
 impl Fleet {
     pub fn new(spec: Spec) -> Self {
-        let Spec { modules, workers, zones, model, functions, calls, lists, loads, others, seed } = spec;
+        let Spec {
+            modules,
+            workers,
+            zones,
+            model,
+            functions,
+            calls,
+            lists,
+            loads,
+            others,
+            seed,
+        } = spec;
         let hollow = (0..workers).map(|n| HollowWorker::new(n, zones, &model.size, seed));
         let workers: Vec<HollowWorker> = hollow.collect();
-        let host =
-            |(n, (seed, settings)): (usize, &(u64, Settings))| Host::new(*seed, settings, n % zones.max(1));
+        let host = |(n, (seed, settings)): (usize, &(u64, Settings))| {
+            Host::new(*seed, settings, n % zones.max(1))
+        };
         let mut fleet = Fleet {
             now: BEGIN,
             queue: BTreeMap::new(),
@@ -230,7 +273,12 @@
             hosts: modules.iter().enumerate().map(host).collect(),
             by_id: workers.iter().enumerate().map(|(n, w)| (w.id, n)).collect(),
             workers,
-            by_function: functions.all.iter().enumerate().map(|(n, f)| (f.id, n)).collect(),
+            by_function: functions
+                .all
+                .iter()
+                .enumerate()
+                .map(|(n, f)| (f.id, n))
+                .collect(),
             bytes: Bytes::new(&functions),
             functions,
             model,
@@ -250,7 +298,9 @@
         };
         fleet.post_lists(lists);
         match fleet.calls.clone() {
-            Calls::Drawn { .. } => (0..fleet.hosts.len()).for_each(|router| fleet.post_call(router)),
+            Calls::Drawn { .. } => {
+                (0..fleet.hosts.len()).for_each(|router| fleet.post_call(router))
+            }
             Calls::Given(calls) => calls.into_iter().for_each(|call| {
                 fleet.post(call.at, Event::Given(call));
             }),
@@ -261,13 +311,28 @@
         match lists {
             Lists::AtStart => {
                 let rows = (0..self.workers.len()).map(|n| self.row(n)).collect();
-                let list = Rc::new(WorkerList { kind: ListKind::Full, rows });
+                let list = Rc::new(WorkerList {
+                    kind: ListKind::Full,
+                    rows,
+                });
                 for router in 0..self.hosts.len() {
-                    self.post(BEGIN, Event::List { router, list: list.clone() });
+                    self.post(
+                        BEGIN,
+                        Event::List {
+                            router,
+                            list: list.clone(),
+                        },
+                    );
                 }
             }
             Lists::Given(lists) => lists.into_iter().for_each(|(at, list)| {
-                self.post(at, Event::List { router: 0, list: Rc::new(list) });
+                self.post(
+                    at,
+                    Event::List {
+                        router: 0,
+                        list: Rc::new(list),
+                    },
+                );
             }),
         }
     }
@@ -290,13 +355,21 @@
     }
     /// Connections to workers that the routers keep now.
     pub fn links(&self) -> usize {
-        self.hosts.iter().map(|host| host.links.values().filter(|link| link.up).count()).sum()
+        self.hosts
+            .iter()
+            .map(|host| host.links.values().filter(|link| link.up).count())
+            .sum()
     }
 
     /// Plays everything up to this instant, unless the bound on real time or a stop comes before.
     pub fn run_until(&mut self, until: Micros, deadline: Instant, stop: &Stop) -> Played {
         let mut steps = 0u64;
-        while let Some(at) = self.queue.first_key_value().map(|((at, _), _)| *at).filter(|at| *at <= until) {
+        while let Some(at) = self
+            .queue
+            .first_key_value()
+            .map(|((at, _), _)| *at)
+            .filter(|at| *at <= until)
+        {
             steps += 1;
             if steps.is_multiple_of(LOOK_AT_TIME) {
                 if stop.is_set() {
@@ -365,7 +438,12 @@
                     self.touched_routers.insert(router);
                 }
             }
-            Event::ToWorker { worker, incarnation, router, message } => {
+            Event::ToWorker {
+                worker,
+                incarnation,
+                router,
+                message,
+            } => {
                 if self.workers[worker].up && self.workers[worker].incarnation == incarnation {
                     self.message(worker, router, message);
                     self.touched_workers.insert(worker);
@@ -377,7 +455,11 @@
                     self.touched_workers.insert(worker);
                 }
             }
-            Event::Fetched { worker, incarnation, load } => {
+            Event::Fetched {
+                worker,
+                incarnation,
+                load,
+            } => {
                 let (now, w) = (self.now, &mut self.workers[worker]);
                 if w.up && w.incarnation == incarnation {
                     w.machine.fetched(now, load, true);
@@ -409,10 +491,19 @@
             }
             Event::Noticed(workers) => {
                 let rows = workers.into_iter().map(|n| self.row(n)).collect();
-                let list = Rc::new(WorkerList { kind: ListKind::Changes, rows });
+                let list = Rc::new(WorkerList {
+                    kind: ListKind::Changes,
+                    rows,
+                });
                 for router in 0..self.hosts.len() {
                     let at = self.now + self.way(0, self.hosts[router].zone);
-                    self.post(at, Event::List { router, list: list.clone() });
+                    self.post(
+                        at,
+                        Event::List {
+                            router,
+                            list: list.clone(),
+                        },
+                    );
                 }
             }
         }
@@ -421,7 +512,9 @@
     // ---- Calls
 
     fn post_call(&mut self, router: usize) {
-        let Calls::Drawn { rate, until } = self.calls else { return };
+        let Calls::Drawn { rate, until } = self.calls else {
+            return;
+        };
         let at = self.now + (self.chance.gap(1e6 / rate.max(1e-9)).min(1e12) as Micros).max(1);
         if at < until {
             self.post(at, Event::Call(router));
@@ -437,11 +530,25 @@
             to = self.chance.below(self.hosts.len());
         }
         let due = self.now + self.model.time_limit;
-        self.call(Call { at: self.now, router: to, function, work, due, hint: None });
+        self.call(Call {
+            at: self.now,
+            router: to,
+            function,
+            work,
+            due,
+            hint: None,
+        });
     }
     fn call(&mut self, call: Call) {
         let (now, host) = (self.now, &mut self.hosts[call.router]);
-        let Call { router, function, work, due, hint, .. } = call;
+        let Call {
+            router,
+            function,
+            work,
+            due,
+            hint,
+            ..
+        } = call;
         let f = &self.functions.all[function];
         let id = host.take(HostedJob {
             function,
--- a/crates/sanddrum-lab/src/capacity/hollow/links.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/links.rs
@@ -50,8 +50,12 @@
         let streams = self.model.streams;
         let host = &self.hosts[router];
         let targets = host.targets.get(&worker).ok_or(End::NoConnection)?;
-        let links = targets.iter().filter_map(|id| Some((id, host.links.get(id)?)));
-        let least = links.map(|(id, link)| (link.carries.len(), Reverse(link.quiet_since), *id)).min();
+        let links = targets
+            .iter()
+            .filter_map(|id| Some((id, host.links.get(id)?)));
+        let least = links
+            .map(|(id, link)| (link.carries.len(), Reverse(link.quiet_since), *id))
+            .min();
         let id = match least.filter(|(carried, ..)| *carried < streams) {
             Some((.., id)) => id,
             None => self.new_link(router, worker)?,
@@ -62,10 +66,19 @@
         if mark != Mark::Other {
             link.carries.insert(mark);
         }
-        let need = if matches!(mark, Mark::Execution(_)) { Need::Job } else { Need::Errand };
+        let need = if matches!(mark, Mark::Execution(_)) {
+            Need::Job
+        } else {
+            Need::Errand
+        };
         let full = link.carries.len() as f64 / streams as f64;
         if !link.dialled {
-            host.news.wanted.push(Wanted { link: id, worker, need, due });
+            host.news.wanted.push(Wanted {
+                link: id,
+                worker,
+                need,
+                due,
+            });
         }
         host.news.used.push((worker, full));
         host.dirty.insert(id);
@@ -96,7 +109,11 @@
     /// Takes an execution back of which nothing was written.
     pub(super) fn take_back(&mut self, router: usize, id: u64) -> bool {
         let host = &mut self.hosts[router];
-        let Some(link) = host.executions.get(&id).and_then(|out| host.links.get_mut(&out.link)) else {
+        let Some(link) = host
+            .executions
+            .get(&id)
+            .and_then(|out| host.links.get_mut(&out.link))
+        else {
             return false;
         };
         let before = link.out.len();
@@ -106,7 +123,9 @@
     /// What a connection carried has ended.
     pub(super) fn release(&mut self, router: usize, id: LinkId, mark: Mark) {
         let now = self.now;
-        let Some(link) = self.hosts[router].links.get_mut(&id) else { return };
+        let Some(link) = self.hosts[router].links.get_mut(&id) else {
+            return;
+        };
         link.carries.remove(&mark);
         link.quiet_since = now;
         if link.retired && link.carries.is_empty() {
@@ -132,7 +151,11 @@
                 Connecting::Open(link) => self.dial(router, link),
                 Connecting::OpenAhead(worker) => self.link_ahead(router, worker),
                 Connecting::GiveUp(link, why) => {
-                    let end = if why == Why::Spared { End::Full } else { End::NoConnection };
+                    let end = if why == Why::Spared {
+                        End::Full
+                    } else {
+                        End::NoConnection
+                    };
                     self.end_link(router, link, end);
                 }
                 Connecting::Retire(link) => self.retire_link(router, link),
@@ -148,28 +171,44 @@
         let hellos = self.bytes.hellos;
         let host = &mut self.hosts[router];
         let zone = host.zone;
-        let Some(link) = host.links.get_mut(&id).filter(|link| !link.dialled) else { return };
+        let Some(link) = host.links.get_mut(&id).filter(|link| !link.dialled) else {
+            return;
+        };
         let worker = &self.workers[link.to];
         (link.dialled, link.incarnation) = (true, worker.incarnation);
         let (up, to_zone) = (worker.up, worker.zone);
         host.counts.handshakes += 1;
-        (host.counts.messages, host.counts.bytes) = (host.counts.messages + 2, host.counts.bytes + hellos);
+        (host.counts.messages, host.counts.bytes) =
+            (host.counts.messages + 2, host.counts.bytes + hellos);
         if up {
             let way = self.way(zone, to_zone);
             self.post(now + 2 * way, Event::LinkUp { router, link: id });
         }
-        self.post(now + self.model.connect_time_out, Event::Link { router, link: id });
+        self.post(
+            now + self.model.connect_time_out,
+            Event::Link { router, link: id },
+        );
     }
     fn link_ahead(&mut self, router: usize, worker: WorkerId) {
         let host = &self.hosts[router];
-        let Some(target) = host.targets.get(&worker) else { return };
-        let to_come = target.iter().filter_map(|id| host.links.get(id)).any(|link| !link.up);
+        let Some(target) = host.targets.get(&worker) else {
+            return;
+        };
+        let to_come = target
+            .iter()
+            .filter_map(|id| host.links.get(id))
+            .any(|link| !link.up);
         if to_come || target.len() >= self.model.connections {
             return;
         }
         if let Ok(link) = self.new_link(router, worker) {
             let due = self.now + self.model.connect_time_out;
-            self.hosts[router].news.wanted.push(Wanted { link, worker, need: Need::Ahead, due });
+            self.hosts[router].news.wanted.push(Wanted {
+                link,
+                worker,
+                need: Need::Ahead,
+                due,
+            });
         }
     }
     pub(super) fn link_up(&mut self, router: usize, id: LinkId) {
@@ -184,7 +223,9 @@
     /// It is not up in time, or carries nothing for long, or nothing more.
     pub(super) fn look_at_link(&mut self, router: usize, id: LinkId) {
         let (now, idle_close) = (self.now, self.model.idle_close);
-        let Some(link) = self.hosts[router].links.get(&id) else { return };
+        let Some(link) = self.hosts[router].links.get(&id) else {
+            return;
+        };
         self.touched_routers.insert(router);
         let idle = link.quiet_since + idle_close;
         if !link.up && link.dialled && !link.retired {
@@ -202,13 +243,20 @@
     /// A connection is gone, with all that it carried.
     pub(super) fn end_link(&mut self, router: usize, id: LinkId, end: End) {
         let host = &mut self.hosts[router];
-        let Some(link) = host.links.remove(&id) else { return };
+        let Some(link) = host.links.remove(&id) else {
+            return;
+        };
         host.dirty.remove(&id);
         if let Some(target) = host.targets.get_mut(&link.worker) {
             target.remove(&id);
         }
         let failed = link.dialled && !link.up && !link.retired;
-        if failed { &mut host.news.failed } else { &mut host.news.ended }.push(id);
+        if failed {
+            &mut host.news.failed
+        } else {
+            &mut host.news.ended
+        }
+        .push(id);
         for mark in link.carries {
             match mark {
                 Mark::Execution(id) => self.end_execution(router, id, end),
@@ -221,7 +269,9 @@
     }
     fn retire_link(&mut self, router: usize, id: LinkId) {
         let host = &mut self.hosts[router];
-        let Some(link) = host.links.get_mut(&id) else { return };
+        let Some(link) = host.links.get_mut(&id) else {
+            return;
+        };
         link.retired = true;
         if let Some(target) = host.targets.get_mut(&link.worker) {
             target.remove(&id);
@@ -233,12 +283,22 @@
         let now = self.now;
         for id in std::mem::take(&mut self.hosts[router].dirty) {
             let zone = self.hosts[router].zone;
-            let Some(link) = self.hosts[router].links.get_mut(&id).filter(|link| link.up) else { continue };
+            let Some(link) = self.hosts[router].links.get_mut(&id).filter(|link| link.up) else {
+                continue;
+            };
             let (worker, incarnation) = (link.to, link.incarnation);
             let out = std::mem::take(&mut link.out);
             let way = self.way(zone, self.workers[worker].zone);
             for (_, message) in out {
-                self.post(now + way, Event::ToWorker { worker, incarnation, router, message });
+                self.post(
+                    now + way,
+                    Event::ToWorker {
+                        worker,
+                        incarnation,
+                        router,
+                        message,
+                    },
+                );
             }
         }
     }
@@ -251,15 +311,25 @@
             if !ready {
                 host.news.gone.push(worker);
             }
-            host.news.listed.push(Listed { worker, size: row.size, started: row.started, ready });
+            host.news.listed.push(Listed {
+                worker,
+                size: row.size,
+                started: row.started,
+                ready,
+            });
             host.targets.entry(worker).or_default();
             if row.state == WorkerState::Ready {
                 continue;
             }
             self.recall_from(router, worker);
             if !ready {
-                let links = self.hosts[router].targets.remove(&worker).unwrap_or_default();
-                links.into_iter().for_each(|id| self.retire_link(router, id));
+                let links = self.hosts[router]
+                    .targets
+                    .remove(&worker)
+                    .unwrap_or_default();
+                links
+                    .into_iter()
+                    .for_each(|id| self.retire_link(router, id));
             }
         }
     }
@@ -268,7 +338,12 @@
         let mut back = Vec::new();
         for id in host.targets.get(&worker).into_iter().flatten() {
             if let Some(link) = host.links.get_mut(id) {
-                back.extend(link.out.iter().map(|(mark, _)| *mark).filter(|mark| *mark != Mark::Other));
+                back.extend(
+                    link.out
+                        .iter()
+                        .map(|(mark, _)| *mark)
+                        .filter(|mark| *mark != Mark::Other),
+                );
                 link.out.retain(|(mark, _)| *mark == Mark::Other);
             }
         }
--- a/crates/sanddrum-lab/src/capacity/hollow/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/routers.rs
@@ -37,7 +37,11 @@
         self.flush(router);
         let host = &mut self.hosts[router];
         let news = (host.has_news() || !host.news.is_empty()).then_some(self.now);
-        let again = news.into_iter().chain(host.wake).chain(host.connect_wake).min();
+        let again = news
+            .into_iter()
+            .chain(host.wake)
+            .chain(host.connect_wake)
+            .min();
         let again = again.map(|at| at.max(self.now + 1));
         if let Some(at) = again.filter(|at| host.turn_at.is_none_or(|set| *at < set)) {
             host.turn_at = Some(at);
@@ -49,34 +53,67 @@
         let now = self.now;
         let host = &mut self.hosts[router];
         match decision {
-            Decision::Execute { job: id, worker, limit } => {
+            Decision::Execute {
+                job: id,
+                worker,
+                limit,
+            } => {
                 let execution = host.next_execution();
-                let Some(job) = host.jobs.get_mut(&id) else { return };
+                let Some(job) = host.jobs.get_mut(&id) else {
+                    return;
+                };
                 let (number, limit) = (job.executions.len(), limit.min(job.due - now).max(0));
                 job.executions.push(execution);
                 job.out += 1;
                 let (function, work, closed) = (job.function, job.work, job.closed);
                 host.counts.executions += 1;
-                let message = Message::Execute { id: execution, function, work, limit };
+                let message = Message::Execute {
+                    id: execution,
+                    function,
+                    work,
+                    limit,
+                };
                 let due = now + limit;
                 let sent = match closed {
                     true => Err(End::Moot),
                     false => self.send(router, worker, Mark::Execution(execution), message, due),
                 };
                 let (link, late) = match sent {
-                    Ok(link) => (link, self.post(due, Event::ExecutionLate { router, id: execution })),
+                    Ok(link) => (
+                        link,
+                        self.post(
+                            due,
+                            Event::ExecutionLate {
+                                router,
+                                id: execution,
+                            },
+                        ),
+                    ),
                     Err(_) => (LinkId(u64::MAX), (0, 0)),
                 };
-                let out = Out { job: id, number, worker, sent: now, late, link };
+                let out = Out {
+                    job: id,
+                    number,
+                    worker,
+                    sent: now,
+                    late,
+                    link,
+                };
                 self.hosts[router].executions.insert(execution, out);
                 if let Err(end) = sent {
                     self.end_execution(router, execution, end);
                 }
             }
             Decision::Cancel { job, execution } => {
-                let Some(job) = host.jobs.get(&job) else { return };
-                let Some(id) = job.executions.get(execution).copied() else { return };
-                let Some(link) = host.executions.get(&id).map(|out| out.link) else { return };
+                let Some(job) = host.jobs.get(&job) else {
+                    return;
+                };
+                let Some(id) = job.executions.get(execution).copied() else {
+                    return;
+                };
+                let Some(link) = host.executions.get(&id).map(|out| out.link) else {
+                    return;
+                };
                 if self.take_back(router, id) {
                     return self.end_execution(router, id, End::Moot);
                 }
@@ -93,36 +130,70 @@
                 host.counts.killed += 1;
                 self.give_up(router, job);
             }
-            Decision::Hold { worker, function, copies } => {
+            Decision::Hold {
+                worker,
+                function,
+                copies,
+            } => {
                 let id = host.next_asked();
-                let counted = if copies > 0 { &mut host.counts.orders } else { &mut host.counts.asks };
+                let counted = if copies > 0 {
+                    &mut host.counts.orders
+                } else {
+                    &mut host.counts.asks
+                };
                 *counted += 1;
                 if copies > 0 {
                     host.ordered.insert(function, now);
                 }
-                let Some(n) = self.by_function.get(&function).copied() else { return };
+                let Some(n) = self.by_function.get(&function).copied() else {
+                    return;
+                };
                 self.count_control(router, 2, self.bytes.hold);
                 let due = now + self.model.order_time_out;
-                let message = Message::Hold { id, function: n, copies };
+                let message = Message::Hold {
+                    id,
+                    function: n,
+                    copies,
+                };
                 match self.send(router, worker, Mark::Order(id), message, due) {
                     Ok(link) => {
                         let late = self.post(due, Event::OrderLate { router, id });
-                        let asked = Asked { worker, function, sent: now, late, link };
+                        let asked = Asked {
+                            worker,
+                            function,
+                            sent: now,
+                            late,
+                            link,
+                        };
                         self.hosts[router].orders.insert(id, asked);
                     }
                     Err(end) => {
-                        let end = OrderEnd { worker, function, end, latency: 0, copies: 0 };
+                        let end = OrderEnd {
+                            worker,
+                            function,
+                            end,
+                            latency: 0,
+                            copies: 0,
+                        };
                         self.hosts[router].round.orders.push(end);
                     }
                 }
             }
             Decision::Unload { worker, function } => {
                 host.counts.unloads += 1;
-                let Some(function) = self.by_function.get(&function).copied() else { return };
+                let Some(function) = self.by_function.get(&function).copied() else {
+                    return;
+                };
                 self.count_control(router, 1, self.bytes.unload);
                 let due = now + self.model.order_time_out;
                 // Nothing is owed for it: where it can't be sent the copies lapse by themselves.
-                let _ = self.send(router, worker, Mark::Other, Message::Unload { function }, due);
+                let _ = self.send(
+                    router,
+                    worker,
+                    Mark::Other,
+                    Message::Unload { function },
+                    due,
+                );
             }
             Decision::Probe { worker } => {
                 let id = host.next_asked();
@@ -133,11 +204,22 @@
                     Ok(link) => {
                         let late = self.post(due, Event::ProbeLate { router, id });
                         let function = FunctionId::default();
-                        let asked = Asked { worker, function, sent: now, late, link };
+                        let asked = Asked {
+                            worker,
+                            function,
+                            sent: now,
+                            late,
+                            link,
+                        };
                         self.hosts[router].probes.insert(id, asked);
                     }
                     Err(end) => {
-                        let end = ProbeEnd { worker, end, latency: 0, report: None };
+                        let end = ProbeEnd {
+                            worker,
+                            end,
+                            latency: 0,
+                            report: None,
+                        };
                         self.hosts[router].round.probes.push(end);
                     }
                 }
@@ -153,7 +235,8 @@
     }
 
     pub(super) fn end_execution(&mut self, router: usize, id: u64, end: End) {
-        if let Some(out) = self.hosts[router].execution_ended(self.now, id, end, Warmth::Unknown, None, None)
+        if let Some(out) =
+            self.hosts[router].execution_ended(self.now, id, end, Warmth::Unknown, None, None)
         {
             self.queue.remove(&out.late);
             self.release(router, out.link, Mark::Execution(id));
@@ -167,7 +250,13 @@
         }
         self.touched_routers.insert(router);
     }
-    pub(super) fn end_probe(&mut self, router: usize, id: u64, end: End, report: Option<LoadReport>) {
+    pub(super) fn end_probe(
+        &mut self,
+        router: usize,
+        id: u64,
+        end: End,
+        report: Option<LoadReport>,
+    ) {
         let report = report.as_ref().map(report_of);
         if let Some(asked) = self.hosts[router].probe_ended(self.now, id, end, report) {
             self.queue.remove(&asked.late);
@@ -176,12 +265,18 @@
         self.touched_routers.insert(router);
     }
     pub(super) fn execution_late(&mut self, router: usize, id: u64) {
-        let end = if self.take_back(router, id) { End::NoConnection } else { End::TimedOut };
+        let end = if self.take_back(router, id) {
+            End::NoConnection
+        } else {
+            End::TimedOut
+        };
         self.end_execution(router, id, end);
     }
     /// A final answer that is not *finished*.
     pub(super) fn give_up(&mut self, router: usize, id: JobId) {
-        let Some(job) = self.hosts[router].jobs.get(&id).filter(|job| !job.closed) else { return };
+        let Some(job) = self.hosts[router].jobs.get(&id).filter(|job| !job.closed) else {
+            return;
+        };
         let (rare, came) = (self.functions.all[job.function].rare, job.came);
         let loads = self.waited_for_load(router, job, self.now);
         self.starts.call(came, rare, loads, None);
@@ -190,11 +285,18 @@
     /// A copy of the job's function was ordered while it was held here, before what is sent at this instant.
     pub(super) fn waited_for_load(&self, router: usize, job: &HostedJob, sent: Micros) -> bool {
         let function = self.functions.all[job.function].id;
-        self.hosts[router].ordered.get(&function).is_some_and(|at| (job.came..sent).contains(at))
+        self.hosts[router]
+            .ordered
+            .get(&function)
+            .is_some_and(|at| (job.came..sent).contains(at))
     }
     /// Closes a job; what still waits to be written for it is not sent any more.
     pub(super) fn recall(&mut self, router: usize, id: JobId) {
-        let all = self.hosts[router].jobs.get(&id).map(|job| job.executions.clone()).unwrap_or_default();
+        let all = self.hosts[router]
+            .jobs
+            .get(&id)
+            .map(|job| job.executions.clone())
+            .unwrap_or_default();
         self.hosts[router].close(id);
         for execution in all {
             if self.take_back(router, execution) {
@@ -206,17 +308,27 @@
     pub(super) fn answer(&mut self, router: usize, answer: Answer) {
         let now = self.now;
         match answer {
-            Answer::Done { id, ended, copy, report, worker } => {
+            Answer::Done {
+                id,
+                ended,
+                copy,
+                report,
+                worker,
+            } => {
                 let host = &self.hosts[router];
-                let Some(out) = host.executions.get(&id).copied() else { return };
+                let Some(out) = host.executions.get(&id).copied() else {
+                    return;
+                };
                 let (end, warmth) = (end_of(ended), warmth_of(copy));
                 let open = host.jobs.get(&out.job).filter(|job| !job.closed);
                 if let (End::Finished, Some(job)) = (end, open) {
-                    let (rare, came, work) = (self.functions.all[job.function].rare, job.came, job.work);
+                    let (rare, came, work) =
+                        (self.functions.all[job.function].rare, job.came, job.work);
                     let loads = matches!(warmth, Warmth::BeganLoad | Warmth::WaitedForLoad)
                         || self.waited_for_load(router, job, out.sent);
                     let way = self.way(self.hosts[router].zone, self.workers[worker].zone);
-                    self.starts.call(came, rare, loads, Some(now - way - work as Micros - came));
+                    self.starts
+                        .call(came, rare, loads, Some(now - way - work as Micros - came));
                     self.hosts[router].counts.finished += 1;
                     self.recall(router, out.job);
                 }
@@ -242,6 +354,9 @@
     fn reported(&mut self, router: usize, worker: usize, report: Option<&Report>) {
         let told = report.and_then(|report| Some(report.held? + report.queued?));
         let id = self.workers[worker].id;
-        self.hosts[router].news.loads.extend(told.map(|load| (id, load)));
+        self.hosts[router]
+            .news
+            .loads
+            .extend(told.map(|load| (id, load)));
     }
 }
--- a/crates/sanddrum-lab/src/capacity/hollow/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/workers.rs
@@ -19,7 +19,12 @@
             worker.others_had(now, others, &functions, function, count);
         }
         match message {
-            Message::Execute { id, function, work, limit } => {
+            Message::Execute {
+                id,
+                function,
+                work,
+                limit,
+            } => {
                 let f = &functions.all[function];
                 let task = Task {
                     ticket: Ticket(router as u64, id),
@@ -33,16 +38,32 @@
                 worker.machine.take(now, task, worker.drains);
             }
             Message::Cancel { id } => worker.machine.cancel(Ticket(router as u64, id)),
-            Message::Hold { id, function, copies } => {
+            Message::Hold {
+                id,
+                function,
+                copies,
+            } => {
                 let f = &functions.all[function];
                 let (function, memory_mb, lanes) = (f.name.clone(), f.memory_mb, f.lanes);
-                let hold = Hold { id, function, copies, memory_mb, lanes };
-                worker.machine.hold(now, Ticket(router as u64, id), &hold, worker.drains);
+                let hold = Hold {
+                    id,
+                    function,
+                    copies,
+                    memory_mb,
+                    lanes,
+                };
+                worker
+                    .machine
+                    .hold(now, Ticket(router as u64, id), &hold, worker.drains);
             }
             Message::Unload { function } => worker.machine.unload(&functions.all[function].name),
             Message::Probe { id } => {
                 let report = worker.report(now, every, of_others);
-                let answer = Answer::Probed { id, report, worker: n };
+                let answer = Answer::Probed {
+                    id,
+                    report,
+                    worker: n,
+                };
                 self.post(now + way, Event::ToRouter { router, answer });
             }
         }
@@ -50,7 +71,8 @@
     /// Jobs that the others hold at a worker, in the mean.
     pub(super) fn others_jobs(&self) -> Option<(Others, f64)> {
         let each = |others: Others| {
-            let jobs = others.calls * self.model.work as f64 / 1e6 / self.workers.len().max(1) as f64;
+            let jobs =
+                others.calls * self.model.work as f64 / 1e6 / self.workers.len().max(1) as f64;
             (others, jobs)
         };
         self.others.map(each)
@@ -73,17 +95,39 @@
                             }
                         };
                         let incarnation = self.workers[n].incarnation;
-                        self.post(now + takes, Event::Fetched { worker: n, incarnation, load });
+                        self.post(
+                            now + takes,
+                            Event::Fetched {
+                                worker: n,
+                                incarnation,
+                                load,
+                            },
+                        );
                         if let Some(host) = self.hosts.first_mut() {
                             host.counts.loads += 1;
                         }
                     }
-                    Effect::Done { ticket: Ticket(router, id), ended, copy, .. } => {
+                    Effect::Done {
+                        ticket: Ticket(router, id),
+                        ended,
+                        copy,
+                        ..
+                    } => {
                         let report = self.workers[n].report(now, every, of_others);
-                        let answer = Answer::Done { id, ended, copy, report, worker: n };
+                        let answer = Answer::Done {
+                            id,
+                            ended,
+                            copy,
+                            report,
+                            worker: n,
+                        };
                         self.answer_router(n, router as usize, answer);
                     }
-                    Effect::Held { ticket: Ticket(router, id), ended, copies } => {
+                    Effect::Held {
+                        ticket: Ticket(router, id),
+                        ended,
+                        copies,
+                    } => {
                         self.answer_router(n, router as usize, Answer::Held { id, ended, copies });
                     }
                     Effect::Fell => {
@@ -102,7 +146,9 @@
         }
     }
     pub(super) fn answer_router(&mut self, worker: usize, router: usize, answer: Answer) {
-        let Some(host) = self.hosts.get(router) else { return };
+        let Some(host) = self.hosts.get(router) else {
+            return;
+        };
         let at = self.now + self.way(host.zone, self.workers[worker].zone);
         self.post(at, Event::ToRouter { router, answer });
     }
@@ -111,7 +157,9 @@
 
     pub(super) fn act(&mut self, act: Act) {
         let in_zone = |fleet: &Self, zone: usize| -> Vec<usize> {
-            (0..fleet.workers.len()).filter(|n| fleet.workers[*n].zone == zone).collect()
+            (0..fleet.workers.len())
+                .filter(|n| fleet.workers[*n].zone == zone)
+                .collect()
         };
         match act {
             Act::Fail(n) => {
@@ -122,7 +170,10 @@
                 self.workers[n].drains = true;
                 self.notice(vec![n], 0);
                 let since = self.now;
-                self.post(self.now + self.model.drain_grace, Event::Drained { worker: n, since });
+                self.post(
+                    self.now + self.model.drain_grace,
+                    Event::Drained { worker: n, since },
+                );
             }
             Act::ZoneLost(zone) => {
                 self.lost_zones.insert(zone);
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -81,7 +81,11 @@
 
 impl HollowRouter {
     /// `settings` are those that the edge gives its module for starts.
-    pub fn new(spec: HollowRouterSpec, settings: &Settings, followers: Rc<RefCell<Followers>>) -> Self {
+    pub fn new(
+        spec: HollowRouterSpec,
+        settings: &Settings,
+        followers: Rc<RefCell<Followers>>,
+    ) -> Self {
         HollowRouter {
             // The edge's own seed for it.
             start: Start::new(spec.seed ^ 0x57, settings),
@@ -104,7 +108,9 @@
             self.call(io);
         }
         if wanted.asks {
-            let _ = self.out.push((), &frame(&ToList::Watch(self.known.watch())));
+            let _ = self
+                .out
+                .push((), &frame(&ToList::Watch(self.known.watch())));
             self.flush(io);
         }
         self.next = wanted.wake.max(now + 1);
@@ -115,9 +121,16 @@
         self.out = Outbox::new(self.spec.largest_frame);
         self.frames = Frames::new(self.spec.largest_frame);
         let (name, incarnation) = (self.spec.name.clone(), self.spec.incarnation);
-        let hello = Hello { version: VERSION, name, incarnation, age_us: None };
+        let hello = Hello {
+            version: VERSION,
+            name,
+            incarnation,
+            age_us: None,
+        };
         let _ = self.out.push((), &frame(&ToList::Hello(hello)));
-        let _ = self.out.push((), &frame(&ToList::Watch(self.known.watch())));
+        let _ = self
+            .out
+            .push((), &frame(&ToList::Watch(self.known.watch())));
         self.followers.borrow_mut().calls += 1;
     }
     fn leave(&mut self, io: &mut dyn Io) {
@@ -127,7 +140,9 @@
         }
     }
     fn flush(&mut self, io: &mut dyn Io) {
-        self.conn.into_iter().for_each(|conn| self.out.flush(conn, io));
+        self.conn
+            .into_iter()
+            .for_each(|conn| self.out.flush(conn, io));
     }
     fn rows(&mut self, now: Micros, rows: RowsHead, io: &mut dyn Io) {
         if !self.known.is_followed_by(rows) {
@@ -139,7 +154,11 @@
         let taken = self.known.take(rows);
         let mut followers = self.followers.borrow_mut();
         followers.whole_lists += u64::from(rows.whole);
-        if let Some(follower) = followers.routers.get_mut(self.spec.number).filter(|_| taken) {
+        if let Some(follower) = followers
+            .routers
+            .get_mut(self.spec.number)
+            .filter(|_| taken)
+        {
             follower.known = self.known;
             follower.told = follower.told.or(Some(now));
             if before != self.known {
@@ -165,8 +184,16 @@
 impl Core for HollowRouter {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         let kept = self.spec.kept.is_some();
-        if let Some(follower) = self.followers.borrow_mut().routers.get_mut(self.spec.number) {
-            *follower = Follower { known: self.known, ..Follower::default() };
+        if let Some(follower) = self
+            .followers
+            .borrow_mut()
+            .routers
+            .get_mut(self.spec.number)
+        {
+            *follower = Follower {
+                known: self.known,
+                ..Follower::default()
+            };
         }
         self.follow(now, &[News::Began { kept }], io);
     }
--- a/crates/sanddrum-lab/src/capacity/host.rs
+++ b/crates/sanddrum-lab/src/capacity/host.rs
@@ -3,8 +3,8 @@
 
 use super::hollow::Message;
 use sanddrum::{
-    Decisions, End, ExecutionEnd, FunctionId, JobId, Micros, OrderEnd, PeerId, ProbeEnd, Report, Round,
-    Router, Settings, Warmth, WorkerId,
+    Decisions, End, ExecutionEnd, FunctionId, JobId, Micros, OrderEnd, PeerId, ProbeEnd, Report,
+    Round, Router, Settings, Warmth, WorkerId,
 };
 use sanddrum_connect::{Connections, LinkId, News};
 use sanddrum_wire::{Copy, Ended, LoadReport};
@@ -13,13 +13,34 @@
 /// What a module decided, as it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    Execute { job: JobId, worker: WorkerId, limit: Micros },
-    Cancel { job: JobId, execution: usize },
-    PushBack { job: JobId, wait: Micros },
-    Kill { job: JobId },
-    Hold { worker: WorkerId, function: FunctionId, copies: u32 },
-    Unload { worker: WorkerId, function: FunctionId },
-    Probe { worker: WorkerId },
+    Execute {
+        job: JobId,
+        worker: WorkerId,
+        limit: Micros,
+    },
+    Cancel {
+        job: JobId,
+        execution: usize,
+    },
+    PushBack {
+        job: JobId,
+        wait: Micros,
+    },
+    Kill {
+        job: JobId,
+    },
+    Hold {
+        worker: WorkerId,
+        function: FunctionId,
+        copies: u32,
+    },
+    Unload {
+        worker: WorkerId,
+        function: FunctionId,
+    },
+    Probe {
+        worker: WorkerId,
+    },
     Subscribe,
     WakeAt(Micros),
 }
@@ -32,7 +53,11 @@
             Decision::Cancel { job, execution } => out.cancel(job, execution),
             Decision::PushBack { job, wait } => out.push_back(job, wait),
             Decision::Kill { job } => out.kill(job),
-            Decision::Hold { worker, function, copies } => out.hold(worker, function, copies),
+            Decision::Hold {
+                worker,
+                function,
+                copies,
+            } => out.hold(worker, function, copies),
             Decision::Unload { worker, function } => out.unload(worker, function),
             Decision::Probe { worker } => out.probe(worker),
             Decision::Subscribe => out.subscribe(),
@@ -59,7 +84,11 @@
         self.0.push(Decision::Kill { job });
     }
     fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
-        self.0.push(Decision::Hold { worker, function, copies });
+        self.0.push(Decision::Hold {
+            worker,
+            function,
+            copies,
+        });
     }
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         self.0.push(Decision::Unload { worker, function });
@@ -236,7 +265,17 @@
     pub fn new(to: usize, worker: WorkerId, now: Micros) -> Self {
         let (dialled, up, retired, incarnation) = (false, false, false, 0);
         let (out, carries, quiet_since) = (Vec::new(), BTreeSet::new(), now);
-        Link { to, worker, incarnation, dialled, up, retired, out, carries, quiet_since }
+        Link {
+            to,
+            worker,
+            incarnation,
+            dialled,
+            up,
+            retired,
+            out,
+            carries,
+            quiet_since,
+        }
     }
 }
 
@@ -318,13 +357,19 @@
     }
     /// The job has its final answer; none has two.
     pub(crate) fn close(&mut self, id: JobId) -> bool {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.closed) else { return false };
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.closed) else {
+            return false;
+        };
         job.closed = true;
         self.forget_if_done(id);
         true
     }
     fn forget_if_done(&mut self, id: JobId) {
-        if self.jobs.get(&id).is_some_and(|job| job.closed && job.out == 0) {
+        if self
+            .jobs
+            .get(&id)
+            .is_some_and(|job| job.closed && job.out == 0)
+        {
             self.jobs.remove(&id);
         }
     }
@@ -348,7 +393,13 @@
         };
         self.forget_if_done(out.job);
         self.counts.misses += u64::from(end == End::Miss);
-        let Out { job, number, worker, sent, .. } = out;
+        let Out {
+            job,
+            number,
+            worker,
+            sent,
+            ..
+        } = out;
         let latency = now - sent;
         self.round.ends.push(ExecutionEnd {
             job,
@@ -363,10 +414,27 @@
         });
         Some(out)
     }
-    pub(crate) fn order_ended(&mut self, now: Micros, id: u64, end: End, copies: u32) -> Option<Asked> {
+    pub(crate) fn order_ended(
+        &mut self,
+        now: Micros,
+        id: u64,
+        end: End,
+        copies: u32,
+    ) -> Option<Asked> {
         let asked = self.orders.remove(&id)?;
-        let Asked { worker, function, sent, .. } = asked;
-        self.round.orders.push(OrderEnd { worker, function, end, latency: now - sent, copies });
+        let Asked {
+            worker,
+            function,
+            sent,
+            ..
+        } = asked;
+        self.round.orders.push(OrderEnd {
+            worker,
+            function,
+            end,
+            latency: now - sent,
+            copies,
+        });
         Some(asked)
     }
     pub(crate) fn probe_ended(
@@ -377,7 +445,12 @@
         report: Option<Report>,
     ) -> Option<Asked> {
         let asked = self.probes.remove(&id)?;
-        self.round.probes.push(ProbeEnd { worker: asked.worker, end, latency: now - asked.sent, report });
+        self.round.probes.push(ProbeEnd {
+            worker: asked.worker,
+            end,
+            latency: now - asked.sent,
+            report,
+        });
         Some(asked)
     }
 }
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -40,7 +40,9 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse::<u64>().ok());
-    kilobytes.map(|kb| kb * 1024).ok_or_else(|| format!("{file}: no VmRSS"))
+    kilobytes
+        .map(|kb| kb * 1024)
+        .ok_or_else(|| format!("{file}: no VmRSS"))
 }
 
 /// The service's core with callers that come one after the other, each once the one before has its answer.
@@ -64,18 +66,43 @@
         let zones = plan.settings.size("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
         let (whole, notice) = (spec.whole, spec.notice.1);
-        let service = ListService::new(spec, plan.seed, 1, Rc::new(RefCell::new(ListFaults::default())));
+        let service = ListService::new(
+            spec,
+            plan.seed,
+            1,
+            Rc::new(RefCell::new(ListFaults::default())),
+        );
         let service = service.with_rows(now, &rows);
-        let mut alone =
-            Alone { service, io: Takes::default(), now, whole, notice, callers: 0, incarnation: 1 };
-        alone.service.event(now, Event::Accepted { conn: WORKER, door: Door(0) }, &mut alone.io);
+        let mut alone = Alone {
+            service,
+            io: Takes::default(),
+            now,
+            whole,
+            notice,
+            callers: 0,
+            incarnation: 1,
+        };
+        alone.service.event(
+            now,
+            Event::Accepted {
+                conn: WORKER,
+                door: Door(0),
+            },
+            &mut alone.io,
+        );
         alone
     }
     /// A worker tells that it has started anew, and all callers are told.
     fn change(&mut self) {
         self.incarnation += 1;
-        let register = ToList::Register(Row { incarnation: self.incarnation, ..row(0, 1) });
-        let event = Event::Bytes { conn: WORKER, bytes: &frame(&register) };
+        let register = ToList::Register(Row {
+            incarnation: self.incarnation,
+            ..row(0, 1)
+        });
+        let event = Event::Bytes {
+            conn: WORKER,
+            bytes: &frame(&register),
+        };
         self.service.event(self.now, event, &mut self.io);
         self.now += self.notice + 1;
         self.service.turn(self.now, &mut self.io);
@@ -86,10 +113,23 @@
         self.callers += 1;
         self.now += self.whole + 1;
         let name = crate::Scenario::edge_name(self.callers as usize);
-        let hello = ToList::Hello(Hello { version: VERSION, name, incarnation: 1, age_us: None });
+        let hello = ToList::Hello(Hello {
+            version: VERSION,
+            name,
+            incarnation: 1,
+            age_us: None,
+        });
         let bytes = [frame(&hello), frame(&ToList::Watch(Watch::default()))].concat();
-        self.service.event(self.now, Event::Accepted { conn, door }, &mut self.io);
-        self.service.event(self.now, Event::Bytes { conn, bytes: &bytes }, &mut self.io);
+        self.service
+            .event(self.now, Event::Accepted { conn, door }, &mut self.io);
+        self.service.event(
+            self.now,
+            Event::Bytes {
+                conn,
+                bytes: &bytes,
+            },
+            &mut self.io,
+        );
         self.service.turn(self.now, &mut self.io);
     }
 }
@@ -109,7 +149,16 @@
     ) -> Result<(), String> {
         let (role, source) = (Role::ListService, Source::Played);
         let figure = figure.to_string();
-        self.sink.point(Point { role, play, figure, unit, axis, at: at as f64, value, source })
+        self.sink.point(Point {
+            role,
+            play,
+            figure,
+            unit,
+            axis,
+            at: at as f64,
+            value,
+            source,
+        })
     }
 }
 
@@ -134,14 +183,34 @@
         let before = resident()?;
         kept.extend((0..copies).map(|_| Alone::new(plan, *at)));
         let each = resident()?.saturating_sub(before) as f64 / copies as f64;
-        telling.tell("alone, no router".into(), "memory", "bytes", ("rows", *at), each)?;
-        let Some(alone) = kept.last_mut() else { continue };
+        telling.tell(
+            "alone, no router".into(),
+            "memory",
+            "bytes",
+            ("rows", *at),
+            each,
+        )?;
+        let Some(alone) = kept.last_mut() else {
+            continue;
+        };
         let (sent, began) = (alone.io.bytes, Clock::now());
         (0..TIMED).for_each(|_| alone.caller());
         let nanoseconds = (Clock::now() - began) as f64 / TIMED as f64;
         let bytes = (alone.io.bytes - sent) as f64 / TIMED as f64;
-        telling.tell("a whole list".into(), "processor time", "us", ("rows", *at), nanoseconds / 1e3)?;
-        telling.tell("a whole list".into(), "bytes out", "bytes", ("rows", *at), bytes)?;
+        telling.tell(
+            "a whole list".into(),
+            "processor time",
+            "us",
+            ("rows", *at),
+            nanoseconds / 1e3,
+        )?;
+        telling.tell(
+            "a whole list".into(),
+            "bytes out",
+            "bytes",
+            ("rows", *at),
+            bytes,
+        )?;
     }
     for rows in [rows.iter().copied().min().unwrap_or(1), most] {
         let mut alone = Alone::new(plan, rows);
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -20,35 +20,90 @@
         repeats: false,
         about: "sizes at which the list service is measured, and the stand-in that it is",
         keys: &[
-            key("routers", Kind::Wholes(1.0, 1e5), Some("10 100 1000"), "with the most rows"),
-            key("rows", Kind::Wholes(1.0, 1e5), Some("100 1000 10000"), "with so many routers:"),
-            key("rows-routers", Kind::Whole(1.0, 1e5), Some("1000"), "while rows or changes grow"),
-            key("changes", Kind::Wholes(1.0, 1e5), Some("1 10 100"), "a second, with the most rows"),
+            key(
+                "routers",
+                Kind::Wholes(1.0, 1e5),
+                Some("10 100 1000"),
+                "with the most rows",
+            ),
+            key(
+                "rows",
+                Kind::Wholes(1.0, 1e5),
+                Some("100 1000 10000"),
+                "with so many routers:",
+            ),
+            key(
+                "rows-routers",
+                Kind::Whole(1.0, 1e5),
+                Some("1000"),
+                "while rows or changes grow",
+            ),
+            key(
+                "changes",
+                Kind::Wholes(1.0, 1e5),
+                Some("1 10 100"),
+                "a second, with the most rows",
+            ),
             key(
                 "beating",
                 Kind::Wholes(1.0, 1e5),
                 Some("100 1000 10000"),
                 "workers that all tell that they run",
             ),
-            key("quiet", Kind::Span, Some("60s"), "how long a quiet time is looked at"),
-            key("gone", Kind::Span, Some("60s"), "how long the service is gone"),
-            key("notice-least", Kind::Span, Some("200ms"), "changes are told after"),
-            key("notice-most", Kind::Span, Some("1s"), "and at the latest after"),
+            key(
+                "quiet",
+                Kind::Span,
+                Some("60s"),
+                "how long a quiet time is looked at",
+            ),
+            key(
+                "gone",
+                Kind::Span,
+                Some("60s"),
+                "how long the service is gone",
+            ),
+            key(
+                "notice-least",
+                Kind::Span,
+                Some("200ms"),
+                "changes are told after",
+            ),
+            key(
+                "notice-most",
+                Kind::Span,
+                Some("1s"),
+                "and at the latest after",
+            ),
             key(
                 "whole",
                 Kind::Span,
                 Some("5ms"),
                 "what a whole list takes it on its one core, as the stand-in has it",
             ),
-            key("change", Kind::Span, Some("200us"), "what an answer of changes takes it"),
+            key(
+                "change",
+                Kind::Span,
+                Some("200us"),
+                "what an answer of changes takes it",
+            ),
             key(
                 "calls",
                 Kind::Whole(1.0, 1e6),
                 Some("64"),
                 "calls in hand; whoever calls beyond that is closed",
             ),
-            key("changes-kept", Kind::Whole(1.0, 1e6), Some("256"), "for routers that come back"),
-            key("beat-every", Kind::Span, Some("200ms"), "how often a worker tells that it runs"),
+            key(
+                "changes-kept",
+                Kind::Whole(1.0, 1e6),
+                Some("256"),
+                "for routers that come back",
+            ),
+            key(
+                "beat-every",
+                Kind::Span,
+                Some("200ms"),
+                "how often a worker tells that it runs",
+            ),
         ],
     },
     check,
@@ -75,9 +130,15 @@
     most("changes")?;
     most("beating")?;
     let bytes = routers.max(base) * rows * ROW_BYTES * COPIES;
-    plan.fits(&key_of("routers"), &format!("{routers} routers with lists of {rows} rows"), bytes)?;
-    let (least, last) =
-        (l.span("list-service-plays.notice-least-us"), l.span("list-service-plays.notice-most-us"));
+    plan.fits(
+        &key_of("routers"),
+        &format!("{routers} routers with lists of {rows} rows"),
+        bytes,
+    )?;
+    let (least, last) = (
+        l.span("list-service-plays.notice-least-us"),
+        l.span("list-service-plays.notice-most-us"),
+    );
     if least > last {
         let what = "list-service-plays.notice-least is above notice-most";
         return Err(l.problem_at(&key_of("notice-least-us"), what, "as 200ms and 1s"));
@@ -113,7 +174,10 @@
         links: Links::default(),
         whole_edges: false,
         zones: plan.settings.size("capacity.zones"),
-        beat_every: plan.settings.span("list-service-plays.beat-every-us").max(1000),
+        beat_every: plan
+            .settings
+            .span("list-service-plays.beat-every-us")
+            .max(1000),
     };
     ListStage::new(spec, stop.clone(), Duration::MAX / 4).map_err(|e| e.to_string())
 }
@@ -127,18 +191,35 @@
     for at in sizes("beating")? {
         beats(plan, at, sink, stop)?;
     }
-    let fleet = |axis, at: u64, with, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
-        if stop.is_set() {
-            return Ok(());
-        }
-        let stage = stage_of(plan, routers, rows, stop)?;
-        play_all(&mut Played { plan, told: Told { sink, axis, at: at as f64, with }, stage })
-    };
+    let fleet =
+        |axis, at: u64, with, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
+            if stop.is_set() {
+                return Ok(());
+            }
+            let stage = stage_of(plan, routers, rows, stop)?;
+            play_all(&mut Played {
+                plan,
+                told: Told {
+                    sink,
+                    axis,
+                    at: at as f64,
+                    with,
+                },
+                stage,
+            })
+        };
     for at in &rows {
         fleet("rows", *at, format!("{base} routers"), base, *at, sink)?;
     }
     for at in &routers {
-        fleet("routers", *at, format!("{most_rows} rows"), *at, most_rows, sink)?;
+        fleet(
+            "routers",
+            *at,
+            format!("{most_rows} rows"),
+            *at,
+            most_rows,
+            sink,
+        )?;
     }
     for at in sizes("changes")? {
         if stop.is_set() {
@@ -146,9 +227,17 @@
         }
         let stage = stage_of(plan, base, most_rows, stop)?;
         let with = format!("{base} routers and {most_rows} rows");
-        let told = Told { sink, axis: "changes a second", at: at as f64, with };
+        let told = Told {
+            sink,
+            axis: "changes a second",
+            at: at as f64,
+            with,
+        };
         let mut played = Played { plan, told, stage };
-        played.stage.start_routers(base as usize, false).map_err(|e| e.to_string())?;
+        played
+            .stage
+            .start_routers(base as usize, false)
+            .map_err(|e| e.to_string())?;
         let all = |f: &Followers| f.routers.iter().all(|router| router.told.is_some());
         played.allow();
         if played.stage.run_until_true(NEVER, all).is_ok() {
@@ -165,21 +254,38 @@
         return Ok(());
     }
     let stage = stage_of(plan, 1, workers, stop)?;
-    let told = Told { sink, axis: "rows", at: workers as f64, with: "no router".into() };
+    let told = Told {
+        sink,
+        axis: "rows",
+        at: workers as f64,
+        with: "no router".into(),
+    };
     let mut played = Played { plan, told, stage };
     played.allow();
     played.stage.add_workers(workers as usize);
-    let begun = played.stage.run_for(SECOND).and_then(|()| played.stage.to_whole_second());
+    let begun = played
+        .stage
+        .run_for(SECOND)
+        .and_then(|()| played.stage.to_whole_second());
     let from = *begun.as_ref().unwrap_or(&played.stage.now());
     let ran = begun.and_then(|_| played.stage.run_for(BEATING));
     let source = source_of(&ran);
     let (beats, nanoseconds) = {
         let tally = played.stage.tally.borrow();
         let to = played.stage.now();
-        (tally.sum(from, to, |s| s.beats) as f64, tally.sum(from, to, |s| s.nanoseconds) as f64)
+        (
+            tally.sum(from, to, |s| s.beats) as f64,
+            tally.sum(from, to, |s| s.nanoseconds) as f64,
+        )
     };
     let span = seconds(played.stage.now() - from).max(seconds(SECOND) / 10.0);
-    played.told.tell("all workers beat", "beats a second", "beats", beats / span, source)?;
+    played.told.tell(
+        "all workers beat",
+        "beats a second",
+        "beats",
+        beats / span,
+        source,
+    )?;
     played.told.tell(
         "all workers beat",
         "processor time a second",
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -10,7 +10,9 @@
 use sanddrum_net::{Core, Event, HostId, Io, Links, Micros, NoTap, VirtualNet};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_wire::{Phase, Row};
-use sanddrum_worker::{ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec};
+use sanddrum_worker::{
+    ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -137,12 +139,21 @@
     /// The service starts with a list that it had kept, in a run of its own.
     pub fn start_list(&mut self) {
         self.list_runs += 1;
-        let rows: Vec<Row> = (0..self.spec.rows).map(|n| row(n, self.spec.zones)).collect();
+        let rows: Vec<Row> = (0..self.spec.rows)
+            .map(|n| row(n, self.spec.zones))
+            .collect();
         let faults = Rc::new(RefCell::new(ListFaults::default()));
-        let service =
-            ListService::new(self.spec.list.clone(), self.spec.seed ^ 0x115, self.list_runs, faults);
+        let service = ListService::new(
+            self.spec.list.clone(),
+            self.spec.seed ^ 0x115,
+            self.list_runs,
+            faults,
+        );
         let service = service.with_rows(self.now(), &rows);
-        self.net.replace(self.list, Box::new(Metered::new(service, self.tally.clone())));
+        self.net.replace(
+            self.list,
+            Box::new(Metered::new(service, self.tally.clone())),
+        );
     }
     pub fn stop_list(&mut self) {
         self.net.kill(self.list);
@@ -154,9 +165,16 @@
     pub fn start_routers(&mut self, count: usize, keep: bool) -> Result<(), Problem> {
         for n in 0..count.min(self.spec.routers) {
             self.starts += 1;
-            let seed = self.spec.seed.wrapping_mul(1009).wrapping_add(n as u64 * 101 + self.starts);
-            let core =
-                if self.spec.whole_edges { self.edge(n, seed, keep)? } else { self.hollow(n, seed, keep) };
+            let seed = self
+                .spec
+                .seed
+                .wrapping_mul(1009)
+                .wrapping_add(n as u64 * 101 + self.starts);
+            let core = if self.spec.whole_edges {
+                self.edge(n, seed, keep)?
+            } else {
+                self.hollow(n, seed, keep)
+            };
             match self.routers.get(n) {
                 Some(host) => self.net.replace(*host, core),
                 None => {
@@ -178,13 +196,29 @@
         ] {
             settings.give(name, &value, "capacity")?;
         }
-        let kept = self.routers.get(n).and_then(|host| self.net.kept(*host)).filter(|_| keep);
+        let kept = self
+            .routers
+            .get(n)
+            .and_then(|host| self.net.kept(*host))
+            .filter(|_| keep);
         let incarnation = self.starts;
-        let start = Start { settings, seed, kept, incarnation, metrics_page: None, platform: None };
+        let start = Start {
+            settings,
+            seed,
+            kept,
+            incarnation,
+            metrics_page: None,
+            platform: None,
+        };
         Ok(Box::new(Edge::new(start)))
     }
     fn hollow(&self, n: usize, seed: u64, keep: bool) -> Box<dyn Core> {
-        let known = self.followers.borrow().routers.get(n).map(|follower| follower.known);
+        let known = self
+            .followers
+            .borrow()
+            .routers
+            .get(n)
+            .map(|follower| follower.known);
         let spec = HollowRouterSpec {
             number: n,
             name: Scenario::edge_name(n),
@@ -194,10 +228,17 @@
             kept: known.filter(|known| keep && *known != Known::default()),
             largest_frame: self.spec.settings.size("limits.largest-frame-bytes"),
         };
-        Box::new(HollowRouter::new(spec, &self.module, self.followers.clone()))
+        Box::new(HollowRouter::new(
+            spec,
+            &self.module,
+            self.followers.clone(),
+        ))
     }
     pub fn stop_routers(&mut self, count: usize) {
-        self.routers.iter().take(count).for_each(|host| self.net.kill(*host));
+        self.routers
+            .iter()
+            .take(count)
+            .for_each(|host| self.net.kill(*host));
     }
     fn worker(&self, n: usize, incarnation: u64) -> Box<dyn Core> {
         let (now, row) = (self.now(), row(n, self.spec.zones));
@@ -226,8 +267,10 @@
             beat_every: self.spec.beat_every,
         };
         let started = if incarnation > 1 { now } else { 0 };
-        let (faults, marks) =
-            (Rc::new(RefCell::new(WorkerFaults::default())), Rc::new(RefCell::new(Marks::new(0))));
+        let (faults, marks) = (
+            Rc::new(RefCell::new(WorkerFaults::default())),
+            Rc::new(RefCell::new(Marks::new(0))),
+        );
         let seed = self.spec.seed.wrapping_mul(31).wrapping_add(n as u64);
         Box::new(Worker::new(spec, seed, started, incarnation, faults, marks))
     }
@@ -245,7 +288,12 @@
     }
     /// A worker starts anew, at once where it still ran.
     pub fn restart_worker(&mut self, n: usize) {
-        let Some((host, incarnation)) = self.workers.get(n).copied().zip(self.incarnations.get_mut(n)) else {
+        let Some((host, incarnation)) = self
+            .workers
+            .get(n)
+            .copied()
+            .zip(self.incarnations.get_mut(n))
+        else {
             return;
         };
         *incarnation += 1;
@@ -299,7 +347,11 @@
     ///
     /// # Errors
     /// It took too long, was told to stop, or never held.
-    pub fn run_until_true(&mut self, most: Micros, holds: impl Fn(&Followers) -> bool) -> Result<(), Cut> {
+    pub fn run_until_true(
+        &mut self,
+        most: Micros,
+        holds: impl Fn(&Followers) -> bool,
+    ) -> Result<(), Cut> {
         let last = self.now() + most;
         while !holds(&self.followers.borrow()) {
             if self.now() >= last {
--- a/crates/sanddrum-lab/src/capacity/memory.rs
+++ b/crates/sanddrum-lab/src/capacity/memory.rs
@@ -88,7 +88,10 @@
     let deadline = Instant::now() + limit;
     fleet.run_until(until, deadline, stop);
     let rounds = fleet.rounds.take().unwrap_or_default();
-    let Some(list) = rounds.iter().find_map(|(_, round)| round.lists.first().cloned()) else {
+    let Some(list) = rounds
+        .iter()
+        .find_map(|(_, round)| round.lists.first().cloned())
+    else {
         return Ok(None);
     };
     let mut module = Router::new(1, &settings);
@@ -103,7 +106,13 @@
     let clock = Clock::new();
     let mut time = |lists: Vec<WorkerList>| {
         now += 1;
-        let (round, mut written) = (Round { lists, ..Round::default() }, Written::default());
+        let (round, mut written) = (
+            Round {
+                lists,
+                ..Round::default()
+            },
+            Written::default(),
+        );
         let began = Clock::now();
         module.round(now, &round, &mut written);
         clock.passed(began) as f64 / 1e3
@@ -117,12 +126,17 @@
     let mut rows = list.rows.iter().cycle();
     let mut change = |state: WorkerState, row: sanddrum::WorkerRow| {
         let rows = vec![sanddrum::WorkerRow { state, ..row }];
-        time(vec![WorkerList { kind: ListKind::Changes, rows }])
+        time(vec![WorkerList {
+            kind: ListKind::Changes,
+            rows,
+        }])
     };
     // Draining, gone and back, as one that is replaced.
     let mut each: Vec<f64> = Vec::new();
     for _ in 0..changes.div_ceil(3) {
-        let Some(row) = rows.next().copied() else { break };
+        let Some(row) = rows.next().copied() else {
+            break;
+        };
         for state in [WorkerState::Draining, WorkerState::Gone, WorkerState::Ready] {
             each.push(change(state, row) - nothing);
         }
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -30,8 +30,18 @@
 /// Something said between the list service and a router, in the order in which the service heard or said it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Said {
-    Asks { router: String, run: u64, version: u64 },
-    Told { router: String, run: u64, version: u64, whole: bool, rows: usize },
+    Asks {
+        router: String,
+        run: u64,
+        version: u64,
+    },
+    Told {
+        router: String,
+        run: u64,
+        version: u64,
+        whole: bool,
+        rows: usize,
+    },
 }
 
 #[derive(Debug, Default)]
@@ -55,7 +65,9 @@
     }
     fn within(&self, from: Micros, to: Micros) -> impl Iterator<Item = &ListSecond> {
         let (from, to) = (from.div_euclid(1_000_000), to.div_euclid(1_000_000));
-        self.seconds.range(from..to.max(from + 1)).map(|(_, second)| second)
+        self.seconds
+            .range(from..to.max(from + 1))
+            .map(|(_, second)| second)
     }
 }
 
@@ -113,19 +125,40 @@
 impl<C: Core> Metered<C> {
     pub fn new(core: C, tally: Rc<RefCell<Tally>>) -> Self {
         let (wires, clock, now) = (BTreeMap::new(), Clock::new(), Cell::new(0));
-        Metered { core, wires, tally, clock, now }
+        Metered {
+            core,
+            wires,
+            tally,
+            clock,
+            now,
+        }
     }
     fn call(&mut self, now: Micros, io: &mut dyn Io, what: impl FnOnce(&mut C, &mut dyn Io)) {
         self.now.set(now);
-        let Metered { core, wires, tally, clock, .. } = self;
-        let mut counted = Counted { io, wires, tally, now, clock, outside: 0 };
+        let Metered {
+            core,
+            wires,
+            tally,
+            clock,
+            ..
+        } = self;
+        let mut counted = Counted {
+            io,
+            wires,
+            tally,
+            now,
+            clock,
+            outside: 0,
+        };
         let before = Clock::now();
         what(core, &mut counted);
         let within = clock.passed(before).saturating_sub(counted.outside);
         tally.borrow_mut().second(now).nanoseconds += within;
     }
     fn heard(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
-        let Some(wire) = self.wires.get_mut(&conn) else { return };
+        let Some(wire) = self.wires.get_mut(&conn) else {
+            return;
+        };
         wire.inn.take_in(bytes);
         let mut tally = self.tally.borrow_mut();
         while let Ok(Some(message)) = wire.inn.next_message::<ToList>() {
@@ -137,8 +170,15 @@
                 ToList::Watch(watch) => {
                     tally.second(now).calls += 1;
                     let (router, run, version) = (wire.router.clone(), watch.run, watch.version);
-                    let asks = Said::Asks { router, run, version };
-                    tally.said.iter_mut().for_each(|said| said.push((now, asks.clone())));
+                    let asks = Said::Asks {
+                        router,
+                        run,
+                        version,
+                    };
+                    tally
+                        .said
+                        .iter_mut()
+                        .for_each(|said| said.push((now, asks.clone())));
                 }
                 ToList::Register(_) => tally.second(now).registers += 1,
                 ToList::Beat(_) => tally.second(now).beats += 1,
@@ -156,7 +196,14 @@
             Event::Accepted { conn, .. } => {
                 self.tally.borrow_mut().second(now).connections += 1;
                 let (inn, told) = (Frames::new(MOST), Frames::new(MOST));
-                self.wires.insert(conn, Wire { inn, told, ..Wire::default() });
+                self.wires.insert(
+                    conn,
+                    Wire {
+                        inn,
+                        told,
+                        ..Wire::default()
+                    },
+                );
             }
             Event::Bytes { conn, bytes } => self.heard(now, conn, bytes),
             Event::Closed { conn, .. } => drop(self.wires.remove(&conn)),
@@ -198,7 +245,9 @@
         done
     }
     fn wrote(&mut self, conn: Conn, bytes: &[u8]) {
-        let Some(wire) = self.wires.get_mut(&conn) else { return };
+        let Some(wire) = self.wires.get_mut(&conn) else {
+            return;
+        };
         let mut tally = self.tally.borrow_mut();
         let second = tally.second(self.now);
         second.messages += wire.out.ends(bytes);
@@ -206,10 +255,21 @@
         let Some(said) = &mut tally.said else { return };
         wire.told.take_in(bytes);
         while let Ok(Some(message)) = wire.told.next_message::<FromList>() {
-            let FromList::Rows(rows) = message else { continue };
+            let FromList::Rows(rows) = message else {
+                continue;
+            };
             let (router, count) = (wire.router.clone(), rows.rows.len());
             let (run, version, whole) = (rows.run, rows.version, rows.whole);
-            said.push((self.now, Said::Told { router, run, version, whole, rows: count }));
+            said.push((
+                self.now,
+                Said::Told {
+                    router,
+                    run,
+                    version,
+                    whole,
+                    rows: count,
+                },
+            ));
         }
     }
 }
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -17,20 +17,80 @@
     about: "hollow workers, their store and the calls",
     keys: &[
         key("cores", Kind::Whole(1.0, 1e3), Some("8"), "of a worker"),
-        key("queue", Kind::Whole(0.0, 1e5), Some("64"), "jobs that wait at a worker; more are full"),
-        key("memory", Kind::Memory, Some("12GB"), "of a worker, for copies"),
-        key("loads-at-once", Kind::Whole(1.0, 1e3), Some("4"), "at a worker; twice as many wait"),
+        key(
+            "queue",
+            Kind::Whole(0.0, 1e5),
+            Some("64"),
+            "jobs that wait at a worker; more are full",
+        ),
+        key(
+            "memory",
+            Kind::Memory,
+            Some("12GB"),
+            "of a worker, for copies",
+        ),
+        key(
+            "loads-at-once",
+            Kind::Whole(1.0, 1e3),
+            Some("4"),
+            "at a worker; twice as many wait",
+        ),
         key("load", Kind::Span, Some("600ms"), "a load, in the middle"),
-        key("load-spread", Kind::Number(0.0, 2.0), Some("0.3"), "the deviation of its logarithm"),
-        key("work", Kind::Span, Some("20ms"), "of a call, in the mean; drawn exponentially"),
-        key("report-every", Kind::Span, Some("250ms"), "how old a load report may be"),
-        key("same-zone", Kind::Span, Some("200us"), "a message's way within a zone"),
+        key(
+            "load-spread",
+            Kind::Number(0.0, 2.0),
+            Some("0.3"),
+            "the deviation of its logarithm",
+        ),
+        key(
+            "work",
+            Kind::Span,
+            Some("20ms"),
+            "of a call, in the mean; drawn exponentially",
+        ),
+        key(
+            "report-every",
+            Kind::Span,
+            Some("250ms"),
+            "how old a load report may be",
+        ),
+        key(
+            "same-zone",
+            Kind::Span,
+            Some("200us"),
+            "a message's way within a zone",
+        ),
         key("cross-zone", Kind::Span, Some("600us"), "and between two"),
-        key("notice-least", Kind::Span, Some("200ms"), "changes of the list reach a router after"),
-        key("notice-most", Kind::Span, Some("1s"), "and at the latest after"),
-        key("silent-after", Kind::Span, Some("4s"), "a worker unheard for so long counts as gone"),
-        key("zipf", Kind::Number(0.0, 5.0), Some("1.1"), "how uneven the popularity of functions is"),
-        key("rare-part", Kind::Number(0.0, 0.99), Some("90%"), "functions called less than once a minute"),
+        key(
+            "notice-least",
+            Kind::Span,
+            Some("200ms"),
+            "changes of the list reach a router after",
+        ),
+        key(
+            "notice-most",
+            Kind::Span,
+            Some("1s"),
+            "and at the latest after",
+        ),
+        key(
+            "silent-after",
+            Kind::Span,
+            Some("4s"),
+            "a worker unheard for so long counts as gone",
+        ),
+        key(
+            "zipf",
+            Kind::Number(0.0, 5.0),
+            Some("1.1"),
+            "how uneven the popularity of functions is",
+        ),
+        key(
+            "rare-part",
+            Kind::Number(0.0, 0.99),
+            Some("90%"),
+            "functions called less than once a minute",
+        ),
     ],
 };
 
@@ -39,11 +99,17 @@
     let l = &plan.settings;
     if l.count("functions") == 0 {
         let remedy = "add (function \"f-*\" (workload \"...\"))";
-        return Err(l.problem_at("", "no function is set, and nothing would be called", remedy));
+        return Err(l.problem_at(
+            "",
+            "no function is set, and nothing would be called",
+            remedy,
+        ));
     }
     let (called, first) = (l.text("functions.0.workload"), l.text("workloads.0.name"));
     if called != first {
-        let what = format!("functions.0.workload: calls are of the first function, which is of {called:?}");
+        let what = format!(
+            "functions.0.workload: calls are of the first function, which is of {called:?}"
+        );
         return Err(l.problem_at(
             "functions.0.workload",
             what,
@@ -53,7 +119,10 @@
     for n in 0..l.count("functions") {
         let name = format!("functions.{n}.memory-mb");
         if l.number(&name) > l.number("model.memory-mb") {
-            let what = format!("a copy takes {} MB, which is more than model.memory holds", l.number(&name));
+            let what = format!(
+                "a copy takes {} MB, which is more than model.memory holds",
+                l.number(&name)
+            );
             return Err(l.problem_at(&name, what, "set it smaller, or model.memory larger"));
         }
     }
@@ -98,7 +167,11 @@
                 memory_mb: l.number("model.memory-mb"),
                 loads_at_once: l.size("model.loads-at-once"),
                 keep_alive: l.span("copies.keep-alive-us"),
-                on_miss: if l.text("copies.on-miss") == "miss" { OnMiss::Miss } else { OnMiss::Load },
+                on_miss: if l.text("copies.on-miss") == "miss" {
+                    OnMiss::Miss
+                } else {
+                    OnMiss::Load
+                },
                 // The whole of a load is drawn.
                 start_us_per_mb: 0.0,
                 cold_from: l.number("rules.cold-from"),
@@ -173,42 +246,68 @@
     pub fn new(l: &Loaded, count: usize, shape: Shape, seed: u64) -> Self {
         let prefix = l.text("functions.0.name").trim_end_matches('*').to_string();
         let workload = l.text("functions.0.workload").to_string();
-        let (memory_mb, lanes) = (l.number("functions.0.memory-mb"), l.size("functions.0.lanes") as u32);
-        let load = l.has("functions.0.load-us").then(|| l.span("functions.0.load-us"));
+        let (memory_mb, lanes) = (
+            l.number("functions.0.memory-mb"),
+            l.size("functions.0.lanes") as u32,
+        );
+        let load = l
+            .has("functions.0.load-us")
+            .then(|| l.span("functions.0.load-us"));
         let mut chance = Chance::new(seed ^ 0xf0);
         let (zipf, frequent, calls) = match shape {
             Shape::Zipf(zipf) => (zipf, count, 1.0),
-            Shape::Rare { zipf, part, calls } => {
-                (zipf, ((count as f64 * (1.0 - part)).round() as usize).clamp(1, count), calls)
-            }
+            Shape::Rare { zipf, part, calls } => (
+                zipf,
+                ((count as f64 * (1.0 - part)).round() as usize).clamp(1, count),
+                calls,
+            ),
         };
         let rates: Vec<f64> = (frequent..count)
             .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.part()))
             .collect();
         let of_rare = rates.iter().sum::<f64>() / calls;
         let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
-        let parts = (1..=frequent).map(|rank| (rank as f64).powf(-zipf) / whole * (1.0 - of_rare).max(0.0));
+        let parts =
+            (1..=frequent).map(|rank| (rank as f64).powf(-zipf) / whole * (1.0 - of_rare).max(0.0));
         let mut sum = 0.0;
-        let sums = parts.chain(rates.iter().map(|rate| rate / calls)).map(|part| {
-            sum += part;
-            sum
-        });
+        let sums = parts
+            .chain(rates.iter().map(|rate| rate / calls))
+            .map(|part| {
+                sum += part;
+                sum
+            });
         let sums = sums.collect();
         let function = |n: usize| {
             let name = format!("{workload}/{prefix}{n}");
-            Function { id: FunctionId(id_of(&name)), name, memory_mb, lanes, load, rare: n >= frequent }
+            Function {
+                id: FunctionId(id_of(&name)),
+                name,
+                memory_mb,
+                lanes,
+                load,
+                rare: n >= frequent,
+            }
         };
-        Functions { all: (0..count).map(function).collect(), sums }
+        Functions {
+            all: (0..count).map(function).collect(),
+            sums,
+        }
     }
     /// One, as often as it is called.
     pub fn draw(&self, chance: &mut Chance) -> usize {
         let all = self.sums.last().copied().unwrap_or(1.0);
         let at = chance.part() * all;
-        self.sums.partition_point(|sum| *sum <= at).min(self.all.len().saturating_sub(1))
+        self.sums
+            .partition_point(|sum| *sum <= at)
+            .min(self.all.len().saturating_sub(1))
     }
     /// Its part of all calls.
     pub fn part(&self, n: usize) -> f64 {
-        let before = n.checked_sub(1).and_then(|n| self.sums.get(n)).copied().unwrap_or(0.0);
+        let before = n
+            .checked_sub(1)
+            .and_then(|n| self.sums.get(n))
+            .copied()
+            .unwrap_or(0.0);
         self.sums.get(n).map_or(0.0, |sum| sum - before) / self.sums.last().copied().unwrap_or(1.0)
     }
 }
@@ -240,13 +339,21 @@
     ) -> bool {
         let keep = at.machine.size.keep_alive.max(1);
         let part = functions.part(n);
-        let places = (part * workers as f64 / PLACE_PART).ceil().clamp(PLACES, (workers as f64).max(PLACES));
+        let places = (part * workers as f64 / PLACE_PART)
+            .ceil()
+            .clamp(PLACES, (workers as f64).max(PLACES));
         let expected = part * self.calls * (keep as f64 / 1e6) / places;
         let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
         Chance::new(self.seed ^ draw).part() < 1.0 - (-expected).exp()
     }
     /// A report with the others' jobs in it.
-    fn in_report(&self, now: Micros, at: &HollowWorker, report: LoadReport, jobs: f64) -> LoadReport {
+    fn in_report(
+        &self,
+        now: Micros,
+        at: &HollowWorker,
+        report: LoadReport,
+        jobs: f64,
+    ) -> LoadReport {
         let mut chance = Chance::new(self.seed ^ at.id.0 ^ now as u64);
         // A Poisson draw, by the gaps between arrivals; jobs at a worker are few.
         let (mut more, mut gone) = (0.0, chance.gap(1.0));
@@ -283,7 +390,16 @@
         let seed = seed.wrapping_mul(31).wrapping_add(n as u64);
         let machine = Machine::new(size.clone(), seed, 0);
         let zone = n % zones.max(1);
-        HollowWorker { id, zone, machine, incarnation: 1, up: true, drains: false, wake: None, report: None }
+        HollowWorker {
+            id,
+            zone,
+            machine,
+            incarnation: 1,
+            up: true,
+            drains: false,
+            wake: None,
+            report: None,
+        }
     }
     /// It starts anew, empty and cold.
     pub fn restart(&mut self, now: Micros) {
@@ -292,12 +408,18 @@
         self.machine = Machine::new(size, self.id.0 ^ self.incarnation, now);
         (self.up, self.drains, self.report, self.wake) = (true, false, None, None);
     }
-    pub(crate) fn report(&mut self, now: Micros, every: Micros, others: Option<(Others, f64)>) -> LoadReport {
+    pub(crate) fn report(
+        &mut self,
+        now: Micros,
+        every: Micros,
+        others: Option<(Others, f64)>,
+    ) -> LoadReport {
         match self.report {
             Some((at, report)) if now < at + every => report,
             _ => {
                 let own = self.machine.report();
-                let report = others.map_or(own, |(others, jobs)| others.in_report(now, self, own, jobs));
+                let report =
+                    others.map_or(own, |(others, jobs)| others.in_report(now, self, own, jobs));
                 self.report = Some((now, report));
                 report
             }
--- a/crates/sanddrum-lab/src/capacity/output.rs
+++ b/crates/sanddrum-lab/src/capacity/output.rs
@@ -57,7 +57,9 @@
         let mut text = String::new();
         for s in slopes(&self.points) {
             let each = |points: &[(f64, f64)]| {
-                let each = points.iter().map(|(at, value)| format!("{}: {}", figure(*at), figure(*value)));
+                let each = points
+                    .iter()
+                    .map(|(at, value)| format!("{}: {}", figure(*at), figure(*value)));
                 each.collect::<Vec<_>>().join(", ")
             };
             let cut = match s.not_finished.is_empty() {
@@ -96,7 +98,9 @@
     /// It can't be made.
     pub fn new(folder: &Path) -> Result<Self, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        Ok(Output { folder: folder.to_path_buf() })
+        Ok(Output {
+            folder: folder.to_path_buf(),
+        })
     }
     pub(crate) fn write(&self, summary: &Summary) -> Result<(), String> {
         let slopes = slopes(&summary.points);
@@ -118,7 +122,10 @@
         self.replace("slopes.csv", &csv(&rows)?)
     }
     fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), String> {
-        let (beside, file) = (self.folder.join(format!("{name}.new")), self.folder.join(name));
+        let (beside, file) = (
+            self.folder.join(format!("{name}.new")),
+            self.folder.join(name),
+        );
         let written = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, &file));
         written.map_err(|e| format!("{}: {e}", file.display()))
     }
@@ -126,7 +133,11 @@
 
 fn row(s: &Slope) -> Row<'_> {
     let each = |points: &[(f64, f64)]| {
-        points.iter().map(|(at, value)| format!("{at}={value}")).collect::<Vec<_>>().join(" ")
+        points
+            .iter()
+            .map(|(at, value)| format!("{at}={value}"))
+            .collect::<Vec<_>>()
+            .join(" ")
     };
     Row {
         role: s.role,
--- a/crates/sanddrum-lab/src/capacity/pictures.rs
+++ b/crates/sanddrum-lab/src/capacity/pictures.rs
@@ -21,18 +21,32 @@
         let line = |slope: &&Slope| {
             let above = slope.points.iter().filter(|(at, _)| *at > 0.0);
             let points: Vec<(f64, f64)> = above.map(|(at, value)| (at.log10(), *value)).collect();
-            (points.len() > 1).then(|| Line { name: slope.play.clone(), points })
+            (points.len() > 1).then(|| Line {
+                name: slope.play.clone(),
+                points,
+            })
         };
         let all: Vec<Line> = slopes.iter().filter_map(line).collect();
         if all.is_empty() {
             continue;
         }
-        let letter = |c: char| if c.is_ascii_alphanumeric() { c.to_ascii_lowercase() } else { '-' };
+        let letter = |c: char| {
+            if c.is_ascii_alphanumeric() {
+                c.to_ascii_lowercase()
+            } else {
+                '-'
+            }
+        };
         let words: String = name.chars().map(letter).collect();
         let words: Vec<&str> = words.split('-').filter(|word| !word.is_empty()).collect();
         let first = slopes[0];
         let file = folder.join(format!("{}.svg", words.join("-")));
-        lines(&file, &name, (&format!("log10 of {}", first.axis), first.unit), &all)?;
+        lines(
+            &file,
+            &name,
+            (&format!("log10 of {}", first.axis), first.unit),
+            &all,
+        )?;
     }
     Ok(())
 }
--- a/crates/sanddrum-lab/src/capacity/plan.rs
+++ b/crates/sanddrum-lab/src/capacity/plan.rs
@@ -16,19 +16,79 @@
     repeats: false,
     about: "what the operators expect to run",
     keys: &[
-        key("routers", Kind::Whole(1.0, 1e6), Some("4200"), "of all zones together"),
-        key("workers", Kind::Whole(1.0, 1e6), Some("10000"), "of all zones together"),
-        key("functions", Kind::Whole(1.0, 1e8), Some("200000"), "that are called at all"),
-        key("calls", Kind::Number(0.1, 1e9), Some("670000"), "a second, at all routers together"),
-        key("changes", Kind::Number(0.0, 1e9), Some("12000"), "of the configuration a day"),
-        key("failed", Kind::Number(0.0, 1e6), Some("23"), "workers that fail on a day"),
-        key("replaced", Kind::Number(0.0, 1e6), Some("340"), "workers restarted or replaced on a day"),
+        key(
+            "routers",
+            Kind::Whole(1.0, 1e6),
+            Some("4200"),
+            "of all zones together",
+        ),
+        key(
+            "workers",
+            Kind::Whole(1.0, 1e6),
+            Some("10000"),
+            "of all zones together",
+        ),
+        key(
+            "functions",
+            Kind::Whole(1.0, 1e8),
+            Some("200000"),
+            "that are called at all",
+        ),
+        key(
+            "calls",
+            Kind::Number(0.1, 1e9),
+            Some("670000"),
+            "a second, at all routers together",
+        ),
+        key(
+            "changes",
+            Kind::Number(0.0, 1e9),
+            Some("12000"),
+            "of the configuration a day",
+        ),
+        key(
+            "failed",
+            Kind::Number(0.0, 1e6),
+            Some("23"),
+            "workers that fail on a day",
+        ),
+        key(
+            "replaced",
+            Kind::Number(0.0, 1e6),
+            Some("340"),
+            "workers restarted or replaced on a day",
+        ),
         key("zones", Kind::Whole(1.0, 1e4), Some("19"), "in all regions"),
-        key("regions", Kind::Whole(1.0, 1e3), Some("5"), "that may lose each other"),
-        key("start-within", Kind::Span, Some("1800ms"), "a cold start takes no longer for nearly all"),
-        key("start-part", Kind::Number(0.0, 1.0), Some("99%"), "nearly all"),
-        key("in-force-within", Kind::Span, Some("15s"), "a change of configuration is in force everywhere"),
-        key("time-a-point", Kind::Span, Some("60s"), "real time after which a point counts as not finished"),
+        key(
+            "regions",
+            Kind::Whole(1.0, 1e3),
+            Some("5"),
+            "that may lose each other",
+        ),
+        key(
+            "start-within",
+            Kind::Span,
+            Some("1800ms"),
+            "a cold start takes no longer for nearly all",
+        ),
+        key(
+            "start-part",
+            Kind::Number(0.0, 1.0),
+            Some("99%"),
+            "nearly all",
+        ),
+        key(
+            "in-force-within",
+            Kind::Span,
+            Some("15s"),
+            "a change of configuration is in force everywhere",
+        ),
+        key(
+            "time-a-point",
+            Kind::Span,
+            Some("60s"),
+            "real time after which a point counts as not finished",
+        ),
     ],
 };
 
@@ -48,7 +108,8 @@
         let file = "/proc/meminfo";
         let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
         let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-        let kilobytes: Option<u64> = line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok());
+        let kilobytes: Option<u64> =
+            line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok());
         let total = kilobytes.ok_or_else(|| format!("{file}: no MemTotal"))? * 1024;
         Ok(Memory { total })
     }
@@ -75,10 +136,18 @@
     /// # Errors
     /// What is wrong with it, and where: what can't be played is refused here, with its key.
     pub fn read(file: &str, text: &str, seed: u64, memory: Memory) -> Result<Self, Problem> {
-        let sections: Vec<Section> =
-            [DEPLOYMENT, model::SECTION].into_iter().chain(PLAYS.iter().map(|play| play.section)).collect();
+        let sections: Vec<Section> = [DEPLOYMENT, model::SECTION]
+            .into_iter()
+            .chain(PLAYS.iter().map(|play| play.section))
+            .collect();
         let settings = sanddrum_settings::read_with(file, text, &sections)?;
-        let plan = Plan { settings, text: text.to_string(), seed, memory, program: None };
+        let plan = Plan {
+            settings,
+            text: text.to_string(),
+            seed,
+            memory,
+            program: None,
+        };
         model::check(&plan)?;
         PLAYS.iter().try_for_each(|play| (play.check)(&plan))?;
         Ok(plan)
@@ -101,9 +170,18 @@
         Err(self.problem(key, what, "set a smaller size"))
     }
     /// A problem that concerns a setting or a list, with its place in the file.
-    pub fn problem(&self, key: &str, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
+    pub fn problem(
+        &self,
+        key: &str,
+        what: impl Into<String>,
+        remedy: impl Into<String>,
+    ) -> Problem {
         let counted = format!("{key}.count");
-        let at = if self.settings.has(&counted) { &counted } else { key };
+        let at = if self.settings.has(&counted) {
+            &counted
+        } else {
+            key
+        };
         self.settings.problem_at(at, what, remedy)
     }
     /// A list of sizes; an empty one is refused.
--- a/crates/sanddrum-lab/src/capacity/point.rs
+++ b/crates/sanddrum-lab/src/capacity/point.rs
@@ -66,7 +66,8 @@
     let mut slopes: Vec<Slope> = Vec::new();
     for p in points {
         let same = |s: &Slope| {
-            (s.role, &s.play, &s.figure, s.axis, s.unit) == (p.role, &p.play, &p.figure, p.axis, p.unit)
+            (s.role, &s.play, &s.figure, s.axis, s.unit)
+                == (p.role, &p.play, &p.figure, p.axis, p.unit)
         };
         let n = slopes.iter().position(same).unwrap_or_else(|| {
             slopes.push(Slope {
@@ -99,5 +100,7 @@
 fn means(mut points: Vec<(f64, f64)>) -> Vec<(f64, f64)> {
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
     let groups = points.chunk_by(|a, b| a.0 == b.0);
-    groups.map(|g| (g[0].0, g.iter().map(|p| p.1).sum::<f64>() / g.len() as f64)).collect()
+    groups
+        .map(|g| (g[0].0, g.iter().map(|p| p.1).sum::<f64>() / g.len() as f64))
+        .collect()
 }
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -46,8 +46,10 @@
         seen.module_nanoseconds += took;
         seen.rounds.push((now, round.clone()));
         seen.jobs.extend(round.jobs.iter().map(|job| (now, *job)));
-        seen.lists.extend(round.lists.iter().map(|list| (now, list.clone())));
-        seen.decisions.extend(written.0.iter().map(|decision| (now, decision.clone())));
+        seen.lists
+            .extend(round.lists.iter().map(|list| (now, list.clone())));
+        seen.decisions
+            .extend(written.0.iter().map(|decision| (now, decision.clone())));
         drop(seen);
         written.0.iter().for_each(|decision| decision.write(out));
     }
@@ -102,7 +104,11 @@
 
 /// Links that take the same time for each message.
 pub fn even_links() -> Links {
-    Links { jitter: 0.0, split: 0.0, ..Links::default() }
+    Links {
+        jitter: 0.0,
+        split: 0.0,
+        ..Links::default()
+    }
 }
 
 /// Plays a scenario with one real edge. Callers tell the work of each call as their hint, so that it can be played
@@ -112,15 +118,26 @@
 /// The scenario can't be set up.
 pub fn real(mut scenario: Scenario) -> Result<Seen, String> {
     scenario.edges = 1;
-    scenario.calls.iter_mut().for_each(|calls| calls.exact = true);
+    scenario
+        .calls
+        .iter_mut()
+        .for_each(|calls| calls.exact = true);
     let seen: Shared = Rc::new(RefCell::new(Seen::default()));
     let (recording, shared) = (Recording::default(), seen.clone());
     let make_edge = move |start: Start| -> Box<dyn Core> {
         shared.borrow_mut().seed = start.seed;
         let module = Router::new(start.seed, &start.settings.values_for_module());
-        let module = Watched { module, seen: shared.clone(), clock: Clock::new() };
+        let module = Watched {
+            module,
+            seen: shared.clone(),
+            clock: Clock::new(),
+        };
         let core = Box::new(Edge::with_module(start, module));
-        Box::new(Timed { core, seen: shared.clone(), clock: Clock::new() })
+        Box::new(Timed {
+            core,
+            seen: shared.clone(),
+            clock: Clock::new(),
+        })
     };
     let stage = VirtualStage::new(scenario, even_links(), &recording, Box::new(make_edge));
     let mut stage = stage.map_err(|e| e.to_string())?;
@@ -137,7 +154,10 @@
 /// The scenario's edge can't be set up.
 pub fn hollow(scenario: &Scenario, seen: &Seen) -> Result<Fleet, String> {
     let address = "127.0.0.1:1";
-    let alone = Scenario { edges: 1, ..scenario.clone() };
+    let alone = Scenario {
+        edges: 1,
+        ..scenario.clone()
+    };
     let edge = alone.edge(0, address, address).map_err(|e| e.to_string())?;
     let (l, links) = (&scenario.settings, even_links());
     let count = l.size("traffic.functions");
@@ -156,9 +176,20 @@
         let function = functions.all.iter().position(|f| f.id == job.function);
         let function = function.ok_or("a call of a function that isn't known")?;
         let work = job.work.unwrap_or_default() as f64;
-        Ok(Call { at: *at, router: 0, function, work, due: job.due, hint: job.work })
+        Ok(Call {
+            at: *at,
+            router: 0,
+            function,
+            work,
+            due: job.due,
+            hint: job.work,
+        })
     };
-    let calls = seen.jobs.iter().map(numbered).collect::<Result<Vec<Call>, String>>()?;
+    let calls = seen
+        .jobs
+        .iter()
+        .map(numbered)
+        .collect::<Result<Vec<Call>, String>>()?;
     Ok(Fleet::new(Spec {
         modules: vec![(seen.seed, edge.values_for_module())],
         workers: scenario.workers,
@@ -167,7 +198,9 @@
         functions: Rc::new(functions),
         calls: Calls::Given(calls),
         lists: Lists::Given(seen.lists.clone()),
-        loads: Loads::Store { us_per_mb: l.number("store.per-mb-us") },
+        loads: Loads::Store {
+            us_per_mb: l.number("store.per-mb-us"),
+        },
         others: None,
         seed: scenario.seed,
     }))
