--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -19,33 +19,73 @@
         repeats: false,
         about: "one router as one of many",
         keys: &[
-            key("workers", Kind::Wholes(1.0, 1e6), Some("100 1000 10000"), "sizes along the workers"),
+            key(
+                "workers",
+                Kind::Wholes(1.0, 1e6),
+                Some("100 1000 10000"),
+                "sizes along the workers",
+            ),
             key(
                 "functions",
                 Kind::Wholes(1.0, 1e8),
                 Some("2000 20000 200000 2000000"),
                 "along the functions",
             ),
-            key("calls", Kind::Wholes(1.0, 1e6), Some("16 160 1600"), "a second at the router"),
-            key("routers", Kind::Wholes(1.0, 1e6), Some("42 420 4200"), "along the count of routers"),
-            key("changes", Kind::Wholes(1.0, 1e9), Some("1200 12000 120000"), "of the worker list a day"),
+            key(
+                "calls",
+                Kind::Wholes(1.0, 1e6),
+                Some("16 160 1600"),
+                "a second at the router",
+            ),
+            key(
+                "routers",
+                Kind::Wholes(1.0, 1e6),
+                Some("42 420 4200"),
+                "along the count of routers",
+            ),
+            key(
+                "changes",
+                Kind::Wholes(1.0, 1e9),
+                Some("1200 12000 120000"),
+                "of the worker list a day",
+            ),
             key(
                 "real-workers",
                 Kind::Wholes(1.0, 1e4),
                 Some("10 100 1000"),
                 "beside a real edge, as long as length",
             ),
-            key("at-workers", Kind::Whole(1.0, 1e6), Some("10000"), "workers along the other axes"),
-            key("warm-up", Kind::Span, Some("16s"), "before anything is counted"),
+            key(
+                "at-workers",
+                Kind::Whole(1.0, 1e6),
+                Some("10000"),
+                "workers along the other axes",
+            ),
+            key(
+                "warm-up",
+                Kind::Span,
+                Some("16s"),
+                "before anything is counted",
+            ),
             key("length", Kind::Span, Some("32s"), "for so long it is"),
-            key("weigh", Kind::Span, Some("30s"), "real time in which a module's memory is told, or isn't"),
+            key(
+                "weigh",
+                Kind::Span,
+                Some("30s"),
+                "real time in which a module's memory is told, or isn't",
+            ),
             key(
                 "stands-by",
                 Kind::Span,
                 Some("5s"),
                 "real time for which an edge process without calls is looked at",
             ),
-            key("list-changes", Kind::Whole(0.0, 1e6), Some("300"), "of the list, to tell what one costs"),
+            key(
+                "list-changes",
+                Kind::Whole(0.0, 1e6),
+                Some("300"),
+                "of the list, to tell what one costs",
+            ),
         ],
     },
     check,
@@ -60,7 +100,14 @@
 
 fn check(plan: &Plan) -> Result<(), Problem> {
     let l = &plan.settings;
-    for name in ["workers", "functions", "calls", "routers", "changes", "real-workers"] {
+    for name in [
+        "workers",
+        "functions",
+        "calls",
+        "routers",
+        "changes",
+        "real-workers",
+    ] {
         let key = format!("router-plays.{name}");
         let sizes = plan.sizes(&key)?;
         let each = match name {
@@ -73,10 +120,18 @@
     }
     let most = l.size("router-plays.at-workers") as u64;
     let each = BYTES_A_WORKER + BYTES_A_KNOWN_WORKER;
-    plan.fits("router-plays.at-workers", &format!("{most} workers"), most.saturating_mul(each))?;
+    plan.fits(
+        "router-plays.at-workers",
+        &format!("{most} workers"),
+        most.saturating_mul(each),
+    )?;
     if l.span("router-plays.length-us") == 0 {
         let key = "router-plays.length-us";
-        return Err(l.problem_at(key, "router-plays.length: nothing would be counted", "set it above 0s"));
+        return Err(l.problem_at(
+            key,
+            "router-plays.length: nothing would be counted",
+            "set it above 0s",
+        ));
     }
     Ok(())
 }
@@ -92,7 +147,12 @@
 }
 
 const fn way(name: &'static str, orders: bool, others: bool, bare: bool) -> Way {
-    Way { name, orders, others, bare }
+    Way {
+        name,
+        orders,
+        others,
+        bare,
+    }
 }
 
 const WAYS: [Way; 4] = [
@@ -131,10 +191,18 @@
 ///
 /// # Errors
 /// A setting is refused.
-pub fn module_settings(plan: &Plan, number: usize, routers: usize, orders: bool) -> Result<Settings, String> {
+pub fn module_settings(
+    plan: &Plan,
+    number: usize,
+    routers: usize,
+    orders: bool,
+) -> Result<Settings, String> {
     let mut l = plan.settings.clone();
     let zones = l.names("zones");
-    let zone = zones.get(number % zones.len().max(1)).cloned().unwrap_or_default();
+    let zone = zones
+        .get(number % zones.len().max(1))
+        .cloned()
+        .unwrap_or_default();
     let orders = if orders { "yes" } else { "no" };
     let (number, routers) = (number.to_string(), routers.to_string());
     for (name, value) in [
@@ -157,7 +225,10 @@
         for (name, value) in [
             ("routers", Value::Number(routers as f64)),
             ("copies.orders", Value::Flag(self.orders)),
-            ("copies.on-miss", Value::Text(plan.settings.text("copies.on-miss").into())),
+            (
+                "copies.on-miss",
+                Value::Text(plan.settings.text("copies.on-miss").into()),
+            ),
         ] {
             settings.0.insert(name.into(), value);
         }
@@ -167,7 +238,9 @@
 
 /// A module's seed, as a scenario gives them to edges.
 pub fn module_seed(plan: &Plan, number: usize) -> u64 {
-    plan.seed.wrapping_mul(1009).wrapping_add(number as u64 * 101 + 1)
+    plan.seed
+        .wrapping_mul(1009)
+        .wrapping_add(number as u64 * 101 + 1)
 }
 
 /// One router's fleet at a size, with these settings of its module.
@@ -181,10 +254,16 @@
         zones: l.names("zones").len(),
         model: Model::of(l),
         functions: Rc::new(Functions::new(l, size.functions, shape, plan.seed)),
-        calls: Calls::Drawn { rate: size.calls, until },
+        calls: Calls::Drawn {
+            rate: size.calls,
+            until,
+        },
         lists: Lists::AtStart,
         loads: Loads::Drawn,
-        others: others.then_some(Others { calls: rest, seed: plan.seed }),
+        others: others.then_some(Others {
+            calls: rest,
+            seed: plan.seed,
+        }),
         seed: plan.seed,
     })
 }
@@ -203,13 +282,20 @@
 }
 
 /// Plays one router through its warm-up and what is counted, within a bound on real time.
-pub fn measure(plan: &Plan, size: &Size, settings: &Settings, others: bool, stop: &Stop) -> Measured {
+pub fn measure(
+    plan: &Plan,
+    size: &Size,
+    settings: &Settings,
+    others: bool,
+    stop: &Stop,
+) -> Measured {
     let l = &plan.settings;
     let warm = BEGIN + l.span("router-plays.warm-up-us");
     let until = warm + l.span("router-plays.length-us");
     let mut fleet = alone(plan, size, settings.clone(), others, until);
     fleet.rounds = Some(Vec::new());
-    let deadline = Instant::now() + Duration::from_micros(l.span("capacity.time-a-point-us").max(0) as u64);
+    let deadline =
+        Instant::now() + Duration::from_micros(l.span("capacity.time-a-point-us").max(0) as u64);
     let mut played = fleet.run_until(warm, deadline, stop);
     let mut before = fleet.counts();
     if played == Played::Done {
@@ -242,14 +328,26 @@
             ("probes a call", "", a_call(c.probes)),
             ("executions a call", "", a_call(c.executions)),
             ("loads a call", "", a_call(c.loads)),
-            ("finished", "of calls", c.finished as f64 / c.ended().max(1) as f64),
+            (
+                "finished",
+                "of calls",
+                c.finished as f64 / c.ended().max(1) as f64,
+            ),
             ("cancels a second", "1/s", a_second(c.cancels)),
             ("handshakes a second", "1/s", a_second(c.handshakes)),
             ("connections kept", "", self.links as f64),
             ("control messages a second", "1/s", a_second(c.messages)),
             ("control bytes a second", "B/s", a_second(c.bytes)),
-            ("processor time of all decisions", "of a core", a_second(c.nanoseconds) / 1e9),
-            ("processor time of rounds without calls", "of a core", a_second(c.control_nanoseconds) / 1e9),
+            (
+                "processor time of all decisions",
+                "of a core",
+                a_second(c.nanoseconds) / 1e9,
+            ),
+            (
+                "processor time of rounds without calls",
+                "of a core",
+                a_second(c.control_nanoseconds) / 1e9,
+            ),
             (
                 "processor time of the connection module",
                 "of a core",
@@ -264,27 +362,61 @@
     let sizes = |name: &str| plan.settings.wholes(&format!("router-plays.{name}"));
     for way in WAYS {
         for workers in sizes("workers") {
-            let size = Size { workers: workers as usize, ..usual };
+            let size = Size {
+                workers: workers as usize,
+                ..usual
+            };
             one(plan, sink, stop, way, ("workers", workers as f64), &size)?;
         }
     }
     workers::work_out(plan, sink)?;
     for functions in sizes("functions") {
-        let size = Size { functions: functions as usize, ..usual };
-        one(plan, sink, stop, USUAL, ("functions", functions as f64), &size)?;
+        let size = Size {
+            functions: functions as usize,
+            ..usual
+        };
+        one(
+            plan,
+            sink,
+            stop,
+            USUAL,
+            ("functions", functions as f64),
+            &size,
+        )?;
     }
     for calls in sizes("calls") {
-        let size = Size { calls: calls as f64, ..usual };
-        one(plan, sink, stop, USUAL, ("calls a second", calls as f64), &size)?;
+        let size = Size {
+            calls: calls as f64,
+            ..usual
+        };
+        one(
+            plan,
+            sink,
+            stop,
+            USUAL,
+            ("calls a second", calls as f64),
+            &size,
+        )?;
     }
     for routers in sizes("routers") {
-        let size = Size { routers: routers as usize, ..usual };
+        let size = Size {
+            routers: routers as usize,
+            ..usual
+        };
         one(plan, sink, stop, USUAL, ("routers", routers as f64), &size)?;
     }
     beside::play(plan, sink, stop)?;
     edge_process::play(plan, sink, stop)?;
     for workers in sizes("workers") {
-        list_changes(plan, sink, stop, &Size { workers: workers as usize, ..usual })?;
+        list_changes(
+            plan,
+            sink,
+            stop,
+            &Size {
+                workers: workers as usize,
+                ..usual
+            },
+        )?;
     }
     Ok(())
 }
@@ -322,10 +454,21 @@
         sink.point(point(figure, unit, value, source))?;
     }
     if measured.played == Played::Done {
-        let limit = Duration::from_micros(plan.settings.span("router-plays.weigh-us").max(0) as u64);
-        if let Some(bytes) = memory::of_module(&settings, module_seed(plan, 0), &measured.rounds, limit, stop)
-        {
-            sink.point(point("memory of the decision module", "MB", bytes / (1 << 20) as f64, source))?;
+        let limit =
+            Duration::from_micros(plan.settings.span("router-plays.weigh-us").max(0) as u64);
+        if let Some(bytes) = memory::of_module(
+            &settings,
+            module_seed(plan, 0),
+            &measured.rounds,
+            limit,
+            stop,
+        ) {
+            sink.point(point(
+                "memory of the decision module",
+                "MB",
+                bytes / (1 << 20) as f64,
+                source,
+            ))?;
         }
     }
     Ok(())
@@ -341,14 +484,30 @@
     let Some(costs) = measured else { return Ok(()) };
     let mut point = |figure: &str, unit, axis, at, value, source| {
         let (play, figure) = ("the worker list".to_string(), figure.to_string());
-        sink.point(Point { role: Role::Router, play, figure, unit, axis, at, value, source })
+        sink.point(Point {
+            role: Role::Router,
+            play,
+            figure,
+            unit,
+            axis,
+            at,
+            value,
+            source,
+        })
     };
     for (figure, unit, value) in [
         ("processor time a whole list", "us", costs.whole_us),
         ("processor time a change", "us", costs.change_us),
         ("bytes a change", "B", costs.change_bytes),
     ] {
-        point(figure, unit, "workers", size.workers as f64, value, Source::Played)?;
+        point(
+            figure,
+            unit,
+            "workers",
+            size.workers as f64,
+            value,
+            Source::Played,
+        )?;
     }
     if size.workers != plan.settings.size("router-plays.at-workers") {
         return Ok(());
@@ -356,9 +515,17 @@
     for changes in plan.settings.wholes("router-plays.changes") {
         let (at, a_second) = (changes as f64, changes as f64 / SECONDS_A_DAY);
         for (figure, unit, value) in [
-            ("processor time of changes", "of a core", costs.change_us / 1e6 * a_second),
+            (
+                "processor time of changes",
+                "of a core",
+                costs.change_us / 1e6 * a_second,
+            ),
             ("messages of changes a second", "1/s", a_second),
-            ("bytes of changes a second", "B/s", costs.change_bytes * a_second),
+            (
+                "bytes of changes a second",
+                "B/s",
+                costs.change_bytes * a_second,
+            ),
         ] {
             point(figure, unit, "changes a day", at, value, Source::WorkedOut)?;
         }
--- a/crates/sanddrum-lab/src/capacity/sink.rs
+++ b/crates/sanddrum-lab/src/capacity/sink.rs
@@ -37,7 +37,11 @@
     }
     /// One that tells of its progress on stderr and writes to these files.
     pub fn new(output: Output, summary: Summary) -> Self {
-        Sink { summary, output: Some(output), tells: true }
+        Sink {
+            summary,
+            output: Some(output),
+            tells: true,
+        }
     }
     /// Takes a point.
     ///
@@ -52,7 +56,11 @@
             point.figure,
             point.unit,
             point.axis,
-            if point.source == super::Source::NotFinished { " (not finished)" } else { "" }
+            if point.source == super::Source::NotFinished {
+                " (not finished)"
+            } else {
+                ""
+            }
         ));
         self.summary.points.push(point);
         self.write()
@@ -78,6 +86,8 @@
         self.write()
     }
     fn write(&self) -> Result<(), String> {
-        self.output.as_ref().map_or(Ok(()), |output| output.write(&self.summary))
+        self.output
+            .as_ref()
+            .map_or(Ok(()), |output| output.write(&self.summary))
     }
 }
--- a/crates/sanddrum-lab/src/capacity/sizes.rs
+++ b/crates/sanddrum-lab/src/capacity/sizes.rs
@@ -27,10 +27,26 @@
         let last = functions.all.last();
         let function = last.map(|f| f.name.clone()).unwrap_or_default();
         let (memory_mb, lanes) = last.map_or((0.0, 1), |f| (f.memory_mb, f.lanes));
-        let hold = Hold { id: NUMBER, function: function.clone(), copies: 1, memory_mb, lanes };
-        let held = Held { id: NUMBER, ended: Ended::Finished, copies: 1 };
+        let hold = Hold {
+            id: NUMBER,
+            function: function.clone(),
+            copies: 1,
+            memory_mb,
+            lanes,
+        };
+        let held = Held {
+            id: NUMBER,
+            ended: Ended::Finished,
+            copies: 1,
+        };
         let some = Some(0.3);
-        let report = LoadReport { held: some, queued: some, busy: some, memory_pinned: some, loads: some };
+        let report = LoadReport {
+            held: some,
+            queued: some,
+            busy: some,
+            memory_pinned: some,
+            loads: some,
+        };
         let hello = Hello {
             version: VERSION,
             name: "worker-10000".into(),
@@ -49,7 +65,13 @@
         };
         let rows = |n: usize| {
             let rows = vec![row.clone(); n];
-            let rows = Rows { version: NUMBER, run: NUMBER, whole: false, after: NUMBER, rows };
+            let rows = Rows {
+                version: NUMBER,
+                run: NUMBER,
+                whole: false,
+                after: NUMBER,
+                rows,
+            };
             frame(&FromList::Rows(rows)).len() as u64
         };
         let to = |message: &ToWorker| frame(message).len() as u64;
@@ -57,7 +79,10 @@
         Bytes {
             hold: to(&ToWorker::Hold(hold)) + from(&FromWorker::Held(held)),
             probe: to(&ToWorker::Probe(Probe { id: NUMBER }))
-                + from(&FromWorker::Probed(Probed { id: NUMBER, report: Some(report) })),
+                + from(&FromWorker::Probed(Probed {
+                    id: NUMBER,
+                    report: Some(report),
+                })),
             cancel: to(&ToWorker::Cancel(Cancel { id: NUMBER })),
             unload: to(&ToWorker::Unload(Unload { function })),
             hellos: to(&ToWorker::Hello(hello.clone())) + from(&FromWorker::Hello(hello)),
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -24,18 +24,43 @@
         repeats: false,
         about: "many routers together; the n-th of each list makes a size",
         keys: &[
-            key("routers", Kind::Wholes(1.0, 1e5), Some("4 42 420"), "modules that are played"),
-            key("workers", Kind::Wholes(1.0, 1e6), Some("10 100 1000"), "of each size"),
-            key("functions", Kind::Wholes(1.0, 1e7), Some("200 2000 20000"), "of each size"),
+            key(
+                "routers",
+                Kind::Wholes(1.0, 1e5),
+                Some("4 42 420"),
+                "modules that are played",
+            ),
+            key(
+                "workers",
+                Kind::Wholes(1.0, 1e6),
+                Some("10 100 1000"),
+                "of each size",
+            ),
+            key(
+                "functions",
+                Kind::Wholes(1.0, 1e7),
+                Some("200 2000 20000"),
+                "of each size",
+            ),
             key("warm-up", Kind::Span, Some("20s"), "before calls count"),
-            key("length", Kind::Span, Some("40s"), "calls that come in this time count"),
+            key(
+                "length",
+                Kind::Span,
+                Some("40s"),
+                "calls that come in this time count",
+            ),
             key(
                 "time-a-point",
                 Kind::Span,
                 Some("300s"),
                 "real time after which a run counts as not finished",
             ),
-            key("threads", Kind::Whole(1.0, 64.0), Some("2"), "runs at a time"),
+            key(
+                "threads",
+                Kind::Whole(1.0, 64.0),
+                Some("2"),
+                "runs at a time",
+            ),
         ],
     },
     check,
@@ -62,13 +87,23 @@
     let functions = plan.sizes(&at("functions"))?;
     for (name, others) in [("workers", workers.len()), ("functions", functions.len())] {
         if others != routers.len() {
-            let what = format!("{} has {others} sizes, and routers has {}", at(name), routers.len());
+            let what = format!(
+                "{} has {others} sizes, and routers has {}",
+                at(name),
+                routers.len()
+            );
             return Err(plan.problem(&at(name), what, "name as many of each"));
         }
     }
     let each = routers.iter().zip(&workers).zip(&functions);
     let whole = |n: &u64| *n as usize;
-    Ok(each.map(|((r, w), f)| Size { routers: whole(r), workers: whole(w), functions: whole(f) }).collect())
+    Ok(each
+        .map(|((r, w), f)| Size {
+            routers: whole(r),
+            workers: whole(w),
+            functions: whole(f),
+        })
+        .collect())
 }
 
 fn check(plan: &Plan) -> Result<(), Problem> {
@@ -78,11 +113,17 @@
     for size in sizes(plan)? {
         let (routers, workers) = (size.routers as u64, size.workers as u64);
         let bytes = workers * BYTES_A_WORKER
-            + routers.saturating_mul(workers).saturating_mul(BYTES_A_KNOWN_WORKER)
+            + routers
+                .saturating_mul(workers)
+                .saturating_mul(BYTES_A_KNOWN_WORKER)
             + (calls * limit * routers as f64) as u64 * BYTES_A_CALL;
         let runs = l.size("start-target-plays.threads") as u64;
         let what = format!("{routers} routers and {workers} workers, {runs} runs at a time,");
-        plan.fits("start-target-plays.routers", &what, bytes.saturating_mul(runs))?;
+        plan.fits(
+            "start-target-plays.routers",
+            &what,
+            bytes.saturating_mul(runs),
+        )?;
     }
     // The copies that calls need at a time: more than memory holds can't stand.
     let (work, memory) = (l.number("model.work-us") / 1e6, l.number("model.memory-mb"));
@@ -145,10 +186,17 @@
         part: l.number("model.rare-part"),
         calls: calls * size.routers as f64,
     };
-    let module =
-        |n| Ok((module_seed(plan, n), module_settings(plan, n, size.routers, l.flag("copies.orders"))?));
+    let module = |n| {
+        Ok((
+            module_seed(plan, n),
+            module_settings(plan, n, size.routers, l.flag("copies.orders"))?,
+        ))
+    };
     let modules: Result<Vec<_>, String> = (0..size.routers).map(module).collect();
-    let (warm, until) = (BEGIN + span("warm-up"), BEGIN + span("warm-up") + span("length"));
+    let (warm, until) = (
+        BEGIN + span("warm-up"),
+        BEGIN + span("warm-up") + span("length"),
+    );
     let zones = l.names("zones").len();
     let mut fleet = Fleet::new(Spec {
         modules: modules?,
@@ -184,7 +232,13 @@
         // Calls that came in time and have no answer yet get theirs.
         played = fleet.run_until(until + l.span("workloads.0.time-limit-us"), deadline, stop);
     }
-    Ok(Run { starts: fleet.starts, counts, seconds, links, played })
+    Ok(Run {
+        starts: fleet.starts,
+        counts,
+        seconds,
+        links,
+        played,
+    })
 }
 
 /// As many as fall on so many workers on a day, one at least, spread over the time.
@@ -192,7 +246,9 @@
     let l = &plan.settings;
     let scaled = |name: &str| {
         let all = l.number(&format!("capacity.{name}"));
-        (all * size.workers as f64 / l.number("capacity.workers")).round().max(1.0) as usize
+        (all * size.workers as f64 / l.number("capacity.workers"))
+            .round()
+            .max(1.0) as usize
     };
     let (failed, replaced) = (scaled("failed"), scaled("replaced"));
     let mut chance = fleet.chance();
@@ -200,13 +256,23 @@
     for n in 0..(failed + replaced).min(size.workers / 2) {
         let worker = left.swap_remove(chance.below(left.len()));
         let at = from + (chance.part() * (until - from) as f64) as Micros;
-        fleet.script(at, if n < failed { Act::Fail(worker) } else { Act::Replace(worker) });
+        fleet.script(
+            at,
+            if n < failed {
+                Act::Fail(worker)
+            } else {
+                Act::Replace(worker)
+            },
+        );
     }
 }
 
 fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let sizes = sizes(plan).map_err(|e| e.to_string())?;
-    let runs: Vec<(Size, Day)> = sizes.iter().flat_map(|size| DAYS.map(|day| (*size, day))).collect();
+    let runs: Vec<(Size, Day)> = sizes
+        .iter()
+        .flat_map(|size| DAYS.map(|day| (*size, day)))
+        .collect();
     let next = AtomicUsize::new(0);
     let (tell, told) = mpsc::channel();
     std::thread::scope(|scope| {
@@ -214,7 +280,11 @@
             let (tell, next, runs) = (tell.clone(), &next, &runs);
             scope.spawn(move || {
                 while let Some((size, day)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    if stop.is_set() || tell.send((*size, *day, run(plan, size, *day, stop))).is_err() {
+                    if stop.is_set()
+                        || tell
+                            .send((*size, *day, run(plan, size, *day, stop)))
+                            .is_err()
+                    {
                         break;
                     }
                 }
@@ -238,9 +308,18 @@
 }
 
 /// What the failed and replaced workers of a day, played at once, come to over the whole day.
-fn whole_day(sink: &mut Sink, size: &Size, days: &BTreeMap<(usize, Day), Run>) -> Result<(), String> {
-    let of = |day| days.get(&(size.workers, day)).filter(|run| run.played == Played::Done);
-    let (Some(calm), Some(failures)) = (of(Day::Calm), of(Day::Failures)) else { return Ok(()) };
+fn whole_day(
+    sink: &mut Sink,
+    size: &Size,
+    days: &BTreeMap<(usize, Day), Run>,
+) -> Result<(), String> {
+    let of = |day| {
+        days.get(&(size.workers, day))
+            .filter(|run| run.played == Played::Done)
+    };
+    let (Some(calm), Some(failures)) = (of(Day::Calm), of(Day::Failures)) else {
+        return Ok(());
+    };
     let struck = failures.seconds / SECONDS_A_DAY;
     let over_day = |of: fn(&Starts) -> Begun| {
         let (calm, failures) = (of(&calm.starts), of(&failures.starts));
@@ -248,14 +327,29 @@
         (calm.calls > 0 && failures.calls > 0).then_some(part)
     };
     for (figure, value) in [
-        ("calls begun within the target", over_day(|starts| starts.all)),
-        ("cold starts begun within the target", over_day(|starts| starts.cold)),
+        (
+            "calls begun within the target",
+            over_day(|starts| starts.all),
+        ),
+        (
+            "cold starts begun within the target",
+            over_day(|starts| starts.cold),
+        ),
     ] {
         let Some(value) = value else { continue };
         let (play, figure) = ("many routers, a whole day".to_string(), figure.to_string());
         let (at, source) = (size.workers as f64, Source::WorkedOut);
         let (role, unit, axis) = (Role::StartTarget, "of them", "workers");
-        sink.point(Point { role, play, figure, unit, axis, at, value, source })?;
+        sink.point(Point {
+            role,
+            play,
+            figure,
+            unit,
+            axis,
+            at,
+            value,
+            source,
+        })?;
     }
     Ok(())
 }
@@ -271,22 +365,51 @@
     let at = size.workers as f64;
     let mut point = |role: Role, figure: &str, unit: &'static str, value: f64| {
         let (play, figure) = (play.to_string(), figure.to_string());
-        sink.point(Point { role, play, figure, unit, axis: "workers", at, value, source })
+        sink.point(Point {
+            role,
+            play,
+            figure,
+            unit,
+            axis: "workers",
+            at,
+            value,
+            source,
+        })
     };
-    let Starts { all, rare, cold, warm, cold_after, .. } = &run.starts;
+    let Starts {
+        all,
+        rare,
+        cold,
+        warm,
+        cold_after,
+        ..
+    } = &run.starts;
     if let Some(times) = cold_after.as_ref().filter(|times| !times.is_empty()) {
         for (quantile, name) in [(0.5, "median"), (0.99, "99 in 100")] {
             let ms = times.value_at_quantile(quantile) as f64 / 1e3;
             point(Role::StartTarget, &format!("cold start, {name}"), "ms", ms)?;
         }
     }
-    for (name, begun) in
-        [("calls", all), ("cold starts", cold), ("warm starts", warm), ("calls of rare functions", rare)]
-    {
+    for (name, begun) in [
+        ("calls", all),
+        ("cold starts", cold),
+        ("warm starts", warm),
+        ("calls of rare functions", rare),
+    ] {
         let Begun { calls, .. } = *begun;
-        point(Role::StartTarget, &format!("{name} counted"), "", calls as f64)?;
+        point(
+            Role::StartTarget,
+            &format!("{name} counted"),
+            "",
+            calls as f64,
+        )?;
         if calls > 0 {
-            point(Role::StartTarget, &format!("{name} begun within the target"), "of them", begun.part())?;
+            point(
+                Role::StartTarget,
+                &format!("{name} begun within the target"),
+                "of them",
+                begun.part(),
+            )?;
         }
     }
     let c = &run.counts;
@@ -299,7 +422,11 @@
         ("probes a call", "", a_call(c.probes)),
         ("executions a call", "", a_call(c.executions)),
         ("loads a call", "", a_call(c.loads)),
-        ("finished", "of calls", c.finished as f64 / c.ended().max(1) as f64),
+        (
+            "finished",
+            "of calls",
+            c.finished as f64 / c.ended().max(1) as f64,
+        ),
     ] {
         point(Role::Router, figure, unit, value)?;
     }
@@ -313,5 +440,10 @@
         point(Role::Worker, figure, "1/s", value)?;
     }
     point(Role::Worker, "connections kept", "", run.links as f64 / at)?;
-    point(Role::Store, "fetches a second", "1/s", c.loads as f64 / run.seconds)
+    point(
+        Role::Store,
+        "fetches a second",
+        "1/s",
+        c.loads as f64 / run.seconds,
+    )
 }
--- a/crates/sanddrum-lab/src/capacity/starts.rs
+++ b/crates/sanddrum-lab/src/capacity/starts.rs
@@ -41,7 +41,16 @@
         let (all, rare, cold, warm) = Default::default();
         // These bounds are ones that it can keep.
         let cold_after = Histogram::new_with_max(LONGEST, 3).ok();
-        Starts { from, until, within, all, rare, cold, warm, cold_after }
+        Starts {
+            from,
+            until,
+            within,
+            all,
+            rare,
+            cold,
+            warm,
+            cold_after,
+        }
     }
     /// A call has its final answer: it began so long after it came, or never.
     pub(crate) fn call(&mut self, came: Micros, rare: bool, loads: bool, began: Option<Micros>) {
@@ -53,7 +62,11 @@
             (begun.calls, begun.in_time) = (begun.calls + 1, begun.in_time + in_time);
         };
         count(&mut self.all);
-        count(if loads { &mut self.cold } else { &mut self.warm });
+        count(if loads {
+            &mut self.cold
+        } else {
+            &mut self.warm
+        });
         if let (true, Some(after), Some(times)) = (loads, began, &mut self.cold_after) {
             times.saturating_record(after.max(0) as u64);
         }
--- a/crates/sanddrum-lab/src/capacity/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/workers.rs
@@ -16,8 +16,9 @@
     let from = |p: &&Point| p.play == FROM && p.axis == "workers" && p.source == Source::Played;
     let of_router: Vec<Point> = sink.points().iter().filter(from).cloned().collect();
     for p in of_router {
-        let worker =
-            |figure: &str, unit, all: f64| Some((Role::Worker, figure.to_string(), unit, all / p.at));
+        let worker = |figure: &str, unit, all: f64| {
+            Some((Role::Worker, figure.to_string(), unit, all / p.at))
+        };
         let worked_out = match p.figure.as_str() {
             "asks a call" => worker("asks a second", "1/s", p.value * calls),
             "orders a call" => worker("orders a second", "1/s", p.value * calls),
@@ -25,12 +26,26 @@
             "executions a call" => worker("executions a second", "1/s", p.value * calls),
             "handshakes a second" => worker("handshakes a second", "1/s", p.value * routers),
             "connections kept" => worker("connections kept", "", p.value * routers),
-            "loads a call" => Some((Role::Store, "fetches a second".into(), "1/s", p.value * calls)),
+            "loads a call" => Some((
+                Role::Store,
+                "fetches a second".into(),
+                "1/s",
+                p.value * calls,
+            )),
             _ => None,
         };
         if let Some((role, figure, unit, value)) = worked_out {
             let (axis, at, source) = (p.axis, p.at, Source::WorkedOut);
-            sink.point(Point { role, play: PLAY.into(), figure, unit, axis, at, value, source })?;
+            sink.point(Point {
+                role,
+                play: PLAY.into(),
+                figure,
+                unit,
+                axis,
+                at,
+                value,
+                source,
+            })?;
         }
     }
     Ok(())
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -20,7 +20,13 @@
 
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "rule {} at {:.3} s: {}", self.rule, self.at as f64 / 1e6, self.what)
+        write!(
+            f,
+            "rule {} at {:.3} s: {}",
+            self.rule,
+            self.at as f64 / 1e6,
+            self.what
+        )
     }
 }
 
@@ -57,8 +63,18 @@
 
 /// Judges a log that began at `start`; `slack` is what a message takes on its way at most.
 pub fn judge(log: &Log, scenario: &Scenario, start: Micros, slack: Micros) -> Verdict {
-    let workloads = scenario.calls.iter().map(|c| (c.workload.as_str(), c)).collect();
-    let mut judge = Judge { log, scenario, workloads, slack, broken: Vec::new() };
+    let workloads = scenario
+        .calls
+        .iter()
+        .map(|c| (c.workload.as_str(), c))
+        .collect();
+    let mut judge = Judge {
+        log,
+        scenario,
+        workloads,
+        slack,
+        broken: Vec::new(),
+    };
     let mut verdict = judge.answers(start);
     judge.sent_after_the_answer();
     judge.effects();
@@ -81,7 +97,9 @@
     fn down(&self, edge: &str, from: Micros, to: Micros) -> bool {
         let all = self.log.down.iter().chain(&self.log.stopped);
         let mut spells = all.filter(|(name, ..)| name == edge);
-        spells.any(|(_, down, up)| *down <= to + self.slack && up.is_none_or(|up| up >= from - self.slack))
+        spells.any(|(_, down, up)| {
+            *down <= to + self.slack && up.is_none_or(|up| up >= from - self.slack)
+        })
     }
 
     /// Whether the edges are processes that were looked at.
@@ -94,7 +112,12 @@
         if !self.watched() {
             return self.slack;
         }
-        let of = |name: &str, from, to| self.log.waits.get(name).map_or(0, |w: &Waits| w.between(from, to));
+        let of = |name: &str, from, to| {
+            self.log
+                .waits
+                .get(name)
+                .map_or(0, |w: &Waits| w.between(from, to))
+        };
         // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
         let waited = |ours, from, to| ours * of(OURS, from, to) + of(&t.edge, from, to);
         let ahead = self.scenario.settings.span("limits.answer-ahead-us");
@@ -126,11 +149,16 @@
             verdict.taken += 1;
             let name = format!("call {} try {} at {}", t.call, t.number, t.edge);
             if t.answers.len() > 1 {
-                self.breaks(1, t.answers[1].0, format!("{name} got {} answers", t.answers.len()));
+                self.breaks(
+                    1,
+                    t.answers[1].0,
+                    format!("{name} got {} answers", t.answers.len()),
+                );
             }
             // What a process answered too late, as clients that stay see it, counts as no answer where it stood still.
             let late = |at: Micros| at > t.sent + t.limit + self.held_up(t, at);
-            let stood_still = |at| self.watched() && late(at) && self.down(&t.edge, t.sent, t.sent + t.limit);
+            let stood_still =
+                |at| self.watched() && late(at) && self.down(&t.edge, t.sent, t.sent + t.limit);
             match t.answers.first() {
                 Some((at, _)) if stood_still(*at) => verdict.lost_with_edge += 1,
                 Some((at, status)) => {
@@ -143,8 +171,9 @@
                     }
                     if late(*at) {
                         let (late, held) = (at - t.sent - t.limit, self.held_up(t, *at));
-                        let what =
-                            format!("{name} was answered {late} us after its client's time, held up {held}");
+                        let what = format!(
+                            "{name} was answered {late} us after its client's time, held up {held}"
+                        );
                         self.breaks(1, *at, what);
                     }
                 }
@@ -158,7 +187,10 @@
                     self.breaks(
                         1,
                         at,
-                        format!("{name} got no answer in the {} us its client waited", at - t.sent),
+                        format!(
+                            "{name} got no answer in the {} us its client waited",
+                            at - t.sent
+                        ),
                     );
                 }
             }
@@ -171,13 +203,21 @@
     /// A call is served if one of its tries finished within the start target of its beginning.
     fn service(&self, start: Micros, verdict: &mut Verdict) {
         let mut calls: BTreeMap<u64, Vec<&Try>> = BTreeMap::new();
-        self.log.tries.iter().for_each(|t| calls.entry(t.call).or_default().push(t));
+        self.log
+            .tries
+            .iter()
+            .for_each(|t| calls.entry(t.call).or_default().push(t));
         let (mut asked, mut earned) = (0.0, 0.0);
         for tries in calls.values() {
             let Some(first) = tries.first() else { continue };
-            let Some(calls) = self.workloads.get(first.workload.as_str()) else { continue };
+            let Some(calls) = self.workloads.get(first.workload.as_str()) else {
+                continue;
+            };
             asked += calls.importance;
-            let finished = tries.iter().flat_map(|t| &t.answers).find(|(_, status)| *status == 200);
+            let finished = tries
+                .iter()
+                .flat_map(|t| &t.answers)
+                .find(|(_, status)| *status == 200);
             let latency = finished.map(|(at, _)| at - first.began);
             let in_time = latency.is_some_and(|l| l <= calls.start_target);
             if in_time {
@@ -214,10 +254,13 @@
             .filter_map(|t| t.answers.first().map(|(at, _)| ((t.call, t.number), *at)))
             .collect();
         for run in &self.log.runs {
-            let Some(at) = answered.get(&(run.call, run.number)) else { continue };
+            let Some(at) = answered.get(&(run.call, run.number)) else {
+                continue;
+            };
             if run.came > at + self.slack {
                 let (call, n, late) = (run.call, run.number, run.came - at);
-                let what = format!("call {call} try {n} went to a worker {late} us after its answer");
+                let what =
+                    format!("call {call} try {n} went to a worker {late} us after its answer");
                 self.breaks(1, run.came, what);
             }
         }
@@ -227,32 +270,46 @@
     fn effects(&mut self) {
         let not_run = |run: &Run, by: Micros| {
             let no = |e: &Ended| matches!(e, Ended::Full | Ended::Miss | Ended::Dropped);
-            run.answers.first().is_some_and(|(at, ended)| *at <= by && no(ended))
+            run.answers
+                .first()
+                .is_some_and(|(at, ended)| *at <= by && no(ended))
         };
         let mut runs: BTreeMap<(u64, u32), Vec<&Run>> = BTreeMap::new();
-        self.log.runs.iter().for_each(|run| runs.entry((run.call, run.number)).or_default().push(run));
+        self.log
+            .runs
+            .iter()
+            .for_each(|run| runs.entry((run.call, run.number)).or_default().push(run));
         let pushed_back: BTreeMap<(u64, u32), Micros> = self
             .log
             .tries
             .iter()
             .filter_map(|t| {
-                t.answers.first().filter(|(_, s)| *s == 503).map(|(at, _)| ((t.call, t.number), *at))
+                t.answers
+                    .first()
+                    .filter(|(_, s)| *s == 503)
+                    .map(|(at, _)| ((t.call, t.number), *at))
             })
             .collect();
         let mut broken = Vec::new();
         for (id, runs) in &runs {
-            let Some(calls) = runs.first().and_then(|run| self.workloads.get(run.workload.as_str())) else {
+            let Some(calls) = runs
+                .first()
+                .and_then(|run| self.workloads.get(run.workload.as_str()))
+            else {
                 continue;
             };
             let mut runs = runs.clone();
             runs.sort_by_key(|run| run.came);
             let name = format!("call {} try {} ({})", id.0, id.1, calls.effect);
             for (n, later) in runs.iter().enumerate() {
-                let Some(earlier) = runs[..n].iter().find(|run| !not_run(run, later.came)) else { continue };
+                let Some(earlier) = runs[..n].iter().find(|run| !not_run(run, later.came)) else {
+                    continue;
+                };
                 let allowed = match calls.effect.as_str() {
                     "restartable" => true,
                     "fingerprinted" => {
-                        let in_group = self.group(calls, earlier.worker) == self.group(calls, later.worker);
+                        let in_group =
+                            self.group(calls, earlier.worker) == self.group(calls, later.worker);
                         in_group && later.came < earlier.came + calls.repeat_window + self.slack
                     }
                     _ => false,
@@ -265,15 +322,17 @@
                     ));
                 }
             }
-            let harmless =
-                calls.effect == "restartable" || (calls.effect == "fingerprinted" && calls.group == "all");
+            let harmless = calls.effect == "restartable"
+                || (calls.effect == "fingerprinted" && calls.group == "all");
             if let Some(at) = pushed_back.get(id).filter(|_| !harmless) {
                 if runs.iter().any(|run| !not_run(run, *at)) {
                     broken.push((*at, format!("{name} was pushed back when it may have run")));
                 }
             }
         }
-        broken.into_iter().for_each(|(at, what)| self.breaks(2, at, what));
+        broken
+            .into_iter()
+            .for_each(|(at, what)| self.breaks(2, at, what));
     }
     fn group(&self, calls: &Calls, worker: usize) -> usize {
         match calls.group.as_str() {
@@ -288,19 +347,38 @@
         let grace = self.scenario.grace() + self.slack;
         let mut told: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
         for t in &self.log.told {
-            told.entry((&t.edge, &t.worker)).or_default().push((t.at, t.phase == Phase::Ready));
+            told.entry((&t.edge, &t.worker))
+                .or_default()
+                .push((t.at, t.phase == Phase::Ready));
         }
-        let sent = self.log.runs.iter().map(|r| (r.came, r.worker, &r.edge, "a job"));
-        let ordered = self.log.orders.iter().map(|o| (o.came, o.worker, &o.edge, "an order to load"));
+        let sent = self
+            .log
+            .runs
+            .iter()
+            .map(|r| (r.came, r.worker, &r.edge, "a job"));
+        let ordered = self
+            .log
+            .orders
+            .iter()
+            .map(|o| (o.came, o.worker, &o.edge, "an order to load"));
         let mut broken = Vec::new();
         for (came, worker, edge, what) in sent.chain(ordered) {
             let name = Scenario::worker_name(worker);
-            let Some(words) = told.get(&(edge.as_str(), name.as_str())) else { continue };
+            let Some(words) = told.get(&(edge.as_str(), name.as_str())) else {
+                continue;
+            };
             // The last word that it was fit, and the first after it that it was not.
             let before = words.iter().take_while(|(at, _)| *at <= came);
-            let fit =
-                before.clone().filter(|(_, ready)| *ready).map(|(at, _)| *at).last().unwrap_or(Micros::MIN);
-            let unfit = before.filter(|(at, ready)| !*ready && *at > fit).map(|(at, _)| *at).next();
+            let fit = before
+                .clone()
+                .filter(|(_, ready)| *ready)
+                .map(|(at, _)| *at)
+                .last()
+                .unwrap_or(Micros::MIN);
+            let unfit = before
+                .filter(|(at, ready)| !*ready && *at > fit)
+                .map(|(at, _)| *at)
+                .next();
             if let Some(at) = unfit.filter(|at| came > at + grace) {
                 let late = came - at;
                 broken.push((
@@ -309,7 +387,9 @@
                 ));
             }
         }
-        broken.into_iter().for_each(|(at, what)| self.breaks(3, at, what));
+        broken
+            .into_iter()
+            .for_each(|(at, what)| self.breaks(3, at, what));
     }
 
     /// Rule 4: what reached a cold worker from all edges, against what it bears.
@@ -326,7 +406,11 @@
                 .runs
                 .iter()
                 .filter(|r| r.worker == *worker && (*started..started + cold).contains(&r.came))
-                .filter_map(|r| self.workloads.get(r.workload.as_str()).map(|c| (r.came, c.work as f64)))
+                .filter_map(|r| {
+                    self.workloads
+                        .get(r.workload.as_str())
+                        .map(|c| (r.came, c.work as f64))
+                })
                 .collect();
             came.sort_by_key(|(at, _)| *at);
             let mut first = 0;
@@ -348,7 +432,9 @@
                 }
             }
         }
-        broken.into_iter().for_each(|(at, what)| self.breaks(4, at, what));
+        broken
+            .into_iter()
+            .for_each(|(at, what)| self.breaks(4, at, what));
     }
 
     /// No call is taken under a key that was revoked, once every edge has had time to hear of it.
@@ -356,14 +442,24 @@
         let mut broken = Vec::new();
         for t in &self.log.tries {
             let since = t.key.as_ref().and_then(|key| self.log.revoked.get(key));
-            let taken = t.answers.first().is_none_or(|(_, status)| !matches!(status, 401 | 403 | 503));
+            let taken = t
+                .answers
+                .first()
+                .is_none_or(|(_, status)| !matches!(status, 401 | 403 | 503));
             if let Some(since) = since.filter(|since| t.sent > **since && taken) {
                 let late = t.sent - since;
-                broken
-                    .push((t.sent, format!("call {} was taken under a revoked key, {late} us late", t.call)));
+                broken.push((
+                    t.sent,
+                    format!(
+                        "call {} was taken under a revoked key, {late} us late",
+                        t.call
+                    ),
+                ));
             }
         }
-        broken.into_iter().for_each(|(at, what)| self.breaks(0, at, what));
+        broken
+            .into_iter()
+            .for_each(|(at, what)| self.breaks(0, at, what));
     }
 
     /// Rule 5: orders to load against jobs taken, by edge. One that was killed knows nothing of what it ordered before,
@@ -378,10 +474,20 @@
         let edges: BTreeSet<&str> = self.log.orders.iter().map(|o| o.edge.as_str()).collect();
         let mut broken = Vec::new();
         for edge in edges {
-            let mut orders: Vec<Micros> =
-                self.log.orders.iter().filter(|o| o.edge == edge).map(|o| o.came).collect();
-            let mut taken: Vec<Micros> =
-                self.log.tries.iter().filter(|t| t.edge == edge).map(|t| t.sent).collect();
+            let mut orders: Vec<Micros> = self
+                .log
+                .orders
+                .iter()
+                .filter(|o| o.edge == edge)
+                .map(|o| o.came)
+                .collect();
+            let mut taken: Vec<Micros> = self
+                .log
+                .tries
+                .iter()
+                .filter(|t| t.edge == edge)
+                .map(|t| t.sent)
+                .collect();
             let starts: Vec<Micros> = self
                 .log
                 .down
@@ -394,7 +500,8 @@
             for (n, at) in orders.iter().enumerate() {
                 // Both are seen at the far ends, so each window is drawn in the edge's favour by the way there.
                 let begun = starts.iter().filter(|start| *start <= at).max();
-                let since = (at - window + self.slack).max(begun.map_or(Micros::MIN, |start| start - 1));
+                let since =
+                    (at - window + self.slack).max(begun.map_or(Micros::MIN, |start| start - 1));
                 let ordered = n + 1 - orders.partition_point(|o| *o <= since);
                 let jobs = taken.partition_point(|t| t <= at)
                     - taken.partition_point(|t| *t <= at - window - self.slack);
@@ -407,6 +514,8 @@
                 }
             }
         }
-        broken.into_iter().for_each(|(at, what)| self.breaks(5, at, what));
+        broken
+            .into_iter()
+            .for_each(|(at, what)| self.breaks(5, at, what));
     }
 }
--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -32,18 +32,37 @@
     let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
     let (multiple, fall) = (l.number("rules.fall-multiple"), l.span("rules.fall-us"));
     let shares: f64 = scenario.calls.iter().map(|c| c.share).sum();
-    let mean = scenario.calls.iter().map(|c| c.share * c.work as f64).sum::<f64>() / shares.max(1e-9);
-    let work_of =
-        |workload: &str| scenario.calls.iter().find(|c| c.workload == workload).map(|c| c.work as f64);
+    let mean = scenario
+        .calls
+        .iter()
+        .map(|c| c.share * c.work as f64)
+        .sum::<f64>()
+        / shares.max(1e-9);
+    let work_of = |workload: &str| {
+        scenario
+            .calls
+            .iter()
+            .find(|c| c.workload == workload)
+            .map(|c| c.work as f64)
+    };
     let worst = |(worker, started): &(usize, Micros)| {
         let spec = scenario.worker(*worker, "", "", "");
         let capacity = spec.cores as f64 * spec.speed;
         let while_cold = |at: &Micros| (*started..started + cold).contains(at);
-        let runs = log.runs.iter().filter(|run| run.worker == *worker && while_cold(&run.came));
-        let mut came: Vec<(Micros, f64)> =
-            runs.filter_map(|run| Some((run.came, work_of(&run.workload)? / mean))).collect();
+        let runs = log
+            .runs
+            .iter()
+            .filter(|run| run.worker == *worker && while_cold(&run.came));
+        let mut came: Vec<(Micros, f64)> = runs
+            .filter_map(|run| Some((run.came, work_of(&run.workload)? / mean)))
+            .collect();
         came.sort_by_key(|(at, _)| *at);
-        let mut worst = Window { worker: *worker, at: *started, got: 0.0, allowed: 0.0 };
+        let mut worst = Window {
+            worker: *worker,
+            at: *started,
+            got: 0.0,
+            allowed: 0.0,
+        };
         let (mut first, mut got) = (0, 0.0);
         for (at, jobs) in &came {
             got += jobs;
@@ -53,7 +72,12 @@
             }
             let part = from + (1.0 - from) * (at - started) as f64 / cold.max(1) as f64;
             let allowed = multiple * part * capacity * fall as f64 / mean;
-            let window = Window { worker: *worker, at: *at, got, allowed };
+            let window = Window {
+                worker: *worker,
+                at: *at,
+                got,
+                allowed,
+            };
             if window.part() > worst.part() {
                 worst = window;
             }
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -78,7 +78,12 @@
             decides: Choice::of(l.text(&format!("variants.{n}.decides"))),
             name,
         };
-        let variants: Vec<Variant> = l.names("variants").into_iter().enumerate().map(variant).collect();
+        let variants: Vec<Variant> = l
+            .names("variants")
+            .into_iter()
+            .enumerate()
+            .map(variant)
+            .collect();
         let told = |what: String, remedy: &str| Problem {
             file: file.into(),
             line: 0,
@@ -91,7 +96,12 @@
             return Err(told("an experiment needs two variants".into(), remedy));
         }
         let seeds = seeds.unwrap_or(l.size("experiment.seeds") as u64);
-        let experiment = Experiment { file: file.into(), text: text.into(), seeds, variants };
+        let experiment = Experiment {
+            file: file.into(),
+            text: text.into(),
+            seeds,
+            variants,
+        };
         // Each is looked at before the first is run.
         for variant in &experiment.variants {
             experiment.scenario(variant, 1)?;
@@ -104,7 +114,10 @@
     fn run(&self, variant: &Variant, seed: u64) -> io::Result<Figures> {
         let mut scenario = self.scenario(variant, seed).map_err(io::Error::other)?;
         let sees_all = variant.decides == Some(Choice::Oracle);
-        scenario.calls.iter_mut().for_each(|calls| calls.exact = sees_all);
+        scenario
+            .calls
+            .iter_mut()
+            .for_each(|calls| calls.exact = sees_all);
         let truth = Rc::new(RefCell::new(Truth::default()));
         let make: MakeEdge = match variant.decides {
             None => product_edge(),
@@ -127,14 +140,20 @@
     ///
     /// # Errors
     /// A run could not be set up.
-    pub fn run_all(&self, threads: usize, told: impl Fn(usize) + Sync) -> io::Result<Vec<Vec<Figures>>> {
-        let all: Vec<(usize, u64)> =
-            (1..=self.seeds).flat_map(|seed| (0..self.variants.len()).map(move |v| (v, seed))).collect();
+    pub fn run_all(
+        &self,
+        threads: usize,
+        told: impl Fn(usize) + Sync,
+    ) -> io::Result<Vec<Vec<Figures>>> {
+        let all: Vec<(usize, u64)> = (1..=self.seeds)
+            .flat_map(|seed| (0..self.variants.len()).map(move |v| (v, seed)))
+            .collect();
         let (next, done) = (AtomicUsize::new(0), Arc::new(Mutex::new(Vec::new())));
         std::thread::scope(|scope| {
             for _ in 0..threads.max(1) {
                 scope.spawn(|| {
-                    while let Some((variant, seed)) = all.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    while let Some((variant, seed)) = all.get(next.fetch_add(1, Ordering::Relaxed))
+                    {
                         let figures = self.run(&self.variants[*variant], *seed);
                         let Ok(mut done) = done.lock() else { return };
                         done.push((*variant, *seed, figures));
@@ -143,7 +162,11 @@
                 });
             }
         });
-        let mut done = std::mem::take(&mut *done.lock().map_err(|_| io::Error::other("a thread panicked"))?);
+        let mut done = std::mem::take(
+            &mut *done
+                .lock()
+                .map_err(|_| io::Error::other("a thread panicked"))?,
+        );
         done.sort_by_key(|(variant, seed, _)| (*variant, *seed));
         let mut figures = vec![Vec::new(); self.variants.len()];
         for (variant, _, of) in done {
@@ -193,11 +216,18 @@
     let mut chance = Chance::new(0xb007);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            let drawn: Vec<f64> = each.iter().map(|_| each[chance.below(each.len())]).collect();
+            let drawn: Vec<f64> = each
+                .iter()
+                .map(|_| each[chance.below(each.len())])
+                .collect();
             mean(&drawn)
         })
         .collect();
     means.sort_by(f64::total_cmp);
     let at = |part: f64| means[((RESAMPLES as f64 * part) as usize).min(RESAMPLES - 1)];
-    Difference { mean: mean(&each), least: at(0.025), most: at(0.975) }
+    Difference {
+        mean: mean(&each),
+        least: at(0.025),
+        most: at(0.975),
+    }
 }
--- a/crates/sanddrum-lab/src/faults.rs
+++ b/crates/sanddrum-lab/src/faults.rs
@@ -30,9 +30,18 @@
     /// # Errors
     /// The file can't be made.
     pub fn create(path: &Path) -> io::Result<Self> {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(path)?;
         file.write_all_at(&[0; BYTES], 0)?;
-        Ok(FaultControl { file, path: path.to_path_buf(), owns: true })
+        Ok(FaultControl {
+            file,
+            path: path.to_path_buf(),
+            owns: true,
+        })
     }
     /// The control block that another one has made.
     ///
@@ -40,14 +49,19 @@
     /// There is none.
     pub fn open(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).open(path)?;
-        Ok(FaultControl { file, path: path.to_path_buf(), owns: false })
+        Ok(FaultControl {
+            file,
+            path: path.to_path_buf(),
+            owns: false,
+        })
     }
     /// Sets a word; the process sees it from its next call on.
     ///
     /// # Errors
     /// The file can't be written.
     pub fn set(&self, word: Word, value: u64) -> io::Result<()> {
-        self.file.write_all_at(&value.to_ne_bytes(), word as u64 * 8)
+        self.file
+            .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
     }
     /// Has the wall clock show so many microseconds more (or less) than the machine's.
     ///
@@ -89,8 +103,14 @@
 fn library(program: &Path) -> io::Result<PathBuf> {
     let folder = program.parent().unwrap_or(Path::new(""));
     let places = [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)];
-    places.into_iter().find(|place| place.exists()).ok_or_else(|| {
-        let text = format!("{LIBRARY} is not beside {}: build the workspace", program.display());
-        io::Error::new(io::ErrorKind::NotFound, text)
-    })
+    places
+        .into_iter()
+        .find(|place| place.exists())
+        .ok_or_else(|| {
+            let text = format!(
+                "{LIBRARY} is not beside {}: build the workspace",
+                program.display()
+            );
+            io::Error::new(io::ErrorKind::NotFound, text)
+        })
 }
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -9,8 +9,8 @@
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_tls::{Layer, Papers, Rules, Side};
 use sanddrum_worker::{
-    HandshakeWork, ListFaults, ListService, Marks, Shared, Slowed, Store, StoreFaults, Truth, Worker,
-    WorkerFaults,
+    HandshakeWork, ListFaults, ListService, Marks, Shared, Slowed, Store, StoreFaults, Truth,
+    Worker, WorkerFaults,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -67,17 +67,34 @@
 impl Fleet {
     /// # Errors
     /// No certificates can be made.
-    pub fn new(scenario: Scenario, addresses: Addresses, recording: &Recording) -> std::io::Result<Self> {
+    pub fn new(
+        scenario: Scenario,
+        addresses: Addresses,
+        recording: &Recording,
+    ) -> std::io::Result<Self> {
         let authority = match scenario.settings.text("tls.workers") {
             "verified" => Some(Authority::new().map_err(std::io::Error::other)?),
             _ => None,
         };
         let l = &scenario.settings;
         let wallet = (l.text("identity.tokens") != "off").then(|| {
-            let (lasts, renewed) = (l.span("gateways.token-lasts-us"), l.span("gateways.renewed-every-us"));
-            shared(Wallet::new(l.text("identity.audience"), lasts, renewed, scenario.seed))
+            let (lasts, renewed) = (
+                l.span("gateways.token-lasts-us"),
+                l.span("gateways.renewed-every-us"),
+            );
+            shared(Wallet::new(
+                l.text("identity.audience"),
+                lasts,
+                renewed,
+                scenario.seed,
+            ))
         });
-        let window = scenario.calls.iter().map(|c| c.repeat_window).max().unwrap_or(0);
+        let window = scenario
+            .calls
+            .iter()
+            .map(|c| c.repeat_window)
+            .max()
+            .unwrap_or(0);
         Ok(Fleet {
             authority,
             former: None,
@@ -87,15 +104,22 @@
             handshakes: (0..scenario.workers)
                 .map(|_| {
                     let takes = l.span("fleet.handshake-us");
-                    shared(HandshakeWork { takes, ..HandshakeWork::default() })
+                    shared(HandshakeWork {
+                        takes,
+                        ..HandshakeWork::default()
+                    })
                 })
                 .collect(),
             recording: recording.clone(),
-            workers: (0..scenario.workers).map(|_| shared(WorkerFaults::default())).collect(),
+            workers: (0..scenario.workers)
+                .map(|_| shared(WorkerFaults::default()))
+                .collect(),
             store: shared(StoreFaults::default()),
             list: shared(ListFaults::default()),
             mood: shared(Mood::default()),
-            marks: (0..scenario.workers.max(1)).map(|_| shared(Marks::new(window))).collect(),
+            marks: (0..scenario.workers.max(1))
+                .map(|_| shared(Marks::new(window)))
+                .collect(),
             wallet,
             incarnations: vec![1; scenario.workers],
             edge_starts: vec![0; scenario.edges],
@@ -106,7 +130,12 @@
     }
     /// Workers of one group know each other's marks.
     fn marks_of(&self, n: usize) -> Shared<Marks> {
-        let groups: Vec<&str> = self.scenario.calls.iter().map(|c| c.group.as_str()).collect();
+        let groups: Vec<&str> = self
+            .scenario
+            .calls
+            .iter()
+            .map(|c| c.group.as_str())
+            .collect();
         let group = if groups.contains(&"cell") {
             n / self.scenario.settings.size("fleet.cell-size").max(1)
         } else if groups.contains(&"zone") {
@@ -130,15 +159,25 @@
         let spec = self.scenario.worker(n, &a.workers[n], &a.list, &a.store);
         let started = if cold { now } else { 0 };
         let seed = self.scenario.seed.wrapping_mul(31).wrapping_add(n as u64);
-        let worker =
-            Worker::new(spec, seed, started, self.incarnations[n], self.workers[n].clone(), self.marks_of(n));
+        let worker = Worker::new(
+            spec,
+            seed,
+            started,
+            self.incarnations[n],
+            self.workers[n].clone(),
+            self.marks_of(n),
+        );
         let worker = match &self.truth {
             Some(truth) => worker.seen_by(truth.clone()),
             None => worker,
         };
         let work = self.handshakes[n].clone();
         let costs = work.borrow().takes > 0;
-        let worker = if costs { worker.with_handshakes(work.clone()) } else { worker };
+        let worker = if costs {
+            worker.with_handshakes(work.clone())
+        } else {
+            worker
+        };
         if self.authority.is_none() {
             return Ok(Box::new(worker));
         }
@@ -147,19 +186,28 @@
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
         self.recording.0.borrow_mut().role(host, Role::Worker(n));
-        let rules = Rules { sessions: l.size("tls.sessions"), ..Rules::default() };
+        let rules = Rules {
+            sessions: l.size("tls.sessions"),
+            ..Rules::default()
+        };
         let door = Side::new(papers, rules).map_err(std::io::Error::other)?;
         let tapped = Tapped::new(worker, host, self.recording.clone());
         let layer = Layer::new(tapped, bounds(l)).with_doors(door);
         let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
-        Ok(if costs { Box::new(Slowed::new(layer, work, started, cold, from)) } else { Box::new(layer) })
+        Ok(if costs {
+            Box::new(Slowed::new(layer, work, started, cold, from))
+        } else {
+            Box::new(layer)
+        })
     }
     /// What a worker shows, and whom it trusts.
     ///
     /// # Errors
     /// No certificate can be made for it.
     pub fn worker_papers(&mut self, n: usize) -> std::io::Result<Papers> {
-        let Some(authority) = &self.authority else { return Ok(Papers::default()) };
+        let Some(authority) = &self.authority else {
+            return Ok(Papers::default());
+        };
         let name = Scenario::worker_name(n);
         if self.impostors.contains(&n) {
             let foreign = Authority::new().map_err(std::io::Error::other)?;
@@ -168,11 +216,20 @@
         if let std::collections::btree_map::Entry::Vacant(leaf) = self.leaves.entry(n) {
             leaf.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
         }
-        Ok(Papers { roots: self.roots(), own: self.leaves.get(&n).cloned(), ..Papers::default() })
+        Ok(Papers {
+            roots: self.roots(),
+            own: self.leaves.get(&n).cloned(),
+            ..Papers::default()
+        })
     }
     /// Whose word edges believe now.
     pub fn roots(&self) -> Vec<u8> {
-        self.authority.iter().chain(&self.former).map(Authority::roots).collect::<String>().into_bytes()
+        self.authority
+            .iter()
+            .chain(&self.former)
+            .map(Authority::roots)
+            .collect::<String>()
+            .into_bytes()
     }
     /// Workers get new certificates, from the authority as it is now.
     pub fn renew_leaves(&mut self) {
@@ -184,7 +241,9 @@
     /// No authority can be made.
     pub fn change_authority(&mut self, keeps_old: bool) -> std::io::Result<()> {
         if keeps_old && self.authority.is_some() {
-            self.former = self.authority.replace(Authority::new().map_err(std::io::Error::other)?);
+            self.former = self
+                .authority
+                .replace(Authority::new().map_err(std::io::Error::other)?);
         } else {
             self.former = None;
         }
@@ -199,8 +258,14 @@
             return Ok(edge);
         }
         let l = &self.scenario.settings;
-        let papers = Papers { roots: self.roots(), ..Papers::default() };
-        let rules = Rules { sessions: l.size("tls.sessions"), ..Rules::default() };
+        let papers = Papers {
+            roots: self.roots(),
+            ..Papers::default()
+        };
+        let rules = Rules {
+            sessions: l.size("tls.sessions"),
+            ..Rules::default()
+        };
         let calls = Side::new(papers, rules).map_err(std::io::Error::other)?;
         Ok(Box::new(Layer::new(edge, bounds(l)).with_calls(calls)))
     }
@@ -218,12 +283,20 @@
     pub fn callers(&self, patience: Micros) -> Box<dyn Core> {
         let seed = self.scenario.seed ^ 0xca11;
         let edges = self.addresses.edges.clone();
-        let callers = Callers::new(&self.scenario, edges, self.mood.clone(), self.wallet.clone(), seed);
+        let callers = Callers::new(
+            &self.scenario,
+            edges,
+            self.mood.clone(),
+            self.wallet.clone(),
+            seed,
+        );
         Box::new(callers.patient(patience))
     }
     /// The key set as edges are to have it now.
     pub fn keys(&self) -> Option<Vec<u8>> {
-        self.wallet.as_ref().map(|wallet| wallet.borrow().set.write())
+        self.wallet
+            .as_ref()
+            .map(|wallet| wallet.borrow().set.write())
     }
     /// An edge's settings and seed for its next start.
     ///
@@ -231,9 +304,15 @@
     /// An address is none.
     pub fn edge(&mut self, n: usize) -> Result<(Loaded, u64, u64), Problem> {
         self.edge_starts[n] += 1;
-        let settings = self.scenario.edge(n, &self.addresses.edges[n], &self.addresses.list)?;
+        let settings = self
+            .scenario
+            .edge(n, &self.addresses.edges[n], &self.addresses.list)?;
         let start = self.edge_starts[n];
-        let seed = self.scenario.seed.wrapping_mul(1009).wrapping_add(n as u64 * 101 + start);
+        let seed = self
+            .scenario
+            .seed
+            .wrapping_mul(1009)
+            .wrapping_add(n as u64 * 101 + start);
         Ok((settings, seed, start))
     }
 }
--- a/crates/sanddrum-lab/src/hammer.rs
+++ b/crates/sanddrum-lab/src/hammer.rs
@@ -47,9 +47,15 @@
 impl Hammered {
     pub fn empty() -> Self {
         let latency = Histogram::new_with_bounds(1, 600_000_000, 3);
-        let latency =
-            latency.unwrap_or_else(|_| unreachable!("ten minutes in three digits are within bounds"));
-        Hammered { finished: 0, others: BTreeMap::new(), latency, dropped: 0, counted: 0 }
+        let latency = latency
+            .unwrap_or_else(|_| unreachable!("ten minutes in three digits are within bounds"));
+        Hammered {
+            finished: 0,
+            others: BTreeMap::new(),
+            latency,
+            dropped: 0,
+            counted: 0,
+        }
     }
     pub fn rate(&self) -> f64 {
         self.finished as f64 / (self.counted.max(1) as f64 / 1e6)
@@ -88,14 +94,26 @@
 impl Hammer {
     pub fn new(spec: HammerSpec) -> Self {
         let request = |n: usize, token: Option<&String>| {
-            let path = format!("/v1/calls/{}/{}{}", spec.workload, spec.function, n % spec.functions.max(1));
+            let path = format!(
+                "/v1/calls/{}/{}{}",
+                spec.workload,
+                spec.function,
+                n % spec.functions.max(1)
+            );
             let token = token.map(|token| format!("Bearer {token}"));
-            let field = token.as_ref().map(|token| ("authorization", token.as_str()));
+            let field = token
+                .as_ref()
+                .map(|token| ("authorization", token.as_str()));
             http::write_request("POST", &path, field.as_slice(), spec.body.as_bytes())
         };
-        let (count, tokens) = (spec.functions.max(1).max(spec.tokens.len()), spec.tokens.len().max(1));
+        let (count, tokens) = (
+            spec.functions.max(1).max(spec.tokens.len()),
+            spec.tokens.len().max(1),
+        );
         Hammer {
-            requests: (0..count).map(|n| request(n, spec.tokens.get(n % tokens))).collect(),
+            requests: (0..count)
+                .map(|n| request(n, spec.tokens.get(n % tokens)))
+                .collect(),
             turn: 0,
             chance: Chance::new(spec.seed),
             begun: 0,
@@ -116,7 +134,9 @@
             0 => self.chance.below(self.requests.len()),
             _ => self.turn % self.requests.len(),
         };
-        let Some(line) = self.lines.get_mut(&conn) else { return };
+        let Some(line) = self.lines.get_mut(&conn) else {
+            return;
+        };
         line.meant = Some(meant);
         self.out += 1;
         let _ = line.out.push((), &self.requests[n]);
@@ -129,11 +149,18 @@
             Some(name) => io.connect_named(&self.spec.edge, name),
             None => io.connect(&self.spec.edge),
         };
-        let line = Line { up: false, meant: None, out: Outbox::new(1 << 20), bytes: Vec::new() };
+        let line = Line {
+            up: false,
+            meant: None,
+            out: Outbox::new(1 << 20),
+            bytes: Vec::new(),
+        };
         self.lines.insert(conn, line);
     }
     fn answered(&mut self, now: Micros, conn: Conn, status: u16, io: &mut dyn Io) {
-        let Some(meant) = self.lines.get_mut(&conn).and_then(|line| line.meant.take()) else { return };
+        let Some(meant) = self.lines.get_mut(&conn).and_then(|line| line.meant.take()) else {
+            return;
+        };
         self.out -= 1;
         let mut seen = self.seen.borrow_mut();
         if meant >= self.begun + self.spec.warm_up && meant < self.ends {
@@ -191,7 +218,9 @@
                 }
             }
             Event::Bytes { conn, bytes } => {
-                let Some(line) = self.lines.get_mut(&conn) else { return };
+                let Some(line) = self.lines.get_mut(&conn) else {
+                    return;
+                };
                 line.bytes.extend_from_slice(bytes);
                 if let Ok(Some((answer, took))) = http::answer(&line.bytes) {
                     line.bytes.drain(..took);
@@ -224,7 +253,11 @@
         }
     }
     fn wake(&self) -> Option<Micros> {
-        let next = if self.spec.rate > 0.0 && self.next < self.ends { self.next } else { self.ends };
+        let next = if self.spec.rate > 0.0 && self.next < self.ends {
+            self.next
+        } else {
+            self.ends
+        };
         (!self.done()).then_some(next)
     }
     fn done(&self) -> bool {
--- a/crates/sanddrum-lab/src/hunt.rs
+++ b/crates/sanddrum-lab/src/hunt.rs
@@ -42,11 +42,20 @@
         let mut chance = Chance::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         let pick = |chance: &mut Chance, of: &[&str]| of[chance.below(of.len())].to_string();
         let zones = 1 + chance.below(3);
-        let (workers, edges, cores) = (3 + chance.below(14), 1 + chance.below(5), 1 + chance.below(6));
+        let (workers, edges, cores) = (
+            3 + chance.below(14),
+            1 + chance.below(5),
+            1 + chance.below(6),
+        );
         let work_ms = 10 + chance.below(60);
         let load = 0.2 + chance.part();
-        let rate = ((workers * cores) as f64 * 1000.0 / work_ms as f64 * load).clamp(20.0, 900.0) as usize;
-        let names: Vec<String> = ["a", "b", "c"].iter().take(zones).map(|z| format!("{z:?}")).collect();
+        let rate =
+            ((workers * cores) as f64 * 1000.0 / work_ms as f64 * load).clamp(20.0, 900.0) as usize;
+        let names: Vec<String> = ["a", "b", "c"]
+            .iter()
+            .take(zones)
+            .map(|z| format!("{z:?}"))
+            .collect();
         let tls = chance.is_below(0.15);
         let (share, once) = (chance.part(), chance.part());
         let mut head = vec![
@@ -90,8 +99,14 @@
         }
         let fits = |kind: &&&str| !LEFT_OUT.contains(kind) && (tls || !OF_TLS.contains(kind));
         let fit: Vec<&str> = kinds().iter().filter(fits).copied().collect();
-        let troubles = (0..1 + chance.below(7)).map(|_| Self::trouble(&mut chance, &fit, zones)).collect();
-        Day { seed, head, troubles }
+        let troubles = (0..1 + chance.below(7))
+            .map(|_| Self::trouble(&mut chance, &fit, zones))
+            .collect();
+        Day {
+            seed,
+            head,
+            troubles,
+        }
     }
     fn trouble(chance: &mut Chance, fit: &[&str], zones: usize) -> String {
         let kind = fit[chance.below(fit.len())];
@@ -117,7 +132,10 @@
         out + ")"
     }
     pub fn text(&self) -> String {
-        self.head.iter().chain(&self.troubles).fold(String::new(), |text, line| text + line + "\n")
+        self.head
+            .iter()
+            .chain(&self.troubles)
+            .fold(String::new(), |text, line| text + line + "\n")
     }
     /// Plays it.
     ///
@@ -131,7 +149,13 @@
     pub fn breaks(&self) -> Result<(BTreeSet<u8>, Vec<String>), String> {
         let outcome = self.play()?;
         let mut rules: BTreeSet<u8> = outcome.verdict.broken.iter().map(|b| b.rule).collect();
-        let mut told: Vec<String> = outcome.verdict.broken.iter().take(3).map(ToString::to_string).collect();
+        let mut told: Vec<String> = outcome
+            .verdict
+            .broken
+            .iter()
+            .take(3)
+            .map(ToString::to_string)
+            .collect();
         if rules.is_empty() && !outcome.is_good() {
             rules.insert(0);
             told.push("jobs taken and jobs answered do not add up".into());
@@ -167,14 +191,20 @@
                 }
                 runs += 1;
                 // What is no scenario any more is not smaller.
-                let Ok((still, told)) = breaks(&less) else { continue };
+                let Ok((still, told)) = breaks(&less) else {
+                    continue;
+                };
                 if still.intersection(&rules).next().is_some() {
                     (self, broken, gone_on) = (less, told, true);
                     break;
                 }
             }
         }
-        Ok(Find { day: self, broken, runs })
+        Ok(Find {
+            day: self,
+            broken,
+            runs,
+        })
     }
 }
 
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -56,9 +56,17 @@
 
 impl Size {
     /// `capacity` is what the fleet finishes in a second; `set` are settings as the module reads them.
-    pub fn new(edges: usize, capacity: f64, policy: Policy, set: &[(&str, f64)], seed: u64) -> Self {
-        let mut map: BTreeMap<String, Value> =
-            set.iter().map(|(name, n)| (name.to_string(), Value::Number(*n))).collect();
+    pub fn new(
+        edges: usize,
+        capacity: f64,
+        policy: Policy,
+        set: &[(&str, f64)],
+        seed: u64,
+    ) -> Self {
+        let mut map: BTreeMap<String, Value> = set
+            .iter()
+            .map(|(name, n)| (name.to_string(), Value::Number(*n)))
+            .collect();
         map.insert("routers".into(), Value::Number(edges as f64));
         map.insert("sharing.shares".into(), Value::Flag(policy == Policy::Seen));
         let settings = Settings(map);
@@ -77,7 +85,9 @@
         }
     }
     fn even_part_has_room(&mut self, edge: usize, customer: usize) -> bool {
-        let Some(rate) = self.settings.number(&format!("customers.{customer}.rate")) else { return true };
+        let Some(rate) = self.settings.number(&format!("customers.{customer}.rate")) else {
+            return true;
+        };
         let rate = rate / self.edges.len() as f64;
         let bucket = self.even[edge].entry(customer).or_default();
         bucket.take(self.now, rate, rate / 2.0).is_ok()
@@ -94,13 +104,18 @@
                 while left >= 1.0 {
                     left -= 1.0;
                     self.next += 1;
-                    let edge = stream.edge.unwrap_or_else(|| self.chance.below(self.edges.len()));
+                    let edge = stream
+                        .edge
+                        .unwrap_or_else(|| self.chance.below(self.edges.len()));
                     whose.insert(JobId(self.next), stream.customer);
                     done.entry(stream.customer).or_default().0 += 1.0;
-                    self.news[edge].asked.push((JobId(self.next), CustomerId(stream.customer)));
+                    self.news[edge]
+                        .asked
+                        .push((JobId(self.next), CustomerId(stream.customer)));
                 }
             }
-            self.room = (self.room + self.capacity * STEP as f64 / S as f64).min(self.capacity / 20.0);
+            self.room =
+                (self.room + self.capacity * STEP as f64 / S as f64).min(self.capacity / 20.0);
             let mut taken: Vec<(usize, JobId)> = Vec::new();
             for n in 0..self.edges.len() {
                 let news = std::mem::take(&mut self.news[n]);
@@ -109,7 +124,10 @@
                     Policy::Seen => self.edges[n].round(self.now, &news, &mut ruled),
                     Policy::None => ruled.taken = news.asked.iter().map(|(job, _)| *job).collect(),
                     Policy::Even => {
-                        let fit = news.asked.iter().filter(|(_, c)| self.even_part_has_room(n, c.0));
+                        let fit = news
+                            .asked
+                            .iter()
+                            .filter(|(_, c)| self.even_part_has_room(n, c.0));
                         ruled.taken = fit.map(|(job, _)| *job).collect();
                     }
                 }
@@ -133,12 +151,14 @@
                     let of = pace.now(self.now, S);
                     let all = self.workers.entry((worker, ALL)).or_default();
                     all.count(self.now, S);
-                    news.told.push((CustomerId(customer), of, all.now(self.now, S)));
+                    news.told
+                        .push((CustomerId(customer), of, all.now(self.now, S)));
                 }
             }
         }
         let seconds = span as f64 / S as f64;
-        done.values_mut().for_each(|(asked, got)| (*asked, *got) = (*asked / seconds, *got / seconds));
+        done.values_mut()
+            .for_each(|(asked, got)| (*asked, *got) = (*asked / seconds, *got / seconds));
         done
     }
 }
@@ -163,10 +183,22 @@
 /// Plays the three scenes at one size.
 pub fn limits_at(edges: usize, policy: Policy, seed: u64) -> AtSize {
     let capacity = 2000.0;
-    let two = [("customers.count", 2.0), ("customers.0.share", 0.6), ("customers.1.share", 0.4)];
+    let two = [
+        ("customers.count", 2.0),
+        ("customers.0.share", 0.6),
+        ("customers.1.share", 0.4),
+    ];
     let flood = [
-        Stream { customer: 0, edge: None, rate: 0.55 * capacity },
-        Stream { customer: 1, edge: None, rate: 4.0 * capacity },
+        Stream {
+            customer: 0,
+            edge: None,
+            rate: 0.55 * capacity,
+        },
+        Stream {
+            customer: 1,
+            edge: None,
+            rate: 4.0 * capacity,
+        },
     ];
     let mut size = Size::new(edges, capacity, policy, &two, seed);
     size.play(5 * S, &flood);
@@ -174,7 +206,13 @@
     let honest = got.get(&0).map_or(0.0, |(asked, got)| got / asked);
 
     let limited = [&two[..], &[("customers.0.rate", 300.0)]].concat();
-    let over = |edge| [Stream { customer: 0, edge, rate: 900.0 }];
+    let over = |edge| {
+        [Stream {
+            customer: 0,
+            edge,
+            rate: 900.0,
+        }]
+    };
     let part = |got: &BTreeMap<usize, (f64, f64)>| got.get(&0).map_or(0.0, |(_, got)| got / 300.0);
     let mut size = Size::new(edges, capacity, policy, &limited, seed);
     size.play(10 * S, &over(None));
@@ -182,7 +220,9 @@
     let mut size = Size::new(edges, capacity, policy, &limited, seed);
     size.play(10 * S, &over(Some(0)));
     let at_one = part(&size.play(10 * S, &over(Some(0))));
-    let moved = (0..8).map(|_| part(&size.play(S, &over(Some(edges - 1))))).collect();
+    let moved = (0..8)
+        .map(|_| part(&size.play(S, &over(Some(edges - 1)))))
+        .collect();
 
     let mut size = Size::new(edges, capacity, policy, &two, seed);
     size.play(10 * S, &flood[1..]);
@@ -193,5 +233,13 @@
             back = Some(f64::from(n) / 4.0);
         }
     }
-    AtSize { edges, policy, honest, spread, at_one, moved, back }
+    AtSize {
+        edges,
+        policy,
+        honest,
+        spread,
+        at_one,
+        moved,
+        back,
+    }
 }
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -11,7 +11,8 @@
 use sanddrum_tls::{Asks, Bounds, Layer, Rules, Side};
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
-    Copy, Done, Ended, Frames, FromWorker, Held, Hello, LoadReport, Phase, Probed, Row, ToWorker, VERSION,
+    Copy, Done, Ended, Frames, FromWorker, Held, Hello, LoadReport, Phase, Probed, Row, ToWorker,
+    VERSION,
 };
 use sanddrum_worker::{ListService, ListSpec};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,8 +23,12 @@
     Arc,
 };
 
-const TLS_BOUNDS: Bounds =
-    Bounds { handshake_time_out: 2_000_000, handshakes: 256, waiting: 256 * 1024, warn_ahead: 0 };
+const TLS_BOUNDS: Bounds = Bounds {
+    handshake_time_out: 2_000_000,
+    handshakes: 256,
+    waiting: 256 * 1024,
+    warn_ahead: 0,
+};
 const TLS_SESSIONS: usize = 4096;
 /// The name of the client door.
 const DOOR_NAME: &str = "edge.example.org";
@@ -42,18 +47,31 @@
     fn event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
             Event::Accepted { conn, door } => {
-                self.peers.insert(conn, (self.first + door.0, Frames::new(1 << 24), Vec::new()));
+                self.peers.insert(
+                    conn,
+                    (self.first + door.0, Frames::new(1 << 24), Vec::new()),
+                );
             }
             Event::Bytes { conn, bytes } => {
-                let Some((n, frames, out)) = self.peers.get_mut(&conn) else { return };
+                let Some((n, frames, out)) = self.peers.get_mut(&conn) else {
+                    return;
+                };
                 frames.take_in(bytes);
                 while let Ok(Some(message)) = frames.next_message::<ToWorker>() {
-                    let report =
-                        Some(LoadReport { held: Some(0.0), queued: Some(0.0), ..LoadReport::default() });
+                    let report = Some(LoadReport {
+                        held: Some(0.0),
+                        queued: Some(0.0),
+                        ..LoadReport::default()
+                    });
                     let answer = match message {
                         ToWorker::Hello(_) => {
                             let name = format!("worker-{n}");
-                            FromWorker::Hello(Hello { version: VERSION, name, incarnation: 1, age_us: None })
+                            FromWorker::Hello(Hello {
+                                version: VERSION,
+                                name,
+                                incarnation: 1,
+                                age_us: None,
+                            })
                         }
                         ToWorker::Execute(e) => FromWorker::Done(Done {
                             id: e.id,
@@ -171,7 +189,11 @@
 /// Processor time of the calling thread, in microseconds.
 fn thread_cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    text.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(0.0) / 1000.0
+    text.split_whitespace()
+        .next()
+        .and_then(|ns| ns.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1000.0
 }
 
 /// Connects so many clients that say nothing.
@@ -214,8 +236,12 @@
 
 fn settings(listen: &str, list: &str) -> Result<Loaded, String> {
     let mut settings = sanddrum_settings::read("measure", SETTINGS).map_err(|e| e.to_string())?;
-    settings.give("edge.listen", listen, "measure").map_err(|e| e.to_string())?;
-    settings.give("edge.list", list, "measure").map_err(|e| e.to_string())?;
+    settings
+        .give("edge.listen", listen, "measure")
+        .map_err(|e| e.to_string())?;
+    settings
+        .give("edge.list", list, "measure")
+        .map_err(|e| e.to_string())?;
     Ok(settings)
 }
 
@@ -224,11 +250,23 @@
     let secret = SecretKey::from_seed("measure", [5; 32]);
     let mut set = KeySet::default();
     set.add("measure", secret.x()?)?;
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     let exp = now.as_secs() as i64 + 3600;
     let sign = |n: usize| {
         let (sub, aud) = ("measure".to_string(), "sanddrum".to_string());
-        token::issue(&Claims { sub, aud, exp, nbf: None, iat: None, jti: n.to_string() }, &secret)
+        token::issue(
+            &Claims {
+                sub,
+                aud,
+                exp,
+                nbf: None,
+                iat: None,
+                jti: n.to_string(),
+            },
+            &secret,
+        )
     };
     Ok(((0..count).map(sign).collect::<Result<_, _>>()?, set.write()))
 }
@@ -278,8 +316,10 @@
 pub fn measure(spec: &MeasureSpec) -> Result<Measured, String> {
     let text = |e: io::Error| e.to_string();
     let stop = Arc::new(AtomicBool::new(false));
-    let bound: Vec<(TcpListener, String)> =
-        (0..spec.workers).map(|_| EventLoop::bind("127.0.0.1:0")).collect::<io::Result<_>>().map_err(text)?;
+    let bound: Vec<(TcpListener, String)> = (0..spec.workers)
+        .map(|_| EventLoop::bind("127.0.0.1:0"))
+        .collect::<io::Result<_>>()
+        .map_err(text)?;
     let (list_door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let (edge_door, edge_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let row = |(n, (_, at)): (usize, &(TcpListener, String))| Row {
@@ -298,21 +338,41 @@
     let worker_terms = match spec.tls {
         true => {
             let terms = |n| authority.for_door(&format!("worker-{n}"), Asks::No, TLS_SESSIONS);
-            Some((0..spec.workers).map(terms).collect::<Result<Vec<_>, _>>()?)
+            Some(
+                (0..spec.workers)
+                    .map(terms)
+                    .collect::<Result<Vec<_>, _>>()?,
+            )
         }
         false => None,
     };
-    let edge_terms = spec.tls.then(|| authority.for_edge(TLS_SESSIONS)).transpose()?;
+    let edge_terms = spec
+        .tls
+        .then(|| authority.for_edge(TLS_SESSIONS))
+        .transpose()?;
     let (door_side, client_side) = match spec.door {
         Speaks::Plain => (None, None),
         speaks => {
-            let asks = if speaks == Speaks::Certificate { Asks::Must } else { Asks::No };
+            let asks = if speaks == Speaks::Certificate {
+                Asks::Must
+            } else {
+                Asks::No
+            };
             let mut papers = authority.papers("gw-1")?;
             papers.own = papers.own.filter(|_| speaks == Speaks::Certificate);
             let sessions = if spec.resumes { TLS_SESSIONS } else { 0 };
-            let client =
-                Side::new(papers, Rules { sessions, ..Rules::default() }).map_err(|e| e.to_string())?;
-            (Some(authority.for_door(DOOR_NAME, asks, TLS_SESSIONS)?), Some(client))
+            let client = Side::new(
+                papers,
+                Rules {
+                    sessions,
+                    ..Rules::default()
+                },
+            )
+            .map_err(|e| e.to_string())?;
+            (
+                Some(authority.for_door(DOOR_NAME, asks, TLS_SESSIONS)?),
+                Some(client),
+            )
         }
     };
     let workers = in_thread(stop.clone(), move |driver| {
@@ -327,10 +387,19 @@
         let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
         driver.add(Box::new(list), vec![list_door], None)?;
         let Some(terms) = worker_terms else {
-            return driver.add(Box::new(Instant::default()), doors, None).map(drop);
+            return driver
+                .add(Box::new(Instant::default()), doors, None)
+                .map(drop);
         };
         for (first, (door, terms)) in doors.into_iter().zip(terms).enumerate() {
-            let core = Layer::new(Instant { first, ..Instant::default() }, TLS_BOUNDS).with_doors(terms);
+            let core = Layer::new(
+                Instant {
+                    first,
+                    ..Instant::default()
+                },
+                TLS_BOUNDS,
+            )
+            .with_doors(terms);
             driver.add(Box::new(core), vec![door], None)?;
         }
         Ok(())
@@ -348,7 +417,9 @@
             ("door.speaks", "tls"),
             ("door.certificates", "required"),
         ] {
-            settings.give(name, value, "measure").map_err(|e| e.to_string())?;
+            settings
+                .give(name, value, "measure")
+                .map_err(|e| e.to_string())?;
         }
     }
     if spec.tokens > 0 {
@@ -357,17 +428,26 @@
             ("identity.tokens", "required"),
             ("identity.token-checks", "10000000"),
         ] {
-            settings.give(name, value, "measure").map_err(|e| e.to_string())?;
+            settings
+                .give(name, value, "measure")
+                .map_err(|e| e.to_string())?;
         }
     }
     let decides = spec.decides;
     let edge_stop = stop.clone();
     // Named, so that a profiler can tell it from the rest.
-    let edge =
-        std::thread::Builder::new().name(format!("edge-{decides:?}")).spawn(move || -> io::Result<()> {
+    let edge = std::thread::Builder::new()
+        .name(format!("edge-{decides:?}"))
+        .spawn(move || -> io::Result<()> {
             let mut driver = EventLoop::new(Box::new(NoTap))?;
-            let start =
-                Start { settings, seed: 1, kept: None, incarnation: 1, metrics_page: None, platform: None };
+            let start = Start {
+                settings,
+                seed: 1,
+                kept: None,
+                incarnation: 1,
+                metrics_page: None,
+                platform: None,
+            };
             let core: Box<dyn Core> = match decides {
                 Decides::Module => {
                     let module = Router::new(1, &start.settings.values_for_module());
@@ -378,7 +458,9 @@
             let core: Box<dyn Core> = match (edge_terms, door_side) {
                 (None, None) => core,
                 (calls, doors) => {
-                    let layer = calls.into_iter().fold(Layer::new(core, TLS_BOUNDS), Layer::with_calls);
+                    let layer = calls
+                        .into_iter()
+                        .fold(Layer::new(core, TLS_BOUNDS), Layer::with_calls);
                     Box::new(doors.into_iter().fold(layer, Layer::with_doors))
                 }
             };
@@ -399,7 +481,11 @@
         driver.run_until(until).map_err(text)
     };
     if spec.idle_clients > 0 {
-        let idle = Idle { edge: edge_at.clone(), wanted: spec.idle_clients, open: 0 };
+        let idle = Idle {
+            edge: edge_at.clone(),
+            wanted: spec.idle_clients,
+            open: 0,
+        };
         driver.add(Box::new(idle), vec![], None).map_err(text)?;
         wait(&mut driver, 200_000 + spec.idle_clients as Micros * 100)?;
     }
@@ -421,14 +507,30 @@
         seed: 1,
     };
     if spec.flood > 0 {
-        let bad = tokens.iter().chain([&String::new()]).take(1).map(|token| format!("{token}AAAA")).collect();
-        let spec = HammerSpec { connections: spec.flood, rate: 0.0, reopens: true, ..spec_of(bad) };
-        driver.add(Box::new(Hammer::new(spec)), vec![], None).map_err(text)?;
+        let bad = tokens
+            .iter()
+            .chain([&String::new()])
+            .take(1)
+            .map(|token| format!("{token}AAAA"))
+            .collect();
+        let spec = HammerSpec {
+            connections: spec.flood,
+            rate: 0.0,
+            reopens: true,
+            ..spec_of(bad)
+        };
+        driver
+            .add(Box::new(Hammer::new(spec)), vec![], None)
+            .map_err(text)?;
     }
     let hammer = Hammer::new(spec_of(tokens));
     let seen = hammer.seen.clone();
     let host = match client_side {
-        Some(side) => driver.add(Box::new(Layer::new(hammer, TLS_BOUNDS).with_calls(side)), vec![], None),
+        Some(side) => driver.add(
+            Box::new(Layer::new(hammer, TLS_BOUNDS).with_calls(side)),
+            vec![],
+            None,
+        ),
         None => driver.add(Box::new(hammer), vec![], None),
     };
     let host = host.map_err(text)?;
@@ -444,9 +546,15 @@
     }
     stop.store(true, Ordering::Relaxed);
     for thread in [workers, edge] {
-        thread.join().map_err(|_| "a thread panicked".to_string())?.map_err(text)?;
+        thread
+            .join()
+            .map_err(|_| "a thread panicked".to_string())?
+            .map_err(text)?;
     }
     let load = std::mem::replace(&mut *seen.borrow_mut(), Hammered::empty());
     let cpu_us_per_call = (after - before) / load.finished.max(1) as f64;
-    Ok(Measured { load, cpu_us_per_call })
+    Ok(Measured {
+        load,
+        cpu_us_per_call,
+    })
 }
--- a/crates/sanddrum-lab/src/player.rs
+++ b/crates/sanddrum-lab/src/player.rs
@@ -102,7 +102,10 @@
     let recorder = recording.0.borrow();
     let verdict = judge(&recorder.log, &scenario, start, slack);
     let (runs, orders) = (recorder.log.runs.len(), recorder.log.orders.len());
-    let (harm, whole) = (harm(&recorder.log), crate::whole::of(&recorder.log, &scenario));
+    let (harm, whole) = (
+        harm(&recorder.log),
+        crate::whole::of(&recorder.log, &scenario),
+    );
     Ok(Outcome {
         verdict,
         seed,
@@ -149,7 +152,13 @@
             }
         }
         self.stage.run_until(self.start + self.scenario.length)?;
-        let longest = self.scenario.calls.iter().map(|c| c.time_limit).max().unwrap_or(0);
+        let longest = self
+            .scenario
+            .calls
+            .iter()
+            .map(|c| c.time_limit)
+            .max()
+            .unwrap_or(0);
         let last = self.stage.now() + longest + AFTER;
         while !self.stage.calls_are_over() && self.stage.now() < last {
             let next = self.stage.now() + 20_000;
@@ -169,12 +178,22 @@
         } else {
             t.kind.starts_with("edge-")
         };
-        let count = if edges { self.scenario.edges } else { self.scenario.workers };
-        let in_zone =
-            |n: &usize| t.zone.as_ref().is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)]);
+        let count = if edges {
+            self.scenario.edges
+        } else {
+            self.scenario.workers
+        };
+        let in_zone = |n: &usize| {
+            t.zone
+                .as_ref()
+                .is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)])
+        };
         let who = |n| if edges { Who::Edge(n) } else { Who::Worker(n) };
-        let mut fit: Vec<Who> =
-            (0..count).filter(in_zone).map(who).filter(|w| !self.struck.contains(w)).collect();
+        let mut fit: Vec<Who> = (0..count)
+            .filter(in_zone)
+            .map(who)
+            .filter(|w| !self.struck.contains(w))
+            .collect();
         let all = ["zone-loss", "flush", "link", "link-break"].contains(&t.kind.as_str())
             && t.part.is_none()
             && t.count.is_none();
@@ -193,7 +212,11 @@
 
     fn act(&mut self, what: &str, whom: &[Who]) {
         let now = self.stage.now() - self.start;
-        let whom = if whom.is_empty() { String::new() } else { format!(" {whom:?}") };
+        let whom = if whom.is_empty() {
+            String::new()
+        } else {
+            format!(" {whom:?}")
+        };
         tracing::info!(at_ms = now / 1000, "{what}{whom}");
         self.acts.push((now, format!("{what}{whom}")));
     }
@@ -209,7 +232,13 @@
         self.log_down(whom);
     }
     fn edges(whom: &[Who]) -> impl Iterator<Item = String> + '_ {
-        let number = |who: &Who| if let Who::Edge(n) = who { Some(*n) } else { None };
+        let number = |who: &Who| {
+            if let Who::Edge(n) = who {
+                Some(*n)
+            } else {
+                None
+            }
+        };
         whom.iter().filter_map(number).map(Scenario::edge_name)
     }
     fn log_down(&mut self, whom: &[Who]) {
@@ -227,7 +256,8 @@
                 Who::Worker(n) => log.starts.push((*n, now)),
                 Who::Edge(n) => {
                     let name = Scenario::edge_name(*n);
-                    if let Some(spell) = log.down.iter_mut().rev().find(|(edge, ..)| *edge == name) {
+                    if let Some(spell) = log.down.iter_mut().rev().find(|(edge, ..)| *edge == name)
+                    {
                         spell.2 = Some(now);
                     }
                 }
@@ -271,7 +301,10 @@
             }
             let reach = self.scenario.settings.span("gateways.keys-reach-edges-us");
             let bound = reach + self.scenario.settings.span("identity.watch-every-us");
-            let revoked = wallet.revoked.iter().map(|(kid, at)| (kid.clone(), at + bound));
+            let revoked = wallet
+                .revoked
+                .iter()
+                .map(|(kid, at)| (kid.clone(), at + bound));
             self.recording.0.borrow_mut().log.revoked = revoked.collect();
         }
         self.stage.spread_keys()
@@ -280,18 +313,28 @@
     /// The links of these, as calling sides or as those called by the clients.
     fn links(&self, t: &Trouble, whom: &[Who]) -> Vec<(Who, Who)> {
         let zone = |n: &usize| {
-            t.to_zone.as_ref().is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)])
+            t.to_zone
+                .as_ref()
+                .is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)])
         };
         let others: Vec<Who> = match t.link.1.as_str() {
             "list" => vec![Who::List],
             "store" => vec![Who::Store],
-            "workers" => (0..self.scenario.workers).filter(zone).map(Who::Worker).collect(),
-            _ => (0..self.scenario.edges).filter(zone).map(Who::Edge).collect(),
+            "workers" => (0..self.scenario.workers)
+                .filter(zone)
+                .map(Who::Worker)
+                .collect(),
+            _ => (0..self.scenario.edges)
+                .filter(zone)
+                .map(Who::Edge)
+                .collect(),
         };
         if t.link.0 == "callers" {
             return whom.iter().map(|who| (Who::Callers, *who)).collect();
         }
-        whom.iter().flat_map(|from| others.iter().map(|to| (*from, *to))).collect()
+        whom.iter()
+            .flat_map(|from| others.iter().map(|to| (*from, *to)))
+            .collect()
     }
 
     fn begin(&mut self, t: &Trouble, whom: &[Who]) -> io::Result<()> {
@@ -354,8 +397,10 @@
                 whom.iter().for_each(|who| self.stage.freeze(*who, false));
                 let (now, names) = (self.stage.now(), Self::edges(whom).collect::<BTreeSet<_>>());
                 let log = &mut self.recording.0.borrow_mut().log;
-                let open =
-                    log.stopped.iter_mut().filter(|(edge, _, until)| until.is_none() && names.contains(edge));
+                let open = log
+                    .stopped
+                    .iter_mut()
+                    .filter(|(edge, _, until)| until.is_none() && names.contains(edge));
                 open.for_each(|spell| spell.2 = Some(now));
             }
             "list-stop" => self.stage.freeze(Who::List, false),
@@ -440,7 +485,11 @@
             "jobs taken {}: finished {}, pushed back {}, killed {}, lost with a killed edge {}; calls that reached no edge {}",
             v.taken, v.finished, v.pushed_back, v.killed, v.lost_with_edge, v.unreached
         );
-        let _ = writeln!(out, "executions {}, orders to load {}", self.runs, self.orders);
+        let _ = writeln!(
+            out,
+            "executions {}, orders to load {}",
+            self.runs, self.orders
+        );
         let (each, edges) = (&self.whole["for_each_finished"], &self.whole["edges"]);
         let _ = writeln!(
             out,
@@ -466,9 +515,17 @@
         let _ = writeln!(
             out,
             "worst second of a worker: {} handshakes, {} probes, {} asks, {} orders, {} misses",
-            worker["handshakes"], worker["probes"], worker["asks"], worker["orders"], worker["misses"]
+            worker["handshakes"],
+            worker["probes"],
+            worker["asks"],
+            worker["orders"],
+            worker["misses"]
+        );
+        let (p50, p99, p999) = (
+            self.latency_ms(0.5),
+            self.latency_ms(0.99),
+            self.latency_ms(0.999),
         );
-        let (p50, p99, p999) = (self.latency_ms(0.5), self.latency_ms(0.99), self.latency_ms(0.999));
         let _ = writeln!(
             out,
             "service {:.3}; finished calls took {p50} ms (p50), {p99} (p99), {p999} (p999)",
--- a/crates/sanddrum-lab/src/plots.rs
+++ b/crates/sanddrum-lab/src/plots.rs
@@ -43,7 +43,13 @@
         .y_label_area_size(56)
         .build_cartesian_2d(least_x..most_x, 0.0..most_y.max(f64::MIN_POSITIVE) * 1.05)
         .map_err(|e| told(&e))?;
-    chart.configure_mesh().x_desc(x).y_desc(y).light_line_style(WHITE).draw().map_err(|e| told(&e))?;
+    chart
+        .configure_mesh()
+        .x_desc(x)
+        .y_desc(y)
+        .light_line_style(WHITE)
+        .draw()
+        .map_err(|e| told(&e))?;
     for (n, line) in all.iter().enumerate() {
         let colour = Palette99::pick(n).stroke_width(2);
         let series = LineSeries::new(line.points.iter().copied(), colour);
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -116,7 +116,9 @@
         let (workers, edges) = (scenario.workers, scenario.edges);
         make_room(descriptors(workers, edges))?;
         let mut driver = EventLoop::new(Box::new(recording.clone()))?;
-        let all = (0..workers).map(Who::Worker).chain((0..edges).map(Who::Edge));
+        let all = (0..workers)
+            .map(Who::Worker)
+            .chain((0..edges).map(Who::Edge));
         let all: Vec<Who> = [Who::List, Who::Store].into_iter().chain(all).collect();
         let mut doors = BTreeMap::new();
         let mut hosts = 0;
@@ -125,7 +127,11 @@
             hosts += 1;
             let (steering, port) = (Rc::new(RefCell::new(Steering::default())), Port::new()?);
             let core = Box::new(Relay::new(greets, steering.clone()));
-            Ok(Door { host: driver.add(core, vec![], None)?, port, steering })
+            Ok(Door {
+                host: driver.add(core, vec![], None)?,
+                port,
+                steering,
+            })
         };
         for who in &all {
             let (role, greets) = match who {
@@ -136,7 +142,11 @@
             doors.insert(*who, door(role, greets, &mut driver)?);
         }
         let registers = door(Role::Other, Greets::List, &mut driver)?;
-        let at = |who: Who| doors.get(&who).map_or(String::new(), |d: &Door| d.port.at.to_string());
+        let at = |who: Who| {
+            doors
+                .get(&who)
+                .map_or(String::new(), |d: &Door| d.port.at.to_string())
+        };
         let addresses = Addresses {
             workers: (0..workers).map(|n| at(Who::Worker(n))).collect(),
             edges: (0..edges).map(|n| at(Who::Edge(n))).collect(),
@@ -144,7 +154,10 @@
             store: at(Who::Store),
         };
         for (n, address) in addresses.edges.iter().enumerate() {
-            recording.0.borrow_mut().edge(address, &Scenario::edge_name(n));
+            recording
+                .0
+                .borrow_mut()
+                .edge(address, &Scenario::edge_name(n));
         }
         let fleet = Fleet::new(scenario, addresses, recording)?;
         let mut stage = ProcessStage {
@@ -170,7 +183,10 @@
             watched_at: 0,
         };
         std::fs::write(stage.folder.join("scenario.sx"), &stage.fleet.scenario.text)?;
-        std::fs::write(stage.folder.join("workers"), stage.fleet.addresses.workers.join("\n"))?;
+        std::fs::write(
+            stage.folder.join("workers"),
+            stage.fleet.addresses.workers.join("\n"),
+        )?;
         // The list service and the store first, then workers, then edges: each finds what it calls.
         for some in [&all[..2], &all[2..2 + workers], &all[2 + workers..]] {
             for who in some {
@@ -188,7 +204,10 @@
     /// # Errors
     /// The callers can't be run.
     pub fn call(&mut self, recording: &Recording) -> io::Result<()> {
-        recording.0.borrow_mut().role(HostId(self.doors.len() + 1), Role::Callers);
+        recording
+            .0
+            .borrow_mut()
+            .role(HostId(self.doors.len() + 1), Role::Callers);
         self.callers = Some(self.driver.add(self.fleet.callers(SLACK), vec![], None)?);
         Ok(())
     }
@@ -199,7 +218,12 @@
         let count = self.starts.entry(who).or_default();
         *count += 1;
         let incarnation = *count;
-        let seed = self.fleet.scenario.seed.wrapping_mul(1009).wrapping_add(incarnation * 7919);
+        let seed = self
+            .fleet
+            .scenario
+            .seed
+            .wrapping_mul(1009)
+            .wrapping_add(incarnation * 7919);
         let files = ["address", "faults", "state"].map(|what| self.file(who, what));
         let [address_file, faults_file, state_file] = &files;
         let _ = std::fs::remove_file(address_file);
@@ -209,7 +233,11 @@
         self.told_faults.remove(&who);
         self.tell_faults(who)?;
         let at = |door: &Door| door.port.at.to_string();
-        let list = if let Who::Worker(_) = who { at(&self.registers) } else { at(&self.doors[&Who::List]) };
+        let list = if let Who::Worker(_) = who {
+            at(&self.registers)
+        } else {
+            at(&self.doors[&Who::List])
+        };
         let (store, known_as) = (at(&self.doors[&Who::Store]), at(&self.doors[&who]));
         let fleet = &self.fleet;
         let start = Start {
@@ -239,9 +267,17 @@
                 self.lead(who, Some(at.trim().to_string()))?;
                 continue;
             }
-            let ended = self.children.get_mut(&who).map(Child::try_wait).transpose()?.flatten();
+            let ended = self
+                .children
+                .get_mut(&who)
+                .map(Child::try_wait)
+                .transpose()?
+                .flatten();
             if let Some(status) = ended {
-                return Err(io::Error::other(format!("{} ended before it listened: {status}", name(who))));
+                return Err(io::Error::other(format!(
+                    "{} ended before it listened: {status}",
+                    name(who)
+                )));
             }
             if self.driver.now() > since + UP_WITHIN {
                 return Err(io::Error::other(format!("{} does not listen", name(who))));
@@ -257,9 +293,17 @@
         Ok(())
     }
     fn lead(&mut self, who: Who, to: Option<String>) -> io::Result<()> {
-        let doors = self.doors.get(&who).into_iter().chain((who == Who::List).then_some(&self.registers));
+        let doors = self
+            .doors
+            .get(&who)
+            .into_iter()
+            .chain((who == Who::List).then_some(&self.registers));
         for door in doors {
-            let listeners = if to.is_some() { vec![door.port.listen()?] } else { vec![] };
+            let listeners = if to.is_some() {
+                vec![door.port.listen()?]
+            } else {
+                vec![]
+            };
             door.steering.borrow_mut().lead_to(to.clone());
             self.driver.set_doors(door.host, listeners)?;
         }
@@ -295,7 +339,9 @@
         }
     }
     fn tell_faults(&mut self, who: Who) -> io::Result<()> {
-        let Some(text) = self.faults_of(who) else { return Ok(()) };
+        let Some(text) = self.faults_of(who) else {
+            return Ok(());
+        };
         if let Who::Worker(n) = who {
             // Faults that are over as soon as they are there.
             let mut faults = self.fleet.workers[n].borrow_mut();
@@ -310,14 +356,23 @@
         Ok(())
     }
     fn signal(&self, who: Who, signal: Signal) {
-        self.children.get(&who).iter().for_each(|child| send(child, signal));
+        self.children
+            .get(&who)
+            .iter()
+            .for_each(|child| send(child, signal));
     }
     /// Whether a process has ended by itself.
     ///
     /// # Errors
     /// The system does not tell.
     fn has_ended(&mut self, who: Who) -> io::Result<bool> {
-        Ok(self.children.get_mut(&who).map(Child::try_wait).transpose()?.flatten().is_some())
+        Ok(self
+            .children
+            .get_mut(&who)
+            .map(Child::try_wait)
+            .transpose()?
+            .flatten()
+            .is_some())
     }
     /// Callers and workers that fetch do not greet by name: their faults are everybody's.
     fn caller(from: Who) -> Option<String> {
@@ -335,8 +390,12 @@
 
 impl Drop for ProcessStage {
     fn drop(&mut self) {
-        self.children.values_mut().for_each(|child| drop(child.kill()));
-        self.children.values_mut().for_each(|child| drop(child.wait()));
+        self.children
+            .values_mut()
+            .for_each(|child| drop(child.kill()));
+        self.children
+            .values_mut()
+            .for_each(|child| drop(child.wait()));
     }
 }
 
@@ -348,7 +407,9 @@
         &mut self.fleet
     }
     fn run_until(&mut self, at: Micros) -> io::Result<()> {
-        let parts = (0..self.fleet.workers.len()).map(Who::Worker).chain([Who::Store, Who::List]);
+        let parts = (0..self.fleet.workers.len())
+            .map(Who::Worker)
+            .chain([Who::Store, Who::List]);
         for who in parts.collect::<Vec<_>>() {
             self.tell_faults(who)?;
         }
@@ -369,7 +430,9 @@
                 self.short_of_files |= is_short_of_files();
             }
             if self.driver.signalled() {
-                return Err(io::Error::other("ended by a signal before the scenario was over"));
+                return Err(io::Error::other(
+                    "ended by a signal before the scenario was over",
+                ));
             }
         }
         Ok(())
@@ -451,7 +514,12 @@
     fn start(&mut self, now: Micros, io: &mut dyn sanddrum_net::Io) {
         self.core.start(now, io);
     }
-    fn event(&mut self, now: Micros, event: sanddrum_net::Event<'_>, io: &mut dyn sanddrum_net::Io) {
+    fn event(
+        &mut self,
+        now: Micros,
+        event: sanddrum_net::Event<'_>,
+        io: &mut dyn sanddrum_net::Io,
+    ) {
         self.core.event(now, event, io);
     }
     fn turn(&mut self, now: Micros, io: &mut dyn sanddrum_net::Io) {
@@ -460,7 +528,13 @@
     fn wake(&self) -> Option<Micros> {
         self.core.wake()
     }
-    fn file(&mut self, _: Micros, _: &str, content: Result<&[u8], &str>, _: &mut dyn sanddrum_net::Io) {
+    fn file(
+        &mut self,
+        _: Micros,
+        _: &str,
+        content: Result<&[u8], &str>,
+        _: &mut dyn sanddrum_net::Io,
+    ) {
         if let Ok(text) = content.map(String::from_utf8_lossy) {
             (self.take)(&text);
         }
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -122,20 +122,42 @@
     }
     /// The worst of a figure in any second, over all workers or at the list service.
     pub fn worst(&self, list: bool, figure: impl Fn(&Load) -> u64) -> u64 {
-        let of = self.loads.iter().filter(|((target, _), _)| (*target == Target::List) == list);
+        let of = self
+            .loads
+            .iter()
+            .filter(|((target, _), _)| (*target == Target::List) == list);
         of.map(|(_, load)| figure(load)).max().unwrap_or(0)
     }
     /// The sum of a figure over the whole day.
     pub fn sum(&self, list: bool, figure: impl Fn(&Load) -> u64) -> u64 {
-        let of = self.loads.iter().filter(|((target, _), _)| (*target == Target::List) == list);
+        let of = self
+            .loads
+            .iter()
+            .filter(|((target, _), _)| (*target == Target::List) == list);
         of.map(|(_, load)| figure(load)).sum()
     }
 }
 
 enum Reader {
-    Caller { edge: String, out: Vec<u8>, inn: Vec<u8>, open: Option<usize> },
-    Worker { n: usize, edge: String, inn: Frames, out: Frames, runs: BTreeMap<u64, usize> },
-    List { name: String, edge: Option<String>, inn: Frames, out: Frames },
+    Caller {
+        edge: String,
+        out: Vec<u8>,
+        inn: Vec<u8>,
+        open: Option<usize>,
+    },
+    Worker {
+        n: usize,
+        edge: String,
+        inn: Frames,
+        out: Frames,
+        runs: BTreeMap<u64, usize>,
+    },
+    List {
+        name: String,
+        edge: Option<String>,
+        inn: Frames,
+        out: Frames,
+    },
 }
 
 #[derive(Default)]
@@ -162,14 +184,31 @@
         self.digest.finish()
     }
 
-    fn caller_sent(log: &mut Log, now: Micros, edge: &str, out: &mut Vec<u8>, open: &mut Option<usize>) {
+    fn caller_sent(
+        log: &mut Log,
+        now: Micros,
+        edge: &str,
+        out: &mut Vec<u8>,
+        open: &mut Option<usize>,
+    ) {
         while let Ok(Parsed::Whole(request, took)) = http::request(out, MOST, MOST) {
             out.drain(..took);
             let trace = request.field("sanddrum-trace").unwrap_or_default();
-            let Some((call, number, since)) = read_trace(trace) else { continue };
-            let limit = request.field("sanddrum-time-limit-ms").and_then(|ms| ms.parse::<Micros>().ok());
-            let workload = request.path.split('/').nth(3).unwrap_or_default().to_string();
-            let token = request.field("authorization").and_then(|a| a.split(' ').next_back());
+            let Some((call, number, since)) = read_trace(trace) else {
+                continue;
+            };
+            let limit = request
+                .field("sanddrum-time-limit-ms")
+                .and_then(|ms| ms.parse::<Micros>().ok());
+            let workload = request
+                .path
+                .split('/')
+                .nth(3)
+                .unwrap_or_default()
+                .to_string();
+            let token = request
+                .field("authorization")
+                .and_then(|a| a.split(' ').next_back());
             *open = Some(log.tries.len());
             log.tries.push(Try {
                 call,
@@ -192,7 +231,11 @@
     let mut parts = trace.strip_prefix('c')?.split('.');
     let call = parts.next()?.parse().ok()?;
     let number = parts.next()?.parse().ok()?;
-    Some((call, number, parts.next().and_then(|us| us.parse().ok()).unwrap_or(0)))
+    Some((
+        call,
+        number,
+        parts.next().and_then(|us| us.parse().ok()).unwrap_or(0),
+    ))
 }
 
 /// The recorder as a tap that a driver holds while the player holds it, too.
@@ -207,12 +250,23 @@
         let reader = match (role, side) {
             (Role::Callers, Side::Connected) => {
                 let edge = this.edges.get(to).cloned().unwrap_or_default();
-                Reader::Caller { edge, out: Vec::new(), inn: Vec::new(), open: None }
+                Reader::Caller {
+                    edge,
+                    out: Vec::new(),
+                    inn: Vec::new(),
+                    open: None,
+                }
             }
             (Role::Worker(n), Side::Accepted) => {
                 this.log.load(Target::Worker(n), now).handshakes += 1;
                 let (inn, out) = (Frames::new(MOST), Frames::new(MOST));
-                Reader::Worker { n, edge: String::new(), inn, out, runs: BTreeMap::new() }
+                Reader::Worker {
+                    n,
+                    edge: String::new(),
+                    inn,
+                    out,
+                    runs: BTreeMap::new(),
+                }
             }
             (Role::List, Side::Accepted) => Reader::List {
                 name: String::new(),
@@ -242,20 +296,34 @@
                     }
                 }
             }
-            Some(Reader::Worker { n, edge, inn, runs, .. }) => {
+            Some(Reader::Worker {
+                n, edge, inn, runs, ..
+            }) => {
                 inn.take_in(bytes);
                 while let Ok(Some(message)) = inn.next_message::<ToWorker>() {
                     match message {
                         ToWorker::Hello(hello) => *edge = hello.name,
                         ToWorker::Execute(e) => {
                             let trace = e.trace.as_deref().and_then(read_trace);
-                            let Some((call, number, _)) = trace else { continue };
+                            let Some((call, number, _)) = trace else {
+                                continue;
+                            };
                             runs.insert(e.id, log.runs.len());
                             let (worker, edge) = (*n, edge.clone());
                             let (workload, answers) = (e.workload, Vec::new());
-                            log.runs.push(Run { worker, edge, came: now, call, number, workload, answers });
+                            log.runs.push(Run {
+                                worker,
+                                edge,
+                                came: now,
+                                call,
+                                number,
+                                workload,
+                                answers,
+                            });
+                        }
+                        ToWorker::Hold(h) if h.copies == 0 => {
+                            log.load(Target::Worker(*n), now).asks += 1
                         }
-                        ToWorker::Hold(h) if h.copies == 0 => log.load(Target::Worker(*n), now).asks += 1,
                         ToWorker::Probe(_) => log.load(Target::Worker(*n), now).probes += 1,
                         ToWorker::Hold(h) => {
                             log.load(Target::Worker(*n), now).orders += 1;
@@ -270,7 +338,9 @@
                     }
                 }
             }
-            Some(Reader::List { name, edge, inn, .. }) => {
+            Some(Reader::List {
+                name, edge, inn, ..
+            }) => {
                 inn.take_in(bytes);
                 while let Ok(Some(message)) = inn.next_message::<ToList>() {
                     match message {
@@ -292,25 +362,36 @@
         (now, host, conn, 2u8, bytes).hash(&mut this.digest);
         let log = &mut this.log;
         match this.readers.get_mut(&(host, conn)) {
-            Some(Reader::Caller { edge, out, open, .. }) => {
+            Some(Reader::Caller {
+                edge, out, open, ..
+            }) => {
                 out.extend_from_slice(bytes);
                 Recorder::caller_sent(log, now, edge, out, open);
             }
             Some(Reader::Worker { n, out, runs, .. }) => {
                 out.take_in(bytes);
                 while let Ok(Some(message)) = out.next_message::<FromWorker>() {
-                    let FromWorker::Done(done) = message else { continue };
-                    log.load(Target::Worker(*n), now).misses += u64::from(done.ended == Ended::Miss);
+                    let FromWorker::Done(done) = message else {
+                        continue;
+                    };
+                    log.load(Target::Worker(*n), now).misses +=
+                        u64::from(done.ended == Ended::Miss);
                     if let Some(run) = runs.get(&done.id).and_then(|at| log.runs.get_mut(*at)) {
                         run.answers.push((now, done.ended));
                     }
                 }
             }
-            Some(Reader::List { edge: Some(edge), out, .. }) => {
+            Some(Reader::List {
+                edge: Some(edge),
+                out,
+                ..
+            }) => {
                 out.take_in(bytes);
                 log.load(Target::List, now).bytes += bytes.len() as u64;
                 while let Ok(Some(message)) = out.next_message::<FromList>() {
-                    let FromList::Rows(rows) = message else { continue };
+                    let FromList::Rows(rows) = message else {
+                        continue;
+                    };
                     log.load(Target::List, now).whole_lists += u64::from(rows.whole);
                     for row in rows.rows {
                         log.told.push(Told {
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -62,7 +62,10 @@
         self.turn += 1;
     }
     fn of(&self, name: &str) -> Option<Fault> {
-        self.faults.get(&Some(name.to_string())).or(self.faults.get(&None)).copied()
+        self.faults
+            .get(&Some(name.to_string()))
+            .or(self.faults.get(&None))
+            .copied()
     }
 }
 
@@ -108,7 +111,12 @@
 }
 
 fn way() -> Way {
-    Way { pieces: VecDeque::new(), held: 0, free: 0, out: Outbox::new(MOST) }
+    Way {
+        pieces: VecDeque::new(),
+        held: 0,
+        free: 0,
+        out: Outbox::new(MOST),
+    }
 }
 
 impl Way {
@@ -123,7 +131,11 @@
     }
     /// Passes on what is due; what ends the connection comes last.
     fn pass(&mut self, now: Micros, fault: Option<Fault>, silent: bool) -> Option<Closed> {
-        let delay = if let Some(Fault::Delay(by)) = fault { by } else { 0 };
+        let delay = if let Some(Fault::Delay(by)) = fault {
+            by
+        } else {
+            0
+        };
         while let Some((at, piece)) = self.pieces.front() {
             if silent || at + delay > now || self.free > now {
                 return None;
@@ -143,7 +155,11 @@
         None
     }
     fn wake(&self, fault: Option<Fault>, silent: bool) -> Option<Micros> {
-        let delay = if let Some(Fault::Delay(by)) = fault { by } else { 0 };
+        let delay = if let Some(Fault::Delay(by)) = fault {
+            by
+        } else {
+            0
+        };
         let first = self.pieces.front().filter(|_| !silent);
         first.map(|(at, _)| (at + delay).max(self.free))
     }
@@ -152,21 +168,35 @@
 impl Pair {
     fn silent(fault: Option<Fault>) -> (bool, bool) {
         let none = fault == Some(Fault::Unanswered);
-        (none || fault == Some(Fault::SilentTo), none || fault == Some(Fault::SilentFrom))
+        (
+            none || fault == Some(Fault::SilentTo),
+            none || fault == Some(Fault::SilentFrom),
+        )
     }
 }
 
 impl Relay {
     pub fn new(greets: Greets, steering: Shared<Steering>) -> Self {
         let (pairs, fronts, busy) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        Relay { greets, steering, seen: 0, pairs, fronts, busy }
+        Relay {
+            greets,
+            steering,
+            seen: 0,
+            pairs,
+            fronts,
+            busy,
+        }
     }
     fn fault(&self, pair: &Pair) -> Option<Fault> {
-        self.steering.borrow().of(pair.name.as_deref().unwrap_or_default())
+        self.steering
+            .borrow()
+            .of(pair.name.as_deref().unwrap_or_default())
     }
     fn greeted(&mut self, front: Conn, bytes: &[u8]) {
         let greets = self.greets;
-        let Some(pair) = self.pairs.get_mut(&front).filter(|p| p.name.is_none()) else { return };
+        let Some(pair) = self.pairs.get_mut(&front).filter(|p| p.name.is_none()) else {
+            return;
+        };
         pair.greeting.take_in(bytes);
         pair.name = match greets {
             Greets::No => None,
@@ -184,10 +214,17 @@
     }
     fn dial(&mut self, front: Conn, io: &mut dyn Io) {
         let to = self.steering.borrow().to.clone();
-        let Some(pair) = self.pairs.get_mut(&front).filter(|p| p.back.is_none() && p.name.is_some()) else {
+        let Some(pair) = self
+            .pairs
+            .get_mut(&front)
+            .filter(|p| p.back.is_none() && p.name.is_some())
+        else {
             return;
         };
-        let fault = self.steering.borrow().of(pair.name.as_deref().unwrap_or_default());
+        let fault = self
+            .steering
+            .borrow()
+            .of(pair.name.as_deref().unwrap_or_default());
         match (fault, to) {
             (Some(Fault::Unanswered), _) => {}
             (Some(Fault::Refused), _) | (_, None) => self.end(front, io, Closed::Reset, true),
@@ -200,8 +237,13 @@
     }
     /// Ends both sides, or what is left of them.
     fn end(&mut self, front: Conn, io: &mut dyn Io, how: Closed, front_stands: bool) {
-        let Some(pair) = self.pairs.remove(&front) else { return };
-        let sides = [front_stands.then_some(front), pair.back.filter(|b| self.fronts.contains_key(b))];
+        let Some(pair) = self.pairs.remove(&front) else {
+            return;
+        };
+        let sides = [
+            front_stands.then_some(front),
+            pair.back.filter(|b| self.fronts.contains_key(b)),
+        ];
         if let Some(back) = pair.back {
             self.fronts.remove(&back);
         }
@@ -215,14 +257,20 @@
     }
     fn tend(&mut self, now: Micros, front: Conn, breaks: &[Option<String>], io: &mut dyn Io) {
         self.dial(front, io);
-        let Some(pair) = self.pairs.get(&front) else { return };
-        let broken = breaks.iter().any(|whom| whom.is_none() || *whom == pair.name);
+        let Some(pair) = self.pairs.get(&front) else {
+            return;
+        };
+        let broken = breaks
+            .iter()
+            .any(|whom| whom.is_none() || *whom == pair.name);
         let fault = self.fault(pair);
         if broken || fault == Some(Fault::Refused) {
             return self.end(front, io, Closed::Reset, true);
         }
         let (silent_to, silent_from) = Pair::silent(fault);
-        let Some(pair) = self.pairs.get_mut(&front) else { return };
+        let Some(pair) = self.pairs.get_mut(&front) else {
+            return;
+        };
         let back = pair.back.filter(|_| pair.back_up);
         let ended_to = back.and_then(|_| pair.to.pass(now, fault, silent_to));
         let ended_from = pair.from.pass(now, fault, silent_from);
@@ -247,8 +295,14 @@
                 self.greeted(front, bytes);
             }
         }
-        let Some(pair) = self.pairs.get_mut(&front) else { return };
-        let way = if front == conn { &mut pair.to } else { &mut pair.from };
+        let Some(pair) = self.pairs.get_mut(&front) else {
+            return;
+        };
+        let way = if front == conn {
+            &mut pair.to
+        } else {
+            &mut pair.from
+        };
         way.take(now, piece);
         if way.held > HELD && !pair.paused {
             pair.paused = true;
@@ -267,17 +321,30 @@
         | Event::Bytes { conn, .. }
         | Event::Writable { conn }
         | Event::Closed { conn, .. }) = event;
-        self.busy.insert(self.fronts.get(&conn).copied().unwrap_or(conn));
+        self.busy
+            .insert(self.fronts.get(&conn).copied().unwrap_or(conn));
         match event {
             Event::Accepted { conn, .. } => {
                 let name = (self.greets == Greets::No).then(String::new);
                 let (to, from, greeting) = (way(), way(), Frames::new(MOST));
-                let pair = Pair { back: None, back_up: false, name, greeting, to, from, paused: false };
+                let pair = Pair {
+                    back: None,
+                    back_up: false,
+                    name,
+                    greeting,
+                    to,
+                    from,
+                    paused: false,
+                };
                 self.pairs.insert(conn, pair);
                 self.dial(conn, io);
             }
             Event::Connected { conn } => {
-                if let Some(pair) = self.fronts.get(&conn).and_then(|front| self.pairs.get_mut(front)) {
+                if let Some(pair) = self
+                    .fronts
+                    .get(&conn)
+                    .and_then(|front| self.pairs.get_mut(front))
+                {
                     pair.back_up = true;
                 }
             }
@@ -285,14 +352,22 @@
             Event::Writable { conn } => {
                 let front = self.fronts.get(&conn).copied().unwrap_or(conn);
                 if let Some(pair) = self.pairs.get_mut(&front) {
-                    let way = if front == conn { &mut pair.from } else { &mut pair.to };
+                    let way = if front == conn {
+                        &mut pair.from
+                    } else {
+                        &mut pair.to
+                    };
                     way.out.unblock();
                 }
             }
             Event::Closed { conn, how } => {
                 if let Some(front) = self.fronts.get(&conn).copied() {
                     self.fronts.remove(&conn);
-                    let how = if how == Closed::Refused { Closed::Reset } else { how };
+                    let how = if how == Closed::Refused {
+                        Closed::Reset
+                    } else {
+                        how
+                    };
                     if let Some(pair) = self.pairs.get_mut(&front) {
                         pair.from.take(now, Piece::End(how));
                     }
@@ -329,7 +404,10 @@
         let wakes = busy.flat_map(|pair| {
             let fault = self.fault(pair);
             let (to, from) = Pair::silent(fault);
-            let to = pair.back.filter(|_| pair.back_up).and_then(|_| pair.to.wake(fault, to));
+            let to = pair
+                .back
+                .filter(|_| pair.back_up)
+                .and_then(|_| pair.to.wake(fault, to));
             [to, pair.from.wake(fault, from)]
         });
         wakes.flatten().min()
--- a/crates/sanddrum-lab/src/report.rs
+++ b/crates/sanddrum-lab/src/report.rs
@@ -19,13 +19,21 @@
 }
 fn compared(all: &[Vec<Figures>], n: usize, of: fn(&Figures) -> f64) -> Option<Difference> {
     let each = |n: usize| all.get(n).map(|f| f.iter().map(of).collect::<Vec<f64>>());
-    (n > 0).then(|| Some(difference(&each(0)?, &each(n)?))).flatten()
+    (n > 0)
+        .then(|| Some(difference(&each(0)?, &each(n)?)))
+        .flatten()
 }
 
 /// Warnings that whoever reads the figures has to see.
 fn warnings(experiment: &Experiment) -> Vec<String> {
-    let few = format!("only {} seeds: intervals from fewer than {FEW_SEEDS} tell little", experiment.seeds);
-    (experiment.seeds < FEW_SEEDS).then_some(few).into_iter().collect()
+    let few = format!(
+        "only {} seeds: intervals from fewer than {FEW_SEEDS} tell little",
+        experiment.seeds
+    );
+    (experiment.seeds < FEW_SEEDS)
+        .then_some(few)
+        .into_iter()
+        .collect()
 }
 
 /// For a terminal.
@@ -41,8 +49,14 @@
         let _ = writeln!(out, "{name}");
         for (n, variant) in experiment.variants.iter().enumerate() {
             let (mean, least, most) = spread(&all[n], of);
-            let _ =
-                write!(out, "  {:24} {} ({} to {})", variant.name, number(mean), number(least), number(most));
+            let _ = write!(
+                out,
+                "  {:24} {} ({} to {})",
+                variant.name,
+                number(mean),
+                number(least),
+                number(most)
+            );
             if let Some(d) = compared(all, n, of) {
                 let clear = if d.is_clear() { "" } else { "  not clear" };
                 let (mean, least, most) = (number(d.mean), number(d.least), number(d.most));
@@ -58,7 +72,9 @@
 }
 
 fn tame(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// The part of the calls of each second that were answered in time, over all seeds.
@@ -82,7 +98,13 @@
         let _ = write!(rows, "<tr><th>{name}</th>");
         for n in 0..experiment.variants.len() {
             let (mean, least, most) = spread(&all[n], of);
-            let _ = write!(rows, "<td>{}<small> {} to {}</small>", number(mean), number(least), number(most));
+            let _ = write!(
+                rows,
+                "<td>{}<small> {} to {}</small>",
+                number(mean),
+                number(least),
+                number(most)
+            );
             if let Some(d) = compared(all, n, of) {
                 let better = (d.mean > 0.0) == more_is_better;
                 let class = match (d.is_clear(), better) {
@@ -91,19 +113,30 @@
                     (true, false) => "worse",
                 };
                 let (mean, least, most) = (number(d.mean), number(d.least), number(d.most));
-                let _ = write!(rows, "<br><span class={class}>{mean} [{least}, {most}]</span>");
+                let _ = write!(
+                    rows,
+                    "<br><span class={class}>{mean} [{least}, {most}]</span>"
+                );
             }
             rows.push_str("</td>");
         }
         rows.push_str("</tr>\n");
     }
-    let heads: String = experiment.variants.iter().map(|v| format!("<th>{}</th>", tame(&v.name))).collect();
-    let line =
-        |(n, v): (usize, &crate::Variant)| Line { name: v.name.clone(), points: service_over_time(&all[n]) };
+    let heads: String = experiment
+        .variants
+        .iter()
+        .map(|v| format!("<th>{}</th>", tame(&v.name)))
+        .collect();
+    let line = |(n, v): (usize, &crate::Variant)| Line {
+        name: v.name.clone(),
+        points: service_over_time(&all[n]),
+    };
     let lines: Vec<Line> = experiment.variants.iter().enumerate().map(line).collect();
     let picture = svg("Calls answered in time", ("second", "part"), &lines)?;
-    let warned: String =
-        warnings(experiment).iter().map(|w| format!("<p class=worse>Warning: {}</p>", tame(w))).collect();
+    let warned: String = warnings(experiment)
+        .iter()
+        .map(|w| format!("<p class=worse>Warning: {}</p>", tame(w)))
+        .collect();
     Ok(format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>{file}</title>\n<style>\
          body{{font:15px/1.5 sans-serif;max-width:60rem;margin:2rem auto;padding:0 1rem}}\
--- a/crates/sanddrum-lab/src/room.rs
+++ b/crates/sanddrum-lab/src/room.rs
@@ -17,7 +17,10 @@
         let guard = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         guard.set_reuse_port(true)?;
         guard.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
-        let at = guard.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address"))?;
+        let at = guard
+            .local_addr()?
+            .as_socket()
+            .ok_or_else(|| io::Error::other("no address"))?;
         Ok(Port { guard, at })
     }
     pub fn listen(&self) -> io::Result<TcpListener> {
@@ -49,7 +52,14 @@
         return Ok(());
     }
     let maximum = now.maximum.map(|maximum| maximum.max(wanted));
-    setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum }).map_err(|e| {
+    setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: Some(wanted),
+            maximum,
+        },
+    )
+    .map_err(|e| {
         let allowed = now.maximum.unwrap_or_default();
         let what = "the machine is the limit: open files";
         io::Error::other(format!(
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -69,10 +69,16 @@
     ("edge.name", "edges are named by their number"),
     ("edge.listen", "the lab chooses where edges listen"),
     ("edge.list", "the lab chooses where the list service is"),
-    ("edge.zone", "edges are spread over the zones that the file names"),
+    (
+        "edge.zone",
+        "edges are spread over the zones that the file names",
+    ),
     ("edge.edges", "give fleet.edges, or fleet.edges-told"),
     ("edge.number", "edges are counted from 0 on"),
-    ("edge.state-file", "the lab chooses where edges keep their state"),
+    (
+        "edge.state-file",
+        "the lab chooses where edges keep their state",
+    ),
 ];
 
 /// Gives settings over those of the file, each as `fleet.edges=1000`; `by` says whose they are.
@@ -89,9 +95,13 @@
             return Err(refused("it has no =".into(), "as fleet.edges=1000"));
         };
         if let Some((_, remedy)) = EACH_EDGES.iter().find(|(own, _)| *own == name) {
-            return Err(refused(format!("{name} is told to each edge by the lab"), remedy));
+            return Err(refused(
+                format!("{name} is told to each edge by the lab"),
+                remedy,
+            ));
         }
-        l.give(name, value, by).map_err(|problem| refused(problem.what, &problem.remedy))?;
+        l.give(name, value, by)
+            .map_err(|problem| refused(problem.what, &problem.remedy))?;
     }
     Ok(())
 }
@@ -109,7 +119,13 @@
     ///
     /// # Errors
     /// What is wrong with it, and where; a setting that is none, or that would change nothing, by its name.
-    pub fn read_with(file: &str, text: &str, seed: u64, set: &[String], by: &str) -> Result<Self, Problem> {
+    pub fn read_with(
+        file: &str,
+        text: &str,
+        seed: u64,
+        set: &[String],
+        by: &str,
+    ) -> Result<Self, Problem> {
         let mut l = sanddrum_settings::read_with(file, text, SCENARIO)?;
         if !set.is_empty() {
             give_over(&mut l, set, by)?;
@@ -134,8 +150,8 @@
             };
             let at = |key: &str| format!("calls.{n}.{key}");
             let of = |key: &str| format!("workloads.{w}.{key}");
-            let function =
-                (0..l.count("functions")).find(|f| l.text(&format!("functions.{f}.workload")) == name);
+            let function = (0..l.count("functions"))
+                .find(|f| l.text(&format!("functions.{f}.workload")) == name);
             let Some(function) = function else {
                 return Err(problem(
                     format!("no function is set for {name:?}"),
@@ -153,7 +169,10 @@
                 effect: l.text(&of("effect")).to_string(),
                 group: l.text(&of("group")).to_string(),
                 repeat_window: l.span(&of("repeat-window-us")),
-                prefix: l.text(&format!("functions.{function}.name")).trim_end_matches('*').to_string(),
+                prefix: l
+                    .text(&format!("functions.{function}.name"))
+                    .trim_end_matches('*')
+                    .to_string(),
                 workload: name,
             });
         }
@@ -175,15 +194,23 @@
             if zone.as_ref().is_some_and(|z| !l.names("zones").contains(z))
                 || (kind == "zone-loss" && zone.is_none())
             {
-                return Err(problem(format!("{kind}: a zone is wanted that is set"), "add (zone \"...\")"));
+                return Err(problem(
+                    format!("{kind}: a zone is wanted that is set"),
+                    "add (zone \"...\")",
+                ));
             }
             troubles.push(Trouble {
                 at: l.span(&at("at-us")),
                 length: l.span(&at("length-us")),
                 part: l.has(&at("part")).then(|| l.number(&at("part"))),
                 count: l.has(&at("count")).then(|| l.size(&at("count"))),
-                link: (l.text(&at("from")).to_string(), l.text(&at("to")).to_string()),
-                to_zone: l.has(&at("to-zone")).then(|| l.text(&at("to-zone")).to_string()),
+                link: (
+                    l.text(&at("from")).to_string(),
+                    l.text(&at("to")).to_string(),
+                ),
+                to_zone: l
+                    .has(&at("to-zone"))
+                    .then(|| l.text(&at("to-zone")).to_string()),
                 fault: fault(l.text(&at("fault")), l.number(&at("size"))),
                 size: l.number(&at("size")),
                 kind,
@@ -230,12 +257,20 @@
             cell: (n / l.size("fleet.cell-size").max(1)) as u32,
             kind: u32::from(slow),
             cores: l.size("fleet.cores"),
-            speed: l.number(if slow { "fleet.slow-speed" } else { "fleet.speed" }),
+            speed: l.number(if slow {
+                "fleet.slow-speed"
+            } else {
+                "fleet.speed"
+            }),
             queue: l.size("fleet.queue"),
             memory_mb: l.number("fleet.memory-mb"),
             loads_at_once: l.size("fleet.loads-at-once"),
             keep_alive: l.span("copies.keep-alive-us"),
-            on_miss: if l.text("copies.on-miss") == "miss" { OnMiss::Miss } else { OnMiss::Load },
+            on_miss: if l.text("copies.on-miss") == "miss" {
+                OnMiss::Miss
+            } else {
+                OnMiss::Load
+            },
             start_us_per_mb: l.number("fleet.start-per-mb-us"),
             cold_from: l.number("rules.cold-from"),
             cold: l.span("rules.cold-us"),
@@ -259,7 +294,10 @@
     pub fn list(&self) -> ListSpec {
         let l = &self.settings;
         ListSpec {
-            notice: (l.span("list-service.notice-least-us"), l.span("list-service.notice-most-us")),
+            notice: (
+                l.span("list-service.notice-least-us"),
+                l.span("list-service.notice-most-us"),
+            ),
             silent_after: l.span("list-service.silent-after-us"),
             changes_kept: l.size("list-service.changes-kept"),
             whole: l.span("list-service.whole-us"),
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -48,11 +48,13 @@
 impl Run {
     fn of(outcome: &Outcome) -> Run {
         let seconds = outcome.verdict.seconds.iter();
-        let seconds: Vec<f64> =
-            seconds.map(|(begun, in_time)| f64::from(*in_time) / f64::from((*begun).max(1))).collect();
+        let seconds: Vec<f64> = seconds
+            .map(|(begun, in_time)| f64::from(*in_time) / f64::from((*begun).max(1)))
+            .collect();
         let low = seconds.iter().rposition(|part| *part < NEARLY_ALL);
-        let worst =
-            WORST.iter().map(|(name, whose, key)| (*name, outcome.harm[whose][key].as_f64().unwrap_or(0.0)));
+        let worst = WORST
+            .iter()
+            .map(|(name, whose, key)| (*name, outcome.harm[whose][key].as_f64().unwrap_or(0.0)));
         Run {
             service: outcome.verdict.service,
             from: low.map_or(0.0, |n| n as f64 + 1.0),
@@ -67,7 +69,11 @@
 fn spread(figures: impl Iterator<Item = f64> + Clone) -> [f64; 3] {
     let count = figures.clone().count().max(1) as f64;
     let sum: f64 = figures.clone().sum();
-    [sum / count, figures.clone().fold(f64::MAX, f64::min), figures.fold(f64::MIN, f64::max)]
+    [
+        sum / count,
+        figures.clone().fold(f64::MAX, f64::min),
+        figures.fold(f64::MIN, f64::max),
+    ]
 }
 
 /// Plays a scenario at each of these sizes on so many seeds.
@@ -81,8 +87,10 @@
     threads: usize,
     told: impl Fn(usize) + Sync,
 ) -> io::Result<Vec<OfSize>> {
-    let all: Vec<(usize, u64)> =
-        edges.iter().flat_map(|n| (0..seeds).map(move |more| (*n, scenario.seed + more))).collect();
+    let all: Vec<(usize, u64)> = edges
+        .iter()
+        .flat_map(|n| (0..seeds).map(move |more| (*n, scenario.seed + more)))
+        .collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let text = scenario.text.as_str();
     std::thread::scope(|scope| {
@@ -101,16 +109,23 @@
             });
         }
     });
-    let mut done = done.into_inner().map_err(|_| io::Error::other("a thread panicked"))?;
+    let mut done = done
+        .into_inner()
+        .map_err(|_| io::Error::other("a thread panicked"))?;
     done.sort_by_key(|(n, seed, _)| (*n, *seed));
     let mut runs = Vec::new();
     for (n, _, run) in done {
         runs.push((n, run?));
     }
     let of = |n: &usize| {
-        let of: Vec<&Run> = runs.iter().filter(|(at, _)| at == n).map(|(_, run)| run).collect();
+        let of: Vec<&Run> = runs
+            .iter()
+            .filter(|(at, _)| at == n)
+            .map(|(_, run)| run)
+            .collect();
         let longest = of.iter().map(|run| run.seconds.len()).max().unwrap_or(0);
-        let second = |at: usize| spread(of.iter().filter_map(|run| run.seconds.get(at).copied()))[0];
+        let second =
+            |at: usize| spread(of.iter().filter_map(|run| run.seconds.get(at).copied()))[0];
         OfSize {
             edges: *n,
             service: spread(of.iter().map(|run| run.service)),
@@ -132,7 +147,12 @@
 pub fn plot_sizes(folder: &Path, name: &str, all: &[OfSize]) -> Result<(), String> {
     let service = all.iter().map(|of| Line {
         name: format!("{} edges", of.edges),
-        points: of.seconds.iter().enumerate().map(|(n, part)| (n as f64, *part)).collect(),
+        points: of
+            .seconds
+            .iter()
+            .enumerate()
+            .map(|(n, part)| (n as f64, *part))
+            .collect(),
     });
     let file = folder.join(format!("{name}-service.svg"));
     lines(
@@ -143,10 +163,21 @@
     )?;
     let worst = |w: usize| Line {
         name: WORST[w].0.to_string(),
-        points: all.iter().map(|of| (of.edges as f64, of.worst[w].1[0])).collect(),
+        points: all
+            .iter()
+            .map(|of| (of.edges as f64, of.worst[w].1[0]))
+            .collect(),
     };
     // Bytes are of another size, and whole lists are counted over the day.
-    let shown: Vec<Line> = (0..WORST.len()).filter(|w| ![1, 2].contains(w)).map(worst).collect();
+    let shown: Vec<Line> = (0..WORST.len())
+        .filter(|w| ![1, 2].contains(w))
+        .map(worst)
+        .collect();
     let file = folder.join(format!("{name}-worst.svg"));
-    lines(&file, "Worst second of the list service and of a worker", ("edges", "a second"), &shown)
+    lines(
+        &file,
+        "Worst second of the list service and of a worker",
+        ("edges", "a second"),
+        &shown,
+    )
 }
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -109,7 +109,12 @@
 }
 
 impl Clients {
-    pub fn new(fleet: Fleet, terms: Terms, ledger: Shared, steering: Rc<RefCell<Steering>>) -> Self {
+    pub fn new(
+        fleet: Fleet,
+        terms: Terms,
+        ledger: Shared,
+        steering: Rc<RefCell<Steering>>,
+    ) -> Self {
         let routers = fleet.routers;
         Clients {
             chance: Chance::new(fleet.seed ^ 0xc11e),
@@ -131,7 +136,11 @@
     fn manner(&mut self) -> Manner {
         let bad = self.steering.borrow().bad;
         if !self.chance.is_below(bad) {
-            return if self.chance.is_below(0.15) { Manner::Pieces } else { Manner::Plain };
+            return if self.chance.is_below(0.15) {
+                Manner::Pieces
+            } else {
+                Manner::Plain
+            };
         }
         let after = self.chance.below(60_000) as Micros;
         match self.chance.below(7) {
@@ -167,9 +176,14 @@
     }
     /// A kept connection with room, or a new one.
     fn kept(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) -> Option<Conn> {
-        let kept = self.connections.iter().filter(|(_, c)| c.router == router && !c.own);
+        let kept = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.router == router && !c.own);
         let count = kept.clone().count();
-        let roomy = kept.filter(|(_, c)| !c.free.is_empty()).min_by_key(|(_, c)| c.open.len());
+        let roomy = kept
+            .filter(|(_, c)| !c.free.is_empty())
+            .min_by_key(|(_, c)| c.open.len());
         let found = roomy.map(|(conn, c)| (*conn, c.open.len()));
         let connects = self.steering.borrow().fronts[router.0].connects;
         match found {
@@ -180,7 +194,10 @@
     }
     fn ask(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) {
         let manner = self.manner();
-        let shares = matches!(manner, Manner::Plain | Manner::Pieces | Manner::Hurried | Manner::Aborts(_));
+        let shares = matches!(
+            manner,
+            Manner::Plain | Manner::Pieces | Manner::Hurried | Manner::Aborts(_)
+        );
         let new = self.chance.is_below(0.2);
         let connects = self.steering.borrow().fronts[router.0].connects;
         let conn = match shares && !new {
@@ -194,17 +211,29 @@
         }
         self.next_call += 1;
         let call = CallId(self.next_call);
-        let effect = if self.chance.is_below(0.5) { Effect::Once } else { Effect::Repeatable };
+        let effect = if self.chance.is_below(0.5) {
+            Effect::Once
+        } else {
+            Effect::Repeatable
+        };
         let patience = match manner {
             Manner::Hurried => 1_000 * (1 + self.chance.below(80) as Micros),
             _ => self.terms.longest_deadline / 1000 * (500 + self.chance.below(500) as Micros),
         };
         let function = self.chance.below(FUNCTIONS);
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
-        let Some(id) = connection.free.pop() else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
+        let Some(id) = connection.free.pop() else {
+            return;
+        };
         let bytes = request_bytes(id, call, effect, patience, function);
         let first_on_connection = connection.asked == 0;
-        let quiet_since = if connection.open.is_empty() { connection.idle_since } else { now };
+        let quiet_since = if connection.open.is_empty() {
+            connection.idle_since
+        } else {
+            now
+        };
         connection.asked += 1;
         match manner {
             Manner::Pieces => {
@@ -215,13 +244,17 @@
                 let last = pieces.len() - 1;
                 for (n, piece) in pieces.into_iter().enumerate() {
                     let at = now + n as Micros * self.chance.below(20_000) as Micros;
-                    connection.out.push_back((at, piece.to_vec(), (n == last).then_some(call)));
+                    connection
+                        .out
+                        .push_back((at, piece.to_vec(), (n == last).then_some(call)));
                 }
             }
             Manner::LeavesInPart => {
                 self.steering.borrow_mut().half_written += 1;
                 let part = 1 + self.chance.below(bytes.len() - 1);
-                connection.out.push_back((now, bytes[..part].to_vec(), None));
+                connection
+                    .out
+                    .push_back((now, bytes[..part].to_vec(), None));
                 connection.then = Some((now + self.chance.below(30_000) as Micros, Then::Close));
                 return;
             }
@@ -234,24 +267,41 @@
             Manner::Resets(after) => Some((now + after, Then::Reset)),
             _ => connection.then.take(),
         };
-        self.unsent.insert(call, Unsent { effect, patience, first_on_connection, quiet_since });
+        self.unsent.insert(
+            call,
+            Unsent {
+                effect,
+                patience,
+                first_on_connection,
+                quiet_since,
+            },
+        );
     }
     fn send_garbage(&mut self, now: Micros, conn: Conn) {
         let length = 1 + self.chance.below(4000);
         let noise: Vec<u8> = (0..length).map(|_| self.chance.draw() as u8).collect();
         self.ledger.borrow_mut().bad_clients += 1;
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
         connection.garbage = true;
         connection.out.push_back((now, noise, None));
         connection.then = Some((now + 3_000_000, Then::Close));
     }
     fn look(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) {
         let conn = self.connect(now, router, true, io);
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
         connection.health = true;
         let mut out = Vec::new();
         begin(&mut out, 1, false);
-        stream(&mut out, Kind::Params, 1, &params(&[("SCRIPT_NAME", "/health")]));
+        stream(
+            &mut out,
+            Kind::Params,
+            1,
+            &params(&[("SCRIPT_NAME", "/health")]),
+        );
         stream(&mut out, Kind::Stdin, 1, b"");
         connection.out.push_back((now, out, None));
         connection.then = Some((now + 1_000_000, Then::Close));
@@ -260,7 +310,9 @@
     // ---- What is written
 
     fn write(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
-        let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.up) else { return };
+        let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.up) else {
+            return;
+        };
         while let Some((at, bytes, whole)) = connection.out.front_mut() {
             if *at > now {
                 return;
@@ -270,7 +322,9 @@
                 bytes.drain(..wrote);
                 return;
             }
-            if let Some((call, unsent)) = whole.and_then(|call| Some((call, self.unsent.remove(&call)?))) {
+            if let Some((call, unsent)) =
+                whole.and_then(|call| Some((call, self.unsent.remove(&call)?)))
+            {
                 let request = Request {
                     router: connection.router,
                     effect: unsent.effect,
@@ -290,11 +344,15 @@
     }
     /// What this client does after its request, once its time has come.
     fn leave(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
         if connection.then.as_ref().is_none_or(|(at, _)| *at > now) {
             return;
         }
-        let Some((_, then)) = connection.then.take() else { return };
+        let Some((_, then)) = connection.then.take() else {
+            return;
+        };
         match then {
             Then::Abort(id) => {
                 // An abort goes behind the whole request.
@@ -321,7 +379,9 @@
         }
     }
     fn mark_all_left(&mut self, now: Micros, conn: Conn, how: Leaving) {
-        let Some(connection) = self.connections.get(&conn) else { return };
+        let Some(connection) = self.connections.get(&conn) else {
+            return;
+        };
         let calls: Vec<CallId> = connection.open.values().copied().collect();
         self.ledger.borrow_mut().closes_by_clients += 1;
         self.mark_left(now, &calls, how);
@@ -329,7 +389,11 @@
     fn mark_left(&mut self, now: Micros, calls: &[CallId], how: Leaving) {
         let mut ledger = self.ledger.borrow_mut();
         for call in calls {
-            if let Some(request) = ledger.requests.get_mut(call).filter(|r| r.answers.is_empty()) {
+            if let Some(request) = ledger
+                .requests
+                .get_mut(call)
+                .filter(|r| r.answers.is_empty())
+            {
                 request.left = request.left.or(Some((now, how)));
             }
         }
@@ -338,11 +402,15 @@
     // ---- What comes back
 
     fn hear(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
         connection.bytes.extend_from_slice(bytes);
         connection.idle_since = now;
         loop {
-            let Some(connection) = self.connections.get_mut(&conn) else { return };
+            let Some(connection) = self.connections.get_mut(&conn) else {
+                return;
+            };
             let (kind, id, content, took) = match Record::read(&connection.bytes) {
                 Ok(Some((record, took))) => (record.kind, record.id, record.content.to_vec(), took),
                 Ok(None) => return,
@@ -350,7 +418,10 @@
                     let calls: Vec<CallId> = connection.open.values().copied().collect();
                     let mut ledger = self.ledger.borrow_mut();
                     calls.iter().for_each(|call| {
-                        ledger.requests.entry(*call).and_modify(|request| request.unreadable = true);
+                        ledger
+                            .requests
+                            .entry(*call)
+                            .and_modify(|request| request.unreadable = true);
                     });
                     connection.bytes.clear();
                     return;
@@ -358,14 +429,20 @@
             };
             connection.bytes.drain(..took);
             match kind {
-                Kind::Stdout => connection.texts.entry(id).or_default().extend_from_slice(&content),
+                Kind::Stdout => connection
+                    .texts
+                    .entry(id)
+                    .or_default()
+                    .extend_from_slice(&content),
                 Kind::End => self.take_answer(now, conn, id),
                 _ => {}
             }
         }
     }
     fn take_answer(&mut self, now: Micros, conn: Conn, id: u16) {
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
         let text = connection.texts.remove(&id).unwrap_or_default();
         let (status, body) = parted(&text);
         let mut ledger = self.ledger.borrow_mut();
@@ -381,18 +458,30 @@
             }
             return;
         }
-        let Some(call) = connection.open.remove(&id) else { return };
+        let Some(call) = connection.open.remove(&id) else {
+            return;
+        };
         connection.free.push(id);
         self.steering.borrow_mut().answers += 1;
         if let Some(request) = ledger.requests.get_mut(&call) {
-            request.answers.push(Answer { at: now, status, body: body.to_vec() });
+            request.answers.push(Answer {
+                at: now,
+                status,
+                body: body.to_vec(),
+            });
         }
     }
     fn ended(&mut self, now: Micros, conn: Conn) {
-        let Some(connection) = self.connections.remove(&conn) else { return };
+        let Some(connection) = self.connections.remove(&conn) else {
+            return;
+        };
         let mut ledger = self.ledger.borrow_mut();
         for call in connection.open.values() {
-            if let Some(request) = ledger.requests.get_mut(call).filter(|r| r.answers.is_empty()) {
+            if let Some(request) = ledger
+                .requests
+                .get_mut(call)
+                .filter(|r| r.answers.is_empty())
+            {
                 request.cut = Some(now);
             }
         }
@@ -409,9 +498,21 @@
     (status.unwrap_or(0), body)
 }
 
-fn request_bytes(id: u16, call: CallId, effect: Effect, patience: Micros, function: usize) -> Vec<u8> {
-    let (number, patience) = (format!("{:016x}", call.0), (patience / 1000).max(1).to_string());
-    let (path, function) = (format!("/rpc/{}", effect.class()), format!("{:016x}", 0xf000 + function));
+fn request_bytes(
+    id: u16,
+    call: CallId,
+    effect: Effect,
+    patience: Micros,
+    function: usize,
+) -> Vec<u8> {
+    let (number, patience) = (
+        format!("{:016x}", call.0),
+        (patience / 1000).max(1).to_string(),
+    );
+    let (path, function) = (
+        format!("/rpc/{}", effect.class()),
+        format!("{:016x}", 0xf000 + function),
+    );
     let pairs = [
         ("SCRIPT_NAME", path.as_str()),
         ("HTTP_X_CALL_ID", number.as_str()),
@@ -469,8 +570,12 @@
         for conn in conns {
             self.write(now, conn, io);
             self.leave(now, conn, io);
-            let Some(connection) = self.connections.get(&conn) else { continue };
-            let rests = connection.open.is_empty() && connection.out.is_empty() && connection.then.is_none();
+            let Some(connection) = self.connections.get(&conn) else {
+                continue;
+            };
+            let rests = connection.open.is_empty()
+                && connection.out.is_empty()
+                && connection.then.is_none();
             let idle = if connection.own { 0 } else { IDLE };
             if rests && connection.up && now - connection.idle_since >= idle {
                 io.close(conn);
--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -114,28 +114,65 @@
         let (mut places, mut members) = (Vec::new(), Vec::new());
         for n in 0..fleet.servers {
             let (address, name) = (fleet.server_address(n), format!("s-{n:08x}"));
-            let steering =
-                Rc::new(RefCell::new(ServerSteering { mood: ServerMood::Well, arrivals_unknown_until: 0 }));
+            let steering = Rc::new(RefCell::new(ServerSteering {
+                mood: ServerMood::Well,
+                arrivals_unknown_until: 0,
+            }));
             let id = ServerId(n);
-            let server = Server::new(id, SERVER_SIZE, None, terms.clone(), ledger.clone(), steering.clone());
+            let server = Server::new(
+                id,
+                SERVER_SIZE,
+                None,
+                terms.clone(),
+                ledger.clone(),
+                steering.clone(),
+            );
             let host = driver.add(Box::new(server), vec![EventLoop::bind(&address)?.0], None)?;
-            ledger.borrow_mut().starts.push(Start { server: id, at: 0, size: SERVER_SIZE, long_ago: true });
+            ledger.borrow_mut().starts.push(Start {
+                server: id,
+                at: 0,
+                size: SERVER_SIZE,
+                long_ago: true,
+            });
             members.push(member(&name, &address, "in_service", 0));
-            places.push(Place { host, address, name, server: id, up_since_ms: 0, steering, leaves_at: None });
+            places.push(Place {
+                host,
+                address,
+                name,
+                server: id,
+                up_since_ms: 0,
+                steering,
+                leaves_at: None,
+            });
         }
         let tale = Rc::new(RefCell::new(Tale::of(members)));
         let doors = [0, 1].map(|door| EventLoop::bind(&fleet.feed_address(door)));
         let [first, second] = doors;
-        driver.add(Box::new(Feed::new(tale.clone())), vec![first?.0, second?.0], None)?;
+        driver.add(
+            Box::new(Feed::new(tale.clone())),
+            vec![first?.0, second?.0],
+            None,
+        )?;
         let clients = Rc::new(RefCell::new(ClientSteering {
-            fronts: vec![Front { looks: true, ..Front::default() }; fleet.routers],
+            fronts: vec![
+                Front {
+                    looks: true,
+                    ..Front::default()
+                };
+                fleet.routers
+            ],
             rate,
             bad: BAD_CLIENTS,
             over: false,
             half_written: 0,
             answers: 0,
         }));
-        let core = Clients::new(fleet.clone(), terms.clone(), ledger.clone(), clients.clone());
+        let core = Clients::new(
+            fleet.clone(),
+            terms.clone(),
+            ledger.clone(),
+            clients.clone(),
+        );
         driver.add(Box::new(core), vec![], None)?;
         let routers = (0..fleet.routers).map(|n| Router::new(RouterId(n), folder));
         let routers: Vec<Router> = routers.collect::<io::Result<_>>()?;
@@ -182,7 +219,10 @@
         let now = self.now();
         let before = std::mem::replace(&mut self.stepped, now);
         if now > before + LOOK_EVERY + LATE {
-            self.ledger.borrow_mut().lab_late.push(Span { from: before, to: now });
+            self.ledger.borrow_mut().lab_late.push(Span {
+                from: before,
+                to: now,
+            });
         }
         for n in 0..self.routers.len() {
             self.look_at_router(now, n)?;
@@ -193,11 +233,14 @@
             }
         }
         let due: Vec<(Micros, Undo)> = {
-            let (due, later) = std::mem::take(&mut self.undo).into_iter().partition(|(at, _)| *at <= now);
+            let (due, later) = std::mem::take(&mut self.undo)
+                .into_iter()
+                .partition(|(at, _)| *at <= now);
             self.undo = later;
             due
         };
-        due.into_iter().try_for_each(|(_, undo)| self.end_trouble(now, undo))
+        due.into_iter()
+            .try_for_each(|(_, undo)| self.end_trouble(now, undo))
     }
 
     // ---- Routers
@@ -207,7 +250,10 @@
         self.routers[n].configure(&self.terms, &self.fleet, self.tale.borrow().known())?;
         self.routers[n].start(now, &self.program, &self.ledger)?;
         self.phases[n] = Phase::Serving;
-        self.clients.borrow_mut().fronts[n] = Front { looks: true, ..Front::default() };
+        self.clients.borrow_mut().fronts[n] = Front {
+            looks: true,
+            ..Front::default()
+        };
         Ok(())
     }
     fn look_at_router(&mut self, now: Micros, n: usize) -> io::Result<()> {
@@ -216,11 +262,16 @@
         {
             let mut clients = self.clients.borrow_mut();
             let front = &mut clients.fronts[n];
-            if let (Some(at), false, Phase::Serving) = (front.ready_at, front.asks, self.phases[n]) {
+            if let (Some(at), false, Phase::Serving) = (front.ready_at, front.asks, self.phases[n])
+            {
                 (front.connects, front.asks, front.looks) = (true, true, false);
                 let mut ledger = self.ledger.borrow_mut();
-                let life = ledger.lives.get_mut(&RouterId(n)).and_then(|lives| lives.last_mut());
-                life.into_iter().for_each(|life| life.ready = life.ready.or(Some(at)));
+                let life = ledger
+                    .lives
+                    .get_mut(&RouterId(n))
+                    .and_then(|lives| lives.last_mut());
+                life.into_iter()
+                    .for_each(|life| life.ready = life.ready.or(Some(at)));
             }
             if let Phase::Ending(since) = self.phases[n] {
                 front.connects &= now < since + CONNECTS_AFTER_TERM;
@@ -232,14 +283,17 @@
                 self.clients.borrow_mut().fronts[n] = Front::default();
                 self.phases[n] = Phase::StartsAt(now + KILL_DOWN);
             }
-            Phase::StartsAt(at) if at <= now && !self.clients.borrow().over => self.start_router(n)?,
+            Phase::StartsAt(at) if at <= now && !self.clients.borrow().over => {
+                self.start_router(n)?
+            }
             _ => {}
         }
         Ok(())
     }
     /// Routers that serve, drawn, so many at the most.
     fn some_routers(&mut self, count: usize) -> Vec<usize> {
-        let serving = |n: &usize| self.phases[*n] == Phase::Serving && self.routers[*n].is_running();
+        let serving =
+            |n: &usize| self.phases[*n] == Phase::Serving && self.routers[*n].is_running();
         let mut all: Vec<usize> = (0..self.routers.len()).filter(serving).collect();
         let mut drawn = Vec::new();
         while drawn.len() < count && !all.is_empty() {
@@ -269,15 +323,20 @@
         let id = ServerId(self.servers_started);
         let address = match same_address {
             true => self.places[n].address.clone(),
-            false => self.fleet.server_address(self.fleet.servers + self.servers_started % 100),
+            false => self
+                .fleet
+                .server_address(self.fleet.servers + self.servers_started % 100),
         };
-        let steering =
-            Rc::new(RefCell::new(ServerSteering { mood: ServerMood::Well, arrivals_unknown_until: 0 }));
+        let steering = Rc::new(RefCell::new(ServerSteering {
+            mood: ServerMood::Well,
+            arrivals_unknown_until: 0,
+        }));
         let (terms, ledger) = (self.terms.clone(), self.ledger.clone());
         let server = Server::new(id, SERVER_SIZE, Some(now), terms, ledger, steering.clone());
         self.driver.kill(self.places[n].host);
         let door = EventLoop::bind(&address)?.0;
-        self.driver.replace(self.places[n].host, Box::new(server), vec![door], None)?;
+        self.driver
+            .replace(self.places[n].host, Box::new(server), vec![door], None)?;
         let (host, up_since_ms) = (self.places[n].host, self.wall_ms(now));
         let name = format!("s-{:08x}", id.0);
         let old = &self.places[n];
@@ -286,32 +345,68 @@
         self.tale.borrow_mut().change(vec![gone, new]);
         {
             let mut ledger = self.ledger.borrow_mut();
-            ledger.drains.push(Drain { server: old.server, told: now });
-            ledger.starts.push(Start { server: id, at: now, size: SERVER_SIZE, long_ago: false });
+            ledger.drains.push(Drain {
+                server: old.server,
+                told: now,
+            });
+            ledger.starts.push(Start {
+                server: id,
+                at: now,
+                size: SERVER_SIZE,
+                long_ago: false,
+            });
         }
-        self.places[n] = Place { host, address, name, server: id, up_since_ms, steering, leaves_at: None };
+        self.places[n] = Place {
+            host,
+            address,
+            name,
+            server: id,
+            up_since_ms,
+            steering,
+            leaves_at: None,
+        };
         Ok(())
     }
     fn drain_server(&mut self, now: Micros, n: usize) {
         let place = &mut self.places[n];
         place.leaves_at = Some(now + DRAIN_LASTS);
-        let drains = member(&place.name, &place.address, "terminating", place.up_since_ms);
+        let drains = member(
+            &place.name,
+            &place.address,
+            "terminating",
+            place.up_since_ms,
+        );
         self.tale.borrow_mut().change(vec![drains]);
-        self.ledger.borrow_mut().drains.push(Drain { server: place.server, told: now });
+        self.ledger.borrow_mut().drains.push(Drain {
+            server: place.server,
+            told: now,
+        });
     }
     fn feed_trouble(&mut self, now: Micros, mood: FeedMood, span: Micros, told_after: Micros) {
         self.tale.borrow_mut().mood = mood;
         // What was told shortly before may be under way in an answer that is cut or late.
-        let span_of = Span { from: now - S / 2, to: now + span + S / 2 };
-        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble { span: span_of, told_after });
+        let span_of = Span {
+            from: now - S / 2,
+            to: now + span + S / 2,
+        };
+        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble {
+            span: span_of,
+            told_after,
+        });
         self.undo.push((now + span, Undo::FeedWell));
     }
     /// The feed moves to its other address, and all routers are told by a new configuration.
     fn move_feed(&mut self, now: Micros) -> io::Result<()> {
         self.fleet.feed_door = 1 - self.fleet.feed_door;
         self.tale.borrow_mut().door = Door(self.fleet.feed_door);
-        let span = Span { from: now - S / 2, to: now + S };
-        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble { span, told_after: 4 * S });
+        let span = Span {
+            from: now - S / 2,
+            to: now + S,
+        };
+        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble {
+            span,
+            told_after: 4 * S,
+        });
         for router in &self.routers {
             router.configure(&self.terms, &self.fleet, self.tale.borrow().known())?;
             if router.is_running() {
@@ -377,21 +472,34 @@
                     self.step_clock(n, by)?;
                 }
             }
-            Trouble::FailingCalls { routers, rate, span } => {
+            Trouble::FailingCalls {
+                routers,
+                rate,
+                span,
+            } => {
                 for n in self.some_routers(routers) {
                     self.set_failing(n, rate)?;
                     self.undo.push((now + span, Undo::CallsWork(n)));
                 }
             }
-            Trouble::Replace { servers, same_address } => {
+            Trouble::Replace {
+                servers,
+                same_address,
+            } => {
                 for n in self.some_places(servers) {
                     self.replace_server(n, same_address)?;
                 }
             }
             Trouble::Drain { servers } => {
-                self.some_places(servers).into_iter().for_each(|n| self.drain_server(now, n));
+                self.some_places(servers)
+                    .into_iter()
+                    .for_each(|n| self.drain_server(now, n));
             }
-            Trouble::Misbehave { servers, mood, span } => {
+            Trouble::Misbehave {
+                servers,
+                mood,
+                span,
+            } => {
                 for n in self.some_places(servers) {
                     self.places[n].steering.borrow_mut().mood = mood;
                     self.undo.push((now + span, Undo::Behaves(n)));
@@ -404,8 +512,12 @@
                 }
             }
             Trouble::FeedSilent { span } => self.feed_trouble(now, FeedMood::Silent, span, 7 * S),
-            Trouble::FeedLate { by, span } => self.feed_trouble(now, FeedMood::Late(by), span, 7 * S),
-            Trouble::FeedCuts { span } => self.feed_trouble(now, FeedMood::Cuts, span, span + 2 * S),
+            Trouble::FeedLate { by, span } => {
+                self.feed_trouble(now, FeedMood::Late(by), span, 7 * S)
+            }
+            Trouble::FeedCuts { span } => {
+                self.feed_trouble(now, FeedMood::Cuts, span, span + 2 * S)
+            }
             Trouble::BadClients { part, span } => {
                 self.clients.borrow_mut().bad = part;
                 self.undo.push((now + span, Undo::ClientsWell));
@@ -420,13 +532,26 @@
     }
     fn step_clock(&mut self, n: usize, by: Micros) -> io::Result<()> {
         self.router_clocks[n] += by;
-        self.routers[n].faults.step_wall_clock(self.router_clocks[n])
+        self.routers[n]
+            .faults
+            .step_wall_clock(self.router_clocks[n])
     }
     fn set_failing(&self, n: usize, rate: u64) -> io::Result<()> {
-        let words = [Word::Accept, Word::Socket, Word::Connect, Word::Receive, Word::Send, Word::Wait];
+        let words = [
+            Word::Accept,
+            Word::Socket,
+            Word::Connect,
+            Word::Receive,
+            Word::Send,
+            Word::Wait,
+        ];
         // What the poller watches is changed with every wait, and a failure costs a whole connection.
-        self.routers[n].faults.set(Word::Control, rate / CONTROLS_FAIL_LESS)?;
-        words.into_iter().try_for_each(|word| self.routers[n].faults.set(word, rate))
+        self.routers[n]
+            .faults
+            .set(Word::Control, rate / CONTROLS_FAIL_LESS)?;
+        words
+            .into_iter()
+            .try_for_each(|word| self.routers[n].faults.set(word, rate))
     }
     fn end_trouble(&mut self, now: Micros, undo: Undo) -> io::Result<()> {
         match undo {
--- a/crates/sanddrum-lab/src/soak/feed.rs
+++ b/crates/sanddrum-lab/src/soak/feed.rs
@@ -34,12 +34,18 @@
     /// A tale that begins with a whole list.
     pub fn of(members: Vec<Json>) -> Self {
         let first = json!({"n": 1, "members": {"complete": true, "members": members}});
-        Tale { events: vec![first], mood: Mood::Well, door: Door(0), asked: 0 }
+        Tale {
+            events: vec![first],
+            mood: Mood::Well,
+            door: Door(0),
+            asked: 0,
+        }
     }
     /// Adds an event that changes these members.
     pub fn change(&mut self, members: Vec<Json>) {
         let n = self.events.len() + 1;
-        self.events.push(json!({"n": n, "members": {"complete": false, "members": members}}));
+        self.events
+            .push(json!({"n": n, "members": {"complete": false, "members": members}}));
     }
     /// Everything told so far, as a start configuration has it.
     pub fn known(&self) -> Json {
@@ -67,10 +73,16 @@
 
 impl Feed {
     pub fn new(tale: Rc<RefCell<Tale>>) -> Self {
-        Feed { tale, turned: 0, asking: BTreeMap::new() }
+        Feed {
+            tale,
+            turned: 0,
+            asking: BTreeMap::new(),
+        }
     }
     fn take(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
-        let Some(asking) = self.asking.get_mut(&conn) else { return };
+        let Some(asking) = self.asking.get_mut(&conn) else {
+            return;
+        };
         asking.text.push_str(&String::from_utf8_lossy(bytes));
         if !asking.text.ends_with("\r\n\r\n") {
             return;
@@ -86,8 +98,12 @@
     }
     fn answer(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
         let tale = self.tale.borrow();
-        let Some(asking) = self.asking.get_mut(&conn) else { return };
-        let Some((held, until)) = asking.asked else { return };
+        let Some(asking) = self.asking.get_mut(&conn) else {
+            return;
+        };
+        let Some((held, until)) = asking.asked else {
+            return;
+        };
         if tale.mood == Mood::Silent || asking.door != tale.door {
             return;
         }
@@ -119,7 +135,12 @@
     fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, door } => {
-                let asking = Asking { door, text: String::new(), asked: None, answers_at: None };
+                let asking = Asking {
+                    door,
+                    text: String::new(),
+                    asked: None,
+                    answers_at: None,
+                };
                 self.asking.insert(conn, asking);
             }
             Event::Bytes { conn, bytes } => self.take(now, conn, bytes),
@@ -135,7 +156,9 @@
     fn turn(&mut self, now: Micros, io: &mut dyn Io) {
         self.turned = now;
         let conns: Vec<Conn> = self.asking.keys().copied().collect();
-        conns.into_iter().for_each(|conn| self.answer(now, conn, io));
+        conns
+            .into_iter()
+            .for_each(|conn| self.answer(now, conn, io));
     }
     fn wake(&self) -> Option<Micros> {
         let waits = self.asking.values().any(|asking| asking.asked.is_some());
--- a/crates/sanddrum-lab/src/soak/judge.rs
+++ b/crates/sanddrum-lab/src/soak/judge.rs
@@ -1,7 +1,9 @@
 //! Judges a soak run from its ledger: the platform's rules, and the operators' stricter terms. Nothing is excused but what the
 //! pages excuse, and what the lab itself was too late to see.
 
-use super::ledger::{made_of, Attempt, CallId, Effect, FeedTrouble, Leaving, Ledger, Request, ServerId};
+use super::ledger::{
+    made_of, Attempt, CallId, Effect, FeedTrouble, Leaving, Ledger, Request, ServerId,
+};
 use super::settings::Terms;
 use sanddrum_net::Micros;
 use std::collections::BTreeMap;
@@ -73,7 +75,13 @@
 
 impl fmt::Display for Break {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at {:.3} s: {}", self.rule.name(), self.at as f64 / 1e6, self.what)
+        write!(
+            f,
+            "{} at {:.3} s: {}",
+            self.rule.name(),
+            self.at as f64 / 1e6,
+            self.what
+        )
     }
 }
 
@@ -127,7 +135,11 @@
     for (call, request) in &ledger.requests {
         let name = call_text(*call);
         if request.unreadable {
-            add(Rule::Spoilt, request.sent, format!("{name}: what came back can't be read"));
+            add(
+                Rule::Spoilt,
+                request.sent,
+                format!("{name}: what came back can't be read"),
+            );
         }
         if request.answers.len() > 1 {
             add(
@@ -136,21 +148,41 @@
                 format!("{name}: {} answers", request.answers.len()),
             );
         }
-        if let Some(answer) = request.answers.first().filter(|answer| answer.status == 200) {
+        if let Some(answer) = request
+            .answers
+            .first()
+            .filter(|answer| answer.status == 200)
+        {
             let made = made_of(*call, &super::ledger::body_of(*call));
             if answer.body != made {
-                add(Rule::Spoilt, answer.at, format!("{name}: served with what no server made for it"));
+                add(
+                    Rule::Spoilt,
+                    answer.at,
+                    format!("{name}: served with what no server made for it"),
+                );
             }
         }
         if let Some(why) = lost(ledger, request, end) {
-            add(Rule::Lost, request.sent, format!("{name} to router {}: {why}", request.router.0));
+            add(
+                Rule::Lost,
+                request.sent,
+                format!("{name} to router {}: {why}", request.router.0),
+            );
         }
     }
     if ledger.foreign_attempts > 0 {
-        add(Rule::Foreign, 0, format!("{} attempts of no client", ledger.foreign_attempts));
+        add(
+            Rule::Foreign,
+            0,
+            format!("{} attempts of no client", ledger.foreign_attempts),
+        );
     }
     if ledger.bad_clients_served > 0 {
-        add(Rule::BadClient, 0, format!("{} unreadable requests served", ledger.bad_clients_served));
+        add(
+            Rule::BadClient,
+            0,
+            format!("{} unreadable requests served", ledger.bad_clients_served),
+        );
     }
 }
 
@@ -175,8 +207,12 @@
 
 /// Whether the router that took it owes it an answer: not where it was killed, nor where it was long asked to end.
 fn is_owed(ledger: &Ledger, request: &Request) -> bool {
-    let Some(life) = ledger.life_at(request.router, request.sent) else { return false };
-    let late = life.asked_to_end.is_some_and(|at| request.sent > at + OWED_AFTER_TERM);
+    let Some(life) = ledger.life_at(request.router, request.sent) else {
+        return false;
+    };
+    let late = life
+        .asked_to_end
+        .is_some_and(|at| request.sent > at + OWED_AFTER_TERM);
     let killed = life.killed.is_some();
     let ended_before = life.ended.is_some_and(|(at, _)| at < request.sent);
     !(late || killed || ended_before)
@@ -185,30 +221,55 @@
 // ---- Attempts
 
 fn attempts(ledger: &Ledger, breaks: &mut Vec<Break>) {
-    for attempt in ledger.attempts.iter().filter(|attempt| !attempt.arrival_unknown) {
-        let Some(request) = ledger.requests.get(&attempt.call) else { continue };
+    for attempt in ledger
+        .attempts
+        .iter()
+        .filter(|attempt| !attempt.arrival_unknown)
+    {
+        let Some(request) = ledger.requests.get(&attempt.call) else {
+            continue;
+        };
         let name = format!("{} at server {}", call_text(attempt.call), attempt.server.0);
-        let mut add = |rule, what: String| breaks.push(Break { rule, at: attempt.at, what });
+        let mut add = |rule, what: String| {
+            breaks.push(Break {
+                rule,
+                at: attempt.at,
+                what,
+            })
+        };
         if let Some((left, how)) = request.left {
             let after = attempt.at - left - ledger.late_between(left, attempt.at);
             if after > AFTER_LEAVING {
                 add(
                     Rule::AfterLeaving,
-                    format!("{name}: {:.3} s after its client had left ({how:?})", seconds(after)),
+                    format!(
+                        "{name}: {:.3} s after its client had left ({how:?})",
+                        seconds(after)
+                    ),
                 );
             }
         }
         if let Some(answer) = request.answers.first() {
             let after = attempt.at - answer.at - ledger.late_between(answer.at, attempt.at);
             if after > AFTER_LEAVING {
-                add(Rule::AfterAnswer, format!("{name}: {:.3} s after its answer", seconds(after)));
+                add(
+                    Rule::AfterAnswer,
+                    format!("{name}: {:.3} s after its answer", seconds(after)),
+                );
             }
         }
         let has_left = request.sent + request.patience - attempt.at;
-        let beyond = attempt.deadline - has_left.max(0) - ledger.late_between(request.sent, attempt.at);
+        let beyond =
+            attempt.deadline - has_left.max(0) - ledger.late_between(request.sent, attempt.at);
         if beyond > DEADLINE_SLACK {
             let came = context(ledger, request, attempt);
-            add(Rule::Deadline, format!("{name}: told {:.3} s more than is left; {came}", seconds(beyond)));
+            add(
+                Rule::Deadline,
+                format!(
+                    "{name}: told {:.3} s more than is left; {came}",
+                    seconds(beyond)
+                ),
+            );
         }
     }
 }
@@ -216,11 +277,21 @@
 /// How an attempt came about, for whoever looks into a break.
 fn context(ledger: &Ledger, request: &Request, attempt: &Attempt) -> String {
     let stopped = ledger.stopped_between(request.router, request.sent, attempt.at);
-    let all = ledger.attempts.iter().filter(|other| other.call == attempt.call);
+    let all = ledger
+        .attempts
+        .iter()
+        .filter(|other| other.call == attempt.call);
     let told = |other: &Attempt| {
         let (after, deadline) = (seconds(other.at - request.sent), seconds(other.deadline));
-        let arrival = if other.arrival_unknown { " or before" } else { "" };
-        format!("{after:.3}{arrival} at server {} with {deadline:.3}", other.server.0)
+        let arrival = if other.arrival_unknown {
+            " or before"
+        } else {
+            ""
+        };
+        format!(
+            "{after:.3}{arrival} at server {} with {deadline:.3}",
+            other.server.0
+        )
     };
     let all: Vec<String> = all.map(told).collect();
     format!(
@@ -244,10 +315,17 @@
         ran.entry(attempt.call).or_default().push(attempt);
     }
     for (call, all) in ran {
-        let once = ledger.requests.get(&call).is_some_and(|request| request.effect == Effect::Once);
+        let once = ledger
+            .requests
+            .get(&call)
+            .is_some_and(|request| request.effect == Effect::Once);
         if once && all.len() > 1 {
             let what = format!("{} came to {} servers", call_text(call), all.len());
-            breaks.push(Break { rule: Rule::RanTwice, at: all[1].at, what });
+            breaks.push(Break {
+                rule: Rule::RanTwice,
+                at: all[1].at,
+                what,
+            });
         }
     }
 }
@@ -256,17 +334,26 @@
 
 /// When what the feed tells at an instant counts as told, where it is troubled.
 fn told_by(ledger: &Ledger, at: Micros) -> Micros {
-    let troubled = |trouble: &&FeedTrouble| trouble.span.from <= at + NOTICE && at <= trouble.span.to;
+    let troubled =
+        |trouble: &&FeedTrouble| trouble.span.from <= at + NOTICE && at <= trouble.span.to;
     let troubles = ledger.feed_troubles.iter().filter(troubled);
-    troubles.map(|trouble| trouble.span.from.max(at) + trouble.told_after).max().unwrap_or(at)
+    troubles
+        .map(|trouble| trouble.span.from.max(at) + trouble.told_after)
+        .max()
+        .unwrap_or(at)
 }
 
 fn drains(ledger: &Ledger, terms: &Terms, breaks: &mut Vec<Break>) {
     for drain in &ledger.drains {
         let from = told_by(ledger, drain.told) + terms.grace + ON_SOCKETS;
-        let late = ledger.attempts.iter().filter(|a| a.server == drain.server && !a.arrival_unknown);
+        let late = ledger
+            .attempts
+            .iter()
+            .filter(|a| a.server == drain.server && !a.arrival_unknown);
         for attempt in late {
-            let Some(request) = ledger.requests.get(&attempt.call) else { continue };
+            let Some(request) = ledger.requests.get(&attempt.call) else {
+                continue;
+            };
             let excused = ledger.late_between(drain.told, attempt.at)
                 + ledger.stopped_between(request.router, drain.told, attempt.at);
             let after = attempt.at - from - excused;
@@ -278,7 +365,11 @@
                     drain.server.0,
                     seconds(after)
                 );
-                breaks.push(Break { rule: Rule::Drain, at: attempt.at, what });
+                breaks.push(Break {
+                    rule: Rule::Drain,
+                    at: attempt.at,
+                    what,
+                });
             }
         }
     }
@@ -303,7 +394,11 @@
                     "server {}, {age:.3} s old, got {count} where {budget:.0} are borne",
                     start.server.0
                 );
-                breaks.push(Break { rule: Rule::SlowStart, at: *at, what });
+                breaks.push(Break {
+                    rule: Rule::SlowStart,
+                    at: *at,
+                    what,
+                });
                 break;
             }
         }
@@ -311,7 +406,10 @@
 }
 
 fn arrivals(ledger: &Ledger, server: ServerId, from: Micros, to: Micros) -> Vec<Micros> {
-    let there = ledger.attempts.iter().filter(|a| a.server == server && a.at >= from && a.at <= to);
+    let there = ledger
+        .attempts
+        .iter()
+        .filter(|a| a.server == server && a.at >= from && a.at <= to);
     there.map(|attempt| attempt.at).collect()
 }
 
@@ -321,13 +419,21 @@
     for (router, lives) in &ledger.lives {
         for life in lives {
             let mut add = |rule, at, what: String| {
-                breaks.push(Break { rule, at, what: format!("router {}: {what}", router.0) });
+                breaks.push(Break {
+                    rule,
+                    at,
+                    what: format!("router {}: {what}", router.0),
+                });
             };
             let gone = life.killed.or(life.asked_to_end).unwrap_or(end);
             let stops = ledger.stopped_between(*router, life.started, gone);
             let ready_by = life.started + READY_WITHIN + stops;
             if life.ready.map_or(gone > ready_by, |ready| ready > ready_by) {
-                add(Rule::NotReady, life.started, "not ready in time".to_string());
+                add(
+                    Rule::NotReady,
+                    life.started,
+                    "not ready in time".to_string(),
+                );
             }
             match (life.ended, life.killed, life.asked_to_end) {
                 (Some((at, code)), None, None) => {
@@ -337,27 +443,44 @@
                     add(
                         Rule::Crash,
                         at,
-                        format!("ended with {code:?} {:.3} s after SIGTERM", seconds(at - asked)),
+                        format!(
+                            "ended with {code:?} {:.3} s after SIGTERM",
+                            seconds(at - asked)
+                        ),
                     );
                 }
                 (ended, None, Some(asked)) => {
                     let longest = terms.longest_deadline.min(KILL_LONGEST);
-                    let by = asked + longest + KILL_AFTER + ledger.stopped_between(*router, asked, end);
-                    let late = ended.map_or(end > by, |(at, _)| at > by + ledger.late_between(asked, at));
+                    let by =
+                        asked + longest + KILL_AFTER + ledger.stopped_between(*router, asked, end);
+                    let late =
+                        ended.map_or(end > by, |(at, _)| at > by + ledger.late_between(asked, at));
                     if late {
-                        add(Rule::NotEnded, asked, "did not end by itself after SIGTERM".to_string());
+                        add(
+                            Rule::NotEnded,
+                            asked,
+                            "did not end by itself after SIGTERM".to_string(),
+                        );
                     }
                 }
                 _ => {}
             }
             if let [first, .., last] = life.descriptors.as_slice() {
                 if last > &terms.descriptors || *last > 2 * first + 64 {
-                    add(Rule::Growth, end, format!("descriptors went from {first} to {last}"));
+                    add(
+                        Rule::Growth,
+                        end,
+                        format!("descriptors went from {first} to {last}"),
+                    );
                 }
             }
             if let [first, .., last] = life.resident.as_slice() {
                 if *last > first + MEMORY_GROWTH {
-                    add(Rule::Growth, end, format!("memory went from {first} to {last} bytes"));
+                    add(
+                        Rule::Growth,
+                        end,
+                        format!("memory went from {first} to {last} bytes"),
+                    );
                 }
             }
         }
--- a/crates/sanddrum-lab/src/soak/ledger.rs
+++ b/crates/sanddrum-lab/src/soak/ledger.rs
@@ -184,7 +184,11 @@
     }
     /// The life of a router that a moment falls into.
     pub fn life_at(&self, router: RouterId, at: Micros) -> Option<&Life> {
-        self.lives.get(&router)?.iter().rev().find(|life| life.started <= at)
+        self.lives
+            .get(&router)?
+            .iter()
+            .rev()
+            .find(|life| life.started <= at)
     }
 }
 
@@ -198,5 +202,7 @@
 /// The body that a client sends with a call.
 pub fn body_of(call: CallId) -> Vec<u8> {
     let length = (call.0 % 700) as usize;
-    (0..length).map(|n| (call.0 as usize).wrapping_mul(31).wrapping_add(n * 7) as u8).collect()
+    (0..length)
+        .map(|n| (call.0 as usize).wrapping_mul(31).wrapping_add(n * 7) as u8)
+        .collect()
 }
