--- a/crates/sanddrum-lab/src/soak/mod.rs
+++ b/crates/sanddrum-lab/src/soak/mod.rs
@@ -74,7 +74,11 @@
         let seed = self.seed;
         match (self.breaks.first(), self.missing.first()) {
             (Some(first), _) => {
-                format!("seed {seed}: {} broken, {} breaks in all", first.rule.name(), self.breaks.len())
+                format!(
+                    "seed {seed}: {} broken, {} breaks in all",
+                    first.rule.name(),
+                    self.breaks.len()
+                )
             }
             (None, Some(missing)) => format!("seed {seed}: not passed, as {missing} never came"),
             (None, None) => format!("seed {seed}: every rule kept"),
@@ -100,7 +104,14 @@
     let planned = plan(&mut chance, length, spec.routers, spec.servers);
     let ledger = Shared::default();
     let (folder, program) = (spec.folder.as_path(), spec.program.clone());
-    let mut environment = Environment::new(fleet, terms.clone(), spec.rate, folder, program, ledger.clone())?;
+    let mut environment = Environment::new(
+        fleet,
+        terms.clone(),
+        spec.rate,
+        folder,
+        program,
+        ledger.clone(),
+    )?;
     wait_until_ready(&mut environment)?;
     play(&mut environment, &planned, length)?;
     wind_down(&mut environment)?;
@@ -116,7 +127,13 @@
     let (routers, servers, feed_door) = (spec.routers, spec.servers, 0);
     let first = Fleet::NETS.start + (spec.seed % Fleet::NETS.len() as u64) as u8;
     let nets = (first..Fleet::NETS.end).chain(Fleet::NETS.start..first);
-    let mut fleets = nets.map(|net| Fleet { seed: spec.seed, net, routers, servers, feed_door });
+    let mut fleets = nets.map(|net| Fleet {
+        seed: spec.seed,
+        net,
+        routers,
+        servers,
+        feed_door,
+    });
     let free = fleets.find(|fleet| EventLoop::bind(&fleet.feed_address(0)).is_ok());
     free.ok_or_else(|| io::Error::other("no addresses are free: too many runs at a time"))
 }
@@ -125,8 +142,14 @@
     let until = environment.now() + ALL_READY_WITHIN;
     while !environment.all_ready() {
         if environment.now() > until {
-            let why = environment.routers.first().map(|router| router.log()).unwrap_or_default();
-            return Err(io::Error::other(format!("the routers were not ready in time: {why}")));
+            let why = environment
+                .routers
+                .first()
+                .map(|router| router.log())
+                .unwrap_or_default();
+            return Err(io::Error::other(format!(
+                "the routers were not ready in time: {why}"
+            )));
         }
         environment.step()?;
     }
@@ -157,7 +180,10 @@
         waiting = still;
         if !weighed && now > begun + length / 3 {
             weighed = true;
-            environment.routers.iter().for_each(|router| router.weigh(&environment.ledger));
+            environment
+                .routers
+                .iter()
+                .for_each(|router| router.weigh(&environment.ledger));
         }
     }
     Ok(())
@@ -175,7 +201,10 @@
     while environment.now() < until {
         environment.step()?;
     }
-    environment.routers.iter().for_each(|router| router.weigh(&environment.ledger));
+    environment
+        .routers
+        .iter()
+        .for_each(|router| router.weigh(&environment.ledger));
     environment.ask_all_to_end();
     let until = environment.now() + END_WITHIN;
     while environment.any_running() && environment.now() < until {
@@ -191,7 +220,10 @@
     }
     let text: Vec<String> = breaks.iter().map(ToString::to_string).collect();
     std::fs::write(folder.join("breaks.txt"), text.join("\n"))?;
-    let panics = environment.routers.iter().filter(|router| router.log().contains("panicked"));
+    let panics = environment
+        .routers
+        .iter()
+        .filter(|router| router.log().contains("panicked"));
     panics.for_each(|router| eprintln!("router {} panicked:\n{}", router.id.0, router.log()));
     Ok(())
 }
@@ -215,8 +247,11 @@
     ];
     let mut faults = BTreeMap::new();
     for (word, name) in words {
-        let all: io::Result<Vec<u64>> =
-            environment.routers.iter().map(|router| router.faults.get(word)).collect();
+        let all: io::Result<Vec<u64>> = environment
+            .routers
+            .iter()
+            .map(|router| router.faults.get(word))
+            .collect();
         faults.insert(name, all?.iter().sum());
     }
     let mut missing: Vec<&'static str> = planned
@@ -228,11 +263,16 @@
     if chosen("failing-calls") && faults["receives-failed"] + faults["sends-failed"] == 0 {
         missing.push("failing-calls");
     }
-    if (chosen("step-all-clocks") || chosen("step-some-clocks")) && faults["wall-reads-stepped"] == 0 {
+    if (chosen("step-all-clocks") || chosen("step-some-clocks"))
+        && faults["wall-reads-stepped"] == 0
+    {
         missing.push("wall-reads-stepped");
     }
     let status = |wanted: fn(u16) -> bool| {
-        let answers = ledger.requests.values().filter_map(|request| request.answers.first());
+        let answers = ledger
+            .requests
+            .values()
+            .filter_map(|request| request.answers.first());
         answers.filter(|answer| wanted(answer.status)).count() as u64
     };
     let mut counts = BTreeMap::from([
@@ -240,15 +280,41 @@
         ("attempts", ledger.attempts.len() as u64),
         ("served", status(|status| status == 200)),
         ("refused", status(|status| status == 503 || status == 429)),
-        ("failed", status(|status| status != 200 && status != 503 && status != 429)),
+        (
+            "failed",
+            status(|status| status != 200 && status != 503 && status != 429),
+        ),
         ("client-connections", ledger.connections_by_clients),
         ("server-connections", ledger.connections_to_servers),
         ("bad-clients", ledger.bad_clients),
-        ("server-starts", ledger.starts.iter().filter(|start| !start.long_ago).count() as u64),
-        ("router-starts", ledger.lives.values().map(Vec::len).sum::<usize>() as u64),
+        (
+            "server-starts",
+            ledger.starts.iter().filter(|start| !start.long_ago).count() as u64,
+        ),
+        (
+            "router-starts",
+            ledger.lives.values().map(Vec::len).sum::<usize>() as u64,
+        ),
     ]);
-    counts.extend(leavings(ledger).into_iter().map(|(how, count)| (how, count as u64)));
-    let lab_late_ms = ledger.lab_late.iter().map(|span| span.to - span.from).sum::<Micros>() / 1000;
+    counts.extend(
+        leavings(ledger)
+            .into_iter()
+            .map(|(how, count)| (how, count as u64)),
+    );
+    let lab_late_ms = ledger
+        .lab_late
+        .iter()
+        .map(|span| span.to - span.from)
+        .sum::<Micros>()
+        / 1000;
     let troubles = environment.came.clone();
-    Ok(SoakReport { seed, breaks, troubles, faults, missing, counts, lab_late_ms })
+    Ok(SoakReport {
+        seed,
+        breaks,
+        troubles,
+        faults,
+        missing,
+        counts,
+        lab_late_ms,
+    })
 }
--- a/crates/sanddrum-lab/src/soak/routers.rs
+++ b/crates/sanddrum-lab/src/soak/routers.rs
@@ -30,7 +30,14 @@
         let faults = FaultControl::create(&file("faults"))?;
         faults.set(Word::Seed, id.0 as u64 + 1)?;
         let (configuration, log) = (file("json"), file("log"));
-        Ok(Router { id, child: None, configuration, log, faults, stopped_since: None })
+        Ok(Router {
+            id,
+            child: None,
+            configuration,
+            log,
+            faults,
+            stopped_since: None,
+        })
     }
     /// Replaces the start configuration whole.
     ///
@@ -38,7 +45,10 @@
     /// It can't be written.
     pub fn configure(&self, terms: &Terms, fleet: &Fleet, known: Json) -> io::Result<()> {
         let beside = self.configuration.with_extension("new");
-        fs::write(&beside, terms.configuration(self.id, fleet, known).to_string())?;
+        fs::write(
+            &beside,
+            terms.configuration(self.id, fleet, known).to_string(),
+        )?;
         fs::rename(beside, &self.configuration)
     }
     /// # Errors
@@ -46,13 +56,26 @@
     pub fn start(&mut self, now: Micros, program: &Path, ledger: &Shared) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(program);
-        command.args(["--platform", "--log", "info"]).env("RELAY_CONFIG", &self.configuration);
+        command
+            .args(["--platform", "--log", "info"])
+            .env("RELAY_CONFIG", &self.configuration);
         command.env_remove("RELAY_NAME").env_remove("RELAY_LISTEN");
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         self.faults.preload(&mut command)?;
         self.child = Some(command.spawn()?);
-        let life = Life { started: now, ..Life::default() };
-        ledger.borrow_mut().lives.entry(self.id).or_default().push(life);
+        let life = Life {
+            started: now,
+            ..Life::default()
+        };
+        ledger
+            .borrow_mut()
+            .lives
+            .entry(self.id)
+            .or_default()
+            .push(life);
         Ok(())
     }
     pub fn is_running(&self) -> bool {
@@ -95,7 +118,12 @@
         if let Some(from) = self.stopped_since.take() {
             self.signal(Signal::CONT);
             let span = Span { from, to: now };
-            ledger.borrow_mut().stops.entry(self.id).or_default().push(span);
+            ledger
+                .borrow_mut()
+                .stops
+                .entry(self.id)
+                .or_default()
+                .push(span);
         }
     }
     /// Looks whether the process has ended.
@@ -113,11 +141,18 @@
     pub fn weigh(&self, ledger: &Shared) {
         let Some(child) = &self.child else { return };
         let folder = PathBuf::from(format!("/proc/{}", child.id()));
-        let descriptors = fs::read_dir(folder.join("fd")).map(Iterator::count).unwrap_or(0);
+        let descriptors = fs::read_dir(folder.join("fd"))
+            .map(Iterator::count)
+            .unwrap_or(0);
         let status = fs::read_to_string(folder.join("status")).unwrap_or_default();
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kilobytes =
-            resident.and_then(|text| text.trim().trim_end_matches("kB").trim().parse::<u64>().ok());
+        let kilobytes = resident.and_then(|text| {
+            text.trim()
+                .trim_end_matches("kB")
+                .trim()
+                .parse::<u64>()
+                .ok()
+        });
         if let Some(life) = self.life(&mut ledger.borrow_mut()) {
             life.descriptors.push(descriptors);
             life.resident.push(kilobytes.unwrap_or(0) * 1024);
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -30,8 +30,15 @@
 }
 
 impl Mood {
-    pub const TROUBLES: [Mood; 7] =
-        [Mood::Slow, Mood::Hung, Mood::Failing, Mood::Resets, Mood::Twice, Mood::Spoilt, Mood::Full];
+    pub const TROUBLES: [Mood; 7] = [
+        Mood::Slow,
+        Mood::Hung,
+        Mood::Failing,
+        Mood::Resets,
+        Mood::Twice,
+        Mood::Spoilt,
+        Mood::Full,
+    ];
 }
 
 /// How a server is steered while it runs.
@@ -71,17 +78,27 @@
         let head = bytes.first_chunk::<HEAD>()?;
         let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
         let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
-        let (code, id) = (head[1], u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n])));
+        let (code, id) = (
+            head[1],
+            u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n])),
+        );
         let whole = HEAD + fields + body + CHECK;
         if bytes.len() < whole {
             return None;
         }
         let frame: Vec<u8> = bytes.drain(..whole).collect();
         let fields_text = String::from_utf8_lossy(&frame[HEAD..HEAD + fields]).into_owned();
-        Some(Frame { code, id, fields: fields_text, body: frame[HEAD + fields..whole - CHECK].to_vec() })
+        Some(Frame {
+            code,
+            id,
+            fields: fields_text,
+            body: frame[HEAD + fields..whole - CHECK].to_vec(),
+        })
     }
     fn field(&self, name: &str) -> Option<&str> {
-        self.fields.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
+        self.fields
+            .split(',')
+            .find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 }
 
@@ -166,7 +183,15 @@
     }
     fn says(&mut self, at: Micros, conn: Conn, id: u64, code: u8, fields: &str, body: &[u8]) {
         let bytes = frames::answer(code, id, fields, body);
-        self.later(at, Answering { conn, call: id, bytes, frees: false });
+        self.later(
+            at,
+            Answering {
+                conn,
+                call: id,
+                bytes,
+                frees: false,
+            },
+        );
     }
     fn loads(&mut self, now: Micros, conn: Conn, frame: &Frame) {
         let function = frame.field("thing").unwrap_or_default().to_string();
@@ -182,7 +207,11 @@
     /// Records a request as it came, and answers it once it has run, or at once.
     fn takes(&mut self, now: Micros, conn: Conn, frame: &Frame) {
         let call = CallId(frame.id);
-        let deadline = frame.field("max").and_then(|max| max.parse::<Micros>().ok()).unwrap_or(0) * 1000;
+        let deadline = frame
+            .field("max")
+            .and_then(|max| max.parse::<Micros>().ok())
+            .unwrap_or(0)
+            * 1000;
         let attempt = Attempt {
             call,
             server: self.id,
@@ -218,13 +247,21 @@
                 (now + LOAD, "started")
             }
         };
-        let core = (0..self.cores.len()).min_by_key(|core| self.cores[*core]).unwrap_or(0);
+        let core = (0..self.cores.len())
+            .min_by_key(|core| self.cores[*core])
+            .unwrap_or(0);
         let begins = ready.max(self.cores[core]);
         if begins > now + deadline {
             return never_ran(CODE_OVER, self);
         }
-        let warmth = self.started.map_or(1.0, |started| self.terms.warmth(now - started));
-        let slower = if self.mood() == Mood::Slow { SLOWER } else { 1.0 };
+        let warmth = self
+            .started
+            .map_or(1.0, |started| self.terms.warmth(now - started));
+        let slower = if self.mood() == Mood::Slow {
+            SLOWER
+        } else {
+            1.0
+        };
         let work = self.chance.gap(self.terms.mean_work as f64) / warmth * slower;
         let ends = begins + work as Micros;
         self.cores[core] = ends;
@@ -235,7 +272,15 @@
             true => frames::answer(CODE_ERROR, frame.id, &fields, b""),
             false => frames::answer(CODE_OK, frame.id, &fields, &made_of(call, &frame.body)),
         };
-        self.later(ends, Answering { conn, call: frame.id, bytes, frees: true });
+        self.later(
+            ends,
+            Answering {
+                conn,
+                call: frame.id,
+                bytes,
+                frees: true,
+            },
+        );
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.open += 1;
         }
@@ -245,7 +290,12 @@
         format!("report=queue:{waiting};inflight:{}", self.held)
     }
     fn answer(&mut self, now: Micros, answering: Answering, io: &mut dyn Io) {
-        let Answering { conn, call, mut bytes, frees } = answering;
+        let Answering {
+            conn,
+            call,
+            mut bytes,
+            frees,
+        } = answering;
         if frees {
             self.held = self.held.saturating_sub(1);
             if let Some(peer) = self.peers.get_mut(&conn) {
@@ -253,7 +303,10 @@
             }
         }
         let mood = self.mood();
-        if !self.peers.contains_key(&conn) || mood == Mood::Hung || self.given_up.remove(&(conn, call)) {
+        if !self.peers.contains_key(&conn)
+            || mood == Mood::Hung
+            || self.given_up.remove(&(conn, call))
+        {
             return;
         }
         match mood {
@@ -268,7 +321,12 @@
                 bytes[turned] ^= 0x10;
             }
             Mood::Twice if frees => {
-                let again = Answering { conn, call, bytes: bytes.clone(), frees: false };
+                let again = Answering {
+                    conn,
+                    call,
+                    bytes: bytes.clone(),
+                    frees: false,
+                };
                 self.later(now + SECOND_ANSWER_AFTER, again);
             }
             _ => {}
@@ -279,7 +337,12 @@
     fn close_idle(&mut self, now: Micros, io: &mut dyn Io) {
         let limit = self.terms.idle_close;
         let idle = |(_, peer): &(&Conn, &Peer)| peer.open == 0 && now - peer.idle_since >= limit;
-        let closes: Vec<Conn> = self.peers.iter().filter(idle).map(|(conn, _)| *conn).collect();
+        let closes: Vec<Conn> = self
+            .peers
+            .iter()
+            .filter(idle)
+            .map(|(conn, _)| *conn)
+            .collect();
         for conn in closes {
             self.peers.remove(&conn);
             io.close(conn);
@@ -293,10 +356,19 @@
         match event {
             Event::Accepted { conn, .. } => {
                 self.ledger.borrow_mut().connections_to_servers += 1;
-                self.peers.insert(conn, Peer { bytes: Vec::new(), idle_since: now, open: 0 });
+                self.peers.insert(
+                    conn,
+                    Peer {
+                        bytes: Vec::new(),
+                        idle_since: now,
+                        open: 0,
+                    },
+                );
             }
             Event::Bytes { conn, bytes } => {
-                let Some(peer) = self.peers.get_mut(&conn) else { return };
+                let Some(peer) = self.peers.get_mut(&conn) else {
+                    return;
+                };
                 peer.idle_since = now;
                 let mut held = std::mem::take(&mut peer.bytes);
                 held.extend_from_slice(bytes);
@@ -326,7 +398,9 @@
     fn wake(&self) -> Option<Micros> {
         let due = self.due.first_key_value().map(|((at, _), _)| *at);
         let idle = self.peers.values().filter(|peer| peer.open == 0);
-        let idle = idle.map(|peer| peer.idle_since + self.terms.idle_close).min();
+        let idle = idle
+            .map(|peer| peer.idle_since + self.terms.idle_close)
+            .min();
         due.into_iter().chain(idle).min()
     }
 }
--- a/crates/sanddrum-lab/src/soak/troubles.rs
+++ b/crates/sanddrum-lab/src/soak/troubles.rs
@@ -115,31 +115,65 @@
             sizes[chance.below(sizes.len())]
         };
         match chance.below(17) {
-            0 | 1 => Trouble::Stop { routers: some(chance, 2 * routers), span: span(chance, S / 10, 3 * S) },
-            2 => Trouble::Restart { routers: some(chance, 2 * routers) },
-            3 => Trouble::Kill { routers: some(chance, routers) },
-            4 => Trouble::HangUps { count: 1 + chance.below(4), gap: span(chance, S / 100, S / 2) },
+            0 | 1 => Trouble::Stop {
+                routers: some(chance, 2 * routers),
+                span: span(chance, S / 10, 3 * S),
+            },
+            2 => Trouble::Restart {
+                routers: some(chance, 2 * routers),
+            },
+            3 => Trouble::Kill {
+                routers: some(chance, routers),
+            },
+            4 => Trouble::HangUps {
+                count: 1 + chance.below(4),
+                gap: span(chance, S / 100, S / 2),
+            },
             5 => Trouble::StepAllClocks { by: step(chance) },
-            6 => Trouble::StepSomeClocks { routers: some(chance, 2 * routers), by: step(chance) },
+            6 => Trouble::StepSomeClocks {
+                routers: some(chance, 2 * routers),
+                by: step(chance),
+            },
             7 => Trouble::FailingCalls {
                 routers: some(chance, 4 * routers),
                 rate: 5_000 + chance.below(60_000) as u64,
                 span: span(chance, S, 4 * S),
             },
-            8 | 9 => Trouble::Replace { servers: some(chance, servers), same_address: chance.is_below(0.5) },
-            10 => Trouble::Drain { servers: some(chance, servers) },
+            8 | 9 => Trouble::Replace {
+                servers: some(chance, servers),
+                same_address: chance.is_below(0.5),
+            },
+            10 => Trouble::Drain {
+                servers: some(chance, servers),
+            },
             11 => Trouble::Misbehave {
                 servers: some(chance, servers),
                 mood: ServerMood::TROUBLES[chance.below(ServerMood::TROUBLES.len())],
                 span: span(chance, S, 4 * S),
             },
-            12 => Trouble::Freeze { servers: some(chance, servers), span: span(chance, S / 5, 3 * S) },
-            13 => Trouble::FeedSilent { span: span(chance, S, 4 * S) },
-            14 => Trouble::FeedLate { by: span(chance, S / 5, 2 * S), span: span(chance, S, 4 * S) },
-            15 => Trouble::FeedCuts { span: span(chance, S / 2, 2 * S) },
+            12 => Trouble::Freeze {
+                servers: some(chance, servers),
+                span: span(chance, S / 5, 3 * S),
+            },
+            13 => Trouble::FeedSilent {
+                span: span(chance, S, 4 * S),
+            },
+            14 => Trouble::FeedLate {
+                by: span(chance, S / 5, 2 * S),
+                span: span(chance, S, 4 * S),
+            },
+            15 => Trouble::FeedCuts {
+                span: span(chance, S / 2, 2 * S),
+            },
             _ => match chance.is_below(0.5) {
-                true => Trouble::BadClients { part: 0.5, span: span(chance, S, 3 * S) },
-                false => Trouble::Burst { times: 2.0, span: span(chance, S, 2 * S) },
+                true => Trouble::BadClients {
+                    part: 0.5,
+                    span: span(chance, S, 3 * S),
+                },
+                false => Trouble::Burst {
+                    times: 2.0,
+                    span: span(chance, S, 2 * S),
+                },
             },
         }
     }
@@ -161,8 +195,13 @@
 }
 
 impl Moment {
-    const ALL: [Moment; 5] =
-        [Moment::Dial, Moment::HalfWritten, Moment::Answer, Moment::Watch, Moment::Close];
+    const ALL: [Moment; 5] = [
+        Moment::Dial,
+        Moment::HalfWritten,
+        Moment::Answer,
+        Moment::Watch,
+        Moment::Close,
+    ];
 }
 
 /// A trouble of the plan.
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -74,14 +74,22 @@
         let (workers, edges) = (scenario.workers, scenario.edges);
         let mut bound = BTreeMap::new();
         let mut bind = |who: Who| -> io::Result<String> {
-            let given = if let Who::Edge(n) = who { edge_doors.get(n).copied() } else { None };
+            let given = if let Who::Edge(n) = who {
+                edge_doors.get(n).copied()
+            } else {
+                None
+            };
             let (listener, at) = EventLoop::bind(given.unwrap_or("127.0.0.1:0"))?;
             bound.insert(who, listener);
             Ok(at)
         };
         let addresses = Addresses {
-            workers: (0..workers).map(|n| bind(Who::Worker(n))).collect::<io::Result<_>>()?,
-            edges: (0..edges).map(|n| bind(Who::Edge(n))).collect::<io::Result<_>>()?,
+            workers: (0..workers)
+                .map(|n| bind(Who::Worker(n)))
+                .collect::<io::Result<_>>()?,
+            edges: (0..edges)
+                .map(|n| bind(Who::Edge(n)))
+                .collect::<io::Result<_>>()?,
             list: bind(Who::List)?,
             store: bind(Who::Store)?,
         };
@@ -96,7 +104,9 @@
         };
         stage.spread_keys()?;
         stage.spread_papers()?;
-        let all = (0..workers).map(Who::Worker).chain((0..edges).map(Who::Edge));
+        let all = (0..workers)
+            .map(Who::Worker)
+            .chain((0..edges).map(Who::Edge));
         for who in [Who::List, Who::Store].into_iter().chain(all) {
             let listener = bound.remove(&who);
             stage.set_up(who, listener, recording)?;
@@ -113,7 +123,10 @@
     ) -> io::Result<()> {
         if let Who::Edge(n) = who {
             let address = self.fleet.addresses.edges[n].clone();
-            recording.0.borrow_mut().edge(&address, &Scenario::edge_name(n));
+            recording
+                .0
+                .borrow_mut()
+                .edge(&address, &Scenario::edge_name(n));
             if matches!(self.edges_as, EdgesAs::Processes(_)) {
                 drop(listener);
                 return self.spawn(n);
@@ -127,10 +140,15 @@
             Who::Callers => Role::Callers,
             Who::Edge(_) | Who::Store => Role::Other,
         };
-        recording.0.borrow_mut().role(HostId(self.hosts.len()), role);
+        recording
+            .0
+            .borrow_mut()
+            .role(HostId(self.hosts.len()), role);
         let core = self.core(who, false)?;
         let state = self.state_file(who);
-        let host = self.driver.add(core, listener.into_iter().collect(), state)?;
+        let host = self
+            .driver
+            .add(core, listener.into_iter().collect(), state)?;
         self.hosts.insert(who, host);
         self.watch_keys(who, host);
         self.watch_papers(who, host);
@@ -145,15 +163,29 @@
             // An impostor shows what it came with.
             Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
                 let name = Scenario::worker_name(n);
-                self.driver.watch(host, DOOR_FILES[1], self.folder.join(format!("{name}.pem")), every);
-                self.driver.watch(host, DOOR_FILES[2], self.folder.join(format!("{name}.key")), every);
+                self.driver.watch(
+                    host,
+                    DOOR_FILES[1],
+                    self.folder.join(format!("{name}.pem")),
+                    every,
+                );
+                self.driver.watch(
+                    host,
+                    DOOR_FILES[2],
+                    self.folder.join(format!("{name}.key")),
+                    every,
+                );
+            }
+            Who::Edge(_) => {
+                self.driver
+                    .watch(host, CALL_FILES[0], self.folder.join("roots.pem"), every)
             }
-            Who::Edge(_) => self.driver.watch(host, CALL_FILES[0], self.folder.join("roots.pem"), every),
             _ => {}
         }
     }
     fn keys_file(&self) -> PathBuf {
-        self.folder.join(self.fleet.scenario.settings.text("identity.keys-file"))
+        self.folder
+            .join(self.fleet.scenario.settings.text("identity.keys-file"))
     }
     fn watch_keys(&mut self, who: Who, host: HostId) {
         if self.fleet.wallet.is_some() && matches!(who, Who::Edge(_)) {
@@ -163,7 +195,10 @@
     }
     fn state_file(&self, who: Who) -> Option<PathBuf> {
         match who {
-            Who::Edge(n) => Some(self.folder.join(format!("{}.state", Scenario::edge_name(n)))),
+            Who::Edge(n) => Some(
+                self.folder
+                    .join(format!("{}.state", Scenario::edge_name(n))),
+            ),
             _ => None,
         }
     }
@@ -200,8 +235,17 @@
             Who::Callers => self.fleet.callers(0),
             Who::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
-                let kept = self.state_file(who).and_then(|file| std::fs::read(file).ok());
-                let start = Start { settings, seed, kept, incarnation, metrics_page: None, platform: None };
+                let kept = self
+                    .state_file(who)
+                    .and_then(|file| std::fs::read(file).ok());
+                let start = Start {
+                    settings,
+                    seed,
+                    kept,
+                    incarnation,
+                    metrics_page: None,
+                    platform: None,
+                };
                 let edge: Box<dyn Core> = match &self.edges_as {
                     EdgesAs::Cores(make) => make(start),
                     EdgesAs::Processes(_) => Box::new(Edge::new(start)),
@@ -294,7 +338,9 @@
                 return self.spawn(n);
             }
         }
-        let Some(address) = self.address(who).map(String::from) else { return Ok(()) };
+        let Some(address) = self.address(who).map(String::from) else {
+            return Ok(());
+        };
         let until = self.driver.now() + PORT_WAIT;
         let listener = loop {
             match EventLoop::bind(&address) {
@@ -316,7 +362,9 @@
         Ok(())
     }
     fn spread_keys(&mut self) -> io::Result<()> {
-        let Some(keys) = self.fleet.keys() else { return Ok(()) };
+        let Some(keys) = self.fleet.keys() else {
+            return Ok(());
+        };
         let (file, beside) = (self.keys_file(), self.folder.join("keys.beside"));
         std::fs::write(&beside, keys)?;
         std::fs::rename(&beside, &file)
@@ -339,21 +387,32 @@
         Ok(())
     }
     fn bend(&mut self, _: Who, _: Who, _: Option<Fault>) -> io::Result<()> {
-        Err(io::Error::other("links are steered by lab fleet, and by lab run --virtual"))
+        Err(io::Error::other(
+            "links are steered by lab fleet, and by lab run --virtual",
+        ))
     }
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
         self.bend(from, to, None)
     }
     fn forget(&mut self, who: Who) {
-        self.state_file(who).iter().for_each(|file| drop(std::fs::remove_file(file)));
+        self.state_file(who)
+            .iter()
+            .for_each(|file| drop(std::fs::remove_file(file)));
     }
     fn ask_to_end(&mut self, who: Who) {
         if let (Who::Edge(n), EdgesAs::Processes(_)) = (who, &self.edges_as) {
-            self.children.get(&n).iter().for_each(|child| send(child, Signal::TERM));
+            self.children
+                .get(&n)
+                .iter()
+                .for_each(|child| send(child, Signal::TERM));
         }
     }
     fn freeze(&mut self, who: Who, frozen: bool) {
-        if let Some(child) = if let Who::Edge(n) = who { self.children.get(&n) } else { None } {
+        if let Some(child) = if let Who::Edge(n) = who {
+            self.children.get(&n)
+        } else {
+            None
+        } {
             return send(child, if frozen { Signal::STOP } else { Signal::CONT });
         }
         if let Some(host) = self.hosts.get(&who) {
@@ -366,7 +425,9 @@
         }
     }
     fn calls_are_over(&self) -> bool {
-        self.hosts.get(&Who::Callers).is_none_or(|host| self.driver.core_done(*host))
+        self.hosts
+            .get(&Who::Callers)
+            .is_none_or(|host| self.driver.core_done(*host))
     }
     fn slack(&self) -> Micros {
         SOCKET_SLACK
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -93,10 +93,22 @@
         let net = VirtualNet::new(seed, BEGIN, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
         fleet.truth = truth;
-        let mut stage = VirtualStage { net, fleet, hosts: BTreeMap::new(), make_edge, slack };
+        let mut stage = VirtualStage {
+            net,
+            fleet,
+            hosts: BTreeMap::new(),
+            make_edge,
+            slack,
+        };
         let (workers, edges) = (stage.fleet.scenario.workers, stage.fleet.scenario.edges);
-        let all = (0..workers).map(Who::Worker).chain((0..edges).map(Who::Edge));
-        for who in [Who::List, Who::Store].into_iter().chain(all).chain([Who::Callers]) {
+        let all = (0..workers)
+            .map(Who::Worker)
+            .chain((0..edges).map(Who::Edge));
+        for who in [Who::List, Who::Store]
+            .into_iter()
+            .chain(all)
+            .chain([Who::Callers])
+        {
             stage.set_up(who, recording)?;
         }
         Ok(stage)
@@ -111,7 +123,14 @@
             Who::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
                 let kept = self.hosts.get(&who).and_then(|host| self.net.kept(*host));
-                let start = Start { settings, seed, kept, incarnation, metrics_page: None, platform: None };
+                let start = Start {
+                    settings,
+                    seed,
+                    kept,
+                    incarnation,
+                    metrics_page: None,
+                    platform: None,
+                };
                 self.fleet.within_tls((self.make_edge)(start))?
             }
         })
@@ -134,7 +153,10 @@
             Who::Edge(_) | Who::Store => Role::Other,
         };
         // The role must be known before its first connection.
-        recording.0.borrow_mut().role(HostId(self.hosts.len()), role);
+        recording
+            .0
+            .borrow_mut()
+            .role(HostId(self.hosts.len()), role);
         if let (Who::Edge(n), Some(door)) = (who, &door) {
             recording.0.borrow_mut().edge(door, &Scenario::edge_name(n));
         }
@@ -146,7 +168,9 @@
         Ok(())
     }
     fn give_keys(&mut self, who: Who) {
-        if let (Who::Edge(_), Some(host), Some(keys)) = (who, self.hosts.get(&who), self.fleet.keys()) {
+        if let (Who::Edge(_), Some(host), Some(keys)) =
+            (who, self.hosts.get(&who), self.fleet.keys())
+        {
             self.net.give_file(*host, KEYS, Ok(&keys));
         }
     }
@@ -169,7 +193,10 @@
     }
     fn kill(&mut self, who: Who) {
         if let (Some(truth), Who::Worker(n)) = (&self.fleet.truth, who) {
-            truth.borrow_mut().0.remove(&sanddrum_wire::id_of(&Scenario::worker_name(n)));
+            truth
+                .borrow_mut()
+                .0
+                .remove(&sanddrum_wire::id_of(&Scenario::worker_name(n)));
         }
         if let Some(host) = self.hosts.get(&who) {
             self.net.kill(*host);
@@ -204,24 +231,53 @@
         Ok(())
     }
     fn bend(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
-        let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) else { return Ok(()) };
+        let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
+            return Ok(());
+        };
         let (there, back) = match fault {
             None => (None, None),
             Some(Fault::Delay(delay)) => {
-                let bend = Some(Bend { delay, ..Bend::default() });
+                let bend = Some(Bend {
+                    delay,
+                    ..Bend::default()
+                });
                 (bend, bend)
             }
             Some(Fault::Slow(per_s)) => {
-                let bend = Some(Bend { per_s, ..Bend::default() });
+                let bend = Some(Bend {
+                    per_s,
+                    ..Bend::default()
+                });
                 (bend, bend)
             }
-            Some(Fault::SilentTo) => (Some(Bend { silent: true, ..Bend::default() }), None),
-            Some(Fault::SilentFrom) => (None, Some(Bend { silent: true, ..Bend::default() })),
+            Some(Fault::SilentTo) => (
+                Some(Bend {
+                    silent: true,
+                    ..Bend::default()
+                }),
+                None,
+            ),
+            Some(Fault::SilentFrom) => (
+                None,
+                Some(Bend {
+                    silent: true,
+                    ..Bend::default()
+                }),
+            ),
             Some(Fault::Unanswered) => {
-                let bend = Some(Bend { silent: true, ..Bend::default() });
+                let bend = Some(Bend {
+                    silent: true,
+                    ..Bend::default()
+                });
                 (bend, bend)
             }
-            Some(Fault::Refused) => (Some(Bend { refuses: true, ..Bend::default() }), None),
+            Some(Fault::Refused) => (
+                Some(Bend {
+                    refuses: true,
+                    ..Bend::default()
+                }),
+                None,
+            ),
         };
         let (from, to) = (*from, *to);
         if fault == Some(Fault::Refused) {
@@ -258,7 +314,9 @@
         }
     }
     fn calls_are_over(&self) -> bool {
-        self.hosts.get(&Who::Callers).is_none_or(|host| self.net.done(*host))
+        self.hosts
+            .get(&Who::Callers)
+            .is_none_or(|host| self.net.done(*host))
     }
     fn slack(&self) -> Micros {
         self.slack
--- a/crates/sanddrum-lab/src/storm.rs
+++ b/crates/sanddrum-lab/src/storm.rs
@@ -41,7 +41,13 @@
 fn scenario(spec: &StormSpec) -> String {
     let on_demand = "(handshakes-out 100000) (handshakes-per-worker 10000) (connections-ahead 0)
         (connect-again 100000) (left-alone-least 1ms) (left-alone-most 1ms) (handshake-part 0)";
-    let StormSpec { edges, workers, rate, handshake_ms, .. } = spec;
+    let StormSpec {
+        edges,
+        workers,
+        rate,
+        handshake_ms,
+        ..
+    } = spec;
     let limits = if spec.on_demand { on_demand } else { "" };
     format!(
         r#"(deployment (zones "a" "b" "c"))
@@ -71,21 +77,33 @@
     let begun = stage.now() / 1_000_000;
     let outcome = play(&mut stage, &recording)?;
     let work = &stage.fleet().handshakes;
-    let in_second =
-        |second: i64| work.iter().filter_map(move |w| w.borrow().seconds.get(&(begun + second)).copied());
+    let in_second = |second: i64| {
+        work.iter()
+            .filter_map(move |w| w.borrow().seconds.get(&(begun + second)).copied())
+    };
     Ok(figures(
         &outcome,
         (BACK..LENGTH).map(|s| in_second(s).collect()).collect(),
-        work.iter().map(|w| w.borrow().seconds.values().sum::<u32>()).sum(),
+        work.iter()
+            .map(|w| w.borrow().seconds.values().sum::<u32>())
+            .sum(),
     ))
 }
 
 fn figures(outcome: &Outcome, after: Vec<Vec<u32>>, handshakes: u32) -> Storm {
     let part = |(begun, in_time): &(u32, u32)| f64::from(*in_time) / f64::from((*begun).max(1));
     let seconds: Vec<f64> = outcome.verdict.seconds.iter().map(part).collect();
-    let of = |from: i64, to: i64| seconds.iter().skip(from as usize).take((to - from) as usize);
+    let of = |from: i64, to: i64| {
+        seconds
+            .iter()
+            .skip(from as usize)
+            .take((to - from) as usize)
+    };
     let before = of(LOST - 3, LOST).sum::<f64>() / 3.0;
-    let last_low = seconds.iter().take(LENGTH as usize).rposition(|part| *part < before - 0.05);
+    let last_low = seconds
+        .iter()
+        .take(LENGTH as usize)
+        .rposition(|part| *part < before - 0.05);
     Storm {
         service: outcome.verdict.service,
         calm: last_low.map_or(0.0, |n| (n as i64 + 1 - BACK).max(0) as f64),
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/tapped.rs
@@ -15,7 +15,11 @@
 impl<C: Core> Tapped<C> {
     /// Recorded under a host of its own, which the recorder knows the role of.
     pub fn new(core: C, host: HostId, recording: Recording) -> Self {
-        Tapped { core, host, recording }
+        Tapped {
+            core,
+            host,
+            recording,
+        }
     }
 }
 
@@ -47,7 +51,8 @@
     }
     fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let taken = self.io.write(conn, bytes);
-        self.recording.went(self.now, self.host, conn, &bytes[..taken]);
+        self.recording
+            .went(self.now, self.host, conn, &bytes[..taken]);
         taken
     }
     fn close(&mut self, conn: Conn) {
@@ -69,32 +74,79 @@
 impl<C: Core> Core for Tapped<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.start(now, &mut Through { io, host, recording, now });
+        self.core.start(
+            now,
+            &mut Through {
+                io,
+                host,
+                recording,
+                now,
+            },
+        );
     }
     fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
         match &event {
-            Event::Accepted { conn, .. } => recording.opened(now, host, *conn, TapSide::Accepted, ""),
+            Event::Accepted { conn, .. } => {
+                recording.opened(now, host, *conn, TapSide::Accepted, "")
+            }
             Event::Bytes { conn, bytes } => recording.came(now, host, *conn, bytes),
             Event::Closed { conn, .. } => recording.ended(now, host, *conn),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
-        self.core.event(now, event, &mut Through { io, host, recording, now });
+        self.core.event(
+            now,
+            event,
+            &mut Through {
+                io,
+                host,
+                recording,
+                now,
+            },
+        );
     }
     fn turn(&mut self, now: Micros, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.turn(now, &mut Through { io, host, recording, now });
+        self.core.turn(
+            now,
+            &mut Through {
+                io,
+                host,
+                recording,
+                now,
+            },
+        );
     }
     fn wake(&self) -> Option<Micros> {
         self.core.wake()
     }
     fn stale(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.stale(now, conn, denied, &mut Through { io, host, recording, now });
+        self.core.stale(
+            now,
+            conn,
+            denied,
+            &mut Through {
+                io,
+                host,
+                recording,
+                now,
+            },
+        );
     }
     fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.file(now, name, content, &mut Through { io, host, recording, now });
+        self.core.file(
+            now,
+            name,
+            content,
+            &mut Through {
+                io,
+                host,
+                recording,
+                now,
+            },
+        );
     }
     fn done(&self) -> bool {
         self.core.done()
@@ -110,12 +162,16 @@
     pub fn new() -> Result<Self, rcgen::Error> {
         let mut params = Self::params(vec![])?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-        Ok(Authority(CertifiedIssuer::self_signed(params, KeyPair::generate()?)?))
+        Ok(Authority(CertifiedIssuer::self_signed(
+            params,
+            KeyPair::generate()?,
+        )?))
     }
     /// Virtual time begins soon after 1970, and certificates know no time before it.
     fn params(names: Vec<String>) -> Result<CertificateParams, rcgen::Error> {
         let mut params = CertificateParams::new(names)?;
-        (params.not_before, params.not_after) = (date_time_ymd(1970, 1, 1), date_time_ymd(2090, 1, 1));
+        (params.not_before, params.not_after) =
+            (date_time_ymd(1970, 1, 1), date_time_ymd(2090, 1, 1));
         Ok(params)
     }
     pub fn roots(&self) -> String {
@@ -126,8 +182,18 @@
     /// # Errors
     /// The authority's certificate can't be read back.
     pub fn for_edge(&self, sessions: usize) -> Result<Side, String> {
-        let papers = Papers { roots: self.roots().into_bytes(), ..Papers::default() };
-        Side::new(papers, Rules { sessions, ..Rules::default() }).map_err(|e| e.to_string())
+        let papers = Papers {
+            roots: self.roots().into_bytes(),
+            ..Papers::default()
+        };
+        Side::new(
+            papers,
+            Rules {
+                sessions,
+                ..Rules::default()
+            },
+        )
+        .map_err(|e| e.to_string())
     }
     /// A certificate for this name, and its key.
     ///
@@ -136,7 +202,12 @@
     pub fn leaf(&self, name: &str) -> Result<(Vec<u8>, Vec<u8>), String> {
         let leaf = || -> Result<(String, String), rcgen::Error> {
             let key = KeyPair::generate()?;
-            Ok((Self::params(vec![name.to_string()])?.signed_by(&key, &self.0)?.pem(), key.serialize_pem()))
+            Ok((
+                Self::params(vec![name.to_string()])?
+                    .signed_by(&key, &self.0)?
+                    .pem(),
+                key.serialize_pem(),
+            ))
         };
         let (chain, key) = leaf().map_err(|e| e.to_string())?;
         Ok((chain.into_bytes(), key.into_bytes()))
@@ -146,14 +217,22 @@
     /// # Errors
     /// The name can't stand in a certificate.
     pub fn papers(&self, name: &str) -> Result<Papers, String> {
-        Ok(Papers { roots: self.roots().into_bytes(), own: Some(self.leaf(name)?), ..Papers::default() })
+        Ok(Papers {
+            roots: self.roots().into_bytes(),
+            own: Some(self.leaf(name)?),
+            ..Papers::default()
+        })
     }
     /// What callers of this name's doors are met with.
     ///
     /// # Errors
     /// The name can't stand in a certificate.
     pub fn for_door(&self, name: &str, callers: Asks, sessions: usize) -> Result<Side, String> {
-        let rules = Rules { callers, sessions, ..Rules::default() };
+        let rules = Rules {
+            callers,
+            sessions,
+            ..Rules::default()
+        };
         Side::new(self.papers(name)?, rules).map_err(|e| e.to_string())
     }
 }
--- a/crates/sanddrum-lab/src/waits.rs
+++ b/crates/sanddrum-lab/src/waits.rs
@@ -24,13 +24,22 @@
     }
     /// The longest that it waited within a second.
     pub fn worst_second(&self) -> Micros {
-        self.0.iter().map(|(at, _)| self.between(*at, at + 1_000_000)).max().unwrap_or(0)
+        self.0
+            .iter()
+            .map(|(at, _)| self.between(*at, at + 1_000_000))
+            .max()
+            .unwrap_or(0)
     }
     /// How long it waited from one time to another; the looks nearest beyond both count.
     pub fn between(&self, from: Micros, to: Micros) -> Micros {
         let before = self.0.partition_point(|(at, _)| *at <= from).checked_sub(1);
-        let after = self.0.get(self.0.partition_point(|(at, _)| *at < to)).or(self.0.last());
-        after.map_or(0, |(_, sum)| sum - before.map_or(0, |n| self.0[n].1)).max(0)
+        let after = self
+            .0
+            .get(self.0.partition_point(|(at, _)| *at < to))
+            .or(self.0.last());
+        after
+            .map_or(0, |(_, sum)| sum - before.map_or(0, |n| self.0[n].1))
+            .max(0)
     }
 }
 
@@ -53,7 +62,12 @@
         let nanos = told.and_then(|text| text.split_whitespace().nth(1)?.parse::<Micros>().ok());
         let waited = nanos.unwrap_or(0) / 1000;
         let before = self.seen.insert(name.clone(), (process, waited));
-        let before = before.filter(|(same, _)| *same == process).map_or(0, |(_, waited)| waited);
-        log.waits.entry(name).or_default().add(now, (waited - before).max(0));
+        let before = before
+            .filter(|(same, _)| *same == process)
+            .map_or(0, |(_, waited)| waited);
+        log.waits
+            .entry(name)
+            .or_default()
+            .add(now, (waited - before).max(0));
     }
 }
--- a/crates/sanddrum-lab/src/wallet.rs
+++ b/crates/sanddrum-lab/src/wallet.rs
@@ -52,7 +52,11 @@
     }
     /// The oldest key that still verifies is revoked.
     pub fn revoke(&mut self, now: Micros) {
-        let oldest = self.secrets.keys().find(|kid| !self.revoked.contains_key(*kid)).cloned();
+        let oldest = self
+            .secrets
+            .keys()
+            .find(|kid| !self.revoked.contains_key(*kid))
+            .cloned();
         if let Some(kid) = oldest.filter(|kid| self.set.revoke(kid).is_ok()) {
             self.revoked.insert(kid, now);
         }
@@ -76,7 +80,8 @@
             jti: self.issued.to_string(),
         };
         let token = token::issue(&claims, secret).ok()?;
-        self.held.insert(customer.to_string(), (now + self.renewed, token.clone()));
+        self.held
+            .insert(customer.to_string(), (now + self.renewed, token.clone()));
         Some(token)
     }
 }
--- a/crates/sanddrum-lab/src/whole.rs
+++ b/crates/sanddrum-lab/src/whole.rs
@@ -13,7 +13,12 @@
 
 /// What reached workers from all edges, for each job that they finished.
 pub fn amplification(log: &Log) -> Value {
-    let finished = log.tries.iter().filter(|t| status(t) == Some(200)).count().max(1) as f64;
+    let finished = log
+        .tries
+        .iter()
+        .filter(|t| status(t) == Some(200))
+        .count()
+        .max(1) as f64;
     let each = |sum: u64| (sum as f64 / finished * 1e3).round() / 1e3;
     let of = |figure: fn(&Load) -> u64| each(log.sum(false, figure));
     json!({
@@ -42,8 +47,12 @@
 pub fn inversions(log: &Log, scenario: &Scenario) -> f64 {
     let mut seconds: BTreeMap<Micros, Vec<Second>> = BTreeMap::new();
     for t in &log.tries {
-        let Some((at, status)) = t.answers.first() else { continue };
-        let Some(n) = scenario.calls.iter().position(|c| c.workload == t.workload) else { continue };
+        let Some((at, status)) = t.answers.first() else {
+            continue;
+        };
+        let Some(n) = scenario.calls.iter().position(|c| c.workload == t.workload) else {
+            continue;
+        };
         let second = seconds.entry(at / 1_000_000).or_default();
         second.resize(scenario.calls.len(), Second::default());
         let work = scenario.calls[n].work as f64;
@@ -78,8 +87,15 @@
 pub fn edges(log: &Log, scenario: &Scenario) -> (f64, f64) {
     let mut firsts: BTreeMap<u64, (&str, bool)> = BTreeMap::new();
     for t in &log.tries {
-        let target = scenario.calls.iter().find(|c| c.workload == t.workload).map_or(0, |c| c.start_target);
-        let served = t.answers.first().is_some_and(|(at, s)| *s == 200 && at - t.began <= target);
+        let target = scenario
+            .calls
+            .iter()
+            .find(|c| c.workload == t.workload)
+            .map_or(0, |c| c.start_target);
+        let served = t
+            .answers
+            .first()
+            .is_some_and(|(at, s)| *s == 200 && at - t.began <= target);
         firsts.entry(t.call).or_insert((&t.edge, false)).1 |= served;
     }
     let mut of: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
@@ -96,7 +112,10 @@
 pub fn of(log: &Log, scenario: &Scenario) -> Value {
     let round = |part: f64| (part * 1e4).round() / 1e4;
     let (worst, best) = edges(log, scenario);
-    let cold: Vec<f64> = cold::windows(log, scenario).iter().map(|window| round(window.part())).collect();
+    let cold: Vec<f64> = cold::windows(log, scenario)
+        .iter()
+        .map(|window| round(window.part()))
+        .collect();
     json!({
         "cold": cold,
         "for_each_finished": amplification(log),
--- a/crates/sanddrum-lab/src/whole_tests.rs
+++ b/crates/sanddrum-lab/src/whole_tests.rs
@@ -35,16 +35,27 @@
     #[case] seen: &[(&str, Micros, u16, u64)],
     #[case] part: f64,
 ) {
-    let tries = seen.iter().flat_map(|(workload, at, status, n)| tries(workload, *at, *status, *n));
-    let log = Log { tries: tries.collect(), ..Log::default() };
+    let tries = seen
+        .iter()
+        .flat_map(|(workload, at, status, n)| tries(workload, *at, *status, *n));
+    let log = Log {
+        tries: tries.collect(),
+        ..Log::default()
+    };
     assert!((inversions(&log, &scenario()) - part).abs() < 1e-9);
 }
 
 #[rstest]
 fn edges_that_serve_apart_are_told() {
     let mut all = tries("dear", 1, 200, 200);
-    all.iter_mut().filter(|t| t.edge == "edge-1").step_by(4).for_each(|t| t.answers[0].1 = 503);
-    let log = Log { tries: all, ..Log::default() };
+    all.iter_mut()
+        .filter(|t| t.edge == "edge-1")
+        .step_by(4)
+        .for_each(|t| t.answers[0].1 = 503);
+    let log = Log {
+        tries: all,
+        ..Log::default()
+    };
     assert_eq!(edges(&log, &scenario()), (0.75, 1.0));
     assert_eq!(amplification(&log)["executions"], 0.0);
 }
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -35,7 +35,8 @@
                 _ => {}
             }
         }
-        self.router.round(now, &round, &mut Crooked { out, how: self.how });
+        self.router
+            .round(now, &round, &mut Crooked { out, how: self.how });
     }
 }
 
@@ -88,12 +89,18 @@
         let mut settings = start.settings.values_for_module();
         match how {
             How::RepeatsRunOnceJobs => {
-                settings.0.insert("workloads.0.effect".into(), Value::Text("restartable".into()));
+                settings.0.insert(
+                    "workloads.0.effect".into(),
+                    Value::Text("restartable".into()),
+                );
             }
             How::LoadsWithoutRation => drop(settings.0.remove("copies.load-window-us")),
             _ => {}
         }
-        let module = Broken { router: Router::new(start.seed, &settings), how };
+        let module = Broken {
+            router: Router::new(start.seed, &settings),
+            how,
+        };
         // The edge itself keeps some of the rules whatever its module decides; the checker has to see them broken.
         Box::new(Edge::with_module(start, module).letting_violations_pass())
     })
@@ -144,7 +151,11 @@
     let good = play_virtually(scenario.clone(), product_edge()).unwrap();
     assert!(good.is_good(), "{}", good.text());
     let bad = play_virtually(scenario, broken_edge(how)).unwrap();
-    assert!(bad.verdict.broken.iter().any(|b| b.rule == rule), "{}", bad.text());
+    assert!(
+        bad.verdict.broken.iter().any(|b| b.rule == rule),
+        "{}",
+        bad.text()
+    );
 }
 
 /// What the edge's core itself makes impossible, as a log would show it.
@@ -161,8 +172,17 @@
     let scenario = day("restartable", "");
     let limit = 2_000_000;
     let (workload, edge) = ("job".to_string(), "edge-0".to_string());
-    let one = Try { workload: workload.clone(), edge: edge.clone(), limit, answers, ..Try::default() };
-    let mut log = Log { tries: vec![one], ..Log::default() };
+    let one = Try {
+        workload: workload.clone(),
+        edge: edge.clone(),
+        limit,
+        answers,
+        ..Try::default()
+    };
+    let mut log = Log {
+        tries: vec![one],
+        ..Log::default()
+    };
     log.runs.extend(run.map(|came| Run {
         worker: 0,
         edge,
@@ -173,7 +193,10 @@
         answers: vec![],
     }));
     let verdict = judge(&log, &scenario, 0, 100_000);
-    assert_eq!(verdict.broken.iter().map(|b| b.rule).max().unwrap_or(0), rule);
+    assert_eq!(
+        verdict.broken.iter().map(|b| b.rule).max().unwrap_or(0),
+        rule
+    );
 }
 
 /// An edge that takes up its first key set and never hears of another.
@@ -216,10 +239,26 @@
         (trouble "key-revoke" (at 2s))"#;
     let scenario = Scenario::read("keys.sx", text, 1).unwrap();
     let good = play_virtually(scenario.clone(), product_edge()).unwrap();
-    assert!(good.is_good() && good.verdict.pushed_back > 20, "{}", good.text());
-    let deaf: MakeEdge = Box::new(|start| Box::new(Deaf { core: Edge::new(start), heard: false }));
+    assert!(
+        good.is_good() && good.verdict.pushed_back > 20,
+        "{}",
+        good.text()
+    );
+    let deaf: MakeEdge = Box::new(|start| {
+        Box::new(Deaf {
+            core: Edge::new(start),
+            heard: false,
+        })
+    });
     let bad = play_virtually(scenario, deaf).unwrap();
-    assert!(bad.verdict.broken.iter().any(|b| b.what.contains("revoked key")), "{}", bad.text());
+    assert!(
+        bad.verdict
+            .broken
+            .iter()
+            .any(|b| b.what.contains("revoked key")),
+        "{}",
+        bad.text()
+    );
 }
 
 /// Every day that a hunt draws is a scenario, and its seed's alone.
@@ -239,15 +278,25 @@
     use sanddrum_lab::hunt::Day;
     let breaks = |day: &Day| -> Result<_, String> {
         Scenario::read("day", &day.text(), day.seed).map_err(|e| e.to_string())?;
-        let broken = day.troubles.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
+        let broken =
+            day.troubles.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
         let rules: std::collections::BTreeSet<u8> = broken.then_some(3).into_iter().collect();
         Ok((rules, vec!["rule 3".to_string()]))
     };
-    let whole =
-        (1..).map(Day::drawn).find(|day| day.troubles.len() > 4 && !breaks(day).unwrap().0.is_empty());
+    let whole = (1..)
+        .map(Day::drawn)
+        .find(|day| day.troubles.len() > 4 && !breaks(day).unwrap().0.is_empty());
     let find = whole.unwrap().shrunk_by(breaks).unwrap();
     assert_eq!(find.day.troubles.len(), 1, "{}", find.text());
     assert!(find.day.troubles[0].contains("drain") && find.text().contains("; rule 3"));
-    assert!(find.day.head.iter().any(|line| line.starts_with("(traffic")));
-    assert!(find.day.head.iter().all(|line| !line.starts_with("(rules")), "{}", find.text());
+    assert!(find
+        .day
+        .head
+        .iter()
+        .any(|line| line.starts_with("(traffic")));
+    assert!(
+        find.day.head.iter().all(|line| !line.starts_with("(rules")),
+        "{}",
+        find.text()
+    );
 }
--- a/crates/sanddrum-lab/tests/capacity.rs
+++ b/crates/sanddrum-lab/tests/capacity.rs
@@ -19,7 +19,16 @@
 
 fn point(at: f64, value: f64, source: Source) -> Point {
     let (play, figure) = ("a play".to_string(), "a figure".to_string());
-    Point { role: Role::Router, play, figure, unit: "us", axis: "workers", at, value, source }
+    Point {
+        role: Role::Router,
+        play,
+        figure,
+        unit: "us",
+        axis: "workers",
+        at,
+        value,
+        source,
+    }
 }
 
 #[rstest]
@@ -39,27 +48,47 @@
 fn fits_find_the_figures_that_made_the_points() {
     let sizes = [100.0, 1000.0, 10000.0];
     let line = fit(&over(&sizes, |at| 3.0 + 0.02 * at));
-    assert!((line.line.0 - 3.0).abs() < 1e-6 && (line.line.1 - 0.02).abs() < 1e-9, "{line:?}");
+    assert!(
+        (line.line.0 - 3.0).abs() < 1e-6 && (line.line.1 - 0.02).abs() < 1e-9,
+        "{line:?}"
+    );
     let power = fit(&over(&sizes, |at| 6.0 * at.powf(0.5))).power.unwrap();
-    assert!((power.0 - 6.0).abs() < 1e-6 && (power.1 - 0.5).abs() < 1e-9, "{power:?}");
+    assert!(
+        (power.0 - 6.0).abs() < 1e-6 && (power.1 - 0.5).abs() < 1e-9,
+        "{power:?}"
+    );
 }
 
 #[rstest]
 fn two_points_and_equal_sizes_make_no_slope() {
     assert_eq!(fit(&[]).shape, Form::TooFew);
     assert_eq!(fit(&[(1.0, 2.0), (10.0, 20.0)]).shape, Form::TooFew);
-    let again: Vec<Point> = (0..3).map(|n| point(10.0, f64::from(n), Source::Played)).collect();
+    let again: Vec<Point> = (0..3)
+        .map(|n| point(10.0, f64::from(n), Source::Played))
+        .collect();
     let slopes = slopes(&again);
-    assert_eq!((slopes.len(), slopes[0].points.as_slice()), (1, [(10.0, 1.0)].as_slice()));
-    assert_eq!(slopes[0].fit.shape, Form::TooFew, "a size measured three times is one point");
+    assert_eq!(
+        (slopes.len(), slopes[0].points.as_slice()),
+        (1, [(10.0, 1.0)].as_slice())
+    );
+    assert_eq!(
+        slopes[0].fit.shape,
+        Form::TooFew,
+        "a size measured three times is one point"
+    );
 }
 
 #[rstest]
 fn what_was_not_finished_is_told_beside_the_slope() {
-    let mut points: Vec<Point> = [10.0, 100.0, 1000.0].map(|at| point(at, 2.0 * at, Source::Played)).to_vec();
+    let mut points: Vec<Point> = [10.0, 100.0, 1000.0]
+        .map(|at| point(at, 2.0 * at, Source::Played))
+        .to_vec();
     points.push(point(10000.0, 7.0, Source::NotFinished));
     let slope = &slopes(&points)[0];
-    assert_eq!((slope.points.len(), slope.not_finished.as_slice()), (3, [(10000.0, 7.0)].as_slice()));
+    assert_eq!(
+        (slope.points.len(), slope.not_finished.as_slice()),
+        (3, [(10000.0, 7.0)].as_slice())
+    );
     assert_eq!(slope.fit.shape, Form::Line);
 }
 
@@ -77,14 +106,26 @@
 
 #[rstest]
 #[case::no_workers("(router-plays (workers))", "router-plays.workers: no size is named")]
-#[case::nought_workers("(router-plays (workers 10 0))", "workers: 0 is not between 1 and 1000000")]
-#[case::memory("(router-plays (workers 10 900000))", "router-plays.workers: 900000 workers need about")]
+#[case::nought_workers(
+    "(router-plays (workers 10 0))",
+    "workers: 0 is not between 1 and 1000000"
+)]
+#[case::memory(
+    "(router-plays (workers 10 900000))",
+    "router-plays.workers: 900000 workers need about"
+)]
 #[case::known_functions(
     "(router-plays (functions 90000000))",
     "router-plays.functions: 90000000 functions need"
 )]
-#[case::along_others("(router-plays (at-workers 900000))", "router-plays.at-workers: 900000 workers need")]
-#[case::nothing_counted("(router-plays (length 0s))", "router-plays.length: nothing would be counted")]
+#[case::along_others(
+    "(router-plays (at-workers 900000))",
+    "router-plays.at-workers: 900000 workers need"
+)]
+#[case::nothing_counted(
+    "(router-plays (length 0s))",
+    "router-plays.length: nothing would be counted"
+)]
 #[case::many_modules(
     "(start-target-plays (routers 4200) (workers 10000) (functions 200000))",
     "start-target-plays.routers: 4200 routers and 10000 workers, 2 runs at a time, need about"
@@ -93,13 +134,22 @@
     "(start-target-plays (routers 4 42))",
     "start-target-plays.workers has 3 sizes, and routers has 2"
 )]
-#[case::no_time("(start-target-plays (length 0s))", "start-target-plays.length: no call would count")]
-#[case::large_copy("(model (memory 100MB))", "a copy takes 128 MB, which is more than model.memory holds")]
+#[case::no_time(
+    "(start-target-plays (length 0s))",
+    "start-target-plays.length: no call would count"
+)]
+#[case::large_copy(
+    "(model (memory 100MB))",
+    "a copy takes 128 MB, which is more than model.memory holds"
+)]
 #[case::copies(
     "(model (memory 200MB) (work 1s))",
     "start-target-plays.workers: calls of 4 routers keep 638 copies"
 )]
-#[case::notice("(model (notice-least 2s))", "model.notice-least is above model.notice-most")]
+#[case::notice(
+    "(model (notice-least 2s))",
+    "model.notice-least is above model.notice-most"
+)]
 fn a_plan_that_cannot_be_is_refused_by_its_key(#[case] added: &str, #[case] what: &str) {
     let text = format!("{DEPLOYED}{added}");
     let problem = Plan::read("plan.sx", &text, 1, Memory { total: 8 << 30 }).unwrap_err();
@@ -126,12 +176,20 @@
 fn told_of(workers: usize, changes: usize) -> Counts {
     let text = DEPLOYED.to_string() + "(capacity (routers 4200) (calls 1))";
     let plan = Plan::read("plan.sx", &text, 1, MEMORY).unwrap();
-    let size = Size { workers, functions: 10, calls: 1e-9, routers: 4200 };
+    let size = Size {
+        workers,
+        functions: 10,
+        calls: 1e-9,
+        routers: 4200,
+    };
     let settings = module_settings(&plan, 0, 4200, true).unwrap();
     let mut fleet = alone(&plan, &size, settings, false, BEGIN);
     (0..changes).for_each(|n| fleet.script(BEGIN + n as i64 * 10_000, Act::Tell(n % workers)));
     let hour = Instant::now() + Duration::from_secs(3600);
-    assert_eq!(fleet.run_until(BEGIN + 60_000_000, hour, &Stop::default()), Played::Done);
+    assert_eq!(
+        fleet.run_until(BEGIN + 60_000_000, hour, &Stop::default()),
+        Played::Done
+    );
     fleet.counts()
 }
 
@@ -147,15 +205,28 @@
 #[rstest]
 fn equal_seeds_give_equal_plays() {
     let plan = Plan::read("capacity.sx", SHORT_PLAN, 3, MEMORY).unwrap();
-    let size = Size { workers: 20, functions: 100, calls: 50.0, routers: 42 };
+    let size = Size {
+        workers: 20,
+        functions: 100,
+        calls: 50.0,
+        routers: 42,
+    };
     let settings = module_settings(&plan, 0, 42, true).unwrap();
     let counts = |others| {
         let measured = measure(&plan, &size, &settings, others, &Stop::default());
         assert_eq!(measured.played, Played::Done);
-        Counts { nanoseconds: 0, control_nanoseconds: 0, connection_nanoseconds: 0, ..measured.counts }
+        Counts {
+            nanoseconds: 0,
+            control_nanoseconds: 0,
+            connection_nanoseconds: 0,
+            ..measured.counts
+        }
     };
     assert_eq!(counts(true), counts(true));
-    assert!(counts(true).loads < counts(false).loads, "what others have had loaded need not be loaded");
+    assert!(
+        counts(true).loads < counts(false).loads,
+        "what others have had loaded need not be loaded"
+    );
 }
 
 #[rstest]
@@ -170,23 +241,42 @@
 
 #[rstest]
 fn a_point_that_takes_too_long_is_told_as_not_finished() {
-    let plan =
-        Plan::read("capacity.sx", &SHORT_PLAN.replace("(time-a-point 10s)", "(time-a-point 0s)"), 1, MEMORY);
-    let size = Size { workers: 20, functions: 100, calls: 50.0, routers: 42 };
+    let plan = Plan::read(
+        "capacity.sx",
+        &SHORT_PLAN.replace("(time-a-point 10s)", "(time-a-point 0s)"),
+        1,
+        MEMORY,
+    );
+    let size = Size {
+        workers: 20,
+        functions: 100,
+        calls: 50.0,
+        routers: 42,
+    };
     let plan = plan.unwrap();
     let settings = module_settings(&plan, 0, 42, true).unwrap();
-    assert_eq!(measure(&plan, &size, &settings, true, &Stop::default()).played, Played::OutOfTime);
+    assert_eq!(
+        measure(&plan, &size, &settings, true, &Stop::default()).played,
+        Played::OutOfTime
+    );
 }
 
 #[rstest]
 fn nine_in_ten_functions_are_called_less_than_once_a_minute() {
     let plan = Plan::read("capacity.sx", DEFAULT_PLAN, 1, MEMORY).unwrap();
     let calls = 67_000.0;
-    let shape = Shape::Rare { zipf: 1.1, part: 0.9, calls };
+    let shape = Shape::Rare {
+        zipf: 1.1,
+        part: 0.9,
+        calls,
+    };
     let functions = Functions::new(&plan.settings, 20_000, shape, 1);
     let a_minute = |n: usize| functions.part(n) * calls * 60.0;
     let rare = (0..20_000).filter(|n| a_minute(*n) < 1.0).count();
-    assert_eq!((rare, functions.all.iter().filter(|f| f.rare).count()), (18_000, 18_000));
+    assert_eq!(
+        (rare, functions.all.iter().filter(|f| f.rare).count()),
+        (18_000, 18_000)
+    );
     let all: f64 = (0..20_000).map(|n| functions.part(n)).sum();
     assert!((all - 1.0).abs() < 1e-9, "{all}");
 }
@@ -197,15 +287,28 @@
     let read = || -> serde_json::Value {
         serde_json::from_slice(&std::fs::read(folder.join("capacity.json")).unwrap()).unwrap()
     };
-    let summary = Summary { plan: SHORT_PLAN.into(), seed: 7, ..Summary::default() };
+    let summary = Summary {
+        plan: SHORT_PLAN.into(),
+        seed: 7,
+        ..Summary::default()
+    };
     let mut sink = Sink::new(Output::new(&folder).unwrap(), summary);
     sink.point(point(10.0, 1.0, Source::Played)).unwrap();
     let cut = read();
-    assert_eq!((&cut["complete"], &cut["points"][0]["at"]), (&false.into(), &10.0.into()));
-    assert_eq!((&cut["seed"], &cut["slopes"][0]["fit"]["shape"]), (&7.into(), &"too-few".into()));
+    assert_eq!(
+        (&cut["complete"], &cut["points"][0]["at"]),
+        (&false.into(), &10.0.into())
+    );
+    assert_eq!(
+        (&cut["seed"], &cut["slopes"][0]["fit"]["shape"]),
+        (&7.into(), &"too-few".into())
+    );
     sink.finish(true).unwrap();
     assert_eq!(read()["complete"], true);
     let rows = std::fs::read_to_string(folder.join("points.csv")).unwrap();
-    assert_eq!(rows.lines().nth(1), Some("router,a play,a figure,us,workers,10.0,1.0,played"));
+    assert_eq!(
+        rows.lines().nth(1),
+        Some("router,a play,a figure,us,workers,10.0,1.0,played")
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/sanddrum-lab/tests/capacity_counts.rs
+++ b/crates/sanddrum-lab/tests/capacity_counts.rs
@@ -21,14 +21,23 @@
     let figures: Vec<f64> = (1..=SEEDS).map(of).collect();
     let n = SEEDS as f64;
     let mean = figures.iter().sum::<f64>() / n;
-    let spread = figures.iter().map(|figure| (figure - mean).powi(2)).sum::<f64>() / (n - 1.0);
+    let spread = figures
+        .iter()
+        .map(|figure| (figure - mean).powi(2))
+        .sum::<f64>()
+        / (n - 1.0);
     (mean, spread / n)
 }
 
 /// Asks for each call that finished, of one router among so many.
 fn asks(workers: usize, routers: usize, seed: u64) -> f64 {
     let plan = plan(seed);
-    let size = Size { workers, functions: 2000, calls: 40.0, routers };
+    let size = Size {
+        workers,
+        functions: 2000,
+        calls: 40.0,
+        routers,
+    };
     let settings = module_settings(&plan, 0, routers, true).unwrap();
     let measured = measure(&plan, &size, &settings, true, &Stop::default());
     assert_eq!(measured.played, Played::Done);
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -30,7 +30,12 @@
 
 fn stage(plan: &Plan, routers: usize, rows: usize, list: ListSpec, whole_edges: bool) -> ListStage {
     // Links without chance, so that what others send moves no draw.
-    let links = Links { jitter: 0.0, loss: 0.0, split: 0.0, ..Links::default() };
+    let links = Links {
+        jitter: 0.0,
+        loss: 0.0,
+        split: 0.0,
+        ..Links::default()
+    };
     let spec = ListStageSpec {
         settings: plan.settings.clone(),
         list,
@@ -47,7 +52,14 @@
 
 fn list(whole: Micros, most: usize) -> ListSpec {
     let (notice, silent_after) = ((200_000, SECOND), 3_600 * SECOND);
-    ListSpec { notice, silent_after, changes_kept: 8, whole, change: whole / 10, most }
+    ListSpec {
+        notice,
+        silent_after,
+        changes_kept: 8,
+        whole,
+        change: whole / 10,
+        most,
+    }
 }
 
 /// Starts, changes, a service that is gone and comes back, and routers that come back with their lists and without.
@@ -89,10 +101,28 @@
 #[case::that_is_slower_than_it_is_waited_for(4, list(400_000, 64))]
 fn hollow_routers_ask_and_are_told_as_whole_edges_are(#[case] seed: u64, #[case] list: ListSpec) {
     let (hollow, whole) = (day(seed, list.clone(), false), day(seed, list, true));
-    let asked = hollow.iter().filter(|(_, said)| matches!(said, Said::Asks { .. })).count();
-    let changes = hollow.iter().filter(|(_, said)| matches!(said, Said::Told { whole: false, rows: 1, .. }));
-    assert!(asked >= 20 && changes.count() >= 50, "a day on which little was said: {hollow:?}");
-    let differs = hollow.iter().zip(&whole).position(|(hollow, whole)| hollow != whole);
+    let asked = hollow
+        .iter()
+        .filter(|(_, said)| matches!(said, Said::Asks { .. }))
+        .count();
+    let changes = hollow.iter().filter(|(_, said)| {
+        matches!(
+            said,
+            Said::Told {
+                whole: false,
+                rows: 1,
+                ..
+            }
+        )
+    });
+    assert!(
+        asked >= 20 && changes.count() >= 50,
+        "a day on which little was said: {hollow:?}"
+    );
+    let differs = hollow
+        .iter()
+        .zip(&whole)
+        .position(|(hollow, whole)| hollow != whole);
     if let Some(n) = differs {
         panic!("message {n}: hollow {:?}, whole {:?}", hollow[n], whole[n]);
     }
@@ -108,18 +138,26 @@
 /// A figure by its size, in the order of sizes.
 fn figures(points: &[Point], play: &str, axis: &str, figure: &str) -> Vec<(u64, f64)> {
     let of = |p: &&Point| p.play.starts_with(play) && p.axis == axis && p.figure == figure;
-    let found: Vec<(u64, f64)> = points.iter().filter(of).map(|p| (p.at as u64, p.value)).collect();
+    let found: Vec<(u64, f64)> = points
+        .iter()
+        .filter(of)
+        .map(|p| (p.at as u64, p.value))
+        .collect();
     assert!(!found.is_empty(), "{play} by {axis}: {figure}");
     found
 }
 
-const SMALL: &str = "(routers 4 12 36) (rows 6 18 54) (rows-routers 6) (changes 1 4 16) (beating 6 18 54)
+const SMALL: &str =
+    "(routers 4 12 36) (rows 6 18 54) (rows-routers 6) (changes 1 4 16) (beating 6 18 54)
                      (quiet 20s) (gone 20s)";
 
 #[rstest]
 fn what_the_list_service_says_grows_as_the_page_has_it() {
     let points = played(&plan(SMALL, ""));
-    assert!(points.iter().all(|p| p.source != Source::NotFinished), "{points:?}");
+    assert!(
+        points.iter().all(|p| p.source != Source::NotFinished),
+        "{points:?}"
+    );
     // One message to each router for each change, however many rows there are and however fast they change.
     for (at, messages) in figures(&points, "changes", "routers", "messages out a change") {
         assert_eq!(messages, at as f64, "at {at} routers");
@@ -130,32 +168,62 @@
         }
     }
     // A router that starts without a list, or after the service has, is told one whole list.
-    for play in ["all routers start, ", "one zone's routers start", "one region's routers start"] {
+    for play in [
+        "all routers start, ",
+        "one zone's routers start",
+        "one region's routers start",
+    ] {
         for axis in ["routers", "rows"] {
             let lists = figures(&points, play, axis, "whole lists");
             let told = |at: u64| if axis == "rows" { 6 } else { at };
             let each = if play.starts_with("all") { 1 } else { 2 };
             assert!(
-                lists.iter().all(|(at, lists)| *lists == told(*at).div_ceil(each) as f64),
+                lists
+                    .iter()
+                    .all(|(at, lists)| *lists == told(*at).div_ceil(each) as f64),
                 "{play}: {lists:?}"
             );
         }
     }
     // One that kept its list is not.
-    let kept = figures(&points, "all routers start with kept lists", "routers", "whole lists");
+    let kept = figures(
+        &points,
+        "all routers start with kept lists",
+        "routers",
+        "whole lists",
+    );
     assert!(kept.iter().all(|(_, lists)| *lists == 0.0), "{kept:?}");
     // A message of a change is as long for each router, and a zone of 27 workers has 81 changes in a minute.
     let bytes = figures(&points, "changes", "routers", "bytes out a change");
     let each: Vec<f64> = bytes.iter().map(|(at, bytes)| bytes / *at as f64).collect();
-    assert!(each.windows(2).all(|two| (two[0] - two[1]).abs() < 1.0), "{bytes:?}");
-    let rolls = figures(&points, "a zone's workers replaced in a minute", "routers", "messages out a second");
-    assert!(rolls.iter().all(|(at, a_second)| (a_second - 1.35 * *at as f64).abs() < 1e-9), "{rolls:?}");
+    assert!(
+        each.windows(2).all(|two| (two[0] - two[1]).abs() < 1.0),
+        "{bytes:?}"
+    );
+    let rolls = figures(
+        &points,
+        "a zone's workers replaced in a minute",
+        "routers",
+        "messages out a second",
+    );
+    assert!(
+        rolls
+            .iter()
+            .all(|(at, a_second)| (a_second - 1.35 * *at as f64).abs() < 1e-9),
+        "{rolls:?}"
+    );
     // Workers beat five times a second each.
     let beats = figures(&points, "all workers beat", "rows", "beats a second");
-    assert!(beats.iter().all(|(at, beats)| *beats == 5.0 * *at as f64), "{beats:?}");
+    assert!(
+        beats.iter().all(|(at, beats)| *beats == 5.0 * *at as f64),
+        "{beats:?}"
+    );
     // A quiet time asks once in about ten seconds, whatever the rows.
     let quiet = figures(&points, "a quiet time", "rows", "messages out a second");
-    assert!(quiet.windows(2).all(|two| two[0].1 == two[1].1), "{quiet:?}");
+    assert!(
+        quiet.windows(2).all(|two| two[0].1 == two[1].1),
+        "{quiet:?}"
+    );
 }
 
 /// A whole list has each row once.
@@ -173,7 +241,9 @@
     let lists: Vec<usize> = said
         .iter()
         .filter_map(|(_, said)| match said {
-            Said::Told { whole: true, rows, .. } => Some(*rows),
+            Said::Told {
+                whole: true, rows, ..
+            } => Some(*rows),
             _ => None,
         })
         .collect();
@@ -185,7 +255,10 @@
     // Other plays' sizes fit.
     let sizes = "(routers 4 40000) (rows 10 10000)";
     let problem = read(sizes, "", MEMORY).unwrap_err();
-    assert!(problem.to_string().contains("list-service-plays.routers"), "{problem}");
+    assert!(
+        problem.to_string().contains("list-service-plays.routers"),
+        "{problem}"
+    );
 }
 
 #[rstest]
@@ -209,19 +282,37 @@
 fn time_that_is_up_is_told_as_not_finished() {
     let text_time = plan(SMALL, "");
     let mut hurried = text_time.clone();
-    hurried.settings.give("capacity.time-a-point", "0s", "story").unwrap();
+    hurried
+        .settings
+        .give("capacity.time-a-point", "0s", "story")
+        .unwrap();
     let points = played(&hurried);
-    assert!(points.iter().any(|p| p.source == Source::NotFinished), "{points:?}");
+    assert!(
+        points.iter().any(|p| p.source == Source::NotFinished),
+        "{points:?}"
+    );
 }
 
 /// No mechanism carries the configuration to routers today, and the row says so.
 #[rstest]
 fn the_configurations_row_says_that_nothing_carries_it() {
     let mut sink = Sink::quiet();
-    run(&plan(SMALL, ""), &["configuration".into()], &mut sink, &Stop::default()).unwrap();
-    let of = |p: &&Point| p.play.contains("no mechanism today carries it to all routers");
+    run(
+        &plan(SMALL, ""),
+        &["configuration".into()],
+        &mut sink,
+        &Stop::default(),
+    )
+    .unwrap();
+    let of = |p: &&Point| {
+        p.play
+            .contains("no mechanism today carries it to all routers")
+    };
     let row = sink.points().iter().find(of).unwrap();
-    assert_eq!((row.at, row.value, row.source), (4200.0, 0.0, Source::WorkedOut));
+    assert_eq!(
+        (row.at, row.value, row.source),
+        (4200.0, 0.0, Source::WorkedOut)
+    );
 }
 
 /// Four times list-calls whatever the number of routers, and what chance adds (docs/measurements.md): as all start
@@ -242,8 +333,14 @@
         let from = stage.to_whole_second().unwrap();
         stage.start_routers(routers, keep).unwrap();
         stage.run_until_true(within, told).unwrap();
-        let worst = stage.tally.borrow().worst(from, stage.now() + SECOND, |s| s.calls);
-        assert!(worst <= bound, "{worst} calls in the worst second of a start, kept lists: {keep}");
+        let worst = stage
+            .tally
+            .borrow()
+            .worst(from, stage.now() + SECOND, |s| s.calls);
+        assert!(
+            worst <= bound,
+            "{worst} calls in the worst second of a start, kept lists: {keep}"
+        );
         stage.stop_routers(routers);
         stage.run_for(SECOND).unwrap();
     }
@@ -254,7 +351,17 @@
     stage.run_for(SECOND).unwrap();
     stage.start_list();
     let (from, run) = (stage.now(), stage.list_run());
-    stage.run_until_true(2 * within, |f| f.routers.iter().all(|router| router.known.run == run)).unwrap();
-    let worst = stage.tally.borrow().worst(from, stage.now() + SECOND, |s| s.calls);
-    assert!(worst <= bound, "{worst} calls in the worst second after the service was gone");
+    stage
+        .run_until_true(2 * within, |f| {
+            f.routers.iter().all(|router| router.known.run == run)
+        })
+        .unwrap();
+    let worst = stage
+        .tally
+        .borrow()
+        .worst(from, stage.now() + SECOND, |s| s.calls);
+    assert!(
+        worst <= bound,
+        "{worst} calls in the worst second after the service was gone"
+    );
 }
--- a/crates/sanddrum-lab/tests/capacity_real.rs
+++ b/crates/sanddrum-lab/tests/capacity_real.rs
@@ -37,7 +37,11 @@
 #[case::handshakes_wait("(limits (handshakes-out 2))", 60, 80)]
 #[case::nothing_ahead("(limits (connections-ahead 0))", 12, 60)]
 #[case::many_workers("", 150, 60)]
-fn a_hollow_router_decides_what_a_real_one_does(#[case] more: &str, #[case] workers: u32, #[case] rate: u32) {
+fn a_hollow_router_decides_what_a_real_one_does(
+    #[case] more: &str,
+    #[case] workers: u32,
+    #[case] rate: u32,
+) {
     let scenario = Scenario::read("both.sx", &scenario(more, workers, rate), 7).unwrap();
     let seen = real(scenario.clone()).unwrap();
     let mut fleet = hollow(&scenario, &seen).unwrap();
@@ -45,13 +49,28 @@
     let until = seen.decisions.last().map_or(0, |(at, _)| *at);
     let hour = Instant::now() + Duration::from_secs(3600);
     assert_eq!(fleet.run_until(until, hour, &Stop::default()), Played::Done);
-    let hollow: Vec<(i64, Decision)> =
-        fleet.log.take().unwrap().into_iter().map(|(at, _, decision)| (at, decision)).collect();
+    let hollow: Vec<(i64, Decision)> = fleet
+        .log
+        .take()
+        .unwrap()
+        .into_iter()
+        .map(|(at, _, decision)| (at, decision))
+        .collect();
     let told = |round: &(i64, sanddrum::Round)| format!("{round:?}");
-    differs("news", &fleet.rounds.take().unwrap(), &seen.rounds[..], told);
-    differs("decisions", &hollow, &seen.decisions, |decision| format!("{decision:?}"));
+    differs(
+        "news",
+        &fleet.rounds.take().unwrap(),
+        &seen.rounds[..],
+        told,
+    );
+    differs("decisions", &hollow, &seen.decisions, |decision| {
+        format!("{decision:?}")
+    });
     assert_eq!(hollow.len(), seen.decisions.len());
-    let executed = hollow.iter().filter(|(_, d)| matches!(d, Decision::Execute { .. })).count();
+    let executed = hollow
+        .iter()
+        .filter(|(_, d)| matches!(d, Decision::Execute { .. }))
+        .count();
     assert!(executed > 200, "{executed} executions");
     // Answers that are still on their way then.
     fleet.run_until(until + 3_000_000, hour, &Stop::default());
@@ -60,11 +79,20 @@
 
 /// Fails with what is around the first that differs.
 fn differs<T>(what: &str, hollow: &[T], real: &[T], told: impl Fn(&T) -> String) {
-    let first = hollow.iter().zip(real).position(|(one, other)| told(one) != told(other));
+    let first = hollow
+        .iter()
+        .zip(real)
+        .position(|(one, other)| told(one) != told(other));
     let Some(n) = first else { return };
     let around = |all: &[T]| {
         let some = all[n.saturating_sub(3)..(n + 4).min(all.len())].iter();
-        some.map(|one| format!("  {}\n", told(one))).collect::<String>()
+        some.map(|one| format!("  {}\n", told(one)))
+            .collect::<String>()
     };
-    panic!("{what} {n} of {}:\nhollow\n{}real\n{}", real.len(), around(hollow), around(real));
+    panic!(
+        "{what} {n} of {}:\nhollow\n{}real\n{}",
+        real.len(),
+        around(hollow),
+        around(real)
+    );
 }
--- a/crates/sanddrum-lab/tests/capacity_rows.rs
+++ b/crates/sanddrum-lab/tests/capacity_rows.rs
@@ -3,8 +3,8 @@
 
 use rstest::rstest;
 use sanddrum::{
-    CustomerId, Decisions, FunctionId, Job, JobId, ListKind, PeerId, Round, Router, WorkerId, WorkerList,
-    WorkerRow, WorkerState, WorkloadId,
+    CustomerId, Decisions, FunctionId, Job, JobId, ListKind, PeerId, Round, Router, WorkerId,
+    WorkerList, WorkerRow, WorkerState, WorkloadId,
 };
 use sanddrum_lab::capacity::router::module_settings;
 use sanddrum_lab::capacity::{Memory, Plan, SHORT_PLAN};
@@ -39,11 +39,25 @@
 fn allocated_for_a_decision(workers: u64, orders: bool) -> f64 {
     const JOBS: u64 = 200;
     let mut module = Router::new(1, &module_settings(&plan(), 0, 4200, orders).unwrap());
-    let row =
-        |n| WorkerRow { worker: WorkerId(n), size: 8.0, state: WorkerState::Ready, ..WorkerRow::default() };
-    let list = WorkerList { kind: ListKind::Full, rows: (0..workers).map(row).collect() };
+    let row = |n| WorkerRow {
+        worker: WorkerId(n),
+        size: 8.0,
+        state: WorkerState::Ready,
+        ..WorkerRow::default()
+    };
+    let list = WorkerList {
+        kind: ListKind::Full,
+        rows: (0..workers).map(row).collect(),
+    };
     let now = 1_000_000_000;
-    module.round(now, &Round { lists: vec![list], ..Round::default() }, &mut Unkept);
+    module.round(
+        now,
+        &Round {
+            lists: vec![list],
+            ..Round::default()
+        },
+        &mut Unkept,
+    );
     let job = |n| Job {
         id: JobId(n),
         function: FunctionId(n),
@@ -56,9 +70,16 @@
         work: None,
         repeat: false,
     };
-    let rounds: Vec<Round> = (0..JOBS).map(|n| Round { jobs: vec![job(n)], ..Round::default() }).collect();
+    let rounds: Vec<Round> = (0..JOBS)
+        .map(|n| Round {
+            jobs: vec![job(n)],
+            ..Round::default()
+        })
+        .collect();
     let region = Region::new(COUNTED);
-    rounds.iter().for_each(|round| module.round(now + 1, round, &mut Unkept));
+    rounds
+        .iter()
+        .for_each(|round| module.round(now + 1, round, &mut Unkept));
     region.change().bytes_allocated as f64 / JOBS as f64
 }
 
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -22,10 +22,24 @@
     #[case] down: Option<(i64, Option<i64>)>,
     #[case] broken: usize,
 ) {
-    let order = |came| Order { worker: 0, edge: "edge-0".into(), came, copies: 1 };
-    let orders = [1_000_000, 1_100_000, 1_200_000, 1_700_000].map(order).to_vec();
-    let down = down.into_iter().map(|(from, until)| ("edge-0".to_string(), from, until)).collect();
-    let log = Log { orders, down, ..Log::default() };
+    let order = |came| Order {
+        worker: 0,
+        edge: "edge-0".into(),
+        came,
+        copies: 1,
+    };
+    let orders = [1_000_000, 1_100_000, 1_200_000, 1_700_000]
+        .map(order)
+        .to_vec();
+    let down = down
+        .into_iter()
+        .map(|(from, until)| ("edge-0".to_string(), from, until))
+        .collect();
+    let log = Log {
+        orders,
+        down,
+        ..Log::default()
+    };
     let scenario = Scenario::read("story", RATION, 1).unwrap();
     let verdict = judge(&log, &scenario, 0, 0);
     assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
@@ -42,10 +56,25 @@
     #[case] broken: usize,
 ) {
     let (edge, workload) = ("edge-0".to_string(), "job".to_string());
-    let stopped = stopped.into_iter().map(|(from, until)| (edge.clone(), from, until)).collect();
+    let stopped = stopped
+        .into_iter()
+        .map(|(from, until)| (edge.clone(), from, until))
+        .collect();
     let sent = 1_000_000;
-    let tries = vec![Try { edge, workload, began: sent, sent, limit, ..Try::default() }];
-    let log = Log { tries, stopped, holds_up: 500_000, ..Log::default() };
+    let tries = vec![Try {
+        edge,
+        workload,
+        began: sent,
+        sent,
+        limit,
+        ..Try::default()
+    }];
+    let log = Log {
+        tries,
+        stopped,
+        holds_up: 500_000,
+        ..Log::default()
+    };
     let verdict = judge(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 0);
     assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
 }
@@ -71,15 +100,36 @@
     let mut waits: BTreeMap<String, Waits> = BTreeMap::new();
     for at in (1..=100).map(|n| n * 50_000) {
         for name in ["edge-0", "edge-1", OURS] {
-            let by = waited.iter().filter(|(of, when, _)| *of == name && *when == at).map(|(.., by)| *by);
+            let by = waited
+                .iter()
+                .filter(|(of, when, _)| *of == name && *when == at)
+                .map(|(.., by)| *by);
             waits.entry(name.into()).or_default().add(at, by.sum());
         }
     }
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let answers = vec![(came, 504)];
-    let tries = vec![Try { edge, workload, began: sent, sent, limit: 3_000_000, answers, ..Try::default() }];
-    let log = Log { tries, waits, holds_up: 500_000, ..Log::default() };
-    let verdict = judge(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 500_000);
+    let tries = vec![Try {
+        edge,
+        workload,
+        began: sent,
+        sent,
+        limit: 3_000_000,
+        answers,
+        ..Try::default()
+    }];
+    let log = Log {
+        tries,
+        waits,
+        holds_up: 500_000,
+        ..Log::default()
+    };
+    let verdict = judge(
+        &log,
+        &Scenario::read("story", RATION, 1).unwrap(),
+        0,
+        500_000,
+    );
     assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
 }
 
@@ -96,10 +146,32 @@
     let stopped = vec![(edge.clone(), from, until)];
     let waits = [(OURS.to_string(), Waits::default())].into();
     let (began, limit, answers) = (sent, 3_000_000, vec![(7_100_000, 504)]);
-    let tries = vec![Try { edge, workload, began, sent, limit, answers, ..Try::default() }];
-    let log = Log { tries, stopped, waits, holds_up: 500_000, ..Log::default() };
-    let verdict = judge(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 500_000);
-    assert_eq!((verdict.broken.len(), verdict.lost_with_edge), (broken, 1 - broken as u64));
+    let tries = vec![Try {
+        edge,
+        workload,
+        began,
+        sent,
+        limit,
+        answers,
+        ..Try::default()
+    }];
+    let log = Log {
+        tries,
+        stopped,
+        waits,
+        holds_up: 500_000,
+        ..Log::default()
+    };
+    let verdict = judge(
+        &log,
+        &Scenario::read("story", RATION, 1).unwrap(),
+        0,
+        500_000,
+    );
+    assert_eq!(
+        (verdict.broken.len(), verdict.lost_with_edge),
+        (broken, 1 - broken as u64)
+    );
 }
 
 /// 4 cores, 100 ms a job: in a window of 2 s just after the start a fifth of the cores does 16 jobs, of which 2.5 times as
@@ -134,9 +206,16 @@
     };
     let mut scenario = Scenario::read("story", text, 1).unwrap();
     if after_its_start > 10_000_000 {
-        scenario.settings.give("rules.cold", "10 s", "story").unwrap();
+        scenario
+            .settings
+            .give("rules.cold", "10 s", "story")
+            .unwrap();
     }
-    let log = Log { runs: (0..jobs).map(run).collect(), starts: vec![(0, started)], ..Log::default() };
+    let log = Log {
+        runs: (0..jobs).map(run).collect(),
+        starts: vec![(0, started)],
+        ..Log::default()
+    };
     let windows = cold::windows(&log, &scenario);
     assert_eq!(windows.len(), 1);
     assert_eq!(windows[0].part() <= 1.0, within, "{windows:?}");
--- a/crates/sanddrum-lab/tests/soak_judge.rs
+++ b/crates/sanddrum-lab/tests/soak_judge.rs
@@ -15,7 +15,12 @@
 
 fn terms() -> Terms {
     let drawn = Terms::drawn(&mut Chance::new(1));
-    Terms { longest_deadline: 2 * S, cold: 10 * S, mean_work: 60 * MS, ..drawn }
+    Terms {
+        longest_deadline: 2 * S,
+        cold: 10 * S,
+        mean_work: 60 * MS,
+        ..drawn
+    }
 }
 /// A run in which one request was served by one attempt.
 fn kept() -> Ledger {
@@ -28,7 +33,11 @@
         first_on_connection: true,
         rested: 0,
         left: None,
-        answers: vec![Answer { at: SENT + 100 * MS, status: 200, body: made_of(CALL, &body_of(CALL)) }],
+        answers: vec![Answer {
+            at: SENT + 100 * MS,
+            status: 200,
+            body: made_of(CALL, &body_of(CALL)),
+        }],
         cut: None,
         unreadable: false,
     };
@@ -49,7 +58,14 @@
 fn attempt(server: usize, at: i64) -> Attempt {
     let deadline = (SENT + 2 * S - at).max(0);
     let server = ServerId(server);
-    Attempt { call: CALL, server, at, deadline, never_ran: false, arrival_unknown: false }
+    Attempt {
+        call: CALL,
+        server,
+        at,
+        deadline,
+        never_ran: false,
+        arrival_unknown: false,
+    }
 }
 fn request(ledger: &mut Ledger) -> &mut Request {
     ledger.requests.get_mut(&CALL).unwrap()
@@ -58,7 +74,10 @@
     &mut ledger.lives.get_mut(&ROUTER).unwrap()[0]
 }
 fn broken(ledger: &Ledger) -> Vec<Rule> {
-    judge(ledger, &terms(), END).iter().map(|found| found.rule).collect()
+    judge(ledger, &terms(), END)
+        .iter()
+        .map(|found| found.rule)
+        .collect()
 }
 
 type Change = fn(&mut Ledger);
@@ -86,7 +105,10 @@
 #[case::ended_with_an_error(Rule::Crash, |l: &mut Ledger| life(l).ended = Some((191 * S, Some(101))))]
 #[case::more_descriptors(Rule::Growth, |l: &mut Ledger| life(l).descriptors = vec![40, 200])]
 #[case::more_memory(Rule::Growth, |l: &mut Ledger| life(l).resident = vec![10 << 20, 30 << 20])]
-fn a_run_that_breaks_a_rule_is_caught_by_that_rule_alone(#[case] rule: Rule, #[case] breaks: Change) {
+fn a_run_that_breaks_a_rule_is_caught_by_that_rule_alone(
+    #[case] rule: Rule,
+    #[case] breaks: Change,
+) {
     assert_eq!(broken(&kept()), []);
     let mut ledger = kept();
     breaks(&mut ledger);
@@ -115,7 +137,12 @@
 fn rushed(calls: u64, told_late: bool) -> Ledger {
     let mut ledger = kept();
     let start = SENT + if told_late { S } else { -S };
-    ledger.starts.push(Start { server: ServerId(9), at: start, size: 4.0, long_ago: false });
+    ledger.starts.push(Start {
+        server: ServerId(9),
+        at: start,
+        size: 4.0,
+        long_ago: false,
+    });
     for n in 0..calls {
         let call = CallId(1000 + n);
         let mut request = ledger.requests[&CALL].clone();
@@ -123,7 +150,11 @@
         ledger.requests.insert(call, request);
         let at = start.max(SENT) + n as i64 * 1000;
         let deadline = (SENT + 2 * S - at).max(0);
-        ledger.attempts.push(Attempt { call, server: ServerId(9), ..attempt(9, at) });
+        ledger.attempts.push(Attempt {
+            call,
+            server: ServerId(9),
+            ..attempt(9, at)
+        });
         ledger.requests.get_mut(&call).unwrap().answers[0].at = at + 100 * MS;
         assert!(deadline > 0);
     }
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 use sanddrum_lab::{
-    play, play_virtually, product_edge, EdgesAs, Recording, Scenario, SocketStage, Stage, VirtualStage,
-    BAD_DAY,
+    play, play_virtually, product_edge, EdgesAs, Recording, Scenario, SocketStage, Stage,
+    VirtualStage, BAD_DAY,
 };
 use sanddrum_net::Links;
 
@@ -54,9 +54,17 @@
 /// key.
 #[rstest]
 fn keys_are_rotated_and_revoked_in_mid_run(#[values(1, 2, 3, 4)] seed: u64) {
-    let outcome = play_virtually(Scenario::read("keys.sx", KEYS, seed).unwrap(), product_edge()).unwrap();
+    let outcome = play_virtually(
+        Scenario::read("keys.sx", KEYS, seed).unwrap(),
+        product_edge(),
+    )
+    .unwrap();
     assert!(outcome.is_good(), "{}", outcome.text());
-    assert!(outcome.verdict.finished > 1000 && outcome.verdict.pushed_back > 50, "{}", outcome.text());
+    assert!(
+        outcome.verdict.finished > 1000 && outcome.verdict.pushed_back > 50,
+        "{}",
+        outcome.text()
+    );
 }
 
 /// The bad day again with every worker behind TLS: connections cut in mid-frame, a zone back cold and all.
@@ -65,7 +73,11 @@
     let tls = r#"(tls (workers verified) (roots-file "roots.pem"))"#;
     let scenario = Scenario::read("bad-day.sx", &format!("{BAD_DAY}{tls}"), seed).unwrap();
     let outcome = play_virtually(scenario, product_edge()).unwrap();
-    assert!(outcome.is_good() && outcome.runs > 4000, "{}", outcome.text());
+    assert!(
+        outcome.is_good() && outcome.runs > 4000,
+        "{}",
+        outcome.text()
+    );
 }
 
 /// Roots and all certificates change in the middle of the bad day, and one worker comes back with what a foreign
@@ -74,20 +86,33 @@
 fn certificates_change_in_the_middle_of_the_bad_day(#[values(1, 2, 3)] seed: u64) {
     let scenario = Scenario::read("certificates.sx", CERTIFICATES, seed).unwrap();
     let recording = Recording::default();
-    let mut stage = VirtualStage::new(scenario, Links::default(), &recording, product_edge()).unwrap();
+    let mut stage =
+        VirtualStage::new(scenario, Links::default(), &recording, product_edge()).unwrap();
     let start = stage.now();
     let outcome = play(&mut stage, &recording).unwrap();
-    assert!(outcome.is_good() && outcome.runs > 4000, "{}", outcome.text());
-    let (at, act) = outcome.acts.iter().find(|(_, act)| act.starts_with("impostor begins")).unwrap();
+    assert!(
+        outcome.is_good() && outcome.runs > 4000,
+        "{}",
+        outcome.text()
+    );
+    let (at, act) = outcome
+        .acts
+        .iter()
+        .find(|(_, act)| act.starts_with("impostor begins"))
+        .unwrap();
     let impostor: usize = act.split(['(', ')']).nth(1).unwrap().parse().unwrap();
     let log = &recording.0.borrow().log;
     let while_foreign = |run: &&sanddrum_lab::recorder::Run| {
         run.worker == impostor && (start + at + 50_000..start + at + 3_000_000).contains(&run.came)
     };
     assert_eq!(log.runs.iter().filter(while_foreign).count(), 0);
-    let after =
-        |run: &&sanddrum_lab::recorder::Run| run.worker == impostor && run.came > start + at + 3_000_000;
-    assert!(log.runs.iter().any(|run| after(&run)), "and it serves again");
+    let after = |run: &&sanddrum_lab::recorder::Run| {
+        run.worker == impostor && run.came > start + at + 3_000_000
+    };
+    assert!(
+        log.runs.iter().any(|run| after(&run)),
+        "and it serves again"
+    );
 }
 
 /// Handshakes that take long, a zone back cold and every connection cut at once: rule 1 holds for what waits for a
@@ -106,8 +131,16 @@
         (calls "job" (share 1) (work 30ms))
         (trouble "zone-loss" (at 3s) (length 2s) (zone "b"))
         (trouble "tear" (at 5s) (part 100%))"#;
-    let outcome = play_virtually(Scenario::read("storm.sx", text, seed).unwrap(), product_edge()).unwrap();
-    assert!(outcome.is_good() && outcome.verdict.finished > 1000, "{}", outcome.text());
+    let outcome = play_virtually(
+        Scenario::read("storm.sx", text, seed).unwrap(),
+        product_edge(),
+    )
+    .unwrap();
+    assert!(
+        outcome.is_good() && outcome.verdict.finished > 1000,
+        "{}",
+        outcome.text()
+    );
 }
 
 /// Variants are run on the same seeds, so one beside itself differs in nothing, and a worse one clearly.
@@ -126,8 +159,13 @@
     let figures = experiment.run_all(2, |_| ()).unwrap();
     let of = |n: usize| figures[n].iter().map(|f| f.loads).collect::<Vec<f64>>();
     let same = sanddrum_lab::difference(&of(0), &of(1));
-    assert_eq!((same.mean, same.least, same.most, same.is_clear()), (0.0, 0.0, 0.0, false));
+    assert_eq!(
+        (same.mean, same.least, same.most, same.is_clear()),
+        (0.0, 0.0, 0.0, false)
+    );
     assert!(sanddrum_lab::difference(&of(0), &of(2)).is_clear());
     let page = sanddrum_lab::report::html(&experiment, &figures).unwrap();
-    assert!(page.contains("<svg") && page.contains("random") && page.contains("Warning: only 4 seeds"));
+    assert!(
+        page.contains("<svg") && page.contains("random") && page.contains("Warning: only 4 seeds")
+    );
 }
--- a/crates/sanddrum-limits/src/lib.rs
+++ b/crates/sanddrum-limits/src/lib.rs
@@ -126,12 +126,27 @@
                 ..Customer::default()
             })
             .collect();
-        customers.push(Customer { share: (1.0 - named).max(0.0), ..Customer::default() });
+        customers.push(Customer {
+            share: (1.0 - named).max(0.0),
+            ..Customer::default()
+        });
         let shares = settings.flag("sharing.shares") == Some(true) && count > 0;
-        let any = shares || customers.iter().any(|c| c.rate.is_some() || c.in_flight.is_some());
+        let any = shares
+            || customers
+                .iter()
+                .any(|c| c.rate.is_some() || c.in_flight.is_some());
         let window = settings.number("sharing.window-us").unwrap_or(1e6) as Micros;
         let edges = settings.number("routers").unwrap_or(1.0).max(1.0);
-        Sharing { edges, window: window.max(1), shares, any, customers, let_in: 0, pushed: 0, next_look: 0 }
+        Sharing {
+            edges,
+            window: window.max(1),
+            shares,
+            any,
+            customers,
+            let_in: 0,
+            pushed: 0,
+            next_look: 0,
+        }
     }
     /// Whether anything is limited at all; if not, a host need not ask.
     pub fn limits_anything(&self) -> bool {
@@ -168,7 +183,9 @@
             let pressed = self.pressed();
             (self.let_in, self.pushed) = (0, 0);
             let edges = self.edges;
-            self.customers.iter_mut().for_each(|c| c.steer(now, window, edges, pressed));
+            self.customers
+                .iter_mut()
+                .for_each(|c| c.steer(now, window, edges, pressed));
         }
         for (job, customer) in &news.asked {
             match self.judge(now, *customer) {
@@ -197,10 +214,14 @@
 
     fn judge(&mut self, now: Micros, customer: CustomerId) -> Result<(), (Over, Micros)> {
         let (window, even) = (self.window, 1.0 / self.edges);
-        let Some(c) = self.customers.get_mut(customer.0) else { return Ok(()) };
+        let Some(c) = self.customers.get_mut(customer.0) else {
+            return Ok(());
+        };
         if let Some(most) = c.in_flight {
             let whole = c.sight.whole(now, window).filter(|whole| *whole > 0.0);
-            let part = whole.map_or(even, |whole| (c.sent.now(now, window) / whole).clamp(even * FLOOR, 1.0));
+            let part = whole.map_or(even, |whole| {
+                (c.sent.now(now, window) / whole).clamp(even * FLOOR, 1.0)
+            });
             // One at least, unless none is allowed at all.
             if c.held + 1.0 > (most * part).max(f64::from(u8::from(most > 0.0))) {
                 // A place is free once one of those held ends; when is not known here, a window is told.
@@ -209,7 +230,9 @@
         }
         let Some(why) = c.limited else { return Ok(()) };
         let burst = c.lets * window as f64 / 1e6 * BURST;
-        c.permits.take(now, c.lets, burst).map_err(|wait| (why, wait))
+        c.permits
+            .take(now, c.lets, burst)
+            .map_err(|wait| (why, wait))
     }
 }
 
@@ -221,15 +244,28 @@
         let whole = self.sight.whole(now, window).map(|whole| whole.max(own));
         let of_rate = self.rate.map(|rate| {
             let off = whole.map_or(1.0, |whole| rate / whole.max(1e-9));
-            (Over::Rate, if off >= 2.0 { STEP } else { off.powf(GAIN).clamp(1.0 / STEP, STEP) })
+            (
+                Over::Rate,
+                if off >= 2.0 {
+                    STEP
+                } else {
+                    off.powf(GAIN).clamp(1.0 / STEP, STEP)
+                },
+            )
         });
-        let over = self.sight.part_of_all(now, window).is_some_and(|part| part > self.share);
+        let over = self
+            .sight
+            .part_of_all(now, window)
+            .is_some_and(|part| part > self.share);
         let of_share = (over && pressed > PRESSED).then(|| (1.0 - pressed).max(1.0 / STEP) * LENDS);
         // What was limited a moment ago soon is again: a share is lent step by step.
         let lent = self.limited == Some(Over::Share) && self.lets < self.asked.now(now, window);
         let lent = lent.then_some(LENDS);
         let of_share = of_share.or(lent).map(|step| (Over::Share, step));
-        of_rate.into_iter().chain(of_share).min_by(|a, b| a.1.total_cmp(&b.1))
+        of_rate
+            .into_iter()
+            .chain(of_share)
+            .min_by(|a, b| a.1.total_cmp(&b.1))
     }
     /// Lets through a little more or less than before.
     fn steer(&mut self, now: Micros, window: Micros, edges: f64, pressed: f64) {
--- a/crates/sanddrum-limits/src/pace.rs
+++ b/crates/sanddrum-limits/src/pace.rs
@@ -42,7 +42,9 @@
     /// There is none; how long until there is one.
     pub fn take(&mut self, now: Micros, per_s: f64, most: f64) -> Result<(), Micros> {
         let most = most.max(1.0);
-        let passed = self.at.map_or(most * 1e6 / per_s.max(1e-9), |at| (now - at).max(0) as f64);
+        let passed = self
+            .at
+            .map_or(most * 1e6 / per_s.max(1e-9), |at| (now - at).max(0) as f64);
         self.saved = (self.saved + passed * per_s / 1e6).min(most);
         self.at = Some(now);
         if per_s <= 0.0 {
--- a/crates/sanddrum-limits/src/repeats.rs
+++ b/crates/sanddrum-limits/src/repeats.rs
@@ -62,13 +62,22 @@
         let window = self.window;
         (0..asked.pressed).for_each(|_| self.pushed.count(now, window));
         for (_, repeat) in &asked.jobs {
-            if *repeat { &mut self.repeats } else { &mut self.firsts }.count(now, window);
+            if *repeat {
+                &mut self.repeats
+            } else {
+                &mut self.firsts
+            }
+            .count(now, window);
         }
         // A part of all is a budget without bound.
-        let pressed =
-            self.part < 1.0 && self.pushed.now(now, window) > PRESSED * self.let_in.now(now, window);
+        let pressed = self.part < 1.0
+            && self.pushed.now(now, window) > PRESSED * self.let_in.now(now, window);
         for (id, repeat) in &asked.jobs {
-            let judged = if pressed && *repeat { self.judge(now) } else { Ok(()) };
+            let judged = if pressed && *repeat {
+                self.judge(now)
+            } else {
+                Ok(())
+            };
             if judged.is_ok() {
                 self.let_in.count(now, window);
             }
--- a/crates/sanddrum-limits/src/sight.rs
+++ b/crates/sanddrum-limits/src/sight.rs
@@ -47,14 +47,17 @@
         let mut sends: Vec<WorkerId> = self.sends.iter().copied().collect();
         sends.sort_unstable();
         let n = sends.len() as f64;
-        let same = sends.chunk_by(|a, b| a == b).map(|run| run.len() as f64 * (run.len() as f64 - 1.0));
+        let same = sends
+            .chunk_by(|a, b| a == b)
+            .map(|run| run.len() as f64 * (run.len() as f64 - 1.0));
         let met: f64 = same.sum();
         // Where no two ever met, there are at least about as many as pairs were tried.
         n * (n - 1.0).max(1.0) / met.max(2.0)
     }
     /// The customer's jobs a second over the whole fleet, if anything was told of late.
     pub fn whole(&self, now: Micros, window: Micros) -> Option<f64> {
-        self.is_fresh(now, window).then(|| self.of_customer * self.workers())
+        self.is_fresh(now, window)
+            .then(|| self.of_customer * self.workers())
     }
     /// The customer's part of all jobs, where its jobs go.
     pub fn part_of_all(&self, now: Micros, window: Micros) -> Option<f64> {
--- a/crates/sanddrum-limits/tests/stories.rs
+++ b/crates/sanddrum-limits/tests/stories.rs
@@ -22,8 +22,10 @@
 }
 
 fn settings(set: &[(&str, f64)]) -> Settings {
-    let mut map: BTreeMap<String, Value> =
-        set.iter().map(|(name, n)| (name.to_string(), Value::Number(*n))).collect();
+    let mut map: BTreeMap<String, Value> = set
+        .iter()
+        .map(|(name, n)| (name.to_string(), Value::Number(*n)))
+        .collect();
     map.insert("sharing.shares".into(), Value::Flag(true));
     Settings(map)
 }
@@ -70,11 +72,14 @@
                     *owed -= 1.0;
                     self.next += 1;
                     whose.insert(JobId(self.next), CustomerId(*customer));
-                    self.news[*edge].asked.push((JobId(self.next), CustomerId(*customer)));
+                    self.news[*edge]
+                        .asked
+                        .push((JobId(self.next), CustomerId(*customer)));
                 }
             }
             // What is not used is lost, but for a little.
-            self.room = (self.room + self.capacity * step as f64 / S as f64).min(self.capacity / 10.0);
+            self.room =
+                (self.room + self.capacity * step as f64 / S as f64).min(self.capacity / 10.0);
             // Each is the first to be served in its turn.
             let (turn, edges) = ((self.now / step) as usize, self.edges.len());
             for n in (0..edges).map(|n| (n + turn) % edges) {
@@ -95,7 +100,10 @@
                     if finished {
                         *done.entry(customer.0).or_default() += 1.0;
                         next.sent.push((customer, worker));
-                        self.workers.entry((worker, customer)).or_default().count(self.now, S);
+                        self.workers
+                            .entry((worker, customer))
+                            .or_default()
+                            .count(self.now, S);
                         let of = self.workers[&(worker, customer)].now(self.now, S);
                         let all = self.all.entry(worker).or_default();
                         all.count(self.now, S);
@@ -109,8 +117,11 @@
     }
 }
 
-const TWO: [(&str, f64); 3] =
-    [("customers.count", 2.0), ("customers.0.share", 0.7), ("customers.1.share", 0.3)];
+const TWO: [(&str, f64); 3] = [
+    ("customers.count", 2.0),
+    ("customers.0.share", 0.7),
+    ("customers.1.share", 0.3),
+];
 
 #[rstest]
 #[case::one_edge(1)]
@@ -118,7 +129,8 @@
 fn a_rate_holds_over_all_edges_together(#[case] edges: usize) {
     let set = [&TWO[..], &[("customers.0.rate", 100.0)]].concat();
     let mut scene = Scene::new(edges, 1e9, &set);
-    let everywhere: Vec<(usize, usize, f64)> = (0..edges).map(|n| (n, 0, 300.0 / edges as f64)).collect();
+    let everywhere: Vec<(usize, usize, f64)> =
+        (0..edges).map(|n| (n, 0, 300.0 / edges as f64)).collect();
     scene.play(5 * S, &everywhere);
     let got = scene.play(10 * S, &everywhere)[&0];
     assert!((85.0..=115.0).contains(&got), "{got}");
@@ -162,14 +174,28 @@
 
 #[rstest]
 fn nought_share_gets_what_is_left_and_jobs_in_flight_are_bounded() {
-    let set = [("customers.count", 1.0), ("customers.0.share", 0.0), ("customers.0.in-flight", 3.0)];
+    let set = [
+        ("customers.count", 1.0),
+        ("customers.0.share", 0.0),
+        ("customers.0.in-flight", 3.0),
+    ];
     let mut sharing = Sharing::new(&settings(&set));
-    let news = News { asked: (0..5).map(|n| (JobId(n), CustomerId(0))).collect(), ..News::default() };
+    let news = News {
+        asked: (0..5).map(|n| (JobId(n), CustomerId(0))).collect(),
+        ..News::default()
+    };
     let mut log = Log::default();
     sharing.round(S, &news, &mut log);
     assert_eq!((log.taken.len(), log.back.len()), (3, 2));
-    assert!(log.back.iter().all(|(_, why, wait)| *why == Over::InFlight && *wait > 0));
-    let ended = News { ended: vec![CustomerId(0)], asked: news.asked.clone(), ..News::default() };
+    assert!(log
+        .back
+        .iter()
+        .all(|(_, why, wait)| *why == Over::InFlight && *wait > 0));
+    let ended = News {
+        ended: vec![CustomerId(0)],
+        asked: news.asked.clone(),
+        ..News::default()
+    };
     let mut log = Log::default();
     sharing.round(S, &ended, &mut log);
     assert_eq!(log.taken.len(), 1);
--- a/crates/sanddrum-net/src/event_loop.rs
+++ b/crates/sanddrum-net/src/event_loop.rs
@@ -187,7 +187,10 @@
             tap,
             begun: Instant::now(),
             epoch,
-            looks: Looks { last: epoch, before: epoch },
+            looks: Looks {
+                last: epoch,
+                before: epoch,
+            },
             arrival: None,
             next_conn: 0,
             refused: Vec::new(),
@@ -237,10 +240,15 @@
     }
     fn listen(&mut self, host: HostId, doors: Vec<TcpListener>) -> io::Result<()> {
         for (n, listener) in doors.into_iter().enumerate() {
-            let key =
-                self.sources.insert(Source::Listener { host, door: Door(n), listener, unread_since: None });
+            let key = self.sources.insert(Source::Listener {
+                host,
+                door: Door(n),
+                listener,
+                unread_since: None,
+            });
             if let Some(Source::Listener { listener, .. }) = self.sources.get(key) {
-                self.poller.add_with_mode(listener, Ready::readable(key), PollMode::Level)?;
+                self.poller
+                    .add_with_mode(listener, Ready::readable(key), PollMode::Level)?;
             }
             if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
                 hosted.doors.push(key);
@@ -253,18 +261,29 @@
     /// # Errors
     /// A door can't be watched.
     pub fn set_doors(&mut self, host: HostId, doors: Vec<TcpListener>) -> io::Result<()> {
-        let before =
-            self.hosts.get_mut(host.0).and_then(Option::as_mut).map(|h| std::mem::take(&mut h.doors));
-        before.into_iter().flatten().for_each(|key| self.remove(key));
+        let before = self
+            .hosts
+            .get_mut(host.0)
+            .and_then(Option::as_mut)
+            .map(|h| std::mem::take(&mut h.doors));
+        before
+            .into_iter()
+            .flatten()
+            .for_each(|key| self.remove(key));
         self.listen(host, doors)
     }
     /// A core dies: its doors close and its connections break.
     pub fn kill(&mut self, host: HostId) {
-        let Some(hosted) = self.hosts.get_mut(host.0).and_then(Option::take) else { return };
+        let Some(hosted) = self.hosts.get_mut(host.0).and_then(Option::take) else {
+            return;
+        };
         for key in hosted.doors.iter().chain(hosted.conns.values()) {
             self.remove(*key);
         }
-        hosted.conns.keys().for_each(|conn| self.tap.ended(self.now(), host, *conn));
+        hosted
+            .conns
+            .keys()
+            .for_each(|conn| self.tap.ended(self.now(), host, *conn));
     }
     /// A core takes the place of a dead one.
     ///
@@ -288,7 +307,9 @@
         if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
             (hosted.frozen, hosted.touched) = (frozen, true);
         }
-        let keys: Vec<usize> = self.host(host).map_or(vec![], |h| h.conns.values().copied().collect());
+        let keys: Vec<usize> = self
+            .host(host)
+            .map_or(vec![], |h| h.conns.values().copied().collect());
         keys.into_iter().for_each(|key| self.attend(key));
     }
     /// Each connection of a core breaks at its next write, in the middle of what is written.
@@ -299,7 +320,9 @@
     }
     /// Breaks every connection of a core, as a reset on the way would.
     pub fn break_connections(&mut self, host: HostId) {
-        let conns: Vec<Conn> = self.host(host).map_or(vec![], |h| h.conns.keys().copied().collect());
+        let conns: Vec<Conn> = self
+            .host(host)
+            .map_or(vec![], |h| h.conns.keys().copied().collect());
         for conn in conns {
             self.end(host, conn, Closed::Reset);
         }
@@ -329,9 +352,15 @@
     fn leave(&mut self) -> io::Result<()> {
         self.report();
         for host in (0..self.hosts.len()).map(HostId) {
-            let Some(Some(hosted)) = self.hosts.get_mut(host.0) else { continue };
+            let Some(Some(hosted)) = self.hosts.get_mut(host.0) else {
+                continue;
+            };
             let doors = std::mem::take(&mut hosted.doors);
-            let conns: Vec<(Conn, usize)> = hosted.conns.iter().map(|(conn, key)| (*conn, *key)).collect();
+            let conns: Vec<(Conn, usize)> = hosted
+                .conns
+                .iter()
+                .map(|(conn, key)| (*conn, *key))
+                .collect();
             doors.into_iter().for_each(|key| self.remove(key));
             for (conn, key) in conns {
                 match self.sources.get(key) {
@@ -340,7 +369,12 @@
                 }
             }
         }
-        while let Some((until, _)) = self.lingering.last().copied().filter(|(at, _)| *at > self.now()) {
+        while let Some((until, _)) = self
+            .lingering
+            .last()
+            .copied()
+            .filter(|(at, _)| *at > self.now())
+        {
             let mut ready = Vec::new();
             let timeout = Duration::from_micros((until - self.now()).max(0) as u64);
             match self.poller.wait(&mut ready, Some(timeout)) {
@@ -372,8 +406,14 @@
     fn step(&mut self, until: Option<Micros>) -> io::Result<usize> {
         let mut came = 0;
         for looks in 1..=LOOKS_WHEN_HELD_UP {
-            let timeout = if looks == 1 { self.timeout(until) } else { Duration::ZERO };
-            let Some(found) = self.look(timeout)? else { return Ok(came + 1) };
+            let timeout = if looks == 1 {
+                self.timeout(until)
+            } else {
+                Duration::ZERO
+            };
+            let Some(found) = self.look(timeout)? else {
+                return Ok(came + 1);
+            };
             came += found;
             if self.now() - self.looks.before <= HELD_UP {
                 break;
@@ -387,10 +427,24 @@
         if !(self.refused.is_empty() && self.broken.is_empty()) {
             return Duration::ZERO;
         }
-        let wakes = self.hosts.iter().flatten().filter(|h| !h.frozen).filter_map(|h| h.core.wake());
-        let files = self.hosts.iter().flatten().flat_map(|h| h.watched.iter().map(|w| w.next));
+        let wakes = self
+            .hosts
+            .iter()
+            .flatten()
+            .filter(|h| !h.frozen)
+            .filter_map(|h| h.core.wake());
+        let files = self
+            .hosts
+            .iter()
+            .flatten()
+            .flat_map(|h| h.watched.iter().map(|w| w.next));
         let lingers = self.lingering.first().map(|(at, _)| *at);
-        let next = wakes.chain(files).chain(until).chain(self.accepts_again).chain(lingers).min();
+        let next = wakes
+            .chain(files)
+            .chain(until)
+            .chain(self.accepts_again)
+            .chain(lingers)
+            .min();
         let span = next.map_or(LOOK_EVERY, |at| (at - self.now()).clamp(0, LOOK_EVERY));
         Duration::from_micros(span as u64)
     }
@@ -416,10 +470,15 @@
         // that is stopped as it is being woken has looked before the stop.
         let ended = self.now();
         let held_up = ended - began > timeout.as_micros() as Micros + WAIT_SLACK;
-        self.looks = Looks { last: if held_up { began } else { ended }, before: self.looks.last };
+        self.looks = Looks {
+            last: if held_up { began } else { ended },
+            before: self.looks.last,
+        };
         let came = ready.len();
         // Listeners last. Guards against a newcomer that is given the place of a connection whose input is there already.
-        ready.sort_by_key(|event| matches!(self.sources.get(event.key), Some(Source::Listener { .. })));
+        ready.sort_by_key(|event| {
+            matches!(self.sources.get(event.key), Some(Source::Listener { .. }))
+        });
         for event in ready {
             match self.sources.get(event.key) {
                 Some(Source::Listener { .. }) => self.accept(event.key),
@@ -433,7 +492,14 @@
         self.heed_flags();
         for (host, conn) in std::mem::take(&mut self.refused) {
             self.call(host, |core, now, io| {
-                core.event(now, Event::Closed { conn, how: Closed::Refused }, io)
+                core.event(
+                    now,
+                    Event::Closed {
+                        conn,
+                        how: Closed::Refused,
+                    },
+                    io,
+                )
             });
         }
         for (host, conn) in std::mem::take(&mut self.broken) {
@@ -451,11 +517,15 @@
             self.remove(key);
         }
         for n in 0..self.hosts.len() {
-            let looks = self.hosts[n].as_ref().is_some_and(|h| h.watched.iter().any(|w| w.next <= now));
+            let looks = self.hosts[n]
+                .as_ref()
+                .is_some_and(|h| h.watched.iter().any(|w| w.next <= now));
             if looks {
                 self.look_at_files(HostId(n), false);
             }
-            let Some(hosted) = &mut self.hosts[n] else { continue };
+            let Some(hosted) = &mut self.hosts[n] else {
+                continue;
+            };
             let due = hosted.touched || hosted.core.wake().is_some_and(|at| at <= now);
             if due && !hosted.frozen {
                 hosted.touched = false;
@@ -465,7 +535,9 @@
     }
 
     fn call(&mut self, host: HostId, what: impl FnOnce(&mut dyn Core, Micros, &mut dyn Io)) {
-        let Some(hosted) = self.hosts.get_mut(host.0).and_then(Option::as_mut) else { return };
+        let Some(hosted) = self.hosts.get_mut(host.0).and_then(Option::as_mut) else {
+            return;
+        };
         hosted.touched = true;
         let mut core = std::mem::replace(&mut hosted.core, Box::new(Away));
         let now = self.now();
@@ -478,7 +550,10 @@
 
 /// What the machine's wall clock shows.
 fn wall_clock() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as Micros
 }
 
 /// Stands in a core's place while it is being called.
--- a/crates/sanddrum-net/src/event_loop/signals.rs
+++ b/crates/sanddrum-net/src/event_loop/signals.rs
@@ -29,7 +29,8 @@
         for source in [Source::Signals(ours), Source::Reload(reload)] {
             let key = self.sources.insert(source);
             if let Some(Source::Signals(pipe) | Source::Reload(pipe)) = self.sources.get(key) {
-                self.poller.add_with_mode(pipe, Ready::readable(key), PollMode::Level)?;
+                self.poller
+                    .add_with_mode(pipe, Ready::readable(key), PollMode::Level)?;
             }
         }
         Ok(())
@@ -48,12 +49,16 @@
     }
     pub(super) fn look_at_files(&mut self, host: HostId, anyway: bool) {
         let now = self.now();
-        let Some(Some(hosted)) = self.hosts.get_mut(host.0) else { return };
+        let Some(Some(hosted)) = self.hosts.get_mut(host.0) else {
+            return;
+        };
         let mut watched = std::mem::take(&mut hosted.watched);
         for file in &mut watched {
             if let Some(content) = file.look(now, anyway) {
                 let content = content.as_deref().map_err(String::as_str);
-                self.call(host, |core, now, io| core.file(now, &file.name, content, io));
+                self.call(host, |core, now, io| {
+                    core.file(now, &file.name, content, io)
+                });
             }
         }
         if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
@@ -65,7 +70,12 @@
         if self.asked_to_end.swap(false, Ordering::Relaxed) {
             // The pipe is read first, or what lies in it would count as a second signal.
             let is_pipe = |source: &Source| matches!(source, Source::Signals(_));
-            let pipe = self.sources.all.iter().find(|(_, source)| is_pipe(source)).map(|(key, _)| *key);
+            let pipe = self
+                .sources
+                .all
+                .iter()
+                .find(|(_, source)| is_pipe(source))
+                .map(|(key, _)| *key);
             pipe.into_iter().for_each(|key| self.signal(key));
             self.signals = self.signals.max(1);
             self.ask_to_end();
@@ -83,7 +93,9 @@
         }
     }
     pub(super) fn signal(&mut self, key: usize) {
-        let Some(Source::Signals(pipe)) = self.sources.get_mut(key) else { return };
+        let Some(Source::Signals(pipe)) = self.sources.get_mut(key) else {
+            return;
+        };
         let mut bytes = [0; 16];
         self.signals += pipe.read(&mut bytes).unwrap_or(0) as u32;
         self.ask_to_end();
@@ -94,7 +106,10 @@
                 hosted.stopping = true;
                 self.call(HostId(n), |core, now, io| core.stop(now, io));
                 let closes = self.hosts[n].as_mut().filter(|h| !h.core.still_listens());
-                for key in closes.map(|h| std::mem::take(&mut h.doors)).unwrap_or_default() {
+                for key in closes
+                    .map(|h| std::mem::take(&mut h.doors))
+                    .unwrap_or_default()
+                {
                     // Who has connected and was not accepted yet would be reset when the door closes.
                     self.accept(key);
                     self.remove(key);
@@ -104,7 +119,9 @@
     }
 
     pub(super) fn reload(&mut self, key: usize) {
-        let Some(Source::Reload(pipe)) = self.sources.get_mut(key) else { return };
+        let Some(Source::Reload(pipe)) = self.sources.get_mut(key) else {
+            return;
+        };
         let _ = pipe.read(&mut [0; 16]);
         self.asked_to_reload.store(true, Ordering::Relaxed);
     }
--- a/crates/sanddrum-net/src/event_loop/sockets.rs
+++ b/crates/sanddrum-net/src/event_loop/sockets.rs
@@ -42,14 +42,18 @@
     }
     fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let torn = bytes.len() > 1
-            && self.driver.hosts[self.host.0].as_mut().is_some_and(|hosted| hosted.torn.remove(&conn));
+            && self.driver.hosts[self.host.0]
+                .as_mut()
+                .is_some_and(|hosted| hosted.torn.remove(&conn));
         if torn {
             let wrote = self.write(conn, &bytes[..bytes.len() / 2]);
             let (driver, host) = (&mut *self.driver, self.host);
             driver.broken.push((host, conn));
             return wrote;
         }
-        let Some((key, s)) = self.stream(conn) else { return 0 };
+        let Some((key, s)) = self.stream(conn) else {
+            return 0;
+        };
         if s.connecting {
             return 0;
         }
@@ -96,13 +100,22 @@
         }
     }
     fn save(&mut self, state: &[u8]) {
-        let Some(file) = self.driver.host(self.host).and_then(|h| h.state_file.clone()) else { return };
+        let Some(file) = self
+            .driver
+            .host(self.host)
+            .and_then(|h| h.state_file.clone())
+        else {
+            return;
+        };
         if let Err(e) = crate::files::replace(&file, state) {
             tracing::warn!(reason = "state-file", file = %file.display(), error = %e, "state was not kept; look at the disk");
         }
     }
     fn audit(&mut self, line: &str) {
-        if let Some(audit) = self.driver.hosts[self.host.0].as_mut().and_then(|h| h.audit.as_mut()) {
+        if let Some(audit) = self.driver.hosts[self.host.0]
+            .as_mut()
+            .and_then(|h| h.audit.as_mut())
+        {
             audit.add(line);
         }
     }
--- a/crates/sanddrum-net/src/event_loop/streams.rs
+++ b/crates/sanddrum-net/src/event_loop/streams.rs
@@ -1,6 +1,8 @@
 //! Connections on their sockets: taken in, watched for what they can make use of, read, ended.
 
-use super::{EventLoop, Source, Stream, ACCEPTS_AT_ONCE, ACCEPT_PAUSE, HELD_UP, LINGER, READS_WHEN_HELD_UP};
+use super::{
+    EventLoop, Source, Stream, ACCEPTS_AT_ONCE, ACCEPT_PAUSE, HELD_UP, LINGER, READS_WHEN_HELD_UP,
+};
 use crate::{Closed, Conn, Event, HostId, Micros, Side};
 use polling::{Event as Ready, PollMode};
 use std::io::{ErrorKind, Read};
@@ -10,15 +12,27 @@
 impl EventLoop {
     pub(super) fn accept(&mut self, key: usize) {
         let before = self.looks.before;
-        let Some(Source::Listener { unread_since, .. }) = self.sources.get_mut(key) else { return };
+        let Some(Source::Listener { unread_since, .. }) = self.sources.get_mut(key) else {
+            return;
+        };
         let since = *unread_since.get_or_insert(before);
         for _ in 0..ACCEPTS_AT_ONCE {
-            let Some(Source::Listener { host, door, listener, unread_since }) = self.sources.get_mut(key)
+            let Some(Source::Listener {
+                host,
+                door,
+                listener,
+                unread_since,
+            }) = self.sources.get_mut(key)
             else {
                 return;
             };
             let (host, door) = (*host, *door);
-            if self.hosts.get(host.0).and_then(Option::as_ref).is_none_or(|h| h.frozen) {
+            if self
+                .hosts
+                .get(host.0)
+                .and_then(Option::as_ref)
+                .is_none_or(|h| h.frozen)
+            {
                 // A silent machine's kernel may still take connections; its process does not.
                 return self.pause_accepting(key);
             }
@@ -26,7 +40,9 @@
                 Ok((socket, _)) => {
                     if let Some(conn) = self.take_in(host, socket, false) {
                         self.tap.opened(self.now(), host, conn, Side::Accepted, "");
-                        self.call(host, |core, now, io| core.event(now, Event::Accepted { conn, door }, io));
+                        self.call(host, |core, now, io| {
+                            core.event(now, Event::Accepted { conn, door }, io)
+                        });
                         self.read_accepted(host, conn, since);
                     }
                 }
@@ -34,7 +50,11 @@
                     *unread_since = None;
                     return;
                 }
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) => {}
                 Err(e) => {
                     tracing::warn!(reason = "no-descriptor", error = %e, "accepting pauses; raise the limit of open files");
                     return self.pause_accepting(key);
@@ -45,12 +65,16 @@
     fn pause_accepting(&mut self, key: usize) {
         self.accepts_again = Some(self.now() + ACCEPT_PAUSE);
         if let Some(Source::Listener { listener, .. }) = self.sources.get(key) {
-            let _ = self.poller.modify_with_mode(listener, Ready::none(key), PollMode::Level);
+            let _ = self
+                .poller
+                .modify_with_mode(listener, Ready::none(key), PollMode::Level);
         }
     }
     /// What a connection brings may have come as early as the connection itself.
     fn read_accepted(&mut self, host: HostId, conn: Conn, since: Micros) {
-        let Some(key) = self.host(host).and_then(|h| h.conns.get(&conn)).copied() else { return };
+        let Some(key) = self.host(host).and_then(|h| h.conns.get(&conn)).copied() else {
+            return;
+        };
         if let Some(Source::Stream(s)) = self.sources.get_mut(key) {
             s.unread_since = Some(since);
             self.read(key, host, conn);
@@ -62,12 +86,20 @@
         for (key, source) in &self.sources.all {
             if let Source::Listener { listener, .. } = source {
                 let interest = Ready::readable(*key);
-                failed |= self.poller.modify_with_mode(listener, interest, PollMode::Level).is_err();
+                failed |= self
+                    .poller
+                    .modify_with_mode(listener, interest, PollMode::Level)
+                    .is_err();
             }
         }
         let asleep = |source: &Source| matches!(source, Source::Stream(s) if s.asleep);
-        let unwatched: Vec<usize> =
-            self.sources.all.iter().filter(|(_, source)| asleep(source)).map(|(key, _)| *key).collect();
+        let unwatched: Vec<usize> = self
+            .sources
+            .all
+            .iter()
+            .filter(|(_, source)| asleep(source))
+            .map(|(key, _)| *key)
+            .collect();
         for key in unwatched {
             self.attend(key);
         }
@@ -76,7 +108,12 @@
             self.accepts_again = Some(self.now() + ACCEPT_PAUSE);
         }
     }
-    pub(super) fn take_in(&mut self, host: HostId, socket: TcpStream, connecting: bool) -> Option<Conn> {
+    pub(super) fn take_in(
+        &mut self,
+        host: HostId,
+        socket: TcpStream,
+        connecting: bool,
+    ) -> Option<Conn> {
         socket.set_nonblocking(true).ok()?;
         let _ = socket.set_nodelay(true);
         let conn = Conn(self.next_conn);
@@ -93,9 +130,18 @@
             asleep: false,
         };
         let key = self.sources.insert(Source::Stream(stream));
-        let Some(Source::Stream(stream)) = self.sources.get(key) else { return None };
-        let interest = if connecting { Ready::writable(key) } else { Ready::readable(key) };
-        if let Err(e) = self.poller.add_with_mode(&stream.socket, interest, PollMode::Level) {
+        let Some(Source::Stream(stream)) = self.sources.get(key) else {
+            return None;
+        };
+        let interest = if connecting {
+            Ready::writable(key)
+        } else {
+            Ready::readable(key)
+        };
+        if let Err(e) = self
+            .poller
+            .add_with_mode(&stream.socket, interest, PollMode::Level)
+        {
             tracing::warn!(reason = "poller", error = %e, accepted = !connecting, "a connection can't be watched yet");
             if connecting {
                 self.sources.all.remove(&key);
@@ -114,28 +160,44 @@
     }
     /// Asks the poller for what a stream can make use of now.
     pub(super) fn attend(&mut self, key: usize) {
-        let Some(Source::Stream(s)) = self.sources.get_mut(key) else { return };
-        let frozen = self.hosts.get(s.host.0).is_some_and(|h| h.as_ref().is_some_and(|h| h.frozen));
+        let Some(Source::Stream(s)) = self.sources.get_mut(key) else {
+            return;
+        };
+        let frozen = self
+            .hosts
+            .get(s.host.0)
+            .is_some_and(|h| h.as_ref().is_some_and(|h| h.frozen));
         let interest = Ready {
             key,
             readable: !frozen && !s.paused && !s.connecting,
             writable: !frozen && s.wants_write,
         };
         if !s.asleep {
-            if let Err(e) = self.poller.modify_with_mode(&s.socket, interest, PollMode::Level) {
+            if let Err(e) = self
+                .poller
+                .modify_with_mode(&s.socket, interest, PollMode::Level)
+            {
                 // Guards against a connection that waits for ever: nothing more would be heard of it.
                 tracing::warn!(reason = "poller", error = %e, "a connection can't be watched any more and is reset");
                 self.broken.push((s.host, s.conn));
             }
         } else if interest.readable || interest.writable {
-            s.asleep = self.poller.add_with_mode(&s.socket, interest, PollMode::Level).is_err();
+            s.asleep = self
+                .poller
+                .add_with_mode(&s.socket, interest, PollMode::Level)
+                .is_err();
         }
     }
 
     pub(super) fn ready(&mut self, event: Ready) {
-        let Some(Source::Stream(s)) = self.sources.get_mut(event.key) else { return };
+        let Some(Source::Stream(s)) = self.sources.get_mut(event.key) else {
+            return;
+        };
         let (host, conn) = (s.host, s.conn);
-        let frozen = self.hosts.get(host.0).is_some_and(|h| h.as_ref().is_some_and(|h| h.frozen));
+        let frozen = self
+            .hosts
+            .get(host.0)
+            .is_some_and(|h| h.as_ref().is_some_and(|h| h.frozen));
         if frozen || (s.paused && event.readable && !s.wants_write) {
             s.asleep = self.poller.delete(&s.socket).is_ok();
             return;
@@ -147,11 +209,15 @@
                 }
                 (s.connecting, s.wants_write) = (false, false);
                 self.attend(event.key);
-                self.call(host, |core, now, io| core.event(now, Event::Connected { conn }, io));
+                self.call(host, |core, now, io| {
+                    core.event(now, Event::Connected { conn }, io)
+                });
             } else {
                 s.wants_write = false;
                 self.attend(event.key);
-                self.call(host, |core, now, io| core.event(now, Event::Writable { conn }, io));
+                self.call(host, |core, now, io| {
+                    core.event(now, Event::Writable { conn }, io)
+                });
             }
         }
         if event.readable {
@@ -163,7 +229,9 @@
     pub(super) fn read(&mut self, key: usize, host: HostId, conn: Conn) {
         let before = self.looks.before;
         for _ in 0..READS_WHEN_HELD_UP {
-            let Some(Source::Stream(s)) = self.sources.get_mut(key) else { return };
+            let Some(Source::Stream(s)) = self.sources.get_mut(key) else {
+                return;
+            };
             if s.conn != conn || s.paused {
                 return;
             }
@@ -176,10 +244,15 @@
     }
     /// One read; true where there is nothing more to read.
     fn read_once(&mut self, key: usize, host: HostId, conn: Conn, since: Micros) -> bool {
-        let Some(Source::Stream(s)) = self.sources.get_mut(key) else { return true };
+        let Some(Source::Stream(s)) = self.sources.get_mut(key) else {
+            return true;
+        };
         let mut buffer = std::mem::take(&mut self.buffer);
         let read = s.socket.read(&mut buffer);
-        if read.as_ref().map_or_else(|e| e.kind() == ErrorKind::WouldBlock, |n| *n < buffer.len()) {
+        if read
+            .as_ref()
+            .map_or_else(|e| e.kind() == ErrorKind::WouldBlock, |n| *n < buffer.len())
+        {
             s.unread_since = None;
         }
         let ended = match read {
@@ -191,7 +264,9 @@
                 let bytes = &buffer[..n];
                 self.tap.came(self.now(), host, conn, bytes);
                 self.arrival = Some(since);
-                self.call(host, |core, now, io| core.event(now, Event::Bytes { conn, bytes }, io));
+                self.call(host, |core, now, io| {
+                    core.event(now, Event::Bytes { conn, bytes }, io)
+                });
                 self.arrival = None;
                 false
             }
@@ -211,7 +286,9 @@
             self.linger_none(host, conn);
         }
         if self.forget(host, conn) {
-            self.call(host, |core, now, io| core.event(now, Event::Closed { conn, how }, io));
+            self.call(host, |core, now, io| {
+                core.event(now, Event::Closed { conn, how }, io)
+            });
         }
     }
     /// What is not yet delivered is thrown away when the socket goes, and the other side sees a reset.
@@ -222,8 +299,12 @@
         }
     }
     pub(super) fn forget(&mut self, host: HostId, conn: Conn) -> bool {
-        let Some(Some(hosted)) = self.hosts.get_mut(host.0) else { return false };
-        let Some(key) = hosted.conns.remove(&conn) else { return false };
+        let Some(Some(hosted)) = self.hosts.get_mut(host.0) else {
+            return false;
+        };
+        let Some(key) = hosted.conns.remove(&conn) else {
+            return false;
+        };
         self.remove(key);
         self.tap.ended(self.now(), host, conn);
         self.descriptor_is_free();
@@ -238,11 +319,14 @@
     /// the other side closes too, for a bounded time and of no more than so many at once.
     pub(super) fn close(&mut self, host: HostId, conn: Conn, most: usize) {
         let key = self.host(host).and_then(|h| h.conns.get(&conn)).copied();
-        let Some((key, Source::Stream(s))) = key.and_then(|key| Some((key, self.sources.get(key)?))) else {
+        let Some((key, Source::Stream(s))) =
+            key.and_then(|key| Some((key, self.sources.get(key)?)))
+        else {
             return;
         };
         let stands = !s.connecting && !s.asleep && s.socket.shutdown(Half::Write).is_ok();
-        let Some(Source::Stream(s)) = stands.then(|| self.sources.all.remove(&key)).flatten() else {
+        let Some(Source::Stream(s)) = stands.then(|| self.sources.all.remove(&key)).flatten()
+        else {
             self.forget(host, conn);
             return;
         };
@@ -250,17 +334,25 @@
             hosted.conns.remove(&conn);
         }
         self.tap.ended(self.now(), host, conn);
-        let _ = self.poller.modify_with_mode(&s.socket, Ready::readable(key), PollMode::Level);
+        let _ = self
+            .poller
+            .modify_with_mode(&s.socket, Ready::readable(key), PollMode::Level);
         self.sources.all.insert(key, Source::Lingering(s.socket));
         self.lingering.insert((self.now() + LINGER, key));
         self.read_out(key);
         if self.lingering.len() > most {
-            self.lingering.first().copied().into_iter().for_each(|(_, key)| self.remove(key));
+            self.lingering
+                .first()
+                .copied()
+                .into_iter()
+                .for_each(|(_, key)| self.remove(key));
         }
     }
     /// Throws away what has come on a connection that was closed here.
     pub(super) fn read_out(&mut self, key: usize) {
-        let Some(Source::Lingering(socket)) = self.sources.get_mut(key) else { return };
+        let Some(Source::Lingering(socket)) = self.sources.get_mut(key) else {
+            return;
+        };
         // The loop's own buffer may be in use: its core may close while it is told of bytes.
         match socket.read(&mut [0; 16 * 1024]) {
             Ok(1..) => {}
@@ -283,7 +375,11 @@
     }
     pub(super) fn open(&mut self, host: HostId, to: &str) -> Option<Conn> {
         let at: SocketAddr = to.parse().ok()?;
-        let domain = if at.is_ipv4() { socket2::Domain::IPV4 } else { socket2::Domain::IPV6 };
+        let domain = if at.is_ipv4() {
+            socket2::Domain::IPV4
+        } else {
+            socket2::Domain::IPV6
+        };
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None).ok()?;
         socket.set_nonblocking(true).ok()?;
         match socket.connect(&at.into()) {
--- a/crates/sanddrum-net/src/files.rs
+++ b/crates/sanddrum-net/src/files.rs
@@ -56,20 +56,41 @@
 
 impl Watched {
     pub fn new(name: &str, file: PathBuf, every: Micros) -> Self {
-        Watched { name: name.to_string(), file, every: every.max(1000), next: 0, seen: None, looks_again: 0 }
+        Watched {
+            name: name.to_string(),
+            file,
+            every: every.max(1000),
+            next: 0,
+            seen: None,
+            looks_again: 0,
+        }
     }
     /// Its content, if it has changed or is wanted anyway.
     pub fn look(&mut self, now: Micros, anyway: bool) -> Option<Result<Vec<u8>, String>> {
-        self.looks_again = if anyway { LOOKS_AGAIN } else { self.looks_again.saturating_sub(1) };
-        let again = if self.looks_again > 0 { LOOK_AGAIN_AFTER } else { self.every };
+        self.looks_again = if anyway {
+            LOOKS_AGAIN
+        } else {
+            self.looks_again.saturating_sub(1)
+        };
+        let again = if self.looks_again > 0 {
+            LOOK_AGAIN_AFTER
+        } else {
+            self.every
+        };
         self.next = now + again.min(self.every);
-        let seen = fs::metadata(&self.file).ok().as_ref().and_then(FileState::of);
+        let seen = fs::metadata(&self.file)
+            .ok()
+            .as_ref()
+            .and_then(FileState::of);
         if seen == self.seen && !anyway {
             return None;
         }
         self.seen = seen;
         if seen.is_some_and(|state| state.length > LARGEST) {
-            return Some(Err(format!("{}: larger than {LARGEST} bytes", self.file.display())));
+            return Some(Err(format!(
+                "{}: larger than {LARGEST} bytes",
+                self.file.display()
+            )));
         }
         Some(fs::read(&self.file).map_err(|e| format!("{}: {e}", self.file.display())))
     }
@@ -84,7 +105,11 @@
 
 impl Audit {
     pub fn new(file: PathBuf, most: u64) -> Self {
-        Audit { file, most, open: None }
+        Audit {
+            file,
+            most,
+            open: None,
+        }
     }
     pub fn add(&mut self, line: &str) {
         if let Err(e) = self.write(line) {
@@ -93,12 +118,19 @@
         }
     }
     fn write(&mut self, line: &str) -> io::Result<()> {
-        if self.open.as_ref().is_some_and(|(_, length)| length + line.len() as u64 + 1 > self.most) {
+        if self
+            .open
+            .as_ref()
+            .is_some_and(|(_, length)| length + line.len() as u64 + 1 > self.most)
+        {
             self.open = None;
             fs::rename(&self.file, self.file.with_extension("before"))?;
         }
         if self.open.is_none() {
-            let file = OpenOptions::new().create(true).append(true).open(&self.file)?;
+            let file = OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(&self.file)?;
             let length = file.metadata()?.len();
             self.open = Some((file, length));
         }
--- a/crates/sanddrum-net/src/lib.rs
+++ b/crates/sanddrum-net/src/lib.rs
@@ -129,7 +129,8 @@
     /// When to be called again at the latest.
     fn wake(&self) -> Option<Micros>;
     /// A file that the driver watches for this core is there, has changed, or can't be read.
-    fn file(&mut self, _now: Micros, _name: &str, _content: Result<&[u8], &str>, _io: &mut dyn Io) {}
+    fn file(&mut self, _now: Micros, _name: &str, _content: Result<&[u8], &str>, _io: &mut dyn Io) {
+    }
     /// A connection that is up was made on terms that are in force no more: it is to be replaced when that does no
     /// harm, and at once where the other side is not believed any more (`denied`).
     fn stale(&mut self, _now: Micros, _conn: Conn, _denied: bool, _io: &mut dyn Io) {}
--- a/crates/sanddrum-net/src/outbox.rs
+++ b/crates/sanddrum-net/src/outbox.rs
@@ -24,7 +24,14 @@
 impl<M: PartialEq> Outbox<M> {
     /// At most `most` bytes wait, but one piece always may.
     pub fn new(most: usize) -> Self {
-        Outbox { bytes: Vec::new(), taken: 0, pieces: VecDeque::new(), begun: false, most, blocked: false }
+        Outbox {
+            bytes: Vec::new(),
+            taken: 0,
+            pieces: VecDeque::new(),
+            begun: false,
+            most,
+            blocked: false,
+        }
     }
     pub fn waiting(&self) -> usize {
         self.bytes.len() - self.taken
@@ -39,32 +46,53 @@
     }
     /// Takes a piece back of which nothing was written; true if that was still possible.
     pub fn retract(&mut self, mark: &M) -> bool {
-        let Some(n) = self.pieces.iter().position(|(_, m)| m == mark) else { return false };
+        let Some(n) = self.pieces.iter().position(|(_, m)| m == mark) else {
+            return false;
+        };
         if n == 0 && self.begun {
             return false;
         }
-        let start = if n == 0 { self.taken } else { self.pieces[n - 1].0 };
+        let start = if n == 0 {
+            self.taken
+        } else {
+            self.pieces[n - 1].0
+        };
         let end = self.pieces[n].0;
         self.bytes.drain(start..end);
         self.pieces.remove(n);
-        self.pieces.iter_mut().skip(n).for_each(|(at, _)| *at -= end - start);
+        self.pieces
+            .iter_mut()
+            .skip(n)
+            .for_each(|(at, _)| *at -= end - start);
         true
     }
     /// Puts other bytes in the place of a piece of which nothing was written; true if that was still possible.
     pub fn replace(&mut self, mark: &M, piece: &[u8]) -> bool {
-        let Some(n) = self.pieces.iter().position(|(_, m)| m == mark) else { return false };
+        let Some(n) = self.pieces.iter().position(|(_, m)| m == mark) else {
+            return false;
+        };
         if n == 0 && self.begun {
             return false;
         }
-        let start = if n == 0 { self.taken } else { self.pieces[n - 1].0 };
+        let start = if n == 0 {
+            self.taken
+        } else {
+            self.pieces[n - 1].0
+        };
         let end = self.pieces[n].0;
         self.bytes.splice(start..end, piece.iter().copied());
-        self.pieces.iter_mut().skip(n).for_each(|(at, _)| *at = *at + piece.len() - (end - start));
+        self.pieces
+            .iter_mut()
+            .skip(n)
+            .for_each(|(at, _)| *at = *at + piece.len() - (end - start));
         true
     }
     /// The marks of pieces of which nothing was written.
     pub fn unbegun(&self) -> impl Iterator<Item = &M> {
-        self.pieces.iter().skip(usize::from(self.begun)).map(|(_, mark)| mark)
+        self.pieces
+            .iter()
+            .skip(usize::from(self.begun))
+            .map(|(_, mark)| mark)
     }
     /// Writes what the socket takes.
     pub fn flush(&mut self, conn: Conn, io: &mut dyn Io) {
@@ -72,7 +100,12 @@
     }
     /// Writes what the socket takes of all up to the last piece of this mark, and nothing behind it.
     pub fn flush_through(&mut self, mark: &M, conn: Conn, io: &mut dyn Io) {
-        let end = self.pieces.iter().rev().find(|(_, m)| m == mark).map(|(end, _)| *end);
+        let end = self
+            .pieces
+            .iter()
+            .rev()
+            .find(|(_, m)| m == mark)
+            .map(|(end, _)| *end);
         end.into_iter().for_each(|end| self.write(end, conn, io));
     }
     fn write(&mut self, end: usize, conn: Conn, io: &mut dyn Io) {
@@ -82,8 +115,15 @@
             self.begun |= wrote > 0;
             self.blocked = self.taken < end;
         }
-        while self.pieces.front().is_some_and(|(end, _)| *end <= self.taken) {
-            self.begun = self.pieces.pop_front().is_some_and(|(end, _)| end < self.taken);
+        while self
+            .pieces
+            .front()
+            .is_some_and(|(end, _)| *end <= self.taken)
+        {
+            self.begun = self
+                .pieces
+                .pop_front()
+                .is_some_and(|(end, _)| end < self.taken);
         }
         if self.waiting() == 0 {
             self.bytes.clear();
--- a/crates/sanddrum-net/src/virtual_net.rs
+++ b/crates/sanddrum-net/src/virtual_net.rs
@@ -115,7 +115,10 @@
     }
     /// What a core had kept is lost.
     pub fn forget(&mut self, host: HostId) {
-        self.hosts.get_mut(host.0).iter_mut().for_each(|h| h.kept = None);
+        self.hosts
+            .get_mut(host.0)
+            .iter_mut()
+            .for_each(|h| h.kept = None);
     }
     /// The lines of a core's audit; they outlive the core.
     pub fn audit(&self, host: HostId) -> &[String] {
@@ -129,7 +132,9 @@
     /// A core takes the place of a dead one.
     pub fn replace(&mut self, host: HostId, core: Box<dyn Core>) {
         self.kill(host);
-        let Some(hosted) = self.hosts.get_mut(host.0) else { return };
+        let Some(hosted) = self.hosts.get_mut(host.0) else {
+            return;
+        };
         (hosted.core, hosted.frozen) = (Some(core), false);
         for (n, door) in hosted.doors.iter().enumerate() {
             self.doors.insert(door.clone(), (host, Door(n)));
@@ -139,7 +144,9 @@
     }
     /// A core dies: its doors close and its connections break.
     pub fn kill(&mut self, host: HostId) {
-        let Some(hosted) = self.hosts.get_mut(host.0) else { return };
+        let Some(hosted) = self.hosts.get_mut(host.0) else {
+            return;
+        };
         hosted.core = None;
         self.doors.retain(|_, (owner, _)| *owner != host);
         self.wakes.retain(|(_, h)| *h != host);
@@ -150,7 +157,9 @@
     }
     /// A frozen core's machine is silent: nothing is read, written or refused, and no time passes for it.
     pub fn freeze(&mut self, host: HostId, frozen: bool) {
-        let Some(hosted) = self.hosts.get_mut(host.0) else { return };
+        let Some(hosted) = self.hosts.get_mut(host.0) else {
+            return;
+        };
         hosted.frozen = frozen;
         if !frozen && hosted.core.is_some() {
             let conns: Vec<Conn> = hosted.conns.iter().copied().collect();
@@ -171,7 +180,10 @@
     }
     /// Something is wrong with the way from one host to another, or no more; what was held there goes on then.
     pub fn bend(&mut self, from: HostId, to: HostId, how: Option<Bend>) {
-        let held = self.bent.remove(&(from, to)).map_or(Vec::new(), |(_, held)| held);
+        let held = self
+            .bent
+            .remove(&(from, to))
+            .map_or(Vec::new(), |(_, held)| held);
         if let Some(how) = how {
             self.bent.insert((from, to), (how, Vec::new()));
         }
@@ -185,18 +197,30 @@
         let between = |(_, end): &(&Conn, &End)| {
             end.host == one && end.peer.is_some_and(|peer| of(&peer) == Some(other))
         };
-        let conns: Vec<Conn> = self.ends.iter().filter(between).map(|(conn, _)| *conn).collect();
+        let conns: Vec<Conn> = self
+            .ends
+            .iter()
+            .filter(between)
+            .map(|(conn, _)| *conn)
+            .collect();
         for conn in conns {
             let peer = self.ends.get(&conn).and_then(|end| end.peer);
             for conn in [Some(conn), peer].into_iter().flatten() {
                 self.sent += 1;
-                self.queue.insert((self.now, self.sent), What::Closed { conn, how: Closed::Reset });
+                self.queue.insert(
+                    (self.now, self.sent),
+                    What::Closed {
+                        conn,
+                        how: Closed::Reset,
+                    },
+                );
             }
         }
     }
     /// Each connection of a core breaks at its next write, in the middle of what is written.
     pub fn tear_connections(&mut self, host: HostId) {
-        self.torn.extend(self.hosts.get(host.0).iter().flat_map(|h| &h.conns));
+        self.torn
+            .extend(self.hosts.get(host.0).iter().flat_map(|h| &h.conns));
     }
     pub fn stop(&mut self, host: HostId) {
         self.call(host, |core, now, io| core.stop(now, io));
@@ -204,7 +228,10 @@
     }
     /// Whether a core says that it owes nothing more; a dead one owes nothing.
     pub fn done(&self, host: HostId) -> bool {
-        self.hosts.get(host.0).and_then(|h| h.core.as_ref()).is_none_or(|core| core.done())
+        self.hosts
+            .get(host.0)
+            .and_then(|h| h.core.as_ref())
+            .is_none_or(|core| core.done())
     }
 
     /// Plays everything up to this instant.
@@ -212,14 +239,22 @@
         loop {
             let first = self.queue.first_key_value().map(|((at, _), _)| *at);
             let wake = self.wakes.first().map(|(at, _)| *at);
-            let Some(at) = first.into_iter().chain(wake).min().filter(|at| *at <= until) else { break };
+            let Some(at) = first
+                .into_iter()
+                .chain(wake)
+                .min()
+                .filter(|at| *at <= until)
+            else {
+                break;
+            };
             self.now = self.now.max(at);
             while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= at) {
                 self.steps += 1;
                 let what = entry.remove();
                 self.deliver(what);
             }
-            while let Some((due, host)) = self.wakes.first().copied().filter(|(due, _)| *due <= at) {
+            while let Some((due, host)) = self.wakes.first().copied().filter(|(due, _)| *due <= at)
+            {
                 self.wakes.remove(&(due, host));
                 self.hosts[host.0].wake = None;
                 if !self.hosts[host.0].frozen {
@@ -236,14 +271,19 @@
             while let Some(conn) = self.resumed.pop_first() {
                 self.give_held(conn);
             }
-            let Some(host) = self.touched.pop_first() else { return };
+            let Some(host) = self.touched.pop_first() else {
+                return;
+            };
             if self.hosts[host.0].frozen {
                 continue;
             }
             self.call(host, |core, now, io| core.turn(now, io));
             self.touched.remove(&host);
-            let wake =
-                self.hosts[host.0].core.as_ref().and_then(|core| core.wake()).map(|at| at.max(self.now + 1));
+            let wake = self.hosts[host.0]
+                .core
+                .as_ref()
+                .and_then(|core| core.wake())
+                .map(|at| at.max(self.now + 1));
             let hosted = &mut self.hosts[host.0];
             if hosted.wake != wake {
                 if let Some(at) = hosted.wake {
@@ -255,7 +295,9 @@
         }
     }
     fn call(&mut self, host: HostId, what: impl FnOnce(&mut dyn Core, Micros, &mut dyn Io)) {
-        let Some(mut core) = self.hosts.get_mut(host.0).and_then(|h| h.core.take()) else { return };
+        let Some(mut core) = self.hosts.get_mut(host.0).and_then(|h| h.core.take()) else {
+            return;
+        };
         let now = self.now;
         what(&mut *core, now, &mut Wires { net: self, host });
         self.hosts[host.0].core = Some(core);
@@ -264,7 +306,11 @@
     fn latency(&mut self, from: HostId, to: Option<HostId>) -> Micros {
         let zone = |host: HostId| self.hosts.get(host.0).map_or(0, |h| h.zone);
         let same = to.is_none_or(|to| zone(from) == zone(to));
-        let way = if same { self.links.same_zone } else { self.links.cross_zone };
+        let way = if same {
+            self.links.same_zone
+        } else {
+            self.links.cross_zone
+        };
         let mut takes = way as f64 * (1.0 + self.chance.part() * self.links.jitter);
         if self.links.loss > 0.0 && self.chance.is_below(self.links.loss) {
             takes += self.links.again as f64;
@@ -297,9 +343,14 @@
         at
     }
     fn post_on(&mut self, conn: Conn, what: What) {
-        let Some(end) = self.ends.get(&conn) else { return };
+        let Some(end) = self.ends.get(&conn) else {
+            return;
+        };
         let (from, last) = (end.host, end.last);
-        let to = end.peer.and_then(|peer| self.ends.get(&peer)).map(|e| e.host);
+        let to = end
+            .peer
+            .and_then(|peer| self.ends.get(&peer))
+            .map(|e| e.host);
         let at = self.post(from, to, last, what);
         if let Some(end) = self.ends.get_mut(&conn) {
             end.last = at;
@@ -337,7 +388,9 @@
             if end.paused || self.hosts[end.host.0].frozen {
                 return;
             }
-            let Some(what) = end.held.pop_front() else { return };
+            let Some(what) = end.held.pop_front() else {
+                return;
+            };
             self.deliver_now(conn, what);
         }
     }
@@ -352,7 +405,9 @@
             | What::Room { conn }
             | What::Closed { conn, .. } => *conn,
         };
-        let Some(end) = self.ends.get_mut(&conn) else { return };
+        let Some(end) = self.ends.get_mut(&conn) else {
+            return;
+        };
         let frozen = self.hosts[end.host.0].frozen;
         let waits = matches!(what, What::Bytes { .. } | What::Closed { .. }) && end.paused;
         if frozen || waits || !end.held.is_empty() {
@@ -362,19 +417,47 @@
         self.deliver_now(conn, what);
     }
     fn knock(&mut self, from: Conn, to: &str) {
-        let Some(caller) = self.ends.get(&from).map(|e| e.host) else { return };
+        let Some(caller) = self.ends.get(&from).map(|e| e.host) else {
+            return;
+        };
         let Some((host, door)) = self.doors.get(to).copied() else {
-            self.post(caller, None, 0, What::Closed { conn: from, how: Closed::Refused });
+            self.post(
+                caller,
+                None,
+                0,
+                What::Closed {
+                    conn: from,
+                    how: Closed::Refused,
+                },
+            );
             return;
         };
-        if self.bent.get(&(caller, host)).is_some_and(|(bend, _)| bend.refuses) {
-            self.post(caller, None, 0, What::Closed { conn: from, how: Closed::Refused });
+        if self
+            .bent
+            .get(&(caller, host))
+            .is_some_and(|(bend, _)| bend.refuses)
+        {
+            self.post(
+                caller,
+                None,
+                0,
+                What::Closed {
+                    conn: from,
+                    how: Closed::Refused,
+                },
+            );
             return;
         }
         if self.hosts[host.0].frozen {
             // Nothing answers; the caller gives up by itself, or is met once the machine is heard again.
             self.sent += 1;
-            self.queue.insert((self.now + self.links.again, self.sent), What::Knock { from, to: to.into() });
+            self.queue.insert(
+                (self.now + self.links.again, self.sent),
+                What::Knock {
+                    from,
+                    to: to.into(),
+                },
+            );
             return;
         }
         let conn = self.open(host, Some(from));
@@ -383,39 +466,61 @@
         }
         self.tap.opened(self.now, host, conn, Side::Accepted, "");
         self.post_on(conn, What::Connected { conn: from });
-        self.call(host, |core, now, io| core.event(now, Event::Accepted { conn, door }, io));
+        self.call(host, |core, now, io| {
+            core.event(now, Event::Accepted { conn, door }, io)
+        });
     }
     fn deliver_now(&mut self, conn: Conn, what: What) {
-        let Some(end) = self.ends.get(&conn) else { return };
+        let Some(end) = self.ends.get(&conn) else {
+            return;
+        };
         let (host, peer) = (end.host, end.peer);
         match what {
             What::Knock { .. } => {}
             What::Connected { conn } => {
-                self.call(host, |core, now, io| core.event(now, Event::Connected { conn }, io));
+                self.call(host, |core, now, io| {
+                    core.event(now, Event::Connected { conn }, io)
+                });
             }
             What::Bytes { bytes, .. } => {
                 if let Some(other) = peer.and_then(|peer| self.ends.get_mut(&peer)) {
                     other.under_way = other.under_way.saturating_sub(bytes.len());
                     if other.short && other.under_way * 2 <= self.links.window {
                         other.short = false;
-                        self.post_on(conn, What::Room { conn: peer.unwrap_or(conn) });
+                        self.post_on(
+                            conn,
+                            What::Room {
+                                conn: peer.unwrap_or(conn),
+                            },
+                        );
                     }
                 }
                 if !bytes.is_empty() {
                     self.tap.came(self.now, host, conn, &bytes);
                     self.call(host, |core, now, io| {
-                        core.event(now, Event::Bytes { conn, bytes: &bytes }, io);
+                        core.event(
+                            now,
+                            Event::Bytes {
+                                conn,
+                                bytes: &bytes,
+                            },
+                            io,
+                        );
                     });
                 }
             }
             What::Room { conn } => {
-                self.call(host, |core, now, io| core.event(now, Event::Writable { conn }, io));
+                self.call(host, |core, now, io| {
+                    core.event(now, Event::Writable { conn }, io)
+                });
             }
             What::Closed { conn, how } => {
                 self.ends.remove(&conn);
                 self.hosts[host.0].conns.remove(&conn);
                 self.tap.ended(self.now, host, conn);
-                self.call(host, |core, now, io| core.event(now, Event::Closed { conn, how }, io));
+                self.call(host, |core, now, io| {
+                    core.event(now, Event::Closed { conn, how }, io)
+                });
             }
         }
     }
@@ -430,9 +535,19 @@
     fn connect(&mut self, to: &str) -> Conn {
         let conn = self.net.open(self.host, None);
         let now = self.net.now;
-        self.net.tap.opened(now, self.host, conn, Side::Connected, to);
+        self.net
+            .tap
+            .opened(now, self.host, conn, Side::Connected, to);
         let target = self.net.doors.get(to).map(|(host, _)| *host);
-        self.net.post(self.host, target, 0, What::Knock { from: conn, to: to.into() });
+        self.net.post(
+            self.host,
+            target,
+            0,
+            What::Knock {
+                from: conn,
+                to: to.into(),
+            },
+        );
         conn
     }
     fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
@@ -440,15 +555,26 @@
             let wrote = self.write(conn, &bytes[..bytes.len() / 2]);
             let peer = self.net.ends.get(&conn).and_then(|e| e.peer);
             if let Some(peer) = peer {
-                self.net.post_on(conn, What::Closed { conn: peer, how: Closed::Reset });
+                self.net.post_on(
+                    conn,
+                    What::Closed {
+                        conn: peer,
+                        how: Closed::Reset,
+                    },
+                );
             }
             self.net.sent += 1;
-            let broken = What::Closed { conn, how: Closed::Reset };
+            let broken = What::Closed {
+                conn,
+                how: Closed::Reset,
+            };
             self.net.queue.insert((self.net.now, self.net.sent), broken);
             return wrote;
         }
         let window = self.net.links.window;
-        let Some(end) = self.net.ends.get_mut(&conn) else { return 0 };
+        let Some(end) = self.net.ends.get_mut(&conn) else {
+            return 0;
+        };
         let Some(peer) = end.peer else { return 0 };
         let takes = bytes.len().min(window.saturating_sub(end.under_way));
         end.under_way += takes;
@@ -457,10 +583,20 @@
         let now = self.net.now;
         self.net.tap.went(now, self.host, conn, taken);
         let split = takes > 1 && self.net.chance.is_below(self.net.links.split);
-        let at = if split { 1 + self.net.chance.below(takes - 1) } else { takes };
+        let at = if split {
+            1 + self.net.chance.below(takes - 1)
+        } else {
+            takes
+        };
         for part in [&taken[..at], &taken[at..]] {
             if !part.is_empty() {
-                self.net.post_on(conn, What::Bytes { conn: peer, bytes: part.to_vec() });
+                self.net.post_on(
+                    conn,
+                    What::Bytes {
+                        conn: peer,
+                        bytes: part.to_vec(),
+                    },
+                );
             }
         }
         takes
--- a/crates/sanddrum-net/tests/both_drivers.rs
+++ b/crates/sanddrum-net/tests/both_drivers.rs
@@ -36,11 +36,23 @@
         let (to, sends) = (to.map(String::from), sends.to_vec());
         let (s, d) = (seen.clone(), deaf.clone());
         let (was_deaf, up, closes_when_sent, turned) = (false, false, false, 0);
-        let talker = Talker { to, sends, deaf, was_deaf, conn: None, up, seen, closes_when_sent, turned };
+        let talker = Talker {
+            to,
+            sends,
+            deaf,
+            was_deaf,
+            conn: None,
+            up,
+            seen,
+            closes_when_sent,
+            turned,
+        };
         (Box::new(talker), s, d)
     }
     fn write(&mut self, io: &mut dyn Io) {
-        let Some(conn) = self.conn.filter(|_| self.up) else { return };
+        let Some(conn) = self.conn.filter(|_| self.up) else {
+            return;
+        };
         let mut seen = self.seen.borrow_mut();
         seen.wrote += io.write(conn, &self.sends[seen.wrote..]);
         if self.closes_when_sent && seen.wrote == self.sends.len() {
@@ -95,10 +107,19 @@
 
 impl Driver {
     fn new(on_sockets: bool, seed: u64) -> Driver {
-        let links = Links { window: 10_000, split: 0.5, ..Links::default() };
+        let links = Links {
+            window: 10_000,
+            split: 0.5,
+            ..Links::default()
+        };
         match on_sockets {
             true => Driver::Sockets(Box::new(EventLoop::new(Box::new(NoTap)).unwrap())),
-            false => Driver::Virtual(Box::new(VirtualNet::new(seed, 1_000_000, links, Box::new(NoTap)))),
+            false => Driver::Virtual(Box::new(VirtualNet::new(
+                seed,
+                1_000_000,
+                links,
+                Box::new(NoTap),
+            ))),
         }
     }
     /// A core with a door; gives the door's address.
@@ -187,7 +208,10 @@
     let (client, seen, _) = Talker::new(Some(&at), b"x");
     d.adds(client);
     d.until(|| !seen.borrow().closed.is_empty());
-    assert_eq!((seen.borrow().closed.as_slice(), seen.borrow().connected), (&[Closed::Refused][..], 0));
+    assert_eq!(
+        (seen.borrow().closed.as_slice(), seen.borrow().connected),
+        (&[Closed::Refused][..], 0)
+    );
 }
 
 #[rstest]
@@ -267,7 +291,10 @@
     }
     let play = |seed| {
         let times = Times::default();
-        let links = Links { loss: 0.1, ..Links::default() };
+        let links = Links {
+            loss: 0.1,
+            ..Links::default()
+        };
         let mut net = VirtualNet::new(seed, 0, links, Box::new(times.clone()));
         net.add(0, &["a:1"], Talker::new(None, b"").0);
         net.add(1, &[], Talker::new(Some("a:1"), &much(2_000_000)).0);
@@ -301,10 +328,25 @@
             (self.2 < 20).then_some(self.1)
         }
     }
-    let mut net = VirtualNet::new(1, 1_000_000, Links { split: 0.0, ..Links::default() }, Box::new(NoTap));
+    let mut net = VirtualNet::new(
+        1,
+        1_000_000,
+        Links {
+            split: 0.0,
+            ..Links::default()
+        },
+        Box::new(NoTap),
+    );
     let to = net.add(0, &["a:1"], listens);
     let from = net.add(0, &[], Box::new(Drips(None, 0, 0)));
-    net.bend(from, to, Some(Bend { delay: 250_000, ..Bend::default() }));
+    net.bend(
+        from,
+        to,
+        Some(Bend {
+            delay: 250_000,
+            ..Bend::default()
+        }),
+    );
     // The last of them is said after 700 ms, and is there a quarter of a second later.
     net.run_until(1_000_000 + 690_000);
     assert!(came.borrow().came.len() < 20);
--- a/crates/sanddrum-net/tests/outbox.rs
+++ b/crates/sanddrum-net/tests/outbox.rs
@@ -25,7 +25,13 @@
 
 #[rstest]
 fn a_piece_written_in_part_is_still_held_and_cannot_be_taken_back() {
-    let (mut out, mut io) = (Outbox::new(100), Narrow { room: 7, wrote: vec![] });
+    let (mut out, mut io) = (
+        Outbox::new(100),
+        Narrow {
+            room: 7,
+            wrote: vec![],
+        },
+    );
     out.push(1, b"aaaa").unwrap();
     out.push(2, b"bbbbbb").unwrap();
     out.push(3, b"cc").unwrap();
@@ -36,7 +42,10 @@
     out.push(4, b"dd").unwrap();
     io.room = 100;
     out.flush(Conn(0), &mut io);
-    assert!(out.waiting() > 0, "not before the socket says that there is room");
+    assert!(
+        out.waiting() > 0,
+        "not before the socket says that there is room"
+    );
     out.unblock();
     out.flush(Conn(0), &mut io);
     assert_eq!(io.wrote, b"aaaabbbbbbdd");
@@ -44,7 +53,13 @@
 
 #[rstest]
 fn an_unwritten_piece_in_the_middle_is_taken_back_whole() {
-    let (mut out, mut io) = (Outbox::new(100), Narrow { room: 0, wrote: vec![] });
+    let (mut out, mut io) = (
+        Outbox::new(100),
+        Narrow {
+            room: 0,
+            wrote: vec![],
+        },
+    );
     for (mark, piece) in [(1, &b"one"[..]), (2, b"two"), (3, b"three")] {
         out.push(mark, piece).unwrap();
     }
@@ -64,8 +79,20 @@
 
 #[rstest]
 fn up_to_a_mark_nothing_behind_it_is_written() {
-    let (mut out, mut io) = (Outbox::new(100), Narrow { room: 100, wrote: vec![] });
-    for (mark, piece) in [(1, &b"one"[..]), (7, b"seven"), (2, b"two"), (7, b"again"), (3, b"three")] {
+    let (mut out, mut io) = (
+        Outbox::new(100),
+        Narrow {
+            room: 100,
+            wrote: vec![],
+        },
+    );
+    for (mark, piece) in [
+        (1, &b"one"[..]),
+        (7, b"seven"),
+        (2, b"two"),
+        (7, b"again"),
+        (3, b"three"),
+    ] {
         out.push(mark, piece).unwrap();
     }
     out.flush_through(&8, Conn(0), &mut io);
@@ -80,14 +107,23 @@
 
 #[rstest]
 fn a_short_write_up_to_a_mark_waits_for_room_as_any() {
-    let (mut out, mut io) = (Outbox::new(100), Narrow { room: 4, wrote: vec![] });
+    let (mut out, mut io) = (
+        Outbox::new(100),
+        Narrow {
+            room: 4,
+            wrote: vec![],
+        },
+    );
     out.push(1, b"aaa").unwrap();
     out.push(2, b"bbb").unwrap();
     out.flush_through(&2, Conn(0), &mut io);
     assert!(out.holds(&2));
     io.room = 10;
     out.flush(Conn(0), &mut io);
-    assert_eq!(io.wrote, b"aaab", "not before the socket says that there is room");
+    assert_eq!(
+        io.wrote, b"aaab",
+        "not before the socket says that there is room"
+    );
     out.unblock();
     out.flush(Conn(0), &mut io);
     assert_eq!(io.wrote, b"aaabbb");
@@ -95,7 +131,13 @@
 
 #[rstest]
 fn a_piece_that_is_not_begun_is_replaced_in_its_place_and_a_begun_one_is_not() {
-    let (mut out, mut io) = (Outbox::new(100), Narrow { room: 2, wrote: vec![] });
+    let (mut out, mut io) = (
+        Outbox::new(100),
+        Narrow {
+            room: 2,
+            wrote: vec![],
+        },
+    );
     for (mark, piece) in [(1, &b"aaaa"[..]), (2, b"bbbbbb"), (3, b"cc")] {
         out.push(mark, piece).unwrap();
     }
--- a/crates/sanddrum-net/tests/races.rs
+++ b/crates/sanddrum-net/tests/races.rs
@@ -49,7 +49,13 @@
 
 fn scripted(does: impl FnMut(&Event<'_>, &mut dyn Io) + 'static) -> (Box<dyn Core>, Shared<Seen>) {
     let seen = Shared::<Seen>::default();
-    (Box::new(Scripted { seen: seen.clone(), does }), seen)
+    (
+        Box::new(Scripted {
+            seen: seen.clone(),
+            does,
+        }),
+        seen,
+    )
 }
 
 /// Until it is so; a story that would wait for ever fails.
@@ -76,20 +82,27 @@
     (driver, at.parse().unwrap())
 }
 fn reset(socket: TcpStream) {
-    SockRef::from(&socket).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(&socket)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 /// A listener that lets dials hang: its backlog is full.
 fn full_listener() -> (Socket, SocketAddr, Vec<Socket>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    listener
+        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     listener.listen(0).unwrap();
     let at = listener.local_addr().unwrap().as_socket().unwrap();
     let mut waiting = Vec::new();
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         // A dial that hangs shows that there is no more room.
-        if socket.connect_timeout(&at.into(), Duration::from_millis(100)).is_err() {
+        if socket
+            .connect_timeout(&at.into(), Duration::from_millis(100))
+            .is_err()
+        {
             return (listener, at, waiting);
         }
         waiting.push(socket);
@@ -112,11 +125,16 @@
         }
     });
     let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
-    let ats = [first.local_addr().unwrap().to_string(), second.local_addr().unwrap().to_string()];
+    let ats = [
+        first.local_addr().unwrap().to_string(),
+        second.local_addr().unwrap().to_string(),
+    ];
     struct Starts(Box<dyn Core>, [String; 2], Shared<Vec<Conn>>);
     impl Core for Starts {
         fn start(&mut self, _: Micros, io: &mut dyn Io) {
-            self.2.borrow_mut().extend(self.1.iter().map(|at| io.connect(at)));
+            self.2
+                .borrow_mut()
+                .extend(self.1.iter().map(|at| io.connect(at)));
         }
         fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
             self.0.event(now, event, io);
@@ -126,7 +144,9 @@
             None
         }
     }
-    driver.add(Box::new(Starts(core, ats, dials.clone())), vec![], None).unwrap();
+    driver
+        .add(Box::new(Starts(core, ats, dials.clone())), vec![], None)
+        .unwrap();
     until(&mut driver, || seen.borrow().connected.len() == 2);
     let (mut says, hangs_up) = (first.accept().unwrap().0, second.accept().unwrap().0);
     // Both are there before the loop looks: what is said on the first, then the reset of the second.
@@ -134,7 +154,11 @@
     reset(hangs_up);
     until(&mut driver, || dials.borrow().len() == 3);
     let third = dials.borrow()[2];
-    assert!(!seen.borrow().closed.iter().any(|(conn, _)| *conn == third), "{:?}", seen.borrow().closed);
+    assert!(
+        !seen.borrow().closed.iter().any(|(conn, _)| *conn == third),
+        "{:?}",
+        seen.borrow().closed
+    );
     // Room at last, and the dial comes up.
     drop(waiting);
     hangs.accept().unwrap();
@@ -177,7 +201,12 @@
     let client = TcpStream::connect(at).unwrap();
     until(&mut driver, || seen.borrow().accepted.len() == 1);
     reset(client);
-    until(&mut driver, || seen.borrow().closed.iter().any(|(_, how)| *how == Closed::Reset));
+    until(&mut driver, || {
+        seen.borrow()
+            .closed
+            .iter()
+            .any(|(_, how)| *how == Closed::Reset)
+    });
 }
 
 #[rstest]
--- a/crates/sanddrum-net/tests/stopping.rs
+++ b/crates/sanddrum-net/tests/stopping.rs
@@ -42,7 +42,9 @@
     let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
     driver.catch_signals().unwrap();
     let (listener, at) = EventLoop::bind("127.0.0.1:0").unwrap();
-    driver.add(Box::new(Echo::default()), vec![listener], None).unwrap();
+    driver
+        .add(Box::new(Echo::default()), vec![listener], None)
+        .unwrap();
     // One turn, so that nothing is left of the start.
     let soon = driver.now() + 1;
     driver.run_until(soon).unwrap();
@@ -57,7 +59,10 @@
         // What is said behind the answer is nobody's any more, but destroys nothing.
         client.write_all(b"more").unwrap();
         client.read_to_end(&mut got).unwrap();
-        assert!(got.is_empty(), "an orderly end, and nothing behind the answer");
+        assert!(
+            got.is_empty(),
+            "an orderly end, and nothing behind the answer"
+        );
         piece
     });
     assert_eq!(driver.run().unwrap(), Shutdown::InOrder);
--- a/crates/sanddrum-platform/src/feed.rs
+++ b/crates/sanddrum-platform/src/feed.rs
@@ -55,20 +55,33 @@
         Json::Null => &[][..],
         events => events.as_array().ok_or("events: a list is wanted")?,
     };
-    let changes = events.iter().map(|event| change(event, kinds)).collect::<Result<_, _>>()?;
+    let changes = events
+        .iter()
+        .map(|event| change(event, kinds))
+        .collect::<Result<_, _>>()?;
     Ok(Told { last, changes })
 }
 
 fn change(event: &Json, kinds: &[String]) -> Result<Change, String> {
-    let n = event["n"].as_u64().ok_or("events: n: a whole number is wanted")?;
+    let n = event["n"]
+        .as_u64()
+        .ok_or("events: n: a whole number is wanted")?;
     let members = &event["members"];
     if members.is_null() {
         return Ok(Change { n, members: None });
     }
     let complete = members["complete"].as_bool().unwrap_or(false);
-    let list = members["members"].as_array().ok_or("members: a list is wanted")?;
-    let members = list.iter().map(|member| read_member(member, kinds)).collect::<Result<_, _>>()?;
-    Ok(Change { n, members: Some(Members { complete, members }) })
+    let list = members["members"]
+        .as_array()
+        .ok_or("members: a list is wanted")?;
+    let members = list
+        .iter()
+        .map(|member| read_member(member, kinds))
+        .collect::<Result<_, _>>()?;
+    Ok(Change {
+        n,
+        members: Some(Members { complete, members }),
+    })
 }
 
 fn read_member(member: &Json, kinds: &[String]) -> Result<Member, String> {
@@ -80,7 +93,9 @@
         Some("terminated") => Phase::Gone,
         other => return Err(format!("members: phase: unknown {other:?}")),
     };
-    let kind = member["flavor"].as_str().and_then(|flavor| kinds.iter().position(|kind| kind == flavor));
+    let kind = member["flavor"]
+        .as_str()
+        .and_then(|flavor| kinds.iter().position(|kind| kind == flavor));
     let row = Row {
         address: text("host_port").unwrap_or_default(),
         zone: text("locality").unwrap_or_default(),
@@ -92,5 +107,8 @@
         age_us: -1,
         name,
     };
-    Ok(Member { row, up_since_ms: member["up_since_ms"].as_i64().unwrap_or(0).max(0) })
+    Ok(Member {
+        row,
+        up_since_ms: member["up_since_ms"].as_i64().unwrap_or(0).max(0),
+    })
 }
--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -44,7 +44,8 @@
 ) -> Vec<u8> {
     let max = (limit / 1000).max(1);
     let mut fields = format!("profile={workload},thing={function},max={max}");
-    key.into_iter().for_each(|key| fields.push_str(&format!(",replay={key}")));
+    key.into_iter()
+        .for_each(|key| fields.push_str(&format!(",replay={key}")));
     frame(FROM_ROUTER, REQUEST, id, &fields, body)
 }
 /// A job is given up; nothing answers this.
@@ -57,7 +58,13 @@
 }
 /// Has at least so many copies held; nought only asks.
 pub fn load(id: u64, function: &str, copies: u32) -> Vec<u8> {
-    frame(FROM_ROUTER, LOAD, id, &format!("thing={function},copies={copies}"), &[])
+    frame(
+        FROM_ROUTER,
+        LOAD,
+        id,
+        &format!("thing={function},copies={copies}"),
+        &[],
+    )
 }
 /// Has the idle copies of a function unloaded; nothing answers this.
 pub fn unload(function: u64) -> Vec<u8> {
@@ -97,7 +104,9 @@
         match self {
             Garbled::Mark(mark) => write!(f, "a frame begins with {mark}"),
             Garbled::Code(code) => write!(f, "code {code} is no answer"),
-            Garbled::TooLong(length) => write!(f, "a frame of {length} bytes (limits largest-frame)"),
+            Garbled::TooLong(length) => {
+                write!(f, "a frame of {length} bytes (limits largest-frame)")
+            }
             Garbled::Check => write!(f, "a frame's check does not fit"),
             Garbled::Fields => write!(f, "a frame's fields can't be read"),
         }
@@ -119,7 +128,12 @@
 }
 
 fn read(code: u8, id: u64, fields: &[u8], body: &[u8]) -> Result<Answer, Garbled> {
-    let mut answer = Answer { id, ended: ended(code)?, body: body.to_vec(), ..Answer::default() };
+    let mut answer = Answer {
+        id,
+        ended: ended(code)?,
+        body: body.to_vec(),
+        ..Answer::default()
+    };
     let fields = std::str::from_utf8(fields).map_err(|_| Garbled::Fields)?;
     for field in fields.split(',').filter(|field| !field.is_empty()) {
         let (name, value) = field.split_once('=').ok_or(Garbled::Fields)?;
@@ -164,7 +178,11 @@
 impl Frames {
     /// Frames of more than `most` bytes are refused as soon as their lengths are read.
     pub fn new(most: usize) -> Self {
-        Frames { bytes: Vec::new(), read: 0, most }
+        Frames {
+            bytes: Vec::new(),
+            read: 0,
+            most,
+        }
     }
     pub fn take_in(&mut self, bytes: &[u8]) {
         if self.read > 0 {
@@ -189,7 +207,9 @@
             Some(mark) if *mark != FROM_WORKER => return Err(Garbled::Mark(*mark)),
             Some(_) => {}
         }
-        let Some((head, rest)) = rest.split_first_chunk::<HEAD>() else { return Ok(None) };
+        let Some((head, rest)) = rest.split_first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let [_, code, f1, f0, b3, b2, b1, b0, id @ ..] = *head;
         ended(code)?;
         let fields = usize::from(u16::from_be_bytes([f1, f0]));
@@ -198,12 +218,21 @@
         if length > self.most {
             return Err(Garbled::TooLong(length));
         }
-        let Some((content, rest)) = rest.split_at_checked(length) else { return Ok(None) };
-        let Some(check) = rest.first_chunk::<CHECK>() else { return Ok(None) };
+        let Some((content, rest)) = rest.split_at_checked(length) else {
+            return Ok(None);
+        };
+        let Some(check) = rest.first_chunk::<CHECK>() else {
+            return Ok(None);
+        };
         if crc32fast::hash(content) != u32::from_be_bytes(*check) {
             return Err(Garbled::Check);
         }
-        let answer = read(code, u64::from_be_bytes(id), &content[..fields], &content[fields..])?;
+        let answer = read(
+            code,
+            u64::from_be_bytes(id),
+            &content[..fields],
+            &content[fields..],
+        )?;
         self.read += HEAD + length + CHECK;
         Ok(Some(answer))
     }
--- a/crates/sanddrum-platform/src/start.rs
+++ b/crates/sanddrum-platform/src/start.rs
@@ -51,11 +51,13 @@
         };
         let address = |key: &str| {
             let at = text(key)?;
-            at.parse::<SocketAddr>().map_err(|_| format!("{key}: {at:?} is not an IP address and a port"))?;
+            at.parse::<SocketAddr>()
+                .map_err(|_| format!("{key}: {at:?} is not an IP address and a port"))?;
             Ok::<String, String>(at)
         };
         let seed = text("seed")?;
-        let seed = u64::from_str_radix(&seed, 16).map_err(|_| format!("seed: {seed:?} is not hex digits"))?;
+        let seed = u64::from_str_radix(&seed, 16)
+            .map_err(|_| format!("seed: {seed:?} is not hex digits"))?;
         let limit = |key: &str| {
             let n = json["limits"][key].as_f64().filter(|n| *n >= 1.0);
             n.ok_or_else(|| format!("limits.{key}: a number from 1 on is wanted"))
@@ -63,8 +65,8 @@
         if !json["settings"].is_object() {
             return Err("settings: an object is wanted".into());
         }
-        let module =
-            sanddrum_dialect::settings(&json["settings"]).map_err(|why| format!("settings.{why}"))?;
+        let module = sanddrum_dialect::settings(&json["settings"])
+            .map_err(|why| format!("settings.{why}"))?;
         let read = Configuration {
             name: text("name")?,
             listen: address("listen")?,
@@ -104,7 +106,8 @@
 
     fn written(&self, map: &Settings) -> String {
         let number = |name: &str, otherwise: f64| map.number(name).unwrap_or(otherwise);
-        let span = |name: &str, otherwise: f64| format!("{}us", number(name, otherwise).max(0.0) as i64);
+        let span =
+            |name: &str, otherwise: f64| format!("{}us", number(name, otherwise).max(0.0) as i64);
         let mut out = String::new();
         let zones = sanddrum_dialect::names(&self.settings, "azs");
         if !zones.is_empty() {
@@ -112,7 +115,10 @@
             let _ = writeln!(out, "(deployment (zones {}))", zones.join(" "));
         }
         let mut longest = 0.0f64;
-        for (n, name) in sanddrum_dialect::names(&self.settings, "classes").iter().enumerate() {
+        for (n, name) in sanddrum_dialect::names(&self.settings, "classes")
+            .iter()
+            .enumerate()
+        {
             let at = |key: &str| format!("workloads.{n}.{key}");
             let effect = map.text(&at("effect")).unwrap_or("run-once");
             let limit = number(&at("time-limit-us"), 5e6).max(1.0);
@@ -135,9 +141,16 @@
         }
         let on_miss = map.text("copies.on-miss").unwrap_or("load");
         // Whether orders are allowed the module reads for itself; a fleet that loads by other means is no mistake here.
-        let orders = if map.flag("copies.orders") == Some(true) || on_miss == "miss" { "yes" } else { "no" };
+        let orders = if map.flag("copies.orders") == Some(true) || on_miss == "miss" {
+            "yes"
+        } else {
+            "no"
+        };
         let keep = format!("{}us", number("copies.keep-alive-us", 8e6).max(1.0) as i64);
-        let _ = writeln!(out, "(copies (keep-alive {keep}) (on-miss {on_miss}) (orders {orders}))");
+        let _ = writeln!(
+            out,
+            "(copies (keep-alive {keep}) (on-miss {on_miss}) (orders {orders}))"
+        );
         let _ = writeln!(
             out,
             "(rules (drain-grace {}) (cold-from {}) (cold {}) (fall-multiple {}) (fall {}))",
@@ -152,7 +165,10 @@
         // A front's connections are at most a third of the descriptors; who says nothing sensible has no place beside them.
         let clients = (self.sockets / 3).max(8);
         // All others are for workers but a few: the door, the feed, the loop's own and files.
-        let workers = self.sockets.saturating_sub(clients + OWN_DESCRIPTORS).max(8);
+        let workers = self
+            .sockets
+            .saturating_sub(clients + OWN_DESCRIPTORS)
+            .max(8);
         // Bodies are held twice, in the job and on their way to a worker.
         let bodies = (self.memory_mb / 8.0).max(1.0);
         let stop = format!("{}us", (longest.min(STOP_LONGEST) + STOP_BEYOND) as i64);
@@ -168,8 +184,13 @@
             number("limits.max-executions", 5.0).clamp(1.0, 100.0) as i64,
             number("limits.max-open", 20e3).clamp(1.0, 1e7) as i64,
         );
-        let (me, routers) = (number("me", 0.0) as i64, number("routers", 1.0).max(1.0) as i64);
-        let zone = zones.get(number("zone", 0.0) as usize).map(|zone| format!("(zone {zone:?})"));
+        let (me, routers) = (
+            number("me", 0.0) as i64,
+            number("routers", 1.0).max(1.0) as i64,
+        );
+        let zone = zones
+            .get(number("zone", 0.0) as usize)
+            .map(|zone| format!("(zone {zone:?})"));
         let _ = writeln!(
             out,
             "(edge (name {:?}) (listen {:?}) (list {:?}) {} (number {me}) (edges {routers}))",
--- a/crates/sanddrum-platform/src/starts.rs
+++ b/crates/sanddrum-platform/src/starts.rs
@@ -50,7 +50,11 @@
     /// Looks at the wall clock. It is to be called with each answer of the feed, before its events are taken.
     pub fn look_at_clocks(&mut self, clocks: Clocks) {
         let distance = clocks.wall - clocks.now;
-        if self.distances.back().is_some_and(|last| (last - distance).abs() < LEAST_STEP) {
+        if self
+            .distances
+            .back()
+            .is_some_and(|last| (last - distance).abs() < LEAST_STEP)
+        {
             return;
         }
         self.distances.push_back(distance);
@@ -66,15 +70,22 @@
     /// incarnation.
     pub fn rows(&mut self, now: Micros, members: Vec<Member>, complete: bool) -> Vec<Row> {
         if complete {
-            self.known.retain(|name, _| members.iter().any(|member| member.row.name == *name));
+            self.known
+                .retain(|name, _| members.iter().any(|member| member.row.name == *name));
         }
         let mut order: Vec<usize> = (0..members.len()).collect();
         order.sort_by_key(|n| members[*n].up_since_ms);
-        let ages: BTreeMap<usize, (u64, Micros)> =
-            order.into_iter().map(|n| (n, self.start_of(now, &members[n]))).collect();
+        let ages: BTreeMap<usize, (u64, Micros)> = order
+            .into_iter()
+            .map(|n| (n, self.start_of(now, &members[n])))
+            .collect();
         let row = |(n, member): (usize, Member)| {
             let (incarnation, age_us) = ages.get(&n).copied().unwrap_or((0, -1));
-            Row { incarnation, age_us, ..member.row }
+            Row {
+                incarnation,
+                age_us,
+                ..member.row
+            }
         };
         members.into_iter().enumerate().map(row).collect()
     }
@@ -85,15 +96,43 @@
             self.known.remove(name);
         }
         let same = known.filter(|known| known.up_since_ms == up_since_ms || up_since_ms <= 0);
-        if let Some(Start { up_since_ms, incarnation }) = same {
-            return (incarnation, if up_since_ms > 0 { self.age(now, up_since_ms) } else { -1 });
+        if let Some(Start {
+            up_since_ms,
+            incarnation,
+        }) = same
+        {
+            return (
+                incarnation,
+                if up_since_ms > 0 {
+                    self.age(now, up_since_ms)
+                } else {
+                    -1
+                },
+            );
         }
-        let incarnation = if up_since_ms > 0 { self.incarnations + 1 } else { 0 };
+        let incarnation = if up_since_ms > 0 {
+            self.incarnations + 1
+        } else {
+            0
+        };
         self.incarnations = self.incarnations.max(incarnation);
         if member.row.phase != Phase::Gone {
-            self.known.insert(name.clone(), Start { up_since_ms, incarnation });
+            self.known.insert(
+                name.clone(),
+                Start {
+                    up_since_ms,
+                    incarnation,
+                },
+            );
         }
-        (incarnation, if up_since_ms > 0 { self.age(now, up_since_ms) } else { -1 })
+        (
+            incarnation,
+            if up_since_ms > 0 {
+                self.age(now, up_since_ms)
+            } else {
+                -1
+            },
+        )
     }
     /// The least that a start of this date may be old.
     fn age(&self, now: Micros, up_since_ms: i64) -> Micros {
@@ -101,8 +140,15 @@
             let age = now + distance - up_since_ms.saturating_mul(1000);
             (age > -MOST_BEHIND).then_some(age.max(0))
         };
-        let by_wall_clocks = self.distances.iter().filter_map(by_wall_clock).min().unwrap_or(0);
-        let by_feed = self.told_at.map_or(Micros::MAX, |told_at| (now - told_at).max(0));
+        let by_wall_clocks = self
+            .distances
+            .iter()
+            .filter_map(by_wall_clock)
+            .min()
+            .unwrap_or(0);
+        let by_feed = self
+            .told_at
+            .map_or(Micros::MAX, |told_at| (now - told_at).max(0));
         by_wall_clocks.min(by_feed)
     }
 }
