--- a/crates/sanddrum-platform/tests/protocol.rs
+++ b/crates/sanddrum-platform/tests/protocol.rs
@@ -16,7 +16,13 @@
 
 #[rstest]
 fn a_request_lies_on_the_wire_as_the_platform_describes_it() {
-    let bytes = frames::request(0x9b1f03aa5c7e2d41, "job", "7f3a9c21e0b4d655", 1_500_000, b"in");
+    let bytes = frames::request(
+        0x9b1f03aa5c7e2d41,
+        "job",
+        "7f3a9c21e0b4d655",
+        1_500_000,
+        b"in",
+    );
     let fields = b"profile=job,thing=7f3a9c21e0b4d655,max=1500";
     assert_eq!(bytes[..2], [76, 65]);
     assert_eq!(bytes[2..8], [0, fields.len() as u8, 0, 0, 0, 2]);
@@ -35,14 +41,21 @@
 #[case(103, None)]
 fn an_answer_tells_its_end_its_copy_and_its_report(#[case] code: u8, #[case] ended: Option<Ended>) {
     let fields = "remark=started,report=rif:7;q:2;x0:0.25;x1:1;new:3,copies=2";
-    let answer = read(&frames::answer(code, 5, fields, b"out")).unwrap().unwrap();
+    let answer = read(&frames::answer(code, 5, fields, b"out"))
+        .unwrap()
+        .unwrap();
     assert_eq!(
         (answer.id, answer.ended, answer.copy, answer.copies),
         (5, ended, Some(Copy::BeganLoad), Some(2))
     );
     let report = answer.report.unwrap();
     assert_eq!(
-        (report.held, report.queued, report.memory_pinned, report.loads),
+        (
+            report.held,
+            report.queued,
+            report.memory_pinned,
+            report.loads
+        ),
         (Some(7.0), Some(2.0), Some(0.25), Some(1.0))
     );
     assert_eq!(answer.body, b"out");
@@ -114,9 +127,15 @@
     let phases: Vec<Phase> = members.iter().map(|member| member.row.phase).collect();
     assert_eq!(phases, [Phase::Draining, Phase::Ready, Phase::Gone]);
     let mut starts = Starts::default();
-    starts.look_at_clocks(Clocks { now: 7_000_000, wall: 7_000_000 });
+    starts.look_at_clocks(Clocks {
+        now: 7_000_000,
+        wall: 7_000_000,
+    });
     let rows = starts.rows(7_000_000, members, complete);
-    assert_eq!((rows[0].age_us, rows[1].age_us, rows[1].kind, rows[1].cell), (-1, 2_000_000, 1, 2));
+    assert_eq!(
+        (rows[0].age_us, rows[1].age_us, rows[1].kind, rows[1].cell),
+        (-1, 2_000_000, 1, 2)
+    );
 }
 
 fn configuration() -> serde_json::Value {
@@ -143,19 +162,34 @@
     assert_eq!(loaded.names("workloads"), ["job"]);
     assert_eq!(loaded.text("workloads.0.effect"), "run-once");
     assert_eq!(loaded.span("workloads.0.time-limit-us"), 2_000_000);
-    assert_eq!((loaded.size("limits.max-open"), loaded.size("limits.max-clients")), (500, 100));
+    assert_eq!(
+        (
+            loaded.size("limits.max-open"),
+            loaded.size("limits.max-clients")
+        ),
+        (500, 100)
+    );
     assert_eq!(loaded.span("limits.idle-close-us"), 24_000_000);
-    assert_eq!((loaded.text("edge.listen"), loaded.text("edge.list")), ("127.0.0.1:8080", "127.0.0.1:2379"));
+    assert_eq!(
+        (loaded.text("edge.listen"), loaded.text("edge.list")),
+        ("127.0.0.1:8080", "127.0.0.1:2379")
+    );
     assert_eq!((loaded.size("me"), loaded.size("routers")), (1, 3));
 }
 
 #[rstest]
 #[case::short(1_500_000, 2_100_000)]
 #[case::longer_than_it_counts(11_000_000, 3_600_000)]
-fn all_is_answered_before_a_router_that_was_asked_to_end_is_killed(#[case] longest: i64, #[case] by: i64) {
+fn all_is_answered_before_a_router_that_was_asked_to_end_is_killed(
+    #[case] longest: i64,
+    #[case] by: i64,
+) {
     let mut json = configuration();
     json["settings"]["classes"][0]["deadline-us"] = json!(longest);
-    let loaded = Configuration::read(&json.to_string()).unwrap().deployment().unwrap();
+    let loaded = Configuration::read(&json.to_string())
+        .unwrap()
+        .deployment()
+        .unwrap();
     assert_eq!(loaded.span("limits.stop-within-us"), by);
 }
 
@@ -164,7 +198,10 @@
 #[case("classes", json!([{"name": "job", "effect": "thrice"}]))]
 #[case("family-info", json!({"if-cold": "perhaps"}))]
 #[case("limits", json!({"cancel": "yes"}))]
-fn settings_that_can_not_be_used_end_the_start_by_key(#[case] key: &str, #[case] value: serde_json::Value) {
+fn settings_that_can_not_be_used_end_the_start_by_key(
+    #[case] key: &str,
+    #[case] value: serde_json::Value,
+) {
     let mut json = configuration();
     json["settings"][key] = value;
     let why = Configuration::read(&json.to_string()).unwrap_err();
@@ -179,7 +216,10 @@
 #[case("limits", json!({"sockets": 0}))]
 #[case("settings", json!(null))]
 #[case("known", json!({"n": "x"}))]
-fn a_configuration_that_can_not_be_used_names_the_key(#[case] key: &str, #[case] value: serde_json::Value) {
+fn a_configuration_that_can_not_be_used_names_the_key(
+    #[case] key: &str,
+    #[case] value: serde_json::Value,
+) {
     let mut json = configuration();
     json[key] = value;
     let why = Configuration::read(&json.to_string()).unwrap_err();
@@ -192,7 +232,12 @@
 }
 fn class() -> impl Strategy<Value = serde_json::Value> {
     let effect = prop_oneof![Just("repeatable"), Just("by_key"), Just("once")];
-    let scope = prop_oneof![Just(None), Just(Some("all")), Just(Some("zone")), Just(Some("cell"))];
+    let scope = prop_oneof![
+        Just(None),
+        Just(Some("all")),
+        Just(Some("zone")),
+        Just(Some("cell"))
+    ];
     (name(), 0..20_000_000u64, 1..20_000_000u64, effect, scope, 0..10_000_000u64, 0.0..1e4f64).prop_map(
         |(name, aim, deadline, effect, scope, window, worth)| {
             json!({"name": name, "aim-us": aim, "deadline-us": deadline, "effect": effect, "key-scope": scope,
--- a/crates/sanddrum-platform/tests/starts.rs
+++ b/crates/sanddrum-platform/tests/starts.rs
@@ -12,8 +12,15 @@
 const BEGUN: i64 = 1_000_000 * S;
 
 fn member(name: &str, up_since: i64) -> Member {
-    let row = Row { name: name.into(), phase: Phase::Ready, ..Row::default() };
-    Member { row, up_since_ms: up_since / 1000 }
+    let row = Row {
+        name: name.into(),
+        phase: Phase::Ready,
+        ..Row::default()
+    };
+    Member {
+        row,
+        up_since_ms: up_since / 1000,
+    }
 }
 /// Takes one event with one server; its incarnation and age.
 fn told(starts: &mut Starts, now: i64, wall: i64, up_since: i64) -> (u64, i64) {
@@ -31,7 +38,10 @@
 #[case::only_this_clock_back(-HOUR, 0)]
 fn a_start_told_after_a_long_gap_is_no_older_than_it_is(#[case] here: i64, #[case] there: i64) {
     let mut starts = Starts::default();
-    starts.look_at_clocks(Clocks { now: BEGUN, wall: BEGUN });
+    starts.look_at_clocks(Clocks {
+        now: BEGUN,
+        wall: BEGUN,
+    });
     starts.all_told(BEGUN);
     let (started, now) = (BEGUN + 50 * S, BEGUN + 60 * S);
     let (_, age) = told(&mut starts, now, now + here, started + there);
@@ -43,16 +53,32 @@
     let mut starts = Starts::default();
     let (first, _) = told(&mut starts, BEGUN, BEGUN, BEGUN - 5 * S);
     let (again, age) = told(&mut starts, BEGUN + S, BEGUN + S, BEGUN - 5 * S);
-    let (later, new_age) = told(&mut starts, BEGUN + 2 * S, BEGUN + 2 * S - HOUR, BEGUN + S - HOUR);
+    let (later, new_age) = told(
+        &mut starts,
+        BEGUN + 2 * S,
+        BEGUN + 2 * S - HOUR,
+        BEGUN + S - HOUR,
+    );
     assert_eq!((first, again), (1, 1));
-    assert!(age <= 6 * S && later == 2 && new_age <= S, "{age} {later} {new_age}");
+    assert!(
+        age <= 6 * S && later == 2 && new_age <= S,
+        "{age} {later} {new_age}"
+    );
 }
 
 #[rstest]
 fn a_date_a_little_ahead_of_this_clock_is_a_start_just_now() {
     let mut starts = Starts::default();
-    starts.look_at_clocks(Clocks { now: BEGUN, wall: BEGUN + HOUR });
-    let (_, age) = told(&mut starts, BEGUN + 100 * S, BEGUN + 100 * S, BEGUN + 100 * S + 3000);
+    starts.look_at_clocks(Clocks {
+        now: BEGUN,
+        wall: BEGUN + HOUR,
+    });
+    let (_, age) = told(
+        &mut starts,
+        BEGUN + 100 * S,
+        BEGUN + 100 * S,
+        BEGUN + 100 * S + 3000,
+    );
     assert_eq!(age, 0);
 }
 
--- a/crates/sanddrum-settings/src/checks.rs
+++ b/crates/sanddrum-settings/src/checks.rs
@@ -8,7 +8,11 @@
     let zones = l.names("zones");
     let workloads = l.names("workloads");
     if workloads.is_empty() {
-        return Err(l.problem_at("", "no workload is set", "add (workload \"a-name\" (effect ...) ...)"));
+        return Err(l.problem_at(
+            "",
+            "no workload is set",
+            "add (workload \"a-name\" (effect ...) ...)",
+        ));
     }
     for n in 0..workloads.len() {
         workload(l, &format!("workloads.{n}"))?;
@@ -17,7 +21,11 @@
         let at = format!("functions.{n}.workload");
         let named = format!("functions.{n}.name");
         if !l.has(&at) {
-            return Err(l.problem_at(&named, "a function needs a workload", "add (workload \"a-name\")"));
+            return Err(l.problem_at(
+                &named,
+                "a function needs a workload",
+                "add (workload \"a-name\")",
+            ));
         }
         if !workloads.iter().any(|w| w == l.text(&at)) {
             let known = format!("known are {}", workloads.join(", "));
@@ -28,7 +36,9 @@
             return Err(l.problem_at(&named, "a * may stand at the end only", "as \"pick-*\""));
         }
     }
-    let shares: f64 = (0..l.count("customers")).map(|n| l.number(&format!("customers.{n}.share"))).sum();
+    let shares: f64 = (0..l.count("customers"))
+        .map(|n| l.number(&format!("customers.{n}.share")))
+        .sum();
     if l.count("customers") > 1 && shares > 1.0 + 1e-9 {
         let what = format!("the customers' shares add up to {shares}");
         return Err(l.problem_at("customers.0.share", what, "at most 1 in all"));
@@ -87,7 +97,9 @@
             let mut patterns = l.names(&format!("{kind}.{n}.functions"));
             patterns.extend(l.names(&format!("{kind}.{n}.workloads")));
             patterns.push(customer.clone());
-            if let Some(bad) = patterns.iter().find(|p| p.is_empty() || p.trim_end_matches('*').contains('*'))
+            if let Some(bad) = patterns
+                .iter()
+                .find(|p| p.is_empty() || p.trim_end_matches('*').contains('*'))
             {
                 let what = format!("{bad:?} is no pattern");
                 return Err(l.problem_at(
@@ -98,19 +110,29 @@
             }
         }
     }
-    let (least, most) = (l.span("limits.list-retry-least-us"), l.span("limits.list-retry-most-us"));
+    let (least, most) = (
+        l.span("limits.list-retry-least-us"),
+        l.span("limits.list-retry-most-us"),
+    );
     if least > most || least == 0 {
         let what = "list-retry-least must be above 0 and no more than list-retry-most";
         return Err(l.problem_at("limits.list-retry-least-us", what, "as 100ms and 5s"));
     }
-    let (least, most) = (l.span("limits.left-alone-least-us"), l.span("limits.left-alone-most-us"));
+    let (least, most) = (
+        l.span("limits.left-alone-least-us"),
+        l.span("limits.left-alone-most-us"),
+    );
     if least > most || least == 0 {
         let what = "left-alone-least must be above 0 and no more than left-alone-most";
         return Err(l.problem_at("limits.left-alone-least-us", what, "as 100ms and 2s"));
     }
     if l.number("limits.largest-body-bytes") >= l.number("limits.largest-frame-bytes") + 1.0 {
         let what = "a body may be larger than a frame, so it could reach no worker";
-        return Err(l.problem_at("limits.largest-body-bytes", what, "set largest-frame above largest-body"));
+        return Err(l.problem_at(
+            "limits.largest-body-bytes",
+            what,
+            "set largest-frame above largest-body",
+        ));
     }
     Ok(())
 }
@@ -139,9 +161,16 @@
         for name in l.names(&at) {
             if name.is_empty() || name.trim_end_matches('*').contains('*') || name == "*" {
                 let what = format!("{name:?} is no certificate's name");
-                return Err(l.problem_at(&at, what, "a * may stand at the end of a beginning only"));
+                return Err(l.problem_at(
+                    &at,
+                    what,
+                    "a * may stand at the end of a beginning only",
+                ));
             }
-            if owners.insert(name.clone(), n).is_some_and(|other| other != n) {
+            if owners
+                .insert(name.clone(), n)
+                .is_some_and(|other| other != n)
+            {
                 let what = format!("{name:?} would be two customers'");
                 return Err(l.problem_at(&at, what, "take it out of one of them"));
             }
@@ -152,14 +181,18 @@
 
 fn workload(l: &Loaded, at: &str) -> Result<(), Problem> {
     let name = |key: &str| format!("{at}.{key}");
-    let (target, limit) = (l.span(&name("start-target-us")), l.span(&name("time-limit-us")));
+    let (target, limit) = (
+        l.span(&name("start-target-us")),
+        l.span(&name("time-limit-us")),
+    );
     if target == 0 || target > limit {
         let what = "the start target must be above 0 and no longer than the time limit";
         return Err(l.problem_at(&name("start-target-us"), what, "as 1s and 3s"));
     }
     let fingerprinted = l.text(&name("effect")) == "fingerprinted";
     if fingerprinted && !(l.has(&name("group")) && l.span(&name("repeat-window-us")) > 0) {
-        let what = "a fingerprinted workload needs to say which workers drop its repeats and for how long";
+        let what =
+            "a fingerprinted workload needs to say which workers drop its repeats and for how long";
         return Err(l.problem_at(
             &name("effect"),
             what,
@@ -168,7 +201,11 @@
     }
     if !fingerprinted && l.has(&name("group")) {
         let what = "only fingerprinted workloads have a group";
-        return Err(l.problem_at(&name("group"), what, "take it out, or set (effect fingerprinted)"));
+        return Err(l.problem_at(
+            &name("group"),
+            what,
+            "take it out, or set (effect fingerprinted)",
+        ));
     }
     Ok(())
 }
--- a/crates/sanddrum-settings/src/forms.rs
+++ b/crates/sanddrum-settings/src/forms.rs
@@ -18,7 +18,13 @@
 impl Problem {
     pub fn of_file(file: &str, error: &std::io::Error) -> Self {
         let remedy = "give the path of a readable settings file".to_string();
-        Problem { file: file.into(), line: 0, column: 0, what: error.to_string(), remedy }
+        Problem {
+            file: file.into(),
+            line: 0,
+            column: 0,
+            what: error.to_string(),
+            remedy,
+        }
     }
 }
 
@@ -69,7 +75,13 @@
     remedy: impl Into<String>,
 ) -> Problem {
     let (what, remedy) = (what.into(), remedy.into());
-    Problem { file: file.into(), line: place.line, column: place.column, what, remedy }
+    Problem {
+        file: file.into(),
+        line: place.line,
+        column: place.column,
+        what,
+        remedy,
+    }
 }
 
 /// All forms of a text, in order.
@@ -82,10 +94,12 @@
             Ok(None) => return Ok(forms),
             Ok(Some(datum)) => forms.push(form(file, datum.as_ref())?),
             Err(e) => {
-                let at = e.location().map_or(Place { line: 1, column: 1 }, |l| Place {
-                    line: l.line(),
-                    column: l.column() + 1,
-                });
+                let at = e
+                    .location()
+                    .map_or(Place { line: 1, column: 1 }, |l| Place {
+                        line: l.line(),
+                        column: l.column() + 1,
+                    });
                 let remedy = if e.to_string().contains("number") {
                     "write the number and its unit apart, as 500 B"
                 } else {
@@ -107,8 +121,16 @@
                 _ => depth,
             };
             if depth > DEEPEST {
-                let place = Place { line: n + 1, column: column + 1 };
-                return Err(problem(file, place, "nested too deep", "settings need a few levels only"));
+                let place = Place {
+                    line: n + 1,
+                    column: column + 1,
+                };
+                return Err(problem(
+                    file,
+                    place,
+                    "nested too deep",
+                    "settings need a few levels only",
+                ));
             }
         }
     }
@@ -117,16 +139,30 @@
 
 fn place(at: Ref<'_>) -> Place {
     let start = at.span().start();
-    Place { line: start.line(), column: start.column() + 1 }
+    Place {
+        line: start.line(),
+        column: start.column() + 1,
+    }
 }
 
 fn form(file: &str, datum: Ref<'_>) -> Result<Form, Problem> {
     let at = place(datum);
-    let wanted = || problem(file, at, "a form is wanted here", "write (name value), as (keep-alive 8s)");
+    let wanted = || {
+        problem(
+            file,
+            at,
+            "a form is wanted here",
+            "write (name value), as (keep-alive 8s)",
+        )
+    };
     let mut parts = datum.list_iter().ok_or_else(wanted)?;
     let head = parts.next().ok_or_else(wanted)?;
     let name = head.value().as_symbol().ok_or_else(wanted)?.to_string();
-    let mut form = Form { name, place: at, parts: Vec::new() };
+    let mut form = Form {
+        name,
+        place: at,
+        parts: Vec::new(),
+    };
     for part in parts {
         let value = part.value();
         let read = if let Some(number) = value.as_f64() {
--- a/crates/sanddrum-settings/src/lib.rs
+++ b/crates/sanddrum-settings/src/lib.rs
@@ -17,8 +17,8 @@
 /// # Errors
 /// The file can't be read, or something in it is wrong: the problem names the place, what is wrong and what to do.
 pub fn load(path: &Path) -> Result<Loaded, Problem> {
-    let text =
-        std::fs::read_to_string(path).map_err(|e| Problem::of_file(&path.display().to_string(), &e))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| Problem::of_file(&path.display().to_string(), &e))?;
     read(&path.display().to_string(), &text)
 }
 
--- a/crates/sanddrum-settings/src/schema.rs
+++ b/crates/sanddrum-settings/src/schema.rs
@@ -52,12 +52,26 @@
     pub about: &'static str,
 }
 
-pub const fn key(name: &'static str, kind: Kind, default: Option<&'static str>, about: &'static str) -> Key {
-    Key { name, kind, default, about, dotted: None }
+pub const fn key(
+    name: &'static str,
+    kind: Kind,
+    default: Option<&'static str>,
+    about: &'static str,
+) -> Key {
+    Key {
+        name,
+        kind,
+        default,
+        about,
+        dotted: None,
+    }
 }
 
 const fn as_is(key: Key, dotted: &'static str) -> Key {
-    Key { dotted: Some(dotted), ..key }
+    Key {
+        dotted: Some(dotted),
+        ..key
+    }
 }
 
 const ANY: f64 = 1e15;
--- a/crates/sanddrum-settings/src/values.rs
+++ b/crates/sanddrum-settings/src/values.rs
@@ -60,12 +60,19 @@
     /// A list of whole numbers.
     pub fn wholes(&self, name: &str) -> Vec<u64> {
         let each = |n| self.values.number(&format!("{name}.{n}"));
-        (0..self.count(name)).filter_map(|n| each(n).map(|whole| whole as u64)).collect()
+        (0..self.count(name))
+            .filter_map(|n| each(n).map(|whole| whole as u64))
+            .collect()
     }
     pub fn names(&self, name: &str) -> Vec<String> {
-        let each =
-            |n| self.values.text(&format!("{name}.{n}.name")).or(self.values.text(&format!("{name}.{n}")));
-        (0..self.count(name)).filter_map(|n| each(n).map(String::from)).collect()
+        let each = |n| {
+            self.values
+                .text(&format!("{name}.{n}.name"))
+                .or(self.values.text(&format!("{name}.{n}")))
+        };
+        (0..self.count(name))
+            .filter_map(|n| each(n).map(String::from))
+            .collect()
     }
     /// Sets one value from elsewhere than the file, as `limits.max-open` or `edge.listen`, written as in a file.
     ///
@@ -74,12 +81,24 @@
     pub fn give(&mut self, name: &str, value: &str, by: &str) -> Result<(), Problem> {
         let nowhere = Place { line: 0, column: 0 };
         let schema = self.schema.clone();
-        let known = schema.iter().filter(|s| !s.named).flat_map(|s| s.keys.iter().map(move |k| (s, k)));
-        let found = known.clone().find(|(s, k)| name == format!("{}.{}", s.name, k.name));
+        let known = schema
+            .iter()
+            .filter(|s| !s.named)
+            .flat_map(|s| s.keys.iter().map(move |k| (s, k)));
+        let found = known
+            .clone()
+            .find(|(s, k)| name == format!("{}.{}", s.name, k.name));
         let Some((section, key)) = found else {
-            let names: Vec<String> = known.map(|(s, k)| format!("{}.{}", s.name, k.name)).collect();
+            let names: Vec<String> = known
+                .map(|(s, k)| format!("{}.{}", s.name, k.name))
+                .collect();
             let remedy = meant(name, names.iter().map(String::as_str));
-            return Err(problem(by, nowhere, format!("{name} is not a setting"), remedy));
+            return Err(problem(
+                by,
+                nowhere,
+                format!("{name} is not a setting"),
+                remedy,
+            ));
         };
         let text = match key.kind {
             Kind::Text | Kind::Address => format!("({} {value:?})", key.name),
@@ -87,21 +106,34 @@
         };
         let form = forms::forms(by, &text)?.remove(0);
         let (dotted, value) = plain(by, section.dotted, key, &form)?;
-        self.origins.insert(dotted.clone(), Origin::Given(by.to_string()));
+        self.origins
+            .insert(dotted.clone(), Origin::Given(by.to_string()));
         self.values.0.insert(dotted, value);
         Ok(())
     }
     /// The plain map that the decision module takes: all that is set, the edge's zone by its place in the list.
     pub fn values_for_module(&self) -> Settings {
         let mut values = self.values.clone();
-        let zone = self.names("zones").iter().position(|z| z == self.text("edge.zone")).unwrap_or(0);
+        let zone = self
+            .names("zones")
+            .iter()
+            .position(|z| z == self.text("edge.zone"))
+            .unwrap_or(0);
         values.0.insert("zone".into(), Value::Number(zone as f64));
         values
     }
     /// A problem that concerns a setting, with its place in the file.
-    pub fn problem_at(&self, name: &str, what: impl Into<String>, remedy: impl Into<String>) -> Problem {
+    pub fn problem_at(
+        &self,
+        name: &str,
+        what: impl Into<String>,
+        remedy: impl Into<String>,
+    ) -> Problem {
         let place = match self.origins.get(name) {
-            Some(Origin::File { line, column }) => Place { line: *line, column: *column },
+            Some(Origin::File { line, column }) => Place {
+                line: *line,
+                column: *column,
+            },
             _ => Place { line: 0, column: 0 },
         };
         problem(&self.file, place, what, remedy)
@@ -113,32 +145,52 @@
             let (begins, named) = (dotted.starts_with(s.dotted), full_name(k).as_str() == last);
             k.dotted == Some(dotted) || (begins && named)
         };
-        let mut keys = self.schema.iter().flat_map(|s| s.keys.iter().map(move |k| (s, k)));
+        let mut keys = self
+            .schema
+            .iter()
+            .flat_map(|s| s.keys.iter().map(move |k| (s, k)));
         keys.find(|(s, k)| fits(s, k)).map_or("", |(_, k)| k.about)
     }
 }
 
 pub(crate) fn read(file: &str, text: &str, schema: &[Section]) -> Result<Loaded, Problem> {
-    let mut loaded = Loaded { file: file.into(), schema: schema.to_vec(), ..Loaded::default() };
+    let mut loaded = Loaded {
+        file: file.into(),
+        schema: schema.to_vec(),
+        ..Loaded::default()
+    };
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for form in forms::forms(file, text)? {
         let found = schema.iter().find(|s| s.name == form.name);
         let Some(section) = found else {
             let remedy = meant(&form.name, schema.iter().map(|s| s.name));
-            return Err(problem(file, form.place, format!("({} ...) is not known", form.name), remedy));
+            return Err(problem(
+                file,
+                form.place,
+                format!("({} ...) is not known", form.name),
+                remedy,
+            ));
         };
         let n = counts.entry(section.name).or_default();
         *n += 1;
         if !section.named && *n > 1 {
             let remedy = "put all of it into one form";
-            return Err(problem(file, form.place, format!("({} ...) stands twice", form.name), remedy));
+            return Err(problem(
+                file,
+                form.place,
+                format!("({} ...) stands twice", form.name),
+                remedy,
+            ));
         }
         section_of(&mut loaded, section, &form, *n - 1)?;
     }
     for section in schema {
         let n = counts.get(section.name).copied().unwrap_or_default();
         if section.named {
-            loaded.values.0.insert(format!("{}.count", section.dotted), Value::Number(n as f64));
+            loaded
+                .values
+                .0
+                .insert(format!("{}.count", section.dotted), Value::Number(n as f64));
         } else if n == 0 {
             defaults(&mut loaded, section, section.dotted)?;
         }
@@ -146,7 +198,12 @@
     Ok(loaded)
 }
 
-fn section_of(loaded: &mut Loaded, section: &Section, form: &Form, n: usize) -> Result<(), Problem> {
+fn section_of(
+    loaded: &mut Loaded,
+    section: &Section,
+    form: &Form,
+    n: usize,
+) -> Result<(), Problem> {
     let file = loaded.file.clone();
     let mut parts = form.parts.as_slice();
     let mut at = section.dotted.to_string();
@@ -157,12 +214,23 @@
         };
         if !section.repeats && loaded.names_so_far(section, n).contains(name) {
             let remedy = "names of one kind differ";
-            return Err(problem(&file, *place, format!("{} {name:?} stands twice", section.name), remedy));
+            return Err(problem(
+                &file,
+                *place,
+                format!("{} {name:?} stands twice", section.name),
+                remedy,
+            ));
         }
         (parts, at) = (rest, format!("{}.{n}", section.dotted));
-        let origin = Origin::File { line: place.line, column: place.column };
+        let origin = Origin::File {
+            line: place.line,
+            column: place.column,
+        };
         loaded.origins.insert(format!("{at}.name"), origin);
-        loaded.values.0.insert(format!("{at}.name"), Value::Text(name.clone()));
+        loaded
+            .values
+            .0
+            .insert(format!("{at}.name"), Value::Text(name.clone()));
     }
     for (part, place) in parts {
         let Part::Form(inner) = part else {
@@ -174,7 +242,10 @@
             let remedy = meant(&inner.name, section.keys.iter().map(|k| k.name));
             return Err(problem(&file, inner.place, what, remedy));
         };
-        let origin = Origin::File { line: inner.place.line, column: inner.place.column };
+        let origin = Origin::File {
+            line: inner.place.line,
+            column: inner.place.column,
+        };
         if key.kind.is_list() {
             list(loaded, key, inner, &at, &origin)?;
             continue;
@@ -191,30 +262,56 @@
 
 impl Loaded {
     fn names_so_far(&self, section: &Section, n: usize) -> Vec<String> {
-        let name = |n| self.values.text(&format!("{}.{n}.name", section.dotted)).map(String::from);
+        let name = |n| {
+            self.values
+                .text(&format!("{}.{n}.name", section.dotted))
+                .map(String::from)
+        };
         (0..n).filter_map(name).collect()
     }
 }
 
 /// Names or whole numbers, one after the other.
-fn list(loaded: &mut Loaded, key: &Key, form: &Form, at: &str, origin: &Origin) -> Result<(), Problem> {
-    let dotted = key.dotted.map_or_else(|| format!("{at}.{}", key.name), String::from);
+fn list(
+    loaded: &mut Loaded,
+    key: &Key,
+    form: &Form,
+    at: &str,
+    origin: &Origin,
+) -> Result<(), Problem> {
+    let dotted = key
+        .dotted
+        .map_or_else(|| format!("{at}.{}", key.name), String::from);
     for (n, (part, place)) in form.parts.iter().enumerate() {
         let value = match (key.kind, part) {
             (Kind::Names, Part::Word(word)) => Ok(Value::Text(word.clone())),
-            (Kind::Names, _) => Err(("a name is wanted".into(), "write names one after the other".into())),
+            (Kind::Names, _) => Err((
+                "a name is wanted".into(),
+                "write names one after the other".into(),
+            )),
             (Kind::Wholes(least, most), part) => value_of(Kind::Whole(least, most), &[part]),
             (kind, part) => value_of(kind, &[part]),
         };
         let value = value.map_err(|(what, remedy)| {
-            let named = if key.kind == Kind::Names { what } else { format!("{}: {what}", key.name) };
+            let named = if key.kind == Kind::Names {
+                what
+            } else {
+                format!("{}: {what}", key.name)
+            };
             problem(&loaded.file, *place, named, remedy)
         })?;
         loaded.values.0.insert(format!("{dotted}.{n}"), value);
-        loaded.origins.insert(format!("{dotted}.{n}"), origin.clone());
+        loaded
+            .origins
+            .insert(format!("{dotted}.{n}"), origin.clone());
     }
-    loaded.values.0.insert(format!("{dotted}.count"), Value::Number(form.parts.len() as f64));
-    loaded.origins.insert(format!("{dotted}.count"), origin.clone());
+    loaded.values.0.insert(
+        format!("{dotted}.count"),
+        Value::Number(form.parts.len() as f64),
+    );
+    loaded
+        .origins
+        .insert(format!("{dotted}.count"), origin.clone());
     Ok(())
 }
 
@@ -227,7 +324,9 @@
         };
         let form = forms::forms("defaults", &text)?.remove(0);
         if key.kind.is_list() {
-            let dotted = key.dotted.map_or_else(|| format!("{at}.{}", key.name), String::from);
+            let dotted = key
+                .dotted
+                .map_or_else(|| format!("{at}.{}", key.name), String::from);
             if !loaded.values.0.contains_key(&format!("{dotted}.count")) {
                 list(loaded, key, &form, at, &Origin::Default)?;
             }
@@ -254,7 +353,9 @@
 
 /// One setting as its dotted name and plain value.
 fn plain(file: &str, at: &str, key: &Key, form: &Form) -> Result<(String, Value), Problem> {
-    let dotted = key.dotted.map_or_else(|| format!("{at}.{}", full_name(key)), String::from);
+    let dotted = key
+        .dotted
+        .map_or_else(|| format!("{at}.{}", full_name(key)), String::from);
     let place = form.parts.first().map_or(form.place, |(_, place)| *place);
     let parts: Vec<&Part> = form.parts.iter().map(|(part, _)| part).collect();
     let value = value_of(key.kind, &parts)
@@ -273,7 +374,12 @@
                 "s" => 1e6,
                 "min" => 6e7,
                 "h" => 3.6e9,
-                other => return wrong(&format!("{other:?} is not a unit of time"), "us, ms, s, min or h"),
+                other => {
+                    return wrong(
+                        &format!("{other:?} is not a unit of time"),
+                        "us, ms, s, min or h",
+                    )
+                }
             };
             let span = (n * unit).round();
             (0.0..=1e15)
@@ -281,32 +387,49 @@
                 .then_some(Value::Number(span))
                 .ok_or(("a span from 0 on is wanted".into(), String::new()))
         }
-        (Kind::Span, _) => wrong("a span of time is wanted", "write a number and its unit, as 250ms"),
+        (Kind::Span, _) => wrong(
+            "a span of time is wanted",
+            "write a number and its unit, as 250ms",
+        ),
         (Kind::Memory | Kind::Bytes, [Part::Number(n), Part::Word(unit)]) => {
             let unit = match unit.as_str() {
                 "B" => 1.0,
                 "KB" => 1024.0,
                 "MB" => 1024.0 * 1024.0,
                 "GB" => 1024.0 * 1024.0 * 1024.0,
-                other => return wrong(&format!("{other:?} is not a unit of memory"), "B, KB, MB or GB"),
+                other => {
+                    return wrong(
+                        &format!("{other:?} is not a unit of memory"),
+                        "B, KB, MB or GB",
+                    )
+                }
             };
             let bytes = n * unit;
             if !(1.0..=1e18).contains(&bytes) {
                 return wrong("more than 0 is wanted", "");
             }
-            Ok(Value::Number(if kind == Kind::Bytes { bytes.round() } else { bytes / 1024.0 / 1024.0 }))
-        }
-        (Kind::Memory | Kind::Bytes, _) => {
-            wrong("an amount of memory is wanted", "write a number and its unit, as 300MB")
+            Ok(Value::Number(if kind == Kind::Bytes {
+                bytes.round()
+            } else {
+                bytes / 1024.0 / 1024.0
+            }))
         }
+        (Kind::Memory | Kind::Bytes, _) => wrong(
+            "an amount of memory is wanted",
+            "write a number and its unit, as 300MB",
+        ),
         (Kind::Number(least, most), [Part::Number(n)]) => bounded(*n, least, most),
         (Kind::Number(least, most), [Part::Number(n), Part::Word(sign)]) if sign == "%" => {
             bounded(n / 100.0, least, most)
         }
         (Kind::Number(..), _) => wrong("a number is wanted", "as 0.2 or 20%"),
-        (Kind::Whole(least, most), [Part::Number(n)]) if n.fract() == 0.0 => bounded(*n, least, most),
+        (Kind::Whole(least, most), [Part::Number(n)]) if n.fract() == 0.0 => {
+            bounded(*n, least, most)
+        }
         (Kind::Whole(..), _) => wrong("a whole number is wanted", ""),
-        (Kind::Flag, [Part::Word(word)]) if word == "yes" || word == "no" => Ok(Value::Flag(word == "yes")),
+        (Kind::Flag, [Part::Word(word)]) if word == "yes" || word == "no" => {
+            Ok(Value::Flag(word == "yes"))
+        }
         (Kind::Flag, _) => wrong("yes or no is wanted", "write yes or no"),
         (Kind::Choice(words), [Part::Word(word)]) if words.contains(&word.as_str()) => {
             Ok(Value::Text(word.clone()))
@@ -315,7 +438,9 @@
             let what = format!("{word:?} is not one of {}", words.join(", "));
             wrong(&what, &meant(word, words.iter().copied()))
         }
-        (Kind::Choice(words), _) => wrong("a word is wanted", &format!("one of {}", words.join(", "))),
+        (Kind::Choice(words), _) => {
+            wrong("a word is wanted", &format!("one of {}", words.join(", ")))
+        }
         (Kind::Address, [Part::Word(word)]) if word.parse::<std::net::SocketAddr>().is_err() => {
             let remedy = "an IP address and a port, as \"127.0.0.1:8080\"; names are not looked up";
             wrong(&format!("{word:?} is not an address"), remedy)
@@ -328,13 +453,21 @@
 
 fn bounded(n: f64, least: f64, most: f64) -> Result<Value, (String, String)> {
     let within = (least..=most).contains(&n).then_some(Value::Number(n));
-    within.ok_or_else(|| (format!("{n} is not between {least} and {most}"), String::new()))
+    within.ok_or_else(|| {
+        (
+            format!("{n} is not between {least} and {most}"),
+            String::new(),
+        )
+    })
 }
 
 /// What was likely meant, else what there is.
 fn meant<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> String {
     let known: Vec<&str> = known.collect();
-    let near = known.iter().map(|k| (strsim::jaro_winkler(word, k), *k)).max_by(|a, b| a.0.total_cmp(&b.0));
+    let near = known
+        .iter()
+        .map(|k| (strsim::jaro_winkler(word, k), *k))
+        .max_by(|a, b| a.0.total_cmp(&b.0));
     match near {
         Some((likeness, k)) if likeness > 0.8 => format!("did you mean {k}?"),
         _ => format!("known here: {}", known.join(", ")),
--- a/crates/sanddrum-settings/tests/stories.rs
+++ b/crates/sanddrum-settings/tests/stories.rs
@@ -17,10 +17,19 @@
     assert_eq!(l.values.number("workloads.0.start-target-us"), Some(1e6));
     assert_eq!(l.values.text("workloads.1.group"), Some("zone"));
     assert_eq!(l.values.number("functions.0.memory-mb"), Some(300.0));
-    assert_eq!((l.values.number("me"), l.values.number("routers")), (Some(1.0), Some(2.0)));
-    assert_eq!(l.origins["limits.max-open"], Origin::File { line: 6, column: 9 });
+    assert_eq!(
+        (l.values.number("me"), l.values.number("routers")),
+        (Some(1.0), Some(2.0))
+    );
+    assert_eq!(
+        l.origins["limits.max-open"],
+        Origin::File { line: 6, column: 9 }
+    );
     assert_eq!(l.origins["limits.streams"], Origin::Default);
-    assert!(!l.has("copies.load-window-us"), "what only the module knows a default for stays unsaid");
+    assert!(
+        !l.has("copies.load-window-us"),
+        "what only the module knows a default for stays unsaid"
+    );
 }
 
 #[rstest]
@@ -32,11 +41,26 @@
 #[case::open("(copies (orders yes)", 8, 0, "not closed")]
 #[case::no_load("(copies (on-miss miss) (orders no))", 8, 9, "on-miss load")]
 #[case::no_ration("(copies (load-window 5s))", 8, 9, "load-free")]
-#[case::choice("(workload \"x\" (effect restartible))", 8, 23, "did you mean restartable?")]
+#[case::choice(
+    "(workload \"x\" (effect restartible))",
+    8,
+    23,
+    "did you mean restartable?"
+)]
 #[case::target("(workload \"x\" (start-target 9s))", 8, 15, "as 1s and 3s")]
 #[case::fingerprint("(workload \"x\" (effect fingerprinted))", 8, 15, "repeat-window")]
-#[case::function("(function \"f\" (workload \"nope\"))", 8, 15, "known are trace-pass, phase-pick")]
-#[case::share("(customer \"a\" (share 60%)) (customer \"b\" (share 60%))", 8, 15, "at most 1")]
+#[case::function(
+    "(function \"f\" (workload \"nope\"))",
+    8,
+    15,
+    "known are trace-pass, phase-pick"
+)]
+#[case::share(
+    "(customer \"a\" (share 60%)) (customer \"b\" (share 60%))",
+    8,
+    15,
+    "at most 1"
+)]
 fn what_is_wrong_is_refused_with_its_place(
     #[case] added: &str,
     #[case] line: usize,
@@ -54,7 +78,11 @@
     let mut l = read("demo.sx", GOOD).unwrap();
     l.give("edge.listen", "127.0.0.1:0", "--listen").unwrap();
     assert_eq!(l.text("edge.listen"), "127.0.0.1:0");
-    assert!(l.give("limits.tik", "3s", "--set").unwrap_err().to_string().contains("not a setting"));
+    assert!(l
+        .give("limits.tik", "3s", "--set")
+        .unwrap_err()
+        .to_string()
+        .contains("not a setting"));
 }
 
 const SIZES: &[Section] = &[Section {
@@ -77,7 +105,11 @@
 
 #[rstest]
 #[case::fraction("(sizes (workers 1 2.5))", 19, "workers: a whole number is wanted")]
-#[case::bound("(sizes (workers 1 20000))", 19, "workers: 20000 is not between 1 and 10000")]
+#[case::bound(
+    "(sizes (workers 1 20000))",
+    19,
+    "workers: 20000 is not between 1 and 10000"
+)]
 #[case::word("(sizes (workers many))", 17, "workers: a whole number is wanted")]
 fn a_list_with_anything_else_is_refused_at_its_place(
     #[case] added: &str,
--- a/crates/sanddrum-simhost/src/decode.rs
+++ b/crates/sanddrum-simhost/src/decode.rs
@@ -16,22 +16,31 @@
         self.0.get(place).unwrap_or(&Json::Null)
     }
     fn text(&self, place: usize, name: &str) -> Read<&'a str> {
-        self.get(place).as_str().ok_or_else(|| format!("{name}: a text is wanted"))
+        self.get(place)
+            .as_str()
+            .ok_or_else(|| format!("{name}: a text is wanted"))
     }
     fn maybe(&self, place: usize, name: &str) -> Read<Option<f64>> {
         match self.get(place) {
             Json::Null => Ok(None),
-            v => v.as_f64().map(Some).ok_or_else(|| format!("{name}: a number is wanted")),
+            v => v
+                .as_f64()
+                .map(Some)
+                .ok_or_else(|| format!("{name}: a number is wanted")),
         }
     }
     fn number(&self, place: usize, name: &str) -> Read<f64> {
-        self.maybe(place, name)?.ok_or_else(|| format!("{name}: a number is wanted"))
+        self.maybe(place, name)?
+            .ok_or_else(|| format!("{name}: a number is wanted"))
     }
     fn or_nought(&self, place: usize, name: &str) -> Read<f64> {
         Ok(self.maybe(place, name)?.unwrap_or(0.0))
     }
     fn list(&self, place: usize, name: &str) -> Read<&'a [Json]> {
-        self.get(place).as_array().map(Vec::as_slice).ok_or_else(|| format!("{name}: a list is wanted"))
+        self.get(place)
+            .as_array()
+            .map(Vec::as_slice)
+            .ok_or_else(|| format!("{name}: a list is wanted"))
     }
 }
 
@@ -52,7 +61,9 @@
 
 fn report_of(names: &[String], gauge: &Json) -> Option<Report> {
     let values = gauge.as_array()?.iter().map(Json::as_f64);
-    Some(dialect::report(names.iter().map(String::as_str).zip(values)))
+    Some(dialect::report(
+        names.iter().map(String::as_str).zip(values),
+    ))
 }
 
 fn warmth_of(note: u32) -> Warmth {
@@ -92,7 +103,10 @@
     if !info.is_object() {
         return Err("boot-info: an object is wanted".into());
     }
-    Ok((info, dialect::settings(info).map_err(|why| format!("boot-info: {why}"))?))
+    Ok((
+        info,
+        dialect::settings(info).map_err(|why| format!("boot-info: {why}"))?,
+    ))
 }
 
 fn power_on(f: &Fields) -> Read<Instance> {
@@ -121,7 +135,11 @@
         }
         "end" => return Ok(true),
         "snapshot-rows" => {
-            let rows = f.list(2, "lines")?.iter().map(row_of).collect::<Read<Vec<_>>>()?;
+            let rows = f
+                .list(2, "lines")?
+                .iter()
+                .map(row_of)
+                .collect::<Read<Vec<_>>>()?;
             host.lists.insert(f.number(1, "ref")? as u64, rows);
             return Ok(false);
         }
@@ -150,7 +168,10 @@
         host.instances.insert(name.to_string(), power_on(&f)?);
         return Ok(false);
     }
-    let instance = host.instances.get_mut(name).ok_or_else(|| format!("i: no instance {name:?}"))?;
+    let instance = host
+        .instances
+        .get_mut(name)
+        .ok_or_else(|| format!("i: no instance {name:?}"))?;
     let (round, names) = (&mut instance.round, &mut instance.names);
     match word {
         "peers-known" => {
@@ -164,15 +185,26 @@
             let number = f.or_nought(4, "ref")? as u64;
             let rows = match kind {
                 ListKind::Failed => &Vec::new(),
-                _ => host.lists.get(&number).ok_or_else(|| format!("ref: no list {number}"))?,
+                _ => host
+                    .lists
+                    .get(&number)
+                    .ok_or_else(|| format!("ref: no list {number}"))?,
             };
-            names.workers.extend(rows.iter().map(|(row, text)| (row.worker.0, text.clone())));
-            round.lists.push(WorkerList { kind, rows: rows.iter().map(|(row, _)| *row).collect() });
+            names
+                .workers
+                .extend(rows.iter().map(|(row, text)| (row.worker.0, text.clone())));
+            round.lists.push(WorkerList {
+                kind,
+                rows: rows.iter().map(|(row, _)| *row).collect(),
+            });
         }
         "incoming" => {
             let (rid, function) = (f.text(2, "rid")?, f.text(5, "function")?);
             let opts = f.or_nought(9, "opts")? as u64;
-            names.functions.entry(id_of(function)).or_insert_with(|| function.to_string());
+            names
+                .functions
+                .entry(id_of(function))
+                .or_insert_with(|| function.to_string());
             round.jobs.push(Job {
                 id: names.take(rid),
                 function: FunctionId(id_of(function)),
@@ -181,13 +213,20 @@
                 due: f.number(3, "due-us")? as Micros,
                 memory_mb: f.or_nought(8, "ram-mb")?,
                 lanes: f.or_nought(10, "at-once")?,
-                load: f.maybe(4, "load-time-ms")?.map(|ms| (ms * 1000.0) as Micros),
-                work: f.maybe(11, "work-us")?.filter(|_| opts & 1 != 0).map(|us| us as Micros),
+                load: f
+                    .maybe(4, "load-time-ms")?
+                    .map(|ms| (ms * 1000.0) as Micros),
+                work: f
+                    .maybe(11, "work-us")?
+                    .filter(|_| opts & 1 != 0)
+                    .map(|us| us as Micros),
                 repeat: opts & 2 != 0,
             });
         }
         "outcome" => {
-            let Some(&id) = names.jobs.get(f.text(2, "rid")?) else { return Ok(false) };
+            let Some(&id) = names.jobs.get(f.text(2, "rid")?) else {
+                return Ok(false);
+            };
             let settled = f.get(7).as_bool().ok_or("settled: a bool is wanted")?;
             if let Some(job) = names.job_texts.get_mut(&id) {
                 job.out = job.out.saturating_sub(1);
@@ -214,7 +253,9 @@
             }
         }
         "cancelled-by-client" => {
-            let Some(&id) = names.jobs.get(f.text(2, "rid")?) else { return Ok(false) };
+            let Some(&id) = names.jobs.get(f.text(2, "rid")?) else {
+                return Ok(false);
+            };
             if let Some(job) = names.job_texts.get_mut(&id) {
                 job.ended = true;
             }
@@ -235,8 +276,13 @@
             report: report_of(&instance.fields, f.get(5)),
         }),
         "whisper" => {
-            let content = STANDARD.decode(f.text(3, "content")?).map_err(|e| format!("content: {e}"))?;
-            round.notes.push(PeerNote { from: PeerId(f.number(2, "origin-peer")? as usize), content });
+            let content = STANDARD
+                .decode(f.text(3, "content")?)
+                .map_err(|e| format!("content: {e}"))?;
+            round.notes.push(PeerNote {
+                from: PeerId(f.number(2, "origin-peer")? as usize),
+                content,
+            });
         }
         "due" => round.timer = true,
         _ => {}
--- a/crates/sanddrum-simhost/src/encode.rs
+++ b/crates/sanddrum-simhost/src/encode.rs
@@ -23,13 +23,22 @@
         line(self.out, &values);
     }
     fn job(&self, job: JobId) -> Value {
-        self.names.job_texts.get(&job.0).map_or(Value::Null, |j| j.text.as_str().into())
+        self.names
+            .job_texts
+            .get(&job.0)
+            .map_or(Value::Null, |j| j.text.as_str().into())
     }
     fn worker(&self, worker: WorkerId) -> Value {
-        self.names.workers.get(&worker.0).map_or(Value::Null, |w| w.as_str().into())
+        self.names
+            .workers
+            .get(&worker.0)
+            .map_or(Value::Null, |w| w.as_str().into())
     }
     fn function(&self, function: FunctionId) -> Value {
-        self.names.functions.get(&function.0).map_or(Value::Null, |f| f.as_str().into())
+        self.names
+            .functions
+            .get(&function.0)
+            .map_or(Value::Null, |f| f.as_str().into())
     }
     fn ended(&mut self, job: JobId) {
         if let Some(name) = self.names.job_texts.get_mut(&job.0) {
@@ -58,7 +67,10 @@
         self.ended(job);
     }
     fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
-        self.act("warm-up", &[self.worker(worker), self.function(function), copies.into()]);
+        self.act(
+            "warm-up",
+            &[self.worker(worker), self.function(function), copies.into()],
+        );
     }
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         self.act("let-cool", &[self.worker(worker), self.function(function)]);
--- a/crates/sanddrum-simhost/src/main.rs
+++ b/crates/sanddrum-simhost/src/main.rs
@@ -42,11 +42,22 @@
         let id = self.next_job;
         self.next_job += 1;
         self.jobs.insert(text.to_string(), id);
-        self.job_texts.insert(id, JobName { text: text.to_string(), out: 0, ended: false });
+        self.job_texts.insert(
+            id,
+            JobName {
+                text: text.to_string(),
+                out: 0,
+                ended: false,
+            },
+        );
         JobId(id)
     }
     fn forget_if_done(&mut self, job: u64) {
-        if self.job_texts.get(&job).is_some_and(|j| j.ended && j.out == 0) {
+        if self
+            .job_texts
+            .get(&job)
+            .is_some_and(|j| j.ended && j.out == 0)
+        {
             if let Some(name) = self.job_texts.remove(&job) {
                 self.jobs.remove(&name.text);
             }
@@ -67,16 +78,29 @@
 impl Host {
     fn answer(&mut self, out: &mut Vec<u8>) {
         for name in std::mem::take(&mut self.called) {
-            let Some(instance) = self.instances.get_mut(&name) else { continue };
+            let Some(instance) = self.instances.get_mut(&name) else {
+                continue;
+            };
             let round = std::mem::take(&mut instance.round);
             let mark = out.len();
-            let mut writer = Encoder { out, instance: &name, names: &mut instance.names };
+            let mut writer = Encoder {
+                out,
+                instance: &name,
+                names: &mut instance.names,
+            };
             let router = &mut instance.router;
             let now = self.now;
             let run = catch_unwind(AssertUnwindSafe(|| router.round(now, &round, &mut writer)));
             if run.is_err() {
                 out.truncate(mark);
-                encode::line(out, &["broken".into(), name.into(), "the decision module panicked".into()]);
+                encode::line(
+                    out,
+                    &[
+                        "broken".into(),
+                        name.into(),
+                        "the decision module panicked".into(),
+                    ],
+                );
             }
         }
         out.extend_from_slice(b"[\"ack\"]\n");
@@ -93,7 +117,8 @@
         if text.trim().is_empty() {
             continue;
         }
-        let ended = decode::line(&mut host, &text).map_err(|e| format!("line {}: {e}", number + 1))?;
+        let ended =
+            decode::line(&mut host, &text).map_err(|e| format!("line {}: {e}", number + 1))?;
         if ended {
             out.clear();
             host.answer(&mut out);
--- a/crates/sanddrum-simhost/tests/wire.rs
+++ b/crates/sanddrum-simhost/tests/wire.rs
@@ -18,13 +18,20 @@
         let framed = [&[json!(["clock", clock])][..], events, &[json!(["end"])]].concat();
         framed.iter().for_each(|line| lines += &format!("{line}\n"));
     }
-    child.stdin.take().unwrap().write_all(lines.as_bytes()).unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(lines.as_bytes())
+        .unwrap();
     child.wait_with_output().unwrap()
 }
 
 fn actions(output: &Output, word: &str) -> Vec<Value> {
     let text = String::from_utf8_lossy(&output.stdout);
-    let lines = text.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
+    let lines = text
+        .lines()
+        .map(|line| serde_json::from_str::<Value>(line).unwrap());
     lines.filter(|line| line[0] == word).collect()
 }
 
@@ -45,7 +52,10 @@
 #[rstest]
 #[case::that_must_be_asked("subscribe", 2)]
 #[case::that_comes_by_itself("automatic", 0)]
-fn a_list_is_listened_to_at_the_start_and_after_a_failure(#[case] mode: &str, #[case] calls: usize) {
+fn a_list_is_listened_to_at_the_start_and_after_a_failure(
+    #[case] mode: &str,
+    #[case] calls: usize,
+) {
     let failed = json!(["peers-known", "router_0", "failed", 1, null]);
     let due = |at| (at, vec![json!(["due", "router_0", "wake"])]);
     let mut batches = vec![(1_000, start(mode, "once"))];
@@ -55,18 +65,37 @@
     batches.push(due(2_100_000));
     let output = play(&batches);
     assert!(output.status.success());
-    assert_eq!(actions(&output, "listen"), vec![json!(["listen", "router_0", true]); calls]);
+    assert_eq!(
+        actions(&output, "listen"),
+        vec![json!(["listen", "router_0", true]); calls]
+    );
 }
 
 #[rstest]
 fn nothing_is_said_of_a_job_whose_answer_has_begun() {
-    let job =
-        json!(["incoming", "router_0", "rq_a", 1_002_000, null, "0000007c55d20a01", 0, 0, 100, 0, 1, null]);
+    let job = json!([
+        "incoming",
+        "router_0",
+        "rq_a",
+        1_002_000,
+        null,
+        "0000007c55d20a01",
+        0,
+        0,
+        100,
+        0,
+        1,
+        null
+    ]);
     let begun = json!(["accepted", "router_0", "rq_a", 0, "10.0.0.1:90", 9_250]);
     let due = json!(["due", "router_0", "wake"]);
     let with = |events: Vec<Value>| {
-        let batches =
-            [(1_000, start("automatic", "once")), (2_000, vec![job.clone()]), (3_000, events)].to_vec();
+        let batches = [
+            (1_000, start("automatic", "once")),
+            (2_000, vec![job.clone()]),
+            (3_000, events),
+        ]
+        .to_vec();
         play(&[&batches[..], &[(1_002_000, vec![due.clone()])]].concat())
     };
     assert_eq!(actions(&with(vec![]), "abort").len(), 1, "its time is up");
@@ -78,5 +107,8 @@
     let output = play(&[(1_000, start("automatic", "twice"))]);
     assert!(!output.status.success());
     let why = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(why.contains("boot-info: classes.0.effect: \"twice\""), "{why}");
+    assert!(
+        why.contains("boot-info: classes.0.effect: \"twice\""),
+        "{why}"
+    );
 }
--- a/crates/sanddrum-start/src/lib.rs
+++ b/crates/sanddrum-start/src/lib.rs
@@ -104,8 +104,8 @@
     pub fn new(seed: u64, settings: &Settings) -> Self {
         let number = |name: &str, otherwise: f64| settings.number(name).unwrap_or(otherwise);
         let span = |name: &str, otherwise: f64| number(name, otherwise).max(1.0) as Micros;
-        let rate =
-            number("limits.list-calls", 100.0).max(f64::MIN_POSITIVE) / number("routers", 1.0).max(1.0);
+        let rate = number("limits.list-calls", 100.0).max(f64::MIN_POSITIVE)
+            / number("routers", 1.0).max(1.0);
         let least = span("limits.list-retry-least-us", 1e5);
         Start {
             step: Step::Blind,
@@ -149,7 +149,9 @@
             News::Began { kept } => {
                 self.step = if kept { Step::Kept } else { Step::Blind };
                 let over = self.spread as f64 * if kept { 1.0 } else { BLIND_PART };
-                self.line = Line::Down { again: now + (over * self.part()) as Micros };
+                self.line = Line::Down {
+                    again: now + (over * self.part()) as Micros,
+                };
             }
             News::Answered => {
                 self.step = Step::Told;
@@ -157,7 +159,9 @@
                 // Drawn, so that edges that were answered together do not look together.
                 let every = self.check_every as f64 * (0.5 + self.part());
                 if !matches!(self.line, Line::Missing { .. }) {
-                    self.line = Line::Up { check: now + every as Micros };
+                    self.line = Line::Up {
+                        check: now + every as Micros,
+                    };
                 }
             }
             News::Gap => {
@@ -176,7 +180,9 @@
         let widest = (last * SPREADS).max(self.spread as f64);
         let drawn = self.least as f64 + self.part() * (widest - self.least as f64);
         self.wait = (drawn as Micros).min(self.most.max(self.spread));
-        self.line = Line::Down { again: now + self.wait };
+        self.line = Line::Down {
+            again: now + self.wait,
+        };
     }
     /// How long an answer is waited for: longer each time, as a service that is only slow is not helped by calls that
     /// are given up and made again.
@@ -187,25 +193,39 @@
         match self.line {
             Line::Down { again } if again <= now => match self.budget.take(now, self.rate, BURST) {
                 Ok(()) => {
-                    self.line = Line::Waits { until: now + self.patience() };
+                    self.line = Line::Waits {
+                        until: now + self.patience(),
+                    };
                     out.call();
                 }
-                Err(wait) => self.line = Line::Down { again: now + wait.min(self.most) },
+                Err(wait) => {
+                    self.line = Line::Down {
+                        again: now + wait.min(self.most),
+                    }
+                }
             },
             Line::Waits { until } if until <= now => {
                 out.hang_up();
                 self.lost(now);
             }
             Line::Up { check } if check <= now => {
-                self.line = Line::Waits { until: now + self.patience() };
+                self.line = Line::Waits {
+                    until: now + self.patience(),
+                };
                 out.ask();
             }
             Line::Missing { at } if at <= now => match self.budget.take(now, self.rate, BURST) {
                 Ok(()) => {
-                    self.line = Line::Waits { until: now + self.patience() };
+                    self.line = Line::Waits {
+                        until: now + self.patience(),
+                    };
                     out.ask();
                 }
-                Err(wait) => self.line = Line::Missing { at: now + wait.min(self.most) },
+                Err(wait) => {
+                    self.line = Line::Missing {
+                        at: now + wait.min(self.most),
+                    }
+                }
             },
             _ => {}
         }
--- a/crates/sanddrum-start/tests/stories.rs
+++ b/crates/sanddrum-start/tests/stories.rs
@@ -64,12 +64,22 @@
         calls.push(host.calls[0]);
     }
     calls.sort();
-    let worst =
-        calls.iter().map(|at| calls.iter().filter(|c| (*at..at + 1_000_000).contains(*c)).count()).max();
+    let worst = calls
+        .iter()
+        .map(|at| {
+            calls
+                .iter()
+                .filter(|c| (*at..at + 1_000_000).contains(*c))
+                .count()
+        })
+        .max();
     // Set right, a hundred a second and what chance adds; set wrong by three, three times that.
     let bound = if set == 100.0 { 310 } else { 150 };
     assert!(worst <= Some(bound), "{worst:?}");
-    assert!(edges > 10 || calls[2] < 100_000, "few edges are not slowed: {calls:?}");
+    assert!(
+        edges > 10 || calls[2] < 100_000,
+        "few edges are not slowed: {calls:?}"
+    );
 }
 
 #[rstest]
@@ -110,13 +120,19 @@
 fn a_quiet_service_is_looked_after_and_left_when_it_does_not_answer() {
     let (mut start, mut host) = edge(7, 3.0);
     start.round(0, &[News::Began { kept: true }], &mut host);
-    pass(
-        &mut start,
-        &mut host,
-        40_000_000,
-        |host| if host.asks.len() < 2 { vec![News::Answered] } else { vec![] },
+    pass(&mut start, &mut host, 40_000_000, |host| {
+        if host.asks.len() < 2 {
+            vec![News::Answered]
+        } else {
+            vec![]
+        }
+    });
+    assert!(
+        host.asks.len() >= 2 && !host.hung_up.is_empty(),
+        "{:?} {:?}",
+        host.asks,
+        host.hung_up
     );
-    assert!(host.asks.len() >= 2 && !host.hung_up.is_empty(), "{:?} {:?}", host.asks, host.hung_up);
 }
 
 #[rstest]
@@ -165,7 +181,9 @@
     }
     let worst = |calls: &[i64]| {
         let mut seconds = std::collections::BTreeMap::new();
-        calls.iter().for_each(|at| *seconds.entry(at / 1_000_000).or_insert(0) += 1);
+        calls
+            .iter()
+            .for_each(|at| *seconds.entry(at / 1_000_000).or_insert(0) += 1);
         seconds.values().copied().max()
     };
     let [blind, kept, lost] = calls;
--- a/crates/sanddrum-tls/src/end.rs
+++ b/crates/sanddrum-tls/src/end.rs
@@ -99,18 +99,45 @@
     }
     /// What the other side has proved.
     pub fn peer(&self) -> Peer {
-        let chain = self.tls.as_ref().and_then(|tls| tls.peer_certificates()).unwrap_or_default();
-        let Some(leaf) = chain.first() else { return Peer { resumed: self.is_resumed(), ..Peer::default() } };
-        let key = KeyPrint::of_certificate(leaf).map(|print| print.to_string()).unwrap_or_default();
-        Peer { names: papers::names(leaf), key, resumed: self.is_resumed() }
+        let chain = self
+            .tls
+            .as_ref()
+            .and_then(|tls| tls.peer_certificates())
+            .unwrap_or_default();
+        let Some(leaf) = chain.first() else {
+            return Peer {
+                resumed: self.is_resumed(),
+                ..Peer::default()
+            };
+        };
+        let key = KeyPrint::of_certificate(leaf)
+            .map(|print| print.to_string())
+            .unwrap_or_default();
+        Peer {
+            names: papers::names(leaf),
+            key,
+            resumed: self.is_resumed(),
+        }
     }
     /// Judges the other side anew.
     pub fn judge(&self, now: Micros, terms: &Terms) -> Result<(), TermsError> {
-        let chain = self.tls.as_ref().and_then(|tls| tls.peer_certificates()).unwrap_or_default();
-        terms.judge(now, self.door.is_none().then_some(self.name.as_str()), chain)
+        let chain = self
+            .tls
+            .as_ref()
+            .and_then(|tls| tls.peer_certificates())
+            .unwrap_or_default();
+        terms.judge(
+            now,
+            self.door.is_none().then_some(self.name.as_str()),
+            chain,
+        )
     }
     fn fail(&mut self, why: String) {
-        let how = if self.told_up { Closed::Reset } else { Closed::Refused };
+        let how = if self.told_up {
+            Closed::Reset
+        } else {
+            Closed::Refused
+        };
         self.over.get_or_insert((how, Some(why)));
     }
     /// Ciphertext came.
@@ -161,7 +188,13 @@
     /// Takes plain bytes as far as there is room for their ciphertext.
     pub fn write(&mut self, conn: Conn, bytes: &[u8], io: &mut dyn Io) -> usize {
         let room = self.waiting.saturating_sub(self.out.len());
-        let Some(tls) = self.tls.as_mut().filter(|_| self.told_up && self.over.is_none()) else { return 0 };
+        let Some(tls) = self
+            .tls
+            .as_mut()
+            .filter(|_| self.told_up && self.over.is_none())
+        else {
+            return 0;
+        };
         let mut taken = 0;
         while taken < bytes.len().min(room) {
             match tls.writer().write(&bytes[taken..bytes.len().min(room)]) {
@@ -200,7 +233,11 @@
             if !self.gone {
                 io.close(conn);
             }
-            return Some(Step::Over { how: Closed::InOrder, tells: false, why: None });
+            return Some(Step::Over {
+                how: Closed::InOrder,
+                tells: false,
+                why: None,
+            });
         }
         if let Some((how, why)) = self.over.take() {
             match (self.gone, how) {
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -61,9 +61,24 @@
 
 impl<C: Core> Layer<C> {
     pub fn new(core: C, bounds: Bounds) -> Self {
-        let (ends, due, news, stale) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+        let (ends, due, news, stale) = (
+            BTreeMap::new(),
+            BTreeSet::new(),
+            BTreeSet::new(),
+            BTreeSet::new(),
+        );
         let (calls, doors) = (None, None);
-        let inner = Inner { calls, doors, bounds, ends, due, news, stale, handshakes: 0, look_at_ends: 0 };
+        let inner = Inner {
+            calls,
+            doors,
+            bounds,
+            ends,
+            due,
+            news,
+            stale,
+            handshakes: 0,
+            look_at_ends: 0,
+        };
         Layer { core, inner }
     }
     /// Speaks TLS to whom the core calls by name.
@@ -97,8 +112,14 @@
                 );
             }
             Ok(Took::New) => {
-                tracing::info!(name, "new connections are made on new terms; jobs on old ones end there");
-                let old = inner.ends.iter().filter(|(_, end)| end.is_up() && end.is_accepted() == accepted);
+                tracing::info!(
+                    name,
+                    "new connections are made on new terms; jobs on old ones end there"
+                );
+                let old = inner
+                    .ends
+                    .iter()
+                    .filter(|(_, end)| end.is_up() && end.is_accepted() == accepted);
                 inner.stale.extend(old.map(|(conn, _)| *conn));
                 inner.look_at_ends = 0;
             }
@@ -114,9 +135,17 @@
     /// Tells the core which connections were made on terms that are past, and whether it would be made on the new ones.
     fn judge_stale(&mut self, now: Micros, io: &mut dyn Io) {
         for _ in 0..JUDGED_A_TURN {
-            let Some(conn) = self.inner.stale.pop_first() else { return };
-            let Some(end) = self.inner.ends.get(&conn).filter(|end| end.is_up()) else { continue };
-            let side = if end.is_accepted() { &self.inner.doors } else { &self.inner.calls };
+            let Some(conn) = self.inner.stale.pop_first() else {
+                return;
+            };
+            let Some(end) = self.inner.ends.get(&conn).filter(|end| end.is_up()) else {
+                continue;
+            };
+            let side = if end.is_accepted() {
+                &self.inner.doors
+            } else {
+                &self.inner.calls
+            };
             let judged = side.as_ref().map(|side| end.judge(now, side.terms()));
             let denied = match judged {
                 Some(Err(why)) => {
@@ -125,7 +154,16 @@
                 }
                 _ => false,
             };
-            self.core.stale(now, conn, denied, &mut Inside { inner: &mut self.inner, io, now });
+            self.core.stale(
+                now,
+                conn,
+                denied,
+                &mut Inside {
+                    inner: &mut self.inner,
+                    io,
+                    now,
+                },
+            );
         }
     }
 
@@ -154,12 +192,25 @@
     }
 
     fn tell(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        self.core.event(now, event, &mut Inside { inner: &mut self.inner, io, now });
+        self.core.event(
+            now,
+            event,
+            &mut Inside {
+                inner: &mut self.inner,
+                io,
+                now,
+            },
+        );
     }
     /// Carries what an end has for its core, until there is nothing more.
     fn settle(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some(conn) = self.inner.news.pop_first() {
-            while let Some(step) = self.inner.ends.get_mut(&conn).and_then(|end| end.step(conn, io)) {
+            while let Some(step) = self
+                .inner
+                .ends
+                .get_mut(&conn)
+                .and_then(|end| end.step(conn, io))
+            {
                 match step {
                     Step::Up(door) => {
                         self.inner.handshake_over(conn);
@@ -173,7 +224,14 @@
                             None => self.tell(now, Event::Connected { conn }, io),
                         }
                     }
-                    Step::Bytes(bytes) => self.tell(now, Event::Bytes { conn, bytes: &bytes }, io),
+                    Step::Bytes(bytes) => self.tell(
+                        now,
+                        Event::Bytes {
+                            conn,
+                            bytes: &bytes,
+                        },
+                        io,
+                    ),
                     Step::Room => self.tell(now, Event::Writable { conn }, io),
                     Step::Over { how, tells, why } => {
                         self.inner.handshake_over(conn);
@@ -201,7 +259,8 @@
     }
     fn begin(&mut self, now: Micros, conn: Conn, end: End) {
         self.ends.insert(conn, end);
-        self.due.insert((now + self.bounds.handshake_time_out, conn));
+        self.due
+            .insert((now + self.bounds.handshake_time_out, conn));
     }
     fn accept(&mut self, now: Micros, conn: Conn, door: Door, io: &mut dyn Io) {
         if self.handshakes >= self.bounds.handshakes {
@@ -227,7 +286,14 @@
 
 impl<C: Core> Core for Layer<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
-        self.core.start(now, &mut Inside { inner: &mut self.inner, io, now });
+        self.core.start(
+            now,
+            &mut Inside {
+                inner: &mut self.inner,
+                io,
+                now,
+            },
+        );
         self.settle(now, io);
     }
     fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
@@ -235,7 +301,9 @@
             side.terms().set_time(now);
         }
         let conn = match event {
-            Event::Accepted { .. } if self.inner.doors.is_none() => return self.tell(now, event, io),
+            Event::Accepted { .. } if self.inner.doors.is_none() => {
+                return self.tell(now, event, io)
+            }
             Event::Accepted { conn, door } => {
                 self.inner.accept(now, conn, door, io);
                 conn
@@ -273,27 +341,65 @@
         self.judge_stale(now, io);
         self.look_at_ends(now);
         self.settle(now, io);
-        self.core.turn(now, &mut Inside { inner: &mut self.inner, io, now });
+        self.core.turn(
+            now,
+            &mut Inside {
+                inner: &mut self.inner,
+                io,
+                now,
+            },
+        );
         self.settle(now, io);
     }
     fn wake(&self) -> Option<Micros> {
         let due = self.inner.due.first().map(|(at, _)| *at);
         let stale = (!self.inner.stale.is_empty()).then_some(0);
-        self.core.wake().into_iter().chain(due).chain(stale).chain([self.inner.look_at_ends]).min()
+        self.core
+            .wake()
+            .into_iter()
+            .chain(due)
+            .chain(stale)
+            .chain([self.inner.look_at_ends])
+            .min()
     }
     fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         if self.take_file(now, name, content) {
             return;
         }
-        self.core.file(now, name, content, &mut Inside { inner: &mut self.inner, io, now });
+        self.core.file(
+            now,
+            name,
+            content,
+            &mut Inside {
+                inner: &mut self.inner,
+                io,
+                now,
+            },
+        );
         self.settle(now, io);
     }
     fn stale(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
-        self.core.stale(now, conn, denied, &mut Inside { inner: &mut self.inner, io, now });
+        self.core.stale(
+            now,
+            conn,
+            denied,
+            &mut Inside {
+                inner: &mut self.inner,
+                io,
+                now,
+            },
+        );
         self.settle(now, io);
     }
     fn stop(&mut self, now: Micros, io: &mut dyn Io) {
-        self.core.stop(now, &mut Inside { inner: &mut self.inner, io, now });
+        self.core.stop(
+            now,
+            &mut Inside {
+                inner: &mut self.inner,
+                io,
+                now,
+            },
+        );
         self.settle(now, io);
     }
     fn report(&mut self, now: Micros) {
@@ -316,7 +422,9 @@
         self.io.connect(to)
     }
     fn connect_named(&mut self, to: &str, name: &str) -> Conn {
-        let Some(side) = &self.inner.calls else { return self.io.connect_named(to, name) };
+        let Some(side) = &self.inner.calls else {
+            return self.io.connect_named(to, name);
+        };
         let conn = self.io.connect(to);
         let end = match side.terms().call(self.now, name) {
             Ok(tls) => End::called(tls, name, self.inner.bounds.waiting),
--- a/crates/sanddrum-tls/src/papers.rs
+++ b/crates/sanddrum-tls/src/papers.rs
@@ -57,9 +57,15 @@
     /// # Errors
     /// It is not `sha256:` and 64 hexadecimal digits.
     pub fn read(text: &str) -> Result<Self, TermsError> {
-        let wrong = || TermsError(format!("{text:?}: sha256: and 64 hexadecimal digits are wanted"));
-        let digits =
-            text.strip_prefix("sha256:").filter(|d| d.len() == 64 && d.is_ascii()).ok_or_else(wrong)?;
+        let wrong = || {
+            TermsError(format!(
+                "{text:?}: sha256: and 64 hexadecimal digits are wanted"
+            ))
+        };
+        let digits = text
+            .strip_prefix("sha256:")
+            .filter(|d| d.len() == 64 && d.is_ascii())
+            .ok_or_else(wrong)?;
         let mut print = [0; 32];
         for (n, byte) in print.iter_mut().enumerate() {
             *byte = u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).map_err(|_| wrong())?;
@@ -70,7 +76,9 @@
     /// It is no certificate.
     pub fn of_certificate(der: &[u8]) -> Result<Self, TermsError> {
         let certificate = parsed(der)?;
-        Ok(KeyPrint(Sha256::digest(certificate.tbs_certificate.subject_pki.raw).into()))
+        Ok(KeyPrint(
+            Sha256::digest(certificate.tbs_certificate.subject_pki.raw).into(),
+        ))
     }
 }
 
@@ -87,7 +95,9 @@
             Some(word) if word.starts_with('#') => {}
             Some(word) => {
                 let print = KeyPrint::read(word);
-                denied.insert(print.map_err(|e| TermsError(format!("denied keys, line {}: {e}", n + 1)))?);
+                denied.insert(
+                    print.map_err(|e| TermsError(format!("denied keys, line {}: {e}", n + 1)))?,
+                );
             }
         }
     }
@@ -100,7 +110,10 @@
         .map_err(|e| error(format!("no certificate: {e}")))
 }
 
-pub(crate) fn certificates(pem: &[u8], what: &str) -> Result<Vec<CertificateDer<'static>>, TermsError> {
+pub(crate) fn certificates(
+    pem: &[u8],
+    what: &str,
+) -> Result<Vec<CertificateDer<'static>>, TermsError> {
     let read: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
     let read = read.map_err(|e| TermsError(format!("{what}: {e}")))?;
     if read.is_empty() {
@@ -135,28 +148,48 @@
 /// The name that an authority gives itself.
 pub(crate) fn authority_name(der: &[u8]) -> Result<String, TermsError> {
     let certificate = parsed(der)?;
-    let name = certificate.subject().iter_common_name().next().and_then(|name| name.as_str().ok());
+    let name = certificate
+        .subject()
+        .iter_common_name()
+        .next()
+        .and_then(|name| name.as_str().ok());
     Ok(name.unwrap_or_default().to_string())
 }
 /// The names that a certificate is for, as they stand in it (RFC 5280, section 4.2.1.6): none is made of a wildcard.
 pub(crate) fn names(der: &[u8]) -> Vec<String> {
-    let Ok(certificate) = parsed(der) else { return Vec::new() };
-    let Ok(Some(alternative)) = certificate.subject_alternative_name() else { return Vec::new() };
+    let Ok(certificate) = parsed(der) else {
+        return Vec::new();
+    };
+    let Ok(Some(alternative)) = certificate.subject_alternative_name() else {
+        return Vec::new();
+    };
     let name = |name: &GeneralName<'_>| match name {
         GeneralName::DNSName(name) => Some(name.to_ascii_lowercase()),
         _ => None,
     };
-    alternative.value.general_names.iter().filter_map(name).collect()
+    alternative
+        .value
+        .general_names
+        .iter()
+        .filter_map(name)
+        .collect()
 }
 
 /// When each authority's list was last made and when the next is due.
-pub(crate) fn list_ages(pem: &[u8]) -> Result<BTreeMap<String, (Micros, Option<Micros>)>, TermsError> {
+pub(crate) fn list_ages(
+    pem: &[u8],
+) -> Result<BTreeMap<String, (Micros, Option<Micros>)>, TermsError> {
     let mut ages = BTreeMap::new();
     for der in lists(pem)? {
-        let (_, list) =
-            CertificateRevocationList::from_der(&der).map_err(|e| error(format!("revocation list: {e}")))?;
-        let next = list.next_update().map(|at| at.timestamp().saturating_mul(SECOND));
-        ages.insert(list.issuer().to_string(), (list.last_update().timestamp().saturating_mul(SECOND), next));
+        let (_, list) = CertificateRevocationList::from_der(&der)
+            .map_err(|e| error(format!("revocation list: {e}")))?;
+        let next = list
+            .next_update()
+            .map(|at| at.timestamp().saturating_mul(SECOND));
+        ages.insert(
+            list.issuer().to_string(),
+            (list.last_update().timestamp().saturating_mul(SECOND), next),
+        );
     }
     Ok(ages)
 }
@@ -170,7 +203,11 @@
     let new = list_ages(new)?;
     for (issuer, (made, _)) in list_ages(old).unwrap_or_default() {
         match new.get(&issuer) {
-            None => return Err(TermsError(format!("revocation lists: the one of {issuer} is missing"))),
+            None => {
+                return Err(TermsError(format!(
+                    "revocation lists: the one of {issuer} is missing"
+                )))
+            }
             Some((again, _)) if *again < made => {
                 return Err(TermsError(format!(
                     "revocation lists: the one of {issuer} is older than what is in force"
@@ -204,7 +241,11 @@
         if names.is_empty() {
             names.extend(Some(authority_name(der)?).filter(|name| !name.is_empty()));
         }
-        let issuer = certificate.issuer().iter_common_name().next().and_then(|name| name.as_str().ok());
+        let issuer = certificate
+            .issuer()
+            .iter_common_name()
+            .next()
+            .and_then(|name| name.as_str().ok());
         Ok(Described {
             names,
             authority: issuer.unwrap_or_default().to_string(),
@@ -214,7 +255,10 @@
             key: KeyPrint::of_certificate(der)?,
         })
     };
-    certificates(pem, "certificate")?.iter().map(describe).collect()
+    certificates(pem, "certificate")?
+        .iter()
+        .map(describe)
+        .collect()
 }
 
 /// The serial number of the first certificate of a PEM text, in hexadecimal digits.
@@ -223,5 +267,9 @@
 /// None is in it, or it can't be read.
 pub fn serial(pem: &[u8]) -> Result<String, TermsError> {
     let certificates = certificates(pem, "certificate")?;
-    Ok(parsed(&certificates[0])?.raw_serial().iter().map(|byte| format!("{byte:02x}")).collect())
+    Ok(parsed(&certificates[0])?
+        .raw_serial()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect())
 }
--- a/crates/sanddrum-tls/src/side.rs
+++ b/crates/sanddrum-tls/src/side.rs
@@ -6,10 +6,21 @@
 
 /// The files that a driver may watch for a layer, by the names under which they are told: PEM texts of the trusted
 /// authorities, of the chain that is shown, of its key, revocation lists, and denied keys.
-pub const CALL_FILES: [&str; 5] = ["tls-roots", "tls-certificate", "tls-key", "tls-revoked", "tls-denied"];
+pub const CALL_FILES: [&str; 5] = [
+    "tls-roots",
+    "tls-certificate",
+    "tls-key",
+    "tls-revoked",
+    "tls-denied",
+];
 /// The same for what callers are met with.
-pub const DOOR_FILES: [&str; 5] =
-    ["door-roots", "door-certificate", "door-key", "door-revoked", "door-denied"];
+pub const DOOR_FILES: [&str; 5] = [
+    "door-roots",
+    "door-certificate",
+    "door-key",
+    "door-revoked",
+    "door-denied",
+];
 
 /// The terms of all that a core calls by name, or of its doors.
 pub struct Side {
@@ -34,7 +45,12 @@
     /// As [`Terms::new`].
     pub fn new(papers: Papers, rules: Rules) -> Result<Self, TermsError> {
         let terms = Terms::new(&papers, &rules)?;
-        Ok(Side { terms, rules, good: papers.clone(), wanted: papers })
+        Ok(Side {
+            terms,
+            rules,
+            good: papers.clone(),
+            wanted: papers,
+        })
     }
     pub fn terms(&self) -> &Terms {
         &self.terms
@@ -79,7 +95,9 @@
             return Ok(Took::Nothing);
         }
         let half = match (&self.wanted.own, &self.good.own) {
-            (Some((chain, key)), Some((old_chain, old_key))) => (chain == old_chain) != (key == old_key),
+            (Some((chain, key)), Some((old_chain, old_key))) => {
+                (chain == old_chain) != (key == old_key)
+            }
             _ => false,
         };
         let terms = match Terms::new(&self.wanted, &self.rules) {
--- a/crates/sanddrum-tls/src/terms.rs
+++ b/crates/sanddrum-tls/src/terms.rs
@@ -85,30 +85,55 @@
             papers::KeyPrint::of_certificate(root).is_ok_and(|print| !denied.contains(&print))
         });
         let lists = papers::lists(&papers.revoked)?;
-        let own = papers.own.as_ref().map(|(chain, key)| -> Result<_, TermsError> {
-            Ok((papers::certificates(chain, "certificate")?, papers::key(key)?))
-        });
+        let own = papers
+            .own
+            .as_ref()
+            .map(|(chain, key)| -> Result<_, TermsError> {
+                Ok((
+                    papers::certificates(chain, "certificate")?,
+                    papers::key(key)?,
+                ))
+            });
         let own = own.transpose()?;
         let mut expiries = Vec::new();
         for root in &roots {
             let (what, (_, at)) = (papers::authority_name(root)?, papers::holds(root)?);
-            expiries.push(Expiry { what: format!("authority {what}"), at });
+            expiries.push(Expiry {
+                what: format!("authority {what}"),
+                at,
+            });
         }
         for (issuer, (_, next)) in papers::list_ages(&papers.revoked)? {
-            expiries.extend(next.map(|at| Expiry { what: format!("revocation list of {issuer}"), at }));
+            expiries.extend(next.map(|at| Expiry {
+                what: format!("revocation list of {issuer}"),
+                at,
+            }));
         }
-        let holds = own.as_ref().map(|(chain, _)| papers::holds(&chain[0])).transpose()?;
-        expiries.extend(holds.map(|(_, at)| Expiry { what: "certificate".into(), at }));
+        let holds = own
+            .as_ref()
+            .map(|(chain, _)| papers::holds(&chain[0]))
+            .transpose()?;
+        expiries.extend(holds.map(|(_, at)| Expiry {
+            what: "certificate".into(),
+            at,
+        }));
 
-        let belief = Belief { provider: provider.clone(), roots, lists, denied };
+        let belief = Belief {
+            provider: provider.clone(),
+            roots,
+            lists,
+            denied,
+        };
         let workers = Arc::new(belief.of_workers(&rules.limited)?);
         let client = ClientConfig::builder_with_details(provider.clone(), clock.clone());
         let client = client.with_protocol_versions(&[&TLS13]).map_err(error)?;
-        let client = client.dangerous().with_custom_certificate_verifier(workers.clone());
+        let client = client
+            .dangerous()
+            .with_custom_certificate_verifier(workers.clone());
         let mut client = match &own {
-            Some((chain, key)) => {
-                client.with_client_auth_cert(chain.clone(), key.clone_key()).map_err(error)?
-            }
+            Some((chain, key)) => client
+                .with_client_auth_cert(chain.clone(), key.clone_key())
+                .map_err(error)?,
             None => client.with_no_client_auth(),
         };
         client.resumption = match rules.sessions {
@@ -135,7 +160,15 @@
             Ok(Arc::new(server))
         });
         let server = server.transpose()?;
-        Ok(Terms { clock, client: Arc::new(client), server, workers, callers, own: holds, expiries })
+        Ok(Terms {
+            clock,
+            client: Arc::new(client),
+            server,
+            workers,
+            callers,
+            own: holds,
+            expiries,
+        })
     }
 
     /// Whether what this side shows holds now.
@@ -158,7 +191,10 @@
     }
     pub(crate) fn serve(&self, now: Micros) -> Result<ServerConnection, TermsError> {
         self.set_time(now);
-        let server = self.server.clone().ok_or_else(|| error("no certificate of its own is set"))?;
+        let server = self
+            .server
+            .clone()
+            .ok_or_else(|| error("no certificate of its own is set"))?;
         ServerConnection::new(server).map_err(error)
     }
     /// The other side has to own this name.
@@ -177,14 +213,20 @@
         name: Option<&str>,
         chain: &[CertificateDer<'_>],
     ) -> Result<(), TermsError> {
-        let Some((leaf, others)) = chain.split_first() else { return Ok(()) };
+        let Some((leaf, others)) = chain.split_first() else {
+            return Ok(());
+        };
         let judged = match name {
             Some(name) => {
                 let name = ServerName::try_from(name.to_string()).map_err(error)?;
-                self.workers.verify_server_cert(leaf, others, &name, &[], instant(now)).map(|_| ())
+                self.workers
+                    .verify_server_cert(leaf, others, &name, &[], instant(now))
+                    .map(|_| ())
             }
             None => match &self.callers {
-                Some(callers) => callers.verify_client_cert(leaf, others, instant(now)).map(|_| ()),
+                Some(callers) => callers
+                    .verify_client_cert(leaf, others, instant(now))
+                    .map(|_| ()),
                 None => return Err(error("callers' certificates are not asked for any more")),
             },
         };
--- a/crates/sanddrum-tls/src/verify.rs
+++ b/crates/sanddrum-tls/src/verify.rs
@@ -10,7 +10,8 @@
 use rustls::server::danger::{ClientCertVerified, ClientCertVerifier};
 use rustls::server::WebPkiClientVerifier;
 use rustls::{
-    CertificateError, DigitallySignedStruct, DistinguishedName, Error, RootCertStore, SignatureScheme,
+    CertificateError, DigitallySignedStruct, DistinguishedName, Error, RootCertStore,
+    SignatureScheme,
 };
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -60,7 +61,9 @@
             .iter()
             .map(|root| Ok((papers::authority_name(root)?, root)))
             .collect::<Result<_, TermsError>>()?;
-        let free = named.iter().filter(|(name, _)| limits.iter().all(|limit| limit.authority != *name));
+        let free = named
+            .iter()
+            .filter(|(name, _)| limits.iter().all(|limit| limit.authority != *name));
         let free: Vec<_> = free.map(|(_, root)| *root).collect();
         let limited = limits.iter().map(|limit| {
             (
@@ -72,16 +75,25 @@
                     .collect::<Vec<_>>(),
             )
         });
-        for (limit, roots) in [(None, free)].into_iter().chain(limited).filter(|(_, roots)| !roots.is_empty())
+        for (limit, roots) in [(None, free)]
+            .into_iter()
+            .chain(limited)
+            .filter(|(_, roots)| !roots.is_empty())
         {
             let builder = WebPkiServerVerifier::builder_with_provider(
                 Self::store(roots.into_iter())?,
                 self.provider.clone(),
             );
-            let builder = builder.with_crls(self.lists.clone()).allow_unknown_revocation_status();
+            let builder = builder
+                .with_crls(self.lists.clone())
+                .allow_unknown_revocation_status();
             groups.push((limit, builder.build().map_err(papers::error)?));
         }
-        Ok(Workers { provider: self.provider.clone(), groups, denied: self.denied.clone() })
+        Ok(Workers {
+            provider: self.provider.clone(),
+            groups,
+            denied: self.denied.clone(),
+        })
     }
     /// What callers are judged by.
     pub fn of_callers(&self, have_to: bool) -> Result<Callers, TermsError> {
@@ -89,9 +101,18 @@
             Self::store(self.roots.iter())?,
             self.provider.clone(),
         );
-        let builder = builder.with_crls(self.lists.clone()).allow_unknown_revocation_status();
-        let builder = if have_to { builder } else { builder.allow_unauthenticated() };
-        Ok(Callers { inner: builder.build().map_err(papers::error)?, denied: self.denied.clone() })
+        let builder = builder
+            .with_crls(self.lists.clone())
+            .allow_unknown_revocation_status();
+        let builder = if have_to {
+            builder
+        } else {
+            builder.allow_unauthenticated()
+        };
+        Ok(Callers {
+            inner: builder.build().map_err(papers::error)?,
+            denied: self.denied.clone(),
+        })
     }
 }
 
@@ -128,12 +149,20 @@
         ocsp_response: &[u8],
         now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
-        none_is_denied(&self.denied, std::iter::once(end_entity).chain(intermediates))?;
+        none_is_denied(
+            &self.denied,
+            std::iter::once(end_entity).chain(intermediates),
+        )?;
         let name = server_name.to_str().to_ascii_lowercase();
         let mut judged = Err(Error::InvalidCertificate(CertificateError::UnknownIssuer));
         for (limit, verifier) in &self.groups {
-            let verdict =
-                verifier.verify_server_cert(end_entity, intermediates, server_name, ocsp_response, now);
+            let verdict = verifier.verify_server_cert(
+                end_entity,
+                intermediates,
+                server_name,
+                ocsp_response,
+                now,
+            );
             match (verdict, limit) {
                 (Ok(_), Some(limit)) if !limit.covers(&name) => {
                     judged = Err(Error::General(format!(
@@ -166,7 +195,12 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        verify_tls12_signature(message, cert, dss, &self.provider.signature_verification_algorithms)
+        verify_tls12_signature(
+            message,
+            cert,
+            dss,
+            &self.provider.signature_verification_algorithms,
+        )
     }
     fn verify_tls13_signature(
         &self,
@@ -174,10 +208,17 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        verify_tls13_signature(message, cert, dss, &self.provider.signature_verification_algorithms)
+        verify_tls13_signature(
+            message,
+            cert,
+            dss,
+            &self.provider.signature_verification_algorithms,
+        )
     }
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
-        self.provider.signature_verification_algorithms.supported_schemes()
+        self.provider
+            .signature_verification_algorithms
+            .supported_schemes()
     }
 }
 
@@ -203,8 +244,12 @@
         intermediates: &[CertificateDer<'_>],
         now: UnixTime,
     ) -> Result<ClientCertVerified, Error> {
-        none_is_denied(&self.denied, std::iter::once(end_entity).chain(intermediates))?;
-        self.inner.verify_client_cert(end_entity, intermediates, now)
+        none_is_denied(
+            &self.denied,
+            std::iter::once(end_entity).chain(intermediates),
+        )?;
+        self.inner
+            .verify_client_cert(end_entity, intermediates, now)
     }
     fn verify_tls12_signature(
         &self,
--- a/crates/sanddrum-tls/tests/stories.rs
+++ b/crates/sanddrum-tls/tests/stories.rs
@@ -2,13 +2,15 @@
 
 use proptest::prelude::*;
 use rcgen::{
-    BasicConstraints, CertificateParams, CertificateRevocationListParams, CertifiedIssuer, DnType, IsCa,
-    KeyPair, KeyUsagePurpose, RevokedCertParams, SerialNumber,
+    BasicConstraints, CertificateParams, CertificateRevocationListParams, CertifiedIssuer, DnType,
+    IsCa, KeyPair, KeyUsagePurpose, RevokedCertParams, SerialNumber,
 };
 use rstest::rstest;
 use rustls::pki_types::{pem::PemObject, CertificateDer};
 use sanddrum_net::*;
-use sanddrum_tls::{Asks, Bounds, KeyPrint, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
+use sanddrum_tls::{
+    Asks, Bounds, KeyPrint, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -39,11 +41,31 @@
     fn calls(to: &str, name: &str, says: &[u8]) -> (Talker, Shared<Seen>) {
         let seen = Shared::<Seen>::default();
         let calls = Some((to.to_string(), name.to_string()));
-        (Talker { calls, says: says.to_vec(), said: 0, conn: None, echoes: false, seen: seen.clone() }, seen)
+        (
+            Talker {
+                calls,
+                says: says.to_vec(),
+                said: 0,
+                conn: None,
+                echoes: false,
+                seen: seen.clone(),
+            },
+            seen,
+        )
     }
     fn listens() -> (Talker, Shared<Seen>) {
         let seen = Shared::<Seen>::default();
-        (Talker { calls: None, says: vec![], said: 0, conn: None, echoes: true, seen: seen.clone() }, seen)
+        (
+            Talker {
+                calls: None,
+                says: vec![],
+                said: 0,
+                conn: None,
+                echoes: true,
+                seen: seen.clone(),
+            },
+            seen,
+        )
     }
     fn say(&mut self, io: &mut dyn Io) {
         if let Some(conn) = self.conn {
@@ -133,13 +155,22 @@
             revoked_certs: last_years.iter().map(revoked).collect(),
             key_identifier_method: rcgen::KeyIdMethod::Sha256,
         };
-        params.signed_by(&self.0).unwrap().pem().unwrap().into_bytes()
+        params
+            .signed_by(&self.0)
+            .unwrap()
+            .pem()
+            .unwrap()
+            .into_bytes()
     }
     fn roots(&self) -> Vec<u8> {
         self.0.pem().into_bytes()
     }
     fn papers(&self, own: Option<Own>) -> Papers {
-        Papers { roots: self.roots(), own, ..Papers::default() }
+        Papers {
+            roots: self.roots(),
+            own,
+            ..Papers::default()
+        }
     }
     fn side(&self, own: Option<Own>, callers: Asks) -> Side {
         side(self.papers(own), callers)
@@ -150,7 +181,15 @@
     }
 }
 fn side(papers: Papers, callers: Asks) -> Side {
-    Side::new(papers, Rules { callers, sessions: 16, ..Rules::default() }).unwrap()
+    Side::new(
+        papers,
+        Rules {
+            callers,
+            sessions: 16,
+            ..Rules::default()
+        },
+    )
+    .unwrap()
 }
 fn serves(core: impl Core + 'static, side: Side) -> Box<dyn Core> {
     Box::new(Layer::new(core, bounds()).with_doors(side))
@@ -162,10 +201,19 @@
 const NAME: &str = "worker7.bat-a.example.org";
 
 fn bounds() -> Bounds {
-    Bounds { handshake_time_out: 2_000_000, handshakes: 3, waiting: 20_000, warn_ahead: 0 }
+    Bounds {
+        handshake_time_out: 2_000_000,
+        handshakes: 3,
+        waiting: 20_000,
+        warn_ahead: 0,
+    }
 }
 fn net(seed: u64) -> VirtualNet {
-    let links = Links { split: 0.5, window: 30_000, ..Links::default() };
+    let links = Links {
+        split: 0.5,
+        window: 30_000,
+        ..Links::default()
+    };
     VirtualNet::new(seed, NOW, links, Box::new(NoTap))
 }
 fn run(net: &mut VirtualNet, seconds: i64) {
@@ -195,16 +243,23 @@
     let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
     let (door, at) = EventLoop::bind("127.0.0.1:0").unwrap();
     let served = authority.side(Some(authority.leaf(NAME, 2040)), Asks::No);
-    driver.add(serves(server, served), vec![door], None).unwrap();
+    driver
+        .add(serves(server, served), vec![door], None)
+        .unwrap();
     let (client, seen) = Talker::calls(&at, NAME, b"hello");
-    driver.add(dials(client, authority.side(None, Asks::No)), vec![], None).unwrap();
+    driver
+        .add(dials(client, authority.side(None, Asks::No)), vec![], None)
+        .unwrap();
     let until = driver.now() + 10_000_000;
     while seen.borrow().came.is_empty() && driver.now() < until {
         let next = driver.now() + 5_000;
         driver.run_until(next).unwrap();
     }
     assert_eq!(
-        (heard.borrow().came.as_slice(), seen.borrow().came.as_slice()),
+        (
+            heard.borrow().came.as_slice(),
+            seen.borrow().came.as_slice()
+        ),
         (&b"hello"[..], &b"hello"[..])
     );
 }
@@ -214,7 +269,11 @@
 #[case::a_wildcard("*.bat-a.example.org", 2040, false)]
 #[case::expired(NAME, 2022, false)]
 #[case::its_own(NAME, 2040, true)]
-fn a_worker_has_to_own_its_name_now(#[case] shown: &str, #[case] last_year: i32, #[case] good: bool) {
+fn a_worker_has_to_own_its_name_now(
+    #[case] shown: &str,
+    #[case] last_year: i32,
+    #[case] good: bool,
+) {
     let authority = Authority::new();
     let (server, heard) = Talker::listens();
     let (client, seen) = Talker::calls("a:1", NAME, b"secret");
@@ -225,13 +284,20 @@
     run(&mut net, 3);
     assert_eq!(heard.borrow().came.is_empty(), !good);
     let closed = if good { vec![] } else { vec![Closed::Refused] };
-    assert_eq!((seen.borrow().up, seen.borrow().closed.clone()), (u32::from(good), closed));
+    assert_eq!(
+        (seen.borrow().up, seen.borrow().closed.clone()),
+        (u32::from(good), closed)
+    );
 }
 
 #[rstest]
 fn a_foreign_authority_is_not_trusted_in_either_direction() {
     let (ours, theirs) = (Authority::new(), Authority::new());
-    for (roots, own) in [(&theirs, None), (&ours, Some(theirs.leaf("edge-0", 2040))), (&ours, None)] {
+    for (roots, own) in [
+        (&theirs, None),
+        (&ours, Some(theirs.leaf("edge-0", 2040))),
+        (&ours, None),
+    ] {
         let (server, heard) = Talker::listens();
         let (client, seen) = Talker::calls("a:1", NAME, b"secret");
         let mut net = net(1);
@@ -245,7 +311,9 @@
 }
 
 #[rstest]
-fn callers_that_speak_plainly_or_not_at_all_cost_a_bounded_while(#[values(true, false)] says: bool) {
+fn callers_that_speak_plainly_or_not_at_all_cost_a_bounded_while(
+    #[values(true, false)] says: bool,
+) {
     let authority = Authority::new();
     let (server, heard) = Talker::listens();
     let mut net = net(1);
@@ -253,14 +321,25 @@
     net.add(0, &["a:1"], serves(server, served));
     let callers: Vec<_> = (0..5)
         .map(|_| {
-            let (client, seen) = Talker::calls("a:1", "", if says { b"GET / HTTP/1.1\r\n\r\n" } else { b"" });
+            let (client, seen) = Talker::calls(
+                "a:1",
+                "",
+                if says { b"GET / HTTP/1.1\r\n\r\n" } else { b"" },
+            );
             net.add(0, &[], Box::new(client));
             seen
         })
         .collect();
     run(&mut net, 1);
-    let closed = callers.iter().filter(|seen| !seen.borrow().closed.is_empty()).count();
-    assert_eq!(closed, if says { 5 } else { 2 }, "no more than three handshakes wait");
+    let closed = callers
+        .iter()
+        .filter(|seen| !seen.borrow().closed.is_empty())
+        .count();
+    assert_eq!(
+        closed,
+        if says { 5 } else { 2 },
+        "no more than three handshakes wait"
+    );
     run(&mut net, 3);
     assert!(callers.iter().all(|seen| !seen.borrow().closed.is_empty()));
     assert_eq!(heard.borrow().up, 0);
@@ -317,12 +396,24 @@
         let came = seen.borrow().came.clone();
         came
     };
-    assert_eq!(late(&mut net, &old), b"two", "the last good one, as the new one is torn");
+    assert_eq!(
+        late(&mut net, &old),
+        b"two",
+        "the last good one, as the new one is torn"
+    );
     net.give_file(host, DOOR_FILES[1], Err("unreadable"));
     assert_eq!(late(&mut net, &old), b"two");
     net.give_file(host, DOOR_FILES[1], Ok(&chain));
-    assert_eq!(late(&mut net, &new), b"two", "new connections are met with the new one");
-    assert_eq!(late(&mut net, &old), b"", "and who trusts only the old root finds nobody");
+    assert_eq!(
+        late(&mut net, &new),
+        b"two",
+        "new connections are met with the new one"
+    );
+    assert_eq!(
+        late(&mut net, &old),
+        b"",
+        "and who trusts only the old root finds nobody"
+    );
     assert!(seen.borrow().closed.is_empty(), "what was up is still up");
     assert_eq!(seen.borrow().came, b"one");
     assert!(heard.borrow().came.len() >= 12);
@@ -335,8 +426,16 @@
     let (server, heard) = Talker::listens();
     let (client, _) = Talker::calls("a:1", NAME, b"secret");
     let mut net = net(1);
-    net.add(0, &["a:1"], serves(server, serving.side(Some(shown), Asks::No)));
-    let rules = Rules { sessions: 16, limited, ..Rules::default() };
+    net.add(
+        0,
+        &["a:1"],
+        serves(server, serving.side(Some(shown), Asks::No)),
+    );
+    let rules = Rules {
+        sessions: 16,
+        limited,
+        ..Rules::default()
+    };
     net.add(0, &[], dials(client, Side::new(papers, rules).unwrap()));
     run(&mut net, 3);
     let came = heard.borrow().came == b"secret";
@@ -350,21 +449,47 @@
 #[case::the_whole_name(NAME, true)]
 fn an_authority_may_be_limited_to_some_names(#[case] limit: &str, #[case] good: bool) {
     let (wide, narrow) = (Authority::named("wide"), Authority::named("narrow"));
-    let limited = vec![Limited { authority: "narrow".into(), names: vec![limit.into()] }];
-    let papers = Papers { roots: [wide.roots(), narrow.roots()].concat(), ..Papers::default() };
-    assert_eq!(reaches(narrow.leaf(NAME, 2040), &narrow, papers.clone(), limited.clone()), good);
-    assert!(reaches(wide.leaf(NAME, 2040), &wide, papers, limited), "the other one is not limited");
+    let limited = vec![Limited {
+        authority: "narrow".into(),
+        names: vec![limit.into()],
+    }];
+    let papers = Papers {
+        roots: [wide.roots(), narrow.roots()].concat(),
+        ..Papers::default()
+    };
+    assert_eq!(
+        reaches(
+            narrow.leaf(NAME, 2040),
+            &narrow,
+            papers.clone(),
+            limited.clone()
+        ),
+        good
+    );
+    assert!(
+        reaches(wide.leaf(NAME, 2040), &wide, papers, limited),
+        "the other one is not limited"
+    );
 }
 
 #[rstest]
 fn a_revoked_certificate_and_a_denied_key_are_not_believed() {
     let authority = Authority::new();
     let (lost, kept) = (authority.leaf(NAME, 2038), authority.leaf(NAME, 2039));
-    let revoked = Papers { revoked: authority.revokes(2024, &[2038]), ..authority.papers(None) };
+    let revoked = Papers {
+        revoked: authority.revokes(2024, &[2038]),
+        ..authority.papers(None)
+    };
     assert!(!reaches(lost.clone(), &authority, revoked.clone(), vec![]));
     assert!(reaches(kept.clone(), &authority, revoked, vec![]));
-    let line = format!("# stolen\n{} from the rack in hall 2\n", Authority::print(&lost));
-    let denied = Papers { denied: line.into_bytes(), ..authority.papers(None) };
+    let line = format!(
+        "# stolen\n{} from the rack in hall 2\n",
+        Authority::print(&lost)
+    );
+    let denied = Papers {
+        denied: line.into_bytes(),
+        ..authority.papers(None)
+    };
     assert!(!reaches(lost, &authority, denied.clone(), vec![]));
     assert!(reaches(kept, &authority, denied, vec![]));
 }
@@ -378,19 +503,32 @@
     let (server, _) = Talker::listens();
     let (client, seen) = Talker::calls("a:1", NAME, b"one");
     let mut net = net(1);
-    net.add(0, &["a:1"], serves(server, authority.side(Some(shown), Asks::No)));
-    let papers = Papers { revoked: authority.revokes(2023, &[]), ..authority.papers(None) };
+    net.add(
+        0,
+        &["a:1"],
+        serves(server, authority.side(Some(shown), Asks::No)),
+    );
+    let papers = Papers {
+        revoked: authority.revokes(2023, &[]),
+        ..authority.papers(None)
+    };
     let edge = net.add(0, &[], dials(client, side(papers, Asks::No)));
     run(&mut net, 1);
     assert_eq!(seen.borrow().came, b"one");
     net.give_file(edge, CALL_FILES[3], Ok(&authority.revokes(2022, &[2038])));
     net.give_file(edge, CALL_FILES[3], Ok(b"-----BEGIN X509 CRL-----\ntorn"));
     run(&mut net, 1);
-    assert!(seen.borrow().stale.is_empty(), "an older list and a torn one change nothing");
+    assert!(
+        seen.borrow().stale.is_empty(),
+        "an older list and a torn one change nothing"
+    );
     net.give_file(edge, CALL_FILES[3], Ok(&authority.revokes(2024, &[2038])));
     run(&mut net, 1);
     assert_eq!(seen.borrow().stale, [true]);
-    assert!(seen.borrow().closed.is_empty(), "what is out on it may still be answered");
+    assert!(
+        seen.borrow().closed.is_empty(),
+        "what is out on it may still be answered"
+    );
 }
 
 /// Calls again and again, one call after the other.
@@ -407,7 +545,9 @@
     fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
-                self.resumed.borrow_mut().push(io.peer(conn).unwrap().resumed);
+                self.resumed
+                    .borrow_mut()
+                    .push(io.peer(conn).unwrap().resumed);
                 io.write(conn, b"x");
             }
             Event::Bytes { conn, .. } => {
@@ -438,19 +578,40 @@
     let (resumed, refused) = (Shared::<Vec<bool>>::default(), Shared::<u32>::default());
     let (server, _) = Talker::listens();
     let mut net = net(1);
-    net.add(0, &["a:1"], serves(server, ours.side(Some(shown.clone()), Asks::No)));
-    let again = Again { to: "a:1".into(), left: 3, resumed: resumed.clone(), refused: refused.clone() };
+    net.add(
+        0,
+        &["a:1"],
+        serves(server, ours.side(Some(shown.clone()), Asks::No)),
+    );
+    let again = Again {
+        to: "a:1".into(),
+        left: 3,
+        resumed: resumed.clone(),
+        refused: refused.clone(),
+    };
     let edge = net.add(0, &[], dials(again, ours.side(None, Asks::No)));
     run(&mut net, 2);
     assert_eq!(*resumed.borrow(), [false, true, true]);
-    net.give_file(edge, CALL_FILES[0], Ok(&[ours.roots(), other.roots()].concat()));
+    net.give_file(
+        edge,
+        CALL_FILES[0],
+        Ok(&[ours.roots(), other.roots()].concat()),
+    );
     net.give_file(edge, "go", Ok(b""));
     run(&mut net, 1);
-    assert_eq!(*resumed.borrow(), [false, true, true, false], "roots have changed");
+    assert_eq!(
+        *resumed.borrow(),
+        [false, true, true, false],
+        "roots have changed"
+    );
     net.give_file(edge, CALL_FILES[4], Ok(Authority::print(&shown).as_bytes()));
     net.give_file(edge, "go", Ok(b""));
     run(&mut net, 1);
-    assert_eq!((resumed.borrow().len(), *refused.borrow()), (4, 1), "no ticket of before is of use");
+    assert_eq!(
+        (resumed.borrow().len(), *refused.borrow()),
+        (4, 1),
+        "no ticket of before is of use"
+    );
 }
 
 /// Roots change in two steps while workers of the old and of the new authority stand side by side.
@@ -458,11 +619,19 @@
 fn roots_are_rotated_in_two_steps() {
     let (old, new) = (Authority::named("old"), Authority::named("new"));
     let both = [old.roots(), new.roots()].concat();
-    for (roots, of_old, of_new) in
-        [(old.roots(), true, false), (both, true, true), (new.roots(), false, true)]
-    {
-        let papers = Papers { roots, ..Papers::default() };
-        assert_eq!(reaches(old.leaf(NAME, 2040), &old, papers.clone(), vec![]), of_old);
+    for (roots, of_old, of_new) in [
+        (old.roots(), true, false),
+        (both, true, true),
+        (new.roots(), false, true),
+    ] {
+        let papers = Papers {
+            roots,
+            ..Papers::default()
+        };
+        assert_eq!(
+            reaches(old.leaf(NAME, 2040), &old, papers.clone(), vec![]),
+            of_old
+        );
         assert_eq!(reaches(new.leaf(NAME, 2040), &new, papers, vec![]), of_new);
     }
 }
@@ -474,14 +643,23 @@
     let authority = Authority::new();
     let shown = authority.leaf(NAME, 2026);
     let year_ends: Micros = 1_767_225_600_000_000; // 2026-01-01
-    for (truth, good) in
-        [(year_ends - 40 * 3600 * 1_000_000, true), (year_ends - 12 * 3600 * 1_000_000, days < 0)]
-    {
+    for (truth, good) in [
+        (year_ends - 40 * 3600 * 1_000_000, true),
+        (year_ends - 12 * 3600 * 1_000_000, days < 0),
+    ] {
         let (server, heard) = Talker::listens();
         let (client, _) = Talker::calls("a:1", NAME, b"x");
-        let links = Links { split: 0.5, window: 30_000, ..Links::default() };
+        let links = Links {
+            split: 0.5,
+            window: 30_000,
+            ..Links::default()
+        };
         let mut net = VirtualNet::new(1, truth + days * 86_400 * 1_000_000, links, Box::new(NoTap));
-        net.add(0, &["a:1"], serves(server, authority.side(Some(shown.clone()), Asks::No)));
+        net.add(
+            0,
+            &["a:1"],
+            serves(server, authority.side(Some(shown.clone()), Asks::No)),
+        );
         net.add(0, &[], dials(client, authority.side(None, Asks::No)));
         run(&mut net, 3);
         assert_eq!(!heard.borrow().came.is_empty(), good);
@@ -538,8 +716,25 @@
     let (server, heard) = Talker::listens();
     let ended = Shared::<Option<Micros>>::default();
     let mut net = net(1);
-    net.add(0, &["a:1"], serves(server, authority.side(Some(authority.leaf(NAME, 2040)), Asks::No)));
-    net.add(0, &[], Box::new(Drips { bytes, conn: None, next: 0, every, ended: ended.clone() }));
+    net.add(
+        0,
+        &["a:1"],
+        serves(
+            server,
+            authority.side(Some(authority.leaf(NAME, 2040)), Asks::No),
+        ),
+    );
+    net.add(
+        0,
+        &[],
+        Box::new(Drips {
+            bytes,
+            conn: None,
+            next: 0,
+            every,
+            ended: ended.clone(),
+        }),
+    );
     run(&mut net, 5);
     assert!(ended.borrow().is_some_and(|at| at <= NOW + 2_100_000));
     assert_eq!(heard.borrow().up, 0);
@@ -548,20 +743,38 @@
 #[rstest]
 fn a_core_is_told_what_its_caller_has_proved() {
     let authority = Authority::new();
-    let (ours, theirs) = (authority.leaf(NAME, 2040), authority.leaf("GW1.example.org", 2039));
+    let (ours, theirs) = (
+        authority.leaf(NAME, 2040),
+        authority.leaf("GW1.example.org", 2039),
+    );
     for (asks, own, peers) in [
         (Asks::May, None, vec![String::new()]),
-        (Asks::May, Some(theirs.clone()), vec![Authority::print(&theirs)]),
+        (
+            Asks::May,
+            Some(theirs.clone()),
+            vec![Authority::print(&theirs)],
+        ),
         (Asks::Must, None, vec![]),
     ] {
         let (server, heard) = Talker::listens();
         let (client, _) = Talker::calls("a:1", NAME, b"x");
         let mut net = net(1);
-        net.add(0, &["a:1"], serves(server, authority.side(Some(ours.clone()), asks)));
+        net.add(
+            0,
+            &["a:1"],
+            serves(server, authority.side(Some(ours.clone()), asks)),
+        );
         net.add(0, &[], dials(client, authority.side(own, Asks::No)));
         run(&mut net, 3);
         let heard = heard.borrow();
-        assert_eq!(heard.peers.iter().map(|peer| peer.key.clone()).collect::<Vec<_>>(), peers);
+        assert_eq!(
+            heard
+                .peers
+                .iter()
+                .map(|peer| peer.key.clone())
+                .collect::<Vec<_>>(),
+            peers
+        );
         if peers == [Authority::print(&theirs)] {
             assert_eq!(heard.peers[0].names, ["gw1.example.org"]);
         }
@@ -602,9 +815,16 @@
     };
     let side = side(papers, Asks::No);
     let year = |year: i64| (year - 2025) * 365 * 86_400 * 1_000_000 + 1_735_689_600_000_000;
-    let ends: Vec<(&str, bool)> =
-        side.terms().expiries().iter().map(|e| (e.what.as_str(), e.at < year(2027))).collect();
-    assert!(ends.contains(&("certificate", true)) && ends.contains(&("authority bat-a", false)), "{ends:?}");
+    let ends: Vec<(&str, bool)> = side
+        .terms()
+        .expiries()
+        .iter()
+        .map(|e| (e.what.as_str(), e.at < year(2027)))
+        .collect();
+    assert!(
+        ends.contains(&("certificate", true)) && ends.contains(&("authority bat-a", false)),
+        "{ends:?}"
+    );
     assert_eq!(ends.len(), 3, "and the list");
     for (at, holds) in [(year(2019), false), (year(2025), true), (year(2030), false)] {
         assert_eq!(side.terms().hold(at).is_ok(), holds);
@@ -617,8 +837,14 @@
     let authority = Authority::new();
     let (server, heard) = Talker::listens();
     let mut net = net(1);
-    let host =
-        net.add(0, &["a:1"], serves(server, authority.side(Some(authority.leaf(NAME, 2040)), Asks::No)));
+    let host = net.add(
+        0,
+        &["a:1"],
+        serves(
+            server,
+            authority.side(Some(authority.leaf(NAME, 2040)), Asks::No),
+        ),
+    );
     let (chain, key) = authority.leaf(NAME, 2022);
     net.give_file(host, DOOR_FILES[1], Ok(&chain));
     net.give_file(host, DOOR_FILES[2], Ok(&key));
@@ -668,9 +894,28 @@
     let (mut server, heard) = Talker::listens();
     // Nothing comes back that would have the layer look again.
     server.echoes = false;
-    let mut net = VirtualNet::new(1, NOW, Links { window, ..Links::default() }, Box::new(NoTap));
-    net.add(0, &["a:1"], serves(server, authority.side(Some(authority.leaf(NAME, 2040)), Asks::No)));
-    let core = InTurns { conn: None, left: 3_000_000, blocked: false };
+    let mut net = VirtualNet::new(
+        1,
+        NOW,
+        Links {
+            window,
+            ..Links::default()
+        },
+        Box::new(NoTap),
+    );
+    net.add(
+        0,
+        &["a:1"],
+        serves(
+            server,
+            authority.side(Some(authority.leaf(NAME, 2040)), Asks::No),
+        ),
+    );
+    let core = InTurns {
+        conn: None,
+        left: 3_000_000,
+        blocked: false,
+    };
     net.add(0, &[], dials(core, authority.side(None, Asks::No)));
     run(&mut net, 20);
     assert_eq!(heard.borrow().came.len(), 3_000_000);
--- a/crates/sanddrum-wire/src/frame.rs
+++ b/crates/sanddrum-wire/src/frame.rs
@@ -18,7 +18,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FrameError::TooLarge { length, most } => {
-                write!(f, "a frame of {length} bytes; at most {most} are taken (limits largest-frame)")
+                write!(
+                    f,
+                    "a frame of {length} bytes; at most {most} are taken (limits largest-frame)"
+                )
             }
             FrameError::Garbled(why) => write!(f, "not a message of this protocol: {why}"),
         }
@@ -38,7 +41,11 @@
 impl Frames {
     /// Frames of more than `most` bytes are refused as soon as their length is read.
     pub fn new(most: usize) -> Self {
-        Frames { bytes: Vec::new(), read: 0, most }
+        Frames {
+            bytes: Vec::new(),
+            read: 0,
+            most,
+        }
     }
     pub fn take_in(&mut self, bytes: &[u8]) {
         if self.read > 0 {
@@ -50,10 +57,15 @@
     /// The next whole frame's content; `None` until more bytes have come.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let rest = &self.bytes[self.read..];
-        let Some((prefix, content)) = rest.split_first_chunk::<PREFIX>() else { return Ok(None) };
+        let Some((prefix, content)) = rest.split_first_chunk::<PREFIX>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*prefix) as usize;
         if length > self.most {
-            return Err(FrameError::TooLarge { length, most: self.most });
+            return Err(FrameError::TooLarge {
+                length,
+                most: self.most,
+            });
         }
         if content.len() < length {
             return Ok(None);
--- a/crates/sanddrum-wire/src/http.rs
+++ b/crates/sanddrum-wire/src/http.rs
@@ -48,7 +48,10 @@
 
 impl Request {
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.fields
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -74,7 +77,9 @@
         return if too_large {
             Err(Bad::HeadTooLarge)
         } else {
-            Ok(Parsed::Partial { expects_continue: false })
+            Ok(Parsed::Partial {
+                expects_continue: false,
+            })
         };
     };
     if at > most_head {
@@ -90,32 +95,50 @@
     }
     let Some(body) = bytes[at..].get(..length) else {
         let expects_continue = field("expect").any(|v| v.eq_ignore_ascii_case(b"100-continue"));
-        return Ok(Parsed::Partial { expects_continue: expects_continue && bytes.len() == at });
+        return Ok(Parsed::Partial {
+            expects_continue: expects_continue && bytes.len() == at,
+        });
     };
     let one_one = head.version == Some(1);
     let mut options = field("connection").flat_map(|v| v.split(|b| *b == b','));
     let said = |what: &[u8], v: &[u8]| v.trim_ascii().eq_ignore_ascii_case(what);
-    let keep_alive =
-        if one_one { !options.any(|v| said(b"close", v)) } else { options.any(|v| said(b"keep-alive", v)) };
+    let keep_alive = if one_one {
+        !options.any(|v| said(b"close", v))
+    } else {
+        options.any(|v| said(b"keep-alive", v))
+    };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
     let request = Request {
         method: head.method.unwrap_or_default().to_string(),
         path: head.path.unwrap_or_default().to_string(),
-        fields: head.headers.iter().map(|h| (h.name.to_string(), text(h.value))).collect(),
+        fields: head
+            .headers
+            .iter()
+            .map(|h| (h.name.to_string(), text(h.value)))
+            .collect(),
         body: body.to_vec(),
         keep_alive,
     };
     Ok(Parsed::Whole(request, at + length))
 }
 
-fn values<'a>(fields: &'a [httparse::Header<'a>], name: &'static str) -> impl Iterator<Item = &'a [u8]> {
-    fields.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
+fn values<'a>(
+    fields: &'a [httparse::Header<'a>],
+    name: &'static str,
+) -> impl Iterator<Item = &'a [u8]> {
+    fields
+        .iter()
+        .filter(move |h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value)
 }
 
 /// One length, said once or the same each time (RFC 9112, section 6.3).
 fn length_of<'a>(mut said: impl Iterator<Item = &'a [u8]>) -> Result<usize, Bad> {
-    let Some(first) = said.next() else { return Ok(0) };
-    if said.any(|other| other != first) || first.is_empty() || !first.iter().all(u8::is_ascii_digit) {
+    let Some(first) = said.next() else {
+        return Ok(0);
+    };
+    if said.any(|other| other != first) || first.is_empty() || !first.iter().all(u8::is_ascii_digit)
+    {
         return Err(Bad::Malformed);
     }
     let digits = std::str::from_utf8(first).map_err(|_| Bad::Malformed)?;
@@ -129,7 +152,11 @@
     for (name, value) in fields {
         let _ = write!(head, "{name}: {value}\r\n");
     }
-    let close = if keep_alive { "" } else { "connection: close\r\n" };
+    let close = if keep_alive {
+        ""
+    } else {
+        "connection: close\r\n"
+    };
     let _ = write!(head, "content-length: {}\r\n{close}\r\n", body.len());
     let mut out = head.into_bytes();
     out.extend_from_slice(body);
@@ -180,7 +207,10 @@
 
 impl Answer {
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.fields
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 }
 
@@ -192,11 +222,17 @@
         return Ok(None);
     };
     let length = length_of(values(head.headers, "content-length"))?;
-    let Some(body) = bytes[at..].get(..length) else { return Ok(None) };
+    let Some(body) = bytes[at..].get(..length) else {
+        return Ok(None);
+    };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
     let answer = Answer {
         status: head.code.unwrap_or_default(),
-        fields: head.headers.iter().map(|h| (h.name.to_string(), text(h.value))).collect(),
+        fields: head
+            .headers
+            .iter()
+            .map(|h| (h.name.to_string(), text(h.value)))
+            .collect(),
         body: body.to_vec(),
     };
     Ok(Some((answer, at + length)))
--- a/crates/sanddrum-wire/src/messages.rs
+++ b/crates/sanddrum-wire/src/messages.rs
@@ -338,7 +338,12 @@
 
 impl Rows {
     pub fn head(&self) -> RowsHead {
-        RowsHead { version: self.version, run: self.run, whole: self.whole, after: self.after }
+        RowsHead {
+            version: self.version,
+            run: self.run,
+            whole: self.whole,
+            after: self.after,
+        }
     }
 }
 
--- a/crates/sanddrum-wire/tests/codecs.rs
+++ b/crates/sanddrum-wire/tests/codecs.rs
@@ -7,15 +7,37 @@
 use sanddrum_wire::*;
 
 fn execute() -> impl Strategy<Value = ToWorker> {
-    let texts = ("[a-z-]{0,12}", "[a-z0-9]{0,12}", proptest::option::of("[a-z0-9]{1,20}"));
+    let texts = (
+        "[a-z-]{0,12}",
+        "[a-z0-9]{0,12}",
+        proptest::option::of("[a-z0-9]{1,20}"),
+    );
     let numbers = (any::<u64>(), any::<i64>(), 0.0..1e6f64, any::<u32>());
-    (texts, numbers, proptest::collection::vec(any::<u8>(), 0..300)).prop_map(
-        |((workload, function, mark), (id, limit_us, memory_mb, lanes), body)| {
-            let trace = mark.clone();
-            let rest = Execute { mark, trace, body, ..Execute::default() };
-            ToWorker::Execute(Execute { id, workload, function, limit_us, memory_mb, lanes, ..rest })
-        },
+    (
+        texts,
+        numbers,
+        proptest::collection::vec(any::<u8>(), 0..300),
     )
+        .prop_map(
+            |((workload, function, mark), (id, limit_us, memory_mb, lanes), body)| {
+                let trace = mark.clone();
+                let rest = Execute {
+                    mark,
+                    trace,
+                    body,
+                    ..Execute::default()
+                };
+                ToWorker::Execute(Execute {
+                    id,
+                    workload,
+                    function,
+                    limit_us,
+                    memory_mb,
+                    lanes,
+                    ..rest
+                })
+            },
+        )
 }
 
 proptest! {
@@ -66,7 +88,13 @@
 fn a_frame_too_large_is_refused_before_its_content_comes() {
     let mut frames = Frames::new(1000);
     frames.take_in(&1001u32.to_be_bytes());
-    assert_eq!(frames.next_frame(), Err(FrameError::TooLarge { length: 1001, most: 1000 }));
+    assert_eq!(
+        frames.next_frame(),
+        Err(FrameError::TooLarge {
+            length: 1001,
+            most: 1000
+        })
+    );
 }
 
 #[rstest]
@@ -75,7 +103,10 @@
     let mut frames = Frames::new(1000);
     frames.take_in(&[0, 0, 0, 4, 0x82, 0x18, 99, 0xa0]);
     frames.take_in(&[0, 0, 0, 8, 0x82, 0x05, 0xa2, 0x00, 0x03, 0x07, 0x61, b'x']);
-    assert_eq!(frames.next_message::<ToWorker>(), Ok(Some(ToWorker::Probe(Probe { id: 3 }))));
+    assert_eq!(
+        frames.next_message::<ToWorker>(),
+        Ok(Some(ToWorker::Probe(Probe { id: 3 })))
+    );
 }
 
 /// The vectors of docs/protocol.md, read from the page itself.
@@ -88,7 +119,8 @@
         .filter_map(|line| line.split_once(": "))
         .map(|(name, hex)| {
             let digits: Vec<char> = hex.chars().filter(|c| c.is_ascii_hexdigit()).collect();
-            let byte = |pair: &[char]| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap();
+            let byte =
+                |pair: &[char]| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap();
             (name.to_string(), digits.chunks(2).map(byte).collect())
         })
         .collect();
@@ -103,7 +135,10 @@
         body: b"hi".to_vec(),
         ..Execute::default()
     };
-    let report = LoadReport { held: Some(3.0), ..LoadReport::default() };
+    let report = LoadReport {
+        held: Some(3.0),
+        ..LoadReport::default()
+    };
     let done = Done {
         id: 7,
         ended: Ended::Finished,
@@ -114,7 +149,12 @@
         customer_pace: None,
         all_pace: None,
     };
-    let hello = Hello { version: VERSION, name: "edge-0".into(), incarnation: 5, age_us: None };
+    let hello = Hello {
+        version: VERSION,
+        name: "edge-0".into(),
+        incarnation: 5,
+        age_us: None,
+    };
     let sent = [
         ("hello", frame(&ToWorker::Hello(hello))),
         ("execute", frame(&ToWorker::Execute(execute))),
@@ -131,7 +171,14 @@
         ),
         ("probe", frame(&ToWorker::Probe(Probe { id: 9 }))),
         ("done", frame(&FromWorker::Done(done))),
-        ("held", frame(&FromWorker::Held(Held { id: 8, ended: Ended::Full, copies: 0 }))),
+        (
+            "held",
+            frame(&FromWorker::Held(Held {
+                id: 8,
+                ended: Ended::Full,
+                copies: 0,
+            })),
+        ),
     ];
     for (name, bytes) in &sent {
         let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
@@ -149,14 +196,26 @@
     Bad::Malformed
 )]
 #[case::signed_length(b"POST / HTTP/1.1\r\ncontent-length: +1\r\n\r\na", 99, Bad::Malformed)]
-#[case::chunked(b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n", 99, Bad::LengthRequired)]
-#[case::body(b"POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n", 99, Bad::BodyTooLarge)]
+#[case::chunked(
+    b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n",
+    99,
+    Bad::LengthRequired
+)]
+#[case::body(
+    b"POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n",
+    99,
+    Bad::BodyTooLarge
+)]
 #[case::endless_length(
     b"POST / HTTP/1.1\r\ncontent-length: 99999999999999999999999\r\n\r\n",
     99,
     Bad::BodyTooLarge
 )]
-fn requests_that_cannot_be_served_say_why(#[case] bytes: &[u8], #[case] most: usize, #[case] why: Bad) {
+fn requests_that_cannot_be_served_say_why(
+    #[case] bytes: &[u8],
+    #[case] most: usize,
+    #[case] why: Bad,
+) {
     assert_eq!(http::request(bytes, most, 100), Err(why));
 }
 
@@ -166,15 +225,33 @@
 #[case::one(1)]
 #[case::many(1000)]
 fn the_head_of_a_list_is_read_without_its_rows(#[case] count: usize) {
-    let row = |n: usize| Row { name: format!("worker-{n}"), size: 8.0, age_us: -1, ..Row::default() };
-    let rows = Rows { version: 7, run: 2, whole: false, after: 6, rows: (0..count).map(row).collect() };
+    let row = |n: usize| Row {
+        name: format!("worker-{n}"),
+        size: 8.0,
+        age_us: -1,
+        ..Row::default()
+    };
+    let rows = Rows {
+        version: 7,
+        run: 2,
+        whole: false,
+        after: 6,
+        rows: (0..count).map(row).collect(),
+    };
     let mut frames = Frames::new(1 << 20);
-    let changes = Rows { whole: true, after: 0, ..rows.clone() };
+    let changes = Rows {
+        whole: true,
+        after: 0,
+        ..rows.clone()
+    };
     for rows in [&rows, &changes] {
         frames.take_in(&frame(&FromList::Rows(rows.clone())));
     }
     for rows in [&rows, &changes] {
-        assert_eq!(frames.next_message::<FromListHead>(), Ok(Some(FromListHead::Rows(rows.head()))));
+        assert_eq!(
+            frames.next_message::<FromListHead>(),
+            Ok(Some(FromListHead::Rows(rows.head())))
+        );
     }
     assert_eq!(frames.next_message::<FromListHead>(), Ok(None));
 }
--- a/crates/sanddrum-worker/src/faults.rs
+++ b/crates/sanddrum-worker/src/faults.rs
@@ -51,10 +51,15 @@
 
 impl Marks {
     pub fn new(window: Micros) -> Self {
-        Marks { window, ended: BTreeMap::new() }
+        Marks {
+            window,
+            ended: BTreeMap::new(),
+        }
     }
     pub fn is_repeat(&self, now: Micros, mark: &str) -> bool {
-        self.ended.get(mark).is_some_and(|at| now < at + self.window)
+        self.ended
+            .get(mark)
+            .is_some_and(|at| now < at + self.window)
     }
     pub fn ended(&mut self, now: Micros, mark: &str) {
         if self.ended.len() >= MARKS {
--- a/crates/sanddrum-worker/src/handshakes.rs
+++ b/crates/sanddrum-worker/src/handshakes.rs
@@ -29,7 +29,13 @@
 }
 
 impl<C: Core> Slowed<C> {
-    pub fn new(core: C, work: Shared<HandshakeWork>, started: Micros, cold: Micros, cold_from: f64) -> Self {
+    pub fn new(
+        core: C,
+        work: Shared<HandshakeWork>,
+        started: Micros,
+        cold: Micros,
+        cold_from: f64,
+    ) -> Self {
         Slowed {
             core,
             work,
@@ -44,7 +50,11 @@
     fn begin(&mut self, now: Micros, conn: Conn) {
         let age = (now - self.started) as f64 / self.cold.max(1) as f64;
         let warm = self.started <= 0 || age >= 1.0;
-        let part = if warm { 1.0 } else { self.cold_from + (1.0 - self.cold_from) * age };
+        let part = if warm {
+            1.0
+        } else {
+            self.cold_from + (1.0 - self.cold_from) * age
+        };
         let mut work = self.work.borrow_mut();
         let takes = work.takes as f64;
         work.came.push(takes);
@@ -76,13 +86,24 @@
         while let Some((_, conn)) = self.queue.front().copied().filter(|(at, _)| *at <= now) {
             self.queue.pop_front();
             if let Some(bytes) = self.held.remove(&conn).filter(|bytes| !bytes.is_empty()) {
-                self.core.event(now, Event::Bytes { conn, bytes: &bytes }, io);
+                self.core.event(
+                    now,
+                    Event::Bytes {
+                        conn,
+                        bytes: &bytes,
+                    },
+                    io,
+                );
             }
         }
         self.core.turn(now, io);
     }
     fn wake(&self) -> Option<Micros> {
-        self.core.wake().into_iter().chain(self.queue.front().map(|(at, _)| *at)).min()
+        self.core
+            .wake()
+            .into_iter()
+            .chain(self.queue.front().map(|(at, _)| *at))
+            .min()
     }
     fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         self.core.file(now, name, content, io);
--- a/crates/sanddrum-worker/src/list_service.rs
+++ b/crates/sanddrum-worker/src/list_service.rs
@@ -69,7 +69,12 @@
     pub fn with_rows(mut self, now: Micros, rows: &[Row]) -> Self {
         for row in rows {
             let started = if row.age_us < 0 { 0 } else { now - row.age_us };
-            let member = || Member { row: row.clone(), started, heard: now, conn: None };
+            let member = || Member {
+                row: row.clone(),
+                started,
+                heard: now,
+                conn: None,
+            };
             self.told.insert(row.name.clone(), member());
             self.seen.insert(row.name.clone(), member());
         }
@@ -77,19 +82,35 @@
         self
     }
     fn aged(row: &Row, started: Micros, now: Micros) -> Row {
-        Row { age_us: if started > 0 { now - started } else { -1 }, ..row.clone() }
+        Row {
+            age_us: if started > 0 { now - started } else { -1 },
+            ..row.clone()
+        }
     }
     fn whole(&self, now: Micros) -> Rows {
         let stands = self.told.values().filter(|m| m.row.phase != Phase::Gone);
         let rows = stands.map(|m| Self::aged(&m.row, m.started, now)).collect();
-        Rows { version: self.version, run: self.run, whole: true, after: 0, rows }
+        Rows {
+            version: self.version,
+            run: self.run,
+            whole: true,
+            after: 0,
+            rows,
+        }
     }
     /// Takes the calls in hand up, one after the other, as far as its core gets by now.
     fn answer_calls(&mut self, now: Micros) {
         while self.busy <= now {
-            let Some((conn, run, version)) = self.calls.pop_front() else { return };
+            let Some((conn, run, version)) = self.calls.pop_front() else {
+                return;
+            };
             let rows = self.rows_for(now, run, version);
-            self.busy = now + if rows.whole { self.spec.whole } else { self.spec.change };
+            self.busy = now
+                + if rows.whole {
+                    self.spec.whole
+                } else {
+                    self.spec.change
+                };
             self.watchers.insert(conn);
             self.peers.send(conn, &frame(&FromList::Rows(rows)));
         }
@@ -100,8 +121,16 @@
             return self.whole(now);
         }
         let since = self.changes.iter().filter(|(v, ..)| *v > version);
-        let rows = since.map(|(_, row, started)| Self::aged(row, *started, now)).collect();
-        Rows { version: self.version, run: self.run, whole: false, after: version, rows }
+        let rows = since
+            .map(|(_, row, started)| Self::aged(row, *started, now))
+            .collect();
+        Rows {
+            version: self.version,
+            run: self.run,
+            whole: false,
+            after: version,
+            rows,
+        }
     }
     fn forget(&mut self, conn: Conn) {
         self.peers.remove(conn);
@@ -111,11 +140,14 @@
     /// Something about a worker has changed; edges are told in a while.
     fn later(&mut self, now: Micros, name: &str) {
         let (from, to) = self.spec.notice;
-        let wait = from + (self.chance.part() * (to - from) as f64) as Micros + self.faults.borrow().lags;
+        let wait =
+            from + (self.chance.part() * (to - from) as f64) as Micros + self.faults.borrow().lags;
         self.due.insert((now + wait, name.to_string()));
     }
     fn tell(&mut self, now: Micros, name: &str) {
-        let Some(seen) = self.seen.get(name) else { return };
+        let Some(seen) = self.seen.get(name) else {
+            return;
+        };
         let (row, started) = (seen.row.clone(), seen.started);
         if self
             .told
@@ -124,7 +156,12 @@
         {
             return;
         }
-        let member = Member { row: row.clone(), started, heard: now, conn: None };
+        let member = Member {
+            row: row.clone(),
+            started,
+            heard: now,
+            conn: None,
+        };
         self.told.insert(name.to_string(), member);
         self.version += 1;
         self.changes.push_back((self.version, row.clone(), started));
@@ -133,14 +170,26 @@
         }
         let rows = vec![Self::aged(&row, started, now)];
         let (version, run) = (self.version, self.run);
-        let change = frame(&FromList::Rows(Rows { version, run, whole: false, after: version - 1, rows }));
-        self.watchers.iter().for_each(|conn| self.peers.send(*conn, &change));
+        let change = frame(&FromList::Rows(Rows {
+            version,
+            run,
+            whole: false,
+            after: version - 1,
+            rows,
+        }));
+        self.watchers
+            .iter()
+            .for_each(|conn| self.peers.send(*conn, &change));
     }
     fn message(&mut self, now: Micros, conn: Conn, message: ToList, io: &mut dyn Io) {
         match message {
             ToList::Hello(_) => {
-                let hello =
-                    Hello { version: VERSION, name: "list".into(), incarnation: self.run, age_us: None };
+                let hello = Hello {
+                    version: VERSION,
+                    name: "list".into(),
+                    incarnation: self.run,
+                    age_us: None,
+                };
                 self.peers.send(conn, &frame(&FromList::Hello(hello)));
             }
             ToList::Watch(_) if self.calls.len() >= self.spec.most => {
@@ -150,15 +199,28 @@
             ToList::Watch(w) => self.calls.push_back((conn, w.run, w.version)),
             ToList::Register(row) => {
                 let name = row.name.clone();
-                if self.seen.get(&name).is_some_and(|m| m.row.incarnation > row.incarnation) {
+                if self
+                    .seen
+                    .get(&name)
+                    .is_some_and(|m| m.row.incarnation > row.incarnation)
+                {
                     return;
                 }
                 let started = if row.age_us < 0 { 0 } else { now - row.age_us };
-                self.seen.insert(name.clone(), Member { row, started, heard: now, conn: Some(conn) });
+                self.seen.insert(
+                    name.clone(),
+                    Member {
+                        row,
+                        started,
+                        heard: now,
+                        conn: Some(conn),
+                    },
+                );
                 self.later(now, &name);
             }
             ToList::Beat(beat) => {
-                let heard = |m: &&mut Member| m.conn == Some(conn) && m.row.incarnation == beat.incarnation;
+                let heard =
+                    |m: &&mut Member| m.conn == Some(conn) && m.row.incarnation == beat.incarnation;
                 if let Some(member) = self.seen.values_mut().find(heard) {
                     member.heard = now;
                 }
@@ -208,7 +270,10 @@
     }
     fn turn(&mut self, now: Micros, io: &mut dyn Io) {
         let silent = now - self.spec.silent_after;
-        let gone = self.seen.values().filter(|m| m.row.phase != Phase::Gone && m.heard < silent);
+        let gone = self
+            .seen
+            .values()
+            .filter(|m| m.row.phase != Phase::Gone && m.heard < silent);
         let (names, conns): (Vec<String>, Vec<Option<Conn>>) =
             gone.map(|m| (m.row.name.clone(), m.conn)).unzip();
         self.lost(now, names);
--- a/crates/sanddrum-worker/src/machine.rs
+++ b/crates/sanddrum-worker/src/machine.rs
@@ -151,7 +151,8 @@
         if self.started <= 0 || age >= self.size.cold {
             return 1.0;
         }
-        self.size.cold_from + (1.0 - self.size.cold_from) * age as f64 / self.size.cold.max(1) as f64
+        self.size.cold_from
+            + (1.0 - self.size.cold_from) * age as f64 / self.size.cold.max(1) as f64
     }
     fn cold(&self, now: Micros) -> bool {
         self.started > 0 && now - self.started < self.size.cold
@@ -160,21 +161,42 @@
         self.copies.values().map(|c| c.memory_mb).sum()
     }
     fn loading(&self) -> usize {
-        self.copies.values().filter(|c| !matches!(c.stage, Stage::Stands { .. })).count()
+        self.copies
+            .values()
+            .filter(|c| !matches!(c.stage, Stage::Stands { .. }))
+            .count()
     }
     fn of<'a>(&'a self, function: &'a str) -> impl Iterator<Item = (&'a u64, &'a Standing)> {
-        self.copies.iter().filter(move |(_, c)| c.function == function && !c.void)
+        self.copies
+            .iter()
+            .filter(move |(_, c)| c.function == function && !c.void)
     }
     fn standing(&self, function: &str) -> u32 {
-        self.of(function).filter(|(_, c)| matches!(c.stage, Stage::Stands { .. })).count() as u32
+        self.of(function)
+            .filter(|(_, c)| matches!(c.stage, Stage::Stands { .. }))
+            .count() as u32
     }
     fn held_of(&self, function: &str) -> u32 {
-        let running = self.running.iter().filter(|r| r.task.function == function).count();
-        (running + self.waiting.iter().filter(|w| w.task.function == function).count()) as u32
+        let running = self
+            .running
+            .iter()
+            .filter(|r| r.task.function == function)
+            .count();
+        (running
+            + self
+                .waiting
+                .iter()
+                .filter(|w| w.task.function == function)
+                .count()) as u32
     }
     pub fn report(&self) -> LoadReport {
         let pinned = |c: &&Standing| c.busy > 0 || !matches!(c.stage, Stage::Stands { .. });
-        let pinned_mb: f64 = self.copies.values().filter(pinned).map(|c| c.memory_mb).sum();
+        let pinned_mb: f64 = self
+            .copies
+            .values()
+            .filter(pinned)
+            .map(|c| c.memory_mb)
+            .sum();
         LoadReport {
             held: Some((self.running.len() + self.waiting.len()) as f64),
             queued: Some(self.waiting.len() as f64),
@@ -187,22 +209,43 @@
     pub fn truth(&self, now: Micros, serves: bool) -> TrueWorker {
         let mut functions: BTreeMap<u64, TrueFunction> = BTreeMap::new();
         for copy in self.copies.values().filter(|c| !c.void) {
-            let of = functions.entry(sanddrum_wire::id_of(&copy.function)).or_default();
+            let of = functions
+                .entry(sanddrum_wire::id_of(&copy.function))
+                .or_default();
             match copy.stage {
                 Stage::Stands { .. } => of.lanes += copy.lanes,
                 _ => of.loading = true,
             }
         }
-        let tasks = self.running.iter().map(|r| &r.task).chain(self.waiting.iter().map(|w| &w.task));
+        let tasks = self
+            .running
+            .iter()
+            .map(|r| &r.task)
+            .chain(self.waiting.iter().map(|w| &w.task));
         for task in tasks {
-            functions.entry(sanddrum_wire::id_of(&task.function)).or_default().held += 1;
+            functions
+                .entry(sanddrum_wire::id_of(&task.function))
+                .or_default()
+                .held += 1;
         }
         let pace = self.size.speed * self.part(now) / self.slower.max(1.0);
         let held = self.running.len() + self.waiting.len();
-        let running: f64 = self.running.iter().map(|r| (r.ends - now).max(0) as f64 * pace).sum();
+        let running: f64 = self
+            .running
+            .iter()
+            .map(|r| (r.ends - now).max(0) as f64 * pace)
+            .sum();
         let backlog = running + self.waiting.iter().map(|w| w.task.work).sum::<f64>();
         let room = (self.size.queue + self.size.cores).saturating_sub(held);
-        TrueWorker { cores: self.size.cores, pace, held, room, backlog, serves, functions }
+        TrueWorker {
+            cores: self.size.cores,
+            pace,
+            held,
+            room,
+            backlog,
+            serves,
+            functions,
+        }
     }
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
@@ -214,13 +257,24 @@
             return self.came.clear();
         }
         self.came.push_back((now, work));
-        while self.came.front().is_some_and(|(at, _)| *at <= now - self.size.fall) {
+        while self
+            .came
+            .front()
+            .is_some_and(|(at, _)| *at <= now - self.size.fall)
+        {
             self.came.pop_front();
         }
         let sent: f64 = self.came.iter().map(|(_, work)| work).sum();
-        let window = self.size.fall.min(now - self.started).max(self.size.fall / 2) as f64;
-        let bears =
-            self.size.fall_multiple * self.part(now) * self.size.cores as f64 * self.size.speed * window;
+        let window = self
+            .size
+            .fall
+            .min(now - self.started)
+            .max(self.size.fall / 2) as f64;
+        let bears = self.size.fall_multiple
+            * self.part(now)
+            * self.size.cores as f64
+            * self.size.speed
+            * window;
         if sent > bears {
             self.effects.push(Effect::Fell);
         }
@@ -233,7 +287,13 @@
         let copies = self.of(&task.function).count();
         let free = self.free_copy(&task.function).is_some();
         let ticket = task.ticket;
-        let refused = |ended| Effect::Done { ticket, ended, copy: None, crowd, mark: None };
+        let refused = |ended| Effect::Done {
+            ticket,
+            ended,
+            copy: None,
+            crowd,
+            mark: None,
+        };
         if full && !(free && !draining && self.running.len() < self.size.cores) {
             return self.effects.push(refused(Ended::Full));
         }
@@ -263,17 +323,33 @@
         if let Some(n) = self.waiting.iter().position(|w| w.task.ticket == ticket) {
             if let Some(w) = self.waiting.remove(n) {
                 let (copy, crowd) = (Some(w.copy), w.crowd);
-                self.effects.push(Effect::Done { ticket, ended: Ended::Dropped, copy, crowd, mark: None });
+                self.effects.push(Effect::Done {
+                    ticket,
+                    ended: Ended::Dropped,
+                    copy,
+                    crowd,
+                    mark: None,
+                });
             }
         }
     }
 
-    pub fn hold(&mut self, now: Micros, ticket: Ticket, hold: &sanddrum_wire::Hold, draining: bool) {
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        hold: &sanddrum_wire::Hold,
+        draining: bool,
+    ) {
         let (function, copies) = (hold.function.as_str(), hold.copies);
         let (memory_mb, lanes) = (hold.memory_mb, hold.lanes.max(1));
         if copies == 0 {
             let copies = self.standing(function);
-            return self.effects.push(Effect::Held { ticket, ended: Ended::Finished, copies });
+            return self.effects.push(Effect::Held {
+                ticket,
+                ended: Ended::Finished,
+                copies,
+            });
         }
         for copy in self.copies.values_mut().filter(|c| c.function == function) {
             if let Stage::Stands { idle_since } = &mut copy.stage {
@@ -286,9 +362,17 @@
         }
         if have < copies {
             let copies = self.standing(function);
-            return self.effects.push(Effect::Held { ticket, ended: Ended::Full, copies });
+            return self.effects.push(Effect::Held {
+                ticket,
+                ended: Ended::Full,
+                copies,
+            });
         }
-        self.wanted.push(Wanted { ticket, function: function.to_string(), copies });
+        self.wanted.push(Wanted {
+            ticket,
+            function: function.to_string(),
+            copies,
+        });
         self.answer_holds(now);
     }
     /// A copy that somebody else has had loaded here before, where there is room for it.
@@ -296,22 +380,41 @@
         if self.of(function).count() > 0 || !self.make_room(memory_mb) {
             return;
         }
-        self.add(function, memory_mb, lanes, Stage::Stands { idle_since: now });
+        self.add(
+            function,
+            memory_mb,
+            lanes,
+            Stage::Stands { idle_since: now },
+        );
     }
     fn add(&mut self, function: &str, memory_mb: f64, lanes: u32, stage: Stage) {
         self.next_copy += 1;
         let function = function.to_string();
-        self.copies
-            .insert(self.next_copy, Standing { function, memory_mb, lanes, busy: 0, stage, void: false });
+        self.copies.insert(
+            self.next_copy,
+            Standing {
+                function,
+                memory_mb,
+                lanes,
+                busy: 0,
+                stage,
+                void: false,
+            },
+        );
     }
     pub fn unload(&mut self, function: &str) {
-        self.copies
-            .retain(|_, c| c.function != function || c.busy > 0 || !matches!(c.stage, Stage::Stands { .. }));
+        self.copies.retain(|_, c| {
+            c.function != function || c.busy > 0 || !matches!(c.stage, Stage::Stands { .. })
+        });
     }
     /// All functions are released anew: what is idle goes, what is at work goes when it is done.
     pub fn flush(&mut self) {
-        self.copies.retain(|_, c| c.busy > 0 || !matches!(c.stage, Stage::Stands { .. }));
-        self.copies.values_mut().filter(|c| c.busy > 0).for_each(|c| c.void = true);
+        self.copies
+            .retain(|_, c| c.busy > 0 || !matches!(c.stage, Stage::Stands { .. }));
+        self.copies
+            .values_mut()
+            .filter(|c| c.busy > 0)
+            .for_each(|c| c.void = true);
     }
 
     fn free_copy(&self, function: &str) -> Option<u64> {
@@ -325,7 +428,9 @@
                 Stage::Stands { idle_since } if c.busy == 0 => Some((idle_since, *id)),
                 _ => None,
             });
-            let Some((_, oldest)) = idle.min() else { return false };
+            let Some((_, oldest)) = idle.min() else {
+                return false;
+            };
             self.copies.remove(&oldest);
         }
         true
@@ -340,15 +445,29 @@
         true
     }
     fn begin_loads(&mut self, _now: Micros) {
-        let at_work =
-            self.copies.values().filter(|c| matches!(c.stage, Stage::Fetching | Stage::Starting(_))).count();
-        let queued: Vec<u64> =
-            self.copies.iter().filter(|(_, c)| c.stage == Stage::Queued).map(|(id, _)| *id).collect();
-        for id in queued.into_iter().take(self.size.loads_at_once.saturating_sub(at_work)) {
+        let at_work = self
+            .copies
+            .values()
+            .filter(|c| matches!(c.stage, Stage::Fetching | Stage::Starting(_)))
+            .count();
+        let queued: Vec<u64> = self
+            .copies
+            .iter()
+            .filter(|(_, c)| c.stage == Stage::Queued)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in queued
+            .into_iter()
+            .take(self.size.loads_at_once.saturating_sub(at_work))
+        {
             if let Some(copy) = self.copies.get_mut(&id) {
                 copy.stage = Stage::Fetching;
                 let (function, size_mb) = (copy.function.clone(), copy.memory_mb);
-                self.effects.push(Effect::Fetch { load: id, function, size_mb });
+                self.effects.push(Effect::Fetch {
+                    load: id,
+                    function,
+                    size_mb,
+                });
             }
         }
     }
@@ -356,7 +475,13 @@
     pub fn fetched(&mut self, now: Micros, load: u64, whole: bool) {
         let fails = !whole || self.chance.is_below(self.load_fails);
         let start = self.size.start_us_per_mb;
-        let Some(copy) = self.copies.get_mut(&load).filter(|c| c.stage == Stage::Fetching) else { return };
+        let Some(copy) = self
+            .copies
+            .get_mut(&load)
+            .filter(|c| c.stage == Stage::Fetching)
+        else {
+            return;
+        };
         if !fails {
             copy.stage = Stage::Starting(now + (copy.memory_mb * start) as Micros);
             return;
@@ -364,8 +489,9 @@
         let function = copy.function.clone();
         self.copies.remove(&load);
         if self.of(&function).count() == 0 {
-            let (gone, stay) =
-                std::mem::take(&mut self.waiting).into_iter().partition(|w| w.task.function == function);
+            let (gone, stay) = std::mem::take(&mut self.waiting)
+                .into_iter()
+                .partition(|w| w.task.function == function);
             self.waiting = stay;
             let gone: VecDeque<Waiting> = gone;
             for w in gone {
@@ -380,13 +506,18 @@
                 });
             }
         }
-        let (failed, stay) =
-            std::mem::take(&mut self.wanted).into_iter().partition(|w| w.function == function);
+        let (failed, stay) = std::mem::take(&mut self.wanted)
+            .into_iter()
+            .partition(|w| w.function == function);
         self.wanted = stay;
         let failed: Vec<Wanted> = failed;
         for w in failed {
             let copies = self.standing(&function);
-            self.effects.push(Effect::Held { ticket: w.ticket, ended: Ended::Error, copies });
+            self.effects.push(Effect::Held {
+                ticket: w.ticket,
+                ended: Ended::Error,
+                copies,
+            });
         }
         self.begin_loads(now);
     }
@@ -398,8 +529,9 @@
                 copy.stage = Stage::Stands { idle_since: now };
             }
         }
-        let (done, still): (Vec<Running>, Vec<Running>) =
-            std::mem::take(&mut self.running).into_iter().partition(|r| r.ends <= now);
+        let (done, still): (Vec<Running>, Vec<Running>) = std::mem::take(&mut self.running)
+            .into_iter()
+            .partition(|r| r.ends <= now);
         self.running = still;
         for r in done {
             if let Some(copy) = self.copies.get_mut(&r.on) {
@@ -411,7 +543,13 @@
             }
             let (copy, mark) = (Some(r.copy), r.task.mark);
             let ticket = r.task.ticket;
-            self.effects.push(Effect::Done { ticket, ended: Ended::Finished, copy, crowd: r.crowd, mark });
+            self.effects.push(Effect::Done {
+                ticket,
+                ended: Ended::Finished,
+                copy,
+                crowd: r.crowd,
+                mark,
+            });
         }
         let keep = self.size.keep_alive;
         self.copies.retain(|_, c| {
@@ -422,25 +560,42 @@
         self.answer_holds(now);
     }
     fn answer_holds(&mut self, _now: Micros) {
-        let stands: Vec<bool> = self.wanted.iter().map(|w| self.standing(&w.function) >= w.copies).collect();
+        let stands: Vec<bool> = self
+            .wanted
+            .iter()
+            .map(|w| self.standing(&w.function) >= w.copies)
+            .collect();
         let mut stands = stands.into_iter();
-        let (met, stay) =
-            std::mem::take(&mut self.wanted).into_iter().partition(|_| stands.next().unwrap_or_default());
+        let (met, stay) = std::mem::take(&mut self.wanted)
+            .into_iter()
+            .partition(|_| stands.next().unwrap_or_default());
         self.wanted = stay;
         let met: Vec<Wanted> = met;
         for w in met {
             let copies = self.standing(&w.function);
-            self.effects.push(Effect::Held { ticket: w.ticket, ended: Ended::Finished, copies });
+            self.effects.push(Effect::Held {
+                ticket: w.ticket,
+                ended: Ended::Finished,
+                copies,
+            });
         }
     }
     /// Tasks begin in the order they came, each with a lane and a core of its own.
     fn start_tasks(&mut self, now: Micros) {
         let (late, in_time): (VecDeque<Waiting>, VecDeque<Waiting>) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|w| w.task.until <= now);
+            std::mem::take(&mut self.waiting)
+                .into_iter()
+                .partition(|w| w.task.until <= now);
         self.waiting = in_time;
         for w in late {
             let (ticket, copy, ended) = (w.task.ticket, Some(w.copy), Ended::Dropped);
-            self.effects.push(Effect::Done { ticket, ended, copy, crowd: w.crowd, mark: None });
+            self.effects.push(Effect::Done {
+                ticket,
+                ended,
+                copy,
+                crowd: w.crowd,
+                mark: None,
+            });
         }
         let mut n = 0;
         while n < self.waiting.len() && self.running.len() < self.size.cores {
@@ -452,13 +607,21 @@
                 n += 1;
                 continue;
             };
-            let Some(w) = self.waiting.remove(n) else { return };
+            let Some(w) = self.waiting.remove(n) else {
+                return;
+            };
             if let Some(copy) = self.copies.get_mut(&on) {
                 copy.busy += 1;
             }
             let pace = self.size.speed * self.part(now) / self.slower.max(1.0);
             let ends = now + ((w.task.work / pace).max(1.0)) as Micros;
-            self.running.push(Running { task: w.task, copy: w.copy, crowd: w.crowd, on, ends });
+            self.running.push(Running {
+                task: w.task,
+                copy: w.copy,
+                crowd: w.crowd,
+                on,
+                ends,
+            });
         }
     }
     /// A task whose copy went while it waited has it loaded again, or is answered.
--- a/crates/sanddrum-worker/src/machine_tests.rs
+++ b/crates/sanddrum-worker/src/machine_tests.rs
@@ -43,7 +43,14 @@
 fn a_job_waits_for_its_load_and_finds_a_copy_the_next_time() {
     let mut m = machine(OnMiss::Load, 0);
     m.take(0, task(1, "a"), false);
-    assert_eq!(m.effects.pop(), Some(Effect::Fetch { load: 1, function: "a".into(), size_mb: 300.0 }));
+    assert_eq!(
+        m.effects.pop(),
+        Some(Effect::Fetch {
+            load: 1,
+            function: "a".into(),
+            size_mb: 300.0
+        })
+    );
     m.fetched(100_000, 1, true);
     assert_eq!(m.wake(), Some(400_000));
     m.advance(400_000);
--- a/crates/sanddrum-worker/src/peers.rs
+++ b/crates/sanddrum-worker/src/peers.rs
@@ -20,7 +20,13 @@
 
 impl Peers {
     pub fn add(&mut self, conn: Conn) {
-        self.peers.insert(conn, Peer { frames: Frames::new(MOST), out: Outbox::new(MOST) });
+        self.peers.insert(
+            conn,
+            Peer {
+                frames: Frames::new(MOST),
+                out: Outbox::new(MOST),
+            },
+        );
     }
     pub fn remove(&mut self, conn: Conn) -> bool {
         self.dirty.remove(&conn);
@@ -41,7 +47,9 @@
         &mut self,
         conn: Conn,
     ) -> Result<Option<T>, FrameError> {
-        self.peers.get_mut(&conn).map_or(Ok(None), |peer| peer.frames.next_message())
+        self.peers
+            .get_mut(&conn)
+            .map_or(Ok(None), |peer| peer.frames.next_message())
     }
     pub fn send(&mut self, conn: Conn, bytes: &[u8]) {
         if let Some(peer) = self.peers.get_mut(&conn) {
--- a/crates/sanddrum-worker/src/store.rs
+++ b/crates/sanddrum-worker/src/store.rs
@@ -33,7 +33,14 @@
 
 impl Store {
     pub fn new(spec: StoreSpec, faults: Shared<StoreFaults>) -> Self {
-        Store { spec, faults, peers: Peers::default(), in_hand: VecDeque::new(), at: 0, fetches: 0 }
+        Store {
+            spec,
+            faults,
+            peers: Peers::default(),
+            in_hand: VecDeque::new(),
+            at: 0,
+            fetches: 0,
+        }
     }
     /// The pace of each fetch: shared once more are in hand than are served at a time.
     fn pace(&self) -> f64 {
@@ -48,11 +55,19 @@
         let done = (now - self.at).max(0) as f64 * self.pace();
         self.at = now;
         self.in_hand.iter_mut().for_each(|f| f.left -= done);
-        let (ended, still) = std::mem::take(&mut self.in_hand).into_iter().partition(|f| f.left <= 0.5);
+        let (ended, still) = std::mem::take(&mut self.in_hand)
+            .into_iter()
+            .partition(|f| f.left <= 0.5);
         self.in_hand = still;
         let ended: VecDeque<Fetching> = ended;
         for f in ended {
-            self.peers.send(f.conn, &frame(&FromStore::Fetched(Fetched { id: f.id, whole: true })));
+            self.peers.send(
+                f.conn,
+                &frame(&FromStore::Fetched(Fetched {
+                    id: f.id,
+                    whole: true,
+                })),
+            );
         }
     }
 }
@@ -77,12 +92,20 @@
                     match self.peers.next_message::<ToStore>(conn) {
                         Ok(Some(ToStore::Fetch(f))) => {
                             self.fetches += 1;
-                            if self.faults.borrow().refuses || self.in_hand.len() >= self.spec.most {
-                                let refused = Fetched { id: f.id, whole: false };
+                            if self.faults.borrow().refuses || self.in_hand.len() >= self.spec.most
+                            {
+                                let refused = Fetched {
+                                    id: f.id,
+                                    whole: false,
+                                };
                                 self.peers.send(conn, &frame(&FromStore::Fetched(refused)));
                             } else {
                                 let left = (f.size_mb * self.spec.us_per_mb).max(1.0);
-                                self.in_hand.push_back(Fetching { conn, id: f.id, left });
+                                self.in_hand.push_back(Fetching {
+                                    conn,
+                                    id: f.id,
+                                    left,
+                                });
                             }
                         }
                         Ok(None) => break,
@@ -105,7 +128,11 @@
         let least = self.in_hand.iter().map(|f| f.left).min_by(f64::total_cmp)?;
         let pace = self.pace();
         // While it stands still it looks now and then whether it may go on.
-        Some(if pace > 0.0 { self.at + (least / pace).ceil().max(1.0) as Micros } else { self.at + 20_000 })
+        Some(if pace > 0.0 {
+            self.at + (least / pace).ceil().max(1.0) as Micros
+        } else {
+            self.at + 20_000
+        })
     }
     fn done(&self) -> bool {
         true
--- a/crates/sanddrum-worker/src/worker.rs
+++ b/crates/sanddrum-worker/src/worker.rs
@@ -8,8 +8,8 @@
 use sanddrum_limits::Pace;
 use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{
-    frame::frame, Beat, Done, Ended, Fetch, Frames, FromStore, FromWorker, Held, Hello, LoadReport, Phase,
-    Probed, Row, ToList, ToStore, ToWorker, VERSION,
+    frame::frame, Beat, Done, Ended, Fetch, Frames, FromStore, FromWorker, Held, Hello, LoadReport,
+    Phase, Probed, Row, ToList, ToStore, ToWorker, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,7 +57,14 @@
 impl Upstream {
     fn new(address: &str) -> Self {
         let (out, frames) = (Outbox::new(MOST), Frames::new(MOST));
-        Upstream { address: address.to_string(), conn: None, up: false, out, frames, again: 0 }
+        Upstream {
+            address: address.to_string(),
+            conn: None,
+            up: false,
+            out,
+            frames,
+            again: 0,
+        }
     }
     fn call(&mut self, io: &mut dyn Io) {
         (self.conn, self.up) = (Some(io.connect(&self.address)), false);
@@ -177,7 +184,11 @@
             cell: self.spec.cell,
             kind: self.spec.kind,
             size: self.spec.cores as f64 * self.spec.speed,
-            phase: if self.drains { Phase::Draining } else { Phase::Ready },
+            phase: if self.drains {
+                Phase::Draining
+            } else {
+                Phase::Ready
+            },
             incarnation: self.incarnation,
             age_us: self.age(now),
         };
@@ -195,17 +206,28 @@
             ToWorker::Hello(_) => {
                 let age_us = Some(self.age(now)).filter(|age| *age >= 0);
                 let name = self.spec.name.clone();
-                let hello = Hello { version: VERSION, name, incarnation: self.incarnation, age_us };
+                let hello = Hello {
+                    version: VERSION,
+                    name,
+                    incarnation: self.incarnation,
+                    age_us,
+                };
                 self.peers.send(conn, &frame(&FromWorker::Hello(hello)));
             }
             ToWorker::Execute(e) => {
                 let ticket = Ticket(conn.0, e.id);
                 self.all.count(now, PACE_WINDOW);
                 if let Some(customer) = &e.customer {
-                    self.paces.entry(customer.clone()).or_default().count(now, PACE_WINDOW);
+                    self.paces
+                        .entry(customer.clone())
+                        .or_default()
+                        .count(now, PACE_WINDOW);
                     self.whose.insert(ticket, customer.clone());
                 }
-                if e.mark.as_deref().is_some_and(|mark| self.marks.borrow().is_repeat(now, mark)) {
+                if e.mark
+                    .as_deref()
+                    .is_some_and(|mark| self.marks.borrow().is_repeat(now, mark))
+                {
                     let copy = Some(sanddrum_wire::Copy::Stood);
                     let ended = Ended::Finished;
                     return self.machine.effects.push(Effect::Done {
@@ -216,11 +238,21 @@
                         mark: None,
                     });
                 }
-                let work = std::str::from_utf8(&e.body).ok().and_then(|text| text.strip_prefix("work-us="));
+                let work = std::str::from_utf8(&e.body)
+                    .ok()
+                    .and_then(|text| text.strip_prefix("work-us="));
                 let work = work.and_then(|us| us.trim().parse().ok()).unwrap_or(1000.0);
                 let (memory_mb, lanes, mark) = (e.memory_mb, e.lanes.max(1), e.mark);
                 let until = now + e.limit_us;
-                let task = Task { ticket, function: e.function, memory_mb, lanes, work, mark, until };
+                let task = Task {
+                    ticket,
+                    function: e.function,
+                    memory_mb,
+                    lanes,
+                    work,
+                    mark,
+                    until,
+                };
                 self.machine.take(now, task, self.drains);
             }
             ToWorker::Cancel(c) => self.machine.cancel(Ticket(conn.0, c.id)),
@@ -232,7 +264,10 @@
             ToWorker::Probe(p) => {
                 if !self.faults.borrow().hangs {
                     let report = Some(self.current_report(now));
-                    self.peers.send(conn, &frame(&FromWorker::Probed(Probed { id: p.id, report })));
+                    self.peers.send(
+                        conn,
+                        &frame(&FromWorker::Probed(Probed { id: p.id, report })),
+                    );
                 }
             }
         }
@@ -243,15 +278,31 @@
         while !self.machine.effects.is_empty() {
             for effect in std::mem::take(&mut self.machine.effects) {
                 match effect {
-                    Effect::Fetch { load, function, size_mb } => {
+                    Effect::Fetch {
+                        load,
+                        function,
+                        size_mb,
+                    } => {
                         self.fetches.insert(load);
-                        let fetch = ToStore::Fetch(Fetch { id: load, function, size_mb });
-                        if self.store.conn.is_none() || self.store.out.push((), &frame(&fetch)).is_err() {
+                        let fetch = ToStore::Fetch(Fetch {
+                            id: load,
+                            function,
+                            size_mb,
+                        });
+                        if self.store.conn.is_none()
+                            || self.store.out.push((), &frame(&fetch)).is_err()
+                        {
                             self.fetches.remove(&load);
                             self.machine.fetched(now, load, false);
                         }
                     }
-                    Effect::Done { ticket, ended, copy, crowd, mark } => {
+                    Effect::Done {
+                        ticket,
+                        ended,
+                        copy,
+                        crowd,
+                        mark,
+                    } => {
                         let customer = self.whose.remove(&ticket);
                         let pace = customer.and_then(|customer| self.paces.get(&customer));
                         let all_pace = Some(self.all.now(now, PACE_WINDOW));
@@ -264,19 +315,43 @@
                         }
                         let report = Some(self.current_report(now));
                         let crowd = self.spec.tells_crowd.then_some(crowd);
-                        let body = if ended == Ended::Finished { b"done".to_vec() } else { Vec::new() };
-                        let done =
-                            Done { id: ticket.1, ended, copy, crowd, report, body, customer_pace, all_pace };
-                        self.peers.send(Conn(ticket.0), &frame(&FromWorker::Done(done)));
+                        let body = if ended == Ended::Finished {
+                            b"done".to_vec()
+                        } else {
+                            Vec::new()
+                        };
+                        let done = Done {
+                            id: ticket.1,
+                            ended,
+                            copy,
+                            crowd,
+                            report,
+                            body,
+                            customer_pace,
+                            all_pace,
+                        };
+                        self.peers
+                            .send(Conn(ticket.0), &frame(&FromWorker::Done(done)));
                     }
-                    Effect::Held { ticket, ended, copies } => {
+                    Effect::Held {
+                        ticket,
+                        ended,
+                        copies,
+                    } => {
                         if !faults.hangs {
-                            let held = FromWorker::Held(Held { id: ticket.1, ended, copies });
+                            let held = FromWorker::Held(Held {
+                                id: ticket.1,
+                                ended,
+                                copies,
+                            });
                             self.peers.send(Conn(ticket.0), &frame(&held));
                         }
                     }
                     Effect::Fell => {
-                        tracing::warn!(worker = self.spec.name, "fell over while cold and stays down");
+                        tracing::warn!(
+                            worker = self.spec.name,
+                            "fell over while cold and stays down"
+                        );
                         self.fell = true;
                         for conn in self.peers.all() {
                             self.peers.remove(conn);
@@ -318,7 +393,9 @@
                     self.machine.fetched(now, load, false);
                 }
             }
-            while let Ok(Some(FromStore::Fetched(f))) = self.store.frames.next_message::<FromStore>() {
+            while let Ok(Some(FromStore::Fetched(f))) =
+                self.store.frames.next_message::<FromStore>()
+            {
                 self.fetches.remove(&f.id);
                 self.machine.fetched(now, f.id, f.whole);
             }
@@ -362,7 +439,8 @@
         };
         if let Some(work) = &self.handshakes {
             let came = std::mem::take(&mut work.borrow_mut().came);
-            came.into_iter().for_each(|work| self.machine.bear(now, work));
+            came.into_iter()
+                .for_each(|work| self.machine.bear(now, work));
         }
         if drains != self.drains {
             self.drains = drains;
@@ -384,7 +462,12 @@
                 self.store.call(io);
             }
             if !self.fell {
-                let _ = self.list.out.push((), &frame(&ToList::Beat(Beat { incarnation: self.incarnation })));
+                let _ = self.list.out.push(
+                    (),
+                    &frame(&ToList::Beat(Beat {
+                        incarnation: self.incarnation,
+                    })),
+                );
             }
         }
         self.machine.advance(now);
@@ -392,7 +475,10 @@
         if let Some(truth) = &self.truth {
             let serves = !(self.fell || self.drains || self.faults.borrow().hangs);
             let id = sanddrum_wire::id_of(&self.spec.name);
-            truth.borrow_mut().0.insert(id, self.machine.truth(now, serves));
+            truth
+                .borrow_mut()
+                .0
+                .insert(id, self.machine.truth(now, serves));
         }
         self.peers.flush(io);
         self.list.flush(io);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -23,8 +23,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Where the settings do not tell.
-const OTHERWISE: Otherwise =
-    Otherwise { target: 1_000_000, keep_alive: 8_000_000, fall: 2_000_000, ask_every: 10_000_000 };
+const OTHERWISE: Otherwise = Otherwise {
+    target: 1_000_000,
+    keep_alive: 8_000_000,
+    fall: 2_000_000,
+    ask_every: 10_000_000,
+};
 
 #[derive(Default)]
 pub struct Router {
@@ -85,10 +89,25 @@
 
 impl Router {
     pub fn new(seed: u64, settings: &Settings) -> Self {
-        let middle = Middle { pace: 1.0, crowding: 1.0, ..Middle::default() };
-        let calm = Router { middle, load_pace: 1.0, ..Router::default() };
+        let middle = Middle {
+            pace: 1.0,
+            crowding: 1.0,
+            ..Middle::default()
+        };
+        let calm = Router {
+            middle,
+            load_pace: 1.0,
+            ..Router::default()
+        };
         let (settings, terms) = (settings.clone(), Terms::read(settings, &OTHERWISE));
-        let mut router = Router { settings, terms, seed, taking: 1.0, asks: FEW_HOMES as f64, ..calm };
+        let mut router = Router {
+            settings,
+            terms,
+            seed,
+            taking: 1.0,
+            asks: FEW_HOMES as f64,
+            ..calm
+        };
         // Guards rule 3 where the list tells nothing by itself: drains would never be heard of.
         if router.terms.subscribes {
             router.due.insert((0, Due::List));
@@ -120,14 +139,19 @@
         }
         if now >= self.sweep {
             self.sweep = now + self.terms.tightest / SWEEPS_A_TARGET;
-            self.functions.forget(now - FORGET_KEEPS * self.terms.keep_alive);
+            self.functions
+                .forget(now - FORGET_KEEPS * self.terms.keep_alive);
             self.todo.extend(&self.waiting);
             self.look_over_fleet();
         }
         while let Some(job) = self.todo.pop_first() {
             self.place(job, out);
         }
-        let held = if round.closing { self.jobs.keys().copied().collect() } else { Vec::new() };
+        let held = if round.closing {
+            self.jobs.keys().copied().collect()
+        } else {
+            Vec::new()
+        };
         held.into_iter().for_each(|id| self.end_now(id, out));
         let sweep = (!self.waiting.is_empty()).then_some(self.sweep);
         let due = self.due.first().map(|(at, _)| *at);
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -10,16 +10,29 @@
     /// What a job takes when calm: the geometric mean of what its function (its workload, before any answer)
     /// takes and what it is hinted to, both being rough, scaled by what hinted jobs took.
     pub(super) fn work_of(&self, job: &Job) -> f64 {
-        let scale = if self.hinted.1 > 0.0 { self.hinted.0 / self.hinted.1 } else { 1.0 };
-        self.unscaled_work(job) * if job.work.is_some_and(|hint| hint > 0) { scale } else { 1.0 }
+        let scale = if self.hinted.1 > 0.0 {
+            self.hinted.0 / self.hinted.1
+        } else {
+            1.0
+        };
+        self.unscaled_work(job)
+            * if job.work.is_some_and(|hint| hint > 0) {
+                scale
+            } else {
+                1.0
+            }
     }
     pub(super) fn usual_work(&self, id: WorkloadId) -> f64 {
-        self.usual.get(&id).map_or(self.target(id) as f64 * GUESS_OF_TARGET, |(work, _)| *work)
+        self.usual
+            .get(&id)
+            .map_or(self.target(id) as f64 * GUESS_OF_TARGET, |(work, _)| *work)
     }
     pub(super) fn unscaled_work(&self, job: &Job) -> f64 {
         let learned = self.functions.get(job.function).filter(|f| f.answered);
         let learned = learned.map_or(self.usual_work(job.workload), |f| f.work);
-        job.work.filter(|hint| *hint > 0).map_or(learned, |hint| (learned * hint as f64).sqrt())
+        job.work
+            .filter(|hint| *hint > 0)
+            .map_or(learned, |hint| (learned * hint as f64).sqrt())
     }
     pub(super) fn inflow_now(&self) -> f64 {
         self.inflow * (-(self.now - self.inflow_at) as f64 / self.terms.fall).exp()
@@ -27,25 +40,57 @@
     pub(super) fn look_over_fleet(&mut self) {
         let now = self.now;
         // Those heard of last stand for all: the fleet may be far larger than what this router hears of.
-        let last = self.told.iter().rev().filter_map(|(_, w)| self.workers.get(w)).filter(|w| w.ready());
+        let last = self
+            .told
+            .iter()
+            .rev()
+            .filter_map(|(_, w)| self.workers.get(w))
+            .filter(|w| w.ready());
         let last: Vec<&Worker> = last.take(HEARD_LAST).collect();
-        let typical = |figure: &dyn Fn(&Worker) -> f64| middle(last.iter().map(|w| figure(w)).collect());
+        let typical =
+            |figure: &dyn Fn(&Worker) -> f64| middle(last.iter().map(|w| figure(w)).collect());
         let (pace, crowding) = (typical(&|w| w.pace_now(now)), typical(&|w| w.crowding(now)));
         let loads = typical(&|w| w.report.loads.unwrap_or(0.0));
         let size = |w: &Worker| w.row.size.max(f64::MIN_POSITIVE);
         let held = last.iter().filter(|w| w.report_at > 0);
-        let held = middle(held.filter_map(|w| w.report.held.map(|held| held / size(w))).collect());
+        let held = middle(
+            held.filter_map(|w| w.report.held.map(|held| held / size(w)))
+                .collect(),
+        );
         // The middle one's, as most answers come from the crowded; newest, or the end is heard of late.
-        let fresh = last.iter().filter(|w| w.report_at > (now - REPORT_FADES_US as Micros).max(0));
-        let told =
-            fresh.filter_map(|w| Some((now - w.report_at, w.waiting_for_cores(!self.terms.answers_miss)?)));
+        let fresh = last
+            .iter()
+            .filter(|w| w.report_at > (now - REPORT_FADES_US as Micros).max(0));
+        let told = fresh.filter_map(|w| {
+            Some((
+                now - w.report_at,
+                w.waiting_for_cores(!self.terms.answers_miss)?,
+            ))
+        });
         let told: Vec<(Micros, f64)> = told.collect();
-        let (few, fresh) = ((last.len() as f64).sqrt().max(FEW_REPORTS), self.terms.tightest);
-        let newest = told.iter().enumerate().take_while(|(n, (age, _))| (*n as f64) < few || *age < fresh);
+        let (few, fresh) = (
+            (last.len() as f64).sqrt().max(FEW_REPORTS),
+            self.terms.tightest,
+        );
+        let newest = told
+            .iter()
+            .enumerate()
+            .take_while(|(n, (age, _))| (*n as f64) < few || *age < fresh);
         let others = self.terms.routers / self.listed.len().max(1) as Micros;
-        self.heard = told.first().is_some_and(|(age, _)| *age < fresh * others.max(1));
-        self.waits = if told.is_empty() { 0.0 } else { middle(newest.map(|(_, (_, part))| *part).collect()) };
-        self.middle = Middle { pace, crowding, loads, held };
+        self.heard = told
+            .first()
+            .is_some_and(|(age, _)| *age < fresh * others.max(1));
+        self.waits = if told.is_empty() {
+            0.0
+        } else {
+            middle(newest.map(|(_, (_, part))| *part).collect())
+        };
+        self.middle = Middle {
+            pace,
+            crowding,
+            loads,
+            held,
+        };
         let workers = &self.workers;
         let ill = |w: &Worker| w.suspect && w.row.state == WorkerState::Ready;
         self.suspects.retain(|w| workers.get(w).is_some_and(ill));
@@ -56,7 +101,12 @@
         self.middle.crowding > PRESSED || self.waits > WAITING
     }
     pub(super) fn load_pace_now(&self) -> f64 {
-        faded(self.load_pace, 1.0, self.now - self.load_pace_at, PACE_FADES_US)
+        faded(
+            self.load_pace,
+            1.0,
+            self.now - self.load_pace_at,
+            PACE_FADES_US,
+        )
     }
     /// Guards against a crowded or stopped store and load queues: loads take longer than told or usual.
     pub(super) fn loads_pressed(&self) -> bool {
@@ -65,14 +115,20 @@
     /// Guards against what this router cannot see, the others' jobs: a worker that reports far more than the
     /// middle one for its size, was full of late, owes a late answer with no report since, or is slow.
     pub(super) fn crowded(&self, w: &Worker) -> bool {
-        let late = w.out.iter().any(|(_, late, ..)| *late <= self.now && w.report_at < *late);
+        let late = w
+            .out
+            .iter()
+            .any(|(_, late, ..)| *late <= self.now && w.report_at < *late);
         let uneven = w.held_now(self.now, self.middle.held) > UNEVEN * self.middle.held;
         let pace = w.pace_now(self.now);
-        late || uneven || w.jammed > self.now || pace > (CROWDED * w.calm).min(SLOW * self.middle.pace)
+        late || uneven
+            || w.jammed > self.now
+            || pace > (CROWDED * w.calm).min(SLOW * self.middle.pace)
     }
     /// It last reported that much of what it holds waits, or reports nothing of that.
     pub(super) fn queues(&self, w: &Worker) -> bool {
-        w.waiting(!self.terms.answers_miss).is_none_or(|part| part > WAITING)
+        w.waiting(!self.terms.answers_miss)
+            .is_none_or(|part| part > WAITING)
     }
     /// Own jobs in flight below what it bears; guards against overload of any cause.
     pub(super) fn has_room(&self, w: &Worker, share: f64) -> bool {
@@ -81,15 +137,26 @@
     /// By its workload's work: what a function was seen to take under pressure would shed it for ever.
     pub(super) fn earning(&self, job: &Job) -> f64 {
         let usual = self.usual_work(job.workload);
-        let work = job.work.filter(|hint| *hint > 0).map_or(usual, |hint| (usual * hint as f64).sqrt());
+        let work = job
+            .work
+            .filter(|hint| *hint > 0)
+            .map_or(usual, |hint| (usual * hint as f64).sqrt());
         self.workload(job.workload).importance
-            / if self.terms.importance_by_work { 1.0 } else { work.max(1.0) }
+            / if self.terms.importance_by_work {
+                1.0
+            } else {
+                work.max(1.0)
+            }
     }
     /// How many homes a function needs by its share of this router's jobs; one call asks for no more.
     pub(super) fn width(&self, function: &Function) -> usize {
         let fleet = self.listed.len();
         let sure = (function.calls - 1.0).max(0.0);
-        let part = if self.terms.answers_miss { HOME_PART / 2.0 } else { HOME_PART };
+        let part = if self.terms.answers_miss {
+            HOME_PART / 2.0
+        } else {
+            HOME_PART
+        };
         let wanted = sure / self.calls.max(1.0) * fleet as f64 / part;
         (wanted.ceil() as usize).max(FEW_HOMES).min(fleet)
     }
@@ -110,7 +177,11 @@
     ) -> impl Iterator<Item = &'a Worker> + 'a {
         let fits = move |w: &&Worker| self.may_get(held, w, work);
         let drawn = move || self.listed.drawn(key).take(2 * HOMES * LOOKS);
-        let drawn = move || drawn().filter_map(|w| self.workers.get(&WorkerId(w))).filter(fits);
+        let drawn = move || {
+            drawn()
+                .filter_map(|w| self.workers.get(&WorkerId(w)))
+                .filter(fits)
+        };
         let few = !held.executions.is_empty() && drawn().nth(FEW_HOMES - 1).is_none();
         drawn().chain(self.workers.values().filter(move |w| few && fits(w)))
     }
--- a/src/logic/keep_alive.rs
+++ b/src/logic/keep_alive.rs
@@ -16,27 +16,43 @@
         let (me, routers) = (self.terms.me, self.terms.routers.max(1));
         let wanted = option(&self.settings, id, "pre-warmed", 0);
         let share = wanted / routers + Micros::from(me < wanted % routers);
-        let Some(function) = self.functions.get(id) else { return };
+        let Some(function) = self.functions.get(id) else {
+            return;
+        };
         let drop_after = option(&self.settings, id, "drop-after-us", 0);
         if !self.terms.orders || (longer <= keep && wanted <= 0 && drop_after <= 0) {
             return;
         }
         let is_ready = |w: &WorkerId| self.workers.get(w).is_some_and(|w| w.ready());
-        let warm = function.places.iter().filter(|(_, p)| p.copies > 0).map(|(w, _)| *w);
+        let warm = function
+            .places
+            .iter()
+            .filter(|(_, p)| p.copies > 0)
+            .map(|(w, _)| *w);
         let warm: Vec<WorkerId> = warm.filter(is_ready).collect();
         let renews = longer > keep && self.now < function.last_job + longer;
-        let hashed = self.listed.drawn(hash_of((id, me))).map(WorkerId).take(2 * HOMES * LOOKS);
+        let hashed = self
+            .listed
+            .drawn(hash_of((id, me)))
+            .map(WorkerId)
+            .take(2 * HOMES * LOOKS);
         let last = function.warm_last.into_iter().chain(hashed).find(is_ready);
-        self.due.insert((self.now + (keep as f64 * RENEW_AT) as Micros, Due::Keep(id)));
+        self.due
+            .insert((self.now + (keep as f64 * RENEW_AT) as Micros, Due::Keep(id)));
         if let Some(w) = last.filter(|_| share > 0) {
             self.order(w, id, share.min(16) as u32, out);
         }
         for w in warm.into_iter().filter(|_| renews) {
             self.order(w, id, 1, out);
         }
-        let Some(function) = self.functions.get(id) else { return };
+        let Some(function) = self.functions.get(id) else {
+            return;
+        };
         if drop_after > 0 && share == 0 && self.now >= function.last_job + drop_after {
-            let idle = function.places.iter().filter(|(_, p)| p.copies > 0 && p.own == 0);
+            let idle = function
+                .places
+                .iter()
+                .filter(|(_, p)| p.copies > 0 && p.own == 0);
             for (w, place) in idle.map(|(w, p)| (*w, *p)).collect::<Vec<_>>() {
                 self.functions.put(id, w, Place { copies: 0, ..place });
                 out.unload(w, id);
