--- a/src/logic/learning.rs
+++ b/src/logic/learning.rs
@@ -20,16 +20,31 @@
         }
         if list.kind != ListKind::Changes {
             let listed: BTreeSet<_> = list.rows.iter().map(|row| row.worker).collect();
-            let gone = self.workers.values().map(|w| w.row).filter(|row| !listed.contains(&row.worker));
+            let gone = self
+                .workers
+                .values()
+                .map(|w| w.row)
+                .filter(|row| !listed.contains(&row.worker));
             let gone: Vec<_> = gone.filter(|row| row.state != WorkerState::Gone).collect();
-            gone.into_iter().for_each(|row| self.record_row(&WorkerRow { state: WorkerState::Gone, ..row }));
+            gone.into_iter().for_each(|row| {
+                self.record_row(&WorkerRow {
+                    state: WorkerState::Gone,
+                    ..row
+                })
+            });
         }
         list.rows.iter().for_each(|row| self.record_row(row));
     }
 
     pub(super) fn record_row(&mut self, row: &WorkerRow) {
         let (now, limit) = (self.now, FIRST_LIMIT / self.terms.routers.max(1) as f64);
-        let new = || Worker { row: *row, pace: 1.0, calm: 1.0, limit, ..Worker::default() };
+        let new = || Worker {
+            row: *row,
+            pace: 1.0,
+            calm: 1.0,
+            limit,
+            ..Worker::default()
+        };
         let worker = self.workers.entry(row.worker).or_insert_with(new);
         let restarted = worker.row.started < row.started;
         if restarted {
@@ -63,7 +78,11 @@
         let guess = if self.load > 0.0 { self.load } else { target };
         let function = self.functions.call(job.function, self.now, || {
             self.due.insert((self.now, Due::Keep(job.function)));
-            Function { work: target * GUESS_OF_TARGET, load: guess, ..Function::default() }
+            Function {
+                work: target * GUESS_OF_TARGET,
+                load: guess,
+                ..Function::default()
+            }
         });
         function.lanes = (job.lanes as u32).max(1);
         function.load = job.load.map_or(function.load, |told| told as f64);
@@ -71,7 +90,14 @@
         function.calls = 1.0 + faded(function.calls, 0.0, self.now - function.last_job, keep);
         self.calls = 1.0 + faded(self.calls, 0.0, self.now - self.calls_at, keep);
         (self.calls_at, function.last_job) = (self.now, self.now);
-        self.jobs.insert(job.id, Held { job: *job, came: self.now, executions: Vec::new() });
+        self.jobs.insert(
+            job.id,
+            Held {
+                job: *job,
+                came: self.now,
+                executions: Vec::new(),
+            },
+        );
         self.due.insert((job.due, Due::JobEnds(job.id)));
         self.todo.insert(job.id);
         if self.terms.orders && self.terms.load_window > 0 {
@@ -85,16 +111,26 @@
 
     pub(super) fn record_end(&mut self, end: &ExecutionEnd) {
         self.release(end);
-        let Some(held) = self.jobs.get_mut(&end.job) else { return };
+        let Some(held) = self.jobs.get_mut(&end.job) else {
+            return;
+        };
         let (job, came) = (held.job, held.came);
-        let Some(execution) = held.executions.get_mut(end.execution).filter(|e| e.out) else { return };
+        let Some(execution) = held.executions.get_mut(end.execution).filter(|e| e.out) else {
+            return;
+        };
         (execution.out, execution.full) = (false, end.end == End::Full);
-        execution.may_have_run = !matches!(end.end, End::Full | End::NoConnection | End::Moot | End::Miss);
+        execution.may_have_run = !matches!(
+            end.end,
+            End::Full | End::NoConnection | End::Moot | End::Miss
+        );
         let execution = *execution;
         self.learn(&job, end, &execution);
         let late = self.now > came + self.target(job.workload);
         // What waited for a load tells nothing of pressure, and a cold fleet would later shed nearly all.
-        let loaded = matches!(end.warmth, Warmth::BeganLoad | Warmth::WaitedForLoad | Warmth::LoadFailed);
+        let loaded = matches!(
+            end.warmth,
+            Warmth::BeganLoad | Warmth::WaitedForLoad | Warmth::LoadFailed
+        );
         let in_time = end.end == End::Finished && !late;
         let change = match end.report.and_then(|report| report.queued) {
             _ if end.end == End::Full && end.execution == 0 => -2.0 * LATE_CUT * self.taking,
@@ -119,8 +155,14 @@
 
     pub(super) fn release(&mut self, end: &ExecutionEnd) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&end.worker) else { return };
-        let found = worker.out.iter().find(|(.., job, n)| (*job, *n) == (end.job, end.execution)).copied();
+        let Some(worker) = self.workers.get_mut(&end.worker) else {
+            return;
+        };
+        let found = worker
+            .out
+            .iter()
+            .find(|(.., job, n)| (*job, *n) == (end.job, end.execution))
+            .copied();
         if let Some(entry) = found {
             worker.out.remove(&entry);
             worker.own = worker.own.saturating_sub(1);
@@ -152,14 +194,19 @@
         let (now, keep) = (self.now, self.terms.keep_alive);
         let (expected, unscaled) = (self.work_of(job), self.unscaled_work(job));
         let target = self.target(job.workload) as f64;
-        let Some(worker) = self.workers.get_mut(&end.worker) else { return };
-        let Some(function) = self.functions.get_mut(job.function) else { return };
+        let Some(worker) = self.workers.get_mut(&end.worker) else {
+            return;
+        };
+        let Some(function) = self.functions.get_mut(job.function) else {
+            return;
+        };
         let mut place = function.place(end.worker);
         place.own = place.own.saturating_sub(1);
         let mut loaded = None;
         match end.end {
             End::Finished => {
-                (place.copies, place.until, place.loading) = (place.copies.max(1), now + keep, false);
+                (place.copies, place.until, place.loading) =
+                    (place.copies.max(1), now + keep, false);
                 function.warm_last = Some(end.worker);
                 worker.failures /= 2;
                 let took = end.latency as f64;
@@ -185,16 +232,23 @@
                         if job.work.is_some_and(|hint| hint > 0) {
                             // A ratio of sums, as the mean of ratios is ruled by jobs hinted far too low.
                             let stays = 1.0 - NEWEST / 4.0;
-                            self.hinted = (stays * self.hinted.0 + calm, stays * self.hinted.1 + unscaled);
+                            self.hinted = (
+                                stays * self.hinted.0 + calm,
+                                stays * self.hinted.1 + unscaled,
+                            );
                         }
                         // What a worker gets in flight grows while answers fit their target, else shrinks.
-                        let (late, crowding) =
-                            (function.work * worker.pace * IN_TIME > target, worker.crowding(now));
+                        let (late, crowding) = (
+                            function.work * worker.pace * IN_TIME > target,
+                            worker.crowding(now),
+                        );
                         // Guards against heavy jobs that look like a crowd where nothing is told to wait.
                         let queues = worker.report.queued.is_none_or(|queued| queued > 0.0);
                         if (crowding > CROWDED && queues) || late {
                             worker.cut_limit(now, expected);
-                        } else if crowding <= PRESSED && f64::from(worker.own + 1) > worker.limit / 2.0 {
+                        } else if crowding <= PRESSED
+                            && f64::from(worker.own + 1) > worker.limit / 2.0
+                        {
                             worker.limit += GROWS / worker.limit;
                         }
                     }
@@ -207,7 +261,8 @@
                 worker.cut_limit(now, expected);
             }
             End::Miss if end.warmth != Warmth::LoadFailed => {
-                (place.copies, place.loading, place.absent) = (0, false, now + function.load as Micros);
+                (place.copies, place.loading, place.absent) =
+                    (0, false, now + function.load as Micros);
             }
             End::Miss | End::Error if end.warmth == Warmth::LoadFailed => {
                 (place.copies, place.loading, place.barred) = (0, false, now + expected as Micros);
@@ -219,9 +274,13 @@
                 if worker.failures != 1 || worker.failed != job.function {
                     worker.failures = (worker.failures + 1).min(MOST_FAILURES);
                 }
-                let alone =
-                    if worker.failures > 1 { expected * f64::from(1 << worker.failures) / 2.0 } else { 0.0 };
-                (worker.failed, worker.barred) = (job.function, worker.barred.max(now + alone as Micros));
+                let alone = if worker.failures > 1 {
+                    expected * f64::from(1 << worker.failures) / 2.0
+                } else {
+                    0.0
+                };
+                (worker.failed, worker.barred) =
+                    (job.function, worker.barred.max(now + alone as Micros));
             }
             // Waited for a load that did not come. Guards against load queues that nothing tells of.
             End::TimedOut if place.copies == 0 => {
@@ -231,7 +290,9 @@
             _ => place.loading = false,
         }
         self.functions.put(job.function, end.worker, place);
-        loaded.into_iter().for_each(|took| self.learn_load(job.function, took));
+        loaded
+            .into_iter()
+            .for_each(|took| self.learn_load(job.function, took));
     }
 
     pub(super) fn record_order(&mut self, end: &OrderEnd) {
@@ -239,15 +300,25 @@
         if !matches!(end.end, End::TimedOut | End::NoConnection | End::Reset) {
             self.workers.entry(end.worker).and_modify(|w| w.hear(now));
         }
-        let Some(function) = self.functions.get_mut(end.function) else { return };
+        let Some(function) = self.functions.get_mut(end.function) else {
+            return;
+        };
         let mut place = function.place(end.worker);
         let wanted = place.order.take().map_or(0, |(_, copies)| copies);
         place.copies = end.copies;
         if end.copies > 0 {
-            let lasts = if wanted > 0 { keep } else { keep / ASKED_COPY_LASTS };
+            let lasts = if wanted > 0 {
+                keep
+            } else {
+                keep / ASKED_COPY_LASTS
+            };
             place.until = place.until.max(now + lasts);
         }
-        let found = if wanted == 0 && end.copies > 0 { EARNS_ASK } else { 0.0 };
+        let found = if wanted == 0 && end.copies > 0 {
+            EARNS_ASK
+        } else {
+            0.0
+        };
         self.todo.extend(&function.waiting);
         if wanted > 0 && end.end == End::Finished {
             function.warm_last = Some(end.worker);
@@ -259,8 +330,13 @@
             // Guards against a store that turns loads away: what failed for several functions is not ordered
             // again at once by all. A single function that fails may itself be at fault.
             let load = function.load;
-            if self.load_failed.replace(end.function).is_some_and(|other| other != end.function) {
-                self.loads_again = now + (load * (0.5 + self.chance() as f64 / u64::MAX as f64)) as Micros;
+            if self
+                .load_failed
+                .replace(end.function)
+                .is_some_and(|other| other != end.function)
+            {
+                self.loads_again =
+                    now + (load * (0.5 + self.chance() as f64 / u64::MAX as f64)) as Micros;
             }
         }
         self.functions.put(end.function, end.worker, place);
@@ -274,25 +350,36 @@
 
     pub(super) fn learn_load(&mut self, id: FunctionId, took: f64) {
         let pace = self.load_pace_now();
-        let Some(function) = self.functions.get_mut(id) else { return };
+        let Some(function) = self.functions.get_mut(id) else {
+            return;
+        };
         self.load_pace = pace + NEWEST * ((took / function.load.max(1.0)).min(MOST_PACE) - pace);
         self.load_pace_at = self.now;
         let calm = took / self.load_pace;
         function.load += NEWEST / 4.0 * (calm - function.load);
-        self.load += if self.load > 0.0 { NEWEST / 4.0 * (calm - self.load) } else { calm };
+        self.load += if self.load > 0.0 {
+            NEWEST / 4.0 * (calm - self.load)
+        } else {
+            calm
+        };
     }
 
     pub(super) fn end_job(&mut self, id: JobId) {
-        let Some(held) = self.jobs.remove(&id) else { return };
+        let Some(held) = self.jobs.remove(&id) else {
+            return;
+        };
         self.due.remove(&(held.job.due, Due::JobEnds(id)));
         self.todo.remove(&id);
         self.waiting.remove(&id);
-        let Some(function) = self.functions.get_mut(held.job.function) else { return };
+        let Some(function) = self.functions.get_mut(held.job.function) else {
+            return;
+        };
         function.waiting.remove(&id);
         for execution in held.executions.iter().filter(|e| e.out) {
             let place = self.functions.place(held.job.function, execution.worker);
             let own = place.own.saturating_sub(1);
-            self.functions.put(held.job.function, execution.worker, Place { own, ..place });
+            self.functions
+                .put(held.job.function, execution.worker, Place { own, ..place });
         }
     }
 }
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -9,10 +9,13 @@
 
 impl Router {
     pub(super) fn place(&mut self, id: JobId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get(&id) else { return };
+        let Some(held) = self.jobs.get(&id) else {
+            return;
+        };
         let (job, came, tries) = (held.job, held.came, held.executions.len());
         let pending = held.executions.iter().filter(|e| e.out).count();
-        let doubles = self.terms.second_copies && self.workload(job.workload).effect == Effect::Restartable;
+        let doubles =
+            self.terms.second_copies && self.workload(job.workload).effect == Effect::Restartable;
         if pending > 1 || (pending == 1 && !doubles) {
             return;
         }
@@ -24,7 +27,11 @@
         let left = job.due - self.now;
         let whole = self.target(job.workload);
         let patience = self.workload(job.workload).patience;
-        let fresh = if job.repeat { (whole - patience + job.due - came).clamp(0, whole / 2) } else { whole };
+        let fresh = if job.repeat {
+            (whole - patience + job.due - came).clamp(0, whole / 2)
+        } else {
+            whole
+        };
         let target = (came + fresh - self.now).min(left);
         // Where workers answer a miss, who waits for a load waits here and is in nobody's way.
         let narrow = self.pressed() || (self.loads_pressed() && !self.terms.answers_miss);
@@ -43,18 +50,24 @@
             return self.give_up(id, out);
         }
         let (draw, now) = (self.chance(), self.now);
-        self.functions.lapse(job.function, draw, COPIES, |p| p.own == 0 && p.until <= now);
+        self.functions
+            .lapse(job.function, draw, COPIES, |p| p.own == 0 && p.until <= now);
         // Under overload what earns least for its work goes first: it may not fill a worker's last places.
         let share = if dear { 1.0 } else { CHEAP_SHARE };
-        let Some(held) = self.jobs.get(&id) else { return };
-        let Some(function) = self.functions.get(job.function) else { return };
+        let Some(held) = self.jobs.get(&id) else {
+            return;
+        };
+        let Some(function) = self.functions.get(job.function) else {
+            return;
+        };
         let (lanes, load) = (function.lanes, function.load * self.load_pace_now());
         if tries > 0 && !self.workers.values().any(|w| self.may_go(held, w)) {
             return self.give_up(id, out);
         }
         // Of the many copies of a hot function some idle ones drawn, and those with the fewest own jobs.
-        let warm =
-            function.first(draw, COPIES).filter_map(|w| Some((self.workers.get(&w)?, function.place(w))));
+        let warm = function
+            .first(draw, COPIES)
+            .filter_map(|w| Some((self.workers.get(&w)?, function.place(w))));
         let may_get = |(w, p): &(&Worker, Place)| self.stands(p) && self.may_get(held, w, work);
         let warm: Vec<(&Worker, Place)> = warm.filter(may_get).collect();
         let time_at = |w: &Worker| work * w.pace_now(self.now);
@@ -64,11 +77,18 @@
         let far = |w: &Worker| w.row.zone != self.terms.near;
 
         let width = self.width(function);
-        let parts = if width > 2 * HOMES { width.div_ceil(HOMES) } else { 1 };
+        let parts = if width > 2 * HOMES {
+            width.div_ceil(HOMES)
+        } else {
+            1
+        };
         let width = width.div_ceil(parts);
         // In a small fleet, fewer: to look at most of it for a copy costs more than it finds.
-        let wide = width.max((self.listed.len() as f64).sqrt().ceil() as usize).min(2 * HOMES);
-        let homes = Lazily::new(self.homes(held, hash_of((job.function, draw % parts as u64)), work));
+        let wide = width
+            .max((self.listed.len() as f64).sqrt().ceil() as usize)
+            .min(2 * HOMES);
+        let homes =
+            Lazily::new(self.homes(held, hash_of((job.function, draw % parts as u64)), work));
         let place_at = |w: &Worker| function.place(w.row.worker);
 
         // Exception: a function's homes are presumed warm where the others, sending as this router does, call
@@ -78,29 +98,46 @@
         let often = others >= (width * width) as f64;
         let spreads = width > FEW_HOMES || warm.iter().all(|(w, _)| self.crowded(w));
         // Pressed, a wrong guess costs more than a believed copy's crowd.
-        let believes = warm.iter().filter(open).any(|(_, p)| p.own < lanes * p.copies);
+        let believes = warm
+            .iter()
+            .filter(open)
+            .any(|(_, p)| p.own < lanes * p.copies);
         let presumes = often && spreads && !(believes && self.pressed());
         // A crowded home where jobs wait does not count: the next one stands in, at most one for each where a
         // wrong guess costs a load. Guards against all routers filling a hot function's first two homes.
-        let most = if self.terms.answers_miss { wide } else { wide.min(2 * width) };
+        let most = if self.terms.answers_miss {
+            wide
+        } else {
+            wide.min(2 * width)
+        };
         let mut open_homes = 0;
-        let maybe = homes.first(if presumes { most } else { 0 }).take_while(|w| {
-            open_homes += usize::from(!(self.crowded(w) && self.queues(w)));
-            open_homes <= width
-        });
+        let maybe = homes
+            .first(if presumes { most } else { 0 })
+            .take_while(|w| {
+                open_homes += usize::from(!(self.crowded(w) && self.queues(w)));
+                open_homes <= width
+            });
         let wrong_guess_fits = self.terms.answers_miss || (load + work) as Micros <= left;
         let maybe = maybe.map(|w| (w, place_at(w))).filter(|(w, p)| {
             let may_stand = p.absent <= self.now && !p.loading && !self.stands(p);
             may_stand && wrong_guess_fits && self.cold_budget(w).is_none()
         });
-        let presumed: Vec<(&Worker, Place)> = maybe.map(|(w, p)| (w, Place { copies: 1, ..p })).collect();
+        let presumed: Vec<(&Worker, Place)> =
+            maybe.map(|(w, p)| (w, Place { copies: 1, ..p })).collect();
 
         // Warm-first: own zone standing for the edge, fewest own jobs in flight, ties random in proportion to
         // a worker's size and to how little it reports to hold: with hundreds of routers most are ties.
-        let free = warm.iter().chain(&presumed).filter(open).filter(|(_, p)| p.own < lanes * p.copies);
-        let warmest = free
-            .map(|(w, _)| *w)
-            .min_by_key(|w| ((self.crowded(w), far(w), w.own), self.drawn(draw, w).to_bits()));
+        let free = warm
+            .iter()
+            .chain(&presumed)
+            .filter(open)
+            .filter(|(_, p)| p.own < lanes * p.copies);
+        let warmest = free.map(|(w, _)| *w).min_by_key(|w| {
+            (
+                (self.crowded(w), far(w), w.own),
+                self.drawn(draw, w).to_bits(),
+            )
+        });
         let loads = |w: &&WorkerId| {
             let p = function.place(**w);
             let at_work = p.loading && self.workers.get(w).is_some_and(|w| !w.suspect);
@@ -113,7 +150,11 @@
             // next one that is not crowded, where all warm workers with room are.
             let crowds = self.crowded(w) && function.calls > 2.0 && underway == 0;
             let most = if crowds { 2 * HOMES } else { width };
-            let most = if often && !self.loads_pressed() { most } else { 0 };
+            let most = if often && !self.loads_pressed() {
+                most
+            } else {
+                0
+            };
             let spare = homes.first(most).enumerate().find(|(n, w)| {
                 let place = place_at(w);
                 let found = *n < width && width > FEW_HOMES && place.absent > self.now;
@@ -130,26 +171,45 @@
 
         // Exception: where all lanes are taken, a short wait at a warm worker that is in time beats a load.
         let turns = |p: &Place| f64::from(p.own + 1) / f64::from(lanes * p.copies);
-        let waits = warm.iter().filter(open).map(|(w, p)| ((time_at(w) * turns(p)) as Micros, w.row.worker));
-        let shortest = waits.min().filter(|(wait, _)| *wait < target && (*wait as f64) < load + work);
+        let waits = warm
+            .iter()
+            .filter(open)
+            .map(|(w, p)| ((time_at(w) * turns(p)) as Micros, w.row.worker));
+        let shortest = waits
+            .min()
+            .filter(|(wait, _)| *wait < target && (*wait as f64) < load + work);
 
         // Load on the emptiest ready worker, homes and the own zone first; ties by the order of homes.
         let loadable = homes.first(2 * HOMES).enumerate().filter(|(_, w)| {
             let place = place_at(w);
             let may_stand = self.terms.orders || place.absent <= self.now;
-            may_stand && place.barred <= self.now && place.order.is_none() && self.has_room(w, share)
+            may_stand
+                && place.barred <= self.now
+                && place.order.is_none()
+                && self.has_room(w, share)
+        });
+        let emptiest = loadable.min_by_key(|(n, w)| {
+            (
+                self.crowded(w),
+                if *n < width { 0 } else { *n },
+                far(w),
+                w.own,
+                *n,
+            )
         });
-        let emptiest = loadable
-            .min_by_key(|(n, w)| (self.crowded(w), if *n < width { 0 } else { *n }, far(w), w.own, *n));
         let emptiest = emptiest.map(|(_, w)| (w.row.worker, time_at(w)));
         let ahead = function.waiting.range(..id).count();
-        let again = self.terms.orders && function.calls > 1.0 && underway == 0 && !self.loads_pressed();
+        let again =
+            self.terms.orders && function.calls > 1.0 && underway == 0 && !self.loads_pressed();
 
         // Exception: before a load, ask the function's other homes; other routers' loads are not told. That
         // where it would load tells by its answer, and is asked only where a load there would end too late.
         let load_fits = |there: &(WorkerId, f64)| limit >= (load + there.1) as Micros;
         let untold = emptiest.filter(load_fits).map(|(there, _)| there);
-        let unsure = homes.first(wide).filter(|w| !self.stands(&place_at(w))).map(|w| w.row.worker);
+        let unsure = homes
+            .first(wide)
+            .filter(|w| !self.stands(&place_at(w)))
+            .map(|w| w.row.worker);
         let unsure: Vec<WorkerId> = unsure.filter(|w| Some(*w) != untold).collect();
         drop(homes);
         if self.terms.orders && self.ask(job.function, &unsure, out) {
@@ -165,7 +225,9 @@
             }
             return self.wait(id);
         }
-        let Some((w, _)) = emptiest else { return self.wait_or_give_up(id, out) };
+        let Some((w, _)) = emptiest else {
+            return self.wait_or_give_up(id, out);
+        };
         if untold.is_none() {
             // Exception: what is called again gets its copy, or loads longer than jobs wait would never end.
             if again {
@@ -182,34 +244,67 @@
         }
         if !self.terms.answers_miss {
             let place = self.functions.place(job.function, w);
-            self.functions.put(job.function, w, Place { loading: true, ..place });
+            self.functions.put(
+                job.function,
+                w,
+                Place {
+                    loading: true,
+                    ..place
+                },
+            );
         }
         self.execute(id, w, work + load, out);
     }
 
     /// Asks the homes where no copy is believed whether one stands there; true while answers are due.
-    pub(super) fn ask(&mut self, id: FunctionId, unsure: &[WorkerId], out: &mut impl Decisions) -> bool {
+    pub(super) fn ask(
+        &mut self,
+        id: FunctionId,
+        unsure: &[WorkerId],
+        out: &mut impl Decisions,
+    ) -> bool {
         let (now, keep) = (self.now, self.terms.keep_alive);
         let wait = self.terms.tightest / ASKS_A_TARGET;
-        let Some(function) = self.functions.get_mut(id) else { return false };
-        if function.asked.is_none_or(|at| now >= at + (keep / ASKS_A_KEEP).max(wait)) {
+        let Some(function) = self.functions.get_mut(id) else {
+            return false;
+        };
+        if function
+            .asked
+            .is_none_or(|at| now >= at + (keep / ASKS_A_KEEP).max(wait))
+        {
             (function.asked, function.asking) = (Some(now), now + wait);
             for w in unsure {
                 let place = self.functions.place(id, *w);
                 if place.order.is_none() && !place.loading && self.asks >= 1.0 {
                     self.asks -= 1.0;
-                    self.functions.put(id, *w, Place { order: Some((now, 0)), ..place });
+                    self.functions.put(
+                        id,
+                        *w,
+                        Place {
+                            order: Some((now, 0)),
+                            ..place
+                        },
+                    );
                     out.hold(*w, id, 0);
                 }
             }
         }
-        let Some(function) = self.functions.get(id) else { return false };
-        let is_ask = |w: &WorkerId| function.place(*w).order.is_some_and(|(_, copies)| copies == 0);
+        let Some(function) = self.functions.get(id) else {
+            return false;
+        };
+        let is_ask = |w: &WorkerId| {
+            function
+                .place(*w)
+                .order
+                .is_some_and(|(_, copies)| copies == 0)
+        };
         now < function.asking && function.open.iter().any(is_ask)
     }
 
     pub(super) fn wait(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get(&id).map(|h| h.job) else { return };
+        let Some(job) = self.jobs.get(&id).map(|h| h.job) else {
+            return;
+        };
         if let Some(function) = self.functions.get_mut(job.function) {
             function.waiting.insert(id);
             self.waiting.insert(id);
@@ -218,7 +313,9 @@
 
     /// Waits for room while the job can still be in time, and gives it up at once when it cannot.
     pub(super) fn wait_or_give_up(&mut self, id: JobId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get(&id) else { return };
+        let Some(held) = self.jobs.get(&id) else {
+            return;
+        };
         let expected = (self.work_of(&held.job) * self.middle.pace * IN_TIME) as Micros;
         if self.now + expected < held.came + self.target(held.job.workload) {
             return self.wait(id);
@@ -226,12 +323,24 @@
         self.give_up(id, out);
     }
 
-    pub(super) fn execute(&mut self, id: JobId, w: WorkerId, expected: f64, out: &mut impl Decisions) {
+    pub(super) fn execute(
+        &mut self,
+        id: JobId,
+        w: WorkerId,
+        expected: f64,
+        out: &mut impl Decisions,
+    ) {
         let now = self.now;
         let saved = self.workers.get(&w).and_then(|w| self.cold_budget(w));
-        let Some(held) = self.jobs.get_mut(&id) else { return };
-        let Some(function) = self.functions.get_mut(held.job.function) else { return };
-        let Some(worker) = self.workers.get_mut(&w) else { return };
+        let Some(held) = self.jobs.get_mut(&id) else {
+            return;
+        };
+        let Some(function) = self.functions.get_mut(held.job.function) else {
+            return;
+        };
+        let Some(worker) = self.workers.get_mut(&w) else {
+            return;
+        };
         function.waiting.remove(&id);
         self.waiting.remove(&id);
         let mut place = function.place(w);
@@ -244,8 +353,14 @@
         worker.out.insert((now, late, id, held.executions.len()));
         self.due.insert((late, Due::Silence(w)));
         let charged = f64::from(u8::from(held.executions.last().is_some_and(|e| e.full)));
-        let sent =
-            Execution { worker: w, sent: now, out: true, may_have_run: true, queued, ..Execution::default() };
+        let sent = Execution {
+            worker: w,
+            sent: now,
+            out: true,
+            may_have_run: true,
+            queued,
+            ..Execution::default()
+        };
         held.executions.push(sent);
         out.execute(id, w, held.job.due - now);
         self.further = (self.further - charged).max(0.0);
@@ -253,23 +368,34 @@
 
     /// The final answer of a job that is not going to be in time, at once, unless an execution is out.
     pub(super) fn give_up(&mut self, id: JobId, out: &mut impl Decisions) {
-        if !self.jobs.get(&id).is_some_and(|held| held.executions.iter().any(|e| e.out)) {
+        if !self
+            .jobs
+            .get(&id)
+            .is_some_and(|held| held.executions.iter().any(|e| e.out))
+        {
             self.end_now(id, out);
         }
     }
 
     /// The final answer to a job that has not finished: pushed back where that is allowed.
     pub(super) fn end_now(&mut self, id: JobId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get(&id) else { return };
+        let Some(held) = self.jobs.get(&id) else {
+            return;
+        };
         let (job, may_have_run) = (held.job, held.executions.iter().any(|e| e.may_have_run));
         let harmless = match self.workload(job.workload).effect {
             Effect::Restartable => true,
-            Effect::Fingerprinted => !may_have_run || self.workload(job.workload).group == Group::All,
+            Effect::Fingerprinted => {
+                !may_have_run || self.workload(job.workload).group == Group::All
+            }
             Effect::RunOnce => !may_have_run,
         };
         if harmless {
             // Pressed, the longer the less is taken; else a load's time. Drawn, lest they come back together.
-            let load = self.functions.get(job.function).map_or(0.0, |f| f.load * self.load_pace_now());
+            let load = self
+                .functions
+                .get(job.function)
+                .map_or(0.0, |f| f.load * self.load_pace_now());
             let shed = self.target(job.workload) as f64 * (1.0 - self.taking) / 2.0;
             let wait = if self.pressed() { shed } else { load }.max(self.work_of(&job));
             let wait = (wait * (0.5 + self.chance() as f64 / u64::MAX as f64)) as Micros;
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -12,7 +12,8 @@
     /// for a part only goes by chance, or many routers would each save up a job and send them together.
     pub(super) fn cold_room(&self, to: &Worker, job: JobId, work: f64) -> bool {
         let drawn = || hash_of((self.seed, to.row.worker, job)) as f64 / u64::MAX as f64;
-        self.cold_budget(to).is_none_or(|budget| budget > drawn() * work)
+        self.cold_budget(to)
+            .is_none_or(|budget| budget > drawn() * work)
     }
     pub(super) fn cold_budget(&self, worker: &Worker) -> Option<f64> {
         if worker.row.started <= 0 || self.now >= worker.warm {
@@ -35,7 +36,9 @@
         if to.row.state != WorkerState::Ready || !healthy || held.executions.iter().any(here) {
             return false;
         }
-        let Some(first) = held.executions.iter().find(|e| e.may_have_run) else { return true };
+        let Some(first) = held.executions.iter().find(|e| e.may_have_run) else {
+            return true;
+        };
         let workload = self.workload(held.job.workload);
         let ran_at = self.workers.get(&first.worker).map(|w| w.row);
         let same_group = match workload.group {
@@ -73,7 +76,14 @@
         if place.order.is_some() || (place.copies == 0 && self.now < self.loads_again) {
             return false;
         }
-        self.functions.put(id, w, Place { order: Some((self.now, copies)), ..place });
+        self.functions.put(
+            id,
+            w,
+            Place {
+                order: Some((self.now, copies)),
+                ..place
+            },
+        );
         self.ordered.push_back(self.now);
         out.hold(w, id, copies);
         true
--- a/src/logic/workers.rs
+++ b/src/logic/workers.rs
@@ -22,11 +22,16 @@
         self.pace += NEWEST / 2.0 * (seen - self.pace);
         (self.pace_at, self.seen) = (now, self.seen + 1.0);
         self.long += (seen - self.long) * (1.0 / self.seen).max(NEWEST / 10.0);
-        self.calm = if self.seen * NEWEST < 4.0 { self.long } else { risen.min(self.long) };
+        self.calm = if self.seen * NEWEST < 4.0 {
+            self.long
+        } else {
+            risen.min(self.long)
+        };
     }
     /// Jobs of all routers held here for its size, as last reported; an old report tells as the middle one's.
     pub(super) fn held_now(&self, now: Micros, middle: f64) -> f64 {
-        let held = self.report.held.unwrap_or(middle * self.row.size) / self.row.size.max(f64::MIN_POSITIVE);
+        let held = self.report.held.unwrap_or(middle * self.row.size)
+            / self.row.size.max(f64::MIN_POSITIVE);
         faded(held, middle, now - self.report_at, REPORT_FADES_US)
     }
     /// What part of the jobs it last reported waits, or whether all its cores were busy, where it tells. A
@@ -35,13 +40,17 @@
         let loads = self.report.loads.filter(|_| own_loads).unwrap_or(0.0);
         let queued = self.report.queued.zip(self.report.held);
         let part = queued.map(|(queued, held)| (queued - loads) / held.max(1.0));
-        part.or(self.report.busy.map(|busy| f64::from(u8::from(busy > BUSY))))
+        part.or(self
+            .report
+            .busy
+            .map(|busy| f64::from(u8::from(busy > BUSY))))
     }
     /// The same of what waits for a core. Guards against taking a cold fleet for a pressed one: where cores
     /// are told to be idle, jobs wait for a lane of the only copy or a load: turning jobs away frees nothing.
     pub(super) fn waiting_for_cores(&self, own_loads: bool) -> Option<f64> {
         let idle = self.report.busy.is_some_and(|busy| busy <= BUSY);
-        self.waiting(own_loads).map(|part| if idle { 0.0 } else { part })
+        self.waiting(own_loads)
+            .map(|part| if idle { 0.0 } else { part })
     }
     /// Cuts the limit, at most once in the time of a job, as what was sent before still shows.
     pub(super) fn cut_limit(&mut self, now: Micros, work: f64) {
--- a/src/order.rs
+++ b/src/order.rs
@@ -28,7 +28,11 @@
 
 impl Default for Order {
     fn default() -> Self {
-        Order { sums: vec![0; first(LEVELS + 1)], keys: BTreeMap::new(), total: 0 }
+        Order {
+            sums: vec![0; first(LEVELS + 1)],
+            keys: BTreeMap::new(),
+            total: 0,
+        }
     }
 }
 
@@ -72,7 +76,10 @@
 impl Order {
     /// Adds a key, or changes its weight.
     pub fn put(&mut self, key: u64, weight: f64) {
-        let before = self.keys.insert((cell(key, LEVELS), key), steps(weight)).unwrap_or(0);
+        let before = self
+            .keys
+            .insert((cell(key, LEVELS), key), steps(weight))
+            .unwrap_or(0);
         self.change(key, before, steps(weight));
     }
 
@@ -107,8 +114,17 @@
 
     /// The keys in the order drawn by this seed, each found when it is asked for.
     pub fn drawn(&self, seed: u64) -> Drawn<'_> {
-        let later = if self.is_empty() { Vec::new() } else { vec![Reverse((0, 0, 0))] };
-        Drawn { order: self, seed, later: later.into(), drawn: Vec::new() }
+        let later = if self.is_empty() {
+            Vec::new()
+        } else {
+            vec![Reverse((0, 0, 0))]
+        };
+        Drawn {
+            order: self,
+            seed,
+            later: later.into(),
+            drawn: Vec::new(),
+        }
     }
 }
 
@@ -128,7 +144,8 @@
         self.drawn.clear();
         if level == LEVELS {
             let keys = order.keys.range((at as usize, 0)..=(at as usize, u64::MAX));
-            self.drawn.extend(keys.map(|((_, key), weight)| (0.0, *key, *weight)));
+            self.drawn
+                .extend(keys.map(|((_, key), weight)| (0.0, *key, *weight)));
         } else {
             let nodes = (at << BITS)..((at + 1) << BITS);
             let nodes = nodes.map(|node| (0.0, node, order.sums[first(below) + node as usize]));
@@ -136,7 +153,9 @@
         }
         if self.drawn.len() > 1 {
             let draws = draws(self.seed, below);
-            self.drawn.iter_mut().for_each(|(when, at, weight)| *when = clock(draws, *at, *weight));
+            self.drawn
+                .iter_mut()
+                .for_each(|(when, at, weight)| *when = clock(draws, *at, *weight));
         }
     }
 }
@@ -149,11 +168,22 @@
         let when = f64::from_bits(bits);
         while level <= LEVELS {
             self.draw_below(level, at);
-            let soonest =
-                self.drawn.iter().copied().min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
+            let soonest = self
+                .drawn
+                .iter()
+                .copied()
+                .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
             level += 1;
-            for (clock, other, _) in self.drawn.iter().filter(|(_, other, _)| *other != soonest.1) {
-                self.later.push(Reverse(((when + clock - soonest.0).to_bits(), level, *other)));
+            for (clock, other, _) in self
+                .drawn
+                .iter()
+                .filter(|(_, other, _)| *other != soonest.1)
+            {
+                self.later.push(Reverse((
+                    (when + clock - soonest.0).to_bits(),
+                    level,
+                    *other,
+                )));
             }
             at = soonest.1;
         }
@@ -169,7 +199,10 @@
 
 impl<I: Iterator<Item: Copy>> Lazily<I> {
     pub fn new(rest: I) -> Self {
-        Lazily { rest: RefCell::new(rest), found: RefCell::default() }
+        Lazily {
+            rest: RefCell::new(rest),
+            found: RefCell::default(),
+        }
     }
 
     fn get(&self, n: usize) -> Option<I::Item> {
--- a/src/state.rs
+++ b/src/state.rs
@@ -184,7 +184,9 @@
 impl Function {
     /// Copies, idle ones from a draw on first and then those with the fewest own jobs; some come twice.
     pub fn first(&self, draw: u64, most: usize) -> impl Iterator<Item = WorkerId> + '_ {
-        let idle = self.copies.range((0, draw, WorkerId(0))..(1, 0, WorkerId(0)));
+        let idle = self
+            .copies
+            .range((0, draw, WorkerId(0))..(1, 0, WorkerId(0)));
         idle.chain(&self.copies).map(|(.., w)| *w).take(most)
     }
 }
@@ -208,7 +210,12 @@
     }
 
     /// Takes a job of a function up, which is new if it is not known yet.
-    pub fn call(&mut self, id: FunctionId, now: Micros, new: impl FnOnce() -> Function) -> &mut Function {
+    pub fn call(
+        &mut self,
+        id: FunctionId,
+        now: Micros,
+        new: impl FnOnce() -> Function,
+    ) -> &mut Function {
         let function = self.all.entry(id).or_insert_with(new);
         self.by_last_job.remove(&(function.last_job, id));
         self.by_last_job.insert((now, id));
@@ -216,12 +223,16 @@
     }
 
     pub fn place(&self, id: FunctionId, w: WorkerId) -> Place {
-        self.get(id).map(|function| function.place(w)).unwrap_or_default()
+        self.get(id)
+            .map(|function| function.place(w))
+            .unwrap_or_default()
     }
 
     /// Keeps what is known of a place.
     pub fn put(&mut self, id: FunctionId, w: WorkerId, place: Place) {
-        let Some(function) = self.all.get_mut(&id) else { return };
+        let Some(function) = self.all.get_mut(&id) else {
+            return;
+        };
         if let Some(before) = function.places.insert(w, place) {
             function.copies.remove(&(before.own, tie(id, w), w));
         } else {
@@ -238,8 +249,16 @@
     }
 
     /// Takes copies that are no more out of those that [`Function::first`] tells, lest they hide others.
-    pub fn lapse(&mut self, id: FunctionId, draw: u64, most: usize, lapsed: impl Fn(&Place) -> bool) {
-        let Some(function) = self.all.get_mut(&id) else { return };
+    pub fn lapse(
+        &mut self,
+        id: FunctionId,
+        draw: u64,
+        most: usize,
+        lapsed: impl Fn(&Place) -> bool,
+    ) {
+        let Some(function) = self.all.get_mut(&id) else {
+            return;
+        };
         loop {
             let is_lapsed = |w: &WorkerId| lapsed(&function.place(*w));
             let gone: Vec<_> = function.first(draw, most).filter(is_lapsed).collect();
@@ -255,22 +274,40 @@
 
     /// Functions with something known of them at a worker.
     pub fn at(&self, w: WorkerId) -> impl Iterator<Item = FunctionId> + '_ {
-        self.by_worker.range((w, FunctionId(0))..=(w, FunctionId(u64::MAX))).map(|(_, id)| *id)
+        self.by_worker
+            .range((w, FunctionId(0))..=(w, FunctionId(u64::MAX)))
+            .map(|(_, id)| *id)
     }
 
     /// No copy stands at a worker any more, and no load of ours is under way there.
     pub fn forget_copies(&mut self, w: WorkerId) {
         for id in self.at(w).collect::<Vec<_>>() {
             let place = self.place(id, w);
-            self.put(id, w, Place { copies: 0, loading: false, ..place });
+            self.put(
+                id,
+                w,
+                Place {
+                    copies: 0,
+                    loading: false,
+                    ..place
+                },
+            );
         }
     }
 
     /// Forgets what had its last job by then, unless jobs wait.
     pub fn forget(&mut self, by: Micros) {
-        let old: Vec<_> = self.by_last_job.range(..=(by, FunctionId(u64::MAX))).copied().collect();
+        let old: Vec<_> = self
+            .by_last_job
+            .range(..=(by, FunctionId(u64::MAX)))
+            .copied()
+            .collect();
         for (at, id) in old {
-            let Some(function) = self.all.get(&id).filter(|function| function.waiting.is_empty()) else {
+            let Some(function) = self
+                .all
+                .get(&id)
+                .filter(|function| function.waiting.is_empty())
+            else {
                 continue;
             };
             for w in function.places.keys() {
@@ -286,7 +323,8 @@
 pub(crate) fn option(settings: &Settings, id: FunctionId, name: &str, otherwise: Micros) -> Micros {
     let set = |name: &str| settings.number(name).map(|n| n as Micros);
     let one = set(&format!("design.{}.{name}", id.0));
-    one.or_else(|| set(&format!("design.{name}"))).unwrap_or(otherwise)
+    one.or_else(|| set(&format!("design.{name}")))
+        .unwrap_or(otherwise)
 }
 
 /// What holds where a setting is not told and nought would make no sense.
@@ -323,8 +361,13 @@
                 },
             }
         };
-        let workloads: Vec<_> = (0..span("workloads.count", 1).max(1) as usize).map(workload).collect();
-        let targets = workloads.iter().map(|w| w.target).filter(|target| *target > 0);
+        let workloads: Vec<_> = (0..span("workloads.count", 1).max(1) as usize)
+            .map(workload)
+            .collect();
+        let targets = workloads
+            .iter()
+            .map(|w| w.target)
+            .filter(|target| *target > 0);
         Terms {
             tightest: targets.min().unwrap_or(otherwise.target),
             other: workload(workloads.len()),
--- a/tests/candidates.rs
+++ b/tests/candidates.rs
@@ -20,7 +20,10 @@
         host.list(ListKind::Full, rows.to_vec());
         for function in functions.clone() {
             host.job(function, function);
-            homes.entry(function).or_default().extend(host.sent(function));
+            homes
+                .entry(function)
+                .or_default()
+                .extend(host.sent(function));
             host.finish(function, Warmth::Stood, 1_000);
         }
     }
@@ -29,7 +32,9 @@
 
 /// How many functions find a home that they have with another list, too.
 fn shared(one: &BTreeMap<u64, BTreeSet<u64>>, other: &BTreeMap<u64, BTreeSet<u64>>) -> usize {
-    one.iter().filter(|(function, homes)| !homes.is_disjoint(&other[function])).count()
+    one.iter()
+        .filter(|(function, homes)| !homes.is_disjoint(&other[function]))
+        .count()
 }
 
 #[rstest]
@@ -51,13 +56,19 @@
 
 #[rstest]
 fn silent_homes_are_passed_over() {
-    let mut host = Host::new(400, &[&MANY[..], &[("limits.probes", Value::Flag(true))]].concat());
+    let mut host = Host::new(
+        400,
+        &[&MANY[..], &[("limits.probes", Value::Flag(true))]].concat(),
+    );
     let mut silent = BTreeSet::new();
     for id in 0..60 {
         host.job(id, 7);
         silent.extend(host.sent(id));
         host.end(id, End::NoConnection, Warmth::Unknown, 1_000);
-        assert!(!silent.contains(&host.sent(id).expect("another")), "not where it could not be reached");
+        assert!(
+            !silent.contains(&host.sent(id).expect("another")),
+            "not where it could not be reached"
+        );
         host.finish(id, Warmth::Stood, 10_000);
     }
     assert!(silent.len() > 10);
@@ -65,9 +76,16 @@
 
 #[rstest]
 fn a_zone_gone_at_once_takes_only_its_own_homes_along() {
-    let zoned = |w: u64| WorkerRow { zone: ZoneId(w as usize % 19), ..row(w, WorkerState::Ready, 0) };
+    let zoned = |w: u64| WorkerRow {
+        zone: ZoneId(w as usize % 19),
+        ..row(w, WorkerState::Ready, 0)
+    };
     let all: Vec<_> = (0..1_900).map(zoned).collect();
-    let rest: Vec<_> = all.iter().copied().filter(|row| row.zone != ZoneId(3)).collect();
+    let rest: Vec<_> = all
+        .iter()
+        .copied()
+        .filter(|row| row.zone != ZoneId(3))
+        .collect();
     let (before, after) = (homes(&all, 0..100), homes(&rest, 0..100));
     assert!(after.values().flatten().all(|w| w % 19 != 3));
     assert!(after.values().all(|homes| !homes.is_empty()));
@@ -89,9 +107,16 @@
         assert_eq!(host.sent(100 + id), warm[id as usize]);
         host.finish(100 + id, Warmth::Stood, 10_000);
     }
-    let new: BTreeSet<_> =
-        homes(&ready(0..300), 0..300).into_values().flatten().filter(|w| *w >= 30).collect();
-    assert!(new.len() > 200, "{} of the 270 new ones are homes", new.len());
+    let new: BTreeSet<_> = homes(&ready(0..300), 0..300)
+        .into_values()
+        .flatten()
+        .filter(|w| *w >= 30)
+        .collect();
+    assert!(
+        new.len() > 200,
+        "{} of the 270 new ones are homes",
+        new.len()
+    );
 }
 
 #[rstest]
@@ -102,11 +127,18 @@
         host.end(id, End::Finished, Warmth::Stood, 5_000);
     }
     let jobs: Vec<Job> = (1_000..1_200).map(|id| host.draft(id, 7)).collect();
-    host.round(Round { jobs, ..Round::default() });
+    host.round(Round {
+        jobs,
+        ..Round::default()
+    });
     let mut sent = BTreeMap::<Option<u64>, usize>::new();
     (1_000..1_200).for_each(|id| *sent.entry(host.sent(id)).or_default() += 1);
     let most = sent.values().max().copied().unwrap_or(0);
-    assert!(sent.len() >= 150 && most <= 3, "200 jobs at {} workers, {most} at one", sent.len());
+    assert!(
+        sent.len() >= 150 && most <= 3,
+        "200 jobs at {} workers, {most} at one",
+        sent.len()
+    );
 }
 
 #[rstest]
@@ -116,7 +148,10 @@
 fn fewer_workers_than_are_looked_at_are_all_used(#[case] workers: u64) {
     let mut host = Host::new(workers, &[]);
     let jobs: Vec<Job> = (0..workers * 3).map(|id| host.draft(id, 7)).collect();
-    host.round(Round { jobs, ..Round::default() });
+    host.round(Round {
+        jobs,
+        ..Round::default()
+    });
     let used: BTreeSet<_> = (0..workers * 3).filter_map(|id| host.sent(id)).collect();
     assert_eq!(used.len() as u64, workers);
 }
@@ -125,12 +160,21 @@
 fn homes_follow_sizes_that_differ_by_sixteen_and_change() {
     let sized = |w: u64, large: u64| {
         let size = if w % 2 == large { 16.0 } else { 1.0 };
-        WorkerRow { size, ..row(w, WorkerState::Ready, 0) }
+        WorkerRow {
+            size,
+            ..row(w, WorkerState::Ready, 0)
+        }
     };
     for large in [0, 1] {
         let mut host = Host::new(0, &MANY);
-        host.list(ListKind::Full, (0..200).map(|w| sized(w, 1 - large)).collect());
-        host.list(ListKind::Changes, (0..200).map(|w| sized(w, large)).collect());
+        host.list(
+            ListKind::Full,
+            (0..200).map(|w| sized(w, 1 - large)).collect(),
+        );
+        host.list(
+            ListKind::Changes,
+            (0..200).map(|w| sized(w, large)).collect(),
+        );
         let mut there = 0;
         for function in 0..400 {
             host.job(function, function);
@@ -150,7 +194,10 @@
         ("workloads.0.repeat-window-us", Value::Number(2e6)),
     ];
     let mut host = Host::new(0, &[&MANY[..], &set[..]].concat());
-    let celled = |w: u64| WorkerRow { cell: CellId(w as usize / 2), ..row(w, WorkerState::Ready, 0) };
+    let celled = |w: u64| WorkerRow {
+        cell: CellId(w as usize / 2),
+        ..row(w, WorkerState::Ready, 0)
+    };
     host.list(ListKind::Full, (0..2_000).map(celled).collect());
     for id in 0..20 {
         host.job(id, id);
@@ -171,9 +218,18 @@
             let mut rows = rows.clone();
             rows.rotate_left(function as usize * 7);
             let job = host.draft(function, function);
-            let lists = vec![WorkerList { kind: ListKind::Full, rows }];
-            host.round(Round { lists, jobs: vec![job], ..Round::default() });
-            seen.entry(function).or_default().extend(host.sent(function));
+            let lists = vec![WorkerList {
+                kind: ListKind::Full,
+                rows,
+            }];
+            host.round(Round {
+                lists,
+                jobs: vec![job],
+                ..Round::default()
+            });
+            seen.entry(function)
+                .or_default()
+                .extend(host.sent(function));
             host.finish(function, Warmth::Stood, 1_000);
         }
     }
@@ -182,13 +238,19 @@
 
 #[rstest]
 fn routers_whose_lists_differ_by_some_rows_share_nearly_all_homes() {
-    let shared = shared(&homes(&ready(0..1_000), 0..200), &homes(&ready(5..1_005), 0..200));
+    let shared = shared(
+        &homes(&ready(0..1_000), 0..200),
+        &homes(&ready(5..1_005), 0..200),
+    );
     assert!(shared >= 194, "{shared} of 200");
 }
 
 /// Functions called now and then by few routers: each miss would ask.
 fn asks_a_job_in_time(workers: u64) -> f64 {
-    let set = [("copies.orders", Value::Flag(true)), ("routers", Value::Number(2.0))];
+    let set = [
+        ("copies.orders", Value::Flag(true)),
+        ("routers", Value::Number(2.0)),
+    ];
     let mut host = Host::new(workers, &set);
     let jobs = 600;
     for id in 0..jobs {
@@ -204,7 +266,10 @@
 #[rstest]
 fn asks_are_paid_for_by_answers_and_do_not_grow_with_the_fleet() {
     let asks = [30, 300, 3_000].map(asks_a_job_in_time);
-    assert!(asks.iter().all(|asks| *asks > 0.1 && *asks <= 1.0), "{asks:?}");
+    assert!(
+        asks.iter().all(|asks| *asks > 0.1 && *asks <= 1.0),
+        "{asks:?}"
+    );
     assert!(asks[2] <= asks[0] * 1.1, "{asks:?}");
 }
 
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -7,7 +7,10 @@
 use sanddrum::*;
 
 fn closes(host: &mut Host) {
-    host.round(Round { closing: true, ..Round::default() });
+    host.round(Round {
+        closing: true,
+        ..Round::default()
+    });
 }
 
 #[rstest]
@@ -37,8 +40,13 @@
 
 #[rstest]
 fn all_that_is_held_is_answered_at_once() {
-    let mut host =
-        Host::new(1, &[("copies.on-miss", Value::Text("miss".into())), ("copies.orders", Value::Flag(true))]);
+    let mut host = Host::new(
+        1,
+        &[
+            ("copies.on-miss", Value::Text("miss".into())),
+            ("copies.orders", Value::Flag(true)),
+        ],
+    );
     (0..20).for_each(|id| host.job(id, id));
     closes(&mut host);
     assert!((0..20).all(|id| host.finals(id) == 1));
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -82,20 +82,38 @@
             number("rules.fall-us", 2e6),
             number("rules.cold-us", 1e7),
             number("rules.cold-from", 0.2),
-            ("workloads.0.effect".into(), Value::Text("restartable".into())),
+            (
+                "workloads.0.effect".into(),
+                Value::Text("restartable".into()),
+            ),
             ("limits.cancel".into(), Value::Flag(true)),
         ]);
-        map.extend(set.iter().map(|(name, value)| (name.to_string(), value.clone())));
+        map.extend(
+            set.iter()
+                .map(|(name, value)| (name.to_string(), value.clone())),
+        );
         let router = Router::new(seed, &Settings(map));
         let mut host = Host {
             router,
             now: 1_000_000,
-            log: Log { did: Vec::new(), wake: Micros::MAX, waits: Vec::new() },
+            log: Log {
+                did: Vec::new(),
+                wake: Micros::MAX,
+                waits: Vec::new(),
+            },
             tries: BTreeMap::new(),
             report: None,
         };
-        let rows = (0..workers).map(|w| row(w, WorkerState::Ready, 0)).collect();
-        host.round(Round { lists: vec![WorkerList { kind: ListKind::Cached, rows }], ..Round::default() });
+        let rows = (0..workers)
+            .map(|w| row(w, WorkerState::Ready, 0))
+            .collect();
+        host.round(Round {
+            lists: vec![WorkerList {
+                kind: ListKind::Cached,
+                rows,
+            }],
+            ..Round::default()
+        });
         host
     }
 
@@ -125,11 +143,17 @@
     }
 
     pub fn job(&mut self, id: u64, function: u64) {
-        self.round(Round { jobs: vec![self.draft(id, function)], ..Round::default() });
+        self.round(Round {
+            jobs: vec![self.draft(id, function)],
+            ..Round::default()
+        });
     }
 
     pub fn list(&mut self, kind: ListKind, rows: Vec<WorkerRow>) {
-        self.round(Round { lists: vec![WorkerList { kind, rows }], ..Round::default() });
+        self.round(Round {
+            lists: vec![WorkerList { kind, rows }],
+            ..Round::default()
+        });
     }
 
     pub fn count(&self, what: impl Fn(&Did) -> bool) -> usize {
@@ -151,14 +175,28 @@
 
     pub fn order_end(&mut self, worker: u64, function: u64, end: End, copies: u32) {
         let (worker, function) = (WorkerId(worker), FunctionId(function));
-        let news = OrderEnd { worker, function, end, latency: 1_000, copies };
-        self.round(Round { orders: vec![news], ..Round::default() });
+        let news = OrderEnd {
+            worker,
+            function,
+            end,
+            latency: 1_000,
+            copies,
+        };
+        self.round(Round {
+            orders: vec![news],
+            ..Round::default()
+        });
     }
 
     /// Answers all asks out so far with so many copies.
     pub fn answer_asks(&mut self, copies: u32) {
-        let asks: Vec<Did> =
-            self.log.did.iter().filter(|d| matches!(d, Did::Hold(_, _, 0))).copied().collect();
+        let asks: Vec<Did> = self
+            .log
+            .did
+            .iter()
+            .filter(|d| matches!(d, Did::Hold(_, _, 0)))
+            .copied()
+            .collect();
         for ask in asks {
             if let Did::Hold(worker, function, _) = ask {
                 self.order_end(worker, function, End::Finished, copies);
@@ -207,7 +245,10 @@
             crowd: None,
             report: self.report,
         };
-        self.round(Round { ends: vec![news], ..Round::default() });
+        self.round(Round {
+            ends: vec![news],
+            ..Round::default()
+        });
     }
 
     pub fn finish(&mut self, job: u64, warmth: Warmth, latency: Micros) {
@@ -220,7 +261,10 @@
         while self.log.wake <= until {
             self.now = self.now.max(self.log.wake);
             self.log.wake = Micros::MAX;
-            self.round(Round { timer: true, ..Round::default() });
+            self.round(Round {
+                timer: true,
+                ..Round::default()
+            });
         }
         self.now = until;
     }
@@ -228,5 +272,13 @@
 
 pub fn row(worker: u64, state: WorkerState, started: Micros) -> WorkerRow {
     let worker = WorkerId(worker);
-    WorkerRow { worker, zone: ZoneId(0), cell: CellId(0), kind: KindId(0), size: 1.0, state, started }
+    WorkerRow {
+        worker,
+        zone: ZoneId(0),
+        cell: CellId(0),
+        kind: KindId(0),
+        size: 1.0,
+        state,
+        started,
+    }
 }
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -9,7 +9,9 @@
 
 fn order_of(fleet: &Fleet) -> Order {
     let mut order = Order::default();
-    fleet.iter().for_each(|(key, weight)| order.put(*key, *weight));
+    fleet
+        .iter()
+        .for_each(|(key, weight)| order.put(*key, *weight));
     order
 }
 
@@ -17,7 +19,11 @@
 fn times(fleet: &[(u64, u64)], seed: u64, level: u32, when: f64) -> Vec<(f64, u64)> {
     let mut below: BTreeMap<u64, Vec<(u64, u64)>> = BTreeMap::new();
     for (key, weight) in fleet {
-        let at = if level == levels() { *key } else { cell(*key, level + 1) as u64 };
+        let at = if level == levels() {
+            *key
+        } else {
+            cell(*key, level + 1) as u64
+        };
         below.entry(at).or_default().push((*key, *weight));
     }
     let clocks = below.iter().map(|(at, keys)| {
@@ -25,7 +31,10 @@
         (clock(draws(seed, level + 1), *at, weight), keys)
     });
     let clocks: Vec<_> = clocks.collect();
-    let soonest = clocks.iter().map(|(clock, _)| *clock).fold(f64::INFINITY, f64::min);
+    let soonest = clocks
+        .iter()
+        .map(|(clock, _)| *clock)
+        .fold(f64::INFINITY, f64::min);
     let each = clocks.into_iter().flat_map(|(clock, keys)| {
         let when = when + clock - soonest;
         if level == levels() {
@@ -38,14 +47,18 @@
 }
 
 fn sorted(fleet: &Fleet, seed: u64) -> Vec<u64> {
-    let fleet: Vec<_> = fleet.iter().map(|(key, weight)| (*key, steps(*weight))).collect();
+    let fleet: Vec<_> = fleet
+        .iter()
+        .map(|(key, weight)| (*key, steps(*weight)))
+        .collect();
     let mut all = times(&fleet, seed, 0, 0.0);
     all.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     all.into_iter().map(|(_, key)| key).collect()
 }
 
 fn of(keys: std::ops::Range<u64>) -> Fleet {
-    keys.map(|key| (key, [1.0, 2.0, 16.0][key as usize % 3])).collect()
+    keys.map(|key| (key, [1.0, 2.0, 16.0][key as usize % 3]))
+        .collect()
 }
 
 proptest! {
@@ -88,15 +101,21 @@
         by_weight[key as usize % 3] += 1.0 / draws as f64;
     }
     for (n, seen) in by_weight.into_iter().enumerate() {
-        let told =
-            fleet.iter().filter(|(key, _)| **key as usize % 3 == n).map(|(_, w)| w).sum::<f64>() / total;
+        let told = fleet
+            .iter()
+            .filter(|(key, _)| **key as usize % 3 == n)
+            .map(|(_, w)| w)
+            .sum::<f64>()
+            / total;
         assert!((seen - told).abs() < 0.015, "{seen} of {told}");
     }
 }
 
 /// How many of many seeds find another first key.
 fn moved(one: &Order, other: &Order) -> f64 {
-    let moved = (0..20_000).filter(|seed| one.drawn(*seed).next() != other.drawn(*seed).next()).count();
+    let moved = (0..20_000)
+        .filter(|seed| one.drawn(*seed).next() != other.drawn(*seed).next())
+        .count();
     moved as f64 / 20_000.0
 }
 
@@ -111,7 +130,10 @@
     (0..gone).for_each(|key| after.remove(key * 7));
     let part = gone as f64 / keys as f64;
     let moved = moved(&before, &after);
-    assert!(moved <= part * f64::from(levels() + 1) + 0.002, "{moved} where {part} has gone");
+    assert!(
+        moved <= part * f64::from(levels() + 1) + 0.002,
+        "{moved} where {part} has gone"
+    );
 }
 
 #[rstest]
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -9,9 +9,16 @@
 
 /// Twelve workers that have answered in time, with so many of forty jobs waiting at each.
 fn told_to_wait(queued: f64, routers: f64) -> Host {
-    let set = [("routers", Value::Number(routers)), ("workloads.0.time-limit-us", Value::Number(3e6))];
+    let set = [
+        ("routers", Value::Number(routers)),
+        ("workloads.0.time-limit-us", Value::Number(3e6)),
+    ];
     let mut host = Host::new(12, &set);
-    host.report = Some(Report { held: Some(40.0), queued: Some(queued), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(40.0),
+        queued: Some(queued),
+        ..Report::default()
+    });
     for id in 0..120 {
         host.job(id, id % 12);
         host.finish(id, Warmth::Stood, 20_000);
@@ -35,9 +42,15 @@
                 host.end(id, End::Full, Warmth::Unknown, 10_000);
             }
         }
-        more += host.tries.get(&id).map_or(0, |tries| tries.saturating_sub(1));
+        more += host
+            .tries
+            .get(&id)
+            .map_or(0, |tries| tries.saturating_sub(1));
     }
-    assert!(further.contains(&more), "{more} further executions of 100 jobs");
+    assert!(
+        further.contains(&more),
+        "{more} further executions of 100 jobs"
+    );
 }
 
 #[rstest]
@@ -57,7 +70,11 @@
     pushed(&mut host, 200..260, End::Full);
     let shed = pushed(&mut host, 300..400, End::Finished);
     assert!(shed >= 30, "{shed} of 100 turned away");
-    host.report = Some(Report { held: Some(1.0), queued: Some(0.0), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(1.0),
+        queued: Some(0.0),
+        ..Report::default()
+    });
     pushed(&mut host, 400..500, End::Finished);
     assert_eq!(pushed(&mut host, 500..600, End::Finished), 0, "it is over");
 }
@@ -65,7 +82,11 @@
 #[rstest]
 fn the_end_of_an_overload_is_heard_from_the_newest_reports() {
     let mut host = told_to_wait(30.0, 200.0);
-    host.report = Some(Report { held: Some(1.0), queued: Some(0.0), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(1.0),
+        queued: Some(0.0),
+        ..Report::default()
+    });
     host.pass(1_100_000);
     // Three workers have answered since, the word of the others is over a second old.
     let before = host.log.waits.len();
@@ -76,8 +97,15 @@
     host.pass(100_000);
     for id in 300..320 {
         // Its target is gone, so it is taken by a calm fleet only.
-        let late = Job { repeat: true, due: host.now + 100_000, ..host.draft(id, id % 12) };
-        host.round(Round { jobs: vec![late], ..Round::default() });
+        let late = Job {
+            repeat: true,
+            due: host.now + 100_000,
+            ..host.draft(id, id % 12)
+        };
+        host.round(Round {
+            jobs: vec![late],
+            ..Round::default()
+        });
         host.answer(id, End::Finished, Warmth::Stood, 20_000);
     }
     assert_eq!(host.log.waits.len(), before);
@@ -86,16 +114,30 @@
 #[rstest]
 #[case::its_target_is_gone(1_500_000, true)]
 #[case::some_is_left(2_500_000, false)]
-fn a_repeat_is_served_under_pressure_as_long_as_its_target_lasts(#[case] left: Micros, #[case] back: bool) {
+fn a_repeat_is_served_under_pressure_as_long_as_its_target_lasts(
+    #[case] left: Micros,
+    #[case] back: bool,
+) {
     let set = [("workloads.0.time-limit-us", Value::Number(3e6))];
     let mut host = Host::new(6, &set);
-    host.report = Some(Report { held: Some(40.0), queued: Some(30.0), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(40.0),
+        queued: Some(30.0),
+        ..Report::default()
+    });
     for id in 0..60 {
         host.job(id, id % 6);
         host.finish(id, Warmth::Stood, 20_000);
     }
-    let repeat = Job { repeat: true, due: host.now + left, ..host.draft(100, 1) };
-    host.round(Round { jobs: vec![repeat], ..Round::default() });
+    let repeat = Job {
+        repeat: true,
+        due: host.now + left,
+        ..host.draft(100, 1)
+    };
+    host.round(Round {
+        jobs: vec![repeat],
+        ..Round::default()
+    });
     assert_eq!(host.finals(100) > 0, back);
 }
 
@@ -112,15 +154,29 @@
         // Nothing is left of the targets of these.
         let before = host.log.waits.len();
         for id in 300..320 {
-            let late = Job { repeat: true, due: host.now + 1_500_000, ..host.draft(id, id % 12) };
-            host.round(Round { jobs: vec![late], ..Round::default() });
+            let late = Job {
+                repeat: true,
+                due: host.now + 1_500_000,
+                ..host.draft(id, id % 12)
+            };
+            host.round(Round {
+                jobs: vec![late],
+                ..Round::default()
+            });
         }
         host.log.waits.split_off(before)
     });
     for waits in &told {
         assert!(waits.len() > 10, "{waits:?}");
-        assert_eq!(waits.iter().collect::<BTreeSet<_>>().len(), waits.len(), "they differ: {waits:?}");
-        assert!(waits.iter().all(|wait| *wait <= 1_000_000), "within the start target");
+        assert_eq!(
+            waits.iter().collect::<BTreeSet<_>>().len(),
+            waits.len(),
+            "they differ: {waits:?}"
+        );
+        assert!(
+            waits.iter().all(|wait| *wait <= 1_000_000),
+            "within the start target"
+        );
     }
     let mean = |waits: &[Micros]| waits.iter().sum::<Micros>() / waits.len() as Micros;
     assert!(3 * mean(&told[0]) < mean(&told[1]), "they grow: {told:?}");
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -38,5 +38,8 @@
     };
     assert_eq!(given_to(&mut host, 1..4), 0);
     host.pass(1_000_000);
-    assert!(given_to(&mut host, 4..40) > 0, "it may be back, and only a job can show that");
+    assert!(
+        given_to(&mut host, 4..40) > 0,
+        "it may be back, and only a job can show that"
+    );
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -34,11 +34,17 @@
     host.pass(idle);
     let asked = host.count(|did| matches!(did, Did::Hold(_, 7, 0)));
     host.job(2, 7);
-    assert_eq!(host.count(|did| matches!(did, Did::Hold(_, 7, 0))) == asked, warm);
+    assert_eq!(
+        host.count(|did| matches!(did, Did::Hold(_, 7, 0))) == asked,
+        warm
+    );
 }
 
 fn misses_and_orders() -> [(&'static str, Value); 2] {
-    [("copies.on-miss", Value::Text("miss".into())), ("copies.orders", Value::Flag(true))]
+    [
+        ("copies.on-miss", Value::Text("miss".into())),
+        ("copies.orders", Value::Flag(true)),
+    ]
 }
 
 #[rstest]
@@ -49,7 +55,10 @@
     let w = host.loaded_by_order(7, 900_000);
     assert_eq!(host.sent(1), Some(w));
     host.finish(1, Warmth::Stood, 100_000);
-    host.list(ListKind::Changes, vec![row(w, WorkerState::Ready, host.now)]);
+    host.list(
+        ListKind::Changes,
+        vec![row(w, WorkerState::Ready, host.now)],
+    );
     host.job(2, 7);
     assert_eq!(host.sent(2), None);
 }
@@ -60,7 +69,11 @@
     host.job(1, 7);
     host.answer_asks(0);
     host.job(2, 7);
-    assert_eq!(host.count(|did| matches!(did, Did::Hold(_, 7, 1))), 2, "one a lane");
+    assert_eq!(
+        host.count(|did| matches!(did, Did::Hold(_, 7, 1))),
+        2,
+        "one a lane"
+    );
     host.job(3, 7);
     host.job(3, 7);
     host.loaded_by_order(7, 900_000);
@@ -78,7 +91,11 @@
         host.end(1, End::Miss, Warmth::Unknown, 1_000);
         assert!(tried.len() <= 3, "{w} again");
     }
-    assert_eq!((tried.len(), host.finals(1)), (3, 0), "all places, then it waits while it can be in time");
+    assert_eq!(
+        (tried.len(), host.finals(1)),
+        (3, 0),
+        "all places, then it waits while it can be in time"
+    );
     assert_eq!(host.count(|did| matches!(did, Did::Hold(..))), 0);
 }
 
@@ -86,7 +103,10 @@
 #[case::that_must_be_asked("subscribe", 1)]
 #[case::that_comes_by_itself("automatic", 0)]
 fn a_list_is_asked_for_and_asked_again_after_a_failure(#[case] mode: &str, #[case] calls: usize) {
-    let set = [("membership-mode", Value::Text(mode.into())), ("rules.ask-every-us", Value::Number(8e6))];
+    let set = [
+        ("membership-mode", Value::Text(mode.into())),
+        ("rules.ask-every-us", Value::Number(8e6)),
+    ];
     let mut host = Host::new(2, &set);
     let subscribed = |host: &Host| host.count(|did| *did == Did::Subscribe);
     assert_eq!(subscribed(&host), calls);
@@ -126,7 +146,11 @@
     host.job(1, 7);
     host.end(1, End::Error, Warmth::Unknown, 10_000);
     assert_eq!(host.tries[&1], if again { 2 } else { 1 });
-    assert_eq!(host.count(|did| *did == Did::Kill(1)), usize::from(!again), "and at once");
+    assert_eq!(
+        host.count(|did| *did == Did::Kill(1)),
+        usize::from(!again),
+        "and at once"
+    );
     assert_eq!(host.count(|did| *did == Did::PushBack(1)), 0);
 }
 
@@ -147,11 +171,21 @@
     ];
     let mut host = Host::new(1, &set);
     host.job(1, 7);
-    let other = WorkerRow { zone: ZoneId(zone), ..row(9, WorkerState::Ready, 0) };
-    host.list(ListKind::Changes, vec![row(0, WorkerState::Draining, 0), other]);
+    let other = WorkerRow {
+        zone: ZoneId(zone),
+        ..row(9, WorkerState::Ready, 0)
+    };
+    host.list(
+        ListKind::Changes,
+        vec![row(0, WorkerState::Draining, 0), other],
+    );
     host.end(1, End::Error, Warmth::Unknown, after);
     assert_eq!(host.tries[&1], if again { 2 } else { 1 });
-    assert_eq!(host.count(|did| *did == Did::PushBack(1)), 0, "it may have run");
+    assert_eq!(
+        host.count(|did| *did == Did::PushBack(1)),
+        0,
+        "it may have run"
+    );
 }
 
 #[rstest]
@@ -159,18 +193,31 @@
 #[case(WorkerState::Gone)]
 fn nothing_new_goes_to_a_worker_told_to_drain_in_the_same_round(#[case] state: WorkerState) {
     let mut host = Host::new(1, &[]);
-    let list = WorkerList { kind: ListKind::Changes, rows: vec![row(0, state, 0)] };
+    let list = WorkerList {
+        kind: ListKind::Changes,
+        rows: vec![row(0, state, 0)],
+    };
     let job = host.draft(1, 7);
-    host.round(Round { lists: vec![list], jobs: vec![job], ..Round::default() });
+    host.round(Round {
+        lists: vec![list],
+        jobs: vec![job],
+        ..Round::default()
+    });
     host.pass(4_000_000);
-    assert_eq!(host.count(|did| matches!(did, Did::Execute(..) | Did::Hold(_, _, 1))), 0);
+    assert_eq!(
+        host.count(|did| matches!(did, Did::Execute(..) | Did::Hold(_, _, 1))),
+        0
+    );
     assert_eq!(host.finals(1), 1);
 }
 
 #[rstest]
 fn a_cold_worker_gets_no_job_that_was_not_saved_up_for() {
     let mut host = Host::new(2, &[]);
-    host.list(ListKind::Changes, vec![row(1, WorkerState::Ready, host.now)]);
+    host.list(
+        ListKind::Changes,
+        vec![row(1, WorkerState::Ready, host.now)],
+    );
     for job in 0..8 {
         host.job(job, job);
     }
@@ -179,7 +226,10 @@
 
 #[rstest]
 fn a_silent_worker_is_checked_then_shunned_and_its_jobs_moved() {
-    let set = [("limits.probes", Value::Flag(true)), ("limits.second-copies", Value::Flag(true))];
+    let set = [
+        ("limits.probes", Value::Flag(true)),
+        ("limits.second-copies", Value::Flag(true)),
+    ];
     let mut host = Host::new(2, &set);
     host.job(0, 7);
     host.finish(0, Warmth::BeganLoad, 900_000);
@@ -195,7 +245,10 @@
 
 #[rstest]
 fn a_run_once_job_at_a_silent_worker_is_left_alone_and_killed_at_its_time() {
-    let set = [("limits.probes", Value::Flag(true)), ("workloads.0.effect", Value::Text("run-once".into()))];
+    let set = [
+        ("limits.probes", Value::Flag(true)),
+        ("workloads.0.effect", Value::Text("run-once".into())),
+    ];
     let mut host = Host::new(2, &set);
     host.job(1, 7);
     host.pass(2_990_000);
@@ -209,8 +262,14 @@
 #[rstest]
 fn a_try_with_no_time_for_a_load_is_pushed_back_at_once() {
     let mut host = Host::new(3, &[]);
-    let job = Job { due: host.now + 390_000, ..host.draft(1, 7) };
-    host.round(Round { jobs: vec![job], ..Round::default() });
+    let job = Job {
+        due: host.now + 390_000,
+        ..host.draft(1, 7)
+    };
+    host.round(Round {
+        jobs: vec![job],
+        ..Round::default()
+    });
     assert_eq!(host.count(|did| *did == Did::PushBack(1)), 1);
 }
 
@@ -223,7 +282,10 @@
         jobs.clone().for_each(|id| host.job(id, id % 6));
         host.now += latency;
         jobs.for_each(|id| host.answer(id, End::Finished, Warmth::Stood, latency));
-        assert!(burst >= 15 || host.count(|did| matches!(did, Did::PushBack(_))) == 0, "calm");
+        assert!(
+            burst >= 15 || host.count(|did| matches!(did, Did::PushBack(_))) == 0,
+            "calm"
+        );
     }
     assert!(host.count(|did| matches!(did, Did::PushBack(_))) > 0);
 }
@@ -233,8 +295,14 @@
     let mut host = Host::new(1, &[]);
     for id in 0..60 {
         let hint = if id % 2 == 0 { 1_000 } else { 200_000 };
-        let job = Job { work: Some(hint), ..host.draft(id, 7) };
-        host.round(Round { jobs: vec![job], ..Round::default() });
+        let job = Job {
+            work: Some(hint),
+            ..host.draft(id, 7)
+        };
+        host.round(Round {
+            jobs: vec![job],
+            ..Round::default()
+        });
         host.finish(id, Warmth::Stood, 100_000);
     }
     assert_eq!(host.count(|did| matches!(did, Did::PushBack(_))), 0);
@@ -250,7 +318,11 @@
     let mut host = Host::new(8, &[&misses_and_orders()[..], &set[..]].concat());
     (0..10).for_each(|id| host.job(id, id));
     host.answer_asks(0);
-    assert_eq!(host.count(|did| matches!(did, Did::Hold(_, _, 1))), 3, "two and a tenth of ten");
+    assert_eq!(
+        host.count(|did| matches!(did, Did::Hold(_, _, 1))),
+        3,
+        "two and a tenth of ten"
+    );
 }
 
 #[rstest]
@@ -288,7 +360,11 @@
     ];
     let mut host = Host::new(3, &set);
     host.job(1, 7);
-    assert_eq!(host.count(|did| matches!(did, Did::Hold(_, 7, 2))), 1, "its share of three");
+    assert_eq!(
+        host.count(|did| matches!(did, Did::Hold(_, 7, 2))),
+        1,
+        "its share of three"
+    );
     host.answer_asks(0);
     host.loaded_by_order(7, 500_000);
     host.pass(6_500_000);
@@ -299,7 +375,13 @@
 #[case::set_for_it("design.7.keep-alive-us", 1)]
 #[case::set_for_another("design.8.keep-alive-us", 0)]
 fn a_longer_keep_alive_is_renewed_by_orders_of_one(#[case] name: &str, #[case] orders: usize) {
-    let mut host = Host::new(3, &[("copies.orders", Value::Flag(true)), (name, Value::Number(2e7))]);
+    let mut host = Host::new(
+        3,
+        &[
+            ("copies.orders", Value::Flag(true)),
+            (name, Value::Number(2e7)),
+        ],
+    );
     host.job(1, 7);
     host.answer_asks(0);
     host.finish(1, Warmth::BeganLoad, 900_000);
@@ -309,7 +391,10 @@
 
 #[rstest]
 fn idle_copies_are_dropped_once_where_that_is_set() {
-    let set = [("copies.orders", Value::Flag(true)), ("design.drop-after-us", Value::Number(2e6))];
+    let set = [
+        ("copies.orders", Value::Flag(true)),
+        ("design.drop-after-us", Value::Number(2e6)),
+    ];
     let mut host = Host::new(3, &set);
     host.job(1, 7);
     host.answer_asks(0);
@@ -325,7 +410,11 @@
 #[case::one_of_three(1, 0, false)]
 #[case::two_of_three(2, 1, false)]
 #[case::two_of_three_that_were_away_meanwhile(2, 1, true)]
-fn most_workers_looking_ill_is_not_believed(#[case] ill: u64, #[case] used: usize, #[case] away: bool) {
+fn most_workers_looking_ill_is_not_believed(
+    #[case] ill: u64,
+    #[case] used: usize,
+    #[case] away: bool,
+) {
     let mut host = Host::new(3, &[("limits.probes", Value::Flag(true))]);
     for job in 0..ill {
         host.job(job, job);
@@ -333,15 +422,29 @@
         // Each is tried elsewhere; that one works.
         host.finish(job, Warmth::BeganLoad, 900_000);
     }
-    let suspects: Vec<u64> = (0..3).filter(|w| host.count(|did| *did == Did::Probe(*w)) > 0).collect();
+    let suspects: Vec<u64> = (0..3)
+        .filter(|w| host.count(|did| *did == Did::Probe(*w)) > 0)
+        .collect();
     if away {
-        host.list(ListKind::Changes, suspects.iter().map(|w| row(*w, WorkerState::Gone, 0)).collect());
+        host.list(
+            ListKind::Changes,
+            suspects
+                .iter()
+                .map(|w| row(*w, WorkerState::Gone, 0))
+                .collect(),
+        );
         for job in 50..60 {
             host.job(job, job);
             host.finish(job, Warmth::BeganLoad, 300_000);
             host.pass(700_000);
         }
-        host.list(ListKind::Changes, suspects.iter().map(|w| row(*w, WorkerState::Ready, 0)).collect());
+        host.list(
+            ListKind::Changes,
+            suspects
+                .iter()
+                .map(|w| row(*w, WorkerState::Ready, 0))
+                .collect(),
+        );
         host.pass(200_000);
     }
     let before = host.log.did.len();
@@ -359,7 +462,10 @@
     #[case] routers: f64,
     #[case] asks: usize,
 ) {
-    let set = [("copies.orders", Value::Flag(true)), ("routers", Value::Number(routers))];
+    let set = [
+        ("copies.orders", Value::Flag(true)),
+        ("routers", Value::Number(routers)),
+    ];
     let mut host = Host::new(9, &set);
     host.job(1, 7);
     assert_eq!(host.asked(7).len(), asks);
@@ -385,7 +491,10 @@
 #[case::that_stay("nominal", false)]
 fn sizes_that_change_with_every_list_do_not_move_homes(#[case] sizes: &str, #[case] same: bool) {
     let homes = [3, 7].map(|seed: u64| {
-        let set = [("routers", Value::Number(200.0)), ("sizes", Value::Text(sizes.into()))];
+        let set = [
+            ("routers", Value::Number(200.0)),
+            ("sizes", Value::Text(sizes.into())),
+        ];
         let listed = |w: u64| WorkerRow {
             size: ((w * seed + seed) % 9 + 1) as f64 / 4.0,
             ..row(w, WorkerState::Ready, 0)
@@ -404,8 +513,14 @@
 #[rstest]
 fn a_home_found_without_its_copy_gets_one_for_the_jobs_that_follow() {
     let text = |t: &str| Value::Text(t.into());
-    let set = [("copies.on-miss", text("miss")), ("copies.orders", Value::Flag(true))];
-    let mut host = Host::new(6, &[&set[..], &[("routers", Value::Number(200.0))]].concat());
+    let set = [
+        ("copies.on-miss", text("miss")),
+        ("copies.orders", Value::Flag(true)),
+    ];
+    let mut host = Host::new(
+        6,
+        &[&set[..], &[("routers", Value::Number(200.0))]].concat(),
+    );
     for job in 0..8 {
         host.job(job, 7);
         let missed = host.sent(job);
@@ -421,12 +536,25 @@
 #[rstest]
 #[case::as_the_others(4.0, true)]
 #[case::far_more(40.0, false)]
-fn a_worker_that_reports_far_more_jobs_than_others_has_no_room(#[case] held: f64, #[case] there: bool) {
-    let mut host = Host::new(3, &[("routers", Value::Number(200.0)), ("copies.orders", Value::Flag(true))]);
+fn a_worker_that_reports_far_more_jobs_than_others_has_no_room(
+    #[case] held: f64,
+    #[case] there: bool,
+) {
+    let mut host = Host::new(
+        3,
+        &[
+            ("routers", Value::Number(200.0)),
+            ("copies.orders", Value::Flag(true)),
+        ],
+    );
     let mut report = |id: u64, function: u64, held: f64| {
         host.job(id, function);
         let w = host.sent(id);
-        host.report = Some(Report { held: Some(held), queued: Some(0.0), ..Report::default() });
+        host.report = Some(Report {
+            held: Some(held),
+            queued: Some(0.0),
+            ..Report::default()
+        });
         host.finish(id, Warmth::Stood, 50_000);
         w
     };
@@ -443,13 +571,29 @@
 #[rstest]
 fn while_pressed_jobs_that_earn_little_for_their_work_go_first() {
     let number = Value::Number;
-    let set = [("workloads.count", number(2.0)), ("workloads.1.start-target-us", number(1e6))];
-    let earns = [("workloads.1.importance", number(9.0)), ("routers", number(200.0))];
+    let set = [
+        ("workloads.count", number(2.0)),
+        ("workloads.1.start-target-us", number(1e6)),
+    ];
+    let earns = [
+        ("workloads.1.importance", number(9.0)),
+        ("routers", number(200.0)),
+    ];
     let mut host = Host::new(6, &[&set[..], &earns[..]].concat());
-    host.report = Some(Report { held: Some(40.0), queued: Some(30.0), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(40.0),
+        queued: Some(30.0),
+        ..Report::default()
+    });
     let job = |host: &mut Host, id: u64| {
-        let job = Job { workload: WorkloadId(id as usize % 2), ..host.draft(id, id % 2) };
-        host.round(Round { jobs: vec![job], ..Round::default() });
+        let job = Job {
+            workload: WorkloadId(id as usize % 2),
+            ..host.draft(id, id % 2)
+        };
+        host.round(Round {
+            jobs: vec![job],
+            ..Round::default()
+        });
     };
     for id in 0..120 {
         job(&mut host, id);
@@ -465,9 +609,15 @@
     for id in 127..327 {
         job(&mut host, id);
         pushed[id as usize % 2] += host.finals(id);
-        host.round(Round { left: vec![JobId(id)], ..Round::default() });
+        host.round(Round {
+            left: vec![JobId(id)],
+            ..Round::default()
+        });
     }
-    assert!(pushed[0] >= 55 && pushed[1] <= 35, "of 100 each: {pushed:?} pushed back");
+    assert!(
+        pushed[0] >= 55 && pushed[1] <= 35,
+        "of 100 each: {pushed:?} pushed back"
+    );
 }
 
 #[rstest]
@@ -479,19 +629,30 @@
     #[case] queued: f64,
     #[case] homes: usize,
 ) {
-    let set = [("routers", Value::Number(400.0)), ("copies.on-miss", Value::Text(on_miss.into()))];
+    let set = [
+        ("routers", Value::Number(400.0)),
+        ("copies.on-miss", Value::Text(on_miss.into())),
+    ];
     let mut host = Host::new(25, &set);
     // Every worker tells what it holds, the homes of function 99 as soon as they are found.
     for id in 0..400 {
         host.job(id, 1_000 + id);
-        host.report = Some(Report { held: Some(4.0), queued: Some(0.0), ..Report::default() });
+        host.report = Some(Report {
+            held: Some(4.0),
+            queued: Some(0.0),
+            ..Report::default()
+        });
         host.finish(id, Warmth::Stood, 20_000);
     }
     let mut found = BTreeSet::new();
     for id in 400..410 {
         host.job(id, 99);
         found.extend(host.sent(id));
-        host.report = Some(Report { held: Some(40.0), queued: Some(queued), ..Report::default() });
+        host.report = Some(Report {
+            held: Some(40.0),
+            queued: Some(queued),
+            ..Report::default()
+        });
         host.finish(id, Warmth::Stood, 20_000);
     }
     assert_eq!(found.len(), homes);
@@ -504,10 +665,22 @@
     let mut host = Host::new(6, &[("routers", Value::Number(200.0))]);
     for id in 0..200 {
         host.job(id, id);
-        let queued = if host.sent(id).is_some_and(|w| w < crowded) { 40.0 } else { 0.0 };
-        host.report = Some(Report { held: Some(40.0), queued: Some(queued), ..Report::default() });
+        let queued = if host.sent(id).is_some_and(|w| w < crowded) {
+            40.0
+        } else {
+            0.0
+        };
+        host.report = Some(Report {
+            held: Some(40.0),
+            queued: Some(queued),
+            ..Report::default()
+        });
         if host.finals(id) == 0 {
-            host.finish(id, Warmth::Stood, if queued > 0.0 { 1_020_000 } else { 150_000 });
+            host.finish(
+                id,
+                Warmth::Stood,
+                if queued > 0.0 { 1_020_000 } else { 150_000 },
+            );
         }
     }
     let pushed = host.count(|did| matches!(did, Did::PushBack(_)));
@@ -522,7 +695,10 @@
     let mut sent = 0;
     for router in 0..routers as u64 {
         let mut host = Host::seeded(router, 4, &[("routers", Value::Number(routers))]);
-        host.list(ListKind::Changes, vec![row(1, WorkerState::Ready, host.now)]);
+        host.list(
+            ListKind::Changes,
+            vec![row(1, WorkerState::Ready, host.now)],
+        );
         let jobs = 20 / routers as u64 + u64::from(router < 20 % routers as u64);
         (0..jobs).for_each(|id| {
             host.pass(100_000);
@@ -546,9 +722,17 @@
     #[case] warmth: Warmth,
     #[case] least: usize,
 ) {
-    let set = [("routers", Value::Number(200.0)), ("copies.on-miss", Value::Text("miss".into()))];
+    let set = [
+        ("routers", Value::Number(200.0)),
+        ("copies.on-miss", Value::Text("miss".into())),
+    ];
     let mut host = Host::new(6, &set);
-    host.report = Some(Report { held: Some(40.0), queued: Some(queued), busy, ..Report::default() });
+    host.report = Some(Report {
+        held: Some(40.0),
+        queued: Some(queued),
+        busy,
+        ..Report::default()
+    });
     for id in 0..120 {
         host.job(id, 7);
         if host.finals(id) == 0 {
@@ -556,19 +740,34 @@
         }
     }
     let pushed = host.count(|did| matches!(did, Did::PushBack(_)));
-    assert!(if least == 0 { pushed == 0 } else { pushed >= least }, "{pushed} pushed back");
+    assert!(
+        if least == 0 {
+            pushed == 0
+        } else {
+            pushed >= least
+        },
+        "{pushed} pushed back"
+    );
 }
 
 #[rstest]
 fn where_a_quarter_of_answers_stays_late_ever_less_is_taken() {
     let mut host = Host::new(6, &[("routers", Value::Number(200.0))]);
-    host.report = Some(Report { held: Some(40.0), queued: Some(30.0), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(40.0),
+        queued: Some(30.0),
+        ..Report::default()
+    });
     let mut pushed = Vec::new();
     for id in 0..800 {
         host.job(id, 7);
         pushed.push(host.finals(id));
         if host.finals(id) == 0 {
-            host.finish(id, Warmth::Stood, if id % 4 == 0 { 1_100_000 } else { 200_000 });
+            host.finish(
+                id,
+                Warmth::Stood,
+                if id % 4 == 0 { 1_100_000 } else { 200_000 },
+            );
         }
     }
     let of_last = pushed[600..].iter().sum::<usize>();
@@ -585,8 +784,17 @@
 #[case::window("workloads.0.repeat-window-us")]
 #[case::workloads("workloads.count")]
 fn a_setting_of_nought_loses_no_job_and_wakes_no_more_often(#[case] name: &str) {
-    let mut host = Host::new(5, &[(name, Value::Number(0.0)), ("copies.orders", Value::Flag(true))]);
-    host.list(ListKind::Changes, vec![row(1, WorkerState::Ready, host.now)]);
+    let mut host = Host::new(
+        5,
+        &[
+            (name, Value::Number(0.0)),
+            ("copies.orders", Value::Flag(true)),
+        ],
+    );
+    host.list(
+        ListKind::Changes,
+        vec![row(1, WorkerState::Ready, host.now)],
+    );
     let mut woken = 0;
     for id in 0..40 {
         host.job(id, id % 3);
@@ -598,12 +806,17 @@
         while host.log.wake <= until {
             (host.now, woken) = (host.now.max(host.log.wake), woken + 1);
             host.log.wake = Micros::MAX;
-            host.round(Round { timer: true, ..Round::default() });
+            host.round(Round {
+                timer: true,
+                ..Round::default()
+            });
         }
         host.now = until;
     }
     host.pass(4_000_000);
-    let answered = (0..40).filter(|id| host.sent(*id).is_some() || host.finals(*id) == 1).count();
+    let answered = (0..40)
+        .filter(|id| host.sent(*id).is_some() || host.finals(*id) == 1)
+        .count();
     assert_eq!(answered, 40);
     assert!(woken < 40 * 40, "woken {woken} times in four seconds");
 }
@@ -613,14 +826,32 @@
     let mut host = Host::new(0, &[]);
     host.job(1, 7);
     host.list(ListKind::Full, vec![]);
-    let late = Job { due: host.now - 1, lanes: 0.0, memory_mb: 0.0, ..host.draft(2, 8) };
-    host.round(Round { jobs: vec![late], left: vec![JobId(99)], ..Round::default() });
+    let late = Job {
+        due: host.now - 1,
+        lanes: 0.0,
+        memory_mb: 0.0,
+        ..host.draft(2, 8)
+    };
+    host.round(Round {
+        jobs: vec![late],
+        left: vec![JobId(99)],
+        ..Round::default()
+    });
     host.order_end(5, 55, End::Finished, 1);
     host.end(77, End::Finished, Warmth::Stood, 10);
     host.end(2, End::Finished, Warmth::Stood, 10);
     host.end(2, End::Finished, Warmth::Stood, 10);
-    let probe = ProbeEnd { worker: WorkerId(5), end: End::Finished, latency: 1, report: None };
-    host.round(Round { probes: vec![probe], timer: true, ..Round::default() });
+    let probe = ProbeEnd {
+        worker: WorkerId(5),
+        end: End::Finished,
+        latency: 1,
+        report: None,
+    };
+    host.round(Round {
+        probes: vec![probe],
+        timer: true,
+        ..Round::default()
+    });
     host.pass(4_000_000);
     assert_eq!((host.finals(1), host.finals(2)), (1, 1));
 }
@@ -628,7 +859,10 @@
 #[rstest]
 #[case::of_several_functions([0, 1, 2], true)]
 #[case::of_one_function([0, 0, 2], false)]
-fn a_worker_that_fails_what_it_gets_is_left_alone(#[case] failing: [usize; 3], #[case] alone: bool) {
+fn a_worker_that_fails_what_it_gets_is_left_alone(
+    #[case] failing: [usize; 3],
+    #[case] alone: bool,
+) {
     let mut host = Host::new(2, &[]);
     let mut at_one = Vec::new();
     for function in 1..30 {
@@ -648,15 +882,32 @@
 
 #[rstest]
 fn a_function_whose_load_outlasts_its_jobs_is_loaded_for_those_that_follow() {
-    let set = [("copies.on-miss", Value::Text("miss".into())), ("copies.orders", Value::Flag(true))];
+    let set = [
+        ("copies.on-miss", Value::Text("miss".into())),
+        ("copies.orders", Value::Flag(true)),
+    ];
     let mut host = Host::new(3, &set);
     for id in [1, 2] {
-        let job = Job { load: Some(4_000_000), ..host.draft(id, 7) };
-        host.round(Round { jobs: vec![job], ..Round::default() });
+        let job = Job {
+            load: Some(4_000_000),
+            ..host.draft(id, 7)
+        };
+        host.round(Round {
+            jobs: vec![job],
+            ..Round::default()
+        });
         host.answer_asks(0);
-        assert_eq!(host.finals(id), 1, "it could not be in time and is pushed back at once");
+        assert_eq!(
+            host.finals(id),
+            1,
+            "it could not be in time and is pushed back at once"
+        );
     }
-    assert_eq!(host.count(|did| matches!(did, Did::Hold(_, 7, 1))), 1, "one load, for the second call");
+    assert_eq!(
+        host.count(|did| matches!(did, Did::Hold(_, 7, 1))),
+        1,
+        "one load, for the second call"
+    );
     host.loaded_by_order(7, 4_000_000);
     host.job(3, 7);
     assert!(host.sent(3).is_some());
@@ -671,20 +922,35 @@
 ) {
     let mut host = Host::new(
         3,
-        &[("copies.on-miss", Value::Text(on_miss.into())), ("copies.orders", Value::Flag(true))],
+        &[
+            ("copies.on-miss", Value::Text(on_miss.into())),
+            ("copies.orders", Value::Flag(true)),
+        ],
     );
     // Loads take four times what they are told to; no job has had to wait for a core.
     for id in 1..4 {
-        let job = Job { load: Some(300_000), ..host.draft(id, id) };
-        host.round(Round { jobs: vec![job], ..Round::default() });
+        let job = Job {
+            load: Some(300_000),
+            ..host.draft(id, id)
+        };
+        host.round(Round {
+            jobs: vec![job],
+            ..Round::default()
+        });
         host.answer_asks(0);
         match on_miss {
             "load" => host.finish(id, Warmth::BeganLoad, 1_200_000),
             _ => drop(host.loaded_by_order(id, 1_200_000)),
         }
     }
-    let job = Job { load: Some(500_000), ..host.draft(9, 9) };
-    host.round(Round { jobs: vec![job], ..Round::default() });
+    let job = Job {
+        load: Some(500_000),
+        ..host.draft(9, 9)
+    };
+    host.round(Round {
+        jobs: vec![job],
+        ..Round::default()
+    });
     host.answer_asks(0);
     assert_eq!(host.finals(9), away);
 }
@@ -692,19 +958,42 @@
 #[rstest]
 #[case::where_nothing_waits(0.0, true)]
 #[case::where_jobs_wait(3.0, false)]
-fn a_few_heavy_jobs_cut_what_a_worker_gets_only_where_jobs_wait(#[case] queued: f64, #[case] room: bool) {
+fn a_few_heavy_jobs_cut_what_a_worker_gets_only_where_jobs_wait(
+    #[case] queued: f64,
+    #[case] room: bool,
+) {
     let mut host = Host::new(1, &[]);
-    host.report = Some(Report { held: Some(1.0), queued: Some(queued), ..Report::default() });
+    host.report = Some(Report {
+        held: Some(1.0),
+        queued: Some(queued),
+        ..Report::default()
+    });
     for id in 1..40 {
         host.job(id, 7);
-        host.finish(id, if id == 1 { Warmth::BeganLoad } else { Warmth::Stood }, 50_000);
+        host.finish(
+            id,
+            if id == 1 {
+                Warmth::BeganLoad
+            } else {
+                Warmth::Stood
+            },
+            50_000,
+        );
     }
     for id in 40..48 {
         host.job(id, 7);
         host.finish(id, Warmth::Stood, 400_000);
     }
-    let jobs: Vec<Job> = (100..130).map(|id| Job { lanes: 100.0, ..host.draft(id, 7) }).collect();
-    host.round(Round { jobs, ..Round::default() });
+    let jobs: Vec<Job> = (100..130)
+        .map(|id| Job {
+            lanes: 100.0,
+            ..host.draft(id, 7)
+        })
+        .collect();
+    host.round(Round {
+        jobs,
+        ..Round::default()
+    });
     let sent = (100..130).filter(|id| host.sent(*id).is_some()).count();
     // Six tenths of the first limit, as jobs that earn less than the mean get.
     assert_eq!(sent >= 14, room, "{sent}");
