--- a/crates/sanddrum-start/tests/stories.rs
+++ b/crates/sanddrum-bootstrap/tests/stories.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddrum::{Micros, Settings, Value};
-use sanddrum_start::{Decisions, News, Start, Step};
+use sanddrum_bootstrap::{Decisions, News, Start, Step};
 
 #[derive(Default)]
 struct Host {
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -3,12 +3,12 @@
 use crate::lab::{read_scenario, tell, Folder, Shipped, DEMO};
 use crate::{exit, fail};
 use clap::{Args, ValueEnum};
+use sanddrum_emulator::{ListService, Marks, Shared, Store, Worker};
 use sanddrum_lab::{
     play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who,
     FAULTS, FLEET_DAY, LATE, OURS,
 };
 use sanddrum_net::{Core, EventLoop, NoTap};
-use sanddrum_worker::{ListService, Marks, Shared, Store, Worker};
 use serde::de::DeserializeOwned;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
--- a/crates/sanddrum-edge/src/carry.rs
+++ b/crates/sanddrum-edge/src/carry.rs
@@ -5,7 +5,7 @@
 use crate::links::{Mark, Piece};
 use crate::{Due, Inner};
 use sanddrum::{Decisions, End, FunctionId, JobId, Micros, PeerId, Warmth, WorkerId};
-use sanddrum_connect::LinkId;
+use sanddrum_upstream::LinkId;
 use sanddrum_wire as wire;
 
 pub(crate) struct Carry<'a> {
--- a/crates/sanddrum-edge/src/clients.rs
+++ b/crates/sanddrum-edge/src/clients.rs
@@ -4,8 +4,8 @@
 use crate::jobs::{Answer, Call, Refusal};
 use crate::{arrival, Due, Inner, Owner};
 use sanddrum::{CustomerId, JobId, Micros};
-use sanddrum_connect::{ClientId, Old};
 use sanddrum_net::{Conn, Event, Io, Outbox};
+use sanddrum_upstream::{ClientId, Old};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/sanddrum-edge/src/connect.rs
+++ b/crates/sanddrum-edge/src/connect.rs
@@ -2,8 +2,8 @@
 
 use crate::Inner;
 use sanddrum::{Micros, WorkerId};
-use sanddrum_connect::{ClientId, Decisions, LinkId, Old, Why};
 use sanddrum_net::{Conn, Io};
+use sanddrum_upstream::{ClientId, Decisions, LinkId, Old, Why};
 
 pub(crate) struct Connect<'a> {
     pub inner: &'a mut Inner,
--- a/crates/sanddrum-edge/src/figures.rs
+++ b/crates/sanddrum-edge/src/figures.rs
@@ -2,7 +2,7 @@
 
 use metrics::{counter, gauge, Counter, Gauge};
 use sanddrum::End;
-use sanddrum_connect::Connections;
+use sanddrum_upstream::Connections;
 
 pub struct Figures {
     pub taken: Counter,
--- a/crates/sanddrum-edge/src/jobs.rs
+++ b/crates/sanddrum-edge/src/jobs.rs
@@ -5,8 +5,8 @@
 use sanddrum::{
     CustomerId, End, ExecutionEnd, FunctionId, JobId, Report, Warmth, WorkerId, WorkloadId,
 };
-use sanddrum_connect::LinkId;
 use sanddrum_net::{Conn, Micros};
+use sanddrum_upstream::LinkId;
 use sanddrum_wire::{http, Copy, Done, Ended, LoadReport};
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -38,12 +38,12 @@
 use list::List;
 use permits::Violations;
 use sanddrum::{Decisions, Round, Router, Settings};
-use sanddrum_connect::{Connections, LinkId, Rests};
+use sanddrum_bootstrap::News;
 use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros};
 use sanddrum_platform::feed::Told;
 use sanddrum_platform::starts::Clocks;
 use sanddrum_settings::Loaded;
-use sanddrum_start::News;
+use sanddrum_upstream::{Connections, LinkId, Rests};
 use speech::Speech;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -143,7 +143,7 @@
     rests: Rests,
     connect_wake: Option<Micros>,
     list: List,
-    start: sanddrum_start::Start,
+    start: sanddrum_bootstrap::Start,
     began: Micros,
     due: BTreeSet<(Micros, Due)>,
     module_wake: Option<Micros>,
@@ -238,7 +238,7 @@
             connect_wake: None,
             list,
             // A seed of its own, as for the connections.
-            start: sanddrum_start::Start::new(
+            start: sanddrum_bootstrap::Start::new(
                 start.seed ^ 0x57,
                 &start.settings.values_for_module(),
             ),
--- a/crates/sanddrum-edge/src/links/ends.rs
+++ b/crates/sanddrum-edge/src/links/ends.rs
@@ -3,8 +3,8 @@
 use super::{Link, Mark};
 use crate::{Due, Inner};
 use sanddrum::{End, Micros, Warmth};
-use sanddrum_connect::LinkId;
 use sanddrum_net::{Closed, Io};
+use sanddrum_upstream::LinkId;
 use std::collections::BTreeMap;
 
 impl Inner {
--- a/crates/sanddrum-edge/src/links/guard.rs
+++ b/crates/sanddrum-edge/src/links/guard.rs
@@ -5,7 +5,7 @@
 use crate::permits::{may_send, AttemptFacts, Rule};
 use crate::Inner;
 use sanddrum::{End, Micros, Warmth};
-use sanddrum_connect::LinkId;
+use sanddrum_upstream::LinkId;
 
 impl Inner {
     /// Takes back what waits on this link and may not be sent.
--- a/crates/sanddrum-edge/src/links/recall.rs
+++ b/crates/sanddrum-edge/src/links/recall.rs
@@ -3,8 +3,8 @@
 use super::{Mark, WRITTEN_SOON};
 use crate::{Due, Inner};
 use sanddrum::{End, Micros, Warmth, WorkerId};
-use sanddrum_connect::LinkId;
 use sanddrum_net::{Closed, Io};
+use sanddrum_upstream::LinkId;
 use std::collections::BTreeSet;
 
 impl Inner {
--- a/crates/sanddrum-edge/src/links/restate.rs
+++ b/crates/sanddrum-edge/src/links/restate.rs
@@ -5,7 +5,7 @@
 use crate::carry::execute_message;
 use crate::Inner;
 use sanddrum::Micros;
-use sanddrum_connect::LinkId;
+use sanddrum_upstream::LinkId;
 
 /// A frame that has waited longer than this states its deadline anew.
 const STATED_FOR: Micros = 10_000;
--- a/crates/sanddrum-edge/src/list.rs
+++ b/crates/sanddrum-edge/src/list.rs
@@ -6,10 +6,10 @@
 use sanddrum::{
     CellId, KindId, ListKind, Micros, WorkerId, WorkerList, WorkerRow, WorkerState, ZoneId,
 };
-use sanddrum_connect::Backoff;
+use sanddrum_bootstrap::{Decisions, News};
 use sanddrum_net::{Conn, Event, Io, Outbox};
 use sanddrum_settings::Loaded;
-use sanddrum_start::{Decisions, News};
+use sanddrum_upstream::Backoff;
 use sanddrum_wire::{
     frame::frame, id_of, Frames, FromList, Hello, Phase, Row, Rows, ToList, VERSION,
 };
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -7,8 +7,8 @@
     WorkloadId,
 };
 use sanddrum_edge::Module;
+use sanddrum_emulator::{Shared, Truth};
 use sanddrum_net::Chance;
-use sanddrum_worker::{Shared, Truth};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a baseline chooses.
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -3,9 +3,9 @@
 
 use crate::scenario::Scenario;
 use crate::wallet::Wallet;
+use sanddrum_emulator::Shared;
 use sanddrum_net::{Chance, Closed, Conn, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::http;
-use sanddrum_worker::Shared;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a scenario changes about the traffic while it runs.
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -1,9 +1,9 @@
 //! An edge as a process of its own, with the list of so many workers and no calls: what it takes when it stands by.
 
 use super::{Plan, Point, Role, Sink, Source, Stop};
+use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_net::{EventLoop, Micros, NoTap};
 use sanddrum_wire::{Phase, Row};
-use sanddrum_worker::{ListService, ListSpec};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow.rs
@@ -13,10 +13,10 @@
     CellId, End, FunctionId, Job, JobId, KindId, ListKind, Micros, OrderEnd, ProbeEnd, Report,
     Round, Settings, Warmth, WorkerId, WorkerList, WorkerRow, WorkerState, WorkloadId, ZoneId,
 };
-use sanddrum_connect::LinkId;
+use sanddrum_emulator::machine::{Effect, Task, Ticket};
 use sanddrum_net::Chance;
+use sanddrum_upstream::LinkId;
 use sanddrum_wire::{Copy, Ended, Hold, LoadReport};
-use sanddrum_worker::machine::{Effect, Task, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Instant;
--- a/crates/sanddrum-lab/src/capacity/hollow/links.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/links.rs
@@ -2,7 +2,7 @@
 
 use super::super::host::{Link, Mark};
 use super::*;
-use sanddrum_connect::{Decisions, LinkId, Listed, Need, Old, Wanted, Why};
+use sanddrum_upstream::{Decisions, LinkId, Listed, Need, Old, Wanted, Why};
 use std::cmp::Reverse;
 
 /// What the connection module decided, carried out after its round.
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -2,9 +2,9 @@
 //! is known. It is hollow behind that, as it keeps no rows and serves nobody.
 
 use sanddrum::Settings;
+use sanddrum_bootstrap::{Decisions, News, Start};
 use sanddrum_edge::Known;
 use sanddrum_net::{Conn, Core, Event, Io, Micros, Outbox};
-use sanddrum_start::{Decisions, News, Start};
 use sanddrum_wire::{frame::frame, Frames, FromListHead, Hello, RowsHead, ToList, VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/sanddrum-lab/src/capacity/host.rs
+++ b/crates/sanddrum-lab/src/capacity/host.rs
@@ -6,7 +6,7 @@
     Decisions, End, ExecutionEnd, FunctionId, JobId, Micros, OrderEnd, PeerId, ProbeEnd, Report,
     Round, Router, Settings, Warmth, WorkerId,
 };
-use sanddrum_connect::{Connections, LinkId, News};
+use sanddrum_upstream::{Connections, LinkId, News};
 use sanddrum_wire::{Copy, Ended, LoadReport};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -5,9 +5,9 @@
 use super::list_service::{list_spec, most_of};
 use super::list_stage::row;
 use super::{Plan, Point, Role, Sink, Source, Stop};
+use sanddrum_emulator::{ListFaults, ListService};
 use sanddrum_net::{Conn, Core, Door, Event, Io, Micros};
 use sanddrum_wire::{frame::frame, Hello, Row, ToList, Watch, VERSION};
-use sanddrum_worker::{ListFaults, ListService};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -6,9 +6,9 @@
 use super::list_plays::{play_all, seconds, source_of, Played, Told, NEVER};
 use super::list_stage::{ListStage, ListStageSpec, SECOND};
 use super::{Plan, Play, Sink, Stop};
+use sanddrum_emulator::ListSpec;
 use sanddrum_net::{Links, Micros};
 use sanddrum_settings::{key, Kind, Problem, Section};
-use sanddrum_worker::ListSpec;
 use std::time::Duration;
 
 pub const PLAY: Play = Play {
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -7,12 +7,12 @@
 use crate::scenario::Scenario;
 use sanddrum::Settings;
 use sanddrum_edge::{Edge, Known, Start};
+use sanddrum_emulator::{
+    ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
+};
 use sanddrum_net::{Core, Event, HostId, Io, Links, Micros, NoTap, VirtualNet};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_wire::{Phase, Row};
-use sanddrum_worker::{
-    ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
-};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -3,11 +3,11 @@
 
 use super::Plan;
 use sanddrum::{FunctionId, Micros, WorkerId};
+use sanddrum_emulator::machine::{Machine, Size};
+use sanddrum_emulator::OnMiss;
 use sanddrum_net::Chance;
 use sanddrum_settings::{key, Kind, Loaded, Problem, Section};
 use sanddrum_wire::{id_of, LoadReport};
-use sanddrum_worker::machine::{Machine, Size};
-use sanddrum_worker::OnMiss;
 
 pub const SECTION: Section = Section {
     name: "model",
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -5,13 +5,13 @@
 use crate::scenario::Scenario;
 use crate::tapped::{bounds, Authority, Tapped};
 use crate::wallet::Wallet;
-use sanddrum_net::{Core, HostId, Micros};
-use sanddrum_settings::{Loaded, Problem};
-use sanddrum_tls::{Layer, Papers, Rules, Side};
-use sanddrum_worker::{
+use sanddrum_emulator::{
     HandshakeWork, ListFaults, ListService, Marks, Shared, Slowed, Store, StoreFaults, Truth,
     Worker, WorkerFaults,
 };
+use sanddrum_net::{Core, HostId, Micros};
+use sanddrum_settings::{Loaded, Problem};
+use sanddrum_tls::{Layer, Papers, Rules, Side};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -5,6 +5,7 @@
 use crate::tapped::Authority;
 use sanddrum::{Decisions, Micros, Round, Router, WorkerId, WorkerState};
 use sanddrum_edge::{Edge, Module, Start, KEYS};
+use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{Conn, Core, Event, EventLoop, Io, NoTap};
 use sanddrum_settings::Loaded;
@@ -14,7 +15,6 @@
     Copy, Done, Ended, Frames, FromWorker, Held, Hello, LoadReport, Phase, Probed, Row, ToWorker,
     VERSION,
 };
-use sanddrum_worker::{ListService, ListSpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::TcpListener;
--- a/crates/sanddrum-lab/src/player.rs
+++ b/crates/sanddrum-lab/src/player.rs
@@ -220,7 +220,7 @@
         tracing::info!(at_ms = now / 1000, "{what}{whom}");
         self.acts.push((now, format!("{what}{whom}")));
     }
-    fn faults(&mut self, whom: &[Who], set: impl Fn(&mut sanddrum_worker::WorkerFaults)) {
+    fn faults(&mut self, whom: &[Who], set: impl Fn(&mut sanddrum_emulator::WorkerFaults)) {
         for who in whom {
             if let Who::Worker(n) = who {
                 set(&mut self.stage.fleet().workers[*n].borrow_mut());
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -1,9 +1,9 @@
 //! A link between two processes that a test steers: connections are taken, dialled on, and their bytes passed, held,
 //! slowed or thrown away. It reads no more of them than the greeting that says who calls.
 
+use sanddrum_emulator::Shared;
 use sanddrum_net::{Closed, Conn, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{Frames, ToList, ToWorker};
-use sanddrum_worker::Shared;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What is wrong with a link.
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -2,10 +2,10 @@
 
 use crate::relay::Fault;
 use crate::schema::{kinds, SCENARIO};
+use sanddrum_emulator::{ListSpec, OnMiss, StoreSpec, WorkerSpec};
 use sanddrum_net::{Chance, Micros};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_wire::{Phase, Row};
-use sanddrum_worker::{ListSpec, OnMiss, StoreSpec, WorkerSpec};
 
 #[derive(Clone, Debug)]
 pub struct Calls {
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -5,9 +5,9 @@
 use crate::relay::Fault;
 use crate::scenario::Scenario;
 use sanddrum_edge::{Edge, Start, KEYS};
+use sanddrum_emulator::{Shared, Truth};
 use sanddrum_net::{Bend, Core, HostId, Links, Micros, VirtualNet};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
-use sanddrum_worker::{Shared, Truth};
 use std::collections::BTreeMap;
 use std::io;
 
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -1,11 +1,11 @@
 //! The list service's plays: hollow routers do what whole edges do, and counters that may not grow do not.
 
 use rstest::rstest;
+use sanddrum_emulator::ListSpec;
 use sanddrum_lab::capacity::{
     run, Followers, ListStage, ListStageSpec, Memory, Plan, Point, Said, Sink, Source, Stop,
 };
 use sanddrum_net::{Links, Micros};
-use sanddrum_worker::ListSpec;
 use std::time::Duration;
 
 const MEMORY: Memory = Memory { total: 24 << 30 };
--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -151,7 +151,7 @@
                 let each = value.split(';').filter_map(|one| one.split_once(':'));
                 let number = |text: &str| text.parse::<f64>().ok().filter(|n| n.is_finite());
                 let values = each.map(|(name, text)| (name, number(text)));
-                let told = sanddrum_dialect::report(values);
+                let told = sanddrum_platform_config::report(values);
                 answer.report = Some(LoadReport {
                     held: told.held,
                     queued: told.queued,
--- a/crates/sanddrum-simhost/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::{Host, Instance, Names};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use sanddrum::*;
-use sanddrum_dialect::{self as dialect, id_of};
+use sanddrum_platform_config::{self as dialect, id_of};
 use serde_json::Value as Json;
 
 type Read<T> = Result<T, String>;
--- a/crates/sanddrum-simhost/src/main.rs
+++ b/crates/sanddrum-simulator-adapter/src/main.rs
@@ -133,7 +133,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("sanddrum-simhost: {problem}");
+            eprintln!("sanddrum-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sanddrum-simhost/tests/wire.rs
+++ b/crates/sanddrum-simulator-adapter/tests/wire.rs
@@ -7,7 +7,7 @@
 
 /// Plays batches, each at its clock, and gives the process's end with all it wrote.
 fn play(batches: &[(i64, Vec<Value>)]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_sanddrum-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_sanddrum-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/sanddrum-connect/tests/stories.rs
+++ b/crates/sanddrum-upstream/tests/stories.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddrum::{Micros, Settings, Value, WorkerId};
-use sanddrum_connect::*;
+use sanddrum_upstream::*;
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
@@ -386,7 +386,7 @@
 
 #[rstest]
 fn after_a_reset_a_shorter_rest_is_trusted_and_longer_ones_are_tried_again() {
-    let mut rests = sanddrum_connect::Rests::new(250_000);
+    let mut rests = sanddrum_upstream::Rests::new(250_000);
     assert!(rests.is_trusted(0, 60_000_000), "nothing speaks against it");
     rests.broke(0, 5_000, 100);
     assert!(
