--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use sanddrum::Router;
-use sanddrum_edge::{state, Edge, Start, KEYS};
+use sanddrum_edge::{endpoint_cache, Edge, Start, KEYS};
 use sanddrum_net::{Core, EventLoop, NoTap, Shutdown};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_tls::{Asks, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
@@ -115,7 +115,7 @@
 /// What was kept, if it can be used; a torn or foreign file is set aside.
 fn kept(file: &Path) -> Option<Vec<u8>> {
     let bytes = std::fs::read(file).ok()?;
-    match state::read(&bytes) {
+    match endpoint_cache::read(&bytes) {
         Ok(_) => Some(bytes),
         Err(why) => {
             let aside = file.with_extension("set-aside");
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -1,6 +1,6 @@
 //! Between the door and the decision module: customers' limits. What they are is decided in `sanddrum-limits`.
 
-use crate::jobs::{Job, Refusal};
+use crate::requests::{Job, Refusal};
 use crate::Inner;
 use sanddrum::{JobId, Micros};
 use sanddrum_limits::{Admission as Decisions, Asked, News, Over, Repeats, Sharing};
--- a/crates/sanddrum-edge/src/feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -4,7 +4,7 @@
 use crate::{Inner, Owner};
 use sanddrum::{ListKind, Micros};
 use sanddrum_net::{Conn, Event, Io};
-use sanddrum_platform::feed::{self, Told};
+use sanddrum_platform::control_feed::{self, Told};
 use sanddrum_platform::starts::{Clocks, Starts};
 use sanddrum_wire::http;
 
@@ -94,7 +94,7 @@
 
     fn ask_feed(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
         let Some(feed) = &mut self.feed else { return };
-        let question = feed::request(&feed.address, feed.last, self.limits.feed_wait);
+        let question = control_feed::request(&feed.address, feed.last, self.limits.feed_wait);
         if io.write(conn, &question) < question.len() {
             return self.feed_lost(now, "does not read", io);
         }
@@ -159,7 +159,7 @@
                     }
                     Ok(Some((answer, _))) => serde_json::from_slice(&answer.body)
                         .map_err(|e| e.to_string())
-                        .and_then(|json| feed::told(&json, &feed.kinds)),
+                        .and_then(|json| control_feed::told(&json, &feed.kinds)),
                     Err(bad) => Err(bad.reason().to_string()),
                 };
                 match told {
--- a/crates/sanddrum-edge/src/list.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Following the list service: whole lists and changes by version, called again after a growing wait.
 
-use crate::known::Known;
-use crate::state::{self, Kept};
+use crate::discovery_version::Known;
+use crate::endpoint_cache::{self, Kept};
 use crate::{Due, Inner, Owner};
 use sanddrum::{
     CellId, KindId, ListKind, Micros, WorkerId, WorkerList, WorkerRow, WorkerState, ZoneId,
@@ -127,7 +127,7 @@
         let Some(bytes) = self.kept.take() else {
             return;
         };
-        match state::read(&bytes) {
+        match endpoint_cache::read(&bytes) {
             Ok(kept) => {
                 self.list.known = Known {
                     run: kept.run,
@@ -402,7 +402,7 @@
         let rows = stands.map(aged).collect();
         let Known { run, version } = self.list.known;
         let (keys_version, keys_revoked) = self.identity.floor();
-        io.save(&state::write(&Kept {
+        io.save(&endpoint_cache::write(&Kept {
             at: now,
             run,
             version,
--- a/crates/sanddrum-edge/src/carry.rs
+++ b/crates/sanddrum-edge/src/dispatch.rs
@@ -1,8 +1,8 @@
 //! Carries out what the module decides, as it decides it.
 
 use crate::functions::Functions;
-use crate::jobs::{Execution, Job, Refusal};
-use crate::links::{Mark, Piece};
+use crate::requests::{Execution, Job, Refusal};
+use crate::worker_connections::{Mark, Piece};
 use crate::{Due, Inner};
 use sanddrum::{Decisions, End, FunctionId, JobId, Micros, PeerId, Warmth, WorkerId};
 use sanddrum_upstream::LinkId;
--- a/crates/sanddrum-edge/src/fronts.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -1,10 +1,10 @@
 //! The client door for web servers: FastCGI 1.0 as Responder, many requests open on a connection, answers in any order.
 //! Nothing is held of a client beyond named bounds, and a request that makes no sense is answered at once.
 
-use crate::clients::{missed, no_job, NoJob};
-use crate::jobs::{Answer, Call, Refusal};
-use crate::permits::{may_close, CloseReason};
-use crate::{arrival, Due, Inner, Owner};
+use crate::http_listener::{missed, no_job, NoJob};
+use crate::invariants::{may_close, CloseReason};
+use crate::requests::{Answer, Call, Refusal};
+use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{JobId, Micros, WorkloadId};
 use sanddrum_fastcgi::{self as fastcgi, Bounds, Request, Responder, Said, Status, Why};
 use sanddrum_net::{Conn, Event, Io, Outbox};
@@ -144,7 +144,7 @@
                 };
                 front.active = now;
                 front.requests.take_in(bytes);
-                let from = arrival::counts_from(now, io.earliest_arrival(now));
+                let from = arrival_time::counts_from(now, io.earliest_arrival(now));
                 self.read_front(now, from, conn, io);
                 self.bound_partial(conn);
             }
--- a/crates/sanddrum-edge/src/clients.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -1,8 +1,8 @@
 //! The client door: HTTP/1.1 with keep-alive and bounded pipelining. Answers go out in the order of the requests.
 
 use crate::functions::Unknown;
-use crate::jobs::{Answer, Call, Refusal};
-use crate::{arrival, Due, Inner, Owner};
+use crate::requests::{Answer, Call, Refusal};
+use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{CustomerId, JobId, Micros};
 use sanddrum_net::{Conn, Event, Io, Outbox};
 use sanddrum_upstream::{ClientId, Old};
@@ -170,7 +170,7 @@
                     client.began = Some(now);
                 }
                 client.bytes.extend_from_slice(bytes);
-                client.from = arrival::counts_from(now, io.earliest_arrival(now));
+                client.from = arrival_time::counts_from(now, io.earliest_arrival(now));
                 self.read_requests(now, conn, io);
             }
             Event::Writable { .. } => {
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -1,10 +1,10 @@
 //! Who calls: tokens, the key set in force, rights, and the audit of all that was refused or changed.
 
-use crate::state::Kept;
+use crate::endpoint_cache::Kept;
 use crate::Inner;
+use sanddrum_identity::authenticator::Standing;
+use sanddrum_identity::authorization::{Line, Pattern};
 use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
-use sanddrum_identity::gate::Standing;
-use sanddrum_identity::rights::{Line, Pattern};
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
 use sanddrum_net::{Conn, Io, Micros};
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -3,49 +3,49 @@
 //! out as it is decided. The edge itself chooses no worker, repeats nothing and gives no job up but at its own end.
 
 mod admission;
-mod arrival;
-mod carry;
-mod clients;
-mod connect;
-mod feed;
-mod figures;
-mod fronts;
+mod arrival_time;
+mod connection_manager;
+mod control_feed;
+mod discovery;
+mod discovery_version;
+mod dispatch;
+pub mod endpoint_cache;
+mod fastcgi_listener;
 mod functions;
+mod http_listener;
 mod identity;
-mod jobs;
-mod known;
+mod invariants;
 mod limits;
-mod links;
-mod list;
-mod permits;
-mod speech;
-pub mod state;
+mod metrics;
+mod requests;
+mod worker_connections;
+mod worker_protocol;
 
-pub use figures::Figures;
+pub use discovery_version::Known;
 pub use identity::rights_of;
-pub use known::Known;
-pub use permits::Rule;
+pub use invariants::Rule;
+pub use metrics::Figures;
 
 use admission::Admission;
-use clients::Clients;
-use feed::Feed;
-use fronts::Fronts;
+use control_feed::Feed;
+use discovery::List;
+use fastcgi_listener::Fronts;
 use functions::Functions;
+use http_listener::Clients;
 use identity::Identity;
-use jobs::Jobs;
+use invariants::Violations;
 use limits::Limits;
-use links::Links;
-use list::List;
-use permits::Violations;
+use requests::Jobs;
 use sanddrum::{Decisions, Round, Router, Settings};
 use sanddrum_bootstrap::News;
 use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros};
-use sanddrum_platform::feed::Told;
+use sanddrum_platform::control_feed::Told;
 use sanddrum_platform::starts::Clocks;
 use sanddrum_settings::Loaded;
 use sanddrum_upstream::{Connections, LinkId, Rests};
-use speech::Speech;
 use std::collections::{BTreeMap, BTreeSet};
+use worker_connections::Links;
+use worker_protocol::Speech;
 
 /// What decides: the decision module, or another in its place to compare it with.
 pub trait Module {
@@ -277,7 +277,7 @@
         self.connections.round(
             now,
             &news,
-            &mut connect::Connect {
+            &mut connection_manager::Connect {
                 inner: &mut self.inner,
                 io,
                 now,
@@ -301,7 +301,7 @@
             self.module.round(
                 now,
                 &round,
-                &mut carry::Carry {
+                &mut dispatch::Carry {
                     inner: &mut self.inner,
                     now,
                 },
--- a/crates/sanddrum-edge/src/jobs.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -1,6 +1,6 @@
 //! The jobs that this edge holds, their executions, and which final answer each got. One answer, exactly.
 
-use crate::links::Mark;
+use crate::worker_connections::Mark;
 use crate::{Due, Inner};
 use sanddrum::{
     CustomerId, End, ExecutionEnd, FunctionId, JobId, Report, Warmth, WorkerId, WorkloadId,
--- a/crates/sanddrum-edge/src/links.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -6,8 +6,8 @@
 mod recall;
 mod restate;
 
-use crate::jobs::report_of;
-use crate::speech::Reader;
+use crate::requests::report_of;
+use crate::worker_protocol::Reader;
 use crate::{Due, Inner, Owner};
 use sanddrum::{End, FunctionId, Micros, ProbeEnd, Report, WorkerId, WorkerRow, WorkerState};
 use sanddrum_net::{Closed, Conn, Event, Io, Outbox};
--- a/crates/sanddrum-edge/src/links/guard.rs
+++ b/crates/sanddrum-edge/src/worker_connections/guard.rs
@@ -2,7 +2,7 @@
 //! violation, as every path should have taken it back before.
 
 use super::Mark;
-use crate::permits::{may_send, AttemptFacts, Rule};
+use crate::invariants::{may_send, AttemptFacts, Rule};
 use crate::Inner;
 use sanddrum::{End, Micros, Warmth};
 use sanddrum_upstream::LinkId;
--- a/crates/sanddrum-edge/src/links/restate.rs
+++ b/crates/sanddrum-edge/src/worker_connections/restate.rs
@@ -2,7 +2,7 @@
 //! connection is up, or has room, that time passes.
 
 use super::Mark;
-use crate::carry::execute_message;
+use crate::dispatch::execute_message;
 use crate::Inner;
 use sanddrum::Micros;
 use sanddrum_upstream::LinkId;
--- a/crates/sanddrum-edge/src/speech.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -1,6 +1,6 @@
 //! What is spoken with workers: our protocol or the platform's, chosen at the start. Both come out as the same messages.
 
-use crate::links::Mark;
+use crate::worker_connections::Mark;
 use sanddrum_platform::frames;
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
--- a/crates/sanddrum-edge/tests/host/mod.rs
+++ b/crates/sanddrum-edge/tests/host/mod.rs
@@ -6,7 +6,7 @@
 use sanddrum::*;
 use sanddrum_edge::{Edge, Module, Platform, Start};
 use sanddrum_net::{Closed, Conn, Core, Door, Event, Io, Peer};
-use sanddrum_platform::feed::{Change, Member, Members, Told};
+use sanddrum_platform::control_feed::{Change, Member, Members, Told};
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
     http, Done, Ended, Frames, FromList, FromWorker, Hello, Phase, Row, Rows, ToWorker,
--- a/crates/sanddrum-edge/tests/workers.rs
+++ b/crates/sanddrum-edge/tests/workers.rs
@@ -5,7 +5,7 @@
 use host::{row, Do, Host, S};
 use rstest::rstest;
 use sanddrum::{End, ListKind, WorkerState};
-use sanddrum_edge::state;
+use sanddrum_edge::endpoint_cache;
 use sanddrum_net::{Closed, Core, Event};
 use sanddrum_wire::{Ended, FromWorker, Held, Phase, Probed};
 
@@ -329,7 +329,7 @@
         WorkerState::Ready
     );
     for torn in [&kept[..kept.len() - 3], b"something else", &[]] {
-        assert!(state::read(torn).is_err());
+        assert!(endpoint_cache::read(torn).is_err());
         let again = Host::bare(&[], Some(torn.to_vec()));
         assert!(again.strings.borrow().lists.is_empty());
     }
@@ -505,7 +505,7 @@
 fn a_worker_that_was_young_as_the_list_was_kept_is_no_older_for_a_step_of_the_clock(
     #[case] kept_at: i64,
 ) {
-    use sanddrum_edge::state::{write, Kept};
+    use sanddrum_edge::endpoint_cache::{write, Kept};
     let young = sanddrum_wire::Row {
         age_us: 500_000,
         ..row("w", 1, Phase::Ready)
--- a/crates/sanddrum-emulator/src/lib.rs
+++ b/crates/sanddrum-emulator/src/lib.rs
@@ -3,18 +3,18 @@
 //! through handles that a scenario holds.
 
 mod faults;
+mod ground_truth;
 mod handshakes;
 mod list_service;
 pub mod machine;
 mod peers;
 mod store;
-mod truth;
 mod worker;
 
 pub use faults::{ListFaults, Marks, Shared, StoreFaults, WorkerFaults};
+pub use ground_truth::{TrueFunction, TrueWorker, Truth};
 pub use handshakes::{HandshakeWork, Slowed};
 pub use list_service::{ListService, ListSpec};
 pub use machine::OnMiss;
 pub use store::{Store, StoreSpec};
-pub use truth::{TrueFunction, TrueWorker, Truth};
 pub use worker::{Worker, WorkerSpec};
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -1,7 +1,7 @@
 //! What a worker's machine does, in simulated time: cores, copies, lanes, a bounded queue, loads and memory. No I/O:
 //! what the store is asked and what is answered goes to `Effects`.
 
-use crate::truth::{TrueFunction, TrueWorker};
+use crate::ground_truth::{TrueFunction, TrueWorker};
 use sanddrum_net::{Chance, Micros};
 use sanddrum_wire::{Copy, Ended, LoadReport};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -1,10 +1,10 @@
 //! A stand-in worker: the worker protocol on one side, the emulated machine on the other.
 
 use crate::faults::{Marks, Shared, WorkerFaults};
+use crate::ground_truth::Truth;
 use crate::handshakes::HandshakeWork;
 use crate::machine::{Effect, Machine, OnMiss, Size, Task, Ticket};
 use crate::peers::Peers;
-use crate::truth::Truth;
 use sanddrum_limits::Pace;
 use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{
--- a/crates/sanddrum-identity/src/certificates.rs
+++ b/crates/sanddrum-identity/src/certificates.rs
@@ -1,7 +1,7 @@
 //! Whose a client certificate is, and whether all that a call says of its customer agrees. The chain itself was verified
 //! before (RFC 5280); here only its names count (RFC 9525, section 6.3: the subject's common name is none of them).
 
-use crate::rights::Pattern;
+use crate::authorization::Pattern;
 
 /// Why a call is not taken for what its connection has shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/sanddrum-identity/src/lib.rs
+++ b/crates/sanddrum-identity/src/lib.rs
@@ -7,16 +7,16 @@
 //! - [`certificates`]: whose a client certificate is, and whether it agrees with the rest.
 //! - [`rights`]: which customer may run what, and which line says so.
 
+pub mod authenticator;
+pub mod authorization;
 pub mod certificates;
-pub mod gate;
 pub mod keys;
-pub mod rights;
 pub mod token;
 
+pub use authenticator::{Gate, GateLimits};
+pub use authorization::{Rights, Ruling};
 pub use certificates::{Doubt, Owners, Shown};
-pub use gate::{Gate, GateLimits};
 pub use keys::{Floor, KeySet, KeyState, SecretKey};
-pub use rights::{Rights, Ruling};
 pub use token::{Claims, Refused};
 
 /// Whole seconds since 1970, as tokens and key sets state them (RFC 7519, section 2, NumericDate).
--- a/crates/sanddrum-identity/tests/stories.rs
+++ b/crates/sanddrum-identity/tests/stories.rs
@@ -1,8 +1,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_identity::gate::Standing;
+use sanddrum_identity::authenticator::Standing;
+use sanddrum_identity::authorization::{Line, Pattern};
 use sanddrum_identity::keys::SetRefused;
-use sanddrum_identity::rights::{Line, Pattern};
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::*;
 
--- a/crates/sanddrum-limits/src/lib.rs
+++ b/crates/sanddrum-limits/src/lib.rs
@@ -13,13 +13,13 @@
 //! its share is then let through less, until nothing more is pushed back; what is within its share is not touched.
 //! While nothing is pressed there are no shares: what others leave is lent to whoever asks.
 
-mod pace;
-mod repeats;
-mod sight;
+mod fleet_rate_estimate;
+mod rate;
+mod retry_budget;
 
-pub use pace::{Bucket, Pace};
-pub use repeats::{Asked, Repeats};
-pub use sight::Sight;
+pub use fleet_rate_estimate::Sight;
+pub use rate::{Bucket, Pace};
+pub use retry_budget::{Asked, Repeats};
 
 use sanddrum::{CustomerId, JobId, Micros, Settings, WorkerId};
 
--- a/crates/sanddrum-net/src/lib.rs
+++ b/crates/sanddrum-net/src/lib.rs
@@ -2,19 +2,19 @@
 //! and the next instant to be woken come out. Two drivers run the same cores: [`EventLoop`] on real sockets and
 //! [`VirtualNet`] in virtual time. A driver decides nothing.
 
-mod chance;
 mod event_loop;
 mod files;
-mod links;
+mod link_model;
 mod outbox;
-mod tap;
+mod rng;
+mod traffic_observer;
 mod virtual_net;
 
-pub use chance::Chance;
 pub use event_loop::{EventLoop, Shutdown};
-pub use links::{Bend, Links};
+pub use link_model::{Bend, Links};
 pub use outbox::{Outbox, OutboxFull};
-pub use tap::{NoTap, Side, Tap};
+pub use rng::Chance;
+pub use traffic_observer::{NoTap, Side, Tap};
 pub use virtual_net::VirtualNet;
 
 /// Whole microseconds, as an instant of the driver's clock or as a span.
--- a/crates/sanddrum-net/src/virtual_net.rs
+++ b/crates/sanddrum-net/src/virtual_net.rs
@@ -1,6 +1,6 @@
 //! Many cores in one thread and in virtual time. Equal seeds give equal timelines, to the byte.
 
-use crate::links::{Bend, Links};
+use crate::link_model::{Bend, Links};
 use crate::{Chance, Closed, Conn, Core, Door, Event, HostId, Io, Micros, Side, Tap};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/sanddrum-platform/src/start.rs
+++ b/crates/sanddrum-platform/src/start.rs
@@ -1,7 +1,7 @@
 //! What a router is told at its start, and the deployment that follows from it: our own settings, written as
 //! S-expressions and checked as any others. The decision module's map comes from the dialect alone.
 
-use crate::feed::{self, Told};
+use crate::control_feed::{self as feed, Told};
 use sanddrum::Settings;
 use sanddrum_settings::Loaded;
 use serde_json::Value as Json;
--- a/crates/sanddrum-platform/src/starts.rs
+++ b/crates/sanddrum-platform/src/starts.rs
@@ -7,7 +7,7 @@
 //!
 //! The same date is the same start, however often it is told, and another one a later start, whichever date is earlier.
 
-use crate::feed::Member;
+use crate::control_feed::Member;
 use sanddrum::Micros;
 use sanddrum_wire::{Phase, Row};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/sanddrum-platform/tests/protocol.rs
+++ b/crates/sanddrum-platform/tests/protocol.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_platform::feed::Members;
+use sanddrum_platform::control_feed::Members;
 use sanddrum_platform::starts::{Clocks, Starts};
-use sanddrum_platform::{feed, frames, Configuration, Frames, Garbled};
+use sanddrum_platform::{control_feed, frames, Configuration, Frames, Garbled};
 use sanddrum_wire::{Copy, Ended, Phase};
 use serde_json::json;
 
@@ -120,7 +120,7 @@
         {"n": 9, "members": {"revision": 2, "complete": false,
             "members": [member("a", "terminating", 0), member("b", "in_service", 5_000), member("c", "terminated", 0)]}},
     ]});
-    let told = feed::told(&json, &["slow".to_string(), "fast".to_string()]).unwrap();
+    let told = control_feed::told(&json, &["slow".to_string(), "fast".to_string()]).unwrap();
     assert_eq!((told.last, told.changes[0].n, told.changes[1].n), (9, 8, 9));
     let Members { complete, members } = told.changes[1].members.clone().unwrap();
     assert!(!complete && told.changes[0].members.as_ref().unwrap().complete);
--- a/crates/sanddrum-platform/tests/starts.rs
+++ b/crates/sanddrum-platform/tests/starts.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_platform::feed::Member;
+use sanddrum_platform::control_feed::Member;
 use sanddrum_platform::starts::{Clocks, Starts};
 use sanddrum_wire::{Phase, Row};
 
--- a/crates/sanddrum-tls/src/terms.rs
+++ b/crates/sanddrum-tls/src/config.rs
@@ -1,6 +1,6 @@
 //! On which terms connections are made: what this side shows, whom it trusts, and what time it is.
 
-use crate::papers::{self, error, Papers, TermsError};
+use crate::certificates::{self, error, Papers, TermsError};
 use crate::verify::{Belief, Callers, Limited, Workers};
 use rustls::client::danger::ServerCertVerifier;
 use rustls::client::Resumption;
@@ -78,32 +78,35 @@
     pub fn new(papers: &Papers, rules: &Rules) -> Result<Self, TermsError> {
         let clock = Arc::new(Clock(AtomicI64::new(0)));
         let provider = Arc::new(default_provider());
-        let denied = papers::read_denied(&papers.denied)?;
-        let mut roots = papers::certificates(&papers.roots, "roots")?;
+        let denied = certificates::read_denied(&papers.denied)?;
+        let mut roots = certificates::certificates(&papers.roots, "roots")?;
         // A denied authority signs for nobody.
         roots.retain(|root| {
-            papers::KeyPrint::of_certificate(root).is_ok_and(|print| !denied.contains(&print))
+            certificates::KeyPrint::of_certificate(root).is_ok_and(|print| !denied.contains(&print))
         });
-        let lists = papers::lists(&papers.revoked)?;
+        let lists = certificates::lists(&papers.revoked)?;
         let own = papers
             .own
             .as_ref()
             .map(|(chain, key)| -> Result<_, TermsError> {
                 Ok((
-                    papers::certificates(chain, "certificate")?,
-                    papers::key(key)?,
+                    certificates::certificates(chain, "certificate")?,
+                    certificates::key(key)?,
                 ))
             });
         let own = own.transpose()?;
         let mut expiries = Vec::new();
         for root in &roots {
-            let (what, (_, at)) = (papers::authority_name(root)?, papers::holds(root)?);
+            let (what, (_, at)) = (
+                certificates::authority_name(root)?,
+                certificates::holds(root)?,
+            );
             expiries.push(Expiry {
                 what: format!("authority {what}"),
                 at,
             });
         }
-        for (issuer, (_, next)) in papers::list_ages(&papers.revoked)? {
+        for (issuer, (_, next)) in certificates::list_ages(&papers.revoked)? {
             expiries.extend(next.map(|at| Expiry {
                 what: format!("revocation list of {issuer}"),
                 at,
@@ -111,7 +114,7 @@
         }
         let holds = own
             .as_ref()
-            .map(|(chain, _)| papers::holds(&chain[0]))
+            .map(|(chain, _)| certificates::holds(&chain[0]))
             .transpose()?;
         expiries.extend(holds.map(|(_, at)| Expiry {
             what: "certificate".into(),
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -5,17 +5,17 @@
 //! handshake fails never was: its core hears *refused*. One that ends without a close-notify was cut short, and its core
 //! hears *reset*, whatever the socket said (RFC 8446, section 6.1).
 
-mod end;
-mod papers;
-mod side;
-mod terms;
+mod certificates;
+mod config;
+mod role;
+mod session;
 mod verify;
 
-use end::{End, Step};
-pub use papers::{describe, read_denied, serial, Described, KeyPrint, Papers, TermsError};
-use side::Took;
-pub use side::{Side, CALL_FILES, DOOR_FILES};
-pub use terms::{Asks, Expiry, Rules, Terms};
+pub use certificates::{describe, read_denied, serial, Described, KeyPrint, Papers, TermsError};
+pub use config::{Asks, Expiry, Rules, Terms};
+use role::Took;
+pub use role::{Side, CALL_FILES, DOOR_FILES};
+use session::{End, Step};
 pub use verify::Limited;
 
 use sanddrum_net::{Conn, Core, Door, Event, Io, Micros, Peer};
--- a/crates/sanddrum-tls/src/side.rs
+++ b/crates/sanddrum-tls/src/role.rs
@@ -1,7 +1,7 @@
 //! One side's terms as its files have them: what was last good stays in force.
 
-use crate::papers::{self, Papers, TermsError};
-use crate::terms::{Rules, Terms};
+use crate::certificates::{self, Papers, TermsError};
+use crate::config::{Rules, Terms};
 use sanddrum_net::Micros;
 
 /// The files that a driver may watch for a layer, by the names under which they are told: PEM texts of the trusted
@@ -65,29 +65,29 @@
         file: usize,
         content: Result<&[u8], &str>,
     ) -> Result<Took, TermsError> {
-        let content = content.map_err(papers::error)?;
+        let content = content.map_err(certificates::error)?;
         let text = content.to_vec();
         let (chain, key) = self.wanted.own.clone().unwrap_or_default();
         match file {
             0 => {
-                papers::certificates(content, "roots")?;
+                certificates::certificates(content, "roots")?;
                 self.wanted.roots = text;
             }
             1 => {
-                papers::certificates(content, "certificate")?;
+                certificates::certificates(content, "certificate")?;
                 self.wanted.own = Some((text, key));
             }
             2 => {
-                papers::key(content)?;
+                certificates::key(content)?;
                 self.wanted.own = Some((chain, text));
             }
             3 => {
-                papers::lists(content)?;
-                papers::may_follow(&self.good.revoked, content)?;
+                certificates::lists(content)?;
+                certificates::may_follow(&self.good.revoked, content)?;
                 self.wanted.revoked = text;
             }
             _ => {
-                papers::read_denied(content)?;
+                certificates::read_denied(content)?;
                 self.wanted.denied = text;
             }
         }
--- a/crates/sanddrum-tls/src/end.rs
+++ b/crates/sanddrum-tls/src/session.rs
@@ -1,7 +1,7 @@
 //! One end of one connection: ciphertext on one side, plain bytes on the other.
 
-use crate::papers::{self, KeyPrint, TermsError};
-use crate::terms::Terms;
+use crate::certificates::{self, KeyPrint, TermsError};
+use crate::config::Terms;
 use rustls::{ClientConnection, Connection, HandshakeKind, ServerConnection};
 use sanddrum_net::{Closed, Conn, Door, Io, Micros, Peer};
 use std::io::{Read, Write};
@@ -114,7 +114,7 @@
             .map(|print| print.to_string())
             .unwrap_or_default();
         Peer {
-            names: papers::names(leaf),
+            names: certificates::names(leaf),
             key,
             resumed: self.is_resumed(),
         }
--- a/crates/sanddrum-tls/src/verify.rs
+++ b/crates/sanddrum-tls/src/verify.rs
@@ -2,7 +2,7 @@
 //! worker's name stands in its certificate to the letter, that its authority may speak for that name, and that no key in
 //! the chain is denied.
 
-use crate::papers::{self, KeyPrint, TermsError};
+use crate::certificates::{self, KeyPrint, TermsError};
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
 use rustls::client::WebPkiServerVerifier;
 use rustls::crypto::{verify_tls12_signature, verify_tls13_signature, CryptoProvider};
@@ -49,7 +49,7 @@
     ) -> Result<Arc<RootCertStore>, TermsError> {
         let mut store = RootCertStore::empty();
         for root in roots {
-            store.add(root.clone()).map_err(papers::error)?;
+            store.add(root.clone()).map_err(certificates::error)?;
         }
         Ok(Arc::new(store))
     }
@@ -59,7 +59,7 @@
         let named: Vec<(String, &CertificateDer<'static>)> = self
             .roots
             .iter()
-            .map(|root| Ok((papers::authority_name(root)?, root)))
+            .map(|root| Ok((certificates::authority_name(root)?, root)))
             .collect::<Result<_, TermsError>>()?;
         let free = named
             .iter()
@@ -87,7 +87,7 @@
             let builder = builder
                 .with_crls(self.lists.clone())
                 .allow_unknown_revocation_status();
-            groups.push((limit, builder.build().map_err(papers::error)?));
+            groups.push((limit, builder.build().map_err(certificates::error)?));
         }
         Ok(Workers {
             provider: self.provider.clone(),
@@ -110,7 +110,7 @@
             builder.allow_unauthenticated()
         };
         Ok(Callers {
-            inner: builder.build().map_err(papers::error)?,
+            inner: builder.build().map_err(certificates::error)?,
             denied: self.denied.clone(),
         })
     }
@@ -180,7 +180,7 @@
             }
         }
         let good = judged?;
-        let owned = papers::names(end_entity);
+        let owned = certificates::names(end_entity);
         if !owned.contains(&name) {
             let owned = owned.join(", ");
             return Err(Error::General(format!(
--- a/crates/sanddrum-upstream/src/lib.rs
+++ b/crates/sanddrum-upstream/src/lib.rs
@@ -10,15 +10,15 @@
 //! dead zone costs little. Connections made on past terms are replaced a few at a time within a stated time.
 
 mod backoff;
-mod cost;
-mod rests;
-mod retiring;
+mod handshake_budget;
+mod idle_timeout;
+mod rotation;
 mod worker;
 
 pub use backoff::Backoff;
-pub use cost::Costs;
-pub use rests::Rests;
-use retiring::Retiring;
+pub use handshake_budget::Costs;
+pub use idle_timeout::Rests;
+use rotation::Retiring;
 use worker::Worker;
 
 use rand::{RngExt, SeedableRng};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! What a host (the simulator's adapter, later a real router) and the decision module say to each other.
 //! The decisions are all in [`logic`]; this file only names the things they are about.
 
-mod figures;
 pub mod logic;
-pub mod order;
+pub mod rendezvous;
 mod state;
+mod statistics;
 
 pub use logic::Router;
 use std::collections::BTreeMap;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -6,20 +6,20 @@
 //! flight whose lanes have room, own zone first; failing that it loads on the ready worker with the fewest.
 //! Each departure is marked "Exception" below and told in docs/design.md with when it acts.
 
+mod constants;
 mod estimates;
 mod keep_alive;
-mod learning;
+mod observations;
+mod outlier_detection;
 mod placement;
-mod ratios;
 mod rules;
-mod silence;
-mod workers;
+mod worker_view;
 
-use crate::figures::hash_of;
-use crate::order::Order;
+use crate::rendezvous::Order;
 use crate::state::*;
+use crate::statistics::hash_of;
 use crate::*;
-use ratios::*;
+use constants::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Where the settings do not tell.
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -1,9 +1,9 @@
 //! What is expected of jobs, workers and loads: times, pressure, crowds, and where a function has its homes.
 
-use super::ratios::*;
+use super::constants::*;
 use super::Router;
-use crate::figures::{faded, middle, tie};
 use crate::state::*;
+use crate::statistics::{faded, middle, tie};
 use crate::*;
 
 impl Router {
--- a/src/logic/keep_alive.rs
+++ b/src/logic/keep_alive.rs
@@ -1,9 +1,9 @@
 //! Copies that are kept longer than workers keep them, held ahead of need, or unloaded: the design's options, off unless set.
 
-use super::ratios::*;
+use super::constants::*;
 use super::Router;
-use crate::figures::hash_of;
 use crate::state::*;
+use crate::statistics::hash_of;
 use crate::*;
 
 impl Router {
--- a/src/logic/learning.rs
+++ b/src/logic/observations.rs
@@ -1,9 +1,9 @@
 //! What comes in, and what is learned from it: lists, jobs, and the ends of executions and of orders to load.
 
-use super::ratios::*;
+use super::constants::*;
 use super::Router;
-use crate::figures::{drop_until, faded};
 use crate::state::*;
+use crate::statistics::{drop_until, faded};
 use crate::*;
 use std::collections::BTreeSet;
 
--- a/src/logic/silence.rs
+++ b/src/logic/outlier_detection.rs
@@ -1,6 +1,6 @@
 //! Workers that take work and answer nothing: checks, suspicion, and moving jobs away.
 
-use super::ratios::*;
+use super::constants::*;
 use super::Router;
 use crate::state::*;
 use crate::*;
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -1,10 +1,10 @@
 //! Where a job goes, or whether it waits or is given up: admission, warm-first placement, loads, and final answers.
 
-use super::ratios::*;
+use super::constants::*;
 use super::Router;
-use crate::figures::hash_of;
-use crate::order::Lazily;
+use crate::rendezvous::Lazily;
 use crate::state::*;
+use crate::statistics::hash_of;
 use crate::*;
 
 impl Router {
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -1,9 +1,9 @@
 //! What the rules allow: slow-start budgets, effects and their repetition, drains, and the ration of orders to load.
 
-use super::ratios::*;
+use super::constants::*;
 use super::Router;
-use crate::figures::{drop_until, hash_of};
 use crate::state::*;
+use crate::statistics::{drop_until, hash_of};
 use crate::*;
 
 impl Router {
--- a/src/logic/workers.rs
+++ b/src/logic/worker_view.rs
@@ -1,8 +1,8 @@
 //! What is known of one worker, as of now: readiness, pace, reports, and the limit of own jobs in flight.
 
-use super::ratios::*;
-use crate::figures::faded;
+use super::constants::*;
 use crate::state::Worker;
+use crate::statistics::faded;
 use crate::*;
 
 impl Worker {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the decision module remembers, as plain data. What it does with it, and every figure, is in `logic`.
 
-use crate::figures::tie;
+use crate::statistics::tie;
 use crate::{FunctionId, Job, JobId, Micros, Report, Settings, WorkerId, WorkerRow, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/order.rs
+++ b/tests/rendezvous.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum::order::{cell, clock, draws, levels, steps, Order};
+use sanddrum::rendezvous::{cell, clock, draws, levels, steps, Order};
 use std::collections::{BTreeMap, BTreeSet};
 
 type Fleet = BTreeMap<u64, f64>;
