--- a/crates/sanddrum-bootstrap/src/lib.rs
+++ b/crates/sanddrum-bootstrap/src/lib.rs
@@ -1,5 +1,5 @@
 //! The steps of an edge's start, and when it may call the list service. The host makes one [`Start`] an edge and calls
-//! `round` with what came in ([`News`]) and a writer ([`Decisions`]). All news is recorded first; only then is decided.
+//! `round` with what came in ([`Events`]) and a writer ([`Decisions`]). All news is recorded first; only then is decided.
 //!
 //! Hundreds of edges that start at one instant, or that lose the list service at one, must not call it at one instant.
 //! Nobody tells an edge whether it is alone in this; so every edge keeps to a part of what the service is to bear from
@@ -37,7 +37,7 @@
 
 /// What came in since the last round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Events {
     /// The process begins, with a kept list or with none.
     Began { kept: bool },
     /// The service answered with rows: the whole list, or what follows on what is known.
@@ -129,7 +129,7 @@
     pub fn is_healthy(&self) -> bool {
         self.step > Step::Blind
     }
-    pub fn round(&mut self, now: Micros, news: &[News], out: &mut impl Decisions) {
+    pub fn handle(&mut self, now: Micros, news: &[Events], out: &mut impl Decisions) {
         news.iter().for_each(|news| self.record(now, *news));
         self.decide(now, out);
         let next = match self.line {
@@ -144,16 +144,16 @@
     fn part(&mut self) -> f64 {
         self.chance.random()
     }
-    fn record(&mut self, now: Micros, news: News) {
+    fn record(&mut self, now: Micros, news: Events) {
         match news {
-            News::Began { kept } => {
+            Events::Began { kept } => {
                 self.step = if kept { Step::Kept } else { Step::Blind };
                 let over = self.spread as f64 * if kept { 1.0 } else { BLIND_PART };
                 self.line = Line::Down {
                     again: now + (over * self.part()) as Micros,
                 };
             }
-            News::Answered => {
+            Events::Answered => {
                 self.step = Step::Told;
                 (self.wait, self.unanswered) = (0, 0);
                 // Drawn, so that edges that were answered together do not look together.
@@ -164,13 +164,13 @@
                     };
                 }
             }
-            News::Gap => {
+            Events::Gap => {
                 // One that is asked about already is not asked about again.
                 if matches!(self.line, Line::Up { .. }) {
                     self.line = Line::Missing { at: now };
                 }
             }
-            News::Lost => self.lost(now),
+            Events::Lost => self.lost(now),
         }
     }
     fn lost(&mut self, now: Micros) {
--- a/crates/sanddrum-bootstrap/tests/stories.rs
+++ b/crates/sanddrum-bootstrap/tests/stories.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddrum::{Micros, Settings, Value};
-use sanddrum_bootstrap::{Decisions, News, Start, Step};
+use sanddrum_bootstrap::{Decisions, Events, Start, Step};
 
 #[derive(Default)]
 struct Host {
@@ -35,14 +35,14 @@
 }
 
 /// Lets time pass, with news at each wake as the service would have it.
-fn pass(start: &mut Start, host: &mut Host, until: Micros, news: impl Fn(&Host) -> Vec<News>) {
+fn pass(start: &mut Start, host: &mut Host, until: Micros, news: impl Fn(&Host) -> Vec<Events>) {
     while host.wake <= until {
         host.now = host.wake.max(host.now);
         let (called, asked) = (host.calls.len(), host.asks.len());
-        start.round(host.now, &[], host);
+        start.handle(host.now, &[], host);
         if host.calls.len() + host.asks.len() > called + asked {
             let news = news(host);
-            start.round(host.now, &news, host);
+            start.handle(host.now, &news, host);
         }
     }
     host.now = until;
@@ -57,9 +57,9 @@
     let mut calls = Vec::new();
     for n in 0..edges {
         let (mut start, mut host) = edge(n, set);
-        start.round(0, &[News::Began { kept: true }], &mut host);
+        start.handle(0, &[Events::Began { kept: true }], &mut host);
         assert_eq!((start.step(), start.is_healthy()), (Step::Kept, true));
-        pass(&mut start, &mut host, 5_000_000, |_| vec![News::Answered]);
+        pass(&mut start, &mut host, 5_000_000, |_| vec![Events::Answered]);
         assert_eq!(start.step(), Step::Told);
         calls.push(host.calls[0]);
     }
@@ -85,9 +85,9 @@
 #[rstest]
 fn an_edge_that_knows_no_worker_says_so_and_calls_early() {
     let (mut start, mut host) = edge(1, 300.0);
-    start.round(0, &[News::Began { kept: false }], &mut host);
+    start.handle(0, &[Events::Began { kept: false }], &mut host);
     assert!(!start.is_healthy());
-    pass(&mut start, &mut host, 750_000, |_| vec![News::Answered]);
+    pass(&mut start, &mut host, 750_000, |_| vec![Events::Answered]);
     assert_eq!((host.calls.len(), start.is_healthy()), (1, true));
 }
 
@@ -96,8 +96,8 @@
     let mut calls = Vec::new();
     for n in 0..300 {
         let (mut start, mut host) = edge(n, 300.0);
-        start.round(0, &[News::Began { kept: n % 2 == 0 }], &mut host);
-        pass(&mut start, &mut host, 10_000_000, |_| vec![News::Lost]);
+        start.handle(0, &[Events::Began { kept: n % 2 == 0 }], &mut host);
+        pass(&mut start, &mut host, 10_000_000, |_| vec![Events::Lost]);
         calls.extend(host.calls.iter().map(|at| at / 1_000_000));
     }
     for second in 0..10 {
@@ -110,7 +110,7 @@
 #[rstest]
 fn one_that_takes_the_call_and_says_nothing_is_left_and_called_ever_less_often() {
     let (mut start, mut host) = edge(7, 3.0);
-    start.round(0, &[News::Began { kept: true }], &mut host);
+    start.handle(0, &[Events::Began { kept: true }], &mut host);
     pass(&mut start, &mut host, 60_000_000, |_| vec![]);
     assert!((5..20).contains(&host.hung_up.len()), "{:?}", host.hung_up);
     assert_eq!(start.step(), Step::Kept);
@@ -119,10 +119,10 @@
 #[rstest]
 fn a_quiet_service_is_looked_after_and_left_when_it_does_not_answer() {
     let (mut start, mut host) = edge(7, 3.0);
-    start.round(0, &[News::Began { kept: true }], &mut host);
+    start.handle(0, &[Events::Began { kept: true }], &mut host);
     pass(&mut start, &mut host, 40_000_000, |host| {
         if host.asks.len() < 2 {
-            vec![News::Answered]
+            vec![Events::Answered]
         } else {
             vec![]
         }
@@ -138,19 +138,19 @@
 #[rstest]
 fn a_gap_is_asked_about_once_however_often_it_shows() {
     let (mut start, mut host) = edge(7, 300.0);
-    start.round(0, &[News::Began { kept: true }], &mut host);
+    start.handle(0, &[Events::Began { kept: true }], &mut host);
     // By now there is a permit again.
-    pass(&mut start, &mut host, 7_000_000, |_| vec![News::Answered]);
+    pass(&mut start, &mut host, 7_000_000, |_| vec![Events::Answered]);
     for _ in 0..50 {
         host.now += 1_000;
-        start.round(host.now, &[News::Gap], &mut host);
+        start.handle(host.now, &[Events::Gap], &mut host);
     }
     assert_eq!(host.asks.len(), 1);
     // The answer came, and the next gap waits for the budget.
-    start.round(host.now, &[News::Answered], &mut host);
+    start.handle(host.now, &[Events::Answered], &mut host);
     for _ in 0..50 {
         host.now += 1_000;
-        start.round(host.now, &[News::Gap, News::Answered], &mut host);
+        start.handle(host.now, &[Events::Gap, Events::Answered], &mut host);
     }
     assert_eq!(host.asks.len(), 1, "{:?}", host.asks);
 }
@@ -166,15 +166,15 @@
     for n in 0..edges {
         for kept in [false, true] {
             let (mut start, mut host) = edge(n, edges as f64);
-            start.round(0, &[News::Began { kept }], &mut host);
-            pass(&mut start, &mut host, until, |_| vec![News::Answered]);
+            start.handle(0, &[Events::Began { kept }], &mut host);
+            pass(&mut start, &mut host, until, |_| vec![Events::Answered]);
             calls[usize::from(kept)].push(host.calls[0]);
             if kept {
                 // It has been up for long, so that it has a permit.
-                pass(&mut start, &mut host, 2 * until, |_| vec![News::Answered]);
+                pass(&mut start, &mut host, 2 * until, |_| vec![Events::Answered]);
                 host.calls.clear();
-                start.round(host.now, &[News::Lost], &mut host);
-                pass(&mut start, &mut host, 3 * until, |_| vec![News::Answered]);
+                start.handle(host.now, &[Events::Lost], &mut host);
+                pass(&mut start, &mut host, 3 * until, |_| vec![Events::Answered]);
                 calls[2].push(host.calls[0] - 2 * until);
             }
         }
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -2,28 +2,28 @@
 
 use crate::requests::{Job, Refusal};
 use crate::Inner;
-use sanddrum::{JobId, Micros};
-use sanddrum_limits::{Admission as Decisions, Asked, News, Over, Repeats, Sharing};
+use sanddrum::{Micros, RequestId};
+use sanddrum_limits::{Admission as Decisions, Asked, Events, Over, Repeats, Sharing};
 use sanddrum_settings::Loaded;
 use std::collections::BTreeMap;
 
 pub(crate) struct Admission {
     sharing: Sharing,
     repeats: Repeats,
-    pub news: News,
+    pub news: Events,
     /// Jobs that ask to be taken, as the decision module will have them.
-    asking: BTreeMap<JobId, sanddrum::Job>,
+    asking: BTreeMap<RequestId, sanddrum::Request>,
 }
 
 /// What was decided for each, in order.
 #[derive(Default)]
-struct Ruled(Vec<(JobId, Option<(Over, Micros)>)>);
+struct Ruled(Vec<(RequestId, Option<(Over, Micros)>)>);
 
 impl Decisions for Ruled {
-    fn take(&mut self, job: JobId) {
+    fn take(&mut self, job: RequestId) {
         self.0.push((job, None));
     }
-    fn push_back(&mut self, job: JobId, why: Over, wait: Micros) {
+    fn push_back(&mut self, job: RequestId, why: Over, wait: Micros) {
         self.0.push((job, Some((why, wait))));
     }
 }
@@ -32,7 +32,7 @@
     pub fn of(l: &Loaded) -> Self {
         let settings = l.values_for_module();
         let (sharing, repeats) = (Sharing::new(&settings), Repeats::new(&settings));
-        let news = News::default();
+        let news = Events::default();
         Admission {
             sharing,
             repeats,
@@ -53,7 +53,7 @@
 
 impl Inner {
     /// A job at the door.
-    pub(crate) fn ask(&mut self, job: sanddrum::Job) {
+    pub(crate) fn ask(&mut self, job: sanddrum::Request) {
         self.admission.asking.insert(job.id, job);
     }
 
@@ -62,13 +62,13 @@
     pub(crate) fn admit(&mut self, now: Micros) {
         // Who has left meanwhile asks for nothing.
         let jobs = &self.jobs.jobs;
-        let stays = |job: &&sanddrum::Job| jobs.get(&job.id).is_some_and(|job| !job.closed);
+        let stays = |job: &&sanddrum::Request| jobs.get(&job.id).is_some_and(|job| !job.closed);
         let asking = self
             .admission
             .asking
             .values()
             .filter(stays)
-            .map(|job| (job.id, job.repeat));
+            .map(|job| (job.id, job.is_retry));
         let asked = Asked {
             jobs: asking.collect(),
             pressed: self.admission.news.pressed,
@@ -76,7 +76,7 @@
         let mut ruled = Ruled::default();
         self.admission
             .repeats
-            .round(now, &asked, &mut |job, judged| {
+            .handle(now, &asked, &mut |job, judged| {
                 ruled.0.push((job, judged.err()))
             });
         let limits = self.admission.sharing.limits_anything();
@@ -91,7 +91,7 @@
             }
         }
         if limits {
-            self.admission.sharing.round(now, &news, &mut ruled);
+            self.admission.sharing.handle(now, &news, &mut ruled);
         }
         for (id, over) in ruled.0 {
             let Some(job) = self.admission.asking.remove(&id) else {
@@ -102,7 +102,7 @@
                     .jobs
                     .entry(id)
                     .and_modify(|job| job.admitted = limits);
-                self.round.jobs.push(job);
+                self.round.requests.push(job);
                 continue;
             };
             let detail = match why {
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -2,7 +2,7 @@
 //! taken up as those of the list service.
 
 use crate::{Inner, Owner};
-use sanddrum::{ListKind, Micros};
+use sanddrum::{EndpointListKind, Micros};
 use sanddrum_net::{Conn, Event, Io};
 use sanddrum_platform::control_feed::{self, Told};
 use sanddrum_platform::starts::{Clocks, Starts};
@@ -63,9 +63,9 @@
             };
             let rows = feed.starts.rows(now, list.members, list.complete);
             let kind = if list.complete {
-                ListKind::Full
+                EndpointListKind::Full
             } else {
-                ListKind::Changes
+                EndpointListKind::Delta
             };
             self.take_rows(now, kind, &rows);
             self.list.forget_gone();
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -4,9 +4,9 @@
 use crate::endpoint_cache::{self, Kept};
 use crate::{Due, Inner, Owner};
 use sanddrum::{
-    CellId, KindId, ListKind, Micros, WorkerId, WorkerList, WorkerRow, WorkerState, ZoneId,
+    CellId, Endpoint, EndpointList, EndpointListKind, KindId, Micros, WorkerId, WorkerState, ZoneId,
 };
-use sanddrum_bootstrap::{Decisions, News};
+use sanddrum_bootstrap::{Decisions, Events};
 use sanddrum_net::{Conn, Event, Io, Outbox};
 use sanddrum_settings::Loaded;
 use sanddrum_upstream::Backoff;
@@ -80,8 +80,8 @@
             _ => (row.incarnation, (now - row.age_us).max(1)),
         }
     }
-    fn worker_row(&self, worker: WorkerId, row: &Row, started: Micros) -> WorkerRow {
-        WorkerRow {
+    fn worker_row(&self, worker: WorkerId, row: &Row, started: Micros) -> Endpoint {
+        Endpoint {
             worker,
             zone: self.zone(&row.zone),
             cell: CellId(row.cell as usize),
@@ -92,7 +92,7 @@
                 Phase::Draining => WorkerState::Draining,
                 Phase::Gone => WorkerState::Gone,
             },
-            started,
+            started_at: started,
         }
     }
 }
@@ -141,7 +141,7 @@
                     version = kept.version,
                     "the kept worker list is taken up"
                 );
-                self.take_rows(now, ListKind::Cached, rows);
+                self.take_rows(now, EndpointListKind::Cached, rows);
             }
             Err(why) => tracing::warn!(
                 reason = "kept-list",
@@ -151,16 +151,16 @@
         }
     }
 
-    pub(crate) fn take_rows(&mut self, now: Micros, kind: ListKind, rows: &[Row]) {
-        if kind != ListKind::Changes {
+    pub(crate) fn take_rows(&mut self, now: Micros, kind: EndpointListKind, rows: &[Row]) {
+        if kind != EndpointListKind::Delta {
             let listed: BTreeSet<WorkerId> =
                 rows.iter().map(|row| WorkerId(id_of(&row.name))).collect();
             self.list.rows.retain(|worker, _| listed.contains(worker));
             self.only_these_stand(now, &listed);
         }
-        let mut told = WorkerList {
+        let mut told = EndpointList {
             kind,
-            rows: Vec::new(),
+            endpoints: Vec::new(),
         };
         for row in rows {
             let worker = WorkerId(id_of(&row.name));
@@ -173,7 +173,7 @@
                 Phase::Draining => self.recall_from(now, worker),
                 Phase::Gone => self.worker_gone(now, worker),
             }
-            told.rows.push(listed);
+            told.endpoints.push(listed);
             self.list.rows.insert(
                 worker,
                 (
@@ -186,7 +186,7 @@
             );
         }
         self.figures.workers_listed.set(self.list.rows.len() as f64);
-        self.round.lists.push(told);
+        self.round.endpoint_lists.push(told);
     }
 
     /// A worker that has moved is called at its new address only, and one whose address a later start has taken over is
@@ -235,14 +235,14 @@
             age_us = age,
             "a worker greets after a restart"
         );
-        self.take_rows(now, ListKind::Changes, &[row]);
+        self.take_rows(now, EndpointListKind::Delta, &[row]);
     }
 
     /// Has the module for starts decide on what came in, and carries it out.
-    pub(crate) fn follow_list(&mut self, now: Micros, news: &[News], io: &mut dyn Io) {
+    pub(crate) fn follow_list(&mut self, now: Micros, news: &[Events], io: &mut dyn Io) {
         let mut wanted = Wanted::default();
         let before = self.start.step();
-        self.start.round(now, news, &mut wanted);
+        self.start.handle(now, news, &mut wanted);
         if wanted.hangs_up {
             self.leave_list(io);
         }
@@ -341,7 +341,7 @@
                         Err(e) => {
                             tracing::warn!(reason = "garbled-list", problem = %e, "the list service is called anew");
                             self.leave_list(io);
-                            return self.follow_list(now, &[News::Lost], io);
+                            return self.follow_list(now, &[Events::Lost], io);
                         }
                     }
                 }
@@ -349,7 +349,7 @@
             Event::Closed { .. } => {
                 self.list.conn = None;
                 self.list_is_away();
-                self.follow_list(now, &[News::Lost], io);
+                self.follow_list(now, &[Events::Lost], io);
             }
             Event::Accepted { .. } => {}
         }
@@ -363,17 +363,17 @@
         if !self.list.known.is_followed_by(head) {
             // A change was missed: the service tells what follows on the version that is known, or the whole list. What
             // this one says is true all the same, and a drain that waited for the rest would be found out too late.
-            self.take_rows(now, ListKind::Changes, &rows.rows);
-            return self.follow_list(now, &[News::Gap], io);
+            self.take_rows(now, EndpointListKind::Delta, &rows.rows);
+            return self.follow_list(now, &[Events::Gap], io);
         }
-        self.follow_list(now, &[News::Answered], io);
+        self.follow_list(now, &[Events::Answered], io);
         if !self.list.known.take(head) {
             return;
         }
         let kind = if rows.whole {
-            ListKind::Full
+            EndpointListKind::Full
         } else {
-            ListKind::Changes
+            EndpointListKind::Delta
         };
         self.take_rows(now, kind, &rows.rows);
         if !self.list.saving {
--- a/crates/sanddrum-edge/src/dispatch.rs
+++ b/crates/sanddrum-edge/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::requests::{Execution, Job, Refusal};
 use crate::worker_connections::{Mark, Piece};
 use crate::{Due, Inner};
-use sanddrum::{Decisions, End, FunctionId, JobId, Micros, PeerId, Warmth, WorkerId};
+use sanddrum::{Decisions, FunctionId, Micros, Outcome, PeerId, RequestId, Warmth, WorkerId};
 use sanddrum_upstream::LinkId;
 use sanddrum_wire as wire;
 
@@ -40,7 +40,7 @@
 }
 
 impl Decisions for Carry<'_> {
-    fn execute(&mut self, id: JobId, worker: WorkerId, limit: Micros) {
+    fn dispatch(&mut self, id: RequestId, worker: WorkerId, limit: Micros) {
         let (inner, now) = (&mut *self.inner, self.now);
         let execution = inner.jobs.next_execution();
         let Some(job) = inner.jobs.jobs.get_mut(&id) else {
@@ -61,7 +61,7 @@
         let customer = job.customer_id;
         let due = now + limit;
         let sent = if closed {
-            Err(End::Moot)
+            Err(Outcome::CancelledBeforeStart)
         } else {
             let bytes = inner.speech.execute(message, call);
             let piece = Piece {
@@ -98,7 +98,7 @@
         }
     }
 
-    fn cancel(&mut self, id: JobId, number: usize) {
+    fn cancel(&mut self, id: RequestId, number: usize) {
         let inner = &mut *self.inner;
         let Some(job) = inner.jobs.jobs.get(&id) else {
             return;
@@ -113,7 +113,7 @@
             return inner.execution_ended(
                 self.now,
                 execution,
-                End::Moot,
+                Outcome::CancelledBeforeStart,
                 Warmth::Unknown,
                 None,
                 None,
@@ -123,14 +123,14 @@
         inner.execution_ended(
             self.now,
             execution,
-            End::Cancelled,
+            Outcome::Cancelled,
             Warmth::Unknown,
             None,
             None,
         );
     }
 
-    fn push_back(&mut self, id: JobId, wait: Micros) {
+    fn reject(&mut self, id: RequestId, wait: Micros) {
         let detail =
             "the job has not run, or running it again is harmless; come back after the stated time";
         let refusal = Refusal {
@@ -145,7 +145,7 @@
         self.inner.refuse(self.now, id, &refusal);
     }
 
-    fn kill(&mut self, id: JobId) {
+    fn fail(&mut self, id: RequestId) {
         let late = self
             .inner
             .jobs
@@ -176,7 +176,7 @@
         self.inner.refuse(self.now, id, &refusal);
     }
 
-    fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+    fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
         self.inner.order(self.now, worker, function, copies);
     }
 
@@ -199,11 +199,11 @@
         );
     }
 
-    fn probe(&mut self, worker: WorkerId) {
+    fn check_health(&mut self, worker: WorkerId) {
         self.inner.probe(self.now, worker);
     }
 
-    fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {
+    fn gossip(&mut self, _: Option<PeerId>, _: &[u8]) {
         // Edges have no way to each other; the settings never allow it.
     }
 
@@ -211,7 +211,7 @@
         self.inner.module_wake = Some(self.inner.module_wake.map_or(at, |set| set.min(at)));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!(note = text, "the module notes");
     }
 }
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -5,7 +5,7 @@
 use crate::invariants::{may_close, CloseReason};
 use crate::requests::{Answer, Call, Refusal};
 use crate::{arrival_time, Due, Inner, Owner};
-use sanddrum::{JobId, Micros, WorkloadId};
+use sanddrum::{Micros, RequestId, WorkloadId};
 use sanddrum_fastcgi::{self as fastcgi, Bounds, Request, Responder, Said, Status, Why};
 use sanddrum_net::{Conn, Event, Io, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     requests: Responder,
     out: Outbox<()>,
     /// Jobs by the number of their request.
-    jobs: BTreeMap<u16, JobId>,
+    jobs: BTreeMap<u16, RequestId>,
     came: Micros,
     active: Micros,
     /// It has asked something that could be read.
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -3,14 +3,14 @@
 use crate::functions::Unknown;
 use crate::requests::{Answer, Call, Refusal};
 use crate::{arrival_time, Due, Inner, Owner};
-use sanddrum::{CustomerId, JobId, Micros};
+use sanddrum::{CustomerId, Micros, RequestId};
 use sanddrum_net::{Conn, Event, Io, Outbox};
 use sanddrum_upstream::{ClientId, Old};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 enum Place {
-    Open { job: JobId, keep: bool },
+    Open { job: RequestId, keep: bool },
     Ready { answer: Vec<u8>, keep: bool },
 }
 
@@ -397,7 +397,7 @@
         request: Request,
         path: &str,
         io: &mut dyn Io,
-    ) -> Result<JobId, NoJob> {
+    ) -> Result<RequestId, NoJob> {
         let names = path
             .strip_prefix("/v1/calls/")
             .and_then(|rest| rest.split_once('/'));
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -36,8 +36,8 @@
 use invariants::Violations;
 use limits::Limits;
 use requests::Jobs;
-use sanddrum::{Decisions, Round, Router, Settings};
-use sanddrum_bootstrap::News;
+use sanddrum::{Decisions, EventBatch, Router, Settings};
+use sanddrum_bootstrap::Events;
 use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros};
 use sanddrum_platform::control_feed::Told;
 use sanddrum_platform::starts::Clocks;
@@ -48,13 +48,13 @@
 use worker_protocol::Speech;
 
 /// What decides: the decision module, or another in its place to compare it with.
-pub trait Module {
-    fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions);
+pub trait DecisionModule {
+    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions);
 }
 
-impl Module for Router {
-    fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions) {
-        Router::round(self, now, round, out);
+impl DecisionModule for Router {
+    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
+        Router::handle(self, now, round, out);
     }
 }
 
@@ -126,7 +126,7 @@
     incarnation: u64,
     metrics_page: Option<Box<dyn Fn() -> String>>,
     figures: Figures,
-    round: Round,
+    round: EventBatch,
     owners: BTreeMap<Conn, Owner>,
     clients: Clients,
     fronts: Fronts,
@@ -182,7 +182,7 @@
     pub due: usize,
 }
 
-impl<M: Module> Edge<M> {
+impl<M: DecisionModule> Edge<M> {
     pub fn held(&self) -> Held {
         let inner = &self.inner;
         Held {
@@ -226,7 +226,7 @@
             incarnation: start.incarnation,
             metrics_page: start.metrics_page,
             figures: Figures::default(),
-            round: Round::default(),
+            round: EventBatch::default(),
             owners: BTreeMap::new(),
             clients: Clients::default(),
             jobs: Jobs::default(),
@@ -274,7 +274,7 @@
         }
         self.inner.connect_wake = None;
         let news = std::mem::take(&mut self.inner.links.news);
-        self.connections.round(
+        self.connections.handle(
             now,
             &news,
             &mut connection_manager::Connect {
@@ -298,7 +298,7 @@
                 round.timer = true;
                 self.inner.module_wake = None;
             }
-            self.module.round(
+            self.module.handle(
                 now,
                 &round,
                 &mut dispatch::Carry {
@@ -333,14 +333,14 @@
     }
     fn has_news(&self) -> bool {
         let r = &self.round;
-        !(r.lists.is_empty()
-            && r.jobs.is_empty()
-            && r.ends.is_empty()
-            && r.orders.is_empty()
-            && r.probes.is_empty()
-            && r.notes.is_empty()
-            && r.left.is_empty()
-            && !r.closing
+        !(r.endpoint_lists.is_empty()
+            && r.requests.is_empty()
+            && r.attempt_results.is_empty()
+            && r.load_results.is_empty()
+            && r.health_check_results.is_empty()
+            && r.gossip.is_empty()
+            && r.cancelled.is_empty()
+            && !r.shutting_down
             && !self.admission.is_waiting())
     }
     fn fall_due(&mut self, now: Micros, io: &mut dyn Io) {
@@ -357,13 +357,13 @@
                 Due::List => self.call_for_list(now, io),
                 Due::Save => self.save_list(now, io),
                 Due::Arrivals => {}
-                Due::Stop => self.round.closing = true,
+                Due::Stop => self.round.shutting_down = true,
             }
         }
     }
 }
 
-impl<M: Module> Core for Edge<M> {
+impl<M: DecisionModule> Core for Edge<M> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.inner.began = now;
         self.inner.take_up_kept_list(now);
@@ -380,7 +380,7 @@
             return self.inner.call_for_list(now, io);
         }
         let kept = !self.inner.list.is_empty();
-        self.inner.follow_list(now, &[News::Began { kept }], io);
+        self.inner.follow_list(now, &[Events::Began { kept }], io);
     }
 
     fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
--- a/crates/sanddrum-edge/src/metrics.rs
+++ b/crates/sanddrum-edge/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What an edge counts. Without a recorder the counting costs next to nothing.
 
 use metrics::{counter, gauge, Counter, Gauge};
-use sanddrum::End;
+use sanddrum::Outcome;
 use sanddrum_upstream::Connections;
 
 pub struct Figures {
@@ -24,16 +24,16 @@
     ends: Vec<Counter>,
 }
 
-const ENDS: [(End, &str); 9] = [
-    (End::Finished, "finished"),
-    (End::Error, "error"),
-    (End::Full, "full"),
-    (End::TimedOut, "timed-out"),
-    (End::NoConnection, "no-connection"),
-    (End::Reset, "reset"),
-    (End::Cancelled, "cancelled"),
-    (End::Moot, "moot"),
-    (End::Miss, "miss"),
+const ENDS: [(Outcome, &str); 9] = [
+    (Outcome::Finished, "finished"),
+    (Outcome::Error, "error"),
+    (Outcome::Rejected, "full"),
+    (Outcome::TimedOut, "timed-out"),
+    (Outcome::NoConnection, "no-connection"),
+    (Outcome::Reset, "reset"),
+    (Outcome::Cancelled, "cancelled"),
+    (Outcome::CancelledBeforeStart, "moot"),
+    (Outcome::ColdMiss, "miss"),
 ];
 
 impl Default for Figures {
@@ -80,7 +80,7 @@
     pub fn limit_hit(&self, limit: &'static str) {
         counter!("sanddrum_limit_hits_total", "limit" => limit).increment(1);
     }
-    pub fn execution_ended(&self, end: End) {
+    pub fn execution_ended(&self, end: Outcome) {
         if let Some(n) = ENDS.iter().position(|(e, _)| *e == end) {
             self.ends[n].increment(1);
         }
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -3,11 +3,12 @@
 use crate::worker_connections::Mark;
 use crate::{Due, Inner};
 use sanddrum::{
-    CustomerId, End, ExecutionEnd, FunctionId, JobId, Report, Warmth, WorkerId, WorkloadId,
+    AttemptResult, CustomerId, FunctionId, LoadReport, Outcome, RequestId, Warmth, WorkerId,
+    WorkloadId,
 };
 use sanddrum_net::{Conn, Micros};
 use sanddrum_upstream::LinkId;
-use sanddrum_wire::{http, Copy, Done, Ended, LoadReport};
+use sanddrum_wire::{self as wire, http, Copy, Done, Ended};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -59,7 +60,7 @@
 /// The final answer to a job, as any door words it.
 pub(crate) enum Answer<'a> {
     Finished {
-        job: JobId,
+        job: RequestId,
         worker: &'a str,
         copy: &'a str,
         body: &'a [u8],
@@ -92,7 +93,7 @@
 }
 
 pub(crate) struct Execution {
-    pub job: JobId,
+    pub job: RequestId,
     pub number: usize,
     pub worker: WorkerId,
     pub link: LinkId,
@@ -104,13 +105,13 @@
 
 #[derive(Default)]
 pub(crate) struct Jobs {
-    pub jobs: BTreeMap<JobId, Job>,
+    pub jobs: BTreeMap<RequestId, Job>,
     pub executions: BTreeMap<u64, Execution>,
     next_job: u64,
     next_execution: u64,
     open: usize,
     /// Open jobs by their callers' numbers, and the bytes of their bodies.
-    numbers: BTreeMap<u64, JobId>,
+    numbers: BTreeMap<u64, RequestId>,
     bodies: usize,
 }
 
@@ -126,8 +127,8 @@
     pub fn bodies(&self) -> usize {
         self.bodies
     }
-    pub fn take(&mut self, job: Job) -> JobId {
-        let id = JobId(self.next_job);
+    pub fn take(&mut self, job: Job) -> RequestId {
+        let id = RequestId(self.next_job);
         self.next_job += 1;
         self.open += 1;
         self.bodies += job.body.len();
@@ -140,7 +141,7 @@
         self.next_execution
     }
     /// Closes a job; none is closed twice.
-    pub fn close(&mut self, id: JobId) -> Option<&mut Job> {
+    pub fn close(&mut self, id: RequestId) -> Option<&mut Job> {
         let job = self.jobs.get_mut(&id).filter(|job| !job.closed)?;
         job.closed = true;
         self.open -= 1;
@@ -151,7 +152,7 @@
         }
         Some(job)
     }
-    pub fn forget_if_done(&mut self, id: JobId) {
+    pub fn forget_if_done(&mut self, id: RequestId) {
         if self
             .jobs
             .get(&id)
@@ -169,7 +170,7 @@
     pub reason: &'a str,
     pub detail: &'a str,
     pub retry_after: Option<Micros>,
-    pub job: Option<JobId>,
+    pub job: Option<RequestId>,
 }
 
 impl Refusal<'_> {
@@ -212,14 +213,14 @@
     }
 }
 
-pub(crate) fn report_of(report: &LoadReport) -> Report {
-    Report {
-        held: report.held,
+pub(crate) fn report_of(report: &wire::LoadReport) -> LoadReport {
+    LoadReport {
+        in_flight: report.in_flight,
         queued: report.queued,
         busy: report.busy,
         memory_pinned: report.memory_pinned,
-        loads: report.loads,
-        ..Report::default()
+        loads_in_progress: report.loads_in_progress,
+        ..LoadReport::default()
     }
 }
 
@@ -242,16 +243,16 @@
             return;
         }
         let end = match done.ended {
-            Ended::Finished => End::Finished,
-            Ended::Error => End::Error,
-            Ended::Full => End::Full,
-            Ended::Miss => End::Miss,
+            Ended::Finished => Outcome::Finished,
+            Ended::Error => Outcome::Error,
+            Ended::Full => Outcome::Rejected,
+            Ended::Miss => Outcome::ColdMiss,
             // It was dropped before it began.
-            Ended::Dropped => End::Moot,
+            Ended::Dropped => Outcome::CancelledBeforeStart,
         };
         let warmth = match done.copy {
-            Some(Copy::Stood) => Warmth::Stood,
-            Some(Copy::BeganLoad) => Warmth::BeganLoad,
+            Some(Copy::Stood) => Warmth::Warm,
+            Some(Copy::BeganLoad) => Warmth::StartedLoad,
             Some(Copy::WaitedForLoad) => Warmth::WaitedForLoad,
             Some(Copy::LoadFailed) => Warmth::LoadFailed,
             None => Warmth::Unknown,
@@ -266,7 +267,7 @@
                 self.admission.news.told.push((job.customer_id, of, all));
             }
         }
-        if end == End::Finished {
+        if end == Outcome::Finished {
             if let Some(job) = self.jobs.executions.get(&done.id).map(|e| e.job) {
                 self.finish(now, job, done.id, &done.body, warmth);
             }
@@ -274,7 +275,7 @@
         self.execution_ended(now, done.id, end, warmth, done.crowd, report);
     }
 
-    fn finish(&mut self, now: Micros, id: JobId, execution: u64, body: &[u8], warmth: Warmth) {
+    fn finish(&mut self, now: Micros, id: RequestId, execution: u64, body: &[u8], warmth: Warmth) {
         let worker = self.jobs.executions.get(&execution).map(|e| e.worker);
         let worker = worker
             .and_then(|w| self.links.name(w))
@@ -286,7 +287,7 @@
         self.admission.ended(job);
         let (client, place, due) = (job.client, job.place, job.due);
         let copy = match warmth {
-            Warmth::BeganLoad => "loaded",
+            Warmth::StartedLoad => "loaded",
             Warmth::WaitedForLoad => "waited",
             _ => "stood",
         };
@@ -307,7 +308,7 @@
 
     /// A job has its final answer: what still waits to be written for it is not sent any more. Guards against a link
     /// whose connection takes long, which would carry it all once it is up.
-    pub(crate) fn recall(&mut self, now: Micros, id: JobId) {
+    pub(crate) fn recall(&mut self, now: Micros, id: RequestId) {
         let all = self
             .jobs
             .jobs
@@ -319,7 +320,14 @@
                 continue;
             };
             if self.links.take_back(link, execution) {
-                self.execution_ended(now, execution, End::Moot, Warmth::Unknown, None, None);
+                self.execution_ended(
+                    now,
+                    execution,
+                    Outcome::CancelledBeforeStart,
+                    Warmth::Unknown,
+                    None,
+                    None,
+                );
             } else {
                 self.finish_writing_soon(now, link, execution);
             }
@@ -331,10 +339,10 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: End,
+        end: Outcome,
         warmth: Warmth,
         crowd: Option<u32>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         let Some(e) = self.jobs.executions.remove(&id) else {
             return;
@@ -348,8 +356,13 @@
         let settled = match self.jobs.jobs.get_mut(&e.job) {
             Some(job) => {
                 job.out = job.out.saturating_sub(1);
-                job.may_have_run |=
-                    !matches!(end, End::Full | End::NoConnection | End::Moot | End::Miss);
+                job.may_have_run |= !matches!(
+                    end,
+                    Outcome::Rejected
+                        | Outcome::NoConnection
+                        | Outcome::CancelledBeforeStart
+                        | Outcome::ColdMiss
+                );
                 job.closed
             }
             None => true,
@@ -362,19 +375,19 @@
             ?end,
             ?warmth,
             latency_us = now - e.sent,
-            held = report.and_then(|r| r.held),
+            held = report.and_then(|r| r.in_flight),
             queued = report.and_then(|r| r.queued),
             "ended"
         );
-        self.round.ends.push(ExecutionEnd {
-            job: e.job,
-            execution: e.number,
+        self.round.attempt_results.push(AttemptResult {
+            request: e.job,
+            attempt: e.number,
             worker: e.worker,
-            end,
+            outcome: end,
             latency: now - e.sent,
-            settled,
+            is_final: settled,
             warmth,
-            crowd,
+            function_in_flight: crowd,
             report,
         });
     }
@@ -390,9 +403,9 @@
             self.give_up_execution(link, id);
         }
         let end = if taken_back {
-            End::NoConnection
+            Outcome::NoConnection
         } else {
-            End::TimedOut
+            Outcome::TimedOut
         };
         self.execution_ended(now, id, end, Warmth::Unknown, None, None);
     }
@@ -410,20 +423,26 @@
     }
 
     /// Its client has left, or asks for it no more; nothing is answered.
-    pub(crate) fn give_job_up(&mut self, now: Micros, id: JobId) {
+    pub(crate) fn give_job_up(&mut self, now: Micros, id: RequestId) {
         let Some(closed) = self.jobs.close(id) else {
             return;
         };
         self.admission.ended(closed);
         tracing::debug!(job = id.0, reason = "client-left", "its client has left");
         self.figures.left.increment(1);
-        self.round.left.push(id);
+        self.round.cancelled.push(id);
         self.recall(now, id);
         self.jobs.forget_if_done(id);
     }
 
     /// Takes a call up as a job, whatever door it came by.
-    pub(crate) fn take_job(&mut self, now: Micros, client: Conn, place: u64, call: Call) -> JobId {
+    pub(crate) fn take_job(
+        &mut self,
+        now: Micros,
+        client: Conn,
+        place: u64,
+        call: Call,
+    ) -> RequestId {
         // One that is taken while the edge ends has no longer than that.
         let due = (now + call.limit.max(0)).min(self.stop_at.unwrap_or(Micros::MAX));
         let Call {
@@ -460,23 +479,23 @@
         tracing::debug!(job = job.0, call = %number, workload = workload.0, limit_us = call.limit, "taken");
         let customer = customer_id;
         let id = job;
-        self.ask(sanddrum::Job {
+        self.ask(sanddrum::Request {
             id,
             function,
             workload,
             customer,
-            due,
+            deadline: due,
             memory_mb,
-            lanes,
-            load,
-            work,
-            repeat,
+            concurrency: lanes,
+            load_time: load,
+            expected_work: work,
+            is_retry: repeat,
         });
         job
     }
 
     /// The final answer of a job that did not finish.
-    pub(crate) fn refuse(&mut self, now: Micros, id: JobId, refusal: &Refusal<'_>) {
+    pub(crate) fn refuse(&mut self, now: Micros, id: RequestId, refusal: &Refusal<'_>) {
         let Some(job) = self.jobs.close(id) else {
             return;
         };
@@ -497,7 +516,7 @@
 
     /// The bound on ending is reached, and the module has ended what it holds: nothing is left without its answer.
     pub(crate) fn end_all(&mut self, now: Micros) {
-        let open: Vec<JobId> = self
+        let open: Vec<RequestId> = self
             .jobs
             .jobs
             .iter()
@@ -514,7 +533,7 @@
                 job: Some(id),
             };
             self.refuse(now, id, &refusal);
-            self.round.left.push(id);
+            self.round.cancelled.push(id);
         }
     }
 }
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -9,9 +9,11 @@
 use crate::requests::report_of;
 use crate::worker_protocol::Reader;
 use crate::{Due, Inner, Owner};
-use sanddrum::{End, FunctionId, Micros, ProbeEnd, Report, WorkerId, WorkerRow, WorkerState};
+use sanddrum::{
+    Endpoint, FunctionId, HealthCheckResult, LoadReport, Micros, Outcome, WorkerId, WorkerState,
+};
 use sanddrum_net::{Closed, Conn, Event, Io, Outbox};
-use sanddrum_upstream::{LinkId, Listed, Need, News, Old, Wanted, Why};
+use sanddrum_upstream::{Events, LinkId, Listed, Need, Old, Wanted, Why};
 use sanddrum_wire::{self as wire, FromWorker, Hello, Row, VERSION};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,7 +92,7 @@
     /// Those on which something is given up; they are written to first.
     first: BTreeSet<LinkId>,
     /// What the connection module is to hear in its next round.
-    pub news: News,
+    pub news: Events,
 }
 
 impl Links {
@@ -123,12 +125,12 @@
         others.map(|(worker, _)| *worker).collect()
     }
     /// A worker as listed.
-    pub fn set_target(&mut self, row: &WorkerRow, name: &str, address: &str) {
-        let WorkerRow {
+    pub fn set_target(&mut self, row: &Endpoint, name: &str, address: &str) {
+        let Endpoint {
             worker,
             size,
             state,
-            started,
+            started_at: started,
             ..
         } = *row;
         if state == WorkerState::Gone {
@@ -221,8 +223,8 @@
             .any(|link| !link.up)
     }
     /// What the worker told of itself.
-    pub fn reported(&mut self, worker: WorkerId, report: &Report) {
-        if let (Some(held), Some(queued)) = (report.held, report.queued) {
+    pub fn reported(&mut self, worker: WorkerId, report: &LoadReport) {
+        if let (Some(held), Some(queued)) = (report.in_flight, report.queued) {
             self.news.loads.push((worker, held + queued));
         }
     }
@@ -249,7 +251,7 @@
         worker: WorkerId,
         piece: Piece<'_>,
         due: Micros,
-    ) -> Result<LinkId, End> {
+    ) -> Result<LinkId, Outcome> {
         let mark = piece.mark;
         let rests = self.rests;
         let fresh = |since: Micros| rests.is_trusted(now, now - since);
@@ -261,7 +263,7 @@
                 self.new_link(now, worker)?
             }
         };
-        let link = self.links.links.get_mut(&id).ok_or(End::NoConnection)?;
+        let link = self.links.links.get_mut(&id).ok_or(Outcome::NoConnection)?;
         if link.out.push(mark, piece.bytes).is_err() {
             // It does not read: as good as unreachable.
             self.figures.limit_hit("waiting-per-worker");
@@ -270,7 +272,7 @@
                 reason = "waiting-per-worker",
                 "a worker reads too slowly"
             );
-            return Err(End::NoConnection);
+            return Err(Outcome::NoConnection);
         }
         if mark != Mark::Other {
             if link.carries.is_empty() {
@@ -311,12 +313,12 @@
         }
     }
     /// A connection that is to be; the connection module says when it is begun.
-    fn new_link(&mut self, now: Micros, worker: WorkerId) -> Result<LinkId, End> {
+    fn new_link(&mut self, now: Micros, worker: WorkerId) -> Result<LinkId, Outcome> {
         let target = self
             .links
             .targets
             .get_mut(&worker)
-            .ok_or(End::NoConnection)?;
+            .ok_or(Outcome::NoConnection)?;
         if target.links.len() >= self.limits.connections {
             self.figures.limit_hit("connections");
             tracing::warn!(
@@ -324,13 +326,13 @@
                 reason = "connections",
                 "all connections to a worker are full"
             );
-            return Err(End::Full);
+            return Err(Outcome::Rejected);
         }
         // Guards against workers' connections that leave no descriptor for clients': their requests would lie
         // unaccepted until their time is up.
         if self.links.all() >= self.limits.all_connections {
             self.figures.limit_hit("all-connections");
-            let idle = self.links.longest_idle().ok_or(End::NoConnection)?;
+            let idle = self.links.longest_idle().ok_or(Outcome::NoConnection)?;
             self.retire_link(now, idle);
         }
         self.links.made += 1;
@@ -409,9 +411,9 @@
     pub(crate) fn give_link_up(&mut self, now: Micros, id: LinkId, why: Why) {
         self.figures.limit_hit(why.reason());
         let end = if why == Why::Spared {
-            End::Full
+            Outcome::Rejected
         } else {
-            End::NoConnection
+            Outcome::NoConnection
         };
         self.end_link(now, id, |_| end, false);
     }
@@ -531,9 +533,9 @@
             FromWorker::Done(done) => self.execution_answered(now, link, done),
             FromWorker::Held(held) => {
                 let end = match held.ended {
-                    wire::Ended::Finished => End::Finished,
-                    wire::Ended::Error | wire::Ended::Miss => End::Error,
-                    wire::Ended::Full | wire::Ended::Dropped => End::Full,
+                    wire::Ended::Finished => Outcome::Finished,
+                    wire::Ended::Error | wire::Ended::Miss => Outcome::Error,
+                    wire::Ended::Full | wire::Ended::Dropped => Outcome::Rejected,
                 };
                 self.order_ended(now, held.id, end, held.copies);
             }
@@ -544,9 +546,9 @@
                         .iter()
                         .for_each(|report| self.links.reported(asked.worker, report));
                     let latency = now - asked.sent;
-                    self.round.probes.push(ProbeEnd {
+                    self.round.health_check_results.push(HealthCheckResult {
                         worker: asked.worker,
-                        end: End::Finished,
+                        outcome: Outcome::Finished,
                         latency,
                         report,
                     });
--- a/crates/sanddrum-edge/src/worker_connections/ends.rs
+++ b/crates/sanddrum-edge/src/worker_connections/ends.rs
@@ -2,7 +2,7 @@
 
 use super::{Link, Mark};
 use crate::{Due, Inner};
-use sanddrum::{End, Micros, Warmth};
+use sanddrum::{Micros, Outcome, Warmth};
 use sanddrum_net::{Closed, Io};
 use sanddrum_upstream::LinkId;
 use std::collections::BTreeMap;
@@ -36,9 +36,9 @@
             .collect();
         let end = |mark: &Mark| {
             if each.get(mark) == Some(&true) {
-                End::NoConnection
+                Outcome::NoConnection
             } else {
-                End::Reset
+                Outcome::Reset
             }
         };
         self.end_link(now, id, end, lied);
@@ -47,7 +47,7 @@
         &mut self,
         now: Micros,
         id: LinkId,
-        end: impl Fn(&Mark) -> End,
+        end: impl Fn(&Mark) -> Outcome,
         lied: bool,
     ) {
         let Some(link) = self.links.links.remove(&id) else {
--- a/crates/sanddrum-edge/src/worker_connections/errands.rs
+++ b/crates/sanddrum-edge/src/worker_connections/errands.rs
@@ -2,7 +2,7 @@
 
 use super::{Asked, Mark, Piece};
 use crate::{Due, Inner};
-use sanddrum::{End, FunctionId, Micros, OrderEnd, ProbeEnd, WorkerId};
+use sanddrum::{FunctionId, HealthCheckResult, LoadResult, Micros, Outcome, WorkerId};
 use sanddrum_wire as wire;
 
 impl Inner {
@@ -16,13 +16,13 @@
         self.links.asked += 1;
         let id = self.links.asked;
         let Some(known) = self.functions.get(function) else {
-            let end = End::Error;
-            return self.round.orders.push(OrderEnd {
+            let end = Outcome::Error;
+            return self.round.load_results.push(LoadResult {
                 worker,
                 function,
-                end,
+                outcome: end,
                 latency: 0,
-                copies: 0,
+                instances: 0,
             });
         };
         let (mark, bytes_of) = (Mark::Order(id), self.speech);
@@ -61,32 +61,32 @@
                 );
                 self.due.insert((due, Due::Order(id)));
             }
-            Err(end) => self.round.orders.push(OrderEnd {
+            Err(end) => self.round.load_results.push(LoadResult {
                 worker,
                 function,
-                end,
+                outcome: end,
                 latency: 0,
-                copies: 0,
+                instances: 0,
             }),
         }
     }
-    pub(super) fn order_ended(&mut self, now: Micros, id: u64, end: End, copies: u32) {
+    pub(super) fn order_ended(&mut self, now: Micros, id: u64, end: Outcome, copies: u32) {
         let Some(asked) = self.links.orders.remove(&id) else {
             return;
         };
         self.due.remove(&(asked.due, Due::Order(id)));
         self.release(asked.link, Mark::Order(id), now);
         let (worker, function, latency) = (asked.worker, asked.function, now - asked.sent);
-        self.round.orders.push(OrderEnd {
+        self.round.load_results.push(LoadResult {
             worker,
             function,
-            end,
+            outcome: end,
             latency,
-            copies,
+            instances: copies,
         });
     }
     pub(crate) fn order_is_late(&mut self, now: Micros, id: u64) {
-        self.order_ended(now, id, End::TimedOut, 0);
+        self.order_ended(now, id, Outcome::TimedOut, 0);
     }
 
     pub(crate) fn probe(&mut self, now: Micros, worker: WorkerId) {
@@ -119,9 +119,9 @@
                 );
                 self.due.insert((due, Due::Probe(id)));
             }
-            Err(end) => self.round.probes.push(ProbeEnd {
+            Err(end) => self.round.health_check_results.push(HealthCheckResult {
                 worker,
-                end,
+                outcome: end,
                 latency: 0,
                 report: None,
             }),
@@ -133,18 +133,18 @@
         self.release(asked.link, Mark::Probe(id), now);
         Some(asked)
     }
-    pub(super) fn probe_failed(&mut self, now: Micros, id: u64, end: End) {
+    pub(super) fn probe_failed(&mut self, now: Micros, id: u64, end: Outcome) {
         if let Some(asked) = self.probe_over(now, id) {
             let (worker, latency) = (asked.worker, now - asked.sent);
-            self.round.probes.push(ProbeEnd {
+            self.round.health_check_results.push(HealthCheckResult {
                 worker,
-                end,
+                outcome: end,
                 latency,
                 report: None,
             });
         }
     }
     pub(crate) fn probe_is_late(&mut self, now: Micros, id: u64) {
-        self.probe_failed(now, id, End::TimedOut);
+        self.probe_failed(now, id, Outcome::TimedOut);
     }
 }
--- a/crates/sanddrum-edge/src/worker_connections/guard.rs
+++ b/crates/sanddrum-edge/src/worker_connections/guard.rs
@@ -4,7 +4,7 @@
 use super::Mark;
 use crate::invariants::{may_send, AttemptFacts, Rule};
 use crate::Inner;
-use sanddrum::{End, Micros, Warmth};
+use sanddrum::{Micros, Outcome, Warmth};
 use sanddrum_upstream::LinkId;
 
 impl Inner {
@@ -27,7 +27,14 @@
                 continue;
             }
             if self.links.take_back(id, execution) {
-                self.execution_ended(now, execution, End::Moot, Warmth::Unknown, None, None);
+                self.execution_ended(
+                    now,
+                    execution,
+                    Outcome::CancelledBeforeStart,
+                    Warmth::Unknown,
+                    None,
+                    None,
+                );
             }
         }
     }
--- a/crates/sanddrum-edge/src/worker_connections/recall.rs
+++ b/crates/sanddrum-edge/src/worker_connections/recall.rs
@@ -2,7 +2,7 @@
 
 use super::{Mark, WRITTEN_SOON};
 use crate::{Due, Inner};
-use sanddrum::{End, Micros, Warmth, WorkerId};
+use sanddrum::{Micros, Outcome, Warmth, WorkerId};
 use sanddrum_net::{Closed, Io};
 use sanddrum_upstream::LinkId;
 use std::collections::BTreeSet;
@@ -29,11 +29,16 @@
                     continue;
                 }
                 match mark {
-                    Mark::Execution(n) => {
-                        self.execution_ended(now, n, End::Moot, Warmth::Unknown, None, None)
-                    }
-                    Mark::Order(n) => self.order_ended(now, n, End::Full, 0),
-                    Mark::Probe(n) => self.probe_failed(now, n, End::Moot),
+                    Mark::Execution(n) => self.execution_ended(
+                        now,
+                        n,
+                        Outcome::CancelledBeforeStart,
+                        Warmth::Unknown,
+                        None,
+                        None,
+                    ),
+                    Mark::Order(n) => self.order_ended(now, n, Outcome::Rejected, 0),
+                    Mark::Probe(n) => self.probe_failed(now, n, Outcome::CancelledBeforeStart),
                     Mark::GiveUp | Mark::Other => {}
                 }
             }
--- a/crates/sanddrum-edge/tests/clients.rs
+++ b/crates/sanddrum-edge/tests/clients.rs
@@ -4,7 +4,7 @@
 
 use host::{Do, Host, S};
 use rstest::rstest;
-use sanddrum::JobId;
+use sanddrum::RequestId;
 use sanddrum_net::{Closed, Core, Event};
 use sanddrum_wire::{http, Ended};
 
@@ -84,7 +84,7 @@
         b"x",
     );
     request.iter().for_each(|byte| h.says(client, &[*byte]));
-    let due = h.strings.borrow().jobs[0].due;
+    let due = h.strings.borrow().jobs[0].deadline;
     assert_eq!(
         due,
         h.now + 700_000 - 20_000,
@@ -228,9 +228,9 @@
         how: Closed::InOrder,
     });
     h.turn();
-    assert_eq!(h.strings.borrow().left, [JobId(0)]);
+    assert_eq!(h.strings.borrow().left, [RequestId(0)]);
     h.done(worker, h.executions_read(worker)[0], Ended::Finished);
-    assert!(h.strings.borrow().ends[0].settled);
+    assert!(h.strings.borrow().ends[0].is_final);
     assert!(h.statuses(client).is_empty());
 }
 
--- a/crates/sanddrum-edge/tests/host/mod.rs
+++ b/crates/sanddrum-edge/tests/host/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 
 use sanddrum::*;
-use sanddrum_edge::{Edge, Module, Platform, Start};
+use sanddrum_edge::{DecisionModule, Edge, Platform, Start};
 use sanddrum_net::{Closed, Conn, Core, Door, Event, Io, Peer};
 use sanddrum_platform::control_feed::{Change, Member, Members, Told};
 use sanddrum_wire::frame::frame;
@@ -31,12 +31,12 @@
 #[derive(Default)]
 pub struct Strings {
     pub deeds: Vec<Do>,
-    pub ends: Vec<ExecutionEnd>,
-    pub orders: Vec<OrderEnd>,
-    pub probes: Vec<ProbeEnd>,
-    pub jobs: Vec<Job>,
-    pub left: Vec<JobId>,
-    pub lists: Vec<WorkerList>,
+    pub ends: Vec<AttemptResult>,
+    pub orders: Vec<LoadResult>,
+    pub probes: Vec<HealthCheckResult>,
+    pub jobs: Vec<Request>,
+    pub left: Vec<RequestId>,
+    pub lists: Vec<EndpointList>,
 }
 
 pub struct Puppet(Rc<RefCell<Strings>>);
@@ -45,29 +45,29 @@
     WorkerId(sanddrum_wire::id_of("w"))
 }
 
-impl Module for Puppet {
-    fn round(&mut self, _: Micros, round: &Round, out: &mut impl Decisions) {
+impl DecisionModule for Puppet {
+    fn handle(&mut self, _: Micros, round: &EventBatch, out: &mut impl Decisions) {
         let mut strings = self.0.borrow_mut();
-        strings.ends.extend(&round.ends);
-        strings.orders.extend(&round.orders);
-        strings.probes.extend(&round.probes);
-        strings.jobs.extend(&round.jobs);
-        strings.left.extend(&round.left);
-        strings.lists.extend(round.lists.iter().cloned());
+        strings.ends.extend(&round.attempt_results);
+        strings.orders.extend(&round.load_results);
+        strings.probes.extend(&round.health_check_results);
+        strings.jobs.extend(&round.requests);
+        strings.left.extend(&round.cancelled);
+        strings.lists.extend(round.endpoint_lists.iter().cloned());
         // The function of the newest job, whatever door it came by.
         let named = strings.jobs.last().map(|job| job.function);
         let function = named.unwrap_or(FunctionId(sanddrum_wire::id_of("job/f1")));
         for deed in std::mem::take(&mut strings.deeds) {
             match deed {
-                Do::Execute(job, limit) => out.execute(JobId(job), worker_id(), limit),
+                Do::Execute(job, limit) => out.dispatch(RequestId(job), worker_id(), limit),
                 Do::ExecuteAt(job, limit, name) => {
-                    out.execute(JobId(job), WorkerId(sanddrum_wire::id_of(name)), limit)
+                    out.dispatch(RequestId(job), WorkerId(sanddrum_wire::id_of(name)), limit)
                 }
-                Do::Cancel(job, n) => out.cancel(JobId(job), n),
-                Do::PushBack(job) => out.push_back(JobId(job), 300_000),
-                Do::Kill(job) => out.kill(JobId(job)),
-                Do::Hold(copies) => out.hold(worker_id(), function, copies),
-                Do::Probe => out.probe(worker_id()),
+                Do::Cancel(job, n) => out.cancel(RequestId(job), n),
+                Do::PushBack(job) => out.reject(RequestId(job), 300_000),
+                Do::Kill(job) => out.fail(RequestId(job)),
+                Do::Hold(copies) => out.load(worker_id(), function, copies),
+                Do::Probe => out.check_health(worker_id()),
             }
         }
     }
@@ -319,8 +319,13 @@
     pub fn up(&mut self, conn: Conn) {
         self.event(Event::Connected { conn });
     }
-    pub fn ends(&self) -> Vec<End> {
-        self.strings.borrow().ends.iter().map(|e| e.end).collect()
+    pub fn ends(&self) -> Vec<Outcome> {
+        self.strings
+            .borrow()
+            .ends
+            .iter()
+            .map(|e| e.outcome)
+            .collect()
     }
     /// What a worker has read whole.
     pub fn read_by(&self, conn: Conn) -> Vec<ToWorker> {
--- a/crates/sanddrum-edge/tests/platform.rs
+++ b/crates/sanddrum-edge/tests/platform.rs
@@ -5,7 +5,7 @@
 use host::platform::*;
 use host::*;
 use rstest::rstest;
-use sanddrum::{End, Warmth, WorkerState};
+use sanddrum::{Outcome, Warmth, WorkerState};
 use sanddrum_fastcgi::{header, Kind, HEADER};
 use sanddrum_net::{Closed, Core, Event};
 use sanddrum_platform::frames;
@@ -29,8 +29,8 @@
     );
     let end = host.strings.borrow().ends[0];
     assert_eq!(
-        (end.end, end.warmth, end.report.unwrap().held),
-        (End::Finished, Warmth::BeganLoad, Some(3.0))
+        (end.outcome, end.warmth, end.report.unwrap().in_flight),
+        (Outcome::Finished, Warmth::StartedLoad, Some(3.0))
     );
 }
 
@@ -193,7 +193,7 @@
     let mut host = Host::on_platform(&[]);
     let (front, worker) = job_out(&mut host);
     host.says(worker, &bytes);
-    assert_eq!(host.ends(), [End::Reset], "it may have run");
+    assert_eq!(host.ends(), [Outcome::Reset], "it may have run");
     assert_eq!(host.io.closed, [(worker, Some(Closed::Reset))]);
     assert!(answers(&host, front).is_empty());
 }
@@ -206,7 +206,7 @@
     let out = frames::answer(97, call_number(), "", b"out");
     host.says(worker, &[out.clone(), out].concat());
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
-    assert_eq!(host.ends(), [End::Finished]);
+    assert_eq!(host.ends(), [Outcome::Finished]);
 }
 
 #[rstest]
@@ -224,9 +224,9 @@
     host.up(second);
     // The first one's answer comes late: it is not taken for the second one's.
     host.says(first, &frames::answer(99, call_number(), "", b""));
-    assert_eq!(host.ends(), [End::Cancelled]);
+    assert_eq!(host.ends(), [Outcome::Cancelled]);
     host.says(second, &frames::answer(97, call_number(), "", b"out"));
-    assert_eq!(host.ends(), [End::Cancelled, End::Finished]);
+    assert_eq!(host.ends(), [Outcome::Cancelled, Outcome::Finished]);
 }
 
 #[rstest]
@@ -234,7 +234,7 @@
     let mut host = Host::on_platform(&[]);
     let (_, worker) = job_out(&mut host);
     host.wait(2 * S);
-    assert_eq!(host.ends(), [End::TimedOut]);
+    assert_eq!(host.ends(), [Outcome::TimedOut]);
     assert!(host.io.wrote[&worker].ends_with(&frames::give_up(call_number())));
 }
 
@@ -255,10 +255,10 @@
     let worker = worker(&host);
     told(&mut host, 2, member("w", phase));
     assert_eq!(
-        host.strings.borrow().lists.last().unwrap().rows[0].state,
+        host.strings.borrow().lists.last().unwrap().endpoints[0].state,
         state
     );
-    assert_eq!(host.ends(), [End::Moot]);
+    assert_eq!(host.ends(), [Outcome::CancelledBeforeStart]);
     host.up(worker);
     assert_eq!(host.io.wrote.get(&worker), None);
 }
@@ -273,7 +273,7 @@
     assert!(host.io.wrote[&worker].ends_with(&order));
     host.says(worker, &frames::answer(97, 1, "copies=2", b""));
     let end = host.strings.borrow().orders[0];
-    assert_eq!((end.end, end.copies), (End::Finished, 2));
+    assert_eq!((end.outcome, end.instances), (Outcome::Finished, 2));
 }
 
 fn asked_of_feed(host: &Host) -> Vec<String> {
@@ -451,7 +451,7 @@
     host.up(second);
     host.says(second, &frames::answer(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
-    assert_eq!(host.ends(), [End::Reset, End::Finished]);
+    assert_eq!(host.ends(), [Outcome::Reset, Outcome::Finished]);
 }
 
 #[rstest]
--- a/crates/sanddrum-edge/tests/races.rs
+++ b/crates/sanddrum-edge/tests/races.rs
@@ -6,7 +6,7 @@
 use host::platform::*;
 use host::*;
 use rstest::rstest;
-use sanddrum::{End, WorkerState};
+use sanddrum::{Outcome, WorkerState};
 use sanddrum_fastcgi::{header, Kind, HEADER};
 use sanddrum_net::{Closed, Conn, Core, Event};
 use sanddrum_platform::frames;
@@ -56,7 +56,7 @@
     host.up(worker);
     host.wait(S);
     assert_eq!(host.io.wrote.get(&worker), None);
-    assert_eq!(host.ends(), [End::Moot]);
+    assert_eq!(host.ends(), [Outcome::CancelledBeforeStart]);
 }
 
 #[rstest]
@@ -94,7 +94,7 @@
     decide(&mut host, 2, &[Do::Execute(0, 1_000_000)]);
     host.wait(S);
     assert_eq!(host.io.wrote[&first].len(), wrote);
-    assert_eq!(host.ends()[0], End::Full);
+    assert_eq!(host.ends()[0], Outcome::Rejected);
 }
 
 #[rstest]
@@ -125,7 +125,7 @@
     }
     host.wait(S / 10);
     assert!(host.io.closed.contains(&(worker, Some(Closed::Reset))));
-    assert_eq!(host.ends(), [End::NoConnection]);
+    assert_eq!(host.ends(), [Outcome::NoConnection]);
 }
 
 #[rstest]
@@ -210,7 +210,7 @@
     assert_ne!(first, second, "the id is spent on the first connection");
     host.up(second);
     host.says(first, &full);
-    assert_eq!(host.ends(), [End::Full], "the second attempt runs");
+    assert_eq!(host.ends(), [Outcome::Rejected], "the second attempt runs");
     host.says(second, &frames::answer(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
 }
@@ -272,9 +272,9 @@
 }
 
 #[rstest]
-#[case::before_its_last_byte(20, End::NoConnection)]
-#[case::after_its_last_byte(10_000, End::Reset)]
-fn a_reset_tells_whether_a_request_can_have_run(#[case] room: usize, #[case] end: End) {
+#[case::before_its_last_byte(20, Outcome::NoConnection)]
+#[case::after_its_last_byte(10_000, Outcome::Reset)]
+fn a_reset_tells_whether_a_request_can_have_run(#[case] room: usize, #[case] end: Outcome) {
     let mut host = Host::on_platform(&[]);
     let (_, worker) = job_waits(&mut host);
     host.io.room.insert(worker, room);
@@ -293,7 +293,7 @@
     host.now += 1_400_000;
     host.says(worker, &frames::answer(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
-    assert_eq!(host.ends(), [End::Finished]);
+    assert_eq!(host.ends(), [Outcome::Finished]);
 }
 
 #[rstest]
@@ -319,7 +319,7 @@
         conn: worker,
         how: Closed::InOrder,
     });
-    assert_eq!(host.ends(), [End::Finished, End::Reset]);
+    assert_eq!(host.ends(), [Outcome::Finished, Outcome::Reset]);
 }
 
 #[rstest]
@@ -349,7 +349,7 @@
     let others =
         json!([{"n": 2, "members": {"complete": true, "members": [member("v", "in_service")]}}]);
     tells(&mut host, 2, others);
-    assert_eq!(host.ends(), [End::Moot]);
+    assert_eq!(host.ends(), [Outcome::CancelledBeforeStart]);
     host.up(dial);
     assert_eq!(host.io.wrote.get(&dial), None);
 }
@@ -361,7 +361,7 @@
     let mut host = Host::new(&[]);
     let (_, dial) = host.call_out(S);
     host.list_says(&host.rows(2, true, 0, &[row("w", 1, phase)]));
-    assert_eq!(host.ends(), [End::Moot]);
+    assert_eq!(host.ends(), [Outcome::CancelledBeforeStart]);
     host.up(dial);
     assert!(host.executions_read(dial).is_empty());
 }
@@ -373,7 +373,7 @@
     let mut moved = member("w", "in_service");
     moved["host_port"] = json!("10.0.0.9:7001");
     told(&mut host, 2, moved);
-    assert_eq!(host.ends(), [End::Moot]);
+    assert_eq!(host.ends(), [Outcome::CancelledBeforeStart]);
     host.up(dial);
     assert_eq!(host.io.wrote.get(&dial), None);
     decide(&mut host, 2, &[]);
@@ -396,7 +396,7 @@
     let mut cold = member("v", "in_service");
     cold["up_since_ms"] = json!(host.now / 1000);
     told(&mut host, 2, cold);
-    assert_eq!(host.ends(), [End::Moot]);
+    assert_eq!(host.ends(), [Outcome::CancelledBeforeStart]);
     host.up(dial);
     assert_eq!(host.io.wrote.get(&dial), None);
     // Until the list tells that it is gone nothing is sent for it, wherever that would come.
@@ -411,7 +411,10 @@
         json!([{"n": 3, "members": {"complete": false, "members": [member("u", "in_service")]}}]),
     );
     assert_eq!(host.io.connects.len(), before);
-    assert_eq!(host.ends(), [End::Moot, End::NoConnection]);
+    assert_eq!(
+        host.ends(),
+        [Outcome::CancelledBeforeStart, Outcome::NoConnection]
+    );
 }
 
 #[rstest]
@@ -436,7 +439,7 @@
         json!([{"n": 3, "members": {"complete": false, "members": [member("v", "terminated")]}}]),
     );
     assert_eq!(
-        host.strings.borrow().lists.last().unwrap().rows[0].state,
+        host.strings.borrow().lists.last().unwrap().endpoints[0].state,
         WorkerState::Gone
     );
     // A feed that counts what it never brings is believed the second time.
@@ -465,7 +468,7 @@
         how: Closed::InOrder,
     });
     assert_eq!(
-        host.strings.borrow().lists.last().unwrap().rows[0].state,
+        host.strings.borrow().lists.last().unwrap().endpoints[0].state,
         WorkerState::Draining
     );
 }
@@ -626,5 +629,5 @@
     host.edge.stop(now, &mut host.io);
     let front = host.client();
     asks(&mut host, front, 1, CALL);
-    assert_eq!(host.strings.borrow().jobs[0].due, now + S);
+    assert_eq!(host.strings.borrow().jobs[0].deadline, now + S);
 }
--- a/crates/sanddrum-edge/tests/workers.rs
+++ b/crates/sanddrum-edge/tests/workers.rs
@@ -4,20 +4,20 @@
 
 use host::{row, Do, Host, S};
 use rstest::rstest;
-use sanddrum::{End, ListKind, WorkerState};
+use sanddrum::{EndpointListKind, Outcome, WorkerState};
 use sanddrum_edge::endpoint_cache;
 use sanddrum_net::{Closed, Core, Event};
 use sanddrum_wire::{Ended, FromWorker, Held, Phase, Probed};
 
 #[rstest]
-#[case::refused(0, Closed::Refused, End::NoConnection)]
-#[case::written_in_part(60, Closed::Reset, End::NoConnection)]
-#[case::written_whole(10_000, Closed::Reset, End::Reset)]
-#[case::closed_in_order_without_an_answer(10_000, Closed::InOrder, End::Reset)]
+#[case::refused(0, Closed::Refused, Outcome::NoConnection)]
+#[case::written_in_part(60, Closed::Reset, Outcome::NoConnection)]
+#[case::written_whole(10_000, Closed::Reset, Outcome::Reset)]
+#[case::closed_in_order_without_an_answer(10_000, Closed::InOrder, Outcome::Reset)]
 fn a_broken_connection_tells_whether_the_job_can_have_run(
     #[case] room: usize,
     #[case] how: Closed,
-    #[case] end: End,
+    #[case] end: Outcome,
 ) {
     let mut h = Host::new(&[]);
     let (_, worker) = h.call_out(5 * S);
@@ -36,7 +36,7 @@
     let mut h = Host::new(&[("limits.connect-time-out", "100ms")]);
     let (_, worker) = h.call_out(5 * S);
     h.wait(S / 5);
-    assert_eq!(h.ends(), [End::NoConnection]);
+    assert_eq!(h.ends(), [Outcome::NoConnection]);
     assert!(h.io.closed.contains(&(worker, Some(Closed::Reset))));
 }
 
@@ -64,7 +64,7 @@
     call_at_v(&mut h, 1);
     assert_eq!(
         (h.ends(), h.io.connects.len()),
-        (vec![End::NoConnection], connects),
+        (vec![Outcome::NoConnection], connects),
         "none is idle"
     );
     let id = h.executions_read(first)[0];
@@ -83,7 +83,7 @@
     let id = h.executions_read(worker)[0];
     h.decide(Do::Cancel(0, 0));
     h.turn();
-    assert_eq!(h.ends(), [End::Cancelled]);
+    assert_eq!(h.ends(), [Outcome::Cancelled]);
     h.done(worker, id, Ended::Finished);
     assert_eq!((h.ends().len(), h.statuses(client).len()), (1, 0));
     h.decide(Do::PushBack(0));
@@ -95,7 +95,7 @@
     h.done(worker, id, Ended::Finished);
     h.done(worker, id, Ended::Error);
     assert_eq!(h.statuses(client), [200]);
-    assert!(h.strings.borrow().ends[1].settled);
+    assert!(h.strings.borrow().ends[1].is_final);
     assert_eq!(h.ends().len(), 2);
 }
 
@@ -105,12 +105,12 @@
     let (_, worker) = h.call_out(5 * S);
     h.decide(Do::Cancel(0, 0));
     h.turn();
-    assert_eq!(h.ends(), [End::Moot]);
+    assert_eq!(h.ends(), [Outcome::CancelledBeforeStart]);
     h.call_out(S / 10);
     h.wait(S / 5);
     assert_eq!(
         h.ends(),
-        [End::Moot, End::NoConnection],
+        [Outcome::CancelledBeforeStart, Outcome::NoConnection],
         "its time was up before it could be sent"
     );
     h.up(worker);
@@ -123,7 +123,7 @@
     let (client, worker) = h.call_out(S);
     h.up(worker);
     h.wait(2 * S);
-    assert_eq!(h.ends(), [End::TimedOut]);
+    assert_eq!(h.ends(), [Outcome::TimedOut]);
     let id = h.executions_read(worker)[0];
     h.done(worker, id, Ended::Finished);
     assert_eq!(
@@ -134,12 +134,12 @@
 }
 
 #[rstest]
-#[case::finished(Ended::Finished, End::Finished)]
-#[case::error(Ended::Error, End::Error)]
-#[case::full(Ended::Full, End::Full)]
-#[case::miss(Ended::Miss, End::Miss)]
-#[case::dropped(Ended::Dropped, End::Moot)]
-fn workers_ends_are_told_as_they_are(#[case] ended: Ended, #[case] end: End) {
+#[case::finished(Ended::Finished, Outcome::Finished)]
+#[case::error(Ended::Error, Outcome::Error)]
+#[case::full(Ended::Full, Outcome::Rejected)]
+#[case::miss(Ended::Miss, Outcome::ColdMiss)]
+#[case::dropped(Ended::Dropped, Outcome::CancelledBeforeStart)]
+fn workers_ends_are_told_as_they_are(#[case] ended: Ended, #[case] end: Outcome) {
     let mut h = Host::new(&[]);
     let (client, worker) = h.call_out(5 * S);
     h.up(worker);
@@ -160,7 +160,7 @@
     let (_, worker) = h.call_out(5 * S);
     h.up(worker);
     h.says(worker, bytes);
-    assert_eq!(h.ends(), [End::Reset]);
+    assert_eq!(h.ends(), [Outcome::Reset]);
     assert!(h.io.closed.contains(&(worker, Some(Closed::Reset))));
 }
 
@@ -186,7 +186,7 @@
     let (_, worker) = h.call_out(5 * S);
     h.up(worker);
     h.greets(worker, "someone-else", 1, None);
-    assert_eq!(h.ends(), [End::Reset]);
+    assert_eq!(h.ends(), [Outcome::Reset]);
 }
 
 #[rstest]
@@ -200,7 +200,7 @@
     h.up(worker);
     h.call_out(50 * S);
     h.turn();
-    assert_eq!(h.ends(), [End::Full]);
+    assert_eq!(h.ends(), [Outcome::Rejected]);
     h.wait(5 * S);
     assert!(h.io.closed.is_empty(), "it carries an execution");
     h.done(worker, h.executions_read(worker)[0], Ended::Finished);
@@ -218,7 +218,7 @@
         h.call_out(5 * S);
     }
     h.turn();
-    assert!(h.ends().contains(&End::NoConnection));
+    assert!(h.ends().contains(&Outcome::NoConnection));
 }
 
 #[rstest]
@@ -245,12 +245,12 @@
     h.wait(2 * S);
     let strings = h.strings.borrow();
     assert_eq!(
-        strings.orders.iter().map(|o| o.end).collect::<Vec<_>>(),
-        [End::Finished, End::TimedOut]
+        strings.orders.iter().map(|o| o.outcome).collect::<Vec<_>>(),
+        [Outcome::Finished, Outcome::TimedOut]
     );
     assert_eq!(
-        strings.probes.iter().map(|p| p.end).collect::<Vec<_>>(),
-        [End::Finished, End::TimedOut]
+        strings.probes.iter().map(|p| p.outcome).collect::<Vec<_>>(),
+        [Outcome::Finished, Outcome::TimedOut]
     );
 }
 
@@ -266,10 +266,10 @@
         .borrow()
         .lists
         .last()
-        .map(|l| (l.kind, l.rows[0].state));
+        .map(|l| (l.kind, l.endpoints[0].state));
     assert_eq!(
         told,
-        Some((ListKind::Changes, WorkerState::Draining)),
+        Some((EndpointListKind::Delta, WorkerState::Draining)),
         "a drain does not wait for the rest"
     );
     let asked = h.io.wrote[&h.list].len();
@@ -283,8 +283,8 @@
         .borrow()
         .lists
         .last()
-        .map(|l| (l.kind, l.rows[0].state));
-    assert_eq!(told, Some((ListKind::Changes, WorkerState::Ready)));
+        .map(|l| (l.kind, l.endpoints[0].state));
+    assert_eq!(told, Some((EndpointListKind::Delta, WorkerState::Ready)));
 }
 
 #[rstest]
@@ -295,24 +295,24 @@
         ..row("w", incarnation, Phase::Ready)
     };
     h.list_says(&h.rows(2, true, 0, &[young(2, 500_000)]));
-    let first = h.strings.borrow().lists.last().unwrap().rows[0].started;
+    let first = h.strings.borrow().lists.last().unwrap().endpoints[0].started_at;
     assert_eq!(first, h.now - 500_000);
     h.now += S;
     h.list_says(&h.rows(3, true, 0, &[young(2, 1_700_000)]));
     assert_eq!(
-        h.strings.borrow().lists.last().unwrap().rows[0].started,
+        h.strings.borrow().lists.last().unwrap().endpoints[0].started_at,
         first,
         "200 ms late, not restarted"
     );
     let (_, worker) = h.call_out(5 * S);
     h.up(worker);
     h.greets(worker, "w", 3, Some(1000));
-    let told = h.strings.borrow().lists.last().unwrap().rows[0];
-    assert_eq!(told.started, h.now - 1000);
+    let told = h.strings.borrow().lists.last().unwrap().endpoints[0];
+    assert_eq!(told.started_at, h.now - 1000);
     h.list_says(&h.rows(4, true, 0, &[young(2, 9_000_000)]));
     assert_eq!(
-        h.strings.borrow().lists.last().unwrap().rows[0].started,
-        told.started,
+        h.strings.borrow().lists.last().unwrap().endpoints[0].started_at,
+        told.started_at,
         "stale news"
     );
 }
@@ -323,9 +323,12 @@
     h.wait(S);
     let kept = h.io.saved.clone().unwrap();
     let again = Host::bare(&[], Some(kept.clone()));
-    assert_eq!(again.strings.borrow().lists[0].kind, ListKind::Cached);
     assert_eq!(
-        again.strings.borrow().lists[0].rows[0].state,
+        again.strings.borrow().lists[0].kind,
+        EndpointListKind::Cached
+    );
+    assert_eq!(
+        again.strings.borrow().lists[0].endpoints[0].state,
         WorkerState::Ready
     );
     for torn in [&kept[..kept.len() - 3], b"something else", &[]] {
@@ -434,7 +437,7 @@
     }
     assert_eq!(h.io.connects.len(), tried);
     assert!(
-        h.ends().iter().all(|end| *end == End::NoConnection) && h.ends().len() == 4,
+        h.ends().iter().all(|end| *end == Outcome::NoConnection) && h.ends().len() == 4,
         "{:?}",
         h.ends()
     );
@@ -453,7 +456,7 @@
     h.call_out(5 * S);
     h.turn();
     assert_eq!(h.io.connects.len(), tried);
-    assert_eq!(h.ends(), [End::Reset, End::NoConnection]);
+    assert_eq!(h.ends(), [Outcome::Reset, Outcome::NoConnection]);
 }
 
 /// Its connection is long in coming, and meanwhile another execution finishes, or the client leaves: nothing of the job
@@ -477,7 +480,7 @@
     h.up(slow);
     h.wait(S);
     assert_eq!(h.executions_read(slow).len(), 0);
-    assert_eq!(h.ends(), [End::Moot]);
+    assert_eq!(h.ends(), [Outcome::CancelledBeforeStart]);
 }
 
 #[rstest]
@@ -519,7 +522,7 @@
     };
     let h = Host::bare(&[], Some(write(&kept)));
     assert_eq!(
-        h.strings.borrow().lists[0].rows[0].started,
+        h.strings.borrow().lists[0].endpoints[0].started_at,
         1000 * S - 500_000
     );
 }
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -198,11 +198,11 @@
             .map(|c| c.memory_mb)
             .sum();
         LoadReport {
-            held: Some((self.running.len() + self.waiting.len()) as f64),
+            in_flight: Some((self.running.len() + self.waiting.len()) as f64),
             queued: Some(self.waiting.len() as f64),
             busy: Some(self.running.len() as f64 / self.size.cores.max(1) as f64),
             memory_pinned: Some(pinned_mb / self.size.memory_mb.max(1.0)),
-            loads: Some(self.loading() as f64),
+            loads_in_progress: Some(self.loading() as f64),
         }
     }
     /// What is true of it, for who may see it.
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -3,10 +3,10 @@
 //! may be repeated and gives up at the limit; what differs is only how a worker is chosen.
 
 use sanddrum::{
-    Decisions, End, FunctionId, Job, JobId, Micros, Round, Settings, WorkerId, WorkerState,
-    WorkloadId,
+    Decisions, EventBatch, FunctionId, Micros, Outcome, Request, RequestId, Settings, WorkerId,
+    WorkerState, WorkloadId,
 };
-use sanddrum_edge::Module;
+use sanddrum_edge::DecisionModule;
 use sanddrum_emulator::{Shared, Truth};
 use sanddrum_net::Chance;
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,7 +46,7 @@
 const BOUND: f64 = 1.25;
 
 struct Held {
-    job: Job,
+    job: Request,
     tries: u32,
     may_have_run: bool,
 }
@@ -58,9 +58,9 @@
     settings: Settings,
     sizes: BTreeMap<WorkerId, f64>,
     in_flight: BTreeMap<WorkerId, u32>,
-    jobs: BTreeMap<JobId, Held>,
+    jobs: BTreeMap<RequestId, Held>,
     /// Jobs that wait for a load, by where and what.
-    loading: BTreeMap<(WorkerId, FunctionId), Vec<JobId>>,
+    loading: BTreeMap<(WorkerId, FunctionId), Vec<RequestId>>,
     next: usize,
 }
 
@@ -90,7 +90,7 @@
     fn least(&self, among: impl Iterator<Item = WorkerId>) -> Option<WorkerId> {
         among.min_by(|a, b| self.load(a).total_cmp(&self.load(b)).then(a.cmp(b)))
     }
-    fn choose(&mut self, now: Micros, job: &Job) -> Option<WorkerId> {
+    fn choose(&mut self, now: Micros, job: &Request) -> Option<WorkerId> {
         let all: Vec<WorkerId> = self.sizes.keys().copied().collect();
         if all.is_empty() {
             return None;
@@ -134,10 +134,10 @@
         }
     }
     /// The worker that would be done first, from what is true of all of them, other routers' choices included.
-    fn best(&self, now: Micros, job: &Job, all: &[WorkerId]) -> Option<WorkerId> {
+    fn best(&self, now: Micros, job: &Request, all: &[WorkerId]) -> Option<WorkerId> {
         let truth = self.truth.borrow();
-        let work = job.work.unwrap_or(50_000) as f64;
-        let load = job.load.unwrap_or(400_000) as f64;
+        let work = job.expected_work.unwrap_or(50_000) as f64;
+        let load = job.load_time.unwrap_or(400_000) as f64;
         let done = |worker: &WorkerId| -> Option<f64> {
             let w = truth.0.get(&worker.0).filter(|w| w.serves && w.room > 0)?;
             let pace = w.pace.max(0.01);
@@ -165,7 +165,7 @@
         let patience = self
             .settings
             .number(&format!("workloads.{}.time-limit-us", job.workload.0));
-        let gone = patience.map_or(0.0, |patience| patience - (job.due - now) as f64);
+        let gone = patience.map_or(0.0, |patience| patience - (job.deadline - now) as f64);
         let target = target.unwrap_or(1e6) * IN_TIME - gone.max(0.0);
         timed
             .filter(|(at, _)| *at < target)
@@ -178,13 +178,13 @@
             .text(&format!("workloads.{}.effect", workload.0))
             == Some("restartable")
     }
-    fn place(&mut self, now: Micros, id: JobId, out: &mut impl Decisions) {
+    fn place(&mut self, now: Micros, id: RequestId, out: &mut impl Decisions) {
         let Some(held) = self.jobs.get(&id) else {
             return;
         };
         let (job, tries) = (held.job, held.tries);
         let most = self.settings.number("limits.max-executions").unwrap_or(3.0) as u32;
-        let chosen = if tries < most && now < job.due {
+        let chosen = if tries < most && now < job.deadline {
             self.choose(now, &job)
         } else {
             None
@@ -194,7 +194,7 @@
             None => self.give_up(id, out),
         }
     }
-    fn send(&mut self, now: Micros, id: JobId, worker: WorkerId, out: &mut impl Decisions) {
+    fn send(&mut self, now: Micros, id: RequestId, worker: WorkerId, out: &mut impl Decisions) {
         let Some(held) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -203,30 +203,30 @@
         if let Some(w) = self.truth.borrow_mut().0.get_mut(&worker.0) {
             w.held += 1;
             w.room = w.room.saturating_sub(1);
-            w.backlog += held.job.work.unwrap_or(0) as f64;
+            w.backlog += held.job.expected_work.unwrap_or(0) as f64;
             w.functions.entry(held.job.function.0).or_default().held += 1;
         }
-        out.execute(id, worker, held.job.due - now);
+        out.dispatch(id, worker, held.job.deadline - now);
     }
-    fn give_up(&mut self, id: JobId, out: &mut impl Decisions) {
+    fn give_up(&mut self, id: RequestId, out: &mut impl Decisions) {
         let Some(held) = self.jobs.remove(&id) else {
             return;
         };
         if held.may_have_run && !self.restartable(held.job.workload) {
-            out.kill(id);
+            out.fail(id);
         } else {
-            out.push_back(id, 200_000);
+            out.reject(id, 200_000);
         }
     }
 }
 
-impl Module for Baseline {
-    fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions) {
-        for list in &round.lists {
-            if list.kind != sanddrum::ListKind::Changes {
+impl DecisionModule for Baseline {
+    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
+        for list in &round.endpoint_lists {
+            if list.kind != sanddrum::EndpointListKind::Delta {
                 self.sizes.clear();
             }
-            for row in &list.rows {
+            for row in &list.endpoints {
                 match row.state {
                     WorkerState::Ready => drop(self.sizes.insert(row.worker, row.size)),
                     _ => drop(self.sizes.remove(&row.worker)),
@@ -234,51 +234,56 @@
             }
         }
         let mut again = BTreeSet::new();
-        for end in &round.ends {
+        for end in &round.attempt_results {
             self.in_flight
                 .entry(end.worker)
                 .and_modify(|n| *n = n.saturating_sub(1));
-            if end.settled || end.end == End::Finished {
-                self.jobs.remove(&end.job);
+            if end.is_final || end.outcome == Outcome::Finished {
+                self.jobs.remove(&end.request);
                 continue;
             }
-            let Some(held) = self.jobs.get_mut(&end.job) else {
+            let Some(held) = self.jobs.get_mut(&end.request) else {
                 continue;
             };
             held.may_have_run |= !matches!(
-                end.end,
-                End::Full | End::NoConnection | End::Miss | End::Moot
+                end.outcome,
+                Outcome::Rejected
+                    | Outcome::NoConnection
+                    | Outcome::ColdMiss
+                    | Outcome::CancelledBeforeStart
             );
-            match end.end {
-                End::Miss => {
+            match end.outcome {
+                Outcome::ColdMiss => {
                     // It is loaded there and comes back.
                     held.tries -= 1;
-                    let (place, id) = ((end.worker, held.job.function), end.job);
+                    let (place, id) = ((end.worker, held.job.function), end.request);
                     let waits = self.loading.entry(place).or_default();
                     if waits.is_empty() {
-                        out.hold(place.0, place.1, 1);
+                        out.load(place.0, place.1, 1);
                     }
                     waits.push(id);
                 }
-                _ => drop(again.insert(end.job)),
+                _ => drop(again.insert(end.request)),
             }
         }
-        for order in &round.orders {
+        for order in &round.load_results {
             let waits = self
                 .loading
                 .remove(&(order.worker, order.function))
                 .unwrap_or_default();
             for id in waits {
-                match order.end {
-                    End::Finished if self.jobs.get(&id).is_some_and(|h| now < h.job.due) => {
+                match order.outcome {
+                    Outcome::Finished
+                        if self.jobs.get(&id).is_some_and(|h| now < h.job.deadline) =>
+                    {
                         self.send(now, id, order.worker, out)
                     }
                     _ => drop(again.insert(id)),
                 }
             }
         }
-        self.jobs.retain(|id, _| !round.left.contains(id));
-        for job in &round.jobs {
+        self.jobs.retain(|id, _| !round.cancelled.contains(id));
+        for job in &round.requests {
             self.jobs.insert(
                 job.id,
                 Held {
@@ -301,11 +306,11 @@
             }
         }
         // What waits for a load is given up at its limit.
-        let late: Vec<JobId> = self
+        let late: Vec<RequestId> = self
             .loading
             .values()
             .flatten()
-            .filter(|id| self.jobs.get(id).is_some_and(|h| h.job.due <= now))
+            .filter(|id| self.jobs.get(id).is_some_and(|h| h.job.deadline <= now))
             .copied()
             .collect();
         late.into_iter().for_each(|id| self.give_up(id, out));
@@ -314,7 +319,7 @@
             .values()
             .flatten()
             .filter_map(|id| self.jobs.get(id))
-            .map(|h| h.job.due)
+            .map(|h| h.job.deadline)
             .min();
         if let Some(at) = next {
             out.wake_at(at);
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow.rs
@@ -10,13 +10,14 @@
 use super::starts::Starts;
 use super::{clock::Clock, Stop};
 use sanddrum::{
-    CellId, End, FunctionId, Job, JobId, KindId, ListKind, Micros, OrderEnd, ProbeEnd, Report,
-    Round, Settings, Warmth, WorkerId, WorkerList, WorkerRow, WorkerState, WorkloadId, ZoneId,
+    CellId, Endpoint, EndpointList, EndpointListKind, EventBatch, FunctionId, HealthCheckResult,
+    KindId, LoadReport, LoadResult, Micros, Outcome, Request, RequestId, Settings, Warmth,
+    WorkerId, WorkerState, WorkloadId, ZoneId,
 };
 use sanddrum_emulator::machine::{Effect, Task, Ticket};
 use sanddrum_net::Chance;
 use sanddrum_upstream::LinkId;
-use sanddrum_wire::{Copy, Ended, Hold, LoadReport};
+use sanddrum_wire::{Copy, Ended, Hold, LoadReport as WireLoadReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Instant;
@@ -64,7 +65,7 @@
     /// The whole at the beginning, and changes as things happen.
     AtStart,
     /// The first router gets these, and no others.
-    Given(Vec<(Micros, WorkerList)>),
+    Given(Vec<(Micros, EndpointList)>),
 }
 
 /// Where calls come from.
@@ -143,7 +144,7 @@
         id: u64,
         ended: Ended,
         copy: Option<Copy>,
-        report: LoadReport,
+        report: WireLoadReport,
         worker: usize,
     },
     Held {
@@ -153,7 +154,7 @@
     },
     Probed {
         id: u64,
-        report: LoadReport,
+        report: WireLoadReport,
         worker: usize,
     },
 }
@@ -206,7 +207,7 @@
     },
     List {
         router: usize,
-        list: Rc<WorkerList>,
+        list: Rc<EndpointList>,
     },
     Act(Act),
     /// A drained worker may have nothing left to do.
@@ -243,7 +244,7 @@
     /// Decisions with their instants and routers, where they are asked for.
     pub log: Option<Vec<(Micros, usize, Decision)>>,
     /// The first router's rounds, where they are asked for.
-    pub rounds: Option<Vec<(Micros, Round)>>,
+    pub rounds: Option<Vec<(Micros, EventBatch)>>,
     clock: Clock,
 }
 
@@ -311,9 +312,9 @@
         match lists {
             Lists::AtStart => {
                 let rows = (0..self.workers.len()).map(|n| self.row(n)).collect();
-                let list = Rc::new(WorkerList {
-                    kind: ListKind::Full,
-                    rows,
+                let list = Rc::new(EndpointList {
+                    kind: EndpointListKind::Full,
+                    endpoints: rows,
                 });
                 for router in 0..self.hosts.len() {
                     self.post(
@@ -410,21 +411,21 @@
             self.model.cross_zone
         }
     }
-    fn row(&self, n: usize) -> WorkerRow {
+    fn row(&self, n: usize) -> Endpoint {
         let worker = &self.workers[n];
         let state = match (worker.up, worker.drains) {
             (false, _) => WorkerState::Gone,
             (true, true) => WorkerState::Draining,
             (true, false) => WorkerState::Ready,
         };
-        WorkerRow {
+        Endpoint {
             worker: worker.id,
             zone: ZoneId(worker.zone),
             cell: CellId(0),
             kind: KindId(0),
             size: self.model.size.cores as f64 * self.model.size.speed,
             state,
-            started: worker.machine.started,
+            started_at: worker.machine.started,
         }
     }
 
@@ -467,18 +468,18 @@
                 }
             }
             Event::ExecutionLate { router, id } => self.execution_late(router, id),
-            Event::OrderLate { router, id } => self.end_order(router, id, End::TimedOut, 0),
-            Event::ProbeLate { router, id } => self.end_probe(router, id, End::TimedOut, None),
+            Event::OrderLate { router, id } => self.end_order(router, id, Outcome::TimedOut, 0),
+            Event::ProbeLate { router, id } => self.end_probe(router, id, Outcome::TimedOut, None),
             Event::LinkUp { router, link } => self.link_up(router, link),
             Event::Link { router, link } => self.look_at_link(router, link),
-            Event::LinkBroken { router, link } => self.end_link(router, link, End::Reset),
+            Event::LinkBroken { router, link } => self.end_link(router, link, Outcome::Reset),
             Event::List { router, list } => {
-                let bytes = self.bytes.list(list.rows.len());
+                let bytes = self.bytes.list(list.endpoints.len());
                 let host = &mut self.hosts[router];
-                host.counts.rows += list.rows.len() as u64;
+                host.counts.rows += list.endpoints.len() as u64;
                 (host.counts.messages, host.counts.bytes) =
                     (host.counts.messages + 1, host.counts.bytes + bytes);
-                host.round.lists.push((*list).clone());
+                host.round.endpoint_lists.push((*list).clone());
                 self.listed(router, &list);
                 self.touched_routers.insert(router);
             }
@@ -491,9 +492,9 @@
             }
             Event::Noticed(workers) => {
                 let rows = workers.into_iter().map(|n| self.row(n)).collect();
-                let list = Rc::new(WorkerList {
-                    kind: ListKind::Changes,
-                    rows,
+                let list = Rc::new(EndpointList {
+                    kind: EndpointListKind::Delta,
+                    endpoints: rows,
                 });
                 for router in 0..self.hosts.len() {
                     let at = self.now + self.way(0, self.hosts[router].zone);
@@ -560,17 +561,17 @@
             closed: false,
         });
         host.counts.calls += 1;
-        host.round.jobs.push(Job {
+        host.round.requests.push(Request {
             id,
             function: f.id,
             workload: WorkloadId(0),
             customer: sanddrum::CustomerId(0),
-            due,
+            deadline: due,
             memory_mb: f.memory_mb,
-            lanes: f64::from(f.lanes),
-            load: f.load,
-            work: hint,
-            repeat: false,
+            concurrency: f64::from(f.lanes),
+            load_time: f.load,
+            expected_work: hint,
+            is_retry: false,
         });
         self.touched_routers.insert(router);
     }
--- a/crates/sanddrum-lab/src/capacity/hollow/links.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/links.rs
@@ -46,10 +46,10 @@
         mark: Mark,
         message: Message,
         due: Micros,
-    ) -> Result<LinkId, End> {
+    ) -> Result<LinkId, Outcome> {
         let streams = self.model.streams;
         let host = &self.hosts[router];
-        let targets = host.targets.get(&worker).ok_or(End::NoConnection)?;
+        let targets = host.targets.get(&worker).ok_or(Outcome::NoConnection)?;
         let links = targets
             .iter()
             .filter_map(|id| Some((id, host.links.get(id)?)));
@@ -61,7 +61,7 @@
             None => self.new_link(router, worker)?,
         };
         let host = &mut self.hosts[router];
-        let link = host.links.get_mut(&id).ok_or(End::NoConnection)?;
+        let link = host.links.get_mut(&id).ok_or(Outcome::NoConnection)?;
         link.out.push((mark, message));
         if mark != Mark::Other {
             link.carries.insert(mark);
@@ -92,13 +92,17 @@
             host.dirty.insert(id);
         }
     }
-    fn new_link(&mut self, router: usize, worker: WorkerId) -> Result<LinkId, End> {
+    fn new_link(&mut self, router: usize, worker: WorkerId) -> Result<LinkId, Outcome> {
         let (now, most) = (self.now, self.model.connections);
-        let to = self.by_id.get(&worker).copied().ok_or(End::NoConnection)?;
+        let to = self
+            .by_id
+            .get(&worker)
+            .copied()
+            .ok_or(Outcome::NoConnection)?;
         let host = &mut self.hosts[router];
-        let target = host.targets.get_mut(&worker).ok_or(End::NoConnection)?;
+        let target = host.targets.get_mut(&worker).ok_or(Outcome::NoConnection)?;
         if target.len() >= most {
-            return Err(End::Full);
+            return Err(Outcome::Rejected);
         }
         host.made += 1;
         let id = LinkId(host.made);
@@ -144,7 +148,7 @@
         host.connect_wake = None;
         let (news, mut decided) = (std::mem::take(&mut host.news), Decided::default());
         let began = Clock::now();
-        host.connections.round(now, &news, &mut decided);
+        host.connections.handle(now, &news, &mut decided);
         host.counts.connection_nanoseconds += self.clock.passed(began);
         for decision in decided.0 {
             match decision {
@@ -152,9 +156,9 @@
                 Connecting::OpenAhead(worker) => self.link_ahead(router, worker),
                 Connecting::GiveUp(link, why) => {
                     let end = if why == Why::Spared {
-                        End::Full
+                        Outcome::Rejected
                     } else {
-                        End::NoConnection
+                        Outcome::NoConnection
                     };
                     self.end_link(router, link, end);
                 }
@@ -229,11 +233,11 @@
         self.touched_routers.insert(router);
         let idle = link.quiet_since + idle_close;
         if !link.up && link.dialled && !link.retired {
-            return self.end_link(router, id, End::NoConnection);
+            return self.end_link(router, id, Outcome::NoConnection);
         }
         let empty = link.carries.is_empty();
         if empty && (link.retired || (link.out.is_empty() && idle <= now)) {
-            return self.end_link(router, id, End::Reset);
+            return self.end_link(router, id, Outcome::Reset);
         }
         if !link.retired {
             let again = if empty { idle } else { now + idle_close };
@@ -241,7 +245,7 @@
         }
     }
     /// A connection is gone, with all that it carried.
-    pub(super) fn end_link(&mut self, router: usize, id: LinkId, end: End) {
+    pub(super) fn end_link(&mut self, router: usize, id: LinkId, end: Outcome) {
         let host = &mut self.hosts[router];
         let Some(link) = host.links.remove(&id) else {
             return;
@@ -304,8 +308,8 @@
     }
 
     /// The list as it concerns connections: who may be called, and from whom what is unwritten is taken back.
-    pub(super) fn listed(&mut self, router: usize, list: &WorkerList) {
-        for row in &list.rows {
+    pub(super) fn listed(&mut self, router: usize, list: &EndpointList) {
+        for row in &list.endpoints {
             let (worker, ready) = (row.worker, row.state != WorkerState::Gone);
             let host = &mut self.hosts[router];
             if !ready {
@@ -314,7 +318,7 @@
             host.news.listed.push(Listed {
                 worker,
                 size: row.size,
-                started: row.started,
+                started: row.started_at,
                 ready,
             });
             host.targets.entry(worker).or_default();
@@ -349,9 +353,11 @@
         }
         for mark in back {
             match mark {
-                Mark::Execution(id) => self.end_execution(router, id, End::Moot),
-                Mark::Order(id) => self.end_order(router, id, End::Full, 0),
-                Mark::Probe(id) => self.end_probe(router, id, End::Moot, None),
+                Mark::Execution(id) => {
+                    self.end_execution(router, id, Outcome::CancelledBeforeStart)
+                }
+                Mark::Order(id) => self.end_order(router, id, Outcome::Rejected, 0),
+                Mark::Probe(id) => self.end_probe(router, id, Outcome::CancelledBeforeStart, None),
                 Mark::Other => {}
             }
         }
--- a/crates/sanddrum-lab/src/capacity/hollow/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/routers.rs
@@ -16,10 +16,10 @@
             }
             let mut written = Written::default();
             let began = Clock::now();
-            host.module.round(self.now, &round, &mut written);
+            host.module.handle(self.now, &round, &mut written);
             let took = self.clock.passed(began);
             host.counts.nanoseconds += took;
-            if round.jobs.is_empty() && round.ends.is_empty() {
+            if round.requests.is_empty() && round.attempt_results.is_empty() {
                 host.counts.control_nanoseconds += took;
             }
             host.counts.rounds += 1;
@@ -75,7 +75,7 @@
                 };
                 let due = now + limit;
                 let sent = match closed {
-                    true => Err(End::Moot),
+                    true => Err(Outcome::CancelledBeforeStart),
                     false => self.send(router, worker, Mark::Execution(execution), message, due),
                 };
                 let (link, late) = match sent {
@@ -115,12 +115,12 @@
                     return;
                 };
                 if self.take_back(router, id) {
-                    return self.end_execution(router, id, End::Moot);
+                    return self.end_execution(router, id, Outcome::CancelledBeforeStart);
                 }
                 self.count_control(router, 1, self.bytes.cancel);
                 self.hosts[router].counts.cancels += 1;
                 self.tell(router, link, Message::Cancel { id });
-                self.end_execution(router, id, End::Cancelled);
+                self.end_execution(router, id, Outcome::Cancelled);
             }
             Decision::PushBack { job, .. } => {
                 host.counts.pushed_back += 1;
@@ -168,14 +168,14 @@
                         self.hosts[router].orders.insert(id, asked);
                     }
                     Err(end) => {
-                        let end = OrderEnd {
+                        let end = LoadResult {
                             worker,
                             function,
-                            end,
+                            outcome: end,
                             latency: 0,
-                            copies: 0,
+                            instances: 0,
                         };
-                        self.hosts[router].round.orders.push(end);
+                        self.hosts[router].round.load_results.push(end);
                     }
                 }
             }
@@ -214,13 +214,13 @@
                         self.hosts[router].probes.insert(id, asked);
                     }
                     Err(end) => {
-                        let end = ProbeEnd {
+                        let end = HealthCheckResult {
                             worker,
-                            end,
+                            outcome: end,
                             latency: 0,
                             report: None,
                         };
-                        self.hosts[router].round.probes.push(end);
+                        self.hosts[router].round.health_check_results.push(end);
                     }
                 }
             }
@@ -234,7 +234,7 @@
         (counts.messages, counts.bytes) = (counts.messages + messages, counts.bytes + bytes);
     }
 
-    pub(super) fn end_execution(&mut self, router: usize, id: u64, end: End) {
+    pub(super) fn end_execution(&mut self, router: usize, id: u64, end: Outcome) {
         if let Some(out) =
             self.hosts[router].execution_ended(self.now, id, end, Warmth::Unknown, None, None)
         {
@@ -243,7 +243,7 @@
         }
         self.touched_routers.insert(router);
     }
-    pub(super) fn end_order(&mut self, router: usize, id: u64, end: End, copies: u32) {
+    pub(super) fn end_order(&mut self, router: usize, id: u64, end: Outcome, copies: u32) {
         if let Some(asked) = self.hosts[router].order_ended(self.now, id, end, copies) {
             self.queue.remove(&asked.late);
             self.release(router, asked.link, Mark::Order(id));
@@ -254,8 +254,8 @@
         &mut self,
         router: usize,
         id: u64,
-        end: End,
-        report: Option<LoadReport>,
+        end: Outcome,
+        report: Option<WireLoadReport>,
     ) {
         let report = report.as_ref().map(report_of);
         if let Some(asked) = self.hosts[router].probe_ended(self.now, id, end, report) {
@@ -266,14 +266,14 @@
     }
     pub(super) fn execution_late(&mut self, router: usize, id: u64) {
         let end = if self.take_back(router, id) {
-            End::NoConnection
+            Outcome::NoConnection
         } else {
-            End::TimedOut
+            Outcome::TimedOut
         };
         self.end_execution(router, id, end);
     }
     /// A final answer that is not *finished*.
-    pub(super) fn give_up(&mut self, router: usize, id: JobId) {
+    pub(super) fn give_up(&mut self, router: usize, id: RequestId) {
         let Some(job) = self.hosts[router].jobs.get(&id).filter(|job| !job.closed) else {
             return;
         };
@@ -291,7 +291,7 @@
             .is_some_and(|at| (job.came..sent).contains(at))
     }
     /// Closes a job; what still waits to be written for it is not sent any more.
-    pub(super) fn recall(&mut self, router: usize, id: JobId) {
+    pub(super) fn recall(&mut self, router: usize, id: RequestId) {
         let all = self.hosts[router]
             .jobs
             .get(&id)
@@ -300,7 +300,7 @@
         self.hosts[router].close(id);
         for execution in all {
             if self.take_back(router, execution) {
-                self.end_execution(router, execution, End::Moot);
+                self.end_execution(router, execution, Outcome::CancelledBeforeStart);
             }
         }
     }
@@ -321,10 +321,10 @@
                 };
                 let (end, warmth) = (end_of(ended), warmth_of(copy));
                 let open = host.jobs.get(&out.job).filter(|job| !job.closed);
-                if let (End::Finished, Some(job)) = (end, open) {
+                if let (Outcome::Finished, Some(job)) = (end, open) {
                     let (rare, came, work) =
                         (self.functions.all[job.function].rare, job.came, job.work);
-                    let loads = matches!(warmth, Warmth::BeganLoad | Warmth::WaitedForLoad)
+                    let loads = matches!(warmth, Warmth::StartedLoad | Warmth::WaitedForLoad)
                         || self.waited_for_load(router, job, out.sent);
                     let way = self.way(self.hosts[router].zone, self.workers[worker].zone);
                     self.starts
@@ -346,13 +346,13 @@
             }
             Answer::Probed { id, report, worker } => {
                 self.reported(router, worker, Some(&report_of(&report)));
-                self.end_probe(router, id, End::Finished, Some(report));
+                self.end_probe(router, id, Outcome::Finished, Some(report));
             }
         }
     }
     /// What a worker told of itself, for the connection module.
-    fn reported(&mut self, router: usize, worker: usize, report: Option<&Report>) {
-        let told = report.and_then(|report| Some(report.held? + report.queued?));
+    fn reported(&mut self, router: usize, worker: usize, report: Option<&LoadReport>) {
+        let told = report.and_then(|report| Some(report.in_flight? + report.queued?));
         let id = self.workers[worker].id;
         self.hosts[router]
             .news
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -2,7 +2,7 @@
 //! is known. It is hollow behind that, as it keeps no rows and serves nobody.
 
 use sanddrum::Settings;
-use sanddrum_bootstrap::{Decisions, News, Start};
+use sanddrum_bootstrap::{Decisions, Events, Start};
 use sanddrum_edge::Known;
 use sanddrum_net::{Conn, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{frame::frame, Frames, FromListHead, Hello, RowsHead, ToList, VERSION};
@@ -98,9 +98,9 @@
             spec,
         }
     }
-    fn follow(&mut self, now: Micros, news: &[News], io: &mut dyn Io) {
+    fn follow(&mut self, now: Micros, news: &[Events], io: &mut dyn Io) {
         let mut wanted = Wanted::default();
-        self.start.round(now, news, &mut wanted);
+        self.start.handle(now, news, &mut wanted);
         if wanted.hangs_up {
             self.leave(io);
         }
@@ -147,9 +147,9 @@
     fn rows(&mut self, now: Micros, rows: RowsHead, io: &mut dyn Io) {
         if !self.known.is_followed_by(rows) {
             self.followers.borrow_mut().gaps += 1;
-            return self.follow(now, &[News::Gap], io);
+            return self.follow(now, &[Events::Gap], io);
         }
-        self.follow(now, &[News::Answered], io);
+        self.follow(now, &[Events::Answered], io);
         let before = self.known;
         let taken = self.known.take(rows);
         let mut followers = self.followers.borrow_mut();
@@ -174,7 +174,7 @@
                 Ok(Some(FromListHead::Hello(_))) => {}
                 Err(_) => {
                     self.leave(io);
-                    return self.follow(now, &[News::Lost], io);
+                    return self.follow(now, &[Events::Lost], io);
                 }
             }
         }
@@ -195,7 +195,7 @@
                 ..Follower::default()
             };
         }
-        self.follow(now, &[News::Began { kept }], io);
+        self.follow(now, &[Events::Began { kept }], io);
     }
     fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let conn = match event {
@@ -221,7 +221,7 @@
             Event::Closed { .. } => {
                 self.conn = None;
                 self.followers.borrow_mut().losses += 1;
-                self.follow(now, &[News::Lost], io);
+                self.follow(now, &[Events::Lost], io);
             }
             Event::Accepted { .. } => {}
         }
--- a/crates/sanddrum-lab/src/capacity/host.rs
+++ b/crates/sanddrum-lab/src/capacity/host.rs
@@ -3,31 +3,31 @@
 
 use super::hollow::Message;
 use sanddrum::{
-    Decisions, End, ExecutionEnd, FunctionId, JobId, Micros, OrderEnd, PeerId, ProbeEnd, Report,
-    Round, Router, Settings, Warmth, WorkerId,
+    AttemptResult, Decisions, EventBatch, FunctionId, HealthCheckResult, LoadReport, LoadResult,
+    Micros, Outcome, PeerId, RequestId, Router, Settings, Warmth, WorkerId,
 };
-use sanddrum_upstream::{Connections, LinkId, News};
-use sanddrum_wire::{Copy, Ended, LoadReport};
+use sanddrum_upstream::{Connections, Events, LinkId};
+use sanddrum_wire::{Copy, Ended, LoadReport as WireLoadReport};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a module decided, as it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     Execute {
-        job: JobId,
+        job: RequestId,
         worker: WorkerId,
         limit: Micros,
     },
     Cancel {
-        job: JobId,
+        job: RequestId,
         execution: usize,
     },
     PushBack {
-        job: JobId,
+        job: RequestId,
         wait: Micros,
     },
     Kill {
-        job: JobId,
+        job: RequestId,
     },
     Hold {
         worker: WorkerId,
@@ -49,17 +49,17 @@
     /// Writes it to whom it is meant for.
     pub fn write(&self, out: &mut impl Decisions) {
         match *self {
-            Decision::Execute { job, worker, limit } => out.execute(job, worker, limit),
+            Decision::Execute { job, worker, limit } => out.dispatch(job, worker, limit),
             Decision::Cancel { job, execution } => out.cancel(job, execution),
-            Decision::PushBack { job, wait } => out.push_back(job, wait),
-            Decision::Kill { job } => out.kill(job),
+            Decision::PushBack { job, wait } => out.reject(job, wait),
+            Decision::Kill { job } => out.fail(job),
             Decision::Hold {
                 worker,
                 function,
                 copies,
-            } => out.hold(worker, function, copies),
+            } => out.load(worker, function, copies),
             Decision::Unload { worker, function } => out.unload(worker, function),
-            Decision::Probe { worker } => out.probe(worker),
+            Decision::Probe { worker } => out.check_health(worker),
             Decision::Subscribe => out.subscribe(),
             Decision::WakeAt(at) => out.wake_at(at),
         }
@@ -71,19 +71,19 @@
 pub struct Written(pub Vec<Decision>);
 
 impl Decisions for Written {
-    fn execute(&mut self, job: JobId, worker: WorkerId, limit: Micros) {
+    fn dispatch(&mut self, job: RequestId, worker: WorkerId, limit: Micros) {
         self.0.push(Decision::Execute { job, worker, limit });
     }
-    fn cancel(&mut self, job: JobId, execution: usize) {
+    fn cancel(&mut self, job: RequestId, execution: usize) {
         self.0.push(Decision::Cancel { job, execution });
     }
-    fn push_back(&mut self, job: JobId, wait: Micros) {
+    fn reject(&mut self, job: RequestId, wait: Micros) {
         self.0.push(Decision::PushBack { job, wait });
     }
-    fn kill(&mut self, job: JobId) {
+    fn fail(&mut self, job: RequestId) {
         self.0.push(Decision::Kill { job });
     }
-    fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+    fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
         self.0.push(Decision::Hold {
             worker,
             function,
@@ -93,19 +93,19 @@
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         self.0.push(Decision::Unload { worker, function });
     }
-    fn probe(&mut self, worker: WorkerId) {
+    fn check_health(&mut self, worker: WorkerId) {
         self.0.push(Decision::Probe { worker });
     }
     fn subscribe(&mut self) {
         self.0.push(Decision::Subscribe);
     }
-    fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {
+    fn gossip(&mut self, _: Option<PeerId>, _: &[u8]) {
         // Routers have no way to each other.
     }
     fn wake_at(&mut self, at: Micros) {
         self.0.push(Decision::WakeAt(at));
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
 /// What a play counts, of one router or of all.
@@ -216,7 +216,7 @@
 
 #[derive(Clone, Copy)]
 pub(crate) struct Out {
-    pub job: JobId,
+    pub job: RequestId,
     pub number: usize,
     pub worker: WorkerId,
     pub sent: Micros,
@@ -282,7 +282,7 @@
 pub struct Host {
     pub(crate) module: Router,
     pub(crate) zone: usize,
-    pub(crate) jobs: BTreeMap<JobId, HostedJob>,
+    pub(crate) jobs: BTreeMap<RequestId, HostedJob>,
     pub(crate) executions: BTreeMap<u64, Out>,
     pub(crate) orders: BTreeMap<u64, Asked>,
     pub(crate) probes: BTreeMap<u64, Asked>,
@@ -292,9 +292,9 @@
     pub(crate) made: u64,
     pub(crate) dirty: BTreeSet<LinkId>,
     pub(crate) connections: Connections,
-    pub(crate) news: News,
+    pub(crate) news: Events,
     pub(crate) connect_wake: Option<Micros>,
-    pub(crate) round: Round,
+    pub(crate) round: EventBatch,
     pub(crate) wake: Option<Micros>,
     /// When its next turn stands in the queue of events.
     pub(crate) turn_at: Option<Micros>,
@@ -321,9 +321,9 @@
             dirty: BTreeSet::new(),
             // A seed of its own, as an edge gives it.
             connections: Connections::new(seed ^ 0xc0, settings),
-            news: News::default(),
+            news: Events::default(),
             connect_wake: None,
-            round: Round::default(),
+            round: EventBatch::default(),
             wake: None,
             turn_at: None,
             next_job: 0,
@@ -333,8 +333,8 @@
             counts: Counts::default(),
         }
     }
-    pub(crate) fn take(&mut self, job: HostedJob) -> JobId {
-        let id = JobId(self.next_job);
+    pub(crate) fn take(&mut self, job: HostedJob) -> RequestId {
+        let id = RequestId(self.next_job);
         self.next_job += 1;
         self.jobs.insert(id, job);
         id
@@ -349,14 +349,14 @@
     }
     pub(crate) fn has_news(&self) -> bool {
         let r = &self.round;
-        !(r.lists.is_empty()
-            && r.jobs.is_empty()
-            && r.ends.is_empty()
-            && r.orders.is_empty()
-            && r.probes.is_empty())
+        !(r.endpoint_lists.is_empty()
+            && r.requests.is_empty()
+            && r.attempt_results.is_empty()
+            && r.load_results.is_empty()
+            && r.health_check_results.is_empty())
     }
     /// The job has its final answer; none has two.
-    pub(crate) fn close(&mut self, id: JobId) -> bool {
+    pub(crate) fn close(&mut self, id: RequestId) -> bool {
         let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.closed) else {
             return false;
         };
@@ -364,7 +364,7 @@
         self.forget_if_done(id);
         true
     }
-    fn forget_if_done(&mut self, id: JobId) {
+    fn forget_if_done(&mut self, id: RequestId) {
         if self
             .jobs
             .get(&id)
@@ -378,10 +378,10 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: End,
+        end: Outcome,
         warmth: Warmth,
         crowd: Option<u32>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Option<Out> {
         let out = self.executions.remove(&id)?;
         let settled = match self.jobs.get_mut(&out.job) {
@@ -392,7 +392,7 @@
             None => true,
         };
         self.forget_if_done(out.job);
-        self.counts.misses += u64::from(end == End::Miss);
+        self.counts.misses += u64::from(end == Outcome::ColdMiss);
         let Out {
             job,
             number,
@@ -401,15 +401,15 @@
             ..
         } = out;
         let latency = now - sent;
-        self.round.ends.push(ExecutionEnd {
-            job,
-            execution: number,
+        self.round.attempt_results.push(AttemptResult {
+            request: job,
+            attempt: number,
             worker,
-            end,
+            outcome: end,
             latency,
-            settled,
+            is_final: settled,
             warmth,
-            crowd,
+            function_in_flight: crowd,
             report,
         });
         Some(out)
@@ -418,7 +418,7 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: End,
+        end: Outcome,
         copies: u32,
     ) -> Option<Asked> {
         let asked = self.orders.remove(&id)?;
@@ -428,12 +428,12 @@
             sent,
             ..
         } = asked;
-        self.round.orders.push(OrderEnd {
+        self.round.load_results.push(LoadResult {
             worker,
             function,
-            end,
+            outcome: end,
             latency: now - sent,
-            copies,
+            instances: copies,
         });
         Some(asked)
     }
@@ -441,13 +441,13 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: End,
-        report: Option<Report>,
+        end: Outcome,
+        report: Option<LoadReport>,
     ) -> Option<Asked> {
         let asked = self.probes.remove(&id)?;
-        self.round.probes.push(ProbeEnd {
+        self.round.health_check_results.push(HealthCheckResult {
             worker: asked.worker,
-            end,
+            outcome: end,
             latency: now - asked.sent,
             report,
         });
@@ -455,41 +455,41 @@
     }
 }
 
-pub(crate) fn end_of(ended: Ended) -> End {
+pub(crate) fn end_of(ended: Ended) -> Outcome {
     match ended {
-        Ended::Finished => End::Finished,
-        Ended::Error => End::Error,
-        Ended::Full => End::Full,
-        Ended::Miss => End::Miss,
-        Ended::Dropped => End::Moot,
+        Ended::Finished => Outcome::Finished,
+        Ended::Error => Outcome::Error,
+        Ended::Full => Outcome::Rejected,
+        Ended::Miss => Outcome::ColdMiss,
+        Ended::Dropped => Outcome::CancelledBeforeStart,
     }
 }
 
-pub(crate) fn order_end_of(ended: Ended) -> End {
+pub(crate) fn order_end_of(ended: Ended) -> Outcome {
     match ended {
-        Ended::Finished => End::Finished,
-        Ended::Error | Ended::Miss => End::Error,
-        Ended::Full | Ended::Dropped => End::Full,
+        Ended::Finished => Outcome::Finished,
+        Ended::Error | Ended::Miss => Outcome::Error,
+        Ended::Full | Ended::Dropped => Outcome::Rejected,
     }
 }
 
 pub(crate) fn warmth_of(copy: Option<Copy>) -> Warmth {
     match copy {
-        Some(Copy::Stood) => Warmth::Stood,
-        Some(Copy::BeganLoad) => Warmth::BeganLoad,
+        Some(Copy::Stood) => Warmth::Warm,
+        Some(Copy::BeganLoad) => Warmth::StartedLoad,
         Some(Copy::WaitedForLoad) => Warmth::WaitedForLoad,
         Some(Copy::LoadFailed) => Warmth::LoadFailed,
         None => Warmth::Unknown,
     }
 }
 
-pub(crate) fn report_of(report: &LoadReport) -> Report {
-    Report {
-        held: report.held,
+pub(crate) fn report_of(report: &WireLoadReport) -> LoadReport {
+    LoadReport {
+        in_flight: report.in_flight,
         queued: report.queued,
         busy: report.busy,
         memory_pinned: report.memory_pinned,
-        loads: report.loads,
-        ..Report::default()
+        loads_in_progress: report.loads_in_progress,
+        ..LoadReport::default()
     }
 }
--- a/crates/sanddrum-lab/src/capacity/memory.rs
+++ b/crates/sanddrum-lab/src/capacity/memory.rs
@@ -4,7 +4,7 @@
 use super::host::Written;
 use super::router::{alone, module_settings, Size};
 use super::{Plan, Stop};
-use sanddrum::{ListKind, Micros, Round, Router, Settings, WorkerList, WorkerState};
+use sanddrum::{EndpointList, EndpointListKind, EventBatch, Micros, Router, Settings, WorkerState};
 use std::time::{Duration, Instant};
 
 /// Modules are made until the process has grown by the first, as what was freed before is taken first, and then by the
@@ -25,7 +25,7 @@
 pub(crate) fn of_module(
     settings: &Settings,
     seed: u64,
-    rounds: &[(Micros, Round)],
+    rounds: &[(Micros, EventBatch)],
     limit: Duration,
     stop: &Stop,
 ) -> Option<f64> {
@@ -37,7 +37,7 @@
             if stop.is_set() || Instant::now() >= deadline {
                 return None;
             }
-            module.round(*now, round, &mut written);
+            module.handle(*now, round, &mut written);
             written.0.clear();
         }
         Some(module)
@@ -90,7 +90,7 @@
     let rounds = fleet.rounds.take().unwrap_or_default();
     let Some(list) = rounds
         .iter()
-        .find_map(|(_, round)| round.lists.first().cloned())
+        .find_map(|(_, round)| round.endpoint_lists.first().cloned())
     else {
         return Ok(None);
     };
@@ -100,21 +100,21 @@
         if stop.is_set() || Instant::now() >= deadline + limit {
             return Ok(None);
         }
-        module.round(*at, round, &mut written);
+        module.handle(*at, round, &mut written);
         (now, written.0) = (*at, Vec::new());
     }
     let clock = Clock::new();
-    let mut time = |lists: Vec<WorkerList>| {
+    let mut time = |lists: Vec<EndpointList>| {
         now += 1;
         let (round, mut written) = (
-            Round {
-                lists,
-                ..Round::default()
+            EventBatch {
+                endpoint_lists: lists,
+                ..EventBatch::default()
             },
             Written::default(),
         );
         let began = Clock::now();
-        module.round(now, &round, &mut written);
+        module.handle(now, &round, &mut written);
         clock.passed(began) as f64 / 1e3
     };
     // A round's own cost isn't the list's; some of these rounds hold a sweep, which isn't either, so the middle counts.
@@ -123,12 +123,12 @@
     const WHOLE_LISTS: usize = 9;
     let mut whole: Vec<f64> = (0..WHOLE_LISTS).map(|_| time(vec![list.clone()])).collect();
     let whole = middle(&mut whole) - nothing;
-    let mut rows = list.rows.iter().cycle();
-    let mut change = |state: WorkerState, row: sanddrum::WorkerRow| {
-        let rows = vec![sanddrum::WorkerRow { state, ..row }];
-        time(vec![WorkerList {
-            kind: ListKind::Changes,
-            rows,
+    let mut rows = list.endpoints.iter().cycle();
+    let mut change = |state: WorkerState, row: sanddrum::Endpoint| {
+        let rows = vec![sanddrum::Endpoint { state, ..row }];
+        time(vec![EndpointList {
+            kind: EndpointListKind::Delta,
+            endpoints: rows,
         }])
     };
     // Draining, gone and back, as one that is replaced.
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -362,7 +362,7 @@
         }
         let cores = at.machine.size.cores.max(1) as f64;
         LoadReport {
-            held: report.held.map(|held| held + more),
+            in_flight: report.in_flight.map(|held| held + more),
             busy: report.busy.map(|busy| (busy + more / cores).min(1.0)),
             ..report
         }
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -6,8 +6,8 @@
 use super::host::{Decision, Written};
 use super::model::{Functions, Model, Shape};
 use crate::{play, Recording, Scenario, VirtualStage};
-use sanddrum::{Decisions, Job, Micros, Round, Router, WorkerList};
-use sanddrum_edge::{Edge, Module, Start};
+use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
+use sanddrum_edge::{DecisionModule, Edge, Start};
 use sanddrum_net::{Conn, Core, Event, Io, Links};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     /// Jobs and lists as they came to the module, and what it decided.
-    pub jobs: Vec<(Micros, Job)>,
-    pub lists: Vec<(Micros, WorkerList)>,
+    pub jobs: Vec<(Micros, Request)>,
+    pub lists: Vec<(Micros, EndpointList)>,
     pub decisions: Vec<(Micros, Decision)>,
     /// Processor time of the whole edge and of its module's rounds, in nanoseconds.
     pub edge_nanoseconds: u64,
     pub module_nanoseconds: u64,
-    pub rounds: Vec<(Micros, Round)>,
+    pub rounds: Vec<(Micros, EventBatch)>,
     pub finished: usize,
     seed: u64,
 }
@@ -36,18 +36,19 @@
     clock: Clock,
 }
 
-impl Module for Watched {
-    fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions) {
+impl DecisionModule for Watched {
+    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
         let mut written = Written::default();
         let began = Clock::now();
-        self.module.round(now, round, &mut written);
+        self.module.handle(now, round, &mut written);
         let took = self.clock.passed(began);
         let mut seen = self.seen.borrow_mut();
         seen.module_nanoseconds += took;
         seen.rounds.push((now, round.clone()));
-        seen.jobs.extend(round.jobs.iter().map(|job| (now, *job)));
+        seen.jobs
+            .extend(round.requests.iter().map(|job| (now, *job)));
         seen.lists
-            .extend(round.lists.iter().map(|list| (now, list.clone())));
+            .extend(round.endpoint_lists.iter().map(|list| (now, list.clone())));
         seen.decisions
             .extend(written.0.iter().map(|decision| (now, decision.clone())));
         drop(seen);
@@ -172,17 +173,17 @@
     model.size.start_us_per_mb = worker.start_us_per_mb;
     model.report_every = worker.report_every;
     (model.same_zone, model.cross_zone) = (links.same_zone, links.cross_zone);
-    let numbered = |(at, job): &(Micros, Job)| {
+    let numbered = |(at, job): &(Micros, Request)| {
         let function = functions.all.iter().position(|f| f.id == job.function);
         let function = function.ok_or("a call of a function that isn't known")?;
-        let work = job.work.unwrap_or_default() as f64;
+        let work = job.expected_work.unwrap_or_default() as f64;
         Ok(Call {
             at: *at,
             router: 0,
             function,
             work,
-            due: job.due,
-            hint: job.work,
+            due: job.deadline,
+            hint: job.expected_work,
         })
     };
     let calls = seen
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -276,7 +276,7 @@
     pub links: usize,
     pub played: Played,
     /// Rounds of the whole play, to play them again.
-    pub rounds: Vec<(Micros, sanddrum::Round)>,
+    pub rounds: Vec<(Micros, sanddrum::EventBatch)>,
     /// Kept, as its memory, once freed, would be what a module that is weighed gets.
     pub fleet: Fleet,
 }
--- a/crates/sanddrum-lab/src/capacity/sizes.rs
+++ b/crates/sanddrum-lab/src/capacity/sizes.rs
@@ -41,11 +41,11 @@
         };
         let some = Some(0.3);
         let report = LoadReport {
-            held: some,
+            in_flight: some,
             queued: some,
             busy: some,
             memory_pinned: some,
-            loads: some,
+            loads_in_progress: some,
         };
         let hello = Hello {
             version: VERSION,
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -1,8 +1,8 @@
 //! Customers' limits at many edges: the deciding module itself at each edge, beside a fixed even split and no limit at
 //! all, with workers that only count. No network: what is measured is what the edges decide from what they see.
 
-use sanddrum::{CustomerId, JobId, Micros, Settings, Value, WorkerId};
-use sanddrum_limits::{Admission, Bucket, News, Over, Pace, Sharing};
+use sanddrum::{CustomerId, Micros, RequestId, Settings, Value, WorkerId};
+use sanddrum_limits::{Admission, Bucket, Events, Over, Pace, Sharing};
 use sanddrum_net::Chance;
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
 pub struct Size {
     edges: Vec<Sharing>,
     even: Vec<BTreeMap<usize, Bucket>>,
-    news: Vec<News>,
+    news: Vec<Events>,
     workers: BTreeMap<(u64, usize), Pace>,
     settings: Settings,
     policy: Policy,
@@ -45,13 +45,13 @@
 
 #[derive(Default)]
 struct Ruled {
-    taken: Vec<JobId>,
+    taken: Vec<RequestId>,
 }
 impl Admission for Ruled {
-    fn take(&mut self, job: JobId) {
+    fn take(&mut self, job: RequestId) {
         self.taken.push(job);
     }
-    fn push_back(&mut self, _: JobId, _: Over, _: Micros) {}
+    fn push_back(&mut self, _: RequestId, _: Over, _: Micros) {}
 }
 
 impl Size {
@@ -73,7 +73,7 @@
         Size {
             edges: (0..edges).map(|_| Sharing::new(&settings)).collect(),
             even: vec![BTreeMap::new(); edges],
-            news: vec![News::default(); edges],
+            news: vec![Events::default(); edges],
             workers: BTreeMap::new(),
             settings,
             policy,
@@ -97,7 +97,7 @@
         let mut done: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
         for _ in 0..span / STEP {
             self.now += STEP;
-            let mut whose: BTreeMap<JobId, usize> = BTreeMap::new();
+            let mut whose: BTreeMap<RequestId, usize> = BTreeMap::new();
             for stream in streams {
                 let mean = stream.rate * STEP as f64 / S as f64;
                 let mut left = mean + self.chance.part();
@@ -107,21 +107,21 @@
                     let edge = stream
                         .edge
                         .unwrap_or_else(|| self.chance.below(self.edges.len()));
-                    whose.insert(JobId(self.next), stream.customer);
+                    whose.insert(RequestId(self.next), stream.customer);
                     done.entry(stream.customer).or_default().0 += 1.0;
                     self.news[edge]
                         .asked
-                        .push((JobId(self.next), CustomerId(stream.customer)));
+                        .push((RequestId(self.next), CustomerId(stream.customer)));
                 }
             }
             self.room =
                 (self.room + self.capacity * STEP as f64 / S as f64).min(self.capacity / 20.0);
-            let mut taken: Vec<(usize, JobId)> = Vec::new();
+            let mut taken: Vec<(usize, RequestId)> = Vec::new();
             for n in 0..self.edges.len() {
                 let news = std::mem::take(&mut self.news[n]);
                 let mut ruled = Ruled::default();
                 match self.policy {
-                    Policy::Seen => self.edges[n].round(self.now, &news, &mut ruled),
+                    Policy::Seen => self.edges[n].handle(self.now, &news, &mut ruled),
                     Policy::None => ruled.taken = news.asked.iter().map(|(job, _)| *job).collect(),
                     Policy::Even => {
                         let fit = news
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -3,8 +3,8 @@
 
 use crate::hammer::{Hammer, HammerSpec, Hammered};
 use crate::tapped::Authority;
-use sanddrum::{Decisions, Micros, Round, Router, WorkerId, WorkerState};
-use sanddrum_edge::{Edge, Module, Start, KEYS};
+use sanddrum::{Decisions, EventBatch, Micros, Router, WorkerId, WorkerState};
+use sanddrum_edge::{DecisionModule, Edge, Start, KEYS};
 use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{Conn, Core, Event, EventLoop, Io, NoTap};
@@ -59,7 +59,7 @@
                 frames.take_in(bytes);
                 while let Ok(Some(message)) = frames.next_message::<ToWorker>() {
                     let report = Some(LoadReport {
-                        held: Some(0.0),
+                        in_flight: Some(0.0),
                         queued: Some(0.0),
                         ..LoadReport::default()
                     });
@@ -120,22 +120,22 @@
     next: usize,
 }
 
-impl Module for Forwarder {
-    fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions) {
-        for row in round.lists.iter().flat_map(|list| &list.rows) {
+impl DecisionModule for Forwarder {
+    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
+        for row in round.endpoint_lists.iter().flat_map(|list| &list.endpoints) {
             if row.state == WorkerState::Ready && !self.workers.contains(&row.worker) {
                 self.workers.push(row.worker);
             }
         }
-        for job in &round.jobs {
+        for job in &round.requests {
             match self.workers.len() {
-                0 => out.push_back(job.id, 0),
-                n => out.execute(job.id, self.workers[self.next % n], job.due - now),
+                0 => out.reject(job.id, 0),
+                n => out.dispatch(job.id, self.workers[self.next % n], job.deadline - now),
             }
             self.next += 1;
         }
-        for end in round.ends.iter().filter(|end| !end.settled) {
-            out.kill(end.job);
+        for end in round.attempt_results.iter().filter(|end| !end.is_final) {
+            out.fail(end.request);
         }
     }
 }
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use sanddrum::*;
-use sanddrum_edge::{Edge, Module};
+use sanddrum_edge::{DecisionModule, Edge};
 use sanddrum_lab::checker::judge;
 use sanddrum_lab::recorder::{Log, Run, Try};
 use sanddrum_lab::{play_virtually, product_edge, MakeEdge, Scenario};
@@ -25,18 +25,22 @@
     how: How,
 }
 
-impl Module for Broken {
-    fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions) {
+impl DecisionModule for Broken {
+    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
         let mut round = round.clone();
-        for row in round.lists.iter_mut().flat_map(|list| &mut list.rows) {
+        for row in round
+            .endpoint_lists
+            .iter_mut()
+            .flat_map(|list| &mut list.endpoints)
+        {
             match self.how {
                 How::MissesDrains => row.state = WorkerState::Ready,
-                How::MissesColdStarts => row.started = 0,
+                How::MissesColdStarts => row.started_at = 0,
                 _ => {}
             }
         }
         self.router
-            .round(now, &round, &mut Crooked { out, how: self.how });
+            .handle(now, &round, &mut Crooked { out, how: self.how });
     }
 }
 
@@ -46,41 +50,41 @@
 }
 
 impl<D: Decisions> Decisions for Crooked<'_, D> {
-    fn execute(&mut self, job: JobId, worker: WorkerId, limit: Micros) {
-        self.out.execute(job, worker, limit);
+    fn dispatch(&mut self, job: RequestId, worker: WorkerId, limit: Micros) {
+        self.out.dispatch(job, worker, limit);
     }
-    fn cancel(&mut self, job: JobId, execution: usize) {
+    fn cancel(&mut self, job: RequestId, execution: usize) {
         self.out.cancel(job, execution);
     }
-    fn push_back(&mut self, job: JobId, wait: Micros) {
+    fn reject(&mut self, job: RequestId, wait: Micros) {
         if self.how != How::AnswersNothingItGivesUp {
-            self.out.push_back(job, wait);
+            self.out.reject(job, wait);
         }
     }
-    fn kill(&mut self, job: JobId) {
+    fn fail(&mut self, job: RequestId) {
         match self.how {
             How::AnswersNothingItGivesUp => {}
-            How::PushesBackWhatMayHaveRun => self.out.push_back(job, 0),
-            _ => self.out.kill(job),
+            How::PushesBackWhatMayHaveRun => self.out.reject(job, 0),
+            _ => self.out.fail(job),
         }
     }
-    fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
-        self.out.hold(worker, function, copies);
+    fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+        self.out.load(worker, function, copies);
     }
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         self.out.unload(worker, function);
     }
-    fn probe(&mut self, worker: WorkerId) {
-        self.out.probe(worker);
+    fn check_health(&mut self, worker: WorkerId) {
+        self.out.check_health(worker);
     }
-    fn tell(&mut self, peer: Option<PeerId>, content: &[u8]) {
-        self.out.tell(peer, content);
+    fn gossip(&mut self, peer: Option<PeerId>, content: &[u8]) {
+        self.out.gossip(peer, content);
     }
     fn wake_at(&mut self, at: Micros) {
         self.out.wake_at(at);
     }
-    fn note(&mut self, text: &str) {
-        self.out.note(text);
+    fn log(&mut self, text: &str) {
+        self.out.log(text);
     }
 }
 
--- a/crates/sanddrum-lab/tests/capacity_real.rs
+++ b/crates/sanddrum-lab/tests/capacity_real.rs
@@ -56,7 +56,7 @@
         .into_iter()
         .map(|(at, _, decision)| (at, decision))
         .collect();
-    let told = |round: &(i64, sanddrum::Round)| format!("{round:?}");
+    let told = |round: &(i64, sanddrum::EventBatch)| format!("{round:?}");
     differs(
         "news",
         &fleet.rounds.take().unwrap(),
--- a/crates/sanddrum-lab/tests/capacity_rows.rs
+++ b/crates/sanddrum-lab/tests/capacity_rows.rs
@@ -3,8 +3,8 @@
 
 use rstest::rstest;
 use sanddrum::{
-    CustomerId, Decisions, FunctionId, Job, JobId, ListKind, PeerId, Round, Router, WorkerId,
-    WorkerList, WorkerRow, WorkerState, WorkloadId,
+    CustomerId, Decisions, Endpoint, EndpointList, EndpointListKind, EventBatch, FunctionId,
+    PeerId, Request, RequestId, Router, WorkerId, WorkerState, WorkloadId,
 };
 use sanddrum_lab::capacity::router::module_settings;
 use sanddrum_lab::capacity::{Memory, Plan, SHORT_PLAN};
@@ -22,16 +22,16 @@
 struct Unkept;
 
 impl Decisions for Unkept {
-    fn execute(&mut self, _: JobId, _: WorkerId, _: i64) {}
-    fn cancel(&mut self, _: JobId, _: usize) {}
-    fn push_back(&mut self, _: JobId, _: i64) {}
-    fn kill(&mut self, _: JobId) {}
-    fn hold(&mut self, _: WorkerId, _: FunctionId, _: u32) {}
+    fn dispatch(&mut self, _: RequestId, _: WorkerId, _: i64) {}
+    fn cancel(&mut self, _: RequestId, _: usize) {}
+    fn reject(&mut self, _: RequestId, _: i64) {}
+    fn fail(&mut self, _: RequestId) {}
+    fn load(&mut self, _: WorkerId, _: FunctionId, _: u32) {}
     fn unload(&mut self, _: WorkerId, _: FunctionId) {}
-    fn probe(&mut self, _: WorkerId) {}
-    fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {}
+    fn check_health(&mut self, _: WorkerId) {}
+    fn gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn wake_at(&mut self, _: i64) {}
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
 /// Bytes that a module allocates for the decision on one job, in the mean over jobs of different functions that come
@@ -39,47 +39,47 @@
 fn allocated_for_a_decision(workers: u64, orders: bool) -> f64 {
     const JOBS: u64 = 200;
     let mut module = Router::new(1, &module_settings(&plan(), 0, 4200, orders).unwrap());
-    let row = |n| WorkerRow {
+    let row = |n| Endpoint {
         worker: WorkerId(n),
         size: 8.0,
         state: WorkerState::Ready,
-        ..WorkerRow::default()
+        ..Endpoint::default()
     };
-    let list = WorkerList {
-        kind: ListKind::Full,
-        rows: (0..workers).map(row).collect(),
+    let list = EndpointList {
+        kind: EndpointListKind::Full,
+        endpoints: (0..workers).map(row).collect(),
     };
     let now = 1_000_000_000;
-    module.round(
+    module.handle(
         now,
-        &Round {
-            lists: vec![list],
-            ..Round::default()
+        &EventBatch {
+            endpoint_lists: vec![list],
+            ..EventBatch::default()
         },
         &mut Unkept,
     );
-    let job = |n| Job {
-        id: JobId(n),
+    let job = |n| Request {
+        id: RequestId(n),
         function: FunctionId(n),
         workload: WorkloadId(0),
         customer: CustomerId(0),
-        due: now + 10_000_000,
+        deadline: now + 10_000_000,
         memory_mb: 128.0,
-        lanes: 1.0,
-        load: None,
-        work: None,
-        repeat: false,
+        concurrency: 1.0,
+        load_time: None,
+        expected_work: None,
+        is_retry: false,
     };
-    let rounds: Vec<Round> = (0..JOBS)
-        .map(|n| Round {
-            jobs: vec![job(n)],
-            ..Round::default()
+    let rounds: Vec<EventBatch> = (0..JOBS)
+        .map(|n| EventBatch {
+            requests: vec![job(n)],
+            ..EventBatch::default()
         })
         .collect();
     let region = Region::new(COUNTED);
     rounds
         .iter()
-        .for_each(|round| module.round(now + 1, round, &mut Unkept));
+        .for_each(|round| module.handle(now + 1, round, &mut Unkept));
     region.change().bytes_allocated as f64 / JOBS as f64
 }
 
--- a/crates/sanddrum-limits/src/lib.rs
+++ b/crates/sanddrum-limits/src/lib.rs
@@ -1,5 +1,5 @@
 //! What each customer gets under load, decided before a job reaches the decision module. The host makes one
-//! [`Sharing`] an edge and calls `round` once a round with all that came in ([`News`]) and a writer ([`Admission`]).
+//! [`Sharing`] an edge and calls `round` once a round with all that came in ([`Events`]) and a writer ([`Admission`]).
 //! All news is recorded first; only then is decided.
 //!
 //! Three limits, each for a customer over all edges together: a rate, jobs in flight, and, while the fleet is pressed,
@@ -21,7 +21,7 @@
 pub use rate::{Bucket, Pace};
 pub use retry_budget::{Asked, Repeats};
 
-use sanddrum::{CustomerId, JobId, Micros, Settings, WorkerId};
+use sanddrum::{CustomerId, Micros, RequestId, Settings, WorkerId};
 
 /// However far over, an edge lets through this part of an even split, so that it goes on seeing the whole.
 const FLOOR: f64 = 0.1;
@@ -42,9 +42,9 @@
 
 /// What came in since the last round.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct Events {
     /// Jobs that ask to be taken, with their customers.
-    pub asked: Vec<(JobId, CustomerId)>,
+    pub asked: Vec<(RequestId, CustomerId)>,
     /// Jobs that were taken and now have their final answer, or whose client left.
     pub ended: Vec<CustomerId>,
     /// Jobs that the decision module pushed back.
@@ -78,9 +78,9 @@
 
 /// Where decisions are written.
 pub trait Admission {
-    fn take(&mut self, job: JobId);
+    fn take(&mut self, job: RequestId);
     /// Final answer, best tried again after `wait`.
-    fn push_back(&mut self, job: JobId, why: Over, wait: Micros);
+    fn push_back(&mut self, job: RequestId, why: Over, wait: Micros);
 }
 
 #[derive(Default)]
@@ -153,7 +153,7 @@
         self.any
     }
 
-    pub fn round(&mut self, now: Micros, news: &News, out: &mut impl Admission) {
+    pub fn handle(&mut self, now: Micros, news: &Events, out: &mut impl Admission) {
         let window = self.window;
         for customer in &news.ended {
             if let Some(c) = self.customers.get_mut(customer.0) {
--- a/crates/sanddrum-limits/src/retry_budget.rs
+++ b/crates/sanddrum-limits/src/retry_budget.rs
@@ -7,13 +7,13 @@
 //! lost zone repeats are what has to be served.
 
 use crate::{Bucket, Over, Pace};
-use sanddrum::{JobId, Micros, Settings};
+use sanddrum::{Micros, RequestId, Settings};
 
 /// What came in since the last round.
 #[derive(Clone, Debug, Default)]
 pub struct Asked {
     /// Jobs that ask to be taken, and whether each is a client's repeat.
-    pub jobs: Vec<(JobId, bool)>,
+    pub jobs: Vec<(RequestId, bool)>,
     /// Jobs that the decision module pushed back.
     pub pressed: u32,
 }
@@ -53,11 +53,11 @@
     }
 
     /// Says of each job, in order, whether it goes on, or why not and when to come back.
-    pub fn round(
+    pub fn handle(
         &mut self,
         now: Micros,
         asked: &Asked,
-        out: &mut impl FnMut(JobId, Result<(), (Over, Micros)>),
+        out: &mut impl FnMut(RequestId, Result<(), (Over, Micros)>),
     ) {
         let window = self.window;
         (0..asked.pressed).for_each(|_| self.pushed.count(now, window));
--- a/crates/sanddrum-limits/tests/repeats.rs
+++ b/crates/sanddrum-limits/tests/repeats.rs
@@ -1,7 +1,7 @@
 //! Clients' repeats while the fleet is pressed.
 
 use rstest::rstest;
-use sanddrum::{JobId, Micros, Settings, Value};
+use sanddrum::{Micros, RequestId, Settings, Value};
 use sanddrum_limits::{Asked, Over, Repeats};
 
 const MS: Micros = 1_000;
@@ -34,11 +34,11 @@
         };
         for n in 0..firsts + repeats {
             self.next += 1;
-            asked.jobs.push((JobId(self.next), n >= firsts));
+            asked.jobs.push((RequestId(self.next), n >= firsts));
         }
         let (mut taken, mut waits) = (0, Vec::new());
         self.repeats
-            .round(self.now, &asked, &mut |_, judged| match judged {
+            .handle(self.now, &asked, &mut |_, judged| match judged {
                 Ok(()) => taken += 1,
                 Err((why, wait)) => {
                     assert_eq!(why, Over::Repeats);
--- a/crates/sanddrum-limits/tests/stories.rs
+++ b/crates/sanddrum-limits/tests/stories.rs
@@ -9,14 +9,14 @@
 
 #[derive(Default)]
 struct Log {
-    taken: Vec<JobId>,
-    back: Vec<(JobId, Over, Micros)>,
+    taken: Vec<RequestId>,
+    back: Vec<(RequestId, Over, Micros)>,
 }
 impl Admission for Log {
-    fn take(&mut self, job: JobId) {
+    fn take(&mut self, job: RequestId) {
         self.taken.push(job);
     }
-    fn push_back(&mut self, job: JobId, why: Over, wait: Micros) {
+    fn push_back(&mut self, job: RequestId, why: Over, wait: Micros) {
         self.back.push((job, why, wait));
     }
 }
@@ -33,7 +33,7 @@
 /// Edges, the workers that they share, and what they all can do together in a second.
 struct Scene {
     edges: Vec<Sharing>,
-    news: Vec<News>,
+    news: Vec<Events>,
     workers: BTreeMap<(WorkerId, CustomerId), Pace>,
     all: BTreeMap<WorkerId, Pace>,
     capacity: f64,
@@ -48,7 +48,7 @@
         let set = [set, &[("routers", edges as f64)]].concat();
         Scene {
             edges: (0..edges).map(|_| Sharing::new(&settings(&set))).collect(),
-            news: vec![News::default(); edges],
+            news: vec![Events::default(); edges],
             workers: BTreeMap::new(),
             all: BTreeMap::new(),
             capacity,
@@ -71,10 +71,10 @@
                 while *owed >= 1.0 {
                     *owed -= 1.0;
                     self.next += 1;
-                    whose.insert(JobId(self.next), CustomerId(*customer));
+                    whose.insert(RequestId(self.next), CustomerId(*customer));
                     self.news[*edge]
                         .asked
-                        .push((JobId(self.next), CustomerId(*customer)));
+                        .push((RequestId(self.next), CustomerId(*customer)));
                 }
             }
             // What is not used is lost, but for a little.
@@ -85,7 +85,7 @@
             for n in (0..edges).map(|n| (n + turn) % edges) {
                 let news = std::mem::take(&mut self.news[n]);
                 let mut log = Log::default();
-                self.edges[n].round(self.now, &news, &mut log);
+                self.edges[n].handle(self.now, &news, &mut log);
                 if turn % 4 < 2 {
                     log.taken.reverse();
                 }
@@ -180,24 +180,24 @@
         ("customers.0.in-flight", 3.0),
     ];
     let mut sharing = Sharing::new(&settings(&set));
-    let news = News {
-        asked: (0..5).map(|n| (JobId(n), CustomerId(0))).collect(),
-        ..News::default()
+    let news = Events {
+        asked: (0..5).map(|n| (RequestId(n), CustomerId(0))).collect(),
+        ..Events::default()
     };
     let mut log = Log::default();
-    sharing.round(S, &news, &mut log);
+    sharing.handle(S, &news, &mut log);
     assert_eq!((log.taken.len(), log.back.len()), (3, 2));
     assert!(log
         .back
         .iter()
         .all(|(_, why, wait)| *why == Over::InFlight && *wait > 0));
-    let ended = News {
+    let ended = Events {
         ended: vec![CustomerId(0)],
         asked: news.asked.clone(),
-        ..News::default()
+        ..Events::default()
     };
     let mut log = Log::default();
-    sharing.round(S, &ended, &mut log);
+    sharing.handle(S, &ended, &mut log);
     assert_eq!(log.taken.len(), 1);
 }
 
--- a/crates/sanddrum-platform-config/src/lib.rs
+++ b/crates/sanddrum-platform-config/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub use sanddrum_wire::id_of;
 
-use sanddrum::{Report, Settings, Value};
+use sanddrum::{LoadReport, Settings, Value};
 use serde_json::Value as Json;
 
 /// The settings' keys that differ from ours.
@@ -216,18 +216,18 @@
 }
 
 /// A load report; values of other names are skipped.
-pub fn report<'a>(values: impl Iterator<Item = (&'a str, Option<f64>)>) -> Report {
-    let mut report = Report::default();
+pub fn report<'a>(values: impl Iterator<Item = (&'a str, Option<f64>)>) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in values {
         let place = match name {
-            "rif" | "inflight" => &mut report.held,
+            "rif" | "inflight" => &mut report.in_flight,
             "q" | "queue" => &mut report.queued,
             "busy" | "util" => &mut report.busy,
             "lat_ms" | "latency_ms" => &mut report.latency_ms,
             "rate" | "qps" => &mut report.finished_per_s,
             "fail_rate" | "eps" => &mut report.errors_per_s,
             "x0" => &mut report.memory_pinned,
-            "x1" => &mut report.loads,
+            "x1" => &mut report.loads_in_progress,
             _ => continue,
         };
         *place = value;
--- a/crates/sanddrum-platform-config/tests/words.rs
+++ b/crates/sanddrum-platform-config/tests/words.rs
@@ -67,7 +67,7 @@
         .into_iter(),
     );
     assert_eq!(
-        (report.held, report.queued, report.busy),
+        (report.in_flight, report.queued, report.busy),
         (Some(7.0), Some(2.0), None)
     );
 }
--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -153,11 +153,11 @@
                 let values = each.map(|(name, text)| (name, number(text)));
                 let told = sanddrum_platform_config::report(values);
                 answer.report = Some(LoadReport {
-                    held: told.held,
+                    in_flight: told.in_flight,
                     queued: told.queued,
                     busy: told.busy,
                     memory_pinned: told.memory_pinned,
-                    loads: told.loads,
+                    loads_in_progress: told.loads_in_progress,
                 });
             }
             "copies" => answer.copies = Some(value.parse().map_err(|_| Garbled::Fields)?),
--- a/crates/sanddrum-platform/tests/protocol.rs
+++ b/crates/sanddrum-platform/tests/protocol.rs
@@ -51,10 +51,10 @@
     let report = answer.report.unwrap();
     assert_eq!(
         (
-            report.held,
+            report.in_flight,
             report.queued,
             report.memory_pinned,
-            report.loads
+            report.loads_in_progress
         ),
         (Some(7.0), Some(2.0), Some(0.25), Some(1.0))
     );
--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -44,22 +44,22 @@
     }
 }
 
-fn end_of(code: &str) -> Read<End> {
+fn end_of(code: &str) -> Read<Outcome> {
     Ok(match code {
-        "completed" => End::Finished,
-        "errored" => End::Error,
-        "saturated" => End::Full,
-        "overdue" => End::TimedOut,
-        "refused_conn" => End::NoConnection,
-        "severed" => End::Reset,
-        "recalled" => End::Cancelled,
-        "superseded" => End::Moot,
-        "lookup_miss" => End::Miss,
+        "completed" => Outcome::Finished,
+        "errored" => Outcome::Error,
+        "saturated" => Outcome::Rejected,
+        "overdue" => Outcome::TimedOut,
+        "refused_conn" => Outcome::NoConnection,
+        "severed" => Outcome::Reset,
+        "recalled" => Outcome::Cancelled,
+        "superseded" => Outcome::CancelledBeforeStart,
+        "lookup_miss" => Outcome::ColdMiss,
         other => return Err(format!("state-code: unknown {other:?}")),
     })
 }
 
-fn report_of(names: &[String], gauge: &Json) -> Option<Report> {
+fn report_of(names: &[String], gauge: &Json) -> Option<LoadReport> {
     let values = gauge.as_array()?.iter().map(Json::as_f64);
     Some(dialect::report(
         names.iter().map(String::as_str).zip(values),
@@ -68,15 +68,15 @@
 
 fn warmth_of(note: u32) -> Warmth {
     match note % 8 {
-        1 => Warmth::Stood,
-        2 => Warmth::BeganLoad,
+        1 => Warmth::Warm,
+        2 => Warmth::StartedLoad,
         3 => Warmth::WaitedForLoad,
         4 => Warmth::LoadFailed,
         _ => Warmth::Unknown,
     }
 }
 
-fn row_of(json: &Json) -> Read<(WorkerRow, String)> {
+fn row_of(json: &Json) -> Read<(Endpoint, String)> {
     let f = Fields(json.as_array().ok_or("lines: a list is wanted")?);
     let state = match f.text(2, "phase")? {
         "IN" => WorkerState::Ready,
@@ -85,14 +85,14 @@
         other => return Err(format!("phase: unknown {other:?}")),
     };
     let server = f.text(5, "server")?;
-    let row = WorkerRow {
+    let row = Endpoint {
         worker: WorkerId(id_of(server)),
         zone: ZoneId(f.or_nought(6, "locality")? as usize),
         cell: CellId(f.or_nought(3, "cohort")? as usize),
         kind: KindId(f.or_nought(0, "hw")? as usize),
         size: f.maybe(1, "nominal")?.unwrap_or(1.0),
         state,
-        started: f.or_nought(4, "started-at-us")? as Micros,
+        started_at: f.or_nought(4, "started-at-us")? as Micros,
     };
     Ok((row, server.to_string()))
 }
@@ -116,7 +116,7 @@
     let seed = seed.ok_or("rng-seed: a whole number is wanted")?;
     Ok(Instance {
         router: Router::new(seed, &map),
-        round: Round::default(),
+        round: EventBatch::default(),
         fields: dialect::report_fields(info),
         tells_crowd: info["family-info"]["tells-crowd"].as_bool() == Some(true),
         names: Names::default(),
@@ -176,15 +176,15 @@
     match word {
         "peers-known" => {
             let kind = match f.text(2, "mode")? {
-                "delta" => ListKind::Changes,
-                "full" => ListKind::Full,
-                "cached" => ListKind::Cached,
-                "failed" => ListKind::Failed,
+                "delta" => EndpointListKind::Delta,
+                "full" => EndpointListKind::Full,
+                "cached" => EndpointListKind::Cached,
+                "failed" => EndpointListKind::Failed,
                 other => return Err(format!("mode: unknown {other:?}")),
             };
             let number = f.or_nought(4, "ref")? as u64;
             let rows = match kind {
-                ListKind::Failed => &Vec::new(),
+                EndpointListKind::Failed => &Vec::new(),
                 _ => host
                     .lists
                     .get(&number)
@@ -193,9 +193,9 @@
             names
                 .workers
                 .extend(rows.iter().map(|(row, text)| (row.worker.0, text.clone())));
-            round.lists.push(WorkerList {
+            round.endpoint_lists.push(EndpointList {
                 kind,
-                rows: rows.iter().map(|(row, _)| *row).collect(),
+                endpoints: rows.iter().map(|(row, _)| *row).collect(),
             });
         }
         "incoming" => {
@@ -205,22 +205,22 @@
                 .functions
                 .entry(id_of(function))
                 .or_insert_with(|| function.to_string());
-            round.jobs.push(Job {
+            round.requests.push(Request {
                 id: names.take(rid),
                 function: FunctionId(id_of(function)),
                 workload: WorkloadId(f.or_nought(6, "qos")? as usize),
                 customer: CustomerId(f.or_nought(7, "team")? as usize),
-                due: f.number(3, "due-us")? as Micros,
+                deadline: f.number(3, "due-us")? as Micros,
                 memory_mb: f.or_nought(8, "ram-mb")?,
-                lanes: f.or_nought(10, "at-once")?,
-                load: f
+                concurrency: f.or_nought(10, "at-once")?,
+                load_time: f
                     .maybe(4, "load-time-ms")?
                     .map(|ms| (ms * 1000.0) as Micros),
-                work: f
+                expected_work: f
                     .maybe(11, "work-us")?
                     .filter(|_| opts & 1 != 0)
                     .map(|us| us as Micros),
-                repeat: opts & 2 != 0,
+                is_retry: opts & 2 != 0,
             });
         }
         "outcome" => {
@@ -234,22 +234,22 @@
             }
             names.forget_if_done(id);
             let note = f.or_nought(8, "note")? as u32;
-            round.ends.push(ExecutionEnd {
-                job: JobId(id),
-                execution: f.number(3, "attempt")? as usize,
+            round.attempt_results.push(AttemptResult {
+                request: RequestId(id),
+                attempt: f.number(3, "attempt")? as usize,
                 worker: WorkerId(id_of(f.text(4, "server")?)),
-                end: end_of(f.text(5, "state-code")?)?,
+                outcome: end_of(f.text(5, "state-code")?)?,
                 latency: f.or_nought(6, "latency-us")? as Micros,
-                settled,
+                is_final: settled,
                 warmth: warmth_of(note),
-                crowd: instance.tells_crowd.then_some(note / 8),
+                function_in_flight: instance.tells_crowd.then_some(note / 8),
                 report: report_of(&instance.fields, f.get(9)),
             });
         }
         // The client has its answer begun: nothing further is owed, and its time no longer runs.
         "accepted" => {
             if let Some(&id) = names.jobs.get(f.text(2, "rid")?) {
-                round.left.push(JobId(id));
+                round.cancelled.push(RequestId(id));
             }
         }
         "cancelled-by-client" => {
@@ -260,18 +260,18 @@
                 job.ended = true;
             }
             names.forget_if_done(id);
-            round.left.push(JobId(id));
+            round.cancelled.push(RequestId(id));
         }
-        "loaded" => round.orders.push(OrderEnd {
+        "loaded" => round.load_results.push(LoadResult {
             worker: WorkerId(id_of(f.text(2, "server")?)),
             function: FunctionId(id_of(f.text(3, "function")?)),
-            end: end_of(f.text(4, "state-code")?)?,
+            outcome: end_of(f.text(4, "state-code")?)?,
             latency: f.or_nought(5, "latency-us")? as Micros,
-            copies: f.or_nought(6, "count")? as u32,
+            instances: f.or_nought(6, "count")? as u32,
         }),
-        "sampled" => round.probes.push(ProbeEnd {
+        "sampled" => round.health_check_results.push(HealthCheckResult {
             worker: WorkerId(id_of(f.text(2, "server")?)),
-            end: end_of(f.text(3, "state-code")?)?,
+            outcome: end_of(f.text(3, "state-code")?)?,
             latency: f.or_nought(4, "latency-us")? as Micros,
             report: report_of(&instance.fields, f.get(5)),
         }),
@@ -279,9 +279,9 @@
             let content = STANDARD
                 .decode(f.text(3, "content")?)
                 .map_err(|e| format!("content: {e}"))?;
-            round.notes.push(PeerNote {
+            round.gossip.push(GossipMessage {
                 from: PeerId(f.number(2, "origin-peer")? as usize),
-                content,
+                payload: content,
             });
         }
         "due" => round.timer = true,
--- a/crates/sanddrum-simulator-adapter/src/encode.rs
+++ b/crates/sanddrum-simulator-adapter/src/encode.rs
@@ -2,7 +2,7 @@
 
 use crate::Names;
 use base64::{engine::general_purpose::STANDARD, Engine};
-use sanddrum::{Decisions, FunctionId, JobId, Micros, PeerId, WorkerId};
+use sanddrum::{Decisions, FunctionId, Micros, PeerId, RequestId, WorkerId};
 use serde_json::Value;
 
 pub struct Encoder<'a> {
@@ -22,7 +22,7 @@
         values.extend_from_slice(rest);
         line(self.out, &values);
     }
-    fn job(&self, job: JobId) -> Value {
+    fn job(&self, job: RequestId) -> Value {
         self.names
             .job_texts
             .get(&job.0)
@@ -40,7 +40,7 @@
             .get(&function.0)
             .map_or(Value::Null, |f| f.as_str().into())
     }
-    fn ended(&mut self, job: JobId) {
+    fn ended(&mut self, job: RequestId) {
         if let Some(name) = self.names.job_texts.get_mut(&job.0) {
             name.ended = true;
         }
@@ -49,24 +49,24 @@
 }
 
 impl Decisions for Encoder<'_> {
-    fn execute(&mut self, job: JobId, worker: WorkerId, limit: Micros) {
+    fn dispatch(&mut self, job: RequestId, worker: WorkerId, limit: Micros) {
         self.act("send", &[self.job(job), self.worker(worker), limit.into()]);
         if let Some(name) = self.names.job_texts.get_mut(&job.0) {
             name.out += 1;
         }
     }
-    fn cancel(&mut self, job: JobId, execution: usize) {
+    fn cancel(&mut self, job: RequestId, execution: usize) {
         self.act("undo-send", &[self.job(job), execution.into()]);
     }
-    fn push_back(&mut self, job: JobId, wait: Micros) {
+    fn reject(&mut self, job: RequestId, wait: Micros) {
         self.act("overload-reply", &[self.job(job), wait.into()]);
         self.ended(job);
     }
-    fn kill(&mut self, job: JobId) {
+    fn fail(&mut self, job: RequestId) {
         self.act("abort", &[self.job(job)]);
         self.ended(job);
     }
-    fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+    fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
         self.act(
             "warm-up",
             &[self.worker(worker), self.function(function), copies.into()],
@@ -75,20 +75,20 @@
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         self.act("let-cool", &[self.worker(worker), self.function(function)]);
     }
-    fn probe(&mut self, worker: WorkerId) {
+    fn check_health(&mut self, worker: WorkerId) {
         self.act("poll", &[self.worker(worker)]);
     }
     fn subscribe(&mut self) {
         self.act("listen", &[true.into()]);
     }
-    fn tell(&mut self, peer: Option<PeerId>, content: &[u8]) {
+    fn gossip(&mut self, peer: Option<PeerId>, content: &[u8]) {
         let peer = peer.map_or(Value::Null, |p| p.0.into());
         self.act("say", &[peer, STANDARD.encode(content).into()]);
     }
     fn wake_at(&mut self, at: Micros) {
         self.act("set-alarm", &["wake".into(), at.into()]);
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.act("print", &[text.into()]);
     }
 }
--- a/crates/sanddrum-simulator-adapter/src/main.rs
+++ b/crates/sanddrum-simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 mod encode;
 
 use encode::Encoder;
-use sanddrum::{JobId, Round, Router};
+use sanddrum::{EventBatch, RequestId, Router};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -14,7 +14,7 @@
 /// One hosted router, with the texts behind its ids.
 pub struct Instance {
     router: Router,
-    round: Round,
+    round: EventBatch,
     fields: Vec<String>,
     tells_crowd: bool,
     names: Names,
@@ -38,7 +38,7 @@
 }
 
 impl Names {
-    fn take(&mut self, text: &str) -> JobId {
+    fn take(&mut self, text: &str) -> RequestId {
         let id = self.next_job;
         self.next_job += 1;
         self.jobs.insert(text.to_string(), id);
@@ -50,7 +50,7 @@
                 ended: false,
             },
         );
-        JobId(id)
+        RequestId(id)
     }
     fn forget_if_done(&mut self, job: u64) {
         if self
@@ -71,7 +71,7 @@
     /// Instances with an event in this batch, in order of their first.
     called: Vec<String>,
     /// The numbered lists of workers, each row with its worker's text.
-    lists: HashMap<u64, Vec<(sanddrum::WorkerRow, String)>>,
+    lists: HashMap<u64, Vec<(sanddrum::Endpoint, String)>>,
     now: i64,
 }
 
@@ -90,7 +90,7 @@
             };
             let router = &mut instance.router;
             let now = self.now;
-            let run = catch_unwind(AssertUnwindSafe(|| router.round(now, &round, &mut writer)));
+            let run = catch_unwind(AssertUnwindSafe(|| router.handle(now, &round, &mut writer)));
             if run.is_err() {
                 out.truncate(mark);
                 encode::line(
--- a/crates/sanddrum-upstream/src/lib.rs
+++ b/crates/sanddrum-upstream/src/lib.rs
@@ -1,5 +1,5 @@
 //! Which connections to workers are opened, kept, left alone and retired, and when. The host makes one [`Connections`]
-//! an edge and calls `round` once a round with all that came in ([`News`]) and a writer ([`Decisions`]). All news is
+//! an edge and calls `round` once a round with all that came in ([`Events`]) and a writer ([`Decisions`]). All news is
 //! recorded first; only then is decided. It chooses no worker: that is the decision module's matter. Here is decided
 //! what becomes of the connections that its choices need.
 //!
@@ -73,7 +73,7 @@
 
 /// What came in since the last round.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct Events {
     pub listed: Vec<Listed>,
     /// Listed no more.
     pub gone: Vec<WorkerId>,
@@ -94,7 +94,7 @@
     pub denied: Vec<Old>,
 }
 
-impl News {
+impl Events {
     pub fn is_empty(&self) -> bool {
         self.listed.is_empty()
             && self.wanted.is_empty()
@@ -240,7 +240,7 @@
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
-    pub fn round(&mut self, now: Micros, news: &News, out: &mut impl Decisions) {
+    pub fn handle(&mut self, now: Micros, news: &Events, out: &mut impl Decisions) {
         self.record(now, news);
         self.retire(now, out);
         self.serve(now, out);
@@ -253,7 +253,7 @@
         self.chance.random()
     }
 
-    fn record(&mut self, now: Micros, news: &News) {
+    fn record(&mut self, now: Micros, news: &Events) {
         for row in &news.listed {
             let worker = self
                 .workers
--- a/crates/sanddrum-upstream/tests/stories.rs
+++ b/crates/sanddrum-upstream/tests/stories.rs
@@ -58,9 +58,9 @@
             connections: Connections::new(seed, &settings),
         }
     }
-    fn hears(&mut self, news: &News) -> Seen {
+    fn hears(&mut self, news: &Events) -> Seen {
         let mut seen = Seen::default();
-        self.connections.round(self.now, news, &mut seen);
+        self.connections.handle(self.now, news, &mut seen);
         seen
     }
     fn lists(&mut self, workers: u64, started: Micros) -> Seen {
@@ -70,9 +70,9 @@
             started,
             ready: true,
         };
-        self.hears(&News {
+        self.hears(&Events {
             listed: (0..workers).map(listed).collect(),
-            ..News::default()
+            ..Events::default()
         })
     }
     fn wants(&mut self, link: u64, worker: u64, need: Need) -> Seen {
@@ -83,33 +83,33 @@
             need,
             due,
         };
-        self.hears(&News {
+        self.hears(&Events {
             wanted: vec![wanted],
-            ..News::default()
+            ..Events::default()
         })
     }
     fn up(&mut self, link: u64) -> Seen {
-        self.hears(&News {
+        self.hears(&Events {
             up: vec![(LinkId(link), false)],
-            ..News::default()
+            ..Events::default()
         })
     }
     fn fails(&mut self, link: u64) -> Seen {
-        self.hears(&News {
+        self.hears(&Events {
             failed: vec![LinkId(link)],
-            ..News::default()
+            ..Events::default()
         })
     }
     fn ends(&mut self, link: u64) -> Seen {
-        self.hears(&News {
+        self.hears(&Events {
             ended: vec![LinkId(link)],
-            ..News::default()
+            ..Events::default()
         })
     }
     fn uses(&mut self, worker: u64) {
-        self.hears(&News {
+        self.hears(&Events {
             used: vec![(WorkerId(worker), 0.1)],
-            ..News::default()
+            ..Events::default()
         });
     }
 }
@@ -134,9 +134,9 @@
 fn a_pressed_worker_has_one_handshake_at_a_time() {
     let mut s = Story::new(&[]);
     s.lists(2, 0);
-    s.hears(&News {
+    s.hears(&Events {
         loads: vec![(WorkerId(0), 9.0)],
-        ..News::default()
+        ..Events::default()
     });
     assert_eq!(s.wants(1, 0, Need::Job).opened, [1]);
     assert!(s.wants(2, 0, Need::Job).opened.is_empty());
@@ -227,7 +227,7 @@
         let mut seen = s.wants(1, 0, Need::Ahead);
         while seen.opened.is_empty() {
             s.now = seen.wake.unwrap();
-            seen = s.hears(&News::default());
+            seen = s.hears(&Events::default());
         }
         at.push(s.now - begun);
     }
@@ -261,9 +261,9 @@
     s.wants(7, 1, Need::Ahead);
     s.up(7);
     assert_eq!(s.ends(7).ahead, [1, 3], "it is missed again");
-    let tight = s.hears(&News {
+    let tight = s.hears(&Events {
         used: vec![(WorkerId(2), 0.8)],
-        ..News::default()
+        ..Events::default()
     });
     assert_eq!(tight.ahead, [2]);
     s.now += 100 * S;
@@ -285,16 +285,16 @@
         .map(|n| (Old::Link(LinkId(n)), if n < 6 { 1 } else { 0 }))
         .collect();
     let mut retired = vec![];
-    let mut seen = s.hears(&News {
+    let mut seen = s.hears(&Events {
         old,
-        ..News::default()
+        ..Events::default()
     });
     let begun = s.now;
     loop {
         retired.extend(seen.retired.iter().map(|old| (s.now - begun, *old)));
         let Some(at) = seen.wake else { break };
         s.now = at;
-        seen = s.hears(&News::default());
+        seen = s.hears(&Events::default());
     }
     assert_eq!(retired.len(), 8);
     assert_eq!(
@@ -316,16 +316,16 @@
         s.up(n);
         s.uses(n);
     }
-    let seen = s.hears(&News {
+    let seen = s.hears(&Events {
         old: vec![(Old::Link(LinkId(0)), 1)],
-        ..News::default()
+        ..Events::default()
     });
     assert_eq!((seen.ahead, seen.retired.len()), (vec![0], 0));
     s.wants(10, 0, Need::Ahead);
     assert_eq!(s.up(10).retired, [Old::Link(LinkId(0))]);
-    let seen = s.hears(&News {
+    let seen = s.hears(&Events {
         denied: vec![Old::Link(LinkId(1))],
-        ..News::default()
+        ..Events::default()
     });
     assert_eq!(seen.retired, [Old::Link(LinkId(1))]);
     assert_eq!(seen.ahead, []);
@@ -421,26 +421,26 @@
     };
     assert_eq!(
         story
-            .hears(&News {
+            .hears(&Events {
                 wanted: vec![wanted(1)],
-                ..News::default()
+                ..Events::default()
             })
             .opened,
         [1]
     );
     story.now += S;
-    story.hears(&News {
+    story.hears(&Events {
         failed: vec![LinkId(1)],
-        ..News::default()
+        ..Events::default()
     });
     story.now += S;
     let due = story.now + S;
     let again = Wanted { due, ..wanted(2) };
     assert_eq!(
         story
-            .hears(&News {
+            .hears(&Events {
                 wanted: vec![again],
-                ..News::default()
+                ..Events::default()
             })
             .opened,
         [2]
--- a/crates/sanddrum-wire/src/messages.rs
+++ b/crates/sanddrum-wire/src/messages.rs
@@ -247,7 +247,7 @@
 #[cbor(map)]
 pub struct LoadReport {
     #[n(0)]
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     #[n(1)]
     pub queued: Option<f64>,
     #[n(2)]
@@ -255,7 +255,7 @@
     #[n(3)]
     pub memory_pinned: Option<f64>,
     #[n(4)]
-    pub loads: Option<f64>,
+    pub loads_in_progress: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
--- a/crates/sanddrum-wire/tests/codecs.rs
+++ b/crates/sanddrum-wire/tests/codecs.rs
@@ -136,7 +136,7 @@
         ..Execute::default()
     };
     let report = LoadReport {
-        held: Some(3.0),
+        in_flight: Some(3.0),
         ..LoadReport::default()
     };
     let done = Done {
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,5 +1,5 @@
 //! Every decision of sanddrum is in this module and those below it. The host makes one `Router` an instance and calls `round` once
-//! a round with all that came in (`Round`) and a writer (`Decisions`), see `lib.rs`; `state.rs` has what is
+//! a round with all that came in (`EventBatch`) and a writer (`Decisions`), see `lib.rs`; `state.rs` has what is
 //! remembered. All news is recorded first, the worker list before the rest; only then is decided.
 //!
 //! The ordinary path is the design page's: a job goes to the believed-warm worker with the fewest own jobs in
@@ -43,15 +43,15 @@
     told: BTreeSet<(Micros, WorkerId)>,
     suspects: BTreeSet<WorkerId>,
     functions: Functions,
-    jobs: BTreeMap<JobId, Held>,
+    jobs: BTreeMap<RequestId, Held>,
     /// All due times but the sweep's.
     due: BTreeSet<(Micros, Due)>,
     sweep: Micros,
     wake: Micros,
     most_suspect: bool,
     /// Jobs to be placed this round, and those that wait for a copy or for room.
-    todo: BTreeSet<JobId>,
-    waiting: BTreeSet<JobId>,
+    todo: BTreeSet<RequestId>,
+    waiting: BTreeSet<RequestId>,
     /// Of the middle worker, as of the last sweep: for each job it would cost too much.
     middle: Middle,
     /// Work taken in a microsecond, and when that was last brought up to date.
@@ -115,20 +115,33 @@
         router
     }
 
-    pub fn round(&mut self, now: Micros, round: &Round, out: &mut impl Decisions) {
+    pub fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
         self.now = now;
-        round.lists.iter().for_each(|list| self.record_list(list));
-        round.jobs.iter().for_each(|job| self.record_job(job));
-        round.ends.iter().for_each(|end| self.record_end(end));
-        round.orders.iter().for_each(|end| self.record_order(end));
-        for probe in round.probes.iter().filter(|p| p.end == End::Finished) {
+        round
+            .endpoint_lists
+            .iter()
+            .for_each(|list| self.record_list(list));
+        round.requests.iter().for_each(|job| self.record_job(job));
+        round
+            .attempt_results
+            .iter()
+            .for_each(|end| self.record_end(end));
+        round
+            .load_results
+            .iter()
+            .for_each(|end| self.record_order(end));
+        for probe in round
+            .health_check_results
+            .iter()
+            .filter(|p| p.outcome == Outcome::Finished)
+        {
             self.workers.entry(probe.worker).and_modify(|w| w.hear(now));
         }
-        round.left.iter().for_each(|job| self.end_job(*job));
+        round.cancelled.iter().for_each(|job| self.end_job(*job));
         while self.due.first().is_some_and(|(at, _)| *at <= now) {
             match self.due.pop_first() {
                 Some((_, Due::JobEnds(id))) if self.jobs.contains_key(&id) => {
-                    out.kill(id);
+                    out.fail(id);
                     self.end_job(id);
                 }
                 Some((_, Due::Silence(id))) => self.look_into_silence(id, out),
@@ -147,7 +160,7 @@
         while let Some(job) = self.todo.pop_first() {
             self.place(job, out);
         }
-        let held = if round.closing {
+        let held = if round.shutting_down {
             self.jobs.keys().copied().collect()
         } else {
             Vec::new()
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -9,14 +9,14 @@
 impl Router {
     /// What a job takes when calm: the geometric mean of what its function (its workload, before any answer)
     /// takes and what it is hinted to, both being rough, scaled by what hinted jobs took.
-    pub(super) fn work_of(&self, job: &Job) -> f64 {
+    pub(super) fn work_of(&self, job: &Request) -> f64 {
         let scale = if self.hinted.1 > 0.0 {
             self.hinted.0 / self.hinted.1
         } else {
             1.0
         };
         self.unscaled_work(job)
-            * if job.work.is_some_and(|hint| hint > 0) {
+            * if job.expected_work.is_some_and(|hint| hint > 0) {
                 scale
             } else {
                 1.0
@@ -27,10 +27,10 @@
             .get(&id)
             .map_or(self.target(id) as f64 * GUESS_OF_TARGET, |(work, _)| *work)
     }
-    pub(super) fn unscaled_work(&self, job: &Job) -> f64 {
+    pub(super) fn unscaled_work(&self, job: &Request) -> f64 {
         let learned = self.functions.get(job.function).filter(|f| f.answered);
         let learned = learned.map_or(self.usual_work(job.workload), |f| f.work);
-        job.work
+        job.expected_work
             .filter(|hint| *hint > 0)
             .map_or(learned, |hint| (learned * hint as f64).sqrt())
     }
@@ -50,11 +50,11 @@
         let typical =
             |figure: &dyn Fn(&Worker) -> f64| middle(last.iter().map(|w| figure(w)).collect());
         let (pace, crowding) = (typical(&|w| w.pace_now(now)), typical(&|w| w.crowding(now)));
-        let loads = typical(&|w| w.report.loads.unwrap_or(0.0));
+        let loads = typical(&|w| w.report.loads_in_progress.unwrap_or(0.0));
         let size = |w: &Worker| w.row.size.max(f64::MIN_POSITIVE);
         let held = last.iter().filter(|w| w.report_at > 0);
         let held = middle(
-            held.filter_map(|w| w.report.held.map(|held| held / size(w)))
+            held.filter_map(|w| w.report.in_flight.map(|held| held / size(w)))
                 .collect(),
         );
         // The middle one's, as most answers come from the crowded; newest, or the end is heard of late.
@@ -135,10 +135,10 @@
         f64::from(w.own) < w.limit * share && w.barred <= self.now
     }
     /// By its workload's work: what a function was seen to take under pressure would shed it for ever.
-    pub(super) fn earning(&self, job: &Job) -> f64 {
+    pub(super) fn earning(&self, job: &Request) -> f64 {
         let usual = self.usual_work(job.workload);
         let work = job
-            .work
+            .expected_work
             .filter(|hint| *hint > 0)
             .map_or(usual, |hint| (usual * hint as f64).sqrt());
         self.workload(job.workload).importance
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    pub(super) fn record_list(&mut self, list: &WorkerList) {
-        if list.kind == ListKind::Failed {
+    pub(super) fn record_list(&mut self, list: &EndpointList) {
+        if list.kind == EndpointListKind::Failed {
             // Drawn, so that routers turned away together do not call together again.
             let most = (self.terms.ask_every / CALLS_AN_ASK).max(2);
             let wait = most / 2 + (self.chance() % (most / 2) as u64) as Micros;
@@ -18,8 +18,8 @@
             }
             return;
         }
-        if list.kind != ListKind::Changes {
-            let listed: BTreeSet<_> = list.rows.iter().map(|row| row.worker).collect();
+        if list.kind != EndpointListKind::Delta {
+            let listed: BTreeSet<_> = list.endpoints.iter().map(|row| row.worker).collect();
             let gone = self
                 .workers
                 .values()
@@ -27,16 +27,16 @@
                 .filter(|row| !listed.contains(&row.worker));
             let gone: Vec<_> = gone.filter(|row| row.state != WorkerState::Gone).collect();
             gone.into_iter().for_each(|row| {
-                self.record_row(&WorkerRow {
+                self.record_row(&Endpoint {
                     state: WorkerState::Gone,
                     ..row
                 })
             });
         }
-        list.rows.iter().for_each(|row| self.record_row(row));
+        list.endpoints.iter().for_each(|row| self.record_row(row));
     }
 
-    pub(super) fn record_row(&mut self, row: &WorkerRow) {
+    pub(super) fn record_row(&mut self, row: &Endpoint) {
         let (now, limit) = (self.now, FIRST_LIMIT / self.terms.routers.max(1) as f64);
         let new = || Worker {
             row: *row,
@@ -46,13 +46,13 @@
             ..Worker::default()
         };
         let worker = self.workers.entry(row.worker).or_insert_with(new);
-        let restarted = worker.row.started < row.started;
+        let restarted = worker.row.started_at < row.started_at;
         if restarted {
             worker.hear(now);
             (worker.pace, worker.seen) = (worker.calm, 0.0);
             (worker.budget, worker.budget_at) = (0.0, now);
         }
-        (worker.row, worker.warm) = (*row, row.started + self.terms.cold);
+        (worker.row, worker.warm) = (*row, row.started_at + self.terms.cold);
         // Guards against homes that move with every list, so that no two routers find the same ones.
         if self.terms.sizes_change {
             worker.row.size = 1.0;
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn record_job(&mut self, job: &Job) {
+    pub(super) fn record_job(&mut self, job: &Request) {
         let target = self.target(job.workload) as f64;
         let guess = if self.load > 0.0 { self.load } else { target };
         let function = self.functions.call(job.function, self.now, || {
@@ -84,8 +84,8 @@
                 ..Function::default()
             }
         });
-        function.lanes = (job.lanes as u32).max(1);
-        function.load = job.load.map_or(function.load, |told| told as f64);
+        function.lanes = (job.concurrency as u32).max(1);
+        function.load = job.load_time.map_or(function.load, |told| told as f64);
         let keep = self.terms.keep_alive as f64;
         function.calls = 1.0 + faded(function.calls, 0.0, self.now - function.last_job, keep);
         self.calls = 1.0 + faded(self.calls, 0.0, self.now - self.calls_at, keep);
@@ -98,7 +98,7 @@
                 executions: Vec::new(),
             },
         );
-        self.due.insert((job.due, Due::JobEnds(job.id)));
+        self.due.insert((job.deadline, Due::JobEnds(job.id)));
         self.todo.insert(job.id);
         if self.terms.orders && self.terms.load_window > 0 {
             drop_until(&mut self.taken, self.now - self.terms.load_window);
@@ -109,19 +109,22 @@
         self.earned += NEWEST / 10.0 * (self.earning(job) - self.earned);
     }
 
-    pub(super) fn record_end(&mut self, end: &ExecutionEnd) {
+    pub(super) fn record_end(&mut self, end: &AttemptResult) {
         self.release(end);
-        let Some(held) = self.jobs.get_mut(&end.job) else {
+        let Some(held) = self.jobs.get_mut(&end.request) else {
             return;
         };
         let (job, came) = (held.job, held.came);
-        let Some(execution) = held.executions.get_mut(end.execution).filter(|e| e.out) else {
+        let Some(execution) = held.executions.get_mut(end.attempt).filter(|e| e.out) else {
             return;
         };
-        (execution.out, execution.full) = (false, end.end == End::Full);
+        (execution.out, execution.full) = (false, end.outcome == Outcome::Rejected);
         execution.may_have_run = !matches!(
-            end.end,
-            End::Full | End::NoConnection | End::Moot | End::Miss
+            end.outcome,
+            Outcome::Rejected
+                | Outcome::NoConnection
+                | Outcome::CancelledBeforeStart
+                | Outcome::ColdMiss
         );
         let execution = *execution;
         self.learn(&job, end, &execution);
@@ -129,11 +132,13 @@
         // What waited for a load tells nothing of pressure, and a cold fleet would later shed nearly all.
         let loaded = matches!(
             end.warmth,
-            Warmth::BeganLoad | Warmth::WaitedForLoad | Warmth::LoadFailed
+            Warmth::StartedLoad | Warmth::WaitedForLoad | Warmth::LoadFailed
         );
-        let in_time = end.end == End::Finished && !late;
+        let in_time = end.outcome == Outcome::Finished && !late;
         let change = match end.report.and_then(|report| report.queued) {
-            _ if end.end == End::Full && end.execution == 0 => -2.0 * LATE_CUT * self.taking,
+            _ if end.outcome == Outcome::Rejected && end.attempt == 0 => {
+                -2.0 * LATE_CUT * self.taking
+            }
             _ if loaded || !(late || in_time) => 0.0,
             _ if late => -LATE_CUT * self.taking,
             Some(queued) if queued < 1.0 => 5.0 * RISE,
@@ -143,17 +148,17 @@
         let saved = self.further + if in_time { EARNS_FURTHER } else { 0.0 };
         self.further = saved.min((self.calls * EARNS_FURTHER).max(1.0));
         self.earn_ask(if in_time { EARNS_ASK } else { 0.0 });
-        if end.settled {
-            self.end_job(end.job);
+        if end.is_final {
+            self.end_job(end.request);
         } else {
-            self.todo.insert(end.job);
+            self.todo.insert(end.request);
         }
         if let Some(function) = self.functions.get(job.function) {
             self.todo.extend(&function.waiting);
         }
     }
 
-    pub(super) fn release(&mut self, end: &ExecutionEnd) {
+    pub(super) fn release(&mut self, end: &AttemptResult) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&end.worker) else {
             return;
@@ -161,12 +166,12 @@
         let found = worker
             .out
             .iter()
-            .find(|(.., job, n)| (*job, *n) == (end.job, end.execution))
+            .find(|(.., job, n)| (*job, *n) == (end.request, end.attempt))
             .copied();
         if let Some(entry) = found {
             worker.out.remove(&entry);
             worker.own = worker.own.saturating_sub(1);
-            if end.end == End::Full {
+            if end.outcome == Outcome::Rejected {
                 worker.jammed = now + REPORT_FADES_US as Micros;
             }
         }
@@ -176,21 +181,23 @@
             }
             (worker.report, worker.report_at) = (report, now);
         }
-        match end.end {
-            End::Finished | End::Error | End::Full | End::Miss => worker.hear(now),
-            End::Reset | End::NoConnection => {
+        match end.outcome {
+            Outcome::Finished | Outcome::Error | Outcome::Rejected | Outcome::ColdMiss => {
+                worker.hear(now)
+            }
+            Outcome::Reset | Outcome::NoConnection => {
                 (worker.suspect, worker.checks) = (true, worker.checks.max(1));
                 self.suspects.insert(end.worker);
                 self.due.insert((now, Due::Silence(end.worker)));
-                if end.end == End::Reset {
+                if end.outcome == Outcome::Reset {
                     self.functions.forget_copies(end.worker);
                 }
             }
-            End::TimedOut | End::Cancelled | End::Moot => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::CancelledBeforeStart => {}
         }
     }
 
-    pub(super) fn learn(&mut self, job: &Job, end: &ExecutionEnd, execution: &Execution) {
+    pub(super) fn learn(&mut self, job: &Request, end: &AttemptResult, execution: &Execution) {
         let (now, keep) = (self.now, self.terms.keep_alive);
         let (expected, unscaled) = (self.work_of(job), self.unscaled_work(job));
         let target = self.target(job.workload) as f64;
@@ -203,19 +210,19 @@
         let mut place = function.place(end.worker);
         place.own = place.own.saturating_sub(1);
         let mut loaded = None;
-        match end.end {
-            End::Finished => {
+        match end.outcome {
+            Outcome::Finished => {
                 (place.copies, place.until, place.loading) =
                     (place.copies.max(1), now + keep, false);
                 function.warm_last = Some(end.worker);
                 worker.failures /= 2;
                 let took = end.latency as f64;
                 match end.warmth {
-                    Warmth::BeganLoad => {
+                    Warmth::StartedLoad => {
                         place.copies = 1;
                         loaded = Some((took - expected).max(took * GUESS_OF_TARGET));
                     }
-                    Warmth::Stood | Warmth::Unknown if !execution.queued => {
+                    Warmth::Warm | Warmth::Unknown if !execution.queued => {
                         // Guards against the first guess taken for calm: all would look fast, then crowded.
                         let usual = self.usual.entry(job.workload).or_default();
                         if usual.1 * NEWEST >= 1.0 {
@@ -229,7 +236,7 @@
                             (function.work, function.answered) = (usual.0, true);
                         }
                         function.work += NEWEST / 2.0 * (calm - function.work);
-                        if job.work.is_some_and(|hint| hint > 0) {
+                        if job.expected_work.is_some_and(|hint| hint > 0) {
                             // A ratio of sums, as the mean of ratios is ruled by jobs hinted far too low.
                             let stays = 1.0 - NEWEST / 4.0;
                             self.hinted = (
@@ -255,21 +262,21 @@
                     _ => {}
                 }
             }
-            End::Full => {
+            Outcome::Rejected => {
                 place.barred = now + expected as Micros;
                 worker.barred = now + expected as Micros / 4;
                 worker.cut_limit(now, expected);
             }
-            End::Miss if end.warmth != Warmth::LoadFailed => {
+            Outcome::ColdMiss if end.warmth != Warmth::LoadFailed => {
                 (place.copies, place.loading, place.absent) =
                     (0, false, now + function.load as Micros);
             }
-            End::Miss | End::Error if end.warmth == Warmth::LoadFailed => {
+            Outcome::ColdMiss | Outcome::Error if end.warmth == Warmth::LoadFailed => {
                 (place.copies, place.loading, place.barred) = (0, false, now + expected as Micros);
             }
             // Guards against a worker that fails all it gets at once, and so always has the fewest in
             // flight: it is left alone ever longer. A single function that fails may itself be at fault.
-            End::Error => {
+            Outcome::Error => {
                 (place.loading, place.barred) = (false, now + expected as Micros);
                 if worker.failures != 1 || worker.failed != job.function {
                     worker.failures = (worker.failures + 1).min(MOST_FAILURES);
@@ -283,7 +290,7 @@
                     (job.function, worker.barred.max(now + alone as Micros));
             }
             // Waited for a load that did not come. Guards against load queues that nothing tells of.
-            End::TimedOut if place.copies == 0 => {
+            Outcome::TimedOut if place.copies == 0 => {
                 (place.loading, place.absent) = (false, now + function.load as Micros);
                 loaded = Some(end.latency as f64);
             }
@@ -295,9 +302,12 @@
             .for_each(|took| self.learn_load(job.function, took));
     }
 
-    pub(super) fn record_order(&mut self, end: &OrderEnd) {
+    pub(super) fn record_order(&mut self, end: &LoadResult) {
         let (now, keep) = (self.now, self.terms.keep_alive);
-        if !matches!(end.end, End::TimedOut | End::NoConnection | End::Reset) {
+        if !matches!(
+            end.outcome,
+            Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset
+        ) {
             self.workers.entry(end.worker).and_modify(|w| w.hear(now));
         }
         let Some(function) = self.functions.get_mut(end.function) else {
@@ -305,8 +315,8 @@
         };
         let mut place = function.place(end.worker);
         let wanted = place.order.take().map_or(0, |(_, copies)| copies);
-        place.copies = end.copies;
-        if end.copies > 0 {
+        place.copies = end.instances;
+        if end.instances > 0 {
             let lasts = if wanted > 0 {
                 keep
             } else {
@@ -314,13 +324,13 @@
             };
             place.until = place.until.max(now + lasts);
         }
-        let found = if wanted == 0 && end.copies > 0 {
+        let found = if wanted == 0 && end.instances > 0 {
             EARNS_ASK
         } else {
             0.0
         };
         self.todo.extend(&function.waiting);
-        if wanted > 0 && end.end == End::Finished {
+        if wanted > 0 && end.outcome == Outcome::Finished {
             function.warm_last = Some(end.worker);
             if end.latency as f64 > function.load * GUESS_OF_TARGET {
                 self.learn_load(end.function, end.latency as f64);
@@ -364,11 +374,11 @@
         };
     }
 
-    pub(super) fn end_job(&mut self, id: JobId) {
+    pub(super) fn end_job(&mut self, id: RequestId) {
         let Some(held) = self.jobs.remove(&id) else {
             return;
         };
-        self.due.remove(&(held.job.due, Due::JobEnds(id)));
+        self.due.remove(&(held.job.deadline, Due::JobEnds(id)));
         self.todo.remove(&id);
         self.waiting.remove(&id);
         let Some(function) = self.functions.get_mut(held.job.function) else {
--- a/src/logic/outlier_detection.rs
+++ b/src/logic/outlier_detection.rs
@@ -45,7 +45,7 @@
             BTreeSet::new()
         };
         if self.terms.probes {
-            out.probe(id);
+            out.check_health(id);
         } else if self.terms.orders {
             let places = self
                 .functions
@@ -61,7 +61,7 @@
                         ..place
                     },
                 );
-                out.hold(id, f, 0);
+                out.load(id, f, 0);
             }
         }
         stuck
@@ -71,12 +71,12 @@
 
     /// A further execution for a job that is stuck at a silent worker, if the rules allow one and the time
     /// left exceeds what it is expected to take: beside the first where allowed, else in its place.
-    pub(super) fn move_away(&mut self, id: JobId, number: usize, out: &mut impl Decisions) {
+    pub(super) fn move_away(&mut self, id: RequestId, number: usize, out: &mut impl Decisions) {
         let Some(held) = self.jobs.get(&id) else {
             return;
         };
         let job = held.job;
-        let in_time = job.due - self.now > self.work_of(&job) as Micros;
+        let in_time = job.deadline - self.now > self.work_of(&job) as Micros;
         let elsewhere = self.workers.values().any(|w| self.may_go(held, w));
         let doubles =
             self.terms.second_copies && self.workload(job.workload).effect == Effect::Restartable;
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -8,7 +8,7 @@
 use crate::*;
 
 impl Router {
-    pub(super) fn place(&mut self, id: JobId, out: &mut impl Decisions) {
+    pub(super) fn place(&mut self, id: RequestId, out: &mut impl Decisions) {
         let Some(held) = self.jobs.get(&id) else {
             return;
         };
@@ -24,11 +24,11 @@
         // repeat has used up part of its target before: what is gone of its limit, and half of it at least.
         let work = self.work_of(&job);
         let usual = work * self.middle.pace;
-        let left = job.due - self.now;
+        let left = job.deadline - self.now;
         let whole = self.target(job.workload);
         let patience = self.workload(job.workload).patience;
-        let fresh = if job.repeat {
-            (whole - patience + job.due - came).clamp(0, whole / 2)
+        let fresh = if job.is_retry {
+            (whole - patience + job.deadline - came).clamp(0, whole / 2)
         } else {
             whole
         };
@@ -285,7 +285,7 @@
                             ..place
                         },
                     );
-                    out.hold(*w, id, 0);
+                    out.load(*w, id, 0);
                 }
             }
         }
@@ -301,7 +301,7 @@
         now < function.asking && function.open.iter().any(is_ask)
     }
 
-    pub(super) fn wait(&mut self, id: JobId) {
+    pub(super) fn wait(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get(&id).map(|h| h.job) else {
             return;
         };
@@ -312,7 +312,7 @@
     }
 
     /// Waits for room while the job can still be in time, and gives it up at once when it cannot.
-    pub(super) fn wait_or_give_up(&mut self, id: JobId, out: &mut impl Decisions) {
+    pub(super) fn wait_or_give_up(&mut self, id: RequestId, out: &mut impl Decisions) {
         let Some(held) = self.jobs.get(&id) else {
             return;
         };
@@ -325,7 +325,7 @@
 
     pub(super) fn execute(
         &mut self,
-        id: JobId,
+        id: RequestId,
         w: WorkerId,
         expected: f64,
         out: &mut impl Decisions,
@@ -362,12 +362,12 @@
             ..Execution::default()
         };
         held.executions.push(sent);
-        out.execute(id, w, held.job.due - now);
+        out.dispatch(id, w, held.job.deadline - now);
         self.further = (self.further - charged).max(0.0);
     }
 
     /// The final answer of a job that is not going to be in time, at once, unless an execution is out.
-    pub(super) fn give_up(&mut self, id: JobId, out: &mut impl Decisions) {
+    pub(super) fn give_up(&mut self, id: RequestId, out: &mut impl Decisions) {
         if !self
             .jobs
             .get(&id)
@@ -378,7 +378,7 @@
     }
 
     /// The final answer to a job that has not finished: pushed back where that is allowed.
-    pub(super) fn end_now(&mut self, id: JobId, out: &mut impl Decisions) {
+    pub(super) fn end_now(&mut self, id: RequestId, out: &mut impl Decisions) {
         let Some(held) = self.jobs.get(&id) else {
             return;
         };
@@ -399,9 +399,9 @@
             let shed = self.target(job.workload) as f64 * (1.0 - self.taking) / 2.0;
             let wait = if self.pressed() { shed } else { load }.max(self.work_of(&job));
             let wait = (wait * (0.5 + self.chance() as f64 / u64::MAX as f64)) as Micros;
-            out.push_back(id, wait.min(self.terms.max_retry_after));
+            out.reject(id, wait.min(self.terms.max_retry_after));
         } else {
-            out.kill(id);
+            out.fail(id);
         }
         self.end_job(id);
     }
