--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -10,17 +10,17 @@
     /// Rule 4: work that may go to a cold worker now: its cold part of an even share of what is taken here,
     /// saved up over no more than the rule's window; all together stay near what it can do. What is saved up
     /// for a part only goes by chance, or many routers would each save up a job and send them together.
-    pub(super) fn cold_room(&self, to: &Worker, job: JobId, work: f64) -> bool {
+    pub(super) fn cold_room(&self, to: &Worker, job: RequestId, work: f64) -> bool {
         let drawn = || hash_of((self.seed, to.row.worker, job)) as f64 / u64::MAX as f64;
         self.cold_budget(to)
             .is_none_or(|budget| budget > drawn() * work)
     }
     pub(super) fn cold_budget(&self, worker: &Worker) -> Option<f64> {
-        if worker.row.started <= 0 || self.now >= worker.warm {
+        if worker.row.started_at <= 0 || self.now >= worker.warm {
             return None;
         }
         let (now, span, fall) = (self.now, self.terms.cold, self.terms.fall);
-        let age = (now - worker.row.started).max(0);
+        let age = (now - worker.row.started_at).max(0);
         let from = self.terms.cold_from;
         let part = from + (1.0 - from) * age as f64 / span as f64;
         let share = worker.row.size / self.listed.total().max(worker.row.size);
@@ -85,7 +85,7 @@
             },
         );
         self.ordered.push_back(self.now);
-        out.hold(w, id, copies);
+        out.load(w, id, copies);
         true
     }
 }
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -30,15 +30,19 @@
     }
     /// Jobs of all routers held here for its size, as last reported; an old report tells as the middle one's.
     pub(super) fn held_now(&self, now: Micros, middle: f64) -> f64 {
-        let held = self.report.held.unwrap_or(middle * self.row.size)
+        let held = self.report.in_flight.unwrap_or(middle * self.row.size)
             / self.row.size.max(f64::MIN_POSITIVE);
         faded(held, middle, now - self.report_at, REPORT_FADES_US)
     }
     /// What part of the jobs it last reported waits, or whether all its cores were busy, where it tells. A
     /// load under way is a job that waits, but not for a core, where workers load by themselves.
     pub(super) fn waiting(&self, own_loads: bool) -> Option<f64> {
-        let loads = self.report.loads.filter(|_| own_loads).unwrap_or(0.0);
-        let queued = self.report.queued.zip(self.report.held);
+        let loads = self
+            .report
+            .loads_in_progress
+            .filter(|_| own_loads)
+            .unwrap_or(0.0);
+        let queued = self.report.queued.zip(self.report.in_flight);
         let part = queued.map(|(queued, held)| (queued - loads) / held.max(1.0));
         part.or(self
             .report
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,12 +1,14 @@
 //! What the decision module remembers, as plain data. What it does with it, and every figure, is in `logic`.
 
 use crate::statistics::tie;
-use crate::{FunctionId, Job, JobId, Micros, Report, Settings, WorkerId, WorkerRow, ZoneId};
+use crate::{
+    Endpoint, FunctionId, LoadReport, Micros, Request, RequestId, Settings, WorkerId, ZoneId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Due {
-    JobEnds(JobId),
+    JobEnds(RequestId),
     Silence(WorkerId),
     Keep(FunctionId),
     List,
@@ -74,13 +76,13 @@
 
 #[derive(Default)]
 pub(crate) struct Worker {
-    pub row: WorkerRow,
+    pub row: Endpoint,
     /// From when on it is warm, where it started not long ago.
     pub warm: Micros,
     /// Own jobs in flight.
     pub own: u32,
     /// Executions out here, oldest first: when sent, and from when on their answers are late.
-    pub out: BTreeSet<(Micros, Micros, JobId, usize)>,
+    pub out: BTreeSet<(Micros, Micros, RequestId, usize)>,
     /// What jobs take here over what they are expected to: of late, in the long run, and when calm.
     pub pace: f64,
     pub pace_at: Micros,
@@ -91,7 +93,7 @@
     pub limit: f64,
     pub cut: Micros,
     pub barred: Micros,
-    pub report: Report,
+    pub report: LoadReport,
     pub report_at: Micros,
     /// When it last answered, since when a check for life is out, and how many went unanswered.
     pub heard: Micros,
@@ -149,7 +151,7 @@
     pub copies: BTreeSet<(u32, u64, WorkerId)>,
     /// Places with an order out or a load by an own job.
     pub open: BTreeSet<WorkerId>,
-    pub waiting: BTreeSet<JobId>,
+    pub waiting: BTreeSet<RequestId>,
     /// Jobs taken of late, over about a keep-alive, and when the last one was.
     pub calls: f64,
     pub last_job: Micros,
@@ -170,7 +172,7 @@
 }
 
 pub(crate) struct Held {
-    pub job: Job,
+    pub job: Request,
     pub came: Micros,
     pub executions: Vec<Execution>,
 }
--- a/tests/candidates.rs
+++ b/tests/candidates.rs
@@ -8,23 +8,23 @@
 
 const MANY: [(&str, Value); 1] = [("routers", Value::Number(4_200.0))];
 
-fn ready(workers: std::ops::Range<u64>) -> Vec<WorkerRow> {
+fn ready(workers: std::ops::Range<u64>) -> Vec<Endpoint> {
     workers.map(|w| row(w, WorkerState::Ready, 0)).collect()
 }
 
 /// The homes of each function, by where routers with such a list send their first job of it.
-fn homes(rows: &[WorkerRow], functions: std::ops::Range<u64>) -> BTreeMap<u64, BTreeSet<u64>> {
+fn homes(rows: &[Endpoint], functions: std::ops::Range<u64>) -> BTreeMap<u64, BTreeSet<u64>> {
     let mut homes: BTreeMap<u64, BTreeSet<u64>> = BTreeMap::new();
     for seed in 0..12 {
         let mut host = Host::seeded(seed, 0, &MANY);
-        host.list(ListKind::Full, rows.to_vec());
+        host.list(EndpointListKind::Full, rows.to_vec());
         for function in functions.clone() {
             host.job(function, function);
             homes
                 .entry(function)
                 .or_default()
                 .extend(host.sent(function));
-            host.finish(function, Warmth::Stood, 1_000);
+            host.finish(function, Warmth::Warm, 1_000);
         }
     }
     homes
@@ -47,9 +47,9 @@
         host.job(id, 7);
         let home = host.sent(id).expect("a home");
         assert!(!away.contains(&home), "{home} is away");
-        host.finish(id, Warmth::Stood, 10_000);
+        host.finish(id, Warmth::Warm, 10_000);
         away.insert(home);
-        host.list(ListKind::Changes, vec![row(home, state, 0)]);
+        host.list(EndpointListKind::Delta, vec![row(home, state, 0)]);
     }
     assert_eq!(away.len(), 60);
 }
@@ -64,19 +64,19 @@
     for id in 0..60 {
         host.job(id, 7);
         silent.extend(host.sent(id));
-        host.end(id, End::NoConnection, Warmth::Unknown, 1_000);
+        host.end(id, Outcome::NoConnection, Warmth::Unknown, 1_000);
         assert!(
             !silent.contains(&host.sent(id).expect("another")),
             "not where it could not be reached"
         );
-        host.finish(id, Warmth::Stood, 10_000);
+        host.finish(id, Warmth::Warm, 10_000);
     }
     assert!(silent.len() > 10);
 }
 
 #[rstest]
 fn a_zone_gone_at_once_takes_only_its_own_homes_along() {
-    let zoned = |w: u64| WorkerRow {
+    let zoned = |w: u64| Endpoint {
         zone: ZoneId(w as usize % 19),
         ..row(w, WorkerState::Ready, 0)
     };
@@ -98,14 +98,14 @@
     let mut host = Host::new(30, &[]);
     for id in 0..40 {
         host.job(id, id);
-        host.finish(id, Warmth::BeganLoad, 10_000);
+        host.finish(id, Warmth::StartedLoad, 10_000);
     }
     let warm: Vec<_> = (0..40).map(|id| host.sent(id)).collect();
-    host.list(ListKind::Full, ready(0..300));
+    host.list(EndpointListKind::Full, ready(0..300));
     for id in 0..40 {
         host.job(100 + id, id);
         assert_eq!(host.sent(100 + id), warm[id as usize]);
-        host.finish(100 + id, Warmth::Stood, 10_000);
+        host.finish(100 + id, Warmth::Warm, 10_000);
     }
     let new: BTreeSet<_> = homes(&ready(0..300), 0..300)
         .into_values()
@@ -124,12 +124,12 @@
     let mut host = Host::new(600, &MANY);
     for id in 0..600 {
         host.job(id, if id % 3 == 0 { 7 } else { 1_000 + id });
-        host.end(id, End::Finished, Warmth::Stood, 5_000);
+        host.end(id, Outcome::Finished, Warmth::Warm, 5_000);
     }
-    let jobs: Vec<Job> = (1_000..1_200).map(|id| host.draft(id, 7)).collect();
-    host.round(Round {
-        jobs,
-        ..Round::default()
+    let jobs: Vec<Request> = (1_000..1_200).map(|id| host.draft(id, 7)).collect();
+    host.handle(EventBatch {
+        requests: jobs,
+        ..EventBatch::default()
     });
     let mut sent = BTreeMap::<Option<u64>, usize>::new();
     (1_000..1_200).for_each(|id| *sent.entry(host.sent(id)).or_default() += 1);
@@ -147,10 +147,10 @@
 #[case::five(5)]
 fn fewer_workers_than_are_looked_at_are_all_used(#[case] workers: u64) {
     let mut host = Host::new(workers, &[]);
-    let jobs: Vec<Job> = (0..workers * 3).map(|id| host.draft(id, 7)).collect();
-    host.round(Round {
-        jobs,
-        ..Round::default()
+    let jobs: Vec<Request> = (0..workers * 3).map(|id| host.draft(id, 7)).collect();
+    host.handle(EventBatch {
+        requests: jobs,
+        ..EventBatch::default()
     });
     let used: BTreeSet<_> = (0..workers * 3).filter_map(|id| host.sent(id)).collect();
     assert_eq!(used.len() as u64, workers);
@@ -160,7 +160,7 @@
 fn homes_follow_sizes_that_differ_by_sixteen_and_change() {
     let sized = |w: u64, large: u64| {
         let size = if w % 2 == large { 16.0 } else { 1.0 };
-        WorkerRow {
+        Endpoint {
             size,
             ..row(w, WorkerState::Ready, 0)
         }
@@ -168,18 +168,18 @@
     for large in [0, 1] {
         let mut host = Host::new(0, &MANY);
         host.list(
-            ListKind::Full,
+            EndpointListKind::Full,
             (0..200).map(|w| sized(w, 1 - large)).collect(),
         );
         host.list(
-            ListKind::Changes,
+            EndpointListKind::Delta,
             (0..200).map(|w| sized(w, large)).collect(),
         );
         let mut there = 0;
         for function in 0..400 {
             host.job(function, function);
             there += usize::from(host.sent(function).is_some_and(|w| w % 2 == large));
-            host.finish(function, Warmth::Stood, 1_000);
+            host.finish(function, Warmth::Warm, 1_000);
         }
         assert!(there >= 360, "{there} of 400 at the large ones");
     }
@@ -194,17 +194,17 @@
         ("workloads.0.repeat-window-us", Value::Number(2e6)),
     ];
     let mut host = Host::new(0, &[&MANY[..], &set[..]].concat());
-    let celled = |w: u64| WorkerRow {
+    let celled = |w: u64| Endpoint {
         cell: CellId(w as usize / 2),
         ..row(w, WorkerState::Ready, 0)
     };
-    host.list(ListKind::Full, (0..2_000).map(celled).collect());
+    host.list(EndpointListKind::Full, (0..2_000).map(celled).collect());
     for id in 0..20 {
         host.job(id, id);
         let first = host.sent(id).expect("a home");
-        host.end(id, End::Error, Warmth::Unknown, 10_000);
+        host.end(id, Outcome::Error, Warmth::Unknown, 10_000);
         assert_eq!(host.sent(id), Some(first ^ 1), "its twin, and no other");
-        host.finish(id, Warmth::Stood, 10_000);
+        host.finish(id, Warmth::Warm, 10_000);
     }
 }
 
@@ -218,19 +218,19 @@
             let mut rows = rows.clone();
             rows.rotate_left(function as usize * 7);
             let job = host.draft(function, function);
-            let lists = vec![WorkerList {
-                kind: ListKind::Full,
-                rows,
+            let lists = vec![EndpointList {
+                kind: EndpointListKind::Full,
+                endpoints: rows,
             }];
-            host.round(Round {
-                lists,
-                jobs: vec![job],
-                ..Round::default()
+            host.handle(EventBatch {
+                endpoint_lists: lists,
+                requests: vec![job],
+                ..EventBatch::default()
             });
             seen.entry(function)
                 .or_default()
                 .extend(host.sent(function));
-            host.finish(function, Warmth::Stood, 1_000);
+            host.finish(function, Warmth::Warm, 1_000);
         }
     }
     assert_eq!(seen, homes(&rows, 0..50));
@@ -257,7 +257,7 @@
         host.job(id, id % 150);
         host.answer_asks(0);
         if host.sent(id).is_some() {
-            host.finish(id, Warmth::Stood, 40_000);
+            host.finish(id, Warmth::Warm, 40_000);
         }
     }
     host.count(|did| matches!(did, Did::Hold(_, _, 0))) as f64 / jobs as f64
@@ -277,13 +277,13 @@
 fn lapsed_copies_do_not_hide_those_that_stand() {
     let mut host = Host::new(300, &[]);
     host.job(0, 7);
-    host.finish(0, Warmth::BeganLoad, 10_000);
-    (0..250).for_each(|w| host.order_end(w, 7, End::Finished, 1));
+    host.finish(0, Warmth::StartedLoad, 10_000);
+    (0..250).for_each(|w| host.order_end(w, 7, Outcome::Finished, 1));
     host.pass(9_000_000);
-    host.order_end(299, 7, End::Finished, 1);
+    host.order_end(299, 7, Outcome::Finished, 1);
     for id in 1..10 {
         host.job(id, 7);
         assert_eq!(host.sent(id), Some(299));
-        host.finish(id, Warmth::Stood, 10_000);
+        host.finish(id, Warmth::Warm, 10_000);
     }
 }
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -7,9 +7,9 @@
 use sanddrum::*;
 
 fn closes(host: &mut Host) {
-    host.round(Round {
-        closing: true,
-        ..Round::default()
+    host.handle(EventBatch {
+        shutting_down: true,
+        ..EventBatch::default()
     });
 }
 
@@ -25,7 +25,7 @@
     assert!(host.sent(1).is_some());
     closes(&mut host);
     assert_eq!(host.log.did.last(), Some(&answer));
-    host.finish(1, Warmth::Stood, 50_000);
+    host.finish(1, Warmth::Warm, 50_000);
     assert_eq!(host.finals(1), 1, "one answer, and nothing after it");
 }
 
@@ -33,7 +33,7 @@
 fn a_job_that_never_ran_is_pushed_back_whatever_its_effect() {
     let mut host = Host::new(1, &[("workloads.0.effect", Value::Text("run-once".into()))]);
     host.job(1, 7);
-    host.end(1, End::Full, Warmth::Unknown, 1_000);
+    host.end(1, Outcome::Rejected, Warmth::Unknown, 1_000);
     closes(&mut host);
     assert_eq!(host.log.did.last(), Some(&Did::PushBack(1)));
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -24,36 +24,36 @@
 }
 
 impl Decisions for Log {
-    fn execute(&mut self, job: JobId, worker: WorkerId, _: Micros) {
+    fn dispatch(&mut self, job: RequestId, worker: WorkerId, _: Micros) {
         self.did.push(Did::Execute(job.0, worker.0));
     }
-    fn cancel(&mut self, job: JobId, execution: usize) {
+    fn cancel(&mut self, job: RequestId, execution: usize) {
         self.did.push(Did::Cancel(job.0, execution));
     }
-    fn push_back(&mut self, job: JobId, wait: Micros) {
+    fn reject(&mut self, job: RequestId, wait: Micros) {
         self.waits.push(wait);
         self.did.push(Did::PushBack(job.0));
     }
-    fn kill(&mut self, job: JobId) {
+    fn fail(&mut self, job: RequestId) {
         self.did.push(Did::Kill(job.0));
     }
-    fn hold(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
+    fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
         self.did.push(Did::Hold(worker.0, function.0, copies));
     }
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
         self.did.push(Did::Unload(worker.0, function.0));
     }
-    fn probe(&mut self, worker: WorkerId) {
+    fn check_health(&mut self, worker: WorkerId) {
         self.did.push(Did::Probe(worker.0));
     }
     fn subscribe(&mut self) {
         self.did.push(Did::Subscribe);
     }
-    fn tell(&mut self, _: Option<PeerId>, _: &[u8]) {}
+    fn gossip(&mut self, _: Option<PeerId>, _: &[u8]) {}
     fn wake_at(&mut self, at: Micros) {
         self.wake = at;
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
 pub struct Host {
@@ -63,7 +63,7 @@
     /// Executions a job has had.
     pub tries: BTreeMap<u64, usize>,
     /// What workers report with each answer.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl Host {
@@ -107,19 +107,19 @@
         let rows = (0..workers)
             .map(|w| row(w, WorkerState::Ready, 0))
             .collect();
-        host.round(Round {
-            lists: vec![WorkerList {
-                kind: ListKind::Cached,
-                rows,
+        host.handle(EventBatch {
+            endpoint_lists: vec![EndpointList {
+                kind: EndpointListKind::Cached,
+                endpoints: rows,
             }],
-            ..Round::default()
+            ..EventBatch::default()
         });
         host
     }
 
-    pub fn round(&mut self, round: Round) {
+    pub fn handle(&mut self, round: EventBatch) {
         let from = self.log.did.len();
-        self.router.round(self.now, &round, &mut self.log);
+        self.router.handle(self.now, &round, &mut self.log);
         for did in &self.log.did[from..] {
             if let Did::Execute(job, _) = did {
                 *self.tries.entry(*job).or_default() += 1;
@@ -127,32 +127,35 @@
         }
     }
 
-    pub fn draft(&self, id: u64, function: u64) -> Job {
-        Job {
-            id: JobId(id),
+    pub fn draft(&self, id: u64, function: u64) -> Request {
+        Request {
+            id: RequestId(id),
             function: FunctionId(function),
             workload: WorkloadId(0),
             customer: CustomerId(0),
-            due: self.now + 3_000_000,
+            deadline: self.now + 3_000_000,
             memory_mb: 100.0,
-            lanes: 1.0,
-            load: None,
-            work: None,
-            repeat: false,
+            concurrency: 1.0,
+            load_time: None,
+            expected_work: None,
+            is_retry: false,
         }
     }
 
     pub fn job(&mut self, id: u64, function: u64) {
-        self.round(Round {
-            jobs: vec![self.draft(id, function)],
-            ..Round::default()
+        self.handle(EventBatch {
+            requests: vec![self.draft(id, function)],
+            ..EventBatch::default()
         });
     }
 
-    pub fn list(&mut self, kind: ListKind, rows: Vec<WorkerRow>) {
-        self.round(Round {
-            lists: vec![WorkerList { kind, rows }],
-            ..Round::default()
+    pub fn list(&mut self, kind: EndpointListKind, rows: Vec<Endpoint>) {
+        self.handle(EventBatch {
+            endpoint_lists: vec![EndpointList {
+                kind,
+                endpoints: rows,
+            }],
+            ..EventBatch::default()
         });
     }
 
@@ -173,18 +176,18 @@
         asks.collect()
     }
 
-    pub fn order_end(&mut self, worker: u64, function: u64, end: End, copies: u32) {
+    pub fn order_end(&mut self, worker: u64, function: u64, end: Outcome, copies: u32) {
         let (worker, function) = (WorkerId(worker), FunctionId(function));
-        let news = OrderEnd {
+        let news = LoadResult {
             worker,
             function,
-            end,
+            outcome: end,
             latency: 1_000,
-            copies,
+            instances: copies,
         };
-        self.round(Round {
-            orders: vec![news],
-            ..Round::default()
+        self.handle(EventBatch {
+            load_results: vec![news],
+            ..EventBatch::default()
         });
     }
 
@@ -199,7 +202,7 @@
             .collect();
         for ask in asks {
             if let Did::Hold(worker, function, _) = ask {
-                self.order_end(worker, function, End::Finished, copies);
+                self.order_end(worker, function, Outcome::Finished, copies);
             }
         }
     }
@@ -212,7 +215,7 @@
             _ => None,
         });
         let (worker, copies) = order.unwrap_or((99, 0));
-        self.order_end(worker, function, End::Finished, copies);
+        self.order_end(worker, function, Outcome::Finished, copies);
         worker
     }
 
@@ -224,35 +227,35 @@
         })
     }
 
-    pub fn end(&mut self, job: u64, end: End, warmth: Warmth, latency: Micros) {
+    pub fn end(&mut self, job: u64, end: Outcome, warmth: Warmth, latency: Micros) {
         self.now += latency;
         self.answer(job, end, warmth, latency);
     }
 
     /// An execution's end, told now.
-    pub fn answer(&mut self, job: u64, end: End, warmth: Warmth, latency: Micros) {
+    pub fn answer(&mut self, job: u64, end: Outcome, warmth: Warmth, latency: Micros) {
         let worker = WorkerId(self.sent(job).unwrap_or(0));
         let execution = self.tries.get(&job).map_or(0, |n| n - 1);
-        let settled = end == End::Finished;
-        let news = ExecutionEnd {
-            job: JobId(job),
-            execution,
+        let settled = end == Outcome::Finished;
+        let news = AttemptResult {
+            request: RequestId(job),
+            attempt: execution,
             worker,
-            end,
+            outcome: end,
             latency,
-            settled,
+            is_final: settled,
             warmth,
-            crowd: None,
+            function_in_flight: None,
             report: self.report,
         };
-        self.round(Round {
-            ends: vec![news],
-            ..Round::default()
+        self.handle(EventBatch {
+            attempt_results: vec![news],
+            ..EventBatch::default()
         });
     }
 
     pub fn finish(&mut self, job: u64, warmth: Warmth, latency: Micros) {
-        self.end(job, End::Finished, warmth, latency);
+        self.end(job, Outcome::Finished, warmth, latency);
     }
 
     /// Lets time pass, waking the module whenever it asked to be.
@@ -261,24 +264,24 @@
         while self.log.wake <= until {
             self.now = self.now.max(self.log.wake);
             self.log.wake = Micros::MAX;
-            self.round(Round {
+            self.handle(EventBatch {
                 timer: true,
-                ..Round::default()
+                ..EventBatch::default()
             });
         }
         self.now = until;
     }
 }
 
-pub fn row(worker: u64, state: WorkerState, started: Micros) -> WorkerRow {
+pub fn row(worker: u64, state: WorkerState, started: Micros) -> Endpoint {
     let worker = WorkerId(worker);
-    WorkerRow {
+    Endpoint {
         worker,
         zone: ZoneId(0),
         cell: CellId(0),
         kind: KindId(0),
         size: 1.0,
         state,
-        started,
+        started_at: started,
     }
 }
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -14,14 +14,14 @@
         ("workloads.0.time-limit-us", Value::Number(3e6)),
     ];
     let mut host = Host::new(12, &set);
-    host.report = Some(Report {
-        held: Some(40.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(40.0),
         queued: Some(queued),
-        ..Report::default()
+        ..LoadReport::default()
     });
     for id in 0..120 {
         host.job(id, id % 12);
-        host.finish(id, Warmth::Stood, 20_000);
+        host.finish(id, Warmth::Warm, 20_000);
     }
     host
 }
@@ -39,7 +39,7 @@
         host.job(id, id % 12);
         for _ in 0..4 {
             if host.finals(id) == 0 {
-                host.end(id, End::Full, Warmth::Unknown, 10_000);
+                host.end(id, Outcome::Rejected, Warmth::Unknown, 10_000);
             }
         }
         more += host
@@ -56,57 +56,61 @@
 #[rstest]
 fn what_is_taken_falls_with_full_answers_and_rises_fast_where_nothing_waits() {
     let mut host = told_to_wait(30.0, 200.0);
-    let pushed = |host: &mut Host, ids: std::ops::Range<u64>, end: End| {
+    let pushed = |host: &mut Host, ids: std::ops::Range<u64>, end: Outcome| {
         let before = host.log.waits.len();
         for id in ids {
             host.job(id, id % 12);
             if host.finals(id) == 0 {
-                host.answer(id, end, Warmth::Stood, 10_000);
+                host.answer(id, end, Warmth::Warm, 10_000);
             }
             host.pass(10_000);
         }
         host.log.waits.len() - before
     };
-    pushed(&mut host, 200..260, End::Full);
-    let shed = pushed(&mut host, 300..400, End::Finished);
+    pushed(&mut host, 200..260, Outcome::Rejected);
+    let shed = pushed(&mut host, 300..400, Outcome::Finished);
     assert!(shed >= 30, "{shed} of 100 turned away");
-    host.report = Some(Report {
-        held: Some(1.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(1.0),
         queued: Some(0.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
-    pushed(&mut host, 400..500, End::Finished);
-    assert_eq!(pushed(&mut host, 500..600, End::Finished), 0, "it is over");
+    pushed(&mut host, 400..500, Outcome::Finished);
+    assert_eq!(
+        pushed(&mut host, 500..600, Outcome::Finished),
+        0,
+        "it is over"
+    );
 }
 
 #[rstest]
 fn the_end_of_an_overload_is_heard_from_the_newest_reports() {
     let mut host = told_to_wait(30.0, 200.0);
-    host.report = Some(Report {
-        held: Some(1.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(1.0),
         queued: Some(0.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
     host.pass(1_100_000);
     // Three workers have answered since, the word of the others is over a second old.
     let before = host.log.waits.len();
     for id in 200..203 {
         host.job(id, id % 12);
-        host.finish(id, Warmth::Stood, 20_000);
+        host.finish(id, Warmth::Warm, 20_000);
     }
     host.pass(100_000);
     for id in 300..320 {
         // Its target is gone, so it is taken by a calm fleet only.
-        let late = Job {
-            repeat: true,
-            due: host.now + 100_000,
+        let late = Request {
+            is_retry: true,
+            deadline: host.now + 100_000,
             ..host.draft(id, id % 12)
         };
-        host.round(Round {
-            jobs: vec![late],
-            ..Round::default()
+        host.handle(EventBatch {
+            requests: vec![late],
+            ..EventBatch::default()
         });
-        host.answer(id, End::Finished, Warmth::Stood, 20_000);
+        host.answer(id, Outcome::Finished, Warmth::Warm, 20_000);
     }
     assert_eq!(host.log.waits.len(), before);
 }
@@ -120,23 +124,23 @@
 ) {
     let set = [("workloads.0.time-limit-us", Value::Number(3e6))];
     let mut host = Host::new(6, &set);
-    host.report = Some(Report {
-        held: Some(40.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(40.0),
         queued: Some(30.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
     for id in 0..60 {
         host.job(id, id % 6);
-        host.finish(id, Warmth::Stood, 20_000);
+        host.finish(id, Warmth::Warm, 20_000);
     }
-    let repeat = Job {
-        repeat: true,
-        due: host.now + left,
+    let repeat = Request {
+        is_retry: true,
+        deadline: host.now + left,
         ..host.draft(100, 1)
     };
-    host.round(Round {
-        jobs: vec![repeat],
-        ..Round::default()
+    host.handle(EventBatch {
+        requests: vec![repeat],
+        ..EventBatch::default()
     });
     assert_eq!(host.finals(100) > 0, back);
 }
@@ -148,20 +152,20 @@
         for id in 200..200 + full {
             host.job(id, id % 12);
             if host.finals(id) == 0 {
-                host.end(id, End::Full, Warmth::Unknown, 100);
+                host.end(id, Outcome::Rejected, Warmth::Unknown, 100);
             }
         }
         // Nothing is left of the targets of these.
         let before = host.log.waits.len();
         for id in 300..320 {
-            let late = Job {
-                repeat: true,
-                due: host.now + 1_500_000,
+            let late = Request {
+                is_retry: true,
+                deadline: host.now + 1_500_000,
                 ..host.draft(id, id % 12)
             };
-            host.round(Round {
-                jobs: vec![late],
-                ..Round::default()
+            host.handle(EventBatch {
+                requests: vec![late],
+                ..EventBatch::default()
             });
         }
         host.log.waits.split_off(before)
@@ -188,7 +192,7 @@
     for id in 200..260 {
         host.job(id, id % 12);
         if host.finals(id) == 0 {
-            host.end(id, End::Full, Warmth::Unknown, 100);
+            host.end(id, Outcome::Rejected, Warmth::Unknown, 100);
         }
     }
     let taken = |host: &mut Host, ids: std::ops::Range<u64>| {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -11,7 +11,7 @@
     let mut host = Host::new(3, &[]);
     host.job(1, 7);
     let first = host.sent(1);
-    host.finish(1, Warmth::BeganLoad, 900_000);
+    host.finish(1, Warmth::StartedLoad, 900_000);
     host.job(2, 7);
     assert!(first.is_some());
     assert_eq!(host.sent(2), first);
@@ -25,11 +25,11 @@
     let mut host = Host::new(3, &[("copies.orders", Value::Flag(true))]);
     host.job(1, 7);
     host.answer_asks(0);
-    host.finish(1, Warmth::BeganLoad, 900_000);
+    host.finish(1, Warmth::StartedLoad, 900_000);
     for paying in 100..104 {
         host.job(paying, 8);
         host.answer_asks(0);
-        host.finish(paying, Warmth::Stood, 10_000);
+        host.finish(paying, Warmth::Warm, 10_000);
     }
     host.pass(idle);
     let asked = host.count(|did| matches!(did, Did::Hold(_, 7, 0)));
@@ -54,9 +54,9 @@
     host.answer_asks(0);
     let w = host.loaded_by_order(7, 900_000);
     assert_eq!(host.sent(1), Some(w));
-    host.finish(1, Warmth::Stood, 100_000);
+    host.finish(1, Warmth::Warm, 100_000);
     host.list(
-        ListKind::Changes,
+        EndpointListKind::Delta,
         vec![row(w, WorkerState::Ready, host.now)],
     );
     host.job(2, 7);
@@ -88,7 +88,7 @@
     host.job(1, 7);
     let mut tried = BTreeSet::new();
     while let Some(w) = host.sent(1).filter(|w| tried.insert(*w)) {
-        host.end(1, End::Miss, Warmth::Unknown, 1_000);
+        host.end(1, Outcome::ColdMiss, Warmth::Unknown, 1_000);
         assert!(tried.len() <= 3, "{w} again");
     }
     assert_eq!(
@@ -111,8 +111,8 @@
     let subscribed = |host: &Host| host.count(|did| *did == Did::Subscribe);
     assert_eq!(subscribed(&host), calls);
     for _ in 0..calls {
-        host.list(ListKind::Failed, vec![]);
-        host.list(ListKind::Failed, vec![]);
+        host.list(EndpointListKind::Failed, vec![]);
+        host.list(EndpointListKind::Failed, vec![]);
         host.pass(900_000);
         assert_eq!(subscribed(&host), calls, "not at once, with all others");
         host.pass(1_200_000);
@@ -133,8 +133,8 @@
         2,
         "other homes than the one where it would load, as far as a new router may ask"
     );
-    host.order_end(asked[0], 7, End::Finished, 0);
-    host.order_end(asked[1], 7, End::Finished, 1);
+    host.order_end(asked[0], 7, Outcome::Finished, 0);
+    host.order_end(asked[1], 7, Outcome::Finished, 1);
     assert_eq!(host.sent(1), Some(asked[1]));
 }
 
@@ -144,7 +144,7 @@
 fn an_error_is_tried_again_only_where_that_is_harmless(#[case] effect: &str, #[case] again: bool) {
     let mut host = Host::new(3, &[("workloads.0.effect", Value::Text(effect.into()))]);
     host.job(1, 7);
-    host.end(1, End::Error, Warmth::Unknown, 10_000);
+    host.end(1, Outcome::Error, Warmth::Unknown, 10_000);
     assert_eq!(host.tries[&1], if again { 2 } else { 1 });
     assert_eq!(
         host.count(|did| *did == Did::Kill(1)),
@@ -171,15 +171,15 @@
     ];
     let mut host = Host::new(1, &set);
     host.job(1, 7);
-    let other = WorkerRow {
+    let other = Endpoint {
         zone: ZoneId(zone),
         ..row(9, WorkerState::Ready, 0)
     };
     host.list(
-        ListKind::Changes,
+        EndpointListKind::Delta,
         vec![row(0, WorkerState::Draining, 0), other],
     );
-    host.end(1, End::Error, Warmth::Unknown, after);
+    host.end(1, Outcome::Error, Warmth::Unknown, after);
     assert_eq!(host.tries[&1], if again { 2 } else { 1 });
     assert_eq!(
         host.count(|did| *did == Did::PushBack(1)),
@@ -193,15 +193,15 @@
 #[case(WorkerState::Gone)]
 fn nothing_new_goes_to_a_worker_told_to_drain_in_the_same_round(#[case] state: WorkerState) {
     let mut host = Host::new(1, &[]);
-    let list = WorkerList {
-        kind: ListKind::Changes,
-        rows: vec![row(0, state, 0)],
+    let list = EndpointList {
+        kind: EndpointListKind::Delta,
+        endpoints: vec![row(0, state, 0)],
     };
     let job = host.draft(1, 7);
-    host.round(Round {
-        lists: vec![list],
-        jobs: vec![job],
-        ..Round::default()
+    host.handle(EventBatch {
+        endpoint_lists: vec![list],
+        requests: vec![job],
+        ..EventBatch::default()
     });
     host.pass(4_000_000);
     assert_eq!(
@@ -215,7 +215,7 @@
 fn a_cold_worker_gets_no_job_that_was_not_saved_up_for() {
     let mut host = Host::new(2, &[]);
     host.list(
-        ListKind::Changes,
+        EndpointListKind::Delta,
         vec![row(1, WorkerState::Ready, host.now)],
     );
     for job in 0..8 {
@@ -232,7 +232,7 @@
     ];
     let mut host = Host::new(2, &set);
     host.job(0, 7);
-    host.finish(0, Warmth::BeganLoad, 900_000);
+    host.finish(0, Warmth::StartedLoad, 900_000);
     host.job(1, 7);
     let silent = host.sent(1).unwrap_or(9);
     host.pass(1_000_000);
@@ -255,20 +255,20 @@
     assert_eq!((host.tries[&1], host.finals(1)), (1, 0));
     host.pass(20_000);
     assert_eq!(host.count(|did| *did == Did::Kill(1)), 1);
-    host.end(1, End::TimedOut, Warmth::Unknown, 1_000);
+    host.end(1, Outcome::TimedOut, Warmth::Unknown, 1_000);
     assert_eq!(host.finals(1), 1, "a late end changes nothing");
 }
 
 #[rstest]
 fn a_try_with_no_time_for_a_load_is_pushed_back_at_once() {
     let mut host = Host::new(3, &[]);
-    let job = Job {
-        due: host.now + 390_000,
+    let job = Request {
+        deadline: host.now + 390_000,
         ..host.draft(1, 7)
     };
-    host.round(Round {
-        jobs: vec![job],
-        ..Round::default()
+    host.handle(EventBatch {
+        requests: vec![job],
+        ..EventBatch::default()
     });
     assert_eq!(host.count(|did| *did == Did::PushBack(1)), 1);
 }
@@ -281,7 +281,7 @@
         let jobs = burst * 6..burst * 6 + 6;
         jobs.clone().for_each(|id| host.job(id, id % 6));
         host.now += latency;
-        jobs.for_each(|id| host.answer(id, End::Finished, Warmth::Stood, latency));
+        jobs.for_each(|id| host.answer(id, Outcome::Finished, Warmth::Warm, latency));
         assert!(
             burst >= 15 || host.count(|did| matches!(did, Did::PushBack(_))) == 0,
             "calm"
@@ -295,15 +295,15 @@
     let mut host = Host::new(1, &[]);
     for id in 0..60 {
         let hint = if id % 2 == 0 { 1_000 } else { 200_000 };
-        let job = Job {
-            work: Some(hint),
+        let job = Request {
+            expected_work: Some(hint),
             ..host.draft(id, 7)
         };
-        host.round(Round {
-            jobs: vec![job],
-            ..Round::default()
+        host.handle(EventBatch {
+            requests: vec![job],
+            ..EventBatch::default()
         });
-        host.finish(id, Warmth::Stood, 100_000);
+        host.finish(id, Warmth::Warm, 100_000);
     }
     assert_eq!(host.count(|did| matches!(did, Did::PushBack(_))), 0);
 }
@@ -341,7 +341,7 @@
             Did::Hold(w, f, 1) if *f == function => Some(*w),
             _ => None,
         });
-        host.order_end(at.unwrap_or(99), function, End::Error, 0);
+        host.order_end(at.unwrap_or(99), function, Outcome::Error, 0);
     }
     host.job(9, 3);
     host.answer_asks(0);
@@ -384,7 +384,7 @@
     );
     host.job(1, 7);
     host.answer_asks(0);
-    host.finish(1, Warmth::BeganLoad, 900_000);
+    host.finish(1, Warmth::StartedLoad, 900_000);
     host.pass(7_000_000);
     assert_eq!(host.count(|did| matches!(did, Did::Hold(_, 7, 1))), orders);
 }
@@ -398,7 +398,7 @@
     let mut host = Host::new(3, &set);
     host.job(1, 7);
     host.answer_asks(0);
-    host.finish(1, Warmth::BeganLoad, 900_000);
+    host.finish(1, Warmth::StartedLoad, 900_000);
     let w = host.sent(1).unwrap_or(9);
     host.pass(7_500_000);
     assert_eq!(host.count(|did| *did == Did::Unload(w, 7)), 1);
@@ -418,16 +418,16 @@
     let mut host = Host::new(3, &[("limits.probes", Value::Flag(true))]);
     for job in 0..ill {
         host.job(job, job);
-        host.end(job, End::NoConnection, Warmth::Unknown, 1_000);
+        host.end(job, Outcome::NoConnection, Warmth::Unknown, 1_000);
         // Each is tried elsewhere; that one works.
-        host.finish(job, Warmth::BeganLoad, 900_000);
+        host.finish(job, Warmth::StartedLoad, 900_000);
     }
     let suspects: Vec<u64> = (0..3)
         .filter(|w| host.count(|did| *did == Did::Probe(*w)) > 0)
         .collect();
     if away {
         host.list(
-            ListKind::Changes,
+            EndpointListKind::Delta,
             suspects
                 .iter()
                 .map(|w| row(*w, WorkerState::Gone, 0))
@@ -435,11 +435,11 @@
         );
         for job in 50..60 {
             host.job(job, job);
-            host.finish(job, Warmth::BeganLoad, 300_000);
+            host.finish(job, Warmth::StartedLoad, 300_000);
             host.pass(700_000);
         }
         host.list(
-            ListKind::Changes,
+            EndpointListKind::Delta,
             suspects
                 .iter()
                 .map(|w| row(*w, WorkerState::Ready, 0))
@@ -495,13 +495,13 @@
             ("routers", Value::Number(200.0)),
             ("sizes", Value::Text(sizes.into())),
         ];
-        let listed = |w: u64| WorkerRow {
+        let listed = |w: u64| Endpoint {
             size: ((w * seed + seed) % 9 + 1) as f64 / 4.0,
             ..row(w, WorkerState::Ready, 0)
         };
         let sent = (0..160).map(|job| {
             let mut host = Host::seeded(job / 8, 60, &set);
-            host.list(ListKind::Full, (0..60).map(listed).collect());
+            host.list(EndpointListKind::Full, (0..60).map(listed).collect());
             host.job(1, job % 8);
             (job % 8, host.sent(1))
         });
@@ -524,9 +524,9 @@
     for job in 0..8 {
         host.job(job, 7);
         let missed = host.sent(job);
-        host.end(job, End::Miss, Warmth::Unknown, 1_000);
+        host.end(job, Outcome::ColdMiss, Warmth::Unknown, 1_000);
         if host.sent(job) != missed {
-            host.finish(job, Warmth::Stood, 50_000);
+            host.finish(job, Warmth::Warm, 50_000);
         }
     }
     let ordered = host.count(|did| matches!(did, Did::Hold(_, 7, 1)));
@@ -550,12 +550,12 @@
     let mut report = |id: u64, function: u64, held: f64| {
         host.job(id, function);
         let w = host.sent(id);
-        host.report = Some(Report {
-            held: Some(held),
+        host.report = Some(LoadReport {
+            in_flight: Some(held),
             queued: Some(0.0),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        host.finish(id, Warmth::Stood, 50_000);
+        host.finish(id, Warmth::Warm, 50_000);
         w
     };
     // Enough others to know what the middle worker holds, then the one in question.
@@ -580,38 +580,38 @@
         ("routers", number(200.0)),
     ];
     let mut host = Host::new(6, &[&set[..], &earns[..]].concat());
-    host.report = Some(Report {
-        held: Some(40.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(40.0),
         queued: Some(30.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
     let job = |host: &mut Host, id: u64| {
-        let job = Job {
+        let job = Request {
             workload: WorkloadId(id as usize % 2),
             ..host.draft(id, id % 2)
         };
-        host.round(Round {
-            jobs: vec![job],
-            ..Round::default()
+        host.handle(EventBatch {
+            requests: vec![job],
+            ..EventBatch::default()
         });
     };
     for id in 0..120 {
         job(&mut host, id);
-        host.finish(id, Warmth::Stood, 100_000);
+        host.finish(id, Warmth::Warm, 100_000);
     }
     for id in 120..127 {
         job(&mut host, id);
         if host.finals(id) == 0 {
-            host.finish(id, Warmth::Stood, 1_100_000);
+            host.finish(id, Warmth::Warm, 1_100_000);
         }
     }
     let mut pushed = [0, 0];
     for id in 127..327 {
         job(&mut host, id);
         pushed[id as usize % 2] += host.finals(id);
-        host.round(Round {
-            left: vec![JobId(id)],
-            ..Round::default()
+        host.handle(EventBatch {
+            cancelled: vec![RequestId(id)],
+            ..EventBatch::default()
         });
     }
     assert!(
@@ -637,23 +637,23 @@
     // Every worker tells what it holds, the homes of function 99 as soon as they are found.
     for id in 0..400 {
         host.job(id, 1_000 + id);
-        host.report = Some(Report {
-            held: Some(4.0),
+        host.report = Some(LoadReport {
+            in_flight: Some(4.0),
             queued: Some(0.0),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        host.finish(id, Warmth::Stood, 20_000);
+        host.finish(id, Warmth::Warm, 20_000);
     }
     let mut found = BTreeSet::new();
     for id in 400..410 {
         host.job(id, 99);
         found.extend(host.sent(id));
-        host.report = Some(Report {
-            held: Some(40.0),
+        host.report = Some(LoadReport {
+            in_flight: Some(40.0),
             queued: Some(queued),
-            ..Report::default()
+            ..LoadReport::default()
         });
-        host.finish(id, Warmth::Stood, 20_000);
+        host.finish(id, Warmth::Warm, 20_000);
     }
     assert_eq!(found.len(), homes);
 }
@@ -670,15 +670,15 @@
         } else {
             0.0
         };
-        host.report = Some(Report {
-            held: Some(40.0),
+        host.report = Some(LoadReport {
+            in_flight: Some(40.0),
             queued: Some(queued),
-            ..Report::default()
+            ..LoadReport::default()
         });
         if host.finals(id) == 0 {
             host.finish(
                 id,
-                Warmth::Stood,
+                Warmth::Warm,
                 if queued > 0.0 { 1_020_000 } else { 150_000 },
             );
         }
@@ -696,7 +696,7 @@
     for router in 0..routers as u64 {
         let mut host = Host::seeded(router, 4, &[("routers", Value::Number(routers))]);
         host.list(
-            ListKind::Changes,
+            EndpointListKind::Delta,
             vec![row(1, WorkerState::Ready, host.now)],
         );
         let jobs = 20 / routers as u64 + u64::from(router < 20 % routers as u64);
@@ -710,11 +710,11 @@
 }
 
 #[rstest]
-#[case::nothing_waits(0.0, None, Warmth::Stood, 0)]
-#[case::three_in_ten_wait(12.0, None, Warmth::Stood, 0)]
-#[case::most_wait(30.0, None, Warmth::Stood, 20)]
-#[case::most_wait_for_cores(30.0, Some(1.0), Warmth::Stood, 20)]
-#[case::most_wait_while_cores_are_idle(30.0, Some(0.5), Warmth::Stood, 0)]
+#[case::nothing_waits(0.0, None, Warmth::Warm, 0)]
+#[case::three_in_ten_wait(12.0, None, Warmth::Warm, 0)]
+#[case::most_wait(30.0, None, Warmth::Warm, 20)]
+#[case::most_wait_for_cores(30.0, Some(1.0), Warmth::Warm, 20)]
+#[case::most_wait_while_cores_are_idle(30.0, Some(0.5), Warmth::Warm, 0)]
 #[case::late_answers_waited_for_a_load(30.0, None, Warmth::WaitedForLoad, 0)]
 fn where_reports_show_queues_and_answers_are_late_less_is_taken(
     #[case] queued: f64,
@@ -727,11 +727,11 @@
         ("copies.on-miss", Value::Text("miss".into())),
     ];
     let mut host = Host::new(6, &set);
-    host.report = Some(Report {
-        held: Some(40.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(40.0),
         queued: Some(queued),
         busy,
-        ..Report::default()
+        ..LoadReport::default()
     });
     for id in 0..120 {
         host.job(id, 7);
@@ -753,10 +753,10 @@
 #[rstest]
 fn where_a_quarter_of_answers_stays_late_ever_less_is_taken() {
     let mut host = Host::new(6, &[("routers", Value::Number(200.0))]);
-    host.report = Some(Report {
-        held: Some(40.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(40.0),
         queued: Some(30.0),
-        ..Report::default()
+        ..LoadReport::default()
     });
     let mut pushed = Vec::new();
     for id in 0..800 {
@@ -765,7 +765,7 @@
         if host.finals(id) == 0 {
             host.finish(
                 id,
-                Warmth::Stood,
+                Warmth::Warm,
                 if id % 4 == 0 { 1_100_000 } else { 200_000 },
             );
         }
@@ -792,7 +792,7 @@
         ],
     );
     host.list(
-        ListKind::Changes,
+        EndpointListKind::Delta,
         vec![row(1, WorkerState::Ready, host.now)],
     );
     let mut woken = 0;
@@ -800,15 +800,15 @@
         host.job(id, id % 3);
         host.answer_asks(0);
         if host.sent(id).is_some() {
-            host.finish(id, Warmth::Stood, 50_000);
+            host.finish(id, Warmth::Warm, 50_000);
         }
         let until = host.now + 100_000;
         while host.log.wake <= until {
             (host.now, woken) = (host.now.max(host.log.wake), woken + 1);
             host.log.wake = Micros::MAX;
-            host.round(Round {
+            host.handle(EventBatch {
                 timer: true,
-                ..Round::default()
+                ..EventBatch::default()
             });
         }
         host.now = until;
@@ -825,32 +825,32 @@
 fn odd_input_is_answered_without_a_panic() {
     let mut host = Host::new(0, &[]);
     host.job(1, 7);
-    host.list(ListKind::Full, vec![]);
-    let late = Job {
-        due: host.now - 1,
-        lanes: 0.0,
+    host.list(EndpointListKind::Full, vec![]);
+    let late = Request {
+        deadline: host.now - 1,
+        concurrency: 0.0,
         memory_mb: 0.0,
         ..host.draft(2, 8)
     };
-    host.round(Round {
-        jobs: vec![late],
-        left: vec![JobId(99)],
-        ..Round::default()
+    host.handle(EventBatch {
+        requests: vec![late],
+        cancelled: vec![RequestId(99)],
+        ..EventBatch::default()
     });
-    host.order_end(5, 55, End::Finished, 1);
-    host.end(77, End::Finished, Warmth::Stood, 10);
-    host.end(2, End::Finished, Warmth::Stood, 10);
-    host.end(2, End::Finished, Warmth::Stood, 10);
-    let probe = ProbeEnd {
+    host.order_end(5, 55, Outcome::Finished, 1);
+    host.end(77, Outcome::Finished, Warmth::Warm, 10);
+    host.end(2, Outcome::Finished, Warmth::Warm, 10);
+    host.end(2, Outcome::Finished, Warmth::Warm, 10);
+    let probe = HealthCheckResult {
         worker: WorkerId(5),
-        end: End::Finished,
+        outcome: Outcome::Finished,
         latency: 1,
         report: None,
     };
-    host.round(Round {
-        probes: vec![probe],
+    host.handle(EventBatch {
+        health_check_results: vec![probe],
         timer: true,
-        ..Round::default()
+        ..EventBatch::default()
     });
     host.pass(4_000_000);
     assert_eq!((host.finals(1), host.finals(2)), (1, 1));
@@ -868,12 +868,12 @@
     for function in 1..30 {
         host.job(function, function);
         at_one.extend(host.sent(function).filter(|w| *w == 1).map(|_| function));
-        host.finish(function, Warmth::BeganLoad, 100_000);
+        host.finish(function, Warmth::StartedLoad, 100_000);
     }
     for (n, which) in failing[..2].iter().enumerate() {
         host.job(100 + n as u64, at_one[*which]);
         host.now += 400_000;
-        host.answer(100 + n as u64, End::Error, Warmth::Stood, 1_000);
+        host.answer(100 + n as u64, Outcome::Error, Warmth::Warm, 1_000);
         host.now += 300_000;
     }
     host.job(200, at_one[failing[2]]);
@@ -888,13 +888,13 @@
     ];
     let mut host = Host::new(3, &set);
     for id in [1, 2] {
-        let job = Job {
-            load: Some(4_000_000),
+        let job = Request {
+            load_time: Some(4_000_000),
             ..host.draft(id, 7)
         };
-        host.round(Round {
-            jobs: vec![job],
-            ..Round::default()
+        host.handle(EventBatch {
+            requests: vec![job],
+            ..EventBatch::default()
         });
         host.answer_asks(0);
         assert_eq!(
@@ -929,27 +929,27 @@
     );
     // Loads take four times what they are told to; no job has had to wait for a core.
     for id in 1..4 {
-        let job = Job {
-            load: Some(300_000),
+        let job = Request {
+            load_time: Some(300_000),
             ..host.draft(id, id)
         };
-        host.round(Round {
-            jobs: vec![job],
-            ..Round::default()
+        host.handle(EventBatch {
+            requests: vec![job],
+            ..EventBatch::default()
         });
         host.answer_asks(0);
         match on_miss {
-            "load" => host.finish(id, Warmth::BeganLoad, 1_200_000),
+            "load" => host.finish(id, Warmth::StartedLoad, 1_200_000),
             _ => drop(host.loaded_by_order(id, 1_200_000)),
         }
     }
-    let job = Job {
-        load: Some(500_000),
+    let job = Request {
+        load_time: Some(500_000),
         ..host.draft(9, 9)
     };
-    host.round(Round {
-        jobs: vec![job],
-        ..Round::default()
+    host.handle(EventBatch {
+        requests: vec![job],
+        ..EventBatch::default()
     });
     host.answer_asks(0);
     assert_eq!(host.finals(9), away);
@@ -963,36 +963,36 @@
     #[case] room: bool,
 ) {
     let mut host = Host::new(1, &[]);
-    host.report = Some(Report {
-        held: Some(1.0),
+    host.report = Some(LoadReport {
+        in_flight: Some(1.0),
         queued: Some(queued),
-        ..Report::default()
+        ..LoadReport::default()
     });
     for id in 1..40 {
         host.job(id, 7);
         host.finish(
             id,
             if id == 1 {
-                Warmth::BeganLoad
+                Warmth::StartedLoad
             } else {
-                Warmth::Stood
+                Warmth::Warm
             },
             50_000,
         );
     }
     for id in 40..48 {
         host.job(id, 7);
-        host.finish(id, Warmth::Stood, 400_000);
+        host.finish(id, Warmth::Warm, 400_000);
     }
-    let jobs: Vec<Job> = (100..130)
-        .map(|id| Job {
-            lanes: 100.0,
+    let jobs: Vec<Request> = (100..130)
+        .map(|id| Request {
+            concurrency: 100.0,
             ..host.draft(id, 7)
         })
         .collect();
-    host.round(Round {
-        jobs,
-        ..Round::default()
+    host.handle(EventBatch {
+        requests: jobs,
+        ..EventBatch::default()
     });
     let sent = (100..130).filter(|id| host.sent(*id).is_some()).count();
     // Six tenths of the first limit, as jobs that earn less than the mean get.
