--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -6,7 +6,7 @@
 use metrics_exporter_prometheus::PrometheusBuilder;
 use sanddrum::Router;
 use sanddrum_edge::{endpoint_cache, Edge, Start, KEYS};
-use sanddrum_net::{Core, EventLoop, NoTap, Shutdown};
+use sanddrum_net::{Core, EventLoop, NullObserver, Shutdown};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_tls::{Asks, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
 use std::path::{Path, PathBuf};
@@ -129,7 +129,7 @@
 pub fn run(args: &EdgeArgs) -> ExitCode {
     // First of all: a signal that came before its handler stood would end the process, SIGHUP as well.
     let driver = until_it_works(|| {
-        let mut driver = EventLoop::new(Box::new(NoTap))?;
+        let mut driver = EventLoop::new(Box::new(NullObserver))?;
         driver.catch_signals()?;
         Ok(driver)
     });
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -8,7 +8,7 @@
     play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who,
     FAULTS, FLEET_DAY, LATE, OURS,
 };
-use sanddrum_net::{Core, EventLoop, NoTap};
+use sanddrum_net::{Core, EventLoop, NullObserver};
 use serde::de::DeserializeOwned;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -334,7 +334,7 @@
     end_with_parent();
     let (_, scenario) = read_scenario(DEMO, Some(&args.file), args.seed, &args.set, None)?;
     let (door, at) = EventLoop::bind(&args.listen).map_err(|e| format!("{}: {e}", args.listen))?;
-    let mut driver = EventLoop::new(Box::new(NoTap)).map_err(|e| e.to_string())?;
+    let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(|e| e.to_string())?;
     driver.catch_signals().map_err(|e| e.to_string())?;
     let now = driver.now();
     let core = match args.part {
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -6,7 +6,7 @@
     limits_at, lines, measure, storm, AtSize, Decides, Hammer, HammerSpec, Hammered, Line,
     MeasureSpec, Measured, Policy, Speaks, Storm, StormSpec,
 };
-use sanddrum_net::{EventLoop, NoTap};
+use sanddrum_net::{EventLoop, NullObserver};
 use serde_json::{json, Value};
 use std::process::ExitCode;
 
@@ -69,7 +69,7 @@
 }
 
 fn hammer(spec: HammerSpec) -> std::io::Result<Hammered> {
-    let mut driver = EventLoop::new(Box::new(NoTap))?;
+    let mut driver = EventLoop::new(Box::new(NullObserver))?;
     driver.catch_signals()?;
     let until = driver.now() + spec.length + 5_000_000;
     let hammer = Hammer::new(spec);
--- a/crates/sanddrum-edge/src/connection_manager.rs
+++ b/crates/sanddrum-edge/src/connection_manager.rs
@@ -2,7 +2,7 @@
 
 use crate::Inner;
 use sanddrum::{Micros, WorkerId};
-use sanddrum_net::{Conn, Io};
+use sanddrum_net::{ConnectionId, Io};
 use sanddrum_upstream::{ClientId, Decisions, LinkId, Old, Why};
 
 pub(crate) struct Connect<'a> {
@@ -24,7 +24,10 @@
     fn retire(&mut self, old: Old) {
         match old {
             Old::Link(link) => self.inner.retire_link(self.now, link),
-            Old::Client(ClientId(conn)) => self.inner.retire_client(self.now, Conn(conn), self.io),
+            Old::Client(ClientId(conn)) => {
+                self.inner
+                    .retire_client(self.now, ConnectionId(conn), self.io)
+            }
         }
     }
     fn wake_at(&mut self, at: Micros) {
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -3,7 +3,7 @@
 
 use crate::{Inner, Owner};
 use sanddrum::{EndpointListKind, Micros};
-use sanddrum_net::{Conn, Event, Io};
+use sanddrum_net::{ConnectionId, Event, Io};
 use sanddrum_platform::control_feed::{self, Told};
 use sanddrum_platform::starts::{Clocks, Starts};
 use sanddrum_wire::http;
@@ -92,7 +92,7 @@
         self.look_at_list_at(now + self.limits.connect_time_out);
     }
 
-    fn ask_feed(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    fn ask_feed(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(feed) = &mut self.feed else { return };
         let question = control_feed::request(&feed.address, feed.last, self.limits.feed_wait);
         if io.write(conn, &question) < question.len() {
@@ -106,7 +106,7 @@
             self.owners.remove(&conn);
             io.reset(conn);
         }
-        let until = self.list.backoff.failed(now, 0, self.chance.part());
+        let until = self.list.backoff.failed(now, 0, self.chance.unit());
         tracing::info!(
             reason = "feed-away",
             why,
@@ -136,7 +136,7 @@
     pub(crate) fn feed_event(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         event: Event<'_>,
         io: &mut dyn Io,
     ) {
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -7,7 +7,7 @@
     CellId, Endpoint, EndpointList, EndpointListKind, KindId, Micros, WorkerId, WorkerState, ZoneId,
 };
 use sanddrum_bootstrap::{Decisions, Events};
-use sanddrum_net::{Conn, Event, Io, Outbox};
+use sanddrum_net::{ConnectionId, Event, Io, Outbox};
 use sanddrum_settings::Loaded;
 use sanddrum_upstream::Backoff;
 use sanddrum_wire::{
@@ -17,7 +17,7 @@
 
 pub(crate) struct List {
     zones: Vec<String>,
-    pub conn: Option<Conn>,
+    pub conn: Option<ConnectionId>,
     pub up: bool,
     frames: Frames,
     out: Option<Outbox<()>>,
@@ -315,7 +315,7 @@
     pub(crate) fn list_event(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         event: Event<'_>,
         io: &mut dyn Io,
     ) {
@@ -354,7 +354,7 @@
             Event::Accepted { .. } => {}
         }
     }
-    fn flush_list(&mut self, conn: Conn, io: &mut dyn Io) {
+    fn flush_list(&mut self, conn: ConnectionId, io: &mut dyn Io) {
         self.list.out.iter_mut().for_each(|out| out.flush(conn, io));
     }
 
@@ -402,7 +402,7 @@
         let rows = stands.map(aged).collect();
         let Known { run, version } = self.list.known;
         let (keys_version, keys_revoked) = self.identity.floor();
-        io.save(&endpoint_cache::write(&Kept {
+        io.save_state(&endpoint_cache::write(&Kept {
             at: now,
             run,
             version,
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -7,7 +7,7 @@
 use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{Micros, RequestId, WorkloadId};
 use sanddrum_fastcgi::{self as fastcgi, Bounds, Request, Responder, Said, Status, Why};
-use sanddrum_net::{Conn, Event, Io, Outbox};
+use sanddrum_net::{ConnectionId, Event, Io, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One that was told of no list at its start, and can't reach the feed, is ready all the same after half of the ten
@@ -33,8 +33,8 @@
 
 #[derive(Default)]
 pub(crate) struct Fronts {
-    fronts: BTreeMap<Conn, Front>,
-    dirty: BTreeSet<Conn>,
+    fronts: BTreeMap<ConnectionId, Front>,
+    dirty: BTreeSet<ConnectionId>,
     /// Bytes held of requests that are not whole, on all connections.
     partial: usize,
 }
@@ -55,7 +55,7 @@
     /// Who goes where there is no room for one more: first who has had time to speak and has not, then who has asked
     /// nothing for longest, last who has only just come and may have its request on its way; never one that has a
     /// request open. Guards against clients that connect by the hundred and say nothing, or ask once and stay.
-    fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<Conn> {
+    fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
         let idle = self
             .fronts
             .iter()
@@ -97,7 +97,7 @@
 }
 
 impl Inner {
-    pub(crate) fn front_came(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    pub(crate) fn front_came(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         if self.fronts.fronts.len() >= self.limits.max_clients {
             self.figures.limit_hit("max-clients");
             match self.fronts.least_missed(now, self.limits.time_to_speak) {
@@ -133,7 +133,7 @@
     pub(crate) fn front_event(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         event: Event<'_>,
         io: &mut dyn Io,
     ) {
@@ -161,7 +161,7 @@
     }
 
     /// Takes up what has come whole; its clients' time counts from `from` on.
-    fn read_front(&mut self, now: Micros, from: Micros, conn: Conn, io: &mut dyn Io) {
+    fn read_front(&mut self, now: Micros, from: Micros, conn: ConnectionId, io: &mut dyn Io) {
         loop {
             let Some(front) = self.fronts.fronts.get_mut(&conn) else {
                 return;
@@ -212,7 +212,7 @@
 
     /// Keeps what is held of requests that are not whole, on all connections together, within what bodies may take: those
     /// of this connection, which has just brought more, are refused where it is too much. They were never taken up.
-    fn bound_partial(&mut self, conn: Conn) {
+    fn bound_partial(&mut self, conn: ConnectionId) {
         let Some(front) = self.fronts.fronts.get_mut(&conn) else {
             return;
         };
@@ -229,7 +229,14 @@
         }
     }
 
-    fn refuse_unread(&mut self, now: Micros, conn: Conn, id: u16, why: Why, io: &mut dyn Io) {
+    fn refuse_unread(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        id: u16,
+        why: Why,
+        io: &mut dyn Io,
+    ) {
         let (status, reason, reads_on) = match why {
             Why::TooMany => {
                 self.figures.limit_hit("pipelined");
@@ -269,7 +276,7 @@
         &mut self,
         now: Micros,
         from: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         id: u16,
         request: Request,
     ) {
@@ -437,7 +444,7 @@
     }
 
     /// The final answer to a job of a web server's.
-    pub(crate) fn answer_front(&mut self, conn: Conn, place: u64, answer: &Answer<'_>) {
+    pub(crate) fn answer_front(&mut self, conn: ConnectionId, place: u64, answer: &Answer<'_>) {
         let id = place as u16;
         let Some(front) = self.fronts.fronts.get_mut(&conn) else {
             return;
@@ -454,7 +461,7 @@
         self.end_front_request(conn, id, &bytes);
     }
 
-    fn end_front_request(&mut self, conn: Conn, id: u16, answer: &[u8]) {
+    fn end_front_request(&mut self, conn: ConnectionId, id: u16, answer: &[u8]) {
         self.write_front(conn, answer);
         if let Some(front) = self.fronts.fronts.get_mut(&conn) {
             if front.requests.ended(id) && front.ends.is_none() {
@@ -463,7 +470,7 @@
         }
     }
 
-    fn write_front(&mut self, conn: Conn, bytes: &[u8]) {
+    fn write_front(&mut self, conn: ConnectionId, bytes: &[u8]) {
         if let Some(front) = self.fronts.fronts.get_mut(&conn) {
             if front.out.push((), bytes).is_err() {
                 // It reads nothing: it is closed with all that it has open.
@@ -494,7 +501,13 @@
     }
 
     /// Closes a web server's connection: in order, unless it could not read what is left.
-    fn drop_front(&mut self, now: Micros, conn: Conn, io: &mut dyn Io, reason: CloseReason) {
+    fn drop_front(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        io: &mut dyn Io,
+        reason: CloseReason,
+    ) {
         if let Some(front) = self.fronts.fronts.get(&conn) {
             let (open, unwritten) = (front.jobs.len(), front.out.waiting());
             tracing::debug!(
@@ -518,7 +531,7 @@
     }
 
     /// A web server that closes gives up all that it has open there.
-    fn front_left(&mut self, now: Micros, conn: Conn) {
+    fn front_left(&mut self, now: Micros, conn: ConnectionId) {
         let Some(front) = self.fronts.fronts.remove(&conn) else {
             return;
         };
@@ -532,7 +545,7 @@
     }
 
     /// Looks whether a connection has said nothing sensible, is slow with a request, asks nothing or does not read.
-    pub(crate) fn look_at_front(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    pub(crate) fn look_at_front(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(front) = self.fronts.fronts.get(&conn) else {
             return;
         };
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -4,7 +4,7 @@
 use crate::requests::{Answer, Call, Refusal};
 use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{CustomerId, Micros, RequestId};
-use sanddrum_net::{Conn, Event, Io, Outbox};
+use sanddrum_net::{ConnectionId, Event, Io, Outbox};
 use sanddrum_upstream::{ClientId, Old};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,8 +44,8 @@
 
 #[derive(Default)]
 pub(crate) struct Clients {
-    clients: BTreeMap<Conn, Client>,
-    dirty: BTreeSet<Conn>,
+    clients: BTreeMap<ConnectionId, Client>,
+    dirty: BTreeSet<ConnectionId>,
 }
 
 impl Clients {
@@ -62,7 +62,7 @@
         self.clients.values().any(|c| c.began.is_some())
     }
     /// Who goes where there is no room for one more, as for web servers: the silent first, never one with a request.
-    fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<Conn> {
+    fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
         let quiet = |c: &Client| c.places.is_empty() && c.out.waiting() == 0 && c.bytes.is_empty();
         let idle = self.clients.iter().filter(|(_, client)| quiet(client));
         let rank = |client: &Client| missed(client.first > 0, now - client.came >= time_to_speak);
@@ -115,7 +115,7 @@
 }
 
 impl Inner {
-    pub(crate) fn client_came(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    pub(crate) fn client_came(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         if self.clients.clients.len() >= self.limits.max_clients {
             self.figures.limit_hit("max-clients");
             match self.clients.least_missed(now, self.limits.time_to_speak) {
@@ -153,7 +153,7 @@
     pub(crate) fn client_event(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         event: Event<'_>,
         io: &mut dyn Io,
     ) {
@@ -186,7 +186,7 @@
     }
 
     /// A client that closes has left; what it had asked for needs no answer any more.
-    fn client_left(&mut self, now: Micros, conn: Conn) {
+    fn client_left(&mut self, now: Micros, conn: ConnectionId) {
         let Some(client) = self.clients.clients.remove(&conn) else {
             return;
         };
@@ -201,7 +201,13 @@
     }
 
     /// A client's connection was made on terms that are past.
-    pub(crate) fn client_is_old(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
+    pub(crate) fn client_is_old(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        denied: bool,
+        io: &mut dyn Io,
+    ) {
         if denied {
             self.client_doubted(now, conn, io);
             return self.links.news.denied.push(Old::Client(ClientId(conn.0)));
@@ -216,7 +222,7 @@
             .old
             .push((Old::Client(ClientId(conn.0)), carries));
     }
-    pub(crate) fn retire_client(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    pub(crate) fn retire_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(client) = self.clients.clients.get_mut(&conn) else {
             return;
         };
@@ -226,7 +232,7 @@
         }
     }
 
-    fn read_requests(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    fn read_requests(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         loop {
             let Some(client) = self.clients.clients.get_mut(&conn) else {
                 return;
@@ -277,7 +283,7 @@
     fn turn_away(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         status: u16,
         reason: &'static str,
         detail: &str,
@@ -308,7 +314,7 @@
         self.clients.dirty.insert(conn);
     }
 
-    fn take_request(&mut self, now: Micros, conn: Conn, request: Request, io: &mut dyn Io) {
+    fn take_request(&mut self, now: Micros, conn: ConnectionId, request: Request, io: &mut dyn Io) {
         let retired = self
             .clients
             .clients
@@ -393,7 +399,7 @@
     fn take_call(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         request: Request,
         path: &str,
         io: &mut dyn Io,
@@ -491,7 +497,7 @@
     }
 
     /// The final answer to one request of a client, written in its turn.
-    pub(crate) fn answer(&mut self, conn: Conn, place: u64, answer: &Answer<'_>) {
+    pub(crate) fn answer(&mut self, conn: ConnectionId, place: u64, answer: &Answer<'_>) {
         if self.on_platform {
             return self.answer_front(conn, place, answer);
         }
@@ -552,7 +558,7 @@
         }
     }
 
-    fn drop_client(&mut self, now: Micros, conn: Conn, io: &mut dyn Io, in_order: bool) {
+    fn drop_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io, in_order: bool) {
         self.owners.remove(&conn);
         if in_order {
             io.close(conn);
@@ -563,7 +569,7 @@
     }
 
     /// Looks whether a client lingers, is slow with its request, asks nothing or does not read.
-    pub(crate) fn look_at_client(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    pub(crate) fn look_at_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(client) = self.clients.clients.get(&conn) else {
             return;
         };
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -7,7 +7,7 @@
 use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
-use sanddrum_net::{Conn, Io, Micros};
+use sanddrum_net::{ConnectionId, Io, Micros};
 use sanddrum_settings::{Loaded, Origin};
 use sanddrum_wire::http::Request;
 use serde_json::json;
@@ -27,12 +27,12 @@
     floor: Floor,
     rights: Rights,
     /// How each client's connection stands with its tokens.
-    standings: BTreeMap<Conn, Standing>,
+    standings: BTreeMap<ConnectionId, Standing>,
     owners: Owners,
     asks_certificates: bool,
     needs_certificates: bool,
     /// What each client's connection has proved.
-    shown: BTreeMap<Conn, Shown>,
+    shown: BTreeMap<ConnectionId, Shown>,
     audit: AuditRate,
 }
 
@@ -179,7 +179,7 @@
             self.floor.revoked.iter().cloned().collect(),
         )
     }
-    pub fn client_came(&mut self, conn: Conn, io: &dyn Io) {
+    pub fn client_came(&mut self, conn: ConnectionId, io: &dyn Io) {
         if !self.asks_certificates {
             return;
         }
@@ -188,22 +188,22 @@
                 conn,
                 Shown {
                     names: peer.names,
-                    key: peer.key,
+                    key: peer.key_fingerprint,
                     denied: false,
                 },
             );
         }
     }
     /// What a connection has proved is not believed any more.
-    pub fn client_denied(&mut self, conn: Conn) {
+    pub fn client_denied(&mut self, conn: ConnectionId) {
         self.shown.entry(conn).or_default().denied = true;
     }
-    pub fn client_gone(&mut self, conn: Conn) {
+    pub fn client_gone(&mut self, conn: ConnectionId) {
         self.standings.remove(&conn);
         self.shown.remove(&conn);
     }
     /// Whether a connection has sent so many bad tokens, or has become so doubtful, that it is closed.
-    pub fn is_out(&self, conn: Conn) -> bool {
+    pub fn is_out(&self, conn: ConnectionId) -> bool {
         self.shown.get(&conn).is_some_and(|shown| shown.denied)
             || self
                 .standings
@@ -215,7 +215,7 @@
     fn who(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         request: &Request,
     ) -> Result<Option<String>, NotTaken> {
         let named = request.field("sanddrum-customer");
@@ -257,7 +257,7 @@
     pub(crate) fn may_call(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         request: &Request,
         (workload, function): (&str, &str),
         io: &mut dyn Io,
@@ -304,7 +304,7 @@
     }
 
     /// A client's connection was made on terms that are past; denied, nothing new is taken on it.
-    pub(crate) fn client_doubted(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    pub(crate) fn client_doubted(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let shown = self.identity.shown.get(&conn).cloned().unwrap_or_default();
         self.identity.client_denied(conn);
         tracing::warn!(
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -38,7 +38,7 @@
 use requests::Jobs;
 use sanddrum::{Decisions, EventBatch, Router, Settings};
 use sanddrum_bootstrap::Events;
-use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_platform::control_feed::Told;
 use sanddrum_platform::starts::Clocks;
 use sanddrum_settings::Loaded;
@@ -67,7 +67,7 @@
     Link(LinkId),
     /// An execution that nobody waits for is not written to its end yet.
     Unwritten(LinkId, u64),
-    Client(Conn),
+    Client(ConnectionId),
     List,
     Save,
     /// Nothing that was on its way when this edge was asked to end can still come.
@@ -122,12 +122,12 @@
 struct Inner {
     settings: Loaded,
     limits: Limits,
-    chance: Chance,
+    chance: Rng,
     incarnation: u64,
     metrics_page: Option<Box<dyn Fn() -> String>>,
     figures: Figures,
     round: EventBatch,
-    owners: BTreeMap<Conn, Owner>,
+    owners: BTreeMap<ConnectionId, Owner>,
     clients: Clients,
     fronts: Fronts,
     /// The three seams: what is spoken at the door and with workers, and where the list comes from.
@@ -222,7 +222,7 @@
             feed,
             known,
             limits,
-            chance: Chance::new(start.seed),
+            chance: Rng::new(start.seed),
             incarnation: start.incarnation,
             metrics_page: start.metrics_page,
             figures: Figures::default(),
@@ -383,7 +383,7 @@
         self.inner.follow_list(now, &[Events::Began { kept }], io);
     }
 
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let inner = &mut self.inner;
         let conn = match event {
             Event::Accepted { conn, .. } if inner.on_platform => {
@@ -410,7 +410,7 @@
         }
     }
 
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.inner.fall_due(now, io);
         self.inner.admit(now);
         self.rounds(now);
@@ -421,7 +421,7 @@
         self.connect(now, io);
         // Once in a row: a process that is short of its processor would never write. Guards against an attempt that
         // begins for a client whose end has come since the turn began.
-        self.inner.writes_put_off = !self.inner.writes_put_off && io.is_held_up();
+        self.inner.writes_put_off = !self.inner.writes_put_off && io.is_delayed();
         if self.inner.writes_put_off {
             return;
         }
@@ -430,7 +430,7 @@
         self.inner.flush_fronts(now, io);
     }
 
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let inner = &self.inner;
         let is_due = inner.has_news() || !inner.links.news.is_empty() || inner.writes_put_off;
         let news = is_due.then_some(0);
@@ -442,7 +442,7 @@
             .min()
     }
 
-    fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         match name {
             KEYS => self.inner.keys_came(now, content, io),
             CONFIGURATION => self.inner.configuration_came(now, content, io),
@@ -450,7 +450,13 @@
         }
     }
 
-    fn stale(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
+    fn on_credentials_changed(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        denied: bool,
+        io: &mut dyn Io,
+    ) {
         match self.inner.owners.get(&conn) {
             Some(Owner::Client) => self.inner.client_is_old(now, conn, denied, io),
             Some(Owner::Link(link)) => self.inner.link_is_old(*link, denied),
@@ -458,7 +464,7 @@
         }
     }
 
-    fn stop(&mut self, now: Micros, _: &mut dyn Io) {
+    fn shut_down(&mut self, now: Micros, _: &mut dyn Io) {
         if self.inner.stop_at.is_none() {
             tracing::info!(open = self.inner.jobs.open(), "asked to end");
             let stop_at = now + self.inner.limits.stop_within;
@@ -470,7 +476,7 @@
         }
     }
 
-    fn report(&mut self, _: Micros) {
+    fn log_status(&mut self, _: Micros) {
         let held = self.held();
         let (open, violations) = (self.inner.jobs.open(), self.inner.violations.text());
         let Held {
@@ -502,11 +508,11 @@
         }
     }
 
-    fn still_listens(&self) -> bool {
+    fn accepts_while_draining(&self) -> bool {
         self.inner.stop_at.is_some() && self.inner.limits.late_arrivals > 0
     }
 
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         let inner = &self.inner;
         inner.stop_at.is_some()
             && !inner.due.iter().any(|(_, due)| *due == Due::Arrivals)
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -6,14 +6,14 @@
     AttemptResult, CustomerId, FunctionId, LoadReport, Outcome, RequestId, Warmth, WorkerId,
     WorkloadId,
 };
-use sanddrum_net::{Conn, Micros};
+use sanddrum_net::{ConnectionId, Micros};
 use sanddrum_upstream::LinkId;
 use sanddrum_wire::{self as wire, http, Copy, Done, Ended};
 use serde_json::json;
 use std::collections::BTreeMap;
 
 pub(crate) struct Job {
-    pub client: Conn,
+    pub client: ConnectionId,
     /// Its place among the client's requests.
     pub place: u64,
     pub workload: WorkloadId,
@@ -439,7 +439,7 @@
     pub(crate) fn take_job(
         &mut self,
         now: Micros,
-        client: Conn,
+        client: ConnectionId,
         place: u64,
         call: Call,
     ) -> RequestId {
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -12,7 +12,7 @@
 use sanddrum::{
     Endpoint, FunctionId, HealthCheckResult, LoadReport, Micros, Outcome, WorkerId, WorkerState,
 };
-use sanddrum_net::{Closed, Conn, Event, Io, Outbox};
+use sanddrum_net::{CloseCause, ConnectionId, Event, Io, Outbox};
 use sanddrum_upstream::{Events, LinkId, Listed, Need, Old, Wanted, Why};
 use sanddrum_wire::{self as wire, FromWorker, Hello, Row, VERSION};
 use std::cmp::Reverse;
@@ -44,7 +44,7 @@
 struct Link {
     worker: WorkerId,
     /// None while it waits to be begun.
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     out: Outbox<Mark>,
     frames: Reader,
     /// What is out on it and wants an answer.
@@ -463,7 +463,7 @@
                 }
             }
             Event::Bytes { bytes, .. } => self.link_bytes(now, id, bytes, io),
-            Event::Closed { how, .. } => self.link_ended(now, id, how, false),
+            Event::Closed { cause: how, .. } => self.link_ended(now, id, how, false),
             Event::Accepted { .. } => {}
         }
     }
@@ -496,7 +496,7 @@
                 "the connection is ended"
             );
             self.reset_link(id, io);
-            return self.link_ended(now, id, Closed::Reset, true);
+            return self.link_ended(now, id, CloseCause::Reset, true);
         }
         if let Some(link) = self.links.links.get_mut(&id) {
             link.frames = frames;
--- a/crates/sanddrum-edge/src/worker_connections/ends.rs
+++ b/crates/sanddrum-edge/src/worker_connections/ends.rs
@@ -3,13 +3,13 @@
 use super::{Link, Mark};
 use crate::{Due, Inner};
 use sanddrum::{Micros, Outcome, Warmth};
-use sanddrum_net::{Closed, Io};
+use sanddrum_net::{CloseCause, Io};
 use sanddrum_upstream::LinkId;
 use std::collections::BTreeMap;
 
 impl Inner {
     /// A connection is gone. What was not written to its last byte cannot have been read; what was may have run.
-    pub(super) fn link_ended(&mut self, now: Micros, id: LinkId, how: Closed, lied: bool) {
+    pub(super) fn link_ended(&mut self, now: Micros, id: LinkId, how: CloseCause, lied: bool) {
         let Some(link) = self.links.links.get(&id) else {
             return;
         };
@@ -24,11 +24,12 @@
                 "a connection ended"
             );
         }
-        if link.up && how != Closed::Refused && !link.carries.is_empty() && !lied {
+        if link.up && how != CloseCause::Refused && !link.carries.is_empty() && !lied {
             self.rests.broke(now, link.rested, now - link.began);
         }
-        let unread =
-            |link: &Link, mark: &Mark| !link.up || how == Closed::Refused || link.out.holds(mark);
+        let unread = |link: &Link, mark: &Mark| {
+            !link.up || how == CloseCause::Refused || link.out.holds(mark)
+        };
         let each: BTreeMap<Mark, bool> = link
             .carries
             .iter()
@@ -91,14 +92,14 @@
         let empty = link.carries.is_empty() && link.out.waiting() == 0;
         if !link.up && link.conn.is_some() && !link.retired {
             self.reset_link(id, io);
-            return self.link_ended(now, id, Closed::Refused, false);
+            return self.link_ended(now, id, CloseCause::Refused, false);
         }
         if link.carries.is_empty() && (link.retired || (empty && idle <= now)) {
             if let Some(conn) = link.conn {
                 self.owners.remove(&conn);
                 io.close(conn);
             }
-            return self.link_ended(now, id, Closed::InOrder, false);
+            return self.link_ended(now, id, CloseCause::Orderly, false);
         }
         if link.retired {
             return;
@@ -126,7 +127,7 @@
             if self.on_platform && link.out.holds(&Mark::GiveUp) {
                 // It reads nothing, so that what is given up there would be out twice at a time.
                 self.reset_link(id, io);
-                self.link_ended(now, id, Closed::Reset, false);
+                self.link_ended(now, id, CloseCause::Reset, false);
             }
         }
         for id in std::mem::take(&mut self.links.dirty) {
--- a/crates/sanddrum-edge/src/worker_connections/recall.rs
+++ b/crates/sanddrum-edge/src/worker_connections/recall.rs
@@ -3,7 +3,7 @@
 use super::{Mark, WRITTEN_SOON};
 use crate::{Due, Inner};
 use sanddrum::{Micros, Outcome, Warmth, WorkerId};
-use sanddrum_net::{Closed, Io};
+use sanddrum_net::{CloseCause, Io};
 use sanddrum_upstream::LinkId;
 use std::collections::BTreeSet;
 
@@ -92,7 +92,7 @@
     ) {
         if self.links.holds(id, execution) {
             self.reset_link(id, io);
-            self.link_ended(now, id, Closed::Reset, false);
+            self.link_ended(now, id, CloseCause::Reset, false);
         }
     }
 }
--- a/crates/sanddrum-edge/tests/clients.rs
+++ b/crates/sanddrum-edge/tests/clients.rs
@@ -5,7 +5,7 @@
 use host::{Do, Host, S};
 use rstest::rstest;
 use sanddrum::RequestId;
-use sanddrum_net::{Closed, Core, Event};
+use sanddrum_net::{CloseCause, Core, Event};
 use sanddrum_wire::{http, Ended};
 
 #[rstest]
@@ -120,7 +120,7 @@
     assert_eq!(h.statuses(client), [status]);
     assert!(h.io.closed.is_empty());
     h.wait(2 * S);
-    assert_eq!(h.io.closed, [(client, Some(Closed::InOrder))]);
+    assert_eq!(h.io.closed, [(client, Some(CloseCause::Orderly))]);
 }
 
 #[rstest]
@@ -142,7 +142,7 @@
     h.done(worker, h.executions_read(worker)[0], Ended::Finished);
     assert_eq!(h.statuses(client), [200, status]);
     h.wait(S);
-    assert_eq!(h.io.closed, [(client, Some(Closed::InOrder))]);
+    assert_eq!(h.io.closed, [(client, Some(CloseCause::Orderly))]);
 }
 
 #[rstest]
@@ -179,12 +179,12 @@
     h.wait(S);
     h.calls(asks, &[]);
     let third = h.client();
-    assert_eq!(h.io.closed, [(silent, Some(Closed::InOrder))]);
+    assert_eq!(h.io.closed, [(silent, Some(CloseCause::Orderly))]);
     h.calls(third, &[]);
     let fourth = h.client();
     assert_eq!(
         h.io.closed[1..],
-        [(fourth, Some(Closed::Reset))],
+        [(fourth, Some(CloseCause::Reset))],
         "both wait for an answer"
     );
     h.wait(9 * S);
@@ -202,7 +202,7 @@
     let mut h = Host::new(&[("limits.client-idle", "3s")]);
     let silent = h.client();
     h.wait(9 * S);
-    assert_eq!(h.io.closed, [(silent, Some(Closed::InOrder))]);
+    assert_eq!(h.io.closed, [(silent, Some(CloseCause::Orderly))]);
 }
 
 #[rstest]
@@ -215,7 +215,7 @@
         h.decide(Do::PushBack(job));
     }
     h.calls(client, &[]);
-    assert!(h.io.closed.contains(&(client, Some(Closed::Reset))));
+    assert!(h.io.closed.contains(&(client, Some(CloseCause::Reset))));
 }
 
 #[rstest]
@@ -225,7 +225,7 @@
     h.up(worker);
     h.event(Event::Closed {
         conn: client,
-        how: Closed::InOrder,
+        cause: CloseCause::Orderly,
     });
     h.turn();
     assert_eq!(h.strings.borrow().left, [RequestId(0)]);
@@ -269,16 +269,16 @@
     let (second, _) = h.call_out(50 * S);
     let late = h.client();
     h.up(worker);
-    h.edge.stop(h.now, &mut h.io);
+    h.edge.shut_down(h.now, &mut h.io);
     h.calls(late, &[]);
     assert_eq!(h.statuses(late), [503]);
-    assert!(h.io.closed.contains(&(late, Some(Closed::InOrder))));
+    assert!(h.io.closed.contains(&(late, Some(CloseCause::Orderly))));
     h.done(worker, h.executions_read(worker)[0], Ended::Finished);
     assert_eq!(h.statuses(client), [200]);
-    assert!(!h.edge.done());
+    assert!(!h.edge.is_done());
     h.wait(3 * S);
     assert_eq!(h.statuses(second), [502], "the bound on ending");
-    assert!(h.edge.done());
+    assert!(h.edge.is_done());
 }
 
 #[rstest]
--- a/crates/sanddrum-edge/tests/host/mod.rs
+++ b/crates/sanddrum-edge/tests/host/mod.rs
@@ -5,7 +5,7 @@
 
 use sanddrum::*;
 use sanddrum_edge::{DecisionModule, Edge, Platform, Start};
-use sanddrum_net::{Closed, Conn, Core, Door, Event, Io, Peer};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, ListenerId, PeerIdentity};
 use sanddrum_platform::control_feed::{Change, Member, Members, Told};
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
@@ -75,31 +75,32 @@
 
 /// Connections as the edge sees them, with what it wrote to each.
 pub struct Wires {
-    pub wrote: BTreeMap<Conn, Vec<u8>>,
+    pub wrote: BTreeMap<ConnectionId, Vec<u8>>,
     /// The same in the order in which it was written.
-    pub writes: Vec<(Conn, Vec<u8>)>,
-    pub connects: Vec<(Conn, String)>,
-    pub closed: Vec<(Conn, Option<Closed>)>,
-    pub paused: BTreeMap<Conn, bool>,
+    pub writes: Vec<(ConnectionId, Vec<u8>)>,
+    pub connects: Vec<(ConnectionId, String)>,
+    pub closed: Vec<(ConnectionId, Option<CloseCause>)>,
+    pub paused: BTreeMap<ConnectionId, bool>,
     /// Bytes that connections still take; no bound where nothing is said.
-    pub room: BTreeMap<Conn, usize>,
+    pub room: BTreeMap<ConnectionId, usize>,
     pub saved: Option<Vec<u8>>,
     pub audit: Vec<String>,
     /// What the next client has proved.
-    pub peer_of_next: Option<Peer>,
+    pub peer_of_next: Option<PeerIdentity>,
     next: u64,
 }
 
 impl Io for Wires {
-    fn connect(&mut self, to: &str) -> Conn {
+    fn connect(&mut self, to: &str) -> ConnectionId {
         self.next += 1;
-        self.connects.push((Conn(self.next), to.to_string()));
-        Conn(self.next)
+        self.connects
+            .push((ConnectionId(self.next), to.to_string()));
+        ConnectionId(self.next)
     }
-    fn peer(&self, _: Conn) -> Option<Peer> {
+    fn peer(&self, _: ConnectionId) -> Option<PeerIdentity> {
         self.peer_of_next.clone()
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         let room = self.room.entry(conn).or_insert(usize::MAX / 2);
         let n = bytes.len().min(*room);
         *room -= n;
@@ -110,16 +111,16 @@
         self.writes.push((conn, bytes[..n].to_vec()));
         n
     }
-    fn close(&mut self, conn: Conn) {
-        self.closed.push((conn, Some(Closed::InOrder)));
+    fn close(&mut self, conn: ConnectionId) {
+        self.closed.push((conn, Some(CloseCause::Orderly)));
     }
-    fn reset(&mut self, conn: Conn) {
-        self.closed.push((conn, Some(Closed::Reset)));
+    fn reset(&mut self, conn: ConnectionId) {
+        self.closed.push((conn, Some(CloseCause::Reset)));
     }
-    fn pause(&mut self, conn: Conn, paused: bool) {
+    fn pause(&mut self, conn: ConnectionId, paused: bool) {
         self.paused.insert(conn, paused);
     }
-    fn save(&mut self, state: &[u8]) {
+    fn save_state(&mut self, state: &[u8]) {
         self.saved = Some(state.to_vec());
     }
     fn audit(&mut self, line: &str) {
@@ -132,7 +133,7 @@
     pub io: Wires,
     pub now: Micros,
     pub strings: Rc<RefCell<Strings>>,
-    pub list: Conn,
+    pub list: ConnectionId,
     came: u64,
 }
 
@@ -237,7 +238,7 @@
             io,
             now: 1000 * S,
             strings,
-            list: Conn(0),
+            list: ConnectionId(0),
             came: 0,
         };
         host.edge.start(host.now, &mut host.io);
@@ -247,16 +248,16 @@
         host
     }
     pub fn event(&mut self, event: Event<'_>) {
-        self.edge.event(self.now, event, &mut self.io);
+        self.edge.on_event(self.now, event, &mut self.io);
         self.turn();
     }
     pub fn turn(&mut self) {
-        self.edge.turn(self.now, &mut self.io);
+        self.edge.process(self.now, &mut self.io);
     }
     /// Lets time pass, with every wake on the way.
     pub fn wait(&mut self, span: Micros) {
         let until = self.now + span;
-        while let Some(at) = self.edge.wake().filter(|at| *at <= until) {
+        while let Some(at) = self.edge.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.turn();
         }
@@ -271,26 +272,26 @@
 
     // ---- Clients
 
-    pub fn client(&mut self) -> Conn {
+    pub fn client(&mut self) -> ConnectionId {
         self.came += 1;
-        let conn = Conn(self.came);
+        let conn = ConnectionId(self.came);
         self.event(Event::Accepted {
             conn,
-            door: Door(0),
+            listener: ListenerId(0),
         });
         conn
     }
-    pub fn says(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn says(&mut self, conn: ConnectionId, bytes: &[u8]) {
         self.event(Event::Bytes { conn, bytes });
     }
-    pub fn calls(&mut self, conn: Conn, fields: &[(&str, &str)]) {
+    pub fn calls(&mut self, conn: ConnectionId, fields: &[(&str, &str)]) {
         self.says(
             conn,
             &http::write_request("POST", "/v1/calls/job/f1", fields, b"in"),
         );
     }
     /// A client with a call that the puppet sends to the worker at once.
-    pub fn call_out(&mut self, limit: Micros) -> (Conn, Conn) {
+    pub fn call_out(&mut self, limit: Micros) -> (ConnectionId, ConnectionId) {
         let client = self.client();
         let job = self.strings.borrow().jobs.len() as u64;
         self.strings
@@ -301,7 +302,7 @@
         let worker = self.io.connects.last().unwrap().0;
         (client, worker)
     }
-    pub fn answers(&self, conn: Conn) -> Vec<http::Answer> {
+    pub fn answers(&self, conn: ConnectionId) -> Vec<http::Answer> {
         let mut bytes = self.io.wrote.get(&conn).cloned().unwrap_or_default();
         let mut answers = Vec::new();
         while let Ok(Some((answer, took))) = http::answer(&bytes) {
@@ -310,13 +311,13 @@
         }
         answers
     }
-    pub fn statuses(&self, conn: Conn) -> Vec<u16> {
+    pub fn statuses(&self, conn: ConnectionId) -> Vec<u16> {
         self.answers(conn).iter().map(|a| a.status).collect()
     }
 
     // ---- Workers
 
-    pub fn up(&mut self, conn: Conn) {
+    pub fn up(&mut self, conn: ConnectionId) {
         self.event(Event::Connected { conn });
     }
     pub fn ends(&self) -> Vec<Outcome> {
@@ -328,12 +329,12 @@
             .collect()
     }
     /// What a worker has read whole.
-    pub fn read_by(&self, conn: Conn) -> Vec<ToWorker> {
+    pub fn read_by(&self, conn: ConnectionId) -> Vec<ToWorker> {
         let mut frames = Frames::new(1 << 20);
         frames.take_in(self.io.wrote.get(&conn).map_or(&[][..], Vec::as_slice));
         std::iter::from_fn(|| frames.next_message().ok().flatten()).collect()
     }
-    pub fn executions_read(&self, conn: Conn) -> Vec<u64> {
+    pub fn executions_read(&self, conn: ConnectionId) -> Vec<u64> {
         let each = |m| {
             if let ToWorker::Execute(e) = m {
                 Some(e.id)
@@ -343,10 +344,10 @@
         };
         self.read_by(conn).into_iter().filter_map(each).collect()
     }
-    pub fn worker_says(&mut self, conn: Conn, message: &FromWorker) {
+    pub fn worker_says(&mut self, conn: ConnectionId, message: &FromWorker) {
         self.says(conn, &frame(message));
     }
-    pub fn done(&mut self, conn: Conn, id: u64, ended: Ended) {
+    pub fn done(&mut self, conn: ConnectionId, id: u64, ended: Ended) {
         let done = Done {
             id,
             ended,
@@ -359,7 +360,13 @@
         };
         self.worker_says(conn, &FromWorker::Done(done));
     }
-    pub fn greets(&mut self, conn: Conn, name: &str, incarnation: u64, age_us: Option<i64>) {
+    pub fn greets(
+        &mut self,
+        conn: ConnectionId,
+        name: &str,
+        incarnation: u64,
+        age_us: Option<i64>,
+    ) {
         let hello = Hello {
             version: 1,
             name: name.into(),
--- a/crates/sanddrum-edge/tests/host/platform.rs
+++ b/crates/sanddrum-edge/tests/host/platform.rs
@@ -2,7 +2,7 @@
 
 use super::{Do, Host};
 use sanddrum_fastcgi::{begin, params, stream, Kind, Record};
-use sanddrum_net::Conn;
+use sanddrum_net::ConnectionId;
 use serde_json::json;
 
 pub const CALL: &str = "9b1f03aa5c7e2d41";
@@ -29,11 +29,11 @@
     stream(&mut out, Kind::Stdin, id, body);
     out
 }
-pub fn asks(host: &mut Host, front: Conn, id: u16, call: &str) {
+pub fn asks(host: &mut Host, front: ConnectionId, id: u16, call: &str) {
     host.says(front, &request(id, &usual(call), b"in"));
 }
 /// Whole answers by request number: the CGI response and the protocol status.
-pub fn answers(host: &Host, front: Conn) -> Vec<(u16, String, u8)> {
+pub fn answers(host: &Host, front: ConnectionId) -> Vec<(u16, String, u8)> {
     let bytes = host.io.wrote.get(&front).cloned().unwrap_or_default();
     let (mut at, mut texts, mut whole) = (
         0,
@@ -57,7 +57,7 @@
     }
     whole
 }
-pub fn statuses(host: &Host, front: Conn) -> Vec<(u16, String)> {
+pub fn statuses(host: &Host, front: ConnectionId) -> Vec<(u16, String)> {
     let status = |text: &str| text.lines().next().unwrap_or_default().to_string();
     answers(host, front)
         .iter()
@@ -65,7 +65,7 @@
         .collect()
 }
 /// The last connection that is not the feed's.
-pub fn worker(host: &Host) -> Conn {
+pub fn worker(host: &Host) -> ConnectionId {
     host.io.connects.last().unwrap().0
 }
 pub fn told(host: &mut Host, n: u64, member: serde_json::Value) {
@@ -78,7 +78,7 @@
     json!({"id": id, "host_port": "10.0.0.1:7001", "locality": "a", "phase": phase, "size": 4, "up_since_ms": 0})
 }
 /// A web server whose job is out at the worker; its request's number is 1.
-pub fn job_out(host: &mut Host) -> (Conn, Conn) {
+pub fn job_out(host: &mut Host) -> (ConnectionId, ConnectionId) {
     let front = host.client();
     host.strings
         .borrow_mut()
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -7,7 +7,7 @@
 use sanddrum_edge::KEYS;
 use sanddrum_identity::token;
 use sanddrum_identity::{Claims, KeySet, SecretKey};
-use sanddrum_net::{Closed, Conn, Core, Peer};
+use sanddrum_net::{CloseCause, ConnectionId, Core, PeerIdentity};
 use sanddrum_wire::{http, Ended};
 
 fn key(kid: &str) -> SecretKey {
@@ -46,10 +46,10 @@
     h
 }
 fn gives(h: &mut Host, content: Result<&[u8], &str>) {
-    h.edge.file(h.now, KEYS, content, &mut h.io);
+    h.edge.on_file(h.now, KEYS, content, &mut h.io);
     h.turn();
 }
-fn calls(h: &mut Host, conn: Conn, token: &str) -> Option<u16> {
+fn calls(h: &mut Host, conn: ConnectionId, token: &str) -> Option<u16> {
     let before = h.statuses(conn).len();
     h.calls(conn, &[("authorization", token)]);
     h.statuses(conn).get(before).copied()
@@ -211,7 +211,7 @@
     for _ in 0..3 {
         assert_eq!(calls(&mut h, client, "Bearer x.y.z"), Some(401));
     }
-    assert!(h.io.closed.contains(&(client, Some(Closed::InOrder))));
+    assert!(h.io.closed.contains(&(client, Some(CloseCause::Orderly))));
     assert!(h.io.audit.len() <= 3, "{:?}", h.io.audit);
     h.now += S;
     let client = h.client();
@@ -242,11 +242,11 @@
     gives(&mut h, Ok(&set().write()));
     h
 }
-fn shows(h: &mut Host, name: &str) -> Conn {
+fn shows(h: &mut Host, name: &str) -> ConnectionId {
     let names = vec![name.to_string()];
-    h.io.peer_of_next = Some(Peer {
+    h.io.peer_of_next = Some(PeerIdentity {
         names,
-        key: "sha256:ab".into(),
+        key_fingerprint: "sha256:ab".into(),
         resumed: false,
     });
     h.client()
@@ -307,7 +307,7 @@
     h.up(worker);
     let id = h.executions_read(worker)[0];
     let now = h.now;
-    h.edge.stale(now, gateway, true, &mut h.io);
+    h.edge.on_credentials_changed(now, gateway, true, &mut h.io);
     h.calls(gateway, &[]);
     h.done(worker, id, Ended::Finished);
     assert_eq!(h.statuses(gateway), [200, 401]);
@@ -315,7 +315,7 @@
         .io
         .closed
         .iter()
-        .any(|(conn, how)| *conn == gateway && *how == Some(Closed::InOrder)));
+        .any(|(conn, how)| *conn == gateway && *how == Some(CloseCause::Orderly)));
     assert_eq!(h.strings.borrow().jobs.len(), 1);
     assert!(h
         .io
--- a/crates/sanddrum-edge/tests/platform.rs
+++ b/crates/sanddrum-edge/tests/platform.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use sanddrum::{Outcome, Warmth, WorkerState};
 use sanddrum_fastcgi::{header, Kind, HEADER};
-use sanddrum_net::{Closed, Core, Event};
+use sanddrum_net::{CloseCause, Core, Event};
 use sanddrum_platform::frames;
 use serde_json::json;
 
@@ -127,7 +127,7 @@
     // The record has not come whole: nothing is held beyond it, and the rest is not waited for.
     host.says(front, &whole[40_000..]);
     assert_eq!(statuses(&host, front), [(1, "Status: 413".to_string())]);
-    assert_eq!(host.io.closed, [(front, Some(Closed::InOrder))]);
+    assert_eq!(host.io.closed, [(front, Some(CloseCause::Orderly))]);
 }
 
 #[rstest]
@@ -150,7 +150,7 @@
     let silent = host.client();
     host.wait(S / 4);
     let third = host.client();
-    assert_eq!(host.io.closed, [(silent, Some(Closed::InOrder))]);
+    assert_eq!(host.io.closed, [(silent, Some(CloseCause::Orderly))]);
     asks(&mut host, third, 1, OTHER);
     host.client();
     assert!(host
@@ -170,7 +170,7 @@
     );
     let fresh = host.client();
     host.client();
-    assert_eq!(host.io.closed, [(stays, Some(Closed::InOrder))]);
+    assert_eq!(host.io.closed, [(stays, Some(CloseCause::Orderly))]);
     asks(&mut host, fresh, 1, CALL);
     assert_eq!(host.strings.borrow().jobs.len(), 1);
 }
@@ -194,7 +194,7 @@
     let (front, worker) = job_out(&mut host);
     host.says(worker, &bytes);
     assert_eq!(host.ends(), [Outcome::Reset], "it may have run");
-    assert_eq!(host.io.closed, [(worker, Some(Closed::Reset))]);
+    assert_eq!(host.io.closed, [(worker, Some(CloseCause::Reset))]);
     assert!(answers(&host, front).is_empty());
 }
 
@@ -316,7 +316,7 @@
         );
         host.event(Event::Closed {
             conn: feed,
-            how: Closed::InOrder,
+            cause: CloseCause::Orderly,
         });
     }
     host.wait(2 * S);
@@ -337,11 +337,11 @@
     let mut host = Host::on_platform(&[]);
     let (now, before) = (host.now, host.io.connects.len());
     host.edge
-        .file(now, sanddrum_edge::CONFIGURATION, Ok(b"{"), &mut host.io);
+        .on_file(now, sanddrum_edge::CONFIGURATION, Ok(b"{"), &mut host.io);
     assert_eq!(host.io.connects.len(), before);
     let json = json!({"name": "n", "listen": "127.0.0.1:1", "feed": "127.0.0.9:2380", "seed": "1", "settings": {},
                       "limits": {"sockets": 100, "memory_mb": 10}, "known": {"n": 0, "events": []}});
-    host.edge.file(
+    host.edge.on_file(
         now,
         sanddrum_edge::CONFIGURATION,
         Ok(json.to_string().as_bytes()),
@@ -360,15 +360,15 @@
 fn asked_to_end_it_serves_what_still_comes_and_ends_when_it_owes_nothing() {
     let mut host = Host::on_platform(&[("limits.late-arrivals", "700 ms")]);
     let now = host.now;
-    host.edge.stop(now, &mut host.io);
-    assert!(host.edge.still_listens() && !host.edge.done());
+    host.edge.shut_down(now, &mut host.io);
+    assert!(host.edge.accepts_while_draining() && !host.edge.is_done());
     host.wait(S / 2);
     let (front, worker) = job_out(&mut host);
     host.wait(S / 2);
-    assert!(!host.edge.done(), "a job is open");
+    assert!(!host.edge.is_done(), "a job is open");
     host.says(worker, &frames::answer(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
-    assert!(host.edge.done());
+    assert!(host.edge.is_done());
 }
 
 #[rstest]
@@ -392,7 +392,7 @@
         host.says(front, &request(1, &pairs, b"in"));
         host.event(Event::Closed {
             conn: front,
-            how: Closed::InOrder,
+            cause: CloseCause::Orderly,
         });
         host.wait(S / 100);
     }
--- a/crates/sanddrum-edge/tests/platform_net.rs
+++ b/crates/sanddrum-edge/tests/platform_net.rs
@@ -4,7 +4,9 @@
 use rstest::rstest;
 use sanddrum_edge::{Edge, Platform, Start};
 use sanddrum_fastcgi::{begin, params, stream, Kind, Record};
-use sanddrum_net::{Conn, Core, Event, HostId, Io, Links, Micros, NoTap, VirtualNet};
+use sanddrum_net::{
+    ConnectionId, Core, Event, HostId, Io, LinkModel, Micros, NullObserver, VirtualNet,
+};
 use sanddrum_platform::frames;
 use serde_json::json;
 use std::cell::RefCell;
@@ -28,20 +30,28 @@
 struct Worker {
     name: &'static str,
     truth: Truth,
-    bytes: BTreeMap<Conn, Vec<u8>>,
+    bytes: BTreeMap<ConnectionId, Vec<u8>>,
     loaded: BTreeSet<String>,
-    due: BTreeMap<(Micros, u64), (Conn, Vec<u8>)>,
+    due: BTreeMap<(Micros, u64), (ConnectionId, Vec<u8>)>,
     count: u64,
     /// Each so-manieth answer is spoilt.
     spoils: u64,
 }
 
 impl Worker {
-    fn later(&mut self, at: Micros, conn: Conn, bytes: Vec<u8>) {
+    fn later(&mut self, at: Micros, conn: ConnectionId, bytes: Vec<u8>) {
         self.count += 1;
         self.due.insert((at, self.count), (conn, bytes));
     }
-    fn says(&mut self, now: Micros, conn: Conn, code: u8, id: u64, fields: &str, body: &[u8]) {
+    fn says(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        code: u8,
+        id: u64,
+        fields: &str,
+        body: &[u8],
+    ) {
         self.truth.borrow_mut().last_at.insert(self.name, now);
         let field = |name: &str| {
             fields
@@ -84,7 +94,7 @@
 
 impl Core for Worker {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
             Event::Bytes { conn, bytes } => {
                 let mut held = self.bytes.remove(&conn).unwrap_or_default();
@@ -114,13 +124,13 @@
             _ => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= now) {
             let (conn, bytes) = entry.remove();
             io.write(conn, &bytes);
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         self.due.first_key_value().map(|((at, _), _)| *at)
     }
 }
@@ -128,7 +138,7 @@
 /// A web server that sends a job every ten milliseconds, on one connection.
 struct Web {
     truth: Truth,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     up: bool,
     free: Vec<u16>,
     open: BTreeMap<u16, (u64, String)>,
@@ -143,7 +153,7 @@
         self.conn = Some(io.connect(DOOR));
         self.next = now + S / 10;
     }
-    fn event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
             Event::Connected { .. } => self.up = true,
             Event::Bytes { bytes, .. } => {
@@ -176,7 +186,7 @@
             _ => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while self.up && self.left > 0 && self.next <= now {
             self.next += S / 100;
             let Some(id) = self.free.pop() else { continue };
@@ -204,7 +214,7 @@
             self.truth.borrow_mut().asked.insert(call, now);
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         (self.left > 0).then_some(self.next)
     }
 }
@@ -212,14 +222,14 @@
 /// The control feed: events by when they come to be.
 struct Feed {
     events: Vec<(Micros, serde_json::Value)>,
-    asks: BTreeMap<Conn, (u64, Micros)>,
-    bytes: BTreeMap<Conn, String>,
+    asks: BTreeMap<ConnectionId, (u64, Micros)>,
+    bytes: BTreeMap<ConnectionId, String>,
     now: Micros,
 }
 
 impl Core for Feed {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
             Event::Bytes { conn, bytes } => {
                 let text = self.bytes.entry(conn).or_default();
@@ -237,10 +247,10 @@
             _ => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.now = now;
         let told = self.events.iter().filter(|(at, _)| *at <= now).count() as u64 + 1;
-        let due: Vec<Conn> = self
+        let due: Vec<ConnectionId> = self
             .asks
             .iter()
             .filter(|(_, (sub, until))| told > *sub || *until <= now)
@@ -258,7 +268,7 @@
             );
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let next = self
             .events
             .iter()
@@ -285,7 +295,7 @@
 fn staged(jobs: u64, spoils: u64, events: Vec<(Micros, serde_json::Value)>) -> Stage {
     let truth = Truth::default();
     let begun = 1_000 * S;
-    let mut net = VirtualNet::new(7, begun, Links::default(), Box::new(NoTap));
+    let mut net = VirtualNet::new(7, begun, LinkModel::default(), Box::new(NullObserver));
     let places = [
         ("a", "10.1.0.1:80"),
         ("b", "10.1.0.2:80"),
--- a/crates/sanddrum-edge/tests/races.rs
+++ b/crates/sanddrum-edge/tests/races.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use sanddrum::{Outcome, WorkerState};
 use sanddrum_fastcgi::{header, Kind, HEADER};
-use sanddrum_net::{Closed, Conn, Core, Event};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event};
 use sanddrum_platform::frames;
 use sanddrum_wire::Phase;
 use serde_json::json;
@@ -24,7 +24,7 @@
     told(host, n, member("w", "in_service"));
 }
 /// A job sent to the worker while its connection is under way.
-fn job_waits(host: &mut Host) -> (Conn, Conn) {
+fn job_waits(host: &mut Host) -> (ConnectionId, ConnectionId) {
     let front = host.client();
     host.strings
         .borrow_mut()
@@ -33,13 +33,13 @@
     asks(host, front, 1, CALL);
     (front, worker(host))
 }
-fn leaves(host: &mut Host, front: Conn, withdraws: bool) {
+fn leaves(host: &mut Host, front: ConnectionId, withdraws: bool) {
     if withdraws {
         host.says(front, &header(Kind::Abort, 1, 0));
     } else {
         host.event(Event::Closed {
             conn: front,
-            how: Closed::InOrder,
+            cause: CloseCause::Orderly,
         });
     }
 }
@@ -70,7 +70,7 @@
         .deeds
         .push(Do::Execute(0, 1_400_000));
     let (now, bytes) = (host.now, request(1, &usual(CALL), b"in"));
-    host.edge.event(
+    host.edge.on_event(
         now,
         Event::Bytes {
             conn: front,
@@ -124,7 +124,7 @@
         return;
     }
     host.wait(S / 10);
-    assert!(host.io.closed.contains(&(worker, Some(Closed::Reset))));
+    assert!(host.io.closed.contains(&(worker, Some(CloseCause::Reset))));
     assert_eq!(host.ends(), [Outcome::NoConnection]);
 }
 
@@ -142,7 +142,7 @@
     host.up(first);
     decide(&mut host, 2, &[Do::Cancel(0, 0), Do::Execute(0, 1_000_000)]);
     // The first one's rest can't come any more, wherever the second is.
-    assert!(host.io.closed.contains(&(first, Some(Closed::Reset))));
+    assert!(host.io.closed.contains(&(first, Some(CloseCause::Reset))));
     let second = worker(&host);
     assert_ne!(first, second);
     host.up(second);
@@ -172,7 +172,7 @@
     ];
     let before = host.io.writes.len();
     decide(&mut host, 2, &again);
-    let written: Vec<Conn> = host.io.writes[before..]
+    let written: Vec<ConnectionId> = host.io.writes[before..]
         .iter()
         .map(|(conn, _)| *conn)
         .collect();
@@ -281,7 +281,7 @@
     host.up(worker);
     host.event(Event::Closed {
         conn: worker,
-        how: Closed::Reset,
+        cause: CloseCause::Reset,
     });
     assert_eq!(host.ends(), [end]);
 }
@@ -306,7 +306,7 @@
         .deeds
         .push(Do::Execute(1, 1_000_000));
     let (now, bytes) = (host.now, request(2, &usual(OTHER), b"in"));
-    host.edge.event(
+    host.edge.on_event(
         now,
         Event::Bytes {
             conn: front,
@@ -317,7 +317,7 @@
     host.turn();
     host.event(Event::Closed {
         conn: worker,
-        how: Closed::InOrder,
+        cause: CloseCause::Orderly,
     });
     assert_eq!(host.ends(), [Outcome::Finished, Outcome::Reset]);
 }
@@ -455,7 +455,7 @@
     let (now, feed) = (host.now, host.list);
     let json = json!({"n": 2, "events": [{"n": 2, "members": {"complete": false, "members": [member("w", "terminating")]}}]});
     let answer = sanddrum_wire::http::response(200, &[], json.to_string().as_bytes(), true);
-    host.edge.event(
+    host.edge.on_event(
         now,
         Event::Bytes {
             conn: feed,
@@ -465,7 +465,7 @@
     );
     host.event(Event::Closed {
         conn: feed,
-        how: Closed::InOrder,
+        cause: CloseCause::Orderly,
     });
     assert_eq!(
         host.strings.borrow().lists.last().unwrap().endpoints[0].state,
@@ -497,7 +497,7 @@
     };
     host.event(Event::Closed {
         conn: host.list,
-        how: Closed::Refused,
+        cause: CloseCause::Refused,
     });
     assert_eq!(health(&mut host), "Status: 503");
     host.wait(5 * S);
@@ -559,7 +559,7 @@
     host.says(worker, &frames::answer(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
     assert!(
-        host.io.closed.contains(&(front, Some(Closed::InOrder))),
+        host.io.closed.contains(&(front, Some(CloseCause::Orderly))),
         "behind the answer"
     );
 }
@@ -583,7 +583,7 @@
     );
     leaves(&mut host, front, true);
     assert_eq!(host.strings.borrow().left.len(), 1);
-    assert!(host.io.closed.contains(&(front, Some(Closed::InOrder))));
+    assert!(host.io.closed.contains(&(front, Some(CloseCause::Orderly))));
 }
 
 // ---- The end
@@ -594,15 +594,15 @@
     let front = host.client();
     let bytes = request(1, &usual(CALL), b"in");
     let now = host.now;
-    host.edge.stop(now, &mut host.io);
+    host.edge.shut_down(now, &mut host.io);
     host.wait(S / 2);
     host.says(front, &bytes[..40]);
     host.wait(S / 2);
-    assert!(!host.edge.done());
+    assert!(!host.edge.is_done());
     host.strings.borrow_mut().deeds.push(Do::PushBack(0));
     host.says(front, &bytes[40..]);
     assert_eq!(statuses(&host, front), [(1, "Status: 503".to_string())]);
-    assert!(host.edge.done());
+    assert!(host.edge.is_done());
 }
 
 #[rstest]
@@ -614,9 +614,9 @@
     let front = host.client();
     let now = host.now;
     host.says(front, &request(1, &usual(CALL), b"in")[..40]);
-    host.edge.stop(now, &mut host.io);
+    host.edge.shut_down(now, &mut host.io);
     host.wait(S + 1);
-    assert!(host.edge.done());
+    assert!(host.edge.is_done());
 }
 
 #[rstest]
@@ -626,7 +626,7 @@
         ("limits.late-arrivals", "700 ms"),
     ]);
     let now = host.now;
-    host.edge.stop(now, &mut host.io);
+    host.edge.shut_down(now, &mut host.io);
     let front = host.client();
     asks(&mut host, front, 1, CALL);
     assert_eq!(host.strings.borrow().jobs[0].deadline, now + S);
--- a/crates/sanddrum-edge/tests/workers.rs
+++ b/crates/sanddrum-edge/tests/workers.rs
@@ -6,27 +6,30 @@
 use rstest::rstest;
 use sanddrum::{EndpointListKind, Outcome, WorkerState};
 use sanddrum_edge::endpoint_cache;
-use sanddrum_net::{Closed, Core, Event};
+use sanddrum_net::{CloseCause, Core, Event};
 use sanddrum_wire::{Ended, FromWorker, Held, Phase, Probed};
 
 #[rstest]
-#[case::refused(0, Closed::Refused, Outcome::NoConnection)]
-#[case::written_in_part(60, Closed::Reset, Outcome::NoConnection)]
-#[case::written_whole(10_000, Closed::Reset, Outcome::Reset)]
-#[case::closed_in_order_without_an_answer(10_000, Closed::InOrder, Outcome::Reset)]
+#[case::refused(0, CloseCause::Refused, Outcome::NoConnection)]
+#[case::written_in_part(60, CloseCause::Reset, Outcome::NoConnection)]
+#[case::written_whole(10_000, CloseCause::Reset, Outcome::Reset)]
+#[case::closed_in_order_without_an_answer(10_000, CloseCause::Orderly, Outcome::Reset)]
 fn a_broken_connection_tells_whether_the_job_can_have_run(
     #[case] room: usize,
-    #[case] how: Closed,
+    #[case] how: CloseCause,
     #[case] end: Outcome,
 ) {
     let mut h = Host::new(&[]);
     let (_, worker) = h.call_out(5 * S);
     h.io.room.insert(worker, room);
-    if how != Closed::Refused {
+    if how != CloseCause::Refused {
         h.up(worker);
     }
     assert_eq!(h.executions_read(worker).len(), usize::from(room == 10_000));
-    h.event(Event::Closed { conn: worker, how });
+    h.event(Event::Closed {
+        conn: worker,
+        cause: how,
+    });
     h.turn();
     assert_eq!(h.ends(), [end]);
 }
@@ -37,7 +40,7 @@
     let (_, worker) = h.call_out(5 * S);
     h.wait(S / 5);
     assert_eq!(h.ends(), [Outcome::NoConnection]);
-    assert!(h.io.closed.contains(&(worker, Some(Closed::Reset))));
+    assert!(h.io.closed.contains(&(worker, Some(CloseCause::Reset))));
 }
 
 #[rstest]
@@ -161,7 +164,7 @@
     h.up(worker);
     h.says(worker, bytes);
     assert_eq!(h.ends(), [Outcome::Reset]);
-    assert!(h.io.closed.contains(&(worker, Some(Closed::Reset))));
+    assert!(h.io.closed.contains(&(worker, Some(CloseCause::Reset))));
 }
 
 #[rstest]
@@ -205,7 +208,7 @@
     assert!(h.io.closed.is_empty(), "it carries an execution");
     h.done(worker, h.executions_read(worker)[0], Ended::Finished);
     h.wait(4 * S);
-    assert!(h.io.closed.contains(&(worker, Some(Closed::InOrder))));
+    assert!(h.io.closed.contains(&(worker, Some(CloseCause::Orderly))));
 }
 
 #[rstest]
@@ -346,7 +349,7 @@
     ]);
     h.event(Event::Closed {
         conn: h.list,
-        how: Closed::Reset,
+        cause: CloseCause::Reset,
     });
     let mut calls = Vec::new();
     for _ in 0..6 {
@@ -359,7 +362,7 @@
         let conn = h.io.connects.last().unwrap().0;
         h.event(Event::Closed {
             conn,
-            how: Closed::Refused,
+            cause: CloseCause::Refused,
         });
     }
     // Each wait is drawn from the least to three times the last one.
@@ -381,7 +384,7 @@
     h.up(old);
     let first = h.executions_read(old)[0];
     let now = h.now;
-    h.edge.stale(now, old, false, &mut h.io);
+    h.edge.on_credentials_changed(now, old, false, &mut h.io);
     h.turn();
     h.turn();
     let new = h.io.connects.last().unwrap().0;
@@ -399,7 +402,7 @@
     );
     h.done(old, first, Ended::Finished);
     h.wait(S);
-    assert!(h.io.closed.contains(&(old, Some(Closed::InOrder))));
+    assert!(h.io.closed.contains(&(old, Some(CloseCause::Orderly))));
     let second = h.executions_read(new)[0];
     h.done(new, second, Ended::Finished);
     assert_eq!(
@@ -414,7 +417,7 @@
     let (_, old) = h.call_out(5 * S);
     h.up(old);
     let now = h.now;
-    h.edge.stale(now, old, true, &mut h.io);
+    h.edge.on_credentials_changed(now, old, true, &mut h.io);
     h.turn();
     h.call_out(5 * S);
     assert_eq!(h.executions_read(old).len(), 1);
@@ -427,7 +430,7 @@
     let (_, conn) = h.call_out(5 * S);
     h.event(Event::Closed {
         conn,
-        how: Closed::Refused,
+        cause: CloseCause::Refused,
     });
     let tried = h.io.connects.len();
     for _ in 0..3 {
@@ -471,7 +474,7 @@
     if leaves {
         h.event(Event::Closed {
             conn: client,
-            how: Closed::InOrder,
+            cause: CloseCause::Orderly,
         });
     } else {
         h.decide(Do::PushBack(0));
--- a/crates/sanddrum-emulator/src/handshakes.rs
+++ b/crates/sanddrum-emulator/src/handshakes.rs
@@ -2,7 +2,7 @@
 //! is cold; until then nothing that came on its connection is heard.
 
 use crate::faults::Shared;
-use sanddrum_net::{Conn, Core, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a worker's handshakes are to take, and what became of them.
@@ -23,8 +23,8 @@
     started: Micros,
     cold: Micros,
     cold_from: f64,
-    held: BTreeMap<Conn, Vec<u8>>,
-    queue: VecDeque<(Micros, Conn)>,
+    held: BTreeMap<ConnectionId, Vec<u8>>,
+    queue: VecDeque<(Micros, ConnectionId)>,
     free: Micros,
 }
 
@@ -47,7 +47,7 @@
             free: 0,
         }
     }
-    fn begin(&mut self, now: Micros, conn: Conn) {
+    fn begin(&mut self, now: Micros, conn: ConnectionId) {
         let age = (now - self.started) as f64 / self.cold.max(1) as f64;
         let warm = self.started <= 0 || age >= 1.0;
         let part = if warm {
@@ -69,7 +69,7 @@
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match &event {
             Event::Accepted { conn, .. } => self.begin(now, *conn),
             Event::Bytes { conn, bytes } => {
@@ -80,13 +80,13 @@
             Event::Closed { conn, .. } => drop(self.held.remove(conn)),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
-        self.core.event(now, event, io);
+        self.core.on_event(now, event, io);
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some((_, conn)) = self.queue.front().copied().filter(|(at, _)| *at <= now) {
             self.queue.pop_front();
             if let Some(bytes) = self.held.remove(&conn).filter(|bytes| !bytes.is_empty()) {
-                self.core.event(
+                self.core.on_event(
                     now,
                     Event::Bytes {
                         conn,
@@ -96,19 +96,19 @@
                 );
             }
         }
-        self.core.turn(now, io);
+        self.core.process(now, io);
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         self.core
-            .wake()
+            .next_wakeup()
             .into_iter()
             .chain(self.queue.front().map(|(at, _)| *at))
             .min()
     }
-    fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
-        self.core.file(now, name, content, io);
+    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+        self.core.on_file(now, name, content, io);
     }
-    fn done(&self) -> bool {
-        self.core.done()
+    fn is_done(&self) -> bool {
+        self.core.is_done()
     }
 }
--- a/crates/sanddrum-emulator/src/list_service.rs
+++ b/crates/sanddrum-emulator/src/list_service.rs
@@ -2,7 +2,7 @@
 
 use crate::faults::{ListFaults, Shared};
 use crate::peers::Peers;
-use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_wire::{frame::frame, FromList, Hello, Phase, Row, Rows, ToList, VERSION};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -25,25 +25,25 @@
     row: Row,
     started: Micros,
     heard: Micros,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
 }
 
 pub struct ListService {
     spec: ListSpec,
-    chance: Chance,
+    chance: Rng,
     faults: Shared<ListFaults>,
     /// Differs from one run of the service to the next, unless it kept its list.
     run: u64,
     version: u64,
     peers: Peers,
-    watchers: BTreeSet<Conn>,
+    watchers: BTreeSet<ConnectionId>,
     /// As told to edges; `seen` is what the service itself knows.
     told: BTreeMap<String, Member>,
     seen: BTreeMap<String, Member>,
     changes: VecDeque<(u64, Row, Micros)>,
     due: BTreeSet<(Micros, String)>,
     /// Calls in hand, with the run and the version that each caller knows, and until when its core is at one.
-    calls: VecDeque<(Conn, u64, u64)>,
+    calls: VecDeque<(ConnectionId, u64, u64)>,
     busy: Micros,
 }
 
@@ -51,7 +51,7 @@
     pub fn new(spec: ListSpec, seed: u64, run: u64, faults: Shared<ListFaults>) -> Self {
         ListService {
             spec,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             faults,
             run,
             version: 0,
@@ -132,7 +132,7 @@
             rows,
         }
     }
-    fn forget(&mut self, conn: Conn) {
+    fn forget(&mut self, conn: ConnectionId) {
         self.peers.remove(conn);
         self.watchers.remove(&conn);
         self.calls.retain(|(caller, ..)| *caller != conn);
@@ -141,7 +141,7 @@
     fn later(&mut self, now: Micros, name: &str) {
         let (from, to) = self.spec.notice;
         let wait =
-            from + (self.chance.part() * (to - from) as f64) as Micros + self.faults.borrow().lags;
+            from + (self.chance.unit() * (to - from) as f64) as Micros + self.faults.borrow().lags;
         self.due.insert((now + wait, name.to_string()));
     }
     fn tell(&mut self, now: Micros, name: &str) {
@@ -181,7 +181,7 @@
             .iter()
             .for_each(|conn| self.peers.send(*conn, &change));
     }
-    fn message(&mut self, now: Micros, conn: Conn, message: ToList, io: &mut dyn Io) {
+    fn message(&mut self, now: Micros, conn: ConnectionId, message: ToList, io: &mut dyn Io) {
         match message {
             ToList::Hello(_) => {
                 let hello = Hello {
@@ -241,7 +241,7 @@
     fn start(&mut self, now: Micros, _: &mut dyn Io) {
         self.seen.values_mut().for_each(|m| m.heard = now);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => self.peers.add(conn),
             Event::Writable { conn } => self.peers.unblock(conn),
@@ -268,13 +268,13 @@
             Event::Connected { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         let silent = now - self.spec.silent_after;
         let gone = self
             .seen
             .values()
             .filter(|m| m.row.phase != Phase::Gone && m.heard < silent);
-        let (names, conns): (Vec<String>, Vec<Option<Conn>>) =
+        let (names, conns): (Vec<String>, Vec<Option<ConnectionId>>) =
             gone.map(|m| (m.row.name.clone(), m.conn)).unzip();
         self.lost(now, names);
         // One that is heard again has to tell of itself anew.
@@ -289,14 +289,14 @@
         self.answer_calls(now);
         self.peers.flush(io);
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let due = self.due.first().map(|(at, _)| *at);
         let stands = self.seen.values().filter(|m| m.row.phase != Phase::Gone);
         let silent = stands.map(|m| m.heard + self.spec.silent_after + 1).min();
         let calls = (!self.calls.is_empty()).then_some(self.busy);
         due.into_iter().chain(silent).chain(calls).min()
     }
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         true
     }
 }
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -2,7 +2,7 @@
 //! what the store is asked and what is answered goes to `Effects`.
 
 use crate::ground_truth::{TrueFunction, TrueWorker};
-use sanddrum_net::{Chance, Micros};
+use sanddrum_net::{Micros, Rng};
 use sanddrum_wire::{Copy, Ended, LoadReport};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -113,7 +113,7 @@
 
 pub struct Machine {
     pub size: Size,
-    chance: Chance,
+    chance: Rng,
     /// When it started; nought or less: long ago.
     pub started: Micros,
     copies: BTreeMap<u64, Standing>,
@@ -132,7 +132,7 @@
     pub fn new(size: Size, seed: u64, started: Micros) -> Self {
         Machine {
             size,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             started,
             copies: BTreeMap::new(),
             next_copy: 0,
@@ -473,7 +473,7 @@
     }
     /// The store answered a fetch.
     pub fn fetched(&mut self, now: Micros, load: u64, whole: bool) {
-        let fails = !whole || self.chance.is_below(self.load_fails);
+        let fails = !whole || self.chance.happens(self.load_fails);
         let start = self.size.start_us_per_mb;
         let Some(copy) = self
             .copies
--- a/crates/sanddrum-emulator/src/peers.rs
+++ b/crates/sanddrum-emulator/src/peers.rs
@@ -1,6 +1,6 @@
 //! The accepted connections of a stand-in: frames in, frames out.
 
-use sanddrum_net::{Conn, Io, Outbox};
+use sanddrum_net::{ConnectionId, Io, Outbox};
 use sanddrum_wire::{FrameError, Frames};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,12 +14,12 @@
 
 #[derive(Default)]
 pub(crate) struct Peers {
-    peers: BTreeMap<Conn, Peer>,
-    dirty: BTreeSet<Conn>,
+    peers: BTreeMap<ConnectionId, Peer>,
+    dirty: BTreeSet<ConnectionId>,
 }
 
 impl Peers {
-    pub fn add(&mut self, conn: Conn) {
+    pub fn add(&mut self, conn: ConnectionId) {
         self.peers.insert(
             conn,
             Peer {
@@ -28,37 +28,37 @@
             },
         );
     }
-    pub fn remove(&mut self, conn: Conn) -> bool {
+    pub fn remove(&mut self, conn: ConnectionId) -> bool {
         self.dirty.remove(&conn);
         self.peers.remove(&conn).is_some()
     }
-    pub fn has(&self, conn: Conn) -> bool {
+    pub fn has(&self, conn: ConnectionId) -> bool {
         self.peers.contains_key(&conn)
     }
-    pub fn all(&self) -> Vec<Conn> {
+    pub fn all(&self) -> Vec<ConnectionId> {
         self.peers.keys().copied().collect()
     }
-    pub fn take_in(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn take_in(&mut self, conn: ConnectionId, bytes: &[u8]) {
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.frames.take_in(bytes);
         }
     }
     pub fn next_message<T: for<'b> minicbor::Decode<'b, ()>>(
         &mut self,
-        conn: Conn,
+        conn: ConnectionId,
     ) -> Result<Option<T>, FrameError> {
         self.peers
             .get_mut(&conn)
             .map_or(Ok(None), |peer| peer.frames.next_message())
     }
-    pub fn send(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn send(&mut self, conn: ConnectionId, bytes: &[u8]) {
         if let Some(peer) = self.peers.get_mut(&conn) {
             if peer.out.push((), bytes).is_ok() {
                 self.dirty.insert(conn);
             }
         }
     }
-    pub fn unblock(&mut self, conn: Conn) {
+    pub fn unblock(&mut self, conn: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.out.unblock();
             self.dirty.insert(conn);
--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::faults::{Shared, StoreFaults};
 use crate::peers::Peers;
-use sanddrum_net::{Conn, Core, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
 use sanddrum_wire::{frame::frame, Fetched, FromStore, ToStore};
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
 }
 
 struct Fetching {
-    conn: Conn,
+    conn: ConnectionId,
     id: u64,
     /// What is left of it, at full pace.
     left: f64,
@@ -76,7 +76,7 @@
     fn start(&mut self, now: Micros, _: &mut dyn Io) {
         self.at = now;
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => self.peers.add(conn),
             Event::Writable { conn } => self.peers.unblock(conn),
@@ -120,11 +120,11 @@
             Event::Connected { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.advance(now);
         self.peers.flush(io);
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let least = self.in_hand.iter().map(|f| f.left).min_by(f64::total_cmp)?;
         let pace = self.pace();
         // While it stands still it looks now and then whether it may go on.
@@ -134,7 +134,7 @@
             self.at + 20_000
         })
     }
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         true
     }
 }
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -6,7 +6,7 @@
 use crate::machine::{Effect, Machine, OnMiss, Size, Task, Ticket};
 use crate::peers::Peers;
 use sanddrum_limits::Pace;
-use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros, Outbox};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
 use sanddrum_wire::{
     frame::frame, Beat, Done, Ended, Fetch, Frames, FromStore, FromWorker, Held, Hello, LoadReport,
     Phase, Probed, Row, ToList, ToStore, ToWorker, VERSION,
@@ -43,7 +43,7 @@
 /// A connection that the worker itself opens and keeps.
 struct Upstream {
     address: String,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     up: bool,
     out: Outbox<()>,
     frames: Frames,
@@ -93,7 +93,7 @@
     /// When its process started; nought or less: long ago.
     started: Micros,
     machine: Machine,
-    chance: Chance,
+    chance: Rng,
     faults: Shared<WorkerFaults>,
     marks: Shared<Marks>,
     peers: Peers,
@@ -138,7 +138,7 @@
         };
         Worker {
             machine: Machine::new(size, seed, started),
-            chance: Chance::new(seed ^ 0x5eed),
+            chance: Rng::new(seed ^ 0x5eed),
             incarnation,
             started,
             faults,
@@ -201,7 +201,7 @@
         self.report.1
     }
 
-    fn message(&mut self, now: Micros, conn: Conn, message: ToWorker) {
+    fn message(&mut self, now: Micros, conn: ConnectionId, message: ToWorker) {
         match message {
             ToWorker::Hello(_) => {
                 let age_us = Some(self.age(now)).filter(|age| *age >= 0);
@@ -310,7 +310,7 @@
                         if let Some(mark) = mark.filter(|_| ended == Ended::Finished) {
                             self.marks.borrow_mut().ended(now, &mark);
                         }
-                        if faults.hangs || self.chance.is_below(faults.loses) {
+                        if faults.hangs || self.chance.happens(faults.loses) {
                             continue;
                         }
                         let report = Some(self.current_report(now));
@@ -331,7 +331,7 @@
                             all_pace,
                         };
                         self.peers
-                            .send(Conn(ticket.0), &frame(&FromWorker::Done(done)));
+                            .send(ConnectionId(ticket.0), &frame(&FromWorker::Done(done)));
                     }
                     Effect::Held {
                         ticket,
@@ -344,7 +344,7 @@
                                 ended,
                                 copies,
                             });
-                            self.peers.send(Conn(ticket.0), &frame(&held));
+                            self.peers.send(ConnectionId(ticket.0), &frame(&held));
                         }
                     }
                     Effect::Fell => {
@@ -370,7 +370,7 @@
         self.store.call(io);
     }
 
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let conn = match event {
             Event::Accepted { conn, .. } if self.fell => return io.reset(conn),
             Event::Accepted { conn, .. } => return self.peers.add(conn),
@@ -425,7 +425,7 @@
         }
     }
 
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         {
             let mut faults = self.faults.borrow_mut();
             (self.machine.slower, self.machine.load_fails) = (faults.slower, faults.load_fails);
@@ -485,7 +485,7 @@
         self.store.flush(io);
     }
 
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let next = self.machine.wake().into_iter().chain([self.beat]).min();
         if self.fell {
             return Some(self.beat);
@@ -493,7 +493,7 @@
         next
     }
 
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.machine.is_idle()
     }
 }
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -8,7 +8,7 @@
 };
 use sanddrum_edge::DecisionModule;
 use sanddrum_emulator::{Shared, Truth};
-use sanddrum_net::Chance;
+use sanddrum_net::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a baseline chooses.
@@ -53,7 +53,7 @@
 
 pub struct Baseline {
     choice: Choice,
-    chance: Chance,
+    chance: Rng,
     truth: Shared<Truth>,
     settings: Settings,
     sizes: BTreeMap<WorkerId, f64>,
@@ -68,7 +68,7 @@
     pub fn new(choice: Choice, seed: u64, settings: Settings, truth: Shared<Truth>) -> Self {
         Baseline {
             choice,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             truth,
             settings,
             sizes: BTreeMap::new(),
@@ -96,19 +96,19 @@
             return None;
         }
         match self.choice {
-            Choice::Random => all.get(self.chance.below(all.len())).copied(),
+            Choice::Random => all.get(self.chance.index(all.len())).copied(),
             Choice::RoundRobin => {
                 self.next += 1;
                 all.get(self.next % all.len()).copied()
             }
             Choice::Least => {
                 // Ties by chance, or all routers would send to the first.
-                let from = self.chance.below(all.len());
+                let from = self.chance.index(all.len());
                 let turned = all[from..].iter().chain(&all[..from]).copied();
                 turned.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
             }
             Choice::TwoChoices => {
-                let two = [self.chance.below(all.len()), self.chance.below(all.len())];
+                let two = [self.chance.index(all.len()), self.chance.index(all.len())];
                 self.least(two.into_iter().map(|n| all[n]))
             }
             Choice::BoundedHash => {
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Scenario;
 use crate::wallet::Wallet;
 use sanddrum_emulator::Shared;
-use sanddrum_net::{Chance, Closed, Conn, Core, Event, Io, Micros, Outbox};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
 use sanddrum_wire::http;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -46,7 +46,7 @@
     Next,
     Again(u64),
     GiveUp(u64),
-    Leave(Conn),
+    Leave(ConnectionId),
 }
 
 struct Line {
@@ -62,15 +62,15 @@
     edges: Vec<String>,
     mood: Shared<Mood>,
     wallet: Option<Shared<Wallet>>,
-    chance: Chance,
+    chance: Rng,
     ends: Micros,
     popularity: Vec<f64>,
     /// The edges' parts of the calls, summed up; empty where they are even.
     parts: Vec<f64>,
-    calls: BTreeMap<u64, (Call, Option<Conn>)>,
+    calls: BTreeMap<u64, (Call, Option<ConnectionId>)>,
     next: u64,
-    lines: BTreeMap<Conn, Line>,
-    idle: Vec<VecDeque<Conn>>,
+    lines: BTreeMap<ConnectionId, Line>,
+    idle: Vec<VecDeque<ConnectionId>>,
     due: BTreeSet<(Micros, Due)>,
     patience: Micros,
 }
@@ -109,7 +109,7 @@
             edges,
             mood,
             wallet,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             ends: 0,
             calls: BTreeMap::new(),
             next: 0,
@@ -124,8 +124,8 @@
     pub fn patient(self, patience: Micros) -> Self {
         Callers { patience, ..self }
     }
-    fn pick(chance: &mut Chance, sums: &[f64]) -> usize {
-        let at = chance.part() * sums.last().copied().unwrap_or(1.0);
+    fn pick(chance: &mut Rng, sums: &[f64]) -> usize {
+        let at = chance.unit() * sums.last().copied().unwrap_or(1.0);
         sums.partition_point(|sum| *sum <= at)
             .min(sums.len().saturating_sub(1))
     }
@@ -135,7 +135,7 @@
         if now >= self.ends || rate <= 0.0 {
             return;
         }
-        let gap = self.chance.gap(1e6 / rate) as Micros;
+        let gap = self.chance.exponential(1e6 / rate) as Micros;
         self.due.insert((now + gap.max(1), Due::Next));
         let mut sum = 0.0;
         let shares: Vec<f64> = self
@@ -149,8 +149,8 @@
             .collect();
         let of = Self::pick(&mut self.chance, &shares);
         let what = &self.scenario.calls[of];
-        let function = if self.chance.is_below(mood.hot) {
-            format!("{}hot-{}", what.prefix, self.chance.below(HOT))
+        let function = if self.chance.happens(mood.hot) {
+            format!("{}hot-{}", what.prefix, self.chance.index(HOT))
         } else {
             format!(
                 "{}{}",
@@ -160,7 +160,7 @@
         };
         let work = self
             .chance
-            .gap(what.work as f64)
+            .exponential(what.work as f64)
             .min(what.work as f64 * 6.0)
             .max(100.0) as Micros;
         let l = &self.scenario.settings;
@@ -170,7 +170,7 @@
                 Some(*sum)
             })
             .collect();
-        let greedy = mood.greedy > 0.0 && self.chance.is_below(mood.greedy);
+        let greedy = mood.greedy > 0.0 && self.chance.happens(mood.greedy);
         let customer = match shares.len() {
             0 => None,
             n if greedy => Some(n - 1),
@@ -200,7 +200,7 @@
 
     fn attempt(&mut self, now: Micros, id: u64, io: &mut dyn Io) {
         let edge = match self.parts.is_empty() {
-            true => self.chance.below(self.edges.len()),
+            true => self.chance.index(self.edges.len()),
             false => Self::pick(&mut self.chance, &self.parts),
         };
         let Some((call, at)) = self.calls.get_mut(&id) else {
@@ -228,7 +228,7 @@
             fields.push(("authorization", token));
         }
         // A hint is right within a factor of two or so.
-        let hint = (call.work as f64 * (0.5 + self.chance.part() * 1.5)) as Micros;
+        let hint = (call.work as f64 * (0.5 + self.chance.unit() * 1.5)) as Micros;
         let hint = if what.exact { call.work } else { hint }.to_string();
         if what.hints || what.exact {
             fields.push(("sanddrum-work-us", &hint));
@@ -269,7 +269,7 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, conn: Conn, answer: &http::Answer) {
+    fn answered(&mut self, now: Micros, conn: ConnectionId, answer: &http::Answer) {
         let Some(line) = self.lines.get_mut(&conn) else {
             return;
         };
@@ -283,7 +283,7 @@
         if answer.status == 503 {
             let heeds = self
                 .chance
-                .is_below(self.scenario.settings.number("traffic.heeds"));
+                .happens(self.scenario.settings.number("traffic.heeds"));
             let usual = self.scenario.settings.span("traffic.retry-wait-us");
             let wait = wait
                 .filter(|_| heeds)
@@ -315,7 +315,7 @@
             ));
         }
     }
-    fn lost(&mut self, now: Micros, conn: Conn, how: Closed) {
+    fn lost(&mut self, now: Micros, conn: ConnectionId, how: CloseCause) {
         let Some(line) = self.lines.remove(&conn) else {
             return;
         };
@@ -325,7 +325,7 @@
             return;
         };
         // Unreachable, or nothing of it was read: harmless for any workload. Else only where a repeat is.
-        let unsent = how == Closed::Refused || !line.up || line.out.holds(&());
+        let unsent = how == CloseCause::Refused || !line.up || line.out.holds(&());
         let restartable = self.scenario.calls[call.of].effect == "restartable";
         if unsent || restartable {
             let wait = self.scenario.settings.span("traffic.retry-wait-us");
@@ -346,7 +346,7 @@
             .for_each(|line| line.call = None);
         self.due.insert((now + self.patience, Due::Leave(conn)));
     }
-    fn leave(&mut self, conn: Conn, io: &mut dyn Io) {
+    fn leave(&mut self, conn: ConnectionId, io: &mut dyn Io) {
         if self.lines.remove(&conn).is_some() {
             io.close(conn);
         }
@@ -358,7 +358,7 @@
         self.ends = now + self.scenario.length;
         self.due.insert((now, Due::Next));
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
                 if let Some(line) = self.lines.get_mut(&conn) {
@@ -385,15 +385,15 @@
                     Ok(None) => {}
                     Err(_) => {
                         io.reset(conn);
-                        self.lost(now, conn, Closed::Reset);
+                        self.lost(now, conn, CloseCause::Reset);
                     }
                 }
             }
-            Event::Closed { conn, how } => self.lost(now, conn, how),
+            Event::Closed { conn, cause: how } => self.lost(now, conn, how),
             Event::Accepted { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some((at, due)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, due));
             match due {
@@ -404,10 +404,10 @@
             }
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         self.due.first().map(|(at, _)| *at)
     }
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.calls.is_empty() && self.due.is_empty()
     }
 }
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -2,7 +2,7 @@
 
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{ListService, ListSpec};
-use sanddrum_net::{EventLoop, Micros, NoTap};
+use sanddrum_net::{EventLoop, Micros, NullObserver};
 use sanddrum_wire::{Phase, Row};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -94,7 +94,7 @@
 ) -> Result<Option<(f64, f64)>, String> {
     let text = |e: std::io::Error| e.to_string();
     let (door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
-    let mut driver = EventLoop::new(Box::new(NoTap)).map_err(text)?;
+    let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(text)?;
     let spec = ListSpec {
         notice: (0, 0),
         silent_after: Micros::MAX / 4,
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow.rs
@@ -15,7 +15,7 @@
     WorkerId, WorkerState, WorkloadId, ZoneId,
 };
 use sanddrum_emulator::machine::{Effect, Task, Ticket};
-use sanddrum_net::Chance;
+use sanddrum_net::Rng;
 use sanddrum_upstream::LinkId;
 use sanddrum_wire::{Copy, Ended, Hold, LoadReport as WireLoadReport};
 use std::collections::{BTreeMap, BTreeSet};
@@ -234,7 +234,7 @@
     others: Option<Others>,
     zones: usize,
     lost_zones: BTreeSet<usize>,
-    chance: Chance,
+    chance: Rng,
     seed: u64,
     touched_workers: BTreeSet<usize>,
     touched_routers: BTreeSet<usize>,
@@ -288,7 +288,7 @@
             others,
             zones,
             lost_zones: BTreeSet::new(),
-            chance: Chance::new(seed ^ 0xf1ee7),
+            chance: Rng::new(seed ^ 0xf1ee7),
             seed,
             touched_workers: BTreeSet::new(),
             touched_routers: BTreeSet::new(),
@@ -516,7 +516,8 @@
         let Calls::Drawn { rate, until } = self.calls else {
             return;
         };
-        let at = self.now + (self.chance.gap(1e6 / rate.max(1e-9)).min(1e12) as Micros).max(1);
+        let at =
+            self.now + (self.chance.exponential(1e6 / rate.max(1e-9)).min(1e12) as Micros).max(1);
         if at < until {
             self.post(at, Event::Call(router));
         }
@@ -524,11 +525,11 @@
     fn draw_call(&mut self, router: usize) {
         self.post_call(router);
         let function = self.functions.draw(&mut self.chance);
-        let work = self.chance.gap(self.model.work as f64).max(1.0);
+        let work = self.chance.exponential(self.model.work as f64).max(1.0);
         // What a lost zone's routers would have got goes to the others.
         let mut to = router;
         while self.lost_zones.contains(&self.hosts[to].zone) && self.lost_zones.len() < self.zones {
-            to = self.chance.below(self.hosts.len());
+            to = self.chance.index(self.hosts.len());
         }
         let due = self.now + self.model.time_limit;
         self.call(Call {
@@ -576,7 +577,7 @@
         self.touched_routers.insert(router);
     }
     /// A seed of its own for what is scripted.
-    pub fn chance(&self) -> Chance {
-        Chance::new(self.seed ^ 0xac75)
+    pub fn chance(&self) -> Rng {
+        Rng::new(self.seed ^ 0xac75)
     }
 }
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -4,7 +4,7 @@
 use sanddrum::Settings;
 use sanddrum_bootstrap::{Decisions, Events, Start};
 use sanddrum_edge::Known;
-use sanddrum_net::{Conn, Core, Event, Io, Micros, Outbox};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{frame::frame, Frames, FromListHead, Hello, RowsHead, ToList, VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
     spec: HollowRouterSpec,
     start: Start,
     known: Known,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     out: Outbox<()>,
     frames: Frames,
     /// When to decide again; what fell due before is of an earlier call.
@@ -197,7 +197,7 @@
         }
         self.follow(now, &[Events::Began { kept }], io);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let conn = match event {
             Event::Connected { conn }
             | Event::Writable { conn }
@@ -226,12 +226,12 @@
             Event::Accepted { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         if now >= self.next {
             self.follow(now, &[], io);
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         Some(self.next)
     }
 }
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -6,7 +6,7 @@
 use super::list_stage::row;
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{ListFaults, ListService};
-use sanddrum_net::{Conn, Core, Door, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
 use sanddrum_wire::{frame::frame, Hello, Row, ToList, Watch, VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,17 +21,17 @@
 }
 
 impl Io for Takes {
-    fn connect(&mut self, _: &str) -> Conn {
-        Conn(0)
+    fn connect(&mut self, _: &str) -> ConnectionId {
+        ConnectionId(0)
     }
-    fn write(&mut self, _: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, _: ConnectionId, bytes: &[u8]) -> usize {
         self.bytes += bytes.len() as u64;
         bytes.len()
     }
-    fn close(&mut self, _: Conn) {}
-    fn reset(&mut self, _: Conn) {}
-    fn pause(&mut self, _: Conn, _: bool) {}
-    fn save(&mut self, _: &[u8]) {}
+    fn close(&mut self, _: ConnectionId) {}
+    fn reset(&mut self, _: ConnectionId) {}
+    fn pause(&mut self, _: ConnectionId, _: bool) {}
+    fn save_state(&mut self, _: &[u8]) {}
 }
 
 /// The memory that this process has in use, in bytes.
@@ -58,7 +58,7 @@
 }
 
 /// The worker that changes, beside all callers.
-const WORKER: Conn = Conn(u64::MAX);
+const WORKER: ConnectionId = ConnectionId(u64::MAX);
 
 impl Alone {
     fn new(plan: &Plan, rows: u64) -> Self {
@@ -82,11 +82,11 @@
             callers: 0,
             incarnation: 1,
         };
-        alone.service.event(
+        alone.service.on_event(
             now,
             Event::Accepted {
                 conn: WORKER,
-                door: Door(0),
+                listener: ListenerId(0),
             },
             &mut alone.io,
         );
@@ -103,13 +103,13 @@
             conn: WORKER,
             bytes: &frame(&register),
         };
-        self.service.event(self.now, event, &mut self.io);
+        self.service.on_event(self.now, event, &mut self.io);
         self.now += self.notice + 1;
-        self.service.turn(self.now, &mut self.io);
+        self.service.process(self.now, &mut self.io);
     }
     /// One more router calls and is told the whole list.
     fn caller(&mut self) {
-        let (conn, door) = (Conn(self.callers), Door(0));
+        let (conn, door) = (ConnectionId(self.callers), ListenerId(0));
         self.callers += 1;
         self.now += self.whole + 1;
         let name = crate::Scenario::edge_name(self.callers as usize);
@@ -120,9 +120,15 @@
             age_us: None,
         });
         let bytes = [frame(&hello), frame(&ToList::Watch(Watch::default()))].concat();
-        self.service
-            .event(self.now, Event::Accepted { conn, door }, &mut self.io);
-        self.service.event(
+        self.service.on_event(
+            self.now,
+            Event::Accepted {
+                conn,
+                listener: door,
+            },
+            &mut self.io,
+        );
+        self.service.on_event(
             self.now,
             Event::Bytes {
                 conn,
@@ -130,7 +136,7 @@
             },
             &mut self.io,
         );
-        self.service.turn(self.now, &mut self.io);
+        self.service.process(self.now, &mut self.io);
     }
 }
 
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -7,7 +7,7 @@
 use super::list_stage::{ListStage, ListStageSpec, SECOND};
 use super::{Plan, Play, Sink, Stop};
 use sanddrum_emulator::ListSpec;
-use sanddrum_net::{Links, Micros};
+use sanddrum_net::{LinkModel, Micros};
 use sanddrum_settings::{key, Kind, Problem, Section};
 use std::time::Duration;
 
@@ -171,7 +171,7 @@
         seed: plan.seed,
         routers: routers as usize,
         rows: rows as usize,
-        links: Links::default(),
+        links: LinkModel::default(),
         whole_edges: false,
         zones: plan.settings.size("capacity.zones"),
         beat_every: plan
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -10,7 +10,7 @@
 use sanddrum_emulator::{
     ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
 };
-use sanddrum_net::{Core, Event, HostId, Io, Links, Micros, NoTap, VirtualNet};
+use sanddrum_net::{Core, Event, HostId, Io, LinkModel, Micros, NullObserver, VirtualNet};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_wire::{Phase, Row};
 use std::cell::RefCell;
@@ -48,7 +48,7 @@
     pub zones: usize,
     /// How often a worker tells that it runs.
     pub beat_every: Micros,
-    pub links: Links,
+    pub links: LinkModel,
     /// Whole edges in the place of hollow routers, to compare them.
     pub whole_edges: bool,
 }
@@ -74,9 +74,9 @@
 
 impl Core for Deaf {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
 }
@@ -108,7 +108,7 @@
     pub fn new(spec: ListStageSpec, stop: Stop, takes: Duration) -> Result<Self, Problem> {
         let mut settings = spec.settings.clone();
         settings.give("edge.edges", &spec.routers.max(1).to_string(), "capacity")?;
-        let mut net = VirtualNet::new(spec.seed, BEGIN, spec.links.clone(), Box::new(NoTap));
+        let mut net = VirtualNet::new(spec.seed, BEGIN, spec.links.clone(), Box::new(NullObserver));
         net.add(0, &[STORE], Box::new(Deaf));
         let list = net.add(0, &[LIST], Box::new(Deaf));
         let mut stage = ListStage {
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -1,7 +1,7 @@
 //! The list service with a meter on it: what reaches it and leaves it, by second, and the processor time within its core.
 
 use super::clock::Clock;
-use sanddrum_net::{Conn, Core, Event, Io, Micros, Peer};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, PeerIdentity};
 use sanddrum_wire::{Frames, FromList, ToList};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -116,7 +116,7 @@
 
 pub struct Metered<C> {
     core: C,
-    wires: BTreeMap<Conn, Wire>,
+    wires: BTreeMap<ConnectionId, Wire>,
     tally: Rc<RefCell<Tally>>,
     clock: Clock,
     now: Cell<Micros>,
@@ -155,7 +155,7 @@
         let within = clock.passed(before).saturating_sub(counted.outside);
         tally.borrow_mut().second(now).nanoseconds += within;
     }
-    fn heard(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
+    fn heard(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
         let Some(wire) = self.wires.get_mut(&conn) else {
             return;
         };
@@ -191,7 +191,7 @@
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.call(now, io, |core, io| core.start(now, io));
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => {
                 self.tally.borrow_mut().second(now).connections += 1;
@@ -209,27 +209,27 @@
             Event::Closed { conn, .. } => drop(self.wires.remove(&conn)),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
-        self.call(now, io, |core, io| core.event(now, event, io));
+        self.call(now, io, |core, io| core.on_event(now, event, io));
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
-        self.call(now, io, |core, io| core.turn(now, io));
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        self.call(now, io, |core, io| core.process(now, io));
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let before = Clock::now();
-        let wake = self.core.wake();
+        let wake = self.core.next_wakeup();
         let within = self.clock.passed(before);
         self.tally.borrow_mut().second(self.now.get()).nanoseconds += within;
         wake
     }
-    fn done(&self) -> bool {
-        self.core.done()
+    fn is_done(&self) -> bool {
+        self.core.is_done()
     }
 }
 
 /// Passes on what the core asks of its driver, whose time is not the core's.
 struct Counted<'a> {
     io: &'a mut dyn Io,
-    wires: &'a mut BTreeMap<Conn, Wire>,
+    wires: &'a mut BTreeMap<ConnectionId, Wire>,
     tally: &'a Rc<RefCell<Tally>>,
     now: Micros,
     clock: &'a Clock,
@@ -244,7 +244,7 @@
         self.outside += Clock::now() - before + self.clock.reading();
         done
     }
-    fn wrote(&mut self, conn: Conn, bytes: &[u8]) {
+    fn wrote(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let Some(wire) = self.wires.get_mut(&conn) else {
             return;
         };
@@ -275,13 +275,13 @@
 }
 
 impl Io for Counted<'_> {
-    fn connect(&mut self, to: &str) -> Conn {
+    fn connect(&mut self, to: &str) -> ConnectionId {
         self.outside(|this| this.io.connect(to))
     }
-    fn connect_named(&mut self, to: &str, name: &str) -> Conn {
+    fn connect_named(&mut self, to: &str, name: &str) -> ConnectionId {
         self.outside(|this| this.io.connect_named(to, name))
     }
-    fn peer(&self, conn: Conn) -> Option<Peer> {
+    fn peer(&self, conn: ConnectionId) -> Option<PeerIdentity> {
         self.io.peer(conn)
     }
     fn wall_clock(&self, now: Micros) -> Micros {
@@ -290,31 +290,31 @@
     fn earliest_arrival(&self, now: Micros) -> Micros {
         self.io.earliest_arrival(now)
     }
-    fn is_held_up(&self) -> bool {
-        self.io.is_held_up()
+    fn is_delayed(&self) -> bool {
+        self.io.is_delayed()
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         self.outside(|this| {
             let wrote = this.io.write(conn, bytes);
             this.wrote(conn, &bytes[..wrote.min(bytes.len())]);
             wrote
         })
     }
-    fn close(&mut self, conn: Conn) {
+    fn close(&mut self, conn: ConnectionId) {
         self.outside(|this| this.io.close(conn));
     }
-    fn reset(&mut self, conn: Conn) {
+    fn reset(&mut self, conn: ConnectionId) {
         self.outside(|this| {
             this.wires.remove(&conn);
             this.tally.borrow_mut().second(this.now).turned_away += 1;
             this.io.reset(conn);
         });
     }
-    fn pause(&mut self, conn: Conn, paused: bool) {
+    fn pause(&mut self, conn: ConnectionId, paused: bool) {
         self.outside(|this| this.io.pause(conn, paused));
     }
-    fn save(&mut self, state: &[u8]) {
-        self.outside(|this| this.io.save(state));
+    fn save_state(&mut self, state: &[u8]) {
+        self.outside(|this| this.io.save_state(state));
     }
     fn audit(&mut self, line: &str) {
         self.outside(|this| this.io.audit(line));
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -5,7 +5,7 @@
 use sanddrum::{FunctionId, Micros, WorkerId};
 use sanddrum_emulator::machine::{Machine, Size};
 use sanddrum_emulator::OnMiss;
-use sanddrum_net::Chance;
+use sanddrum_net::Rng;
 use sanddrum_settings::{key, Kind, Loaded, Problem, Section};
 use sanddrum_wire::{id_of, LoadReport};
 
@@ -198,9 +198,9 @@
         }
     }
     /// What a load takes, drawn about the middle one.
-    pub fn draw_load(&self, chance: &mut Chance) -> Micros {
+    pub fn draw_load(&self, chance: &mut Rng) -> Micros {
         // A normal draw, by Box and Muller.
-        let (u, v) = (1.0 - chance.part(), chance.part());
+        let (u, v) = (1.0 - chance.unit(), chance.unit());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         (self.load as f64 * (self.load_spread * normal).exp()).max(1.0) as Micros
     }
@@ -253,7 +253,7 @@
         let load = l
             .has("functions.0.load-us")
             .then(|| l.span("functions.0.load-us"));
-        let mut chance = Chance::new(seed ^ 0xf0);
+        let mut chance = Rng::new(seed ^ 0xf0);
         let (zipf, frequent, calls) = match shape {
             Shape::Zipf(zipf) => (zipf, count, 1.0),
             Shape::Rare { zipf, part, calls } => (
@@ -263,7 +263,7 @@
             ),
         };
         let rates: Vec<f64> = (frequent..count)
-            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.part()))
+            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.unit()))
             .collect();
         let of_rare = rates.iter().sum::<f64>() / calls;
         let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
@@ -294,9 +294,9 @@
         }
     }
     /// One, as often as it is called.
-    pub fn draw(&self, chance: &mut Chance) -> usize {
+    pub fn draw(&self, chance: &mut Rng) -> usize {
         let all = self.sums.last().copied().unwrap_or(1.0);
-        let at = chance.part() * all;
+        let at = chance.unit() * all;
         self.sums
             .partition_point(|sum| *sum <= at)
             .min(self.all.len().saturating_sub(1))
@@ -344,7 +344,7 @@
             .clamp(PLACES, (workers as f64).max(PLACES));
         let expected = part * self.calls * (keep as f64 / 1e6) / places;
         let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
-        Chance::new(self.seed ^ draw).part() < 1.0 - (-expected).exp()
+        Rng::new(self.seed ^ draw).unit() < 1.0 - (-expected).exp()
     }
     /// A report with the others' jobs in it.
     fn in_report(
@@ -354,11 +354,11 @@
         report: LoadReport,
         jobs: f64,
     ) -> LoadReport {
-        let mut chance = Chance::new(self.seed ^ at.id.0 ^ now as u64);
+        let mut chance = Rng::new(self.seed ^ at.id.0 ^ now as u64);
         // A Poisson draw, by the gaps between arrivals; jobs at a worker are few.
-        let (mut more, mut gone) = (0.0, chance.gap(1.0));
+        let (mut more, mut gone) = (0.0, chance.exponential(1.0));
         while gone < jobs {
-            (more, gone) = (more + 1.0, gone + chance.gap(1.0));
+            (more, gone) = (more + 1.0, gone + chance.exponential(1.0));
         }
         let cores = at.machine.size.cores.max(1) as f64;
         LoadReport {
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -8,7 +8,7 @@
 use crate::{play, Recording, Scenario, VirtualStage};
 use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
 use sanddrum_edge::{DecisionModule, Edge, Start};
-use sanddrum_net::{Conn, Core, Event, Io, Links};
+use sanddrum_net::{ConnectionId, Core, Event, Io, LinkModel};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -77,38 +77,44 @@
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.time(|core| core.start(now, io));
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        self.time(|core| core.event(now, event, io));
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+        self.time(|core| core.on_event(now, event, io));
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
-        self.time(|core| core.turn(now, io));
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        self.time(|core| core.process(now, io));
     }
-    fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+    fn next_wakeup(&self) -> Option<Micros> {
+        self.core.next_wakeup()
     }
-    fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
-        self.time(|core| core.file(now, name, content, io));
+    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+        self.time(|core| core.on_file(now, name, content, io));
     }
-    fn stale(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
-        self.time(|core| core.stale(now, conn, denied, io));
+    fn on_credentials_changed(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        denied: bool,
+        io: &mut dyn Io,
+    ) {
+        self.time(|core| core.on_credentials_changed(now, conn, denied, io));
     }
-    fn stop(&mut self, now: Micros, io: &mut dyn Io) {
-        self.time(|core| core.stop(now, io));
+    fn shut_down(&mut self, now: Micros, io: &mut dyn Io) {
+        self.time(|core| core.shut_down(now, io));
     }
-    fn still_listens(&self) -> bool {
-        self.core.still_listens()
+    fn accepts_while_draining(&self) -> bool {
+        self.core.accepts_while_draining()
     }
-    fn done(&self) -> bool {
-        self.core.done()
+    fn is_done(&self) -> bool {
+        self.core.is_done()
     }
 }
 
 /// Links that take the same time for each message.
-pub fn even_links() -> Links {
-    Links {
+pub fn even_links() -> LinkModel {
+    LinkModel {
         jitter: 0.0,
-        split: 0.0,
-        ..Links::default()
+        split_share: 0.0,
+        ..LinkModel::default()
     }
 }
 
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -7,7 +7,7 @@
 use crate::{play, Outcome};
 use sanddrum_edge::Edge;
 use sanddrum_emulator::Truth;
-use sanddrum_net::{Chance, Links};
+use sanddrum_net::{LinkModel, Rng};
 use sanddrum_settings::Problem;
 use std::cell::RefCell;
 use std::io;
@@ -132,7 +132,8 @@
         };
         let recording = Recording::default();
         let truth = sees_all.then_some(truth);
-        let mut stage = VirtualStage::seen_by(scenario, Links::default(), &recording, make, truth)?;
+        let mut stage =
+            VirtualStage::seen_by(scenario, LinkModel::default(), &recording, make, truth)?;
         Ok(Figures::of(&play(&mut stage, &recording)?))
     }
     /// Runs every variant on every seed, on as many threads as are given; `told` hears how many are done. The figures by
@@ -213,12 +214,12 @@
 pub fn difference(first: &[f64], other: &[f64]) -> Difference {
     let each: Vec<f64> = first.iter().zip(other).map(|(a, b)| b - a).collect();
     let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len().max(1) as f64;
-    let mut chance = Chance::new(0xb007);
+    let mut chance = Rng::new(0xb007);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
             let drawn: Vec<f64> = each
                 .iter()
-                .map(|_| each[chance.below(each.len())])
+                .map(|_| each[chance.index(each.len())])
                 .collect();
             mean(&drawn)
         })
--- a/crates/sanddrum-lab/src/hammer.rs
+++ b/crates/sanddrum-lab/src/hammer.rs
@@ -2,7 +2,7 @@
 //! was meant to be made, so that a slow edge cannot hide its own delays.
 
 use hdrhistogram::Histogram;
-use sanddrum_net::{Chance, Conn, Core, Event, Io, Micros, Outbox};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
 use sanddrum_wire::http;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -77,12 +77,12 @@
     spec: HammerSpec,
     requests: Vec<Vec<u8>>,
     turn: usize,
-    chance: Chance,
+    chance: Rng,
     begun: Micros,
     ends: Micros,
     next: Micros,
-    lines: BTreeMap<Conn, Line>,
-    free: Vec<Conn>,
+    lines: BTreeMap<ConnectionId, Line>,
+    free: Vec<ConnectionId>,
     behind: VecDeque<Micros>,
     out: usize,
     pub seen: Rc<RefCell<Hammered>>,
@@ -115,7 +115,7 @@
                 .map(|n| request(n, spec.tokens.get(n % tokens)))
                 .collect(),
             turn: 0,
-            chance: Chance::new(spec.seed),
+            chance: Rng::new(spec.seed),
             begun: 0,
             ends: 0,
             next: 0,
@@ -127,11 +127,11 @@
             spec,
         }
     }
-    fn send(&mut self, conn: Conn, meant: Micros, io: &mut dyn Io) {
+    fn send(&mut self, conn: ConnectionId, meant: Micros, io: &mut dyn Io) {
         self.turn += 1;
         // Tokens go in turn, so that each new one is seen once; functions by chance.
         let n = match self.spec.tokens.len() {
-            0 => self.chance.below(self.requests.len()),
+            0 => self.chance.index(self.requests.len()),
             _ => self.turn % self.requests.len(),
         };
         let Some(line) = self.lines.get_mut(&conn) else {
@@ -157,7 +157,7 @@
         };
         self.lines.insert(conn, line);
     }
-    fn answered(&mut self, now: Micros, conn: Conn, status: u16, io: &mut dyn Io) {
+    fn answered(&mut self, now: Micros, conn: ConnectionId, status: u16, io: &mut dyn Io) {
         let Some(meant) = self.lines.get_mut(&conn).and_then(|line| line.meant.take()) else {
             return;
         };
@@ -200,7 +200,7 @@
         self.seen.borrow_mut().counted = self.spec.length - self.spec.warm_up;
         (0..self.spec.connections).for_each(|_| self.open(io));
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
                 if let Some(line) = self.lines.get_mut(&conn) {
@@ -238,13 +238,13 @@
             Event::Accepted { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         if self.spec.rate <= 0.0 {
             return;
         }
         while self.next <= now && self.next < self.ends {
             let meant = self.next;
-            self.next += (self.chance.gap(1e6 / self.spec.rate) as Micros).max(1);
+            self.next += (self.chance.exponential(1e6 / self.spec.rate) as Micros).max(1);
             match self.free.pop() {
                 Some(conn) => self.send(conn, meant, io),
                 None if self.behind.len() < BEHIND => self.behind.push_back(meant),
@@ -252,15 +252,15 @@
             }
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let next = if self.spec.rate > 0.0 && self.next < self.ends {
             self.next
         } else {
             self.ends
         };
-        (!self.done()).then_some(next)
+        (!self.is_done()).then_some(next)
     }
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         // Seen by the driver after its time is up and every call has ended.
         self.next >= self.ends && self.out == 0 && self.behind.is_empty()
     }
--- a/crates/sanddrum-lab/src/hunt.rs
+++ b/crates/sanddrum-lab/src/hunt.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Scenario;
 use crate::{kinds, play_virtually, product_edge, Outcome};
-use sanddrum_net::Chance;
+use sanddrum_net::Rng;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
@@ -39,16 +39,16 @@
 impl Day {
     /// A day drawn from a seed.
     pub fn drawn(seed: u64) -> Day {
-        let mut chance = Chance::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-        let pick = |chance: &mut Chance, of: &[&str]| of[chance.below(of.len())].to_string();
-        let zones = 1 + chance.below(3);
+        let mut chance = Rng::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+        let pick = |chance: &mut Rng, of: &[&str]| of[chance.index(of.len())].to_string();
+        let zones = 1 + chance.index(3);
         let (workers, edges, cores) = (
-            3 + chance.below(14),
-            1 + chance.below(5),
-            1 + chance.below(6),
+            3 + chance.index(14),
+            1 + chance.index(5),
+            1 + chance.index(6),
         );
-        let work_ms = 10 + chance.below(60);
-        let load = 0.2 + chance.part();
+        let work_ms = 10 + chance.index(60);
+        let load = 0.2 + chance.unit();
         let rate =
             ((workers * cores) as f64 * 1000.0 / work_ms as f64 * load).clamp(20.0, 900.0) as usize;
         let names: Vec<String> = ["a", "b", "c"]
@@ -56,8 +56,8 @@
             .take(zones)
             .map(|z| format!("{z:?}"))
             .collect();
-        let tls = chance.is_below(0.15);
-        let (share, once) = (chance.part(), chance.part());
+        let tls = chance.happens(0.15);
+        let (share, once) = (chance.unit(), chance.unit());
         let mut head = vec![
             format!("(deployment (zones {}))", names.join(" ")),
             "(workload \"re\" (start-target 1s) (time-limit 3s) (effect restartable))".into(),
@@ -67,31 +67,31 @@
                 pick(&mut chance, &["zone", "all", "cell"])
             ),
             "(workload \"on\" (start-target 1s) (time-limit 2s) (effect run-once))".into(),
-            format!("(function \"re-*\" (workload \"re\") (memory 200MB) (lanes {}))", 1 + chance.below(4)),
+            format!("(function \"re-*\" (workload \"re\") (memory 200MB) (lanes {}))", 1 + chance.index(4)),
             "(function \"fi-*\" (workload \"fi\") (memory 150MB) (lanes 2))".into(),
             "(function \"on-*\" (workload \"on\") (memory 300MB) (lanes 1))".into(),
-            format!("(copies (on-miss {}) (keep-alive {}s))", pick(&mut chance, &["load", "miss"]), 2 + chance.below(8)),
+            format!("(copies (on-miss {}) (keep-alive {}s))", pick(&mut chance, &["load", "miss"]), 2 + chance.index(8)),
             format!(
                 "(rules (cold-from {}%) (cold {}s) (drain-grace 2s))",
-                10 + chance.below(50),
-                2 + chance.below(8)
+                10 + chance.index(50),
+                2 + chance.index(8)
             ),
-            format!("(fleet (workers {workers}) (edges {edges}) (cores {cores}) (memory {}GB))", 1 + chance.below(5)),
-            format!("(list-service (notice-least 200ms) (notice-most {}ms) (silent-after 2s))", 400 + chance.below(1500)),
+            format!("(fleet (workers {workers}) (edges {edges}) (cores {cores}) (memory {}GB))", 1 + chance.index(5)),
+            format!("(list-service (notice-least 200ms) (notice-most {}ms) (silent-after 2s))", 400 + chance.index(1500)),
             format!(
                 "(traffic (length 10s) (rate {rate}) (functions {}) (retries {}) (retry-wait 100ms) (heeds {}%))",
-                1 + chance.below(40),
-                chance.below(4),
-                chance.below(101)
+                1 + chance.index(40),
+                chance.index(4),
+                chance.index(101)
             ),
             format!("(calls \"re\" (share {:.2}) (work {work_ms}ms))", 0.1 + 0.8 * share),
             format!("(calls \"fi\" (share {:.2}) (work {work_ms}ms))", (0.9 - 0.8 * share) * once),
             format!("(calls \"on\" (share {:.2}) (work {work_ms}ms))", (0.9 - 0.8 * share) * (1.0 - once)),
         ];
-        if chance.is_below(0.4) {
+        if chance.happens(0.4) {
             head.push("(customer \"one\" (share 60%)) (customer \"two\" (share 30%))".into());
         }
-        if chance.is_below(0.3) {
+        if chance.happens(0.3) {
             head.push("(sharing (shares yes))".into());
         }
         if tls {
@@ -99,7 +99,7 @@
         }
         let fits = |kind: &&&str| !LEFT_OUT.contains(kind) && (tls || !OF_TLS.contains(kind));
         let fit: Vec<&str> = kinds().iter().filter(fits).copied().collect();
-        let troubles = (0..1 + chance.below(7))
+        let troubles = (0..1 + chance.index(7))
             .map(|_| Self::trouble(&mut chance, &fit, zones))
             .collect();
         Day {
@@ -108,26 +108,26 @@
             troubles,
         }
     }
-    fn trouble(chance: &mut Chance, fit: &[&str], zones: usize) -> String {
-        let kind = fit[chance.below(fit.len())];
-        let (at, length) = (chance.below(8000), 200 + chance.below(4000));
+    fn trouble(chance: &mut Rng, fit: &[&str], zones: usize) -> String {
+        let kind = fit[chance.index(fit.len())];
+        let (at, length) = (chance.index(8000), 200 + chance.index(4000));
         let mut out = format!("(trouble {kind:?} (at {at}ms) (length {length}ms)");
-        let zone = ["a", "b", "c"][chance.below(zones)];
-        if kind == "zone-loss" || chance.is_below(0.2) {
+        let zone = ["a", "b", "c"][chance.index(zones)];
+        if kind == "zone-loss" || chance.happens(0.2) {
             let _ = write!(out, " (zone {zone:?})");
         }
-        match chance.below(3) {
-            0 => drop(write!(out, " (count {})", 1 + chance.below(3))),
-            1 => drop(write!(out, " (part {}%)", 10 + chance.below(60))),
+        match chance.index(3) {
+            0 => drop(write!(out, " (count {})", 1 + chance.index(3))),
+            1 => drop(write!(out, " (part {}%)", 10 + chance.index(60))),
             _ => {}
         }
         if kind == "link" {
-            let to = ["workers", "workers", "list"][chance.below(3)];
-            let fault = ["silent-to", "silent-from", "unanswered", "refused"][chance.below(4)];
+            let to = ["workers", "workers", "list"][chance.index(3)];
+            let fault = ["silent-to", "silent-from", "unanswered", "refused"][chance.index(4)];
             let _ = write!(out, " (to {to}) (fault {fault})");
         }
         if let Some((_, least, most)) = NEEDS_SIZE.iter().find(|(of, ..)| *of == kind) {
-            let _ = write!(out, " (size {:.2})", least + (most - least) * chance.part());
+            let _ = write!(out, " (size {:.2})", least + (most - least) * chance.unit());
         }
         out + ")"
     }
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -53,7 +53,7 @@
 pub use storm::{storm, Storm, StormSpec};
 pub use waits::{Waits, OURS};
 
-use sanddrum_net::Links;
+use sanddrum_net::LinkModel;
 use std::io;
 
 /// The bad day that the demo plays.
@@ -68,7 +68,7 @@
 /// The scenario can't be set up.
 pub fn play_virtually(scenario: Scenario, make_edge: MakeEdge) -> io::Result<Outcome> {
     let recording = Recording::default();
-    let mut stage = VirtualStage::new(scenario, Links::default(), &recording, make_edge)?;
+    let mut stage = VirtualStage::new(scenario, LinkModel::default(), &recording, make_edge)?;
     let mut outcome = play(&mut stage, &recording)?;
     outcome.virtual_time = true;
     Ok(outcome)
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -3,7 +3,7 @@
 
 use sanddrum::{CustomerId, Micros, RequestId, Settings, Value, WorkerId};
 use sanddrum_limits::{Admission, Bucket, Events, Over, Pace, Sharing};
-use sanddrum_net::Chance;
+use sanddrum_net::Rng;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     room: f64,
     now: Micros,
     next: u64,
-    chance: Chance,
+    chance: Rng,
 }
 
 #[derive(Default)]
@@ -81,7 +81,7 @@
             room: 0.0,
             now: 1000 * S,
             next: 0,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
         }
     }
     fn even_part_has_room(&mut self, edge: usize, customer: usize) -> bool {
@@ -100,13 +100,13 @@
             let mut whose: BTreeMap<RequestId, usize> = BTreeMap::new();
             for stream in streams {
                 let mean = stream.rate * STEP as f64 / S as f64;
-                let mut left = mean + self.chance.part();
+                let mut left = mean + self.chance.unit();
                 while left >= 1.0 {
                     left -= 1.0;
                     self.next += 1;
                     let edge = stream
                         .edge
-                        .unwrap_or_else(|| self.chance.below(self.edges.len()));
+                        .unwrap_or_else(|| self.chance.index(self.edges.len()));
                     whose.insert(RequestId(self.next), stream.customer);
                     done.entry(stream.customer).or_default().0 += 1.0;
                     self.news[edge]
@@ -135,9 +135,9 @@
             }
             // The fleet serves them in no order of its own.
             while !taken.is_empty() {
-                let (edge, job) = taken.swap_remove(self.chance.below(taken.len()));
+                let (edge, job) = taken.swap_remove(self.chance.index(taken.len()));
                 let customer = whose[&job];
-                let worker = self.chance.draw() % WORKERS;
+                let worker = self.chance.next_u64() % WORKERS;
                 let finished = self.room >= 1.0;
                 self.room -= f64::from(u8::from(finished));
                 let news = &mut self.news[edge];
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -7,7 +7,7 @@
 use sanddrum_edge::{DecisionModule, Edge, Start, KEYS};
 use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
-use sanddrum_net::{Conn, Core, Event, EventLoop, Io, NoTap};
+use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
 use sanddrum_settings::Loaded;
 use sanddrum_tls::{Asks, Bounds, Layer, Rules, Side};
 use sanddrum_wire::frame::frame;
@@ -38,15 +38,18 @@
 struct Instant {
     /// The number of the first door's worker.
     first: usize,
-    peers: BTreeMap<Conn, (usize, Frames, Vec<u8>)>,
-    dirty: BTreeSet<Conn>,
+    peers: BTreeMap<ConnectionId, (usize, Frames, Vec<u8>)>,
+    dirty: BTreeSet<ConnectionId>,
 }
 
 impl Core for Instant {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
-            Event::Accepted { conn, door } => {
+            Event::Accepted {
+                conn,
+                listener: door,
+            } => {
                 self.peers.insert(
                     conn,
                     (self.first + door.0, Frames::new(1 << 24), Vec::new()),
@@ -100,7 +103,7 @@
             Event::Connected { .. } => {}
         }
     }
-    fn turn(&mut self, _: Micros, io: &mut dyn Io) {
+    fn process(&mut self, _: Micros, io: &mut dyn Io) {
         while let Some(conn) = self.dirty.pop_first() {
             if let Some((.., out)) = self.peers.get_mut(&conn) {
                 let wrote = io.write(conn, out);
@@ -108,7 +111,7 @@
             }
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
 }
@@ -207,13 +210,13 @@
     fn start(&mut self, _: Micros, io: &mut dyn Io) {
         self.more(io);
     }
-    fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         if let Event::Connected { .. } = event {
             self.more(io);
         }
     }
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
 }
@@ -280,16 +283,16 @@
 impl Core for Keyed {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
-        self.core.file(now, KEYS, Ok(&self.keys), io);
+        self.core.on_file(now, KEYS, Ok(&self.keys), io);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        self.core.event(now, event, io);
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+        self.core.on_event(now, event, io);
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
-        self.core.turn(now, io);
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        self.core.process(now, io);
     }
-    fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+    fn next_wakeup(&self) -> Option<Micros> {
+        self.core.next_wakeup()
     }
 }
 
@@ -299,7 +302,7 @@
     make: impl FnOnce(&mut EventLoop) -> io::Result<()> + Send + 'static,
 ) -> std::thread::JoinHandle<io::Result<()>> {
     std::thread::spawn(move || {
-        let mut driver = EventLoop::new(Box::new(NoTap))?;
+        let mut driver = EventLoop::new(Box::new(NullObserver))?;
         make(&mut driver)?;
         while !stop.load(Ordering::Relaxed) {
             let until = driver.now() + 50_000;
@@ -439,7 +442,7 @@
     let edge = std::thread::Builder::new()
         .name(format!("edge-{decides:?}"))
         .spawn(move || -> io::Result<()> {
-            let mut driver = EventLoop::new(Box::new(NoTap))?;
+            let mut driver = EventLoop::new(Box::new(NullObserver))?;
             let start = Start {
                 settings,
                 seed: 1,
@@ -475,7 +478,7 @@
         });
     let edge = edge.map_err(text)?;
     let cpu = || cpu_us.load(Ordering::Relaxed) as f64;
-    let mut driver = EventLoop::new(Box::new(NoTap)).map_err(text)?;
+    let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(text)?;
     let wait = |driver: &mut EventLoop, span: Micros| {
         let until = driver.now() + span;
         driver.run_until(until).map_err(text)
--- a/crates/sanddrum-lab/src/player.rs
+++ b/crates/sanddrum-lab/src/player.rs
@@ -6,7 +6,7 @@
 use crate::relay::Fault;
 use crate::scenario::{Scenario, Trouble};
 use crate::stage::Stage;
-use sanddrum_net::{Chance, Micros};
+use sanddrum_net::{Micros, Rng};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io;
@@ -203,9 +203,9 @@
             _ if all => fit.len(),
             _ => 1,
         };
-        let mut chance = Chance::new(self.scenario.seed ^ (0x7a46 + n as u64));
+        let mut chance = Rng::new(self.scenario.seed ^ (0x7a46 + n as u64));
         while fit.len() > wanted {
-            fit.remove(chance.below(fit.len()));
+            fit.remove(chance.index(fit.len()));
         }
         fit
     }
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -514,21 +514,21 @@
     fn start(&mut self, now: Micros, io: &mut dyn sanddrum_net::Io) {
         self.core.start(now, io);
     }
-    fn event(
+    fn on_event(
         &mut self,
         now: Micros,
         event: sanddrum_net::Event<'_>,
         io: &mut dyn sanddrum_net::Io,
     ) {
-        self.core.event(now, event, io);
+        self.core.on_event(now, event, io);
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn sanddrum_net::Io) {
-        self.core.turn(now, io);
+    fn process(&mut self, now: Micros, io: &mut dyn sanddrum_net::Io) {
+        self.core.process(now, io);
     }
-    fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+    fn next_wakeup(&self) -> Option<Micros> {
+        self.core.next_wakeup()
     }
-    fn file(
+    fn on_file(
         &mut self,
         _: Micros,
         _: &str,
@@ -539,7 +539,7 @@
             (self.take)(&text);
         }
     }
-    fn done(&self) -> bool {
-        self.core.done()
+    fn is_done(&self) -> bool {
+        self.core.is_done()
     }
 }
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -2,7 +2,7 @@
 //! edges' own state and logs are never looked at.
 
 use crate::waits::Waits;
-use sanddrum_net::{Conn, HostId, Micros, Side, Tap};
+use sanddrum_net::{ConnectionId, HostId, Micros, Side, TrafficObserver};
 use sanddrum_wire::http::{self, Parsed};
 use sanddrum_wire::{Ended, Frames, FromList, FromWorker, Phase, ToList, ToWorker};
 use std::cell::RefCell;
@@ -165,7 +165,7 @@
     roles: BTreeMap<HostId, Role>,
     /// Edge names by their addresses.
     edges: BTreeMap<String, String>,
-    readers: BTreeMap<(HostId, Conn), Reader>,
+    readers: BTreeMap<(HostId, ConnectionId), Reader>,
     pub log: Log,
     digest: DefaultHasher,
 }
@@ -242,8 +242,8 @@
 #[derive(Clone, Default)]
 pub struct Recording(pub Rc<RefCell<Recorder>>);
 
-impl Tap for Recording {
-    fn opened(&mut self, now: Micros, host: HostId, conn: Conn, side: Side, to: &str) {
+impl TrafficObserver for Recording {
+    fn opened(&mut self, now: Micros, host: HostId, conn: ConnectionId, side: Side, to: &str) {
         let mut this = self.0.borrow_mut();
         (now, host, conn, 0u8).hash(&mut this.digest);
         let role = this.roles.get(&host).copied().unwrap_or(Role::Other);
@@ -279,7 +279,7 @@
         this.readers.insert((host, conn), reader);
     }
 
-    fn came(&mut self, now: Micros, host: HostId, conn: Conn, bytes: &[u8]) {
+    fn received(&mut self, now: Micros, host: HostId, conn: ConnectionId, bytes: &[u8]) {
         let this = &mut *self.0.borrow_mut();
         (now, host, conn, 1u8, bytes).hash(&mut this.digest);
         this.log.bytes += bytes.len() as u64;
@@ -357,7 +357,7 @@
         }
     }
 
-    fn went(&mut self, now: Micros, host: HostId, conn: Conn, bytes: &[u8]) {
+    fn sent(&mut self, now: Micros, host: HostId, conn: ConnectionId, bytes: &[u8]) {
         let this = &mut *self.0.borrow_mut();
         (now, host, conn, 2u8, bytes).hash(&mut this.digest);
         let log = &mut this.log;
@@ -407,7 +407,7 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, host: HostId, conn: Conn) {
+    fn closed(&mut self, now: Micros, host: HostId, conn: ConnectionId) {
         let this = &mut *self.0.borrow_mut();
         (now, host, conn, 3u8).hash(&mut this.digest);
         if let Some(Reader::Caller { open: Some(at), .. }) = this.readers.remove(&(host, conn)) {
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -2,7 +2,7 @@
 //! slowed or thrown away. It reads no more of them than the greeting that says who calls.
 
 use sanddrum_emulator::Shared;
-use sanddrum_net::{Closed, Conn, Core, Event, Io, Micros, Outbox};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{Frames, ToList, ToWorker};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -71,7 +71,7 @@
 
 enum Piece {
     Bytes(Vec<u8>),
-    End(Closed),
+    End(CloseCause),
 }
 
 /// One direction of a connection.
@@ -84,7 +84,7 @@
 }
 
 struct Pair {
-    back: Option<Conn>,
+    back: Option<ConnectionId>,
     back_up: bool,
     name: Option<String>,
     greeting: Frames,
@@ -103,11 +103,11 @@
     greets: Greets,
     steering: Shared<Steering>,
     seen: u64,
-    pairs: BTreeMap<Conn, Pair>,
+    pairs: BTreeMap<ConnectionId, Pair>,
     /// The front of each connection dialled on.
-    fronts: BTreeMap<Conn, Conn>,
+    fronts: BTreeMap<ConnectionId, ConnectionId>,
     /// Pairs that something came for or waits in.
-    busy: BTreeSet<Conn>,
+    busy: BTreeSet<ConnectionId>,
 }
 
 fn way() -> Way {
@@ -130,7 +130,7 @@
         self.pieces.is_empty() && self.out.waiting() == 0
     }
     /// Passes on what is due; what ends the connection comes last.
-    fn pass(&mut self, now: Micros, fault: Option<Fault>, silent: bool) -> Option<Closed> {
+    fn pass(&mut self, now: Micros, fault: Option<Fault>, silent: bool) -> Option<CloseCause> {
         let delay = if let Some(Fault::Delay(by)) = fault {
             by
         } else {
@@ -192,7 +192,7 @@
             .borrow()
             .of(pair.name.as_deref().unwrap_or_default())
     }
-    fn greeted(&mut self, front: Conn, bytes: &[u8]) {
+    fn greeted(&mut self, front: ConnectionId, bytes: &[u8]) {
         let greets = self.greets;
         let Some(pair) = self.pairs.get_mut(&front).filter(|p| p.name.is_none()) else {
             return;
@@ -212,7 +212,7 @@
             },
         };
     }
-    fn dial(&mut self, front: Conn, io: &mut dyn Io) {
+    fn dial(&mut self, front: ConnectionId, io: &mut dyn Io) {
         let to = self.steering.borrow().to.clone();
         let Some(pair) = self
             .pairs
@@ -227,7 +227,7 @@
             .of(pair.name.as_deref().unwrap_or_default());
         match (fault, to) {
             (Some(Fault::Unanswered), _) => {}
-            (Some(Fault::Refused), _) | (_, None) => self.end(front, io, Closed::Reset, true),
+            (Some(Fault::Refused), _) | (_, None) => self.end(front, io, CloseCause::Reset, true),
             (_, Some(to)) => {
                 let back = io.connect(&to);
                 pair.back = Some(back);
@@ -236,7 +236,7 @@
         }
     }
     /// Ends both sides, or what is left of them.
-    fn end(&mut self, front: Conn, io: &mut dyn Io, how: Closed, front_stands: bool) {
+    fn end(&mut self, front: ConnectionId, io: &mut dyn Io, how: CloseCause, front_stands: bool) {
         let Some(pair) = self.pairs.remove(&front) else {
             return;
         };
@@ -248,14 +248,20 @@
             self.fronts.remove(&back);
         }
         for conn in sides.into_iter().flatten() {
-            if how == Closed::InOrder {
+            if how == CloseCause::Orderly {
                 io.close(conn)
             } else {
                 io.reset(conn)
             }
         }
     }
-    fn tend(&mut self, now: Micros, front: Conn, breaks: &[Option<String>], io: &mut dyn Io) {
+    fn tend(
+        &mut self,
+        now: Micros,
+        front: ConnectionId,
+        breaks: &[Option<String>],
+        io: &mut dyn Io,
+    ) {
         self.dial(front, io);
         let Some(pair) = self.pairs.get(&front) else {
             return;
@@ -265,7 +271,7 @@
             .any(|whom| whom.is_none() || *whom == pair.name);
         let fault = self.fault(pair);
         if broken || fault == Some(Fault::Refused) {
-            return self.end(front, io, Closed::Reset, true);
+            return self.end(front, io, CloseCause::Reset, true);
         }
         let (silent_to, silent_from) = Pair::silent(fault);
         let Some(pair) = self.pairs.get_mut(&front) else {
@@ -281,14 +287,15 @@
             io.pause(front, false);
             pair.back.iter().for_each(|back| io.pause(*back, false));
         }
-        let over = |way: &Way, how: Closed| way.out.waiting() == 0 || how != Closed::InOrder;
+        let over =
+            |way: &Way, how: CloseCause| way.out.waiting() == 0 || how != CloseCause::Orderly;
         match (ended_from, ended_to) {
             (Some(how), _) if over(&pair.from, how) => self.end(front, io, how, true),
             (_, Some(how)) if over(&pair.to, how) => self.end(front, io, how, false),
             _ => {}
         }
     }
-    fn came(&mut self, now: Micros, conn: Conn, piece: Piece, io: &mut dyn Io) {
+    fn came(&mut self, now: Micros, conn: ConnectionId, piece: Piece, io: &mut dyn Io) {
         let front = self.fronts.get(&conn).copied().unwrap_or(conn);
         if let Piece::Bytes(bytes) = &piece {
             if front == conn {
@@ -315,7 +322,7 @@
 
 impl Core for Relay {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let (Event::Accepted { conn, .. }
         | Event::Connected { conn }
         | Event::Bytes { conn, .. }
@@ -360,11 +367,11 @@
                     way.out.unblock();
                 }
             }
-            Event::Closed { conn, how } => {
+            Event::Closed { conn, cause: how } => {
                 if let Some(front) = self.fronts.get(&conn).copied() {
                     self.fronts.remove(&conn);
-                    let how = if how == Closed::Refused {
-                        Closed::Reset
+                    let how = if how == CloseCause::Refused {
+                        CloseCause::Reset
                     } else {
                         how
                     };
@@ -381,7 +388,7 @@
             }
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         let turn = self.steering.borrow().turn;
         let breaks = std::mem::take(&mut self.steering.borrow_mut().breaks);
         if self.seen != turn {
@@ -396,7 +403,7 @@
             }
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         if self.seen != self.steering.borrow().turn {
             return Some(0);
         }
@@ -412,7 +419,7 @@
         });
         wakes.flatten().min()
     }
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         true
     }
 }
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -3,7 +3,7 @@
 use crate::relay::Fault;
 use crate::schema::{kinds, SCENARIO};
 use sanddrum_emulator::{ListSpec, OnMiss, StoreSpec, WorkerSpec};
-use sanddrum_net::{Chance, Micros};
+use sanddrum_net::{Micros, Rng};
 use sanddrum_settings::{Loaded, Problem};
 use sanddrum_wire::{Phase, Row};
 
@@ -248,8 +248,8 @@
     /// A worker as it stands in the fleet, at these addresses.
     pub fn worker(&self, n: usize, address: &str, list: &str, store: &str) -> WorkerSpec {
         let l = &self.settings;
-        let slow = Chance::new(self.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9))
-            .is_below(l.number("fleet.slow-part"));
+        let slow = Rng::new(self.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9))
+            .happens(l.number("fleet.slow-part"));
         WorkerSpec {
             name: Self::worker_name(n),
             address: address.into(),
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -4,7 +4,7 @@
 use super::ledger::{body_of, Answer, CallId, Effect, Leaving, Request, RouterId, Shared};
 use super::settings::{Fleet, Terms};
 use sanddrum_fastcgi::{begin, header, params, stream, Kind, Record};
-use sanddrum_net::{Chance, Closed, Conn, Core, Event, Io, Micros};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Rng};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -99,11 +99,11 @@
     terms: Terms,
     ledger: Shared,
     steering: Rc<RefCell<Steering>>,
-    chance: Chance,
+    chance: Rng,
     next_call: u64,
     next_request: Vec<Micros>,
     next_look: Vec<Micros>,
-    connections: BTreeMap<Conn, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     unsent: BTreeMap<CallId, Unsent>,
     now: Micros,
 }
@@ -117,7 +117,7 @@
     ) -> Self {
         let routers = fleet.routers;
         Clients {
-            chance: Chance::new(fleet.seed ^ 0xc11e),
+            chance: Rng::new(fleet.seed ^ 0xc11e),
             next_call: fleet.seed << 32,
             fleet,
             terms,
@@ -135,15 +135,15 @@
 
     fn manner(&mut self) -> Manner {
         let bad = self.steering.borrow().bad;
-        if !self.chance.is_below(bad) {
-            return if self.chance.is_below(0.15) {
+        if !self.chance.happens(bad) {
+            return if self.chance.happens(0.15) {
                 Manner::Pieces
             } else {
                 Manner::Plain
             };
         }
-        let after = self.chance.below(60_000) as Micros;
-        match self.chance.below(7) {
+        let after = self.chance.index(60_000) as Micros;
+        match self.chance.index(7) {
             0 => Manner::Hurried,
             1 => Manner::Aborts(after),
             2 => Manner::Closes(after),
@@ -153,7 +153,13 @@
             _ => Manner::Pieces,
         }
     }
-    fn connect(&mut self, now: Micros, router: RouterId, own: bool, io: &mut dyn Io) -> Conn {
+    fn connect(
+        &mut self,
+        now: Micros,
+        router: RouterId,
+        own: bool,
+        io: &mut dyn Io,
+    ) -> ConnectionId {
         let conn = io.connect(&self.fleet.router_address(router));
         self.ledger.borrow_mut().connections_by_clients += 1;
         let connection = Connection {
@@ -175,7 +181,7 @@
         conn
     }
     /// A kept connection with room, or a new one.
-    fn kept(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) -> Option<Conn> {
+    fn kept(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) -> Option<ConnectionId> {
         let kept = self
             .connections
             .iter()
@@ -198,7 +204,7 @@
             manner,
             Manner::Plain | Manner::Pieces | Manner::Hurried | Manner::Aborts(_)
         );
-        let new = self.chance.is_below(0.2);
+        let new = self.chance.happens(0.2);
         let connects = self.steering.borrow().fronts[router.0].connects;
         let conn = match shares && !new {
             true => self.kept(now, router, io),
@@ -211,16 +217,16 @@
         }
         self.next_call += 1;
         let call = CallId(self.next_call);
-        let effect = if self.chance.is_below(0.5) {
+        let effect = if self.chance.happens(0.5) {
             Effect::Once
         } else {
             Effect::Repeatable
         };
         let patience = match manner {
-            Manner::Hurried => 1_000 * (1 + self.chance.below(80) as Micros),
-            _ => self.terms.longest_deadline / 1000 * (500 + self.chance.below(500) as Micros),
+            Manner::Hurried => 1_000 * (1 + self.chance.index(80) as Micros),
+            _ => self.terms.longest_deadline / 1000 * (500 + self.chance.index(500) as Micros),
         };
-        let function = self.chance.below(FUNCTIONS);
+        let function = self.chance.index(FUNCTIONS);
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -238,12 +244,12 @@
         match manner {
             Manner::Pieces => {
                 self.steering.borrow_mut().half_written += 1;
-                let cuts = 2 + self.chance.below(3);
+                let cuts = 2 + self.chance.index(3);
                 let size = bytes.len().div_ceil(cuts);
                 let pieces: Vec<&[u8]> = bytes.chunks(size).collect();
                 let last = pieces.len() - 1;
                 for (n, piece) in pieces.into_iter().enumerate() {
-                    let at = now + n as Micros * self.chance.below(20_000) as Micros;
+                    let at = now + n as Micros * self.chance.index(20_000) as Micros;
                     connection
                         .out
                         .push_back((at, piece.to_vec(), (n == last).then_some(call)));
@@ -251,11 +257,11 @@
             }
             Manner::LeavesInPart => {
                 self.steering.borrow_mut().half_written += 1;
-                let part = 1 + self.chance.below(bytes.len() - 1);
+                let part = 1 + self.chance.index(bytes.len() - 1);
                 connection
                     .out
                     .push_back((now, bytes[..part].to_vec(), None));
-                connection.then = Some((now + self.chance.below(30_000) as Micros, Then::Close));
+                connection.then = Some((now + self.chance.index(30_000) as Micros, Then::Close));
                 return;
             }
             _ => connection.out.push_back((now, bytes, Some(call))),
@@ -277,9 +283,9 @@
             },
         );
     }
-    fn send_garbage(&mut self, now: Micros, conn: Conn) {
-        let length = 1 + self.chance.below(4000);
-        let noise: Vec<u8> = (0..length).map(|_| self.chance.draw() as u8).collect();
+    fn send_garbage(&mut self, now: Micros, conn: ConnectionId) {
+        let length = 1 + self.chance.index(4000);
+        let noise: Vec<u8> = (0..length).map(|_| self.chance.next_u64() as u8).collect();
         self.ledger.borrow_mut().bad_clients += 1;
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -309,7 +315,7 @@
 
     // ---- What is written
 
-    fn write(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    fn write(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.up) else {
             return;
         };
@@ -343,7 +349,7 @@
         }
     }
     /// What this client does after its request, once its time has come.
-    fn leave(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    fn leave(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -378,7 +384,7 @@
             }
         }
     }
-    fn mark_all_left(&mut self, now: Micros, conn: Conn, how: Leaving) {
+    fn mark_all_left(&mut self, now: Micros, conn: ConnectionId, how: Leaving) {
         let Some(connection) = self.connections.get(&conn) else {
             return;
         };
@@ -401,7 +407,7 @@
 
     // ---- What comes back
 
-    fn hear(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
+    fn hear(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -439,7 +445,7 @@
             }
         }
     }
-    fn take_answer(&mut self, now: Micros, conn: Conn, id: u16) {
+    fn take_answer(&mut self, now: Micros, conn: ConnectionId, id: u16) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -471,7 +477,7 @@
             });
         }
     }
-    fn ended(&mut self, now: Micros, conn: Conn) {
+    fn ended(&mut self, now: Micros, conn: ConnectionId) {
         let Some(connection) = self.connections.remove(&conn) else {
             return;
         };
@@ -531,7 +537,7 @@
     fn start(&mut self, now: Micros, _: &mut dyn Io) {
         self.next_request.iter_mut().for_each(|at| *at = now);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
                 if let Some(connection) = self.connections.get_mut(&conn) {
@@ -541,8 +547,8 @@
             }
             Event::Writable { conn } => self.write(now, conn, io),
             Event::Bytes { conn, bytes } => self.hear(now, conn, bytes),
-            Event::Closed { conn, how } => {
-                if how == Closed::InOrder {
+            Event::Closed { conn, cause: how } => {
+                if how == CloseCause::Orderly {
                     io.close(conn);
                 }
                 self.ended(now, conn);
@@ -550,7 +556,7 @@
             Event::Accepted { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.now = now;
         let (rate, over) = (self.steering.borrow().rate, self.steering.borrow().over);
         for router in (0..self.fleet.routers).map(RouterId) {
@@ -560,13 +566,13 @@
                 self.look(now, router, io);
             }
             while !over && self.next_request[router.0] <= now {
-                self.next_request[router.0] = now + self.chance.gap(1e6 / rate) as Micros;
+                self.next_request[router.0] = now + self.chance.exponential(1e6 / rate) as Micros;
                 if front.asks {
                     self.ask(now, router, io);
                 }
             }
         }
-        let conns: Vec<Conn> = self.connections.keys().copied().collect();
+        let conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for conn in conns {
             self.write(now, conn, io);
             self.leave(now, conn, io);
@@ -583,7 +589,7 @@
             }
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         Some(self.now + 2_000)
     }
 }
--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -9,7 +9,7 @@
 use super::settings::{Fleet, Terms};
 use super::troubles::{Moment, Trouble};
 use crate::faults::Word;
-use sanddrum_net::{Chance, Door, EventLoop, HostId, Micros, NoTap};
+use sanddrum_net::{EventLoop, HostId, ListenerId, Micros, NullObserver, Rng};
 use serde_json::{json, Value as Json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
     phases: Vec<Phase>,
     places: Vec<Place>,
     tale: Rc<RefCell<Tale>>,
-    chance: Chance,
+    chance: Rng,
     program: PathBuf,
     undo: Vec<(Micros, Undo)>,
     servers_started: usize,
@@ -110,7 +110,7 @@
         program: PathBuf,
         ledger: Shared,
     ) -> io::Result<Self> {
-        let mut driver = EventLoop::new(Box::new(NoTap))?;
+        let mut driver = EventLoop::new(Box::new(NullObserver))?;
         let (mut places, mut members) = (Vec::new(), Vec::new());
         for n in 0..fleet.servers {
             let (address, name) = (fleet.server_address(n), format!("s-{n:08x}"));
@@ -178,7 +178,7 @@
         let routers: Vec<Router> = routers.collect::<io::Result<_>>()?;
         let mut environment = Environment {
             stepped: driver.now(),
-            chance: Chance::new(fleet.seed ^ 0xe71),
+            chance: Rng::new(fleet.seed ^ 0xe71),
             phases: vec![Phase::Serving; routers.len()],
             router_clocks: vec![0; routers.len()],
             servers_started: fleet.servers,
@@ -297,7 +297,7 @@
         let mut all: Vec<usize> = (0..self.routers.len()).filter(serving).collect();
         let mut drawn = Vec::new();
         while drawn.len() < count && !all.is_empty() {
-            drawn.push(all.remove(self.chance.below(all.len())));
+            drawn.push(all.remove(self.chance.index(all.len())));
         }
         drawn
     }
@@ -312,7 +312,7 @@
         let mut all: Vec<usize> = (0..self.places.len()).filter(stands).collect();
         let mut drawn = Vec::new();
         while drawn.len() < count && all.len() > self.places.len() / 2 {
-            drawn.push(all.remove(self.chance.below(all.len())));
+            drawn.push(all.remove(self.chance.index(all.len())));
         }
         drawn
     }
@@ -398,7 +398,7 @@
     /// The feed moves to its other address, and all routers are told by a new configuration.
     fn move_feed(&mut self, now: Micros) -> io::Result<()> {
         self.fleet.feed_door = 1 - self.fleet.feed_door;
-        self.tale.borrow_mut().door = Door(self.fleet.feed_door);
+        self.tale.borrow_mut().door = ListenerId(self.fleet.feed_door);
         let span = Span {
             from: now - S / 2,
             to: now + S,
--- a/crates/sanddrum-lab/src/soak/feed.rs
+++ b/crates/sanddrum-lab/src/soak/feed.rs
@@ -1,7 +1,7 @@
 //! The control feed of a soak run: numbered events, told over HTTP/1.1 to whoever asks, on two addresses of which one is in
 //! force.
 
-use sanddrum_net::{Closed, Conn, Core, Door, Event, Io, Micros};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, ListenerId, Micros};
 use sanddrum_wire::http;
 use serde_json::{json, Value as Json};
 use std::cell::RefCell;
@@ -26,7 +26,7 @@
     pub events: Vec<Json>,
     pub mood: Mood,
     /// The door at which questions are answered; a question at the other one is not.
-    pub door: Door,
+    pub door: ListenerId,
     pub asked: u64,
 }
 
@@ -37,7 +37,7 @@
         Tale {
             events: vec![first],
             mood: Mood::Well,
-            door: Door(0),
+            door: ListenerId(0),
             asked: 0,
         }
     }
@@ -54,7 +54,7 @@
 }
 
 struct Asking {
-    door: Door,
+    door: ListenerId,
     text: String,
     /// The last event held, and when the wait for another one ends.
     asked: Option<(usize, Micros)>,
@@ -68,7 +68,7 @@
 pub struct Feed {
     tale: Rc<RefCell<Tale>>,
     turned: Micros,
-    asking: BTreeMap<Conn, Asking>,
+    asking: BTreeMap<ConnectionId, Asking>,
 }
 
 impl Feed {
@@ -79,7 +79,7 @@
             asking: BTreeMap::new(),
         }
     }
-    fn take(&mut self, now: Micros, conn: Conn, bytes: &[u8]) {
+    fn take(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
         let Some(asking) = self.asking.get_mut(&conn) else {
             return;
         };
@@ -96,7 +96,7 @@
         asking.text.clear();
         self.tale.borrow_mut().asked += 1;
     }
-    fn answer(&mut self, now: Micros, conn: Conn, io: &mut dyn Io) {
+    fn answer(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let tale = self.tale.borrow();
         let Some(asking) = self.asking.get_mut(&conn) else {
             return;
@@ -132,9 +132,12 @@
 
 impl Core for Feed {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
-            Event::Accepted { conn, door } => {
+            Event::Accepted {
+                conn,
+                listener: door,
+            } => {
                 let asking = Asking {
                     door,
                     text: String::new(),
@@ -144,8 +147,8 @@
                 self.asking.insert(conn, asking);
             }
             Event::Bytes { conn, bytes } => self.take(now, conn, bytes),
-            Event::Closed { conn, how } => {
-                if how == Closed::InOrder {
+            Event::Closed { conn, cause: how } => {
+                if how == CloseCause::Orderly {
                     io.close(conn);
                 }
                 self.asking.remove(&conn);
@@ -153,14 +156,14 @@
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.turned = now;
-        let conns: Vec<Conn> = self.asking.keys().copied().collect();
+        let conns: Vec<ConnectionId> = self.asking.keys().copied().collect();
         conns
             .into_iter()
             .for_each(|conn| self.answer(now, conn, io));
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let waits = self.asking.values().any(|asking| asking.asked.is_some());
         // The tale changes without an event of this core's.
         waits.then_some(self.turned + LOOK_EVERY)
--- a/crates/sanddrum-lab/src/soak/mod.rs
+++ b/crates/sanddrum-lab/src/soak/mod.rs
@@ -16,7 +16,7 @@
 use environment::Environment;
 use judge::{judge, leavings, Break};
 use ledger::{Ledger, Shared};
-use sanddrum_net::{Chance, EventLoop, Micros};
+use sanddrum_net::{EventLoop, Micros, Rng};
 use serde_json::json;
 use settings::{Fleet, Terms};
 use std::collections::BTreeMap;
@@ -97,7 +97,7 @@
 /// # Errors
 /// The environment can't be set up or kept going.
 pub fn soak(spec: &SoakSpec) -> io::Result<SoakReport> {
-    let mut chance = Chance::new(spec.seed);
+    let mut chance = Rng::new(spec.seed);
     let terms = Terms::drawn(&mut chance);
     let fleet = free_fleet(spec)?;
     let length = spec.seconds as Micros * S;
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -3,7 +3,7 @@
 
 use super::ledger::{made_of, Attempt, CallId, ServerId, Shared};
 use super::settings::Terms;
-use sanddrum_net::{Chance, Closed, Conn, Core, Event, Io, Micros};
+use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_platform::frames;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -115,21 +115,21 @@
     terms: Terms,
     ledger: Shared,
     steering: Rc<RefCell<Steering>>,
-    chance: Chance,
-    peers: BTreeMap<Conn, Peer>,
+    chance: Rng,
+    peers: BTreeMap<ConnectionId, Peer>,
     /// When each function's copy stands.
     loaded: BTreeMap<String, Micros>,
     /// When each core is free again.
     cores: Vec<Micros>,
     held: usize,
-    given_up: BTreeSet<(Conn, u64)>,
+    given_up: BTreeSet<(ConnectionId, u64)>,
     due: BTreeMap<(Micros, u64), Answering>,
     count: u64,
 }
 
 /// An answer that is to be written.
 struct Answering {
-    conn: Conn,
+    conn: ConnectionId,
     call: u64,
     bytes: Vec<u8>,
     /// It ends what was held.
@@ -153,7 +153,7 @@
             terms,
             ledger,
             steering,
-            chance: Chance::new(0x5e_u64 ^ id.0 as u64),
+            chance: Rng::new(0x5e_u64 ^ id.0 as u64),
             peers: BTreeMap::new(),
             loaded: BTreeMap::new(),
             cores,
@@ -170,7 +170,7 @@
         self.count += 1;
         self.due.insert((at, self.count), answering);
     }
-    fn hears(&mut self, now: Micros, conn: Conn, frame: &Frame) {
+    fn hears(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
         match frame.code {
             65 => self.takes(now, conn, frame),
             66 => {
@@ -181,7 +181,15 @@
             _ => {}
         }
     }
-    fn says(&mut self, at: Micros, conn: Conn, id: u64, code: u8, fields: &str, body: &[u8]) {
+    fn says(
+        &mut self,
+        at: Micros,
+        conn: ConnectionId,
+        id: u64,
+        code: u8,
+        fields: &str,
+        body: &[u8],
+    ) {
         let bytes = frames::answer(code, id, fields, body);
         self.later(
             at,
@@ -193,7 +201,7 @@
             },
         );
     }
-    fn loads(&mut self, now: Micros, conn: Conn, frame: &Frame) {
+    fn loads(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
         let function = frame.field("thing").unwrap_or_default().to_string();
         let asks_only = frame.field("copies") == Some("0");
         if !asks_only {
@@ -205,7 +213,7 @@
         }
     }
     /// Records a request as it came, and answers it once it has run, or at once.
-    fn takes(&mut self, now: Micros, conn: Conn, frame: &Frame) {
+    fn takes(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
         let call = CallId(frame.id);
         let deadline = frame
             .field("max")
@@ -262,11 +270,11 @@
         } else {
             1.0
         };
-        let work = self.chance.gap(self.terms.mean_work as f64) / warmth * slower;
+        let work = self.chance.exponential(self.terms.mean_work as f64) / warmth * slower;
         let ends = begins + work as Micros;
         self.cores[core] = ends;
         self.held += 1;
-        let fails = self.mood() == Mood::Failing && self.chance.is_below(0.5);
+        let fails = self.mood() == Mood::Failing && self.chance.happens(0.5);
         let fields = format!("remark={remark},{}", self.load_report());
         let bytes = match fails {
             true => frames::answer(CODE_ERROR, frame.id, &fields, b""),
@@ -310,14 +318,14 @@
             return;
         }
         match mood {
-            Mood::Resets if frees && self.chance.is_below(0.3) => {
+            Mood::Resets if frees && self.chance.happens(0.3) => {
                 io.write(conn, &bytes[..bytes.len() / 2]);
                 io.reset(conn);
                 self.peers.remove(&conn);
                 return;
             }
-            Mood::Spoilt if self.chance.is_below(0.5) => {
-                let turned = self.chance.below(bytes.len());
+            Mood::Spoilt if self.chance.happens(0.5) => {
+                let turned = self.chance.index(bytes.len());
                 bytes[turned] ^= 0x10;
             }
             Mood::Twice if frees => {
@@ -336,8 +344,9 @@
     /// Closes what has carried nothing for as long as the settings say.
     fn close_idle(&mut self, now: Micros, io: &mut dyn Io) {
         let limit = self.terms.idle_close;
-        let idle = |(_, peer): &(&Conn, &Peer)| peer.open == 0 && now - peer.idle_since >= limit;
-        let closes: Vec<Conn> = self
+        let idle =
+            |(_, peer): &(&ConnectionId, &Peer)| peer.open == 0 && now - peer.idle_since >= limit;
+        let closes: Vec<ConnectionId> = self
             .peers
             .iter()
             .filter(idle)
@@ -352,7 +361,7 @@
 
 impl Core for Server {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => {
                 self.ledger.borrow_mut().connections_to_servers += 1;
@@ -379,23 +388,23 @@
                     peer.bytes = held;
                 }
             }
-            Event::Closed { conn, how } => {
+            Event::Closed { conn, cause: how } => {
                 self.peers.remove(&conn);
-                if how == Closed::InOrder {
+                if how == CloseCause::Orderly {
                     io.close(conn);
                 }
             }
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
             let answering = entry.remove();
             self.answer(now, answering, io);
         }
         self.close_idle(now, io);
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let due = self.due.first_key_value().map(|((at, _), _)| *at);
         let idle = self.peers.values().filter(|peer| peer.open == 0);
         let idle = idle
--- a/crates/sanddrum-lab/src/soak/settings.rs
+++ b/crates/sanddrum-lab/src/soak/settings.rs
@@ -2,7 +2,7 @@
 //! from them.
 
 use super::ledger::{Effect, RouterId};
-use sanddrum_net::{Chance, Micros};
+use sanddrum_net::{Micros, Rng};
 use serde_json::{json, Value as Json};
 
 /// What the routers are told and the judge holds them to.
@@ -26,9 +26,9 @@
 
 impl Terms {
     /// Terms drawn within what the platform's pages allow.
-    pub fn drawn(chance: &mut Chance) -> Self {
-        let one_of = |chance: &mut Chance, all: &[i64]| all[chance.below(all.len())];
-        let orders = chance.is_below(0.6);
+    pub fn drawn(chance: &mut Rng) -> Self {
+        let one_of = |chance: &mut Rng, all: &[i64]| all[chance.index(all.len())];
+        let orders = chance.happens(0.6);
         Terms {
             longest_deadline: one_of(chance, &[1_500_000, 2_000_000, 2_500_000]),
             grace: 250_000,
@@ -40,8 +40,8 @@
             idle_close: one_of(chance, &[2_000_000, 5_000_000, 30_000_000]),
             connect_time_out: one_of(chance, &[250_000, 1_000_000]),
             orders,
-            cancels: chance.is_below(0.7),
-            misses: orders && chance.is_below(0.4),
+            cancels: chance.happens(0.7),
+            misses: orders && chance.happens(0.4),
             descriptors: 512,
         }
     }
--- a/crates/sanddrum-lab/src/soak/troubles.rs
+++ b/crates/sanddrum-lab/src/soak/troubles.rs
@@ -1,7 +1,7 @@
 //! Which troubles a soak run plays, drawn from its seed: two or three at a time, each tied to a moment that is seen.
 
 use super::servers::Mood as ServerMood;
-use sanddrum_net::{Chance, Micros};
+use sanddrum_net::{Micros, Rng};
 
 const S: Micros = 1_000_000;
 
@@ -105,16 +105,16 @@
             Trouble::Burst { .. } => "burst",
         }
     }
-    fn drawn(chance: &mut Chance, routers: usize, servers: usize) -> Trouble {
-        let some = |chance: &mut Chance, of: usize| 1 + chance.below((of / 4).max(1));
-        let span = |chance: &mut Chance, least: Micros, most: Micros| {
-            least + chance.below((most - least) as usize) as Micros
+    fn drawn(chance: &mut Rng, routers: usize, servers: usize) -> Trouble {
+        let some = |chance: &mut Rng, of: usize| 1 + chance.index((of / 4).max(1));
+        let span = |chance: &mut Rng, least: Micros, most: Micros| {
+            least + chance.index((most - least) as usize) as Micros
         };
-        let step = |chance: &mut Chance| {
+        let step = |chance: &mut Rng| {
             let sizes = [-3600 * S, 3600 * S, -7 * S, 5 * S, -2 * S, 900 * S];
-            sizes[chance.below(sizes.len())]
+            sizes[chance.index(sizes.len())]
         };
-        match chance.below(17) {
+        match chance.index(17) {
             0 | 1 => Trouble::Stop {
                 routers: some(chance, 2 * routers),
                 span: span(chance, S / 10, 3 * S),
@@ -126,7 +126,7 @@
                 routers: some(chance, routers),
             },
             4 => Trouble::HangUps {
-                count: 1 + chance.below(4),
+                count: 1 + chance.index(4),
                 gap: span(chance, S / 100, S / 2),
             },
             5 => Trouble::StepAllClocks { by: step(chance) },
@@ -136,19 +136,19 @@
             },
             7 => Trouble::FailingCalls {
                 routers: some(chance, 4 * routers),
-                rate: 5_000 + chance.below(60_000) as u64,
+                rate: 5_000 + chance.index(60_000) as u64,
                 span: span(chance, S, 4 * S),
             },
             8 | 9 => Trouble::Replace {
                 servers: some(chance, servers),
-                same_address: chance.is_below(0.5),
+                same_address: chance.happens(0.5),
             },
             10 => Trouble::Drain {
                 servers: some(chance, servers),
             },
             11 => Trouble::Misbehave {
                 servers: some(chance, servers),
-                mood: ServerMood::TROUBLES[chance.below(ServerMood::TROUBLES.len())],
+                mood: ServerMood::TROUBLES[chance.index(ServerMood::TROUBLES.len())],
                 span: span(chance, S, 4 * S),
             },
             12 => Trouble::Freeze {
@@ -165,7 +165,7 @@
             15 => Trouble::FeedCuts {
                 span: span(chance, S / 2, 2 * S),
             },
-            _ => match chance.is_below(0.5) {
+            _ => match chance.happens(0.5) {
                 true => Trouble::BadClients {
                     part: 0.5,
                     span: span(chance, S, 3 * S),
@@ -221,15 +221,15 @@
 const BEGIN_WITHIN: Micros = 3 * S / 2;
 
 /// The troubles of a run of this length, by their begin.
-pub fn plan(chance: &mut Chance, length: Micros, routers: usize, servers: usize) -> Vec<Planned> {
+pub fn plan(chance: &mut Rng, length: Micros, routers: usize, servers: usize) -> Vec<Planned> {
     let mut planned = Vec::new();
     let mut window = S;
     while window + WINDOW <= length + S {
-        for _ in 0..2 + chance.below(2) {
+        for _ in 0..2 + chance.index(2) {
             planned.push(Planned {
-                from: window + chance.below(BEGIN_WITHIN as usize) as Micros,
-                moment: Moment::ALL[chance.below(Moment::ALL.len())],
-                after: chance.below(20_000) as Micros,
+                from: window + chance.index(BEGIN_WITHIN as usize) as Micros,
+                moment: Moment::ALL[chance.index(Moment::ALL.len())],
+                after: chance.index(20_000) as Micros,
                 trouble: Trouble::drawn(chance, routers, servers),
             });
         }
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -6,7 +6,7 @@
 use crate::scenario::Scenario;
 use sanddrum_edge::{Edge, Start, KEYS};
 use sanddrum_emulator::{Shared, Truth};
-use sanddrum_net::{Bend, Core, HostId, Links, Micros, VirtualNet};
+use sanddrum_net::{Core, HostId, LinkFault, LinkModel, Micros, VirtualNet};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
 use std::io;
@@ -64,7 +64,7 @@
 impl VirtualStage {
     pub fn new(
         scenario: Scenario,
-        links: Links,
+        links: LinkModel,
         recording: &Recording,
         make_edge: MakeEdge,
     ) -> io::Result<Self> {
@@ -76,7 +76,7 @@
     /// The scenario can't be set up.
     pub fn seen_by(
         scenario: Scenario,
-        links: Links,
+        links: LinkModel,
         recording: &Recording,
         make_edge: MakeEdge,
         truth: Option<Shared<Truth>>,
@@ -88,7 +88,7 @@
             list: address(3, 0),
             store: address(3, 1),
         };
-        let slack = 4 * links.cross_zone + 2 * links.again;
+        let slack = 4 * links.cross_zone + 2 * links.retransmit_after;
         let seed = scenario.seed;
         let net = VirtualNet::new(seed, BEGIN, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
@@ -237,44 +237,44 @@
         let (there, back) = match fault {
             None => (None, None),
             Some(Fault::Delay(delay)) => {
-                let bend = Some(Bend {
+                let bend = Some(LinkFault {
                     delay,
-                    ..Bend::default()
+                    ..LinkFault::default()
                 });
                 (bend, bend)
             }
             Some(Fault::Slow(per_s)) => {
-                let bend = Some(Bend {
-                    per_s,
-                    ..Bend::default()
+                let bend = Some(LinkFault {
+                    bytes_per_s: per_s,
+                    ..LinkFault::default()
                 });
                 (bend, bend)
             }
             Some(Fault::SilentTo) => (
-                Some(Bend {
-                    silent: true,
-                    ..Bend::default()
+                Some(LinkFault {
+                    is_silent: true,
+                    ..LinkFault::default()
                 }),
                 None,
             ),
             Some(Fault::SilentFrom) => (
                 None,
-                Some(Bend {
-                    silent: true,
-                    ..Bend::default()
+                Some(LinkFault {
+                    is_silent: true,
+                    ..LinkFault::default()
                 }),
             ),
             Some(Fault::Unanswered) => {
-                let bend = Some(Bend {
-                    silent: true,
-                    ..Bend::default()
+                let bend = Some(LinkFault {
+                    is_silent: true,
+                    ..LinkFault::default()
                 });
                 (bend, bend)
             }
             Some(Fault::Refused) => (
-                Some(Bend {
-                    refuses: true,
-                    ..Bend::default()
+                Some(LinkFault {
+                    refuses_connections: true,
+                    ..LinkFault::default()
                 }),
                 None,
             ),
--- a/crates/sanddrum-lab/src/storm.rs
+++ b/crates/sanddrum-lab/src/storm.rs
@@ -5,7 +5,7 @@
 use crate::scenario::Scenario;
 use crate::stage::{product_edge, Stage, VirtualStage};
 use crate::{play, Outcome};
-use sanddrum_net::Links;
+use sanddrum_net::LinkModel;
 use std::io;
 
 #[derive(Clone, Copy, Debug)]
@@ -73,7 +73,7 @@
 pub fn storm(spec: &StormSpec) -> io::Result<Storm> {
     let scenario = Scenario::read("storm", &scenario(spec), spec.seed).map_err(io::Error::other)?;
     let recording = Recording::default();
-    let mut stage = VirtualStage::new(scenario, Links::default(), &recording, product_edge())?;
+    let mut stage = VirtualStage::new(scenario, LinkModel::default(), &recording, product_edge())?;
     let begun = stage.now() / 1_000_000;
     let outcome = play(&mut stage, &recording)?;
     let work = &stage.fleet().handshakes;
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/tapped.rs
@@ -2,7 +2,9 @@
 
 use crate::recorder::Recording;
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
-use sanddrum_net::{Conn, Core, Event, HostId, Io, Micros, Peer, Side as TapSide, Tap};
+use sanddrum_net::{
+    ConnectionId, Core, Event, HostId, Io, Micros, PeerIdentity, Side as TapSide, TrafficObserver,
+};
 use sanddrum_settings::Loaded;
 use sanddrum_tls::{Asks, Bounds, Papers, Rules, Side};
 
@@ -31,13 +33,13 @@
 }
 
 impl Io for Through<'_> {
-    fn connect(&mut self, to: &str) -> Conn {
+    fn connect(&mut self, to: &str) -> ConnectionId {
         self.io.connect(to)
     }
-    fn connect_named(&mut self, to: &str, name: &str) -> Conn {
+    fn connect_named(&mut self, to: &str, name: &str) -> ConnectionId {
         self.io.connect_named(to, name)
     }
-    fn peer(&self, conn: Conn) -> Option<Peer> {
+    fn peer(&self, conn: ConnectionId) -> Option<PeerIdentity> {
         self.io.peer(conn)
     }
     fn wall_clock(&self, now: Micros) -> Micros {
@@ -46,28 +48,28 @@
     fn earliest_arrival(&self, now: Micros) -> Micros {
         self.io.earliest_arrival(now)
     }
-    fn is_held_up(&self) -> bool {
-        self.io.is_held_up()
+    fn is_delayed(&self) -> bool {
+        self.io.is_delayed()
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         let taken = self.io.write(conn, bytes);
         self.recording
-            .went(self.now, self.host, conn, &bytes[..taken]);
+            .sent(self.now, self.host, conn, &bytes[..taken]);
         taken
     }
-    fn close(&mut self, conn: Conn) {
-        self.recording.ended(self.now, self.host, conn);
+    fn close(&mut self, conn: ConnectionId) {
+        self.recording.closed(self.now, self.host, conn);
         self.io.close(conn);
     }
-    fn reset(&mut self, conn: Conn) {
-        self.recording.ended(self.now, self.host, conn);
+    fn reset(&mut self, conn: ConnectionId) {
+        self.recording.closed(self.now, self.host, conn);
         self.io.reset(conn);
     }
-    fn pause(&mut self, conn: Conn, paused: bool) {
+    fn pause(&mut self, conn: ConnectionId, paused: bool) {
         self.io.pause(conn, paused);
     }
-    fn save(&mut self, state: &[u8]) {
-        self.io.save(state);
+    fn save_state(&mut self, state: &[u8]) {
+        self.io.save_state(state);
     }
 }
 
@@ -84,17 +86,17 @@
             },
         );
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
         match &event {
             Event::Accepted { conn, .. } => {
                 recording.opened(now, host, *conn, TapSide::Accepted, "")
             }
-            Event::Bytes { conn, bytes } => recording.came(now, host, *conn, bytes),
-            Event::Closed { conn, .. } => recording.ended(now, host, *conn),
+            Event::Bytes { conn, bytes } => recording.received(now, host, *conn, bytes),
+            Event::Closed { conn, .. } => recording.closed(now, host, *conn),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
-        self.core.event(
+        self.core.on_event(
             now,
             event,
             &mut Through {
@@ -105,9 +107,9 @@
             },
         );
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.turn(
+        self.core.process(
             now,
             &mut Through {
                 io,
@@ -117,12 +119,18 @@
             },
         );
     }
-    fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+    fn next_wakeup(&self) -> Option<Micros> {
+        self.core.next_wakeup()
     }
-    fn stale(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
+    fn on_credentials_changed(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        denied: bool,
+        io: &mut dyn Io,
+    ) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.stale(
+        self.core.on_credentials_changed(
             now,
             conn,
             denied,
@@ -134,9 +142,9 @@
             },
         );
     }
-    fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
-        self.core.file(
+        self.core.on_file(
             now,
             name,
             content,
@@ -148,8 +156,8 @@
             },
         );
     }
-    fn done(&self) -> bool {
-        self.core.done()
+    fn is_done(&self) -> bool {
+        self.core.is_done()
     }
 }
 
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -213,18 +213,18 @@
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        self.core.event(now, event, io);
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+        self.core.on_event(now, event, io);
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
-        self.core.turn(now, io);
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        self.core.process(now, io);
     }
-    fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+    fn next_wakeup(&self) -> Option<Micros> {
+        self.core.next_wakeup()
     }
-    fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         if !std::mem::replace(&mut self.heard, true) {
-            self.core.file(now, name, content, io);
+            self.core.on_file(now, name, content, io);
         }
     }
 }
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -5,7 +5,7 @@
 use sanddrum_lab::capacity::{
     run, Followers, ListStage, ListStageSpec, Memory, Plan, Point, Said, Sink, Source, Stop,
 };
-use sanddrum_net::{Links, Micros};
+use sanddrum_net::{LinkModel, Micros};
 use std::time::Duration;
 
 const MEMORY: Memory = Memory { total: 24 << 30 };
@@ -30,11 +30,11 @@
 
 fn stage(plan: &Plan, routers: usize, rows: usize, list: ListSpec, whole_edges: bool) -> ListStage {
     // Links without chance, so that what others send moves no draw.
-    let links = Links {
+    let links = LinkModel {
         jitter: 0.0,
-        loss: 0.0,
-        split: 0.0,
-        ..Links::default()
+        loss_share: 0.0,
+        split_share: 0.0,
+        ..LinkModel::default()
     };
     let spec = ListStageSpec {
         settings: plan.settings.clone(),
--- a/crates/sanddrum-lab/tests/soak_judge.rs
+++ b/crates/sanddrum-lab/tests/soak_judge.rs
@@ -4,7 +4,7 @@
 use sanddrum_lab::soak::judge::{judge, Rule};
 use sanddrum_lab::soak::ledger::*;
 use sanddrum_lab::soak::settings::Terms;
-use sanddrum_net::Chance;
+use sanddrum_net::Rng;
 
 const S: i64 = 1_000_000;
 const MS: i64 = 1_000;
@@ -14,7 +14,7 @@
 const END: i64 = 200 * S;
 
 fn terms() -> Terms {
-    let drawn = Terms::drawn(&mut Chance::new(1));
+    let drawn = Terms::drawn(&mut Rng::new(1));
     Terms {
         longest_deadline: 2 * S,
         cold: 10 * S,
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -3,7 +3,7 @@
     play, play_virtually, product_edge, EdgesAs, Recording, Scenario, SocketStage, Stage,
     VirtualStage, BAD_DAY,
 };
-use sanddrum_net::Links;
+use sanddrum_net::LinkModel;
 
 #[rstest]
 fn the_bad_day_ends_well_and_twice_alike(#[values(1, 2, 3)] seed: u64) {
@@ -87,7 +87,7 @@
     let scenario = Scenario::read("certificates.sx", CERTIFICATES, seed).unwrap();
     let recording = Recording::default();
     let mut stage =
-        VirtualStage::new(scenario, Links::default(), &recording, product_edge()).unwrap();
+        VirtualStage::new(scenario, LinkModel::default(), &recording, product_edge()).unwrap();
     let start = stage.now();
     let outcome = play(&mut stage, &recording).unwrap();
     assert!(
--- a/crates/sanddrum-net/src/event_loop.rs
+++ b/crates/sanddrum-net/src/event_loop.rs
@@ -5,7 +5,9 @@
 mod streams;
 
 use crate::files::{Audit, Watched};
-use crate::{Closed, Conn, Core, Door, Event, HostId, Io, Micros, Tap};
+use crate::{
+    CloseCause, ConnectionId, Core, Event, HostId, Io, ListenerId, Micros, TrafficObserver,
+};
 use polling::{Event as Ready, PollMode, Poller};
 use sockets::Sockets;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +49,7 @@
 enum Source {
     Listener {
         host: HostId,
-        door: Door,
+        door: ListenerId,
         listener: TcpListener,
         /// Connections may have waited here since then; none did when it was last accepted from.
         unread_since: Option<Micros>,
@@ -85,7 +87,7 @@
 
 struct Stream {
     host: HostId,
-    conn: Conn,
+    conn: ConnectionId,
     socket: TcpStream,
     /// It came through a door.
     accepted: bool,
@@ -101,14 +103,14 @@
 struct Hosted {
     core: Box<dyn Core>,
     /// Its connections' places among the sources.
-    conns: BTreeMap<Conn, usize>,
+    conns: BTreeMap<ConnectionId, usize>,
     doors: Vec<usize>,
     state_file: Option<PathBuf>,
     frozen: bool,
     touched: bool,
     stopping: bool,
     /// Connections that break at their next write.
-    torn: BTreeSet<Conn>,
+    torn: BTreeSet<ConnectionId>,
     audit: Option<Audit>,
     watched: Vec<Watched>,
 }
@@ -150,7 +152,7 @@
     poller: Poller,
     sources: Sources,
     hosts: Vec<Option<Hosted>>,
-    tap: Box<dyn Tap>,
+    tap: Box<dyn TrafficObserver>,
     begun: Instant,
     epoch: Micros,
     next_conn: u64,
@@ -158,8 +160,8 @@
     /// The earliest arrival of what a core is being told of, where it is input.
     arrival: Option<Micros>,
     /// Connections refused before they began, and torn ones, told once the core is not being called.
-    refused: Vec<(HostId, Conn)>,
-    broken: Vec<(HostId, Conn)>,
+    refused: Vec<(HostId, ConnectionId)>,
+    broken: Vec<(HostId, ConnectionId)>,
     accepts_again: Option<Micros>,
     /// Until when each is read out that was closed here.
     lingering: BTreeSet<(Micros, usize)>,
@@ -178,7 +180,7 @@
 impl EventLoop {
     /// The clock starts at the wall clock's time of day and goes on with the monotonic clock, whatever steps the wall clock
     /// takes after that.
-    pub fn new(tap: Box<dyn Tap>) -> io::Result<Self> {
+    pub fn new(tap: Box<dyn TrafficObserver>) -> io::Result<Self> {
         let epoch = wall_clock();
         Ok(EventLoop {
             poller: Poller::new()?,
@@ -209,7 +211,7 @@
     pub fn now(&self) -> Micros {
         self.epoch + self.begun.elapsed().as_micros() as Micros
     }
-    pub fn tap(&mut self) -> &mut dyn Tap {
+    pub fn tap(&mut self) -> &mut dyn TrafficObserver {
         &mut *self.tap
     }
     /// Lines of this core's audit go to a file, and to one more of the same size once that is full.
@@ -242,7 +244,7 @@
         for (n, listener) in doors.into_iter().enumerate() {
             let key = self.sources.insert(Source::Listener {
                 host,
-                door: Door(n),
+                door: ListenerId(n),
                 listener,
                 unread_since: None,
             });
@@ -283,7 +285,7 @@
         hosted
             .conns
             .keys()
-            .for_each(|conn| self.tap.ended(self.now(), host, *conn));
+            .for_each(|conn| self.tap.closed(self.now(), host, *conn));
     }
     /// A core takes the place of a dead one.
     ///
@@ -320,11 +322,11 @@
     }
     /// Breaks every connection of a core, as a reset on the way would.
     pub fn break_connections(&mut self, host: HostId) {
-        let conns: Vec<Conn> = self
+        let conns: Vec<ConnectionId> = self
             .host(host)
             .map_or(vec![], |h| h.conns.keys().copied().collect());
         for conn in conns {
-            self.end(host, conn, Closed::Reset);
+            self.end(host, conn, CloseCause::Reset);
         }
     }
     fn host(&self, host: HostId) -> Option<&Hosted> {
@@ -336,7 +338,7 @@
     pub fn run(&mut self) -> io::Result<Shutdown> {
         let mut looks = 0;
         loop {
-            let done = self.hosts.iter().flatten().all(|h| h.core.done());
+            let done = self.hosts.iter().flatten().all(|h| h.core.is_done());
             looks = if done { looks + 1 } else { 0 };
             let came = self.step(done.then(|| self.now()))?;
             if self.signals > 1 && !self.ends_in_order_only {
@@ -356,7 +358,7 @@
                 continue;
             };
             let doors = std::mem::take(&mut hosted.doors);
-            let conns: Vec<(Conn, usize)> = hosted
+            let conns: Vec<(ConnectionId, usize)> = hosted
                 .conns
                 .iter()
                 .map(|(conn, key)| (*conn, *key))
@@ -394,7 +396,7 @@
     }
     /// Whether a core says that it owes nothing more; a dead one owes nothing.
     pub fn core_done(&self, host: HostId) -> bool {
-        self.host(host).is_none_or(|h| h.core.done())
+        self.host(host).is_none_or(|h| h.core.is_done())
     }
     /// Whether a signal asked for the end.
     pub fn signalled(&self) -> bool {
@@ -432,7 +434,7 @@
             .iter()
             .flatten()
             .filter(|h| !h.frozen)
-            .filter_map(|h| h.core.wake());
+            .filter_map(|h| h.core.next_wakeup());
         let files = self
             .hosts
             .iter()
@@ -492,18 +494,18 @@
         self.heed_flags();
         for (host, conn) in std::mem::take(&mut self.refused) {
             self.call(host, |core, now, io| {
-                core.event(
+                core.on_event(
                     now,
                     Event::Closed {
                         conn,
-                        how: Closed::Refused,
+                        cause: CloseCause::Refused,
                     },
                     io,
                 )
             });
         }
         for (host, conn) in std::mem::take(&mut self.broken) {
-            self.end(host, conn, Closed::Reset);
+            self.end(host, conn, CloseCause::Reset);
         }
         Ok(Some(came))
     }
@@ -526,10 +528,10 @@
             let Some(hosted) = &mut self.hosts[n] else {
                 continue;
             };
-            let due = hosted.touched || hosted.core.wake().is_some_and(|at| at <= now);
+            let due = hosted.touched || hosted.core.next_wakeup().is_some_and(|at| at <= now);
             if due && !hosted.frozen {
                 hosted.touched = false;
-                self.call(HostId(n), |core, now, io| core.turn(now, io));
+                self.call(HostId(n), |core, now, io| core.process(now, io));
             }
         }
     }
@@ -561,9 +563,9 @@
 
 impl Core for Away {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
 }
--- a/crates/sanddrum-net/src/event_loop/signals.rs
+++ b/crates/sanddrum-net/src/event_loop/signals.rs
@@ -57,7 +57,7 @@
             if let Some(content) = file.look(now, anyway) {
                 let content = content.as_deref().map_err(String::as_str);
                 self.call(host, |core, now, io| {
-                    core.file(now, &file.name, content, io)
+                    core.on_file(now, &file.name, content, io)
                 });
             }
         }
@@ -89,7 +89,7 @@
     }
     pub(super) fn report(&mut self) {
         for n in 0..self.hosts.len() {
-            self.call(HostId(n), |core, now, _| core.report(now));
+            self.call(HostId(n), |core, now, _| core.log_status(now));
         }
     }
     pub(super) fn signal(&mut self, key: usize) {
@@ -104,8 +104,10 @@
         for n in 0..self.hosts.len() {
             if let Some(hosted) = self.hosts[n].as_mut().filter(|h| !h.stopping) {
                 hosted.stopping = true;
-                self.call(HostId(n), |core, now, io| core.stop(now, io));
-                let closes = self.hosts[n].as_mut().filter(|h| !h.core.still_listens());
+                self.call(HostId(n), |core, now, io| core.shut_down(now, io));
+                let closes = self.hosts[n]
+                    .as_mut()
+                    .filter(|h| !h.core.accepts_while_draining());
                 for key in closes
                     .map(|h| std::mem::take(&mut h.doors))
                     .unwrap_or_default()
