--- a/crates/sanddrum-net/src/event_loop/sockets.rs
+++ b/crates/sanddrum-net/src/event_loop/sockets.rs
@@ -1,7 +1,7 @@
 //! What a core may ask of the event loop while it is being called.
 
 use super::{EventLoop, Source, Stream, HELD_UP, LINGERING};
-use crate::{Conn, HostId, Io, Micros, Side};
+use crate::{ConnectionId, HostId, Io, Micros, Side};
 use std::io::{ErrorKind, Write};
 
 pub(super) struct Sockets<'a> {
@@ -10,7 +10,7 @@
 }
 
 impl Sockets<'_> {
-    fn stream(&mut self, conn: Conn) -> Option<(usize, &mut Stream)> {
+    fn stream(&mut self, conn: ConnectionId) -> Option<(usize, &mut Stream)> {
         let key = *self.driver.host(self.host)?.conns.get(&conn)?;
         match self.driver.sources.get_mut(key) {
             Some(Source::Stream(s)) => Some((key, s)),
@@ -20,9 +20,9 @@
 }
 
 impl Io for Sockets<'_> {
-    fn connect(&mut self, to: &str) -> Conn {
+    fn connect(&mut self, to: &str) -> ConnectionId {
         let conn = self.driver.open(self.host, to).unwrap_or_else(|| {
-            let conn = Conn(self.driver.next_conn);
+            let conn = ConnectionId(self.driver.next_conn);
             self.driver.next_conn += 1;
             self.driver.refused.push((self.host, conn));
             conn
@@ -37,10 +37,10 @@
     fn earliest_arrival(&self, now: Micros) -> Micros {
         self.driver.arrival.unwrap_or(now)
     }
-    fn is_held_up(&self) -> bool {
+    fn is_delayed(&self) -> bool {
         self.driver.now() - self.driver.looks.last > HELD_UP
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         let torn = bytes.len() > 1
             && self.driver.hosts[self.host.0]
                 .as_mut()
@@ -80,17 +80,17 @@
             self.driver.attend(key);
         }
         let (now, host) = (self.driver.now(), self.host);
-        self.driver.tap.went(now, host, conn, &bytes[..wrote]);
+        self.driver.tap.sent(now, host, conn, &bytes[..wrote]);
         wrote
     }
-    fn close(&mut self, conn: Conn) {
+    fn close(&mut self, conn: ConnectionId) {
         self.driver.close(self.host, conn, LINGERING);
     }
-    fn reset(&mut self, conn: Conn) {
+    fn reset(&mut self, conn: ConnectionId) {
         self.driver.linger_none(self.host, conn);
         self.driver.forget(self.host, conn);
     }
-    fn pause(&mut self, conn: Conn, paused: bool) {
+    fn pause(&mut self, conn: ConnectionId, paused: bool) {
         let now = self.driver.now();
         if let Some((key, s)) = self.stream(conn) {
             s.paused = paused;
@@ -99,7 +99,7 @@
             self.driver.attend(key);
         }
     }
-    fn save(&mut self, state: &[u8]) {
+    fn save_state(&mut self, state: &[u8]) {
         let Some(file) = self
             .driver
             .host(self.host)
--- a/crates/sanddrum-net/src/event_loop/streams.rs
+++ b/crates/sanddrum-net/src/event_loop/streams.rs
@@ -3,7 +3,7 @@
 use super::{
     EventLoop, Source, Stream, ACCEPTS_AT_ONCE, ACCEPT_PAUSE, HELD_UP, LINGER, READS_WHEN_HELD_UP,
 };
-use crate::{Closed, Conn, Event, HostId, Micros, Side};
+use crate::{CloseCause, ConnectionId, Event, HostId, Micros, Side};
 use polling::{Event as Ready, PollMode};
 use std::io::{ErrorKind, Read};
 use std::net::{Shutdown as Half, SocketAddr, TcpStream};
@@ -41,7 +41,14 @@
                     if let Some(conn) = self.take_in(host, socket, false) {
                         self.tap.opened(self.now(), host, conn, Side::Accepted, "");
                         self.call(host, |core, now, io| {
-                            core.event(now, Event::Accepted { conn, door }, io)
+                            core.on_event(
+                                now,
+                                Event::Accepted {
+                                    conn,
+                                    listener: door,
+                                },
+                                io,
+                            )
                         });
                         self.read_accepted(host, conn, since);
                     }
@@ -71,7 +78,7 @@
         }
     }
     /// What a connection brings may have come as early as the connection itself.
-    fn read_accepted(&mut self, host: HostId, conn: Conn, since: Micros) {
+    fn read_accepted(&mut self, host: HostId, conn: ConnectionId, since: Micros) {
         let Some(key) = self.host(host).and_then(|h| h.conns.get(&conn)).copied() else {
             return;
         };
@@ -113,10 +120,10 @@
         host: HostId,
         socket: TcpStream,
         connecting: bool,
-    ) -> Option<Conn> {
+    ) -> Option<ConnectionId> {
         socket.set_nonblocking(true).ok()?;
         let _ = socket.set_nodelay(true);
-        let conn = Conn(self.next_conn);
+        let conn = ConnectionId(self.next_conn);
         self.next_conn += 1;
         let stream = Stream {
             host,
@@ -205,18 +212,18 @@
         if event.writable && s.wants_write {
             if s.connecting {
                 if s.socket.take_error().ok().flatten().is_some() || s.socket.peer_addr().is_err() {
-                    return self.end(host, conn, Closed::Refused);
+                    return self.end(host, conn, CloseCause::Refused);
                 }
                 (s.connecting, s.wants_write) = (false, false);
                 self.attend(event.key);
                 self.call(host, |core, now, io| {
-                    core.event(now, Event::Connected { conn }, io)
+                    core.on_event(now, Event::Connected { conn }, io)
                 });
             } else {
                 s.wants_write = false;
                 self.attend(event.key);
                 self.call(host, |core, now, io| {
-                    core.event(now, Event::Writable { conn }, io)
+                    core.on_event(now, Event::Writable { conn }, io)
                 });
             }
         }
@@ -226,7 +233,7 @@
     }
     /// Reads what has come, and where it may have waited for long all of it, up to the other side's end. Guards against
     /// what is sent on for somebody whose end lies in the same buffer behind what was asked.
-    pub(super) fn read(&mut self, key: usize, host: HostId, conn: Conn) {
+    pub(super) fn read(&mut self, key: usize, host: HostId, conn: ConnectionId) {
         let before = self.looks.before;
         for _ in 0..READS_WHEN_HELD_UP {
             let Some(Source::Stream(s)) = self.sources.get_mut(key) else {
@@ -243,7 +250,7 @@
         }
     }
     /// One read; true where there is nothing more to read.
-    fn read_once(&mut self, key: usize, host: HostId, conn: Conn, since: Micros) -> bool {
+    fn read_once(&mut self, key: usize, host: HostId, conn: ConnectionId, since: Micros) -> bool {
         let Some(Source::Stream(s)) = self.sources.get_mut(key) else {
             return true;
         };
@@ -257,15 +264,15 @@
         }
         let ended = match read {
             Ok(0) => {
-                self.end(host, conn, Closed::InOrder);
+                self.end(host, conn, CloseCause::Orderly);
                 true
             }
             Ok(n) => {
                 let bytes = &buffer[..n];
-                self.tap.came(self.now(), host, conn, bytes);
+                self.tap.received(self.now(), host, conn, bytes);
                 self.arrival = Some(since);
                 self.call(host, |core, now, io| {
-                    core.event(now, Event::Bytes { conn, bytes }, io)
+                    core.on_event(now, Event::Bytes { conn, bytes }, io)
                 });
                 self.arrival = None;
                 false
@@ -273,7 +280,7 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => true,
             Err(e) if e.kind() == ErrorKind::Interrupted => false,
             Err(_) => {
-                self.end(host, conn, Closed::Reset);
+                self.end(host, conn, CloseCause::Reset);
                 true
             }
         };
@@ -281,24 +288,24 @@
         ended
     }
     /// The other side, or the network, ended it.
-    pub(super) fn end(&mut self, host: HostId, conn: Conn, how: Closed) {
-        if how == Closed::Reset {
+    pub(super) fn end(&mut self, host: HostId, conn: ConnectionId, how: CloseCause) {
+        if how == CloseCause::Reset {
             self.linger_none(host, conn);
         }
         if self.forget(host, conn) {
             self.call(host, |core, now, io| {
-                core.event(now, Event::Closed { conn, how }, io)
+                core.on_event(now, Event::Closed { conn, cause: how }, io)
             });
         }
     }
     /// What is not yet delivered is thrown away when the socket goes, and the other side sees a reset.
-    pub(super) fn linger_none(&self, host: HostId, conn: Conn) {
+    pub(super) fn linger_none(&self, host: HostId, conn: ConnectionId) {
         let key = self.host(host).and_then(|h| h.conns.get(&conn));
         if let Some(Source::Stream(s)) = key.and_then(|key| self.sources.get(*key)) {
             let _ = socket2::SockRef::from(&s.socket).set_linger(Some(Duration::ZERO));
         }
     }
-    pub(super) fn forget(&mut self, host: HostId, conn: Conn) -> bool {
+    pub(super) fn forget(&mut self, host: HostId, conn: ConnectionId) -> bool {
         let Some(Some(hosted)) = self.hosts.get_mut(host.0) else {
             return false;
         };
@@ -306,7 +313,7 @@
             return false;
         };
         self.remove(key);
-        self.tap.ended(self.now(), host, conn);
+        self.tap.closed(self.now(), host, conn);
         self.descriptor_is_free();
         true
     }
@@ -317,7 +324,7 @@
     }
     /// A core ends a connection in order: nothing more is written, and what still comes is read and thrown away until
     /// the other side closes too, for a bounded time and of no more than so many at once.
-    pub(super) fn close(&mut self, host: HostId, conn: Conn, most: usize) {
+    pub(super) fn close(&mut self, host: HostId, conn: ConnectionId, most: usize) {
         let key = self.host(host).and_then(|h| h.conns.get(&conn)).copied();
         let Some((key, Source::Stream(s))) =
             key.and_then(|key| Some((key, self.sources.get(key)?)))
@@ -333,7 +340,7 @@
         if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
             hosted.conns.remove(&conn);
         }
-        self.tap.ended(self.now(), host, conn);
+        self.tap.closed(self.now(), host, conn);
         let _ = self
             .poller
             .modify_with_mode(&s.socket, Ready::readable(key), PollMode::Level);
@@ -373,7 +380,7 @@
             None => {}
         }
     }
-    pub(super) fn open(&mut self, host: HostId, to: &str) -> Option<Conn> {
+    pub(super) fn open(&mut self, host: HostId, to: &str) -> Option<ConnectionId> {
         let at: SocketAddr = to.parse().ok()?;
         let domain = if at.is_ipv4() {
             socket2::Domain::IPV4
--- a/crates/sanddrum-net/src/outbox.rs
+++ b/crates/sanddrum-net/src/outbox.rs
@@ -1,4 +1,4 @@
-use crate::{Conn, Io};
+use crate::{ConnectionId, Io};
 use std::collections::VecDeque;
 
 /// What waits to be written to one connection, in marked pieces, and how far the socket has taken it. From this a
@@ -95,11 +95,11 @@
             .map(|(_, mark)| mark)
     }
     /// Writes what the socket takes.
-    pub fn flush(&mut self, conn: Conn, io: &mut dyn Io) {
+    pub fn flush(&mut self, conn: ConnectionId, io: &mut dyn Io) {
         self.write(self.bytes.len(), conn, io);
     }
     /// Writes what the socket takes of all up to the last piece of this mark, and nothing behind it.
-    pub fn flush_through(&mut self, mark: &M, conn: Conn, io: &mut dyn Io) {
+    pub fn flush_through(&mut self, mark: &M, conn: ConnectionId, io: &mut dyn Io) {
         let end = self
             .pieces
             .iter()
@@ -108,7 +108,7 @@
             .map(|(end, _)| *end);
         end.into_iter().for_each(|end| self.write(end, conn, io));
     }
-    fn write(&mut self, end: usize, conn: Conn, io: &mut dyn Io) {
+    fn write(&mut self, end: usize, conn: ConnectionId, io: &mut dyn Io) {
         while !self.blocked && self.taken < end {
             let wrote = io.write(conn, &self.bytes[self.taken..end]);
             self.taken += wrote;
--- a/crates/sanddrum-net/src/rng.rs
+++ b/crates/sanddrum-net/src/rng.rs
@@ -1,30 +1,30 @@
-use rand::{Rng, SeedableRng};
+use rand::{Rng as _, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Chance from a seed: equal seeds draw equal numbers on every machine.
+/// Rng from a seed: equal seeds draw equal numbers on every machine.
 #[derive(Clone, Debug)]
-pub struct Chance(Pcg64Mcg);
+pub struct Rng(Pcg64Mcg);
 
-impl Chance {
+impl Rng {
     pub fn new(seed: u64) -> Self {
-        Chance(Pcg64Mcg::seed_from_u64(seed))
+        Rng(Pcg64Mcg::seed_from_u64(seed))
     }
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
     /// From nought up to, but without, one.
-    pub fn part(&mut self) -> f64 {
-        (self.draw() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn unit(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// From nought up to, but without, `end`; nought where `end` is.
-    pub fn below(&mut self, end: usize) -> usize {
-        ((self.part() * end as f64) as usize).min(end.saturating_sub(1))
+    pub fn index(&mut self, end: usize) -> usize {
+        ((self.unit() * end as f64) as usize).min(end.saturating_sub(1))
     }
     /// Exponentially distributed, as the gaps between calls that know nothing of each other.
-    pub fn gap(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.part()).ln()
+    pub fn exponential(&mut self, mean: f64) -> f64 {
+        -mean * (1.0 - self.unit()).ln()
     }
-    pub fn is_below(&mut self, part: f64) -> bool {
-        self.part() < part
+    pub fn happens(&mut self, part: f64) -> bool {
+        self.unit() < part
     }
 }
--- a/crates/sanddrum-net/src/traffic_observer.rs
+++ b/crates/sanddrum-net/src/traffic_observer.rs
@@ -1,4 +1,4 @@
-use crate::{Conn, HostId, Micros};
+use crate::{ConnectionId, HostId, Micros};
 
 /// Which end of a connection a core holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,19 +8,19 @@
 }
 
 /// Sees the bytes where they cross a socket, or a virtual link, at one core's end. It changes nothing.
-pub trait Tap {
-    fn opened(&mut self, now: Micros, host: HostId, conn: Conn, side: Side, to: &str);
-    fn came(&mut self, now: Micros, host: HostId, conn: Conn, bytes: &[u8]);
-    fn went(&mut self, now: Micros, host: HostId, conn: Conn, bytes: &[u8]);
-    fn ended(&mut self, now: Micros, host: HostId, conn: Conn);
+pub trait TrafficObserver {
+    fn opened(&mut self, now: Micros, host: HostId, conn: ConnectionId, side: Side, to: &str);
+    fn received(&mut self, now: Micros, host: HostId, conn: ConnectionId, bytes: &[u8]);
+    fn sent(&mut self, now: Micros, host: HostId, conn: ConnectionId, bytes: &[u8]);
+    fn closed(&mut self, now: Micros, host: HostId, conn: ConnectionId);
 }
 
 /// Sees nothing.
-pub struct NoTap;
+pub struct NullObserver;
 
-impl Tap for NoTap {
-    fn opened(&mut self, _: Micros, _: HostId, _: Conn, _: Side, _: &str) {}
-    fn came(&mut self, _: Micros, _: HostId, _: Conn, _: &[u8]) {}
-    fn went(&mut self, _: Micros, _: HostId, _: Conn, _: &[u8]) {}
-    fn ended(&mut self, _: Micros, _: HostId, _: Conn) {}
+impl TrafficObserver for NullObserver {
+    fn opened(&mut self, _: Micros, _: HostId, _: ConnectionId, _: Side, _: &str) {}
+    fn received(&mut self, _: Micros, _: HostId, _: ConnectionId, _: &[u8]) {}
+    fn sent(&mut self, _: Micros, _: HostId, _: ConnectionId, _: &[u8]) {}
+    fn closed(&mut self, _: Micros, _: HostId, _: ConnectionId) {}
 }
--- a/crates/sanddrum-net/src/virtual_net.rs
+++ b/crates/sanddrum-net/src/virtual_net.rs
@@ -1,15 +1,18 @@
 //! Many cores in one thread and in virtual time. Equal seeds give equal timelines, to the byte.
 
-use crate::link_model::{Bend, Links};
-use crate::{Chance, Closed, Conn, Core, Door, Event, HostId, Io, Micros, Side, Tap};
+use crate::link_model::{LinkFault, LinkModel};
+use crate::{
+    CloseCause, ConnectionId, Core, Event, HostId, Io, ListenerId, Micros, Rng, Side,
+    TrafficObserver,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 enum What {
-    Knock { from: Conn, to: String },
-    Connected { conn: Conn },
-    Bytes { conn: Conn, bytes: Vec<u8> },
-    Room { conn: Conn },
-    Closed { conn: Conn, how: Closed },
+    Knock { from: ConnectionId, to: String },
+    Connected { conn: ConnectionId },
+    Bytes { conn: ConnectionId, bytes: Vec<u8> },
+    Room { conn: ConnectionId },
+    Closed { conn: ConnectionId, how: CloseCause },
 }
 
 struct Hosted {
@@ -20,13 +23,13 @@
     audit: Vec<String>,
     frozen: bool,
     wake: Option<Micros>,
-    conns: BTreeSet<Conn>,
+    conns: BTreeSet<ConnectionId>,
 }
 
 /// One end of a connection.
 struct End {
     host: HostId,
-    peer: Option<Conn>,
+    peer: Option<ConnectionId>,
     /// Bytes under way to the other end.
     under_way: usize,
     short: bool,
@@ -39,34 +42,34 @@
 
 pub struct VirtualNet {
     now: Micros,
-    links: Links,
-    chance: Chance,
-    tap: Box<dyn Tap>,
+    links: LinkModel,
+    chance: Rng,
+    tap: Box<dyn TrafficObserver>,
     hosts: Vec<Hosted>,
-    ends: BTreeMap<Conn, End>,
-    doors: BTreeMap<String, (HostId, Door)>,
+    ends: BTreeMap<ConnectionId, End>,
+    doors: BTreeMap<String, (HostId, ListenerId)>,
     queue: BTreeMap<(Micros, u64), What>,
     sent: u64,
     next_conn: u64,
     wakes: BTreeSet<(Micros, HostId)>,
     touched: BTreeSet<HostId>,
     /// Connections read again, whose held bytes are told once their core is not being called.
-    resumed: BTreeSet<Conn>,
+    resumed: BTreeSet<ConnectionId>,
     /// Connections that break at their next write.
-    torn: BTreeSet<Conn>,
+    torn: BTreeSet<ConnectionId>,
     /// One-way links between hosts that carry nothing until they are mended; what is sent meanwhile comes then.
     cut: BTreeMap<(HostId, HostId), Vec<What>>,
     /// Ways that something is wrong with, and what is held there.
-    bent: BTreeMap<(HostId, HostId), (Bend, Vec<What>)>,
+    bent: BTreeMap<(HostId, HostId), (LinkFault, Vec<What>)>,
     steps: u64,
 }
 
 impl VirtualNet {
-    pub fn new(seed: u64, start: Micros, links: Links, tap: Box<dyn Tap>) -> Self {
+    pub fn new(seed: u64, start: Micros, links: LinkModel, tap: Box<dyn TrafficObserver>) -> Self {
         VirtualNet {
             now: start,
             links,
-            chance: Chance::new(seed),
+            chance: Rng::new(seed),
             tap,
             hosts: Vec::new(),
             ends: BTreeMap::new(),
@@ -86,7 +89,7 @@
     pub fn now(&self) -> Micros {
         self.now
     }
-    pub fn tap(&mut self) -> &mut dyn Tap {
+    pub fn tap(&mut self) -> &mut dyn TrafficObserver {
         &mut *self.tap
     }
     /// Events carried out so far.
@@ -126,7 +129,7 @@
     }
     /// Tells a core of a file that it watches.
     pub fn give_file(&mut self, host: HostId, name: &str, content: Result<&[u8], &str>) {
-        self.call(host, |core, now, io| core.file(now, name, content, io));
+        self.call(host, |core, now, io| core.on_file(now, name, content, io));
         self.turn_touched();
     }
     /// A core takes the place of a dead one.
@@ -137,7 +140,7 @@
         };
         (hosted.core, hosted.frozen) = (Some(core), false);
         for (n, door) in hosted.doors.iter().enumerate() {
-            self.doors.insert(door.clone(), (host, Door(n)));
+            self.doors.insert(door.clone(), (host, ListenerId(n)));
         }
         self.call(host, |core, now, io| core.start(now, io));
         self.turn_touched();
@@ -152,7 +155,7 @@
         self.wakes.retain(|(_, h)| *h != host);
         self.hosts[host.0].wake = None;
         for conn in std::mem::take(&mut self.hosts[host.0].conns) {
-            self.drop_end(conn, Closed::Reset);
+            self.drop_end(conn, CloseCause::Reset);
         }
     }
     /// A frozen core's machine is silent: nothing is read, written or refused, and no time passes for it.
@@ -162,7 +165,7 @@
         };
         hosted.frozen = frozen;
         if !frozen && hosted.core.is_some() {
-            let conns: Vec<Conn> = hosted.conns.iter().copied().collect();
+            let conns: Vec<ConnectionId> = hosted.conns.iter().copied().collect();
             conns.into_iter().for_each(|conn| self.give_held(conn));
             self.touched.insert(host);
             self.turn_touched();
@@ -179,7 +182,7 @@
         }
     }
     /// Something is wrong with the way from one host to another, or no more; what was held there goes on then.
-    pub fn bend(&mut self, from: HostId, to: HostId, how: Option<Bend>) {
+    pub fn bend(&mut self, from: HostId, to: HostId, how: Option<LinkFault>) {
         let held = self
             .bent
             .remove(&(from, to))
@@ -193,11 +196,11 @@
     }
     /// Breaks every connection between two hosts.
     pub fn break_between(&mut self, one: HostId, other: HostId) {
-        let of = |conn: &Conn| self.ends.get(conn).map(|end| end.host);
-        let between = |(_, end): &(&Conn, &End)| {
+        let of = |conn: &ConnectionId| self.ends.get(conn).map(|end| end.host);
+        let between = |(_, end): &(&ConnectionId, &End)| {
             end.host == one && end.peer.is_some_and(|peer| of(&peer) == Some(other))
         };
-        let conns: Vec<Conn> = self
+        let conns: Vec<ConnectionId> = self
             .ends
             .iter()
             .filter(between)
@@ -211,7 +214,7 @@
                     (self.now, self.sent),
                     What::Closed {
                         conn,
-                        how: Closed::Reset,
+                        how: CloseCause::Reset,
                     },
                 );
             }
@@ -223,7 +226,7 @@
             .extend(self.hosts.get(host.0).iter().flat_map(|h| &h.conns));
     }
     pub fn stop(&mut self, host: HostId) {
-        self.call(host, |core, now, io| core.stop(now, io));
+        self.call(host, |core, now, io| core.shut_down(now, io));
         self.turn_touched();
     }
     /// Whether a core says that it owes nothing more; a dead one owes nothing.
@@ -231,7 +234,7 @@
         self.hosts
             .get(host.0)
             .and_then(|h| h.core.as_ref())
-            .is_none_or(|core| core.done())
+            .is_none_or(|core| core.is_done())
     }
 
     /// Plays everything up to this instant.
@@ -277,12 +280,12 @@
             if self.hosts[host.0].frozen {
                 continue;
             }
-            self.call(host, |core, now, io| core.turn(now, io));
+            self.call(host, |core, now, io| core.process(now, io));
             self.touched.remove(&host);
             let wake = self.hosts[host.0]
                 .core
                 .as_ref()
-                .and_then(|core| core.wake())
+                .and_then(|core| core.next_wakeup())
                 .map(|at| at.max(self.now + 1));
             let hosted = &mut self.hosts[host.0];
             if hosted.wake != wake {
@@ -311,9 +314,9 @@
         } else {
             self.links.cross_zone
         };
-        let mut takes = way as f64 * (1.0 + self.chance.part() * self.links.jitter);
-        if self.links.loss > 0.0 && self.chance.is_below(self.links.loss) {
-            takes += self.links.again as f64;
+        let mut takes = way as f64 * (1.0 + self.chance.unit() * self.links.jitter);
+        if self.links.loss_share > 0.0 && self.chance.happens(self.links.loss_share) {
+            takes += self.links.retransmit_after as f64;
         }
         takes as Micros
     }
@@ -327,22 +330,22 @@
         let mut at = arrives.max(earliest);
         if let Some((bend, held)) = to.and_then(|to| self.bent.get_mut(&(from, to))) {
             let passes = matches!(what, What::Knock { .. } | What::Connected { .. });
-            if bend.silent && !passes {
+            if bend.is_silent && !passes {
                 held.push(what);
                 return earliest;
             }
             // Behind what was sent before it, and not later than that by a delay of its own: pieces that follow each
             // other would be late by the sum of all their delays.
             at = (arrives + bend.delay).max(earliest);
-            if let (What::Bytes { bytes, .. }, true) = (&what, bend.per_s > 0.0) {
-                at += (bytes.len() as f64 / bend.per_s * 1e6) as Micros;
+            if let (What::Bytes { bytes, .. }, true) = (&what, bend.bytes_per_s > 0.0) {
+                at += (bytes.len() as f64 / bend.bytes_per_s * 1e6) as Micros;
             }
         }
         self.sent += 1;
         self.queue.insert((at, self.sent), what);
         at
     }
-    fn post_on(&mut self, conn: Conn, what: What) {
+    fn post_on(&mut self, conn: ConnectionId, what: What) {
         let Some(end) = self.ends.get(&conn) else {
             return;
         };
@@ -356,8 +359,8 @@
             end.last = at;
         }
     }
-    fn open(&mut self, host: HostId, peer: Option<Conn>) -> Conn {
-        let conn = Conn(self.next_conn);
+    fn open(&mut self, host: HostId, peer: Option<ConnectionId>) -> ConnectionId {
+        let conn = ConnectionId(self.next_conn);
         self.next_conn += 1;
         let end = End {
             host,
@@ -373,17 +376,17 @@
         conn
     }
     /// An end goes; the other one is told.
-    fn drop_end(&mut self, conn: Conn, how: Closed) {
+    fn drop_end(&mut self, conn: ConnectionId, how: CloseCause) {
         let peer = self.ends.get(&conn).and_then(|e| e.peer);
         if let Some(peer) = peer {
             self.post_on(conn, What::Closed { conn: peer, how });
         }
         if let Some(end) = self.ends.remove(&conn) {
-            self.tap.ended(self.now, end.host, conn);
+            self.tap.closed(self.now, end.host, conn);
             self.hosts[end.host.0].conns.remove(&conn);
         }
     }
-    fn give_held(&mut self, conn: Conn) {
+    fn give_held(&mut self, conn: ConnectionId) {
         while let Some(end) = self.ends.get_mut(&conn) {
             if end.paused || self.hosts[end.host.0].frozen {
                 return;
@@ -416,7 +419,7 @@
         }
         self.deliver_now(conn, what);
     }
-    fn knock(&mut self, from: Conn, to: &str) {
+    fn knock(&mut self, from: ConnectionId, to: &str) {
         let Some(caller) = self.ends.get(&from).map(|e| e.host) else {
             return;
         };
@@ -427,7 +430,7 @@
                 0,
                 What::Closed {
                     conn: from,
-                    how: Closed::Refused,
+                    how: CloseCause::Refused,
                 },
             );
             return;
@@ -435,7 +438,7 @@
         if self
             .bent
             .get(&(caller, host))
-            .is_some_and(|(bend, _)| bend.refuses)
+            .is_some_and(|(bend, _)| bend.refuses_connections)
         {
             self.post(
                 caller,
@@ -443,7 +446,7 @@
                 0,
                 What::Closed {
                     conn: from,
-                    how: Closed::Refused,
+                    how: CloseCause::Refused,
                 },
             );
             return;
@@ -452,7 +455,7 @@
             // Nothing answers; the caller gives up by itself, or is met once the machine is heard again.
             self.sent += 1;
             self.queue.insert(
-                (self.now + self.links.again, self.sent),
+                (self.now + self.links.retransmit_after, self.sent),
                 What::Knock {
                     from,
                     to: to.into(),
@@ -467,10 +470,17 @@
         self.tap.opened(self.now, host, conn, Side::Accepted, "");
         self.post_on(conn, What::Connected { conn: from });
         self.call(host, |core, now, io| {
-            core.event(now, Event::Accepted { conn, door }, io)
+            core.on_event(
+                now,
+                Event::Accepted {
+                    conn,
+                    listener: door,
+                },
+                io,
+            )
         });
     }
-    fn deliver_now(&mut self, conn: Conn, what: What) {
+    fn deliver_now(&mut self, conn: ConnectionId, what: What) {
         let Some(end) = self.ends.get(&conn) else {
             return;
         };
@@ -479,7 +489,7 @@
             What::Knock { .. } => {}
             What::Connected { conn } => {
                 self.call(host, |core, now, io| {
-                    core.event(now, Event::Connected { conn }, io)
+                    core.on_event(now, Event::Connected { conn }, io)
                 });
             }
             What::Bytes { bytes, .. } => {
@@ -496,9 +506,9 @@
                     }
                 }
                 if !bytes.is_empty() {
-                    self.tap.came(self.now, host, conn, &bytes);
+                    self.tap.received(self.now, host, conn, &bytes);
                     self.call(host, |core, now, io| {
-                        core.event(
+                        core.on_event(
                             now,
                             Event::Bytes {
                                 conn,
@@ -511,15 +521,15 @@
             }
             What::Room { conn } => {
                 self.call(host, |core, now, io| {
-                    core.event(now, Event::Writable { conn }, io)
+                    core.on_event(now, Event::Writable { conn }, io)
                 });
             }
             What::Closed { conn, how } => {
                 self.ends.remove(&conn);
                 self.hosts[host.0].conns.remove(&conn);
-                self.tap.ended(self.now, host, conn);
+                self.tap.closed(self.now, host, conn);
                 self.call(host, |core, now, io| {
-                    core.event(now, Event::Closed { conn, how }, io)
+                    core.on_event(now, Event::Closed { conn, cause: how }, io)
                 });
             }
         }
@@ -532,7 +542,7 @@
 }
 
 impl Io for Wires<'_> {
-    fn connect(&mut self, to: &str) -> Conn {
+    fn connect(&mut self, to: &str) -> ConnectionId {
         let conn = self.net.open(self.host, None);
         let now = self.net.now;
         self.net
@@ -550,7 +560,7 @@
         );
         conn
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         if bytes.len() > 1 && self.net.torn.remove(&conn) {
             let wrote = self.write(conn, &bytes[..bytes.len() / 2]);
             let peer = self.net.ends.get(&conn).and_then(|e| e.peer);
@@ -559,14 +569,14 @@
                     conn,
                     What::Closed {
                         conn: peer,
-                        how: Closed::Reset,
+                        how: CloseCause::Reset,
                     },
                 );
             }
             self.net.sent += 1;
             let broken = What::Closed {
                 conn,
-                how: Closed::Reset,
+                how: CloseCause::Reset,
             };
             self.net.queue.insert((self.net.now, self.net.sent), broken);
             return wrote;
@@ -581,10 +591,10 @@
         end.short = takes < bytes.len();
         let taken = &bytes[..takes];
         let now = self.net.now;
-        self.net.tap.went(now, self.host, conn, taken);
-        let split = takes > 1 && self.net.chance.is_below(self.net.links.split);
+        self.net.tap.sent(now, self.host, conn, taken);
+        let split = takes > 1 && self.net.chance.happens(self.net.links.split_share);
         let at = if split {
-            1 + self.net.chance.below(takes - 1)
+            1 + self.net.chance.index(takes - 1)
         } else {
             takes
         };
@@ -601,13 +611,13 @@
         }
         takes
     }
-    fn close(&mut self, conn: Conn) {
-        self.net.drop_end(conn, Closed::InOrder);
+    fn close(&mut self, conn: ConnectionId) {
+        self.net.drop_end(conn, CloseCause::Orderly);
     }
-    fn reset(&mut self, conn: Conn) {
-        self.net.drop_end(conn, Closed::Reset);
+    fn reset(&mut self, conn: ConnectionId) {
+        self.net.drop_end(conn, CloseCause::Reset);
     }
-    fn pause(&mut self, conn: Conn, paused: bool) {
+    fn pause(&mut self, conn: ConnectionId, paused: bool) {
         if let Some(end) = self.net.ends.get_mut(&conn) {
             end.paused = paused;
             if !paused {
@@ -615,7 +625,7 @@
             }
         }
     }
-    fn save(&mut self, state: &[u8]) {
+    fn save_state(&mut self, state: &[u8]) {
         self.net.hosts[self.host.0].kept = Some(state.to_vec());
     }
     fn audit(&mut self, line: &str) {
--- a/crates/sanddrum-net/tests/both_drivers.rs
+++ b/crates/sanddrum-net/tests/both_drivers.rs
@@ -12,7 +12,7 @@
     wrote: usize,
     connected: u32,
     accepted: u32,
-    closed: Vec<Closed>,
+    closed: Vec<CloseCause>,
 }
 type Shared<T> = Rc<RefCell<T>>;
 
@@ -23,7 +23,7 @@
     /// Reads nothing until told.
     deaf: Shared<bool>,
     was_deaf: bool,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     up: bool,
     seen: Shared<Seen>,
     closes_when_sent: bool,
@@ -66,7 +66,7 @@
     fn start(&mut self, _: Micros, io: &mut dyn Io) {
         self.conn = self.to.as_ref().map(|to| io.connect(to));
     }
-    fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => {
                 (self.conn, self.up) = (Some(conn), true);
@@ -78,14 +78,14 @@
             }
             Event::Bytes { bytes, .. } => self.seen.borrow_mut().came.extend_from_slice(bytes),
             Event::Writable { .. } => {}
-            Event::Closed { how, .. } => {
+            Event::Closed { cause: how, .. } => {
                 (self.conn, self.up) = (None, false);
                 self.seen.borrow_mut().closed.push(how);
             }
         }
         self.write(io);
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.turned = now;
         let deaf = *self.deaf.borrow();
         if let Some(conn) = self.conn.filter(|_| deaf != self.was_deaf) {
@@ -94,7 +94,7 @@
         }
         self.write(io);
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         // Looks at its strings now and then.
         self.up.then_some(self.turned + 1000)
     }
@@ -107,18 +107,18 @@
 
 impl Driver {
     fn new(on_sockets: bool, seed: u64) -> Driver {
-        let links = Links {
+        let links = LinkModel {
             window: 10_000,
-            split: 0.5,
-            ..Links::default()
+            split_share: 0.5,
+            ..LinkModel::default()
         };
         match on_sockets {
-            true => Driver::Sockets(Box::new(EventLoop::new(Box::new(NoTap)).unwrap())),
+            true => Driver::Sockets(Box::new(EventLoop::new(Box::new(NullObserver)).unwrap())),
             false => Driver::Virtual(Box::new(VirtualNet::new(
                 seed,
                 1_000_000,
                 links,
-                Box::new(NoTap),
+                Box::new(NullObserver),
             ))),
         }
     }
@@ -194,7 +194,7 @@
     client.closes_when_sent = true;
     d.adds(client);
     d.until(|| !got.borrow().closed.is_empty());
-    assert_eq!(got.borrow().closed, [Closed::InOrder]);
+    assert_eq!(got.borrow().closed, [CloseCause::Orderly]);
     assert!(got.borrow().came == sends);
 }
 
@@ -210,7 +210,7 @@
     d.until(|| !seen.borrow().closed.is_empty());
     assert_eq!(
         (seen.borrow().closed.as_slice(), seen.borrow().connected),
-        (&[Closed::Refused][..], 0)
+        (&[CloseCause::Refused][..], 0)
     );
 }
 
@@ -274,26 +274,26 @@
     d.tear(host);
     d.until(|| !got.borrow().closed.is_empty() && !seen.borrow().closed.is_empty());
     assert!(got.borrow().came.len() < 1000);
-    assert_eq!(seen.borrow().closed, [Closed::Reset]);
+    assert_eq!(seen.borrow().closed, [CloseCause::Reset]);
 }
 
 #[rstest]
 fn equal_seeds_give_equal_timelines_and_others_do_not() {
     #[derive(Clone, Default)]
     struct Times(Rc<RefCell<Vec<(Micros, usize)>>>);
-    impl Tap for Times {
-        fn opened(&mut self, _: Micros, _: HostId, _: Conn, _: Side, _: &str) {}
-        fn came(&mut self, now: Micros, _: HostId, _: Conn, bytes: &[u8]) {
+    impl TrafficObserver for Times {
+        fn opened(&mut self, _: Micros, _: HostId, _: ConnectionId, _: Side, _: &str) {}
+        fn received(&mut self, now: Micros, _: HostId, _: ConnectionId, bytes: &[u8]) {
             self.0.borrow_mut().push((now, bytes.len()));
         }
-        fn went(&mut self, _: Micros, _: HostId, _: Conn, _: &[u8]) {}
-        fn ended(&mut self, _: Micros, _: HostId, _: Conn) {}
+        fn sent(&mut self, _: Micros, _: HostId, _: ConnectionId, _: &[u8]) {}
+        fn closed(&mut self, _: Micros, _: HostId, _: ConnectionId) {}
     }
     let play = |seed| {
         let times = Times::default();
-        let links = Links {
-            loss: 0.1,
-            ..Links::default()
+        let links = LinkModel {
+            loss_share: 0.1,
+            ..LinkModel::default()
         };
         let mut net = VirtualNet::new(seed, 0, links, Box::new(times.clone()));
         net.add(0, &["a:1"], Talker::new(None, b"").0);
@@ -312,39 +312,39 @@
 fn a_way_that_delays_delays_each_piece_once() {
     let (listens, came, _) = Talker::new(None, b"");
     /// Says a byte every ten milliseconds.
-    struct Drips(Option<Conn>, Micros, u32);
+    struct Drips(Option<ConnectionId>, Micros, u32);
     impl Core for Drips {
         fn start(&mut self, now: Micros, io: &mut dyn Io) {
             (self.0, self.1) = (Some(io.connect("a:1")), now + 500_000);
         }
-        fn event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
-        fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+        fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
+        fn process(&mut self, now: Micros, io: &mut dyn Io) {
             if let Some(conn) = self.0.filter(|_| now >= self.1 && self.2 < 20) {
                 io.write(conn, b"x");
                 (self.1, self.2) = (now + 10_000, self.2 + 1);
             }
         }
-        fn wake(&self) -> Option<Micros> {
+        fn next_wakeup(&self) -> Option<Micros> {
             (self.2 < 20).then_some(self.1)
         }
     }
     let mut net = VirtualNet::new(
         1,
         1_000_000,
-        Links {
-            split: 0.0,
-            ..Links::default()
+        LinkModel {
+            split_share: 0.0,
+            ..LinkModel::default()
         },
-        Box::new(NoTap),
+        Box::new(NullObserver),
     );
     let to = net.add(0, &["a:1"], listens);
     let from = net.add(0, &[], Box::new(Drips(None, 0, 0)));
     net.bend(
         from,
         to,
-        Some(Bend {
+        Some(LinkFault {
             delay: 250_000,
-            ..Bend::default()
+            ..LinkFault::default()
         }),
     );
     // The last of them is said after 700 ms, and is there a quarter of a second later.
--- a/crates/sanddrum-net/tests/outbox.rs
+++ b/crates/sanddrum-net/tests/outbox.rs
@@ -1,26 +1,26 @@
 //! What waits to be written to one connection.
 
 use rstest::rstest;
-use sanddrum_net::{Conn, Io, Outbox, OutboxFull};
+use sanddrum_net::{ConnectionId, Io, Outbox, OutboxFull};
 
 struct Narrow {
     room: usize,
     wrote: Vec<u8>,
 }
 impl Io for Narrow {
-    fn connect(&mut self, _: &str) -> Conn {
-        Conn(0)
+    fn connect(&mut self, _: &str) -> ConnectionId {
+        ConnectionId(0)
     }
-    fn write(&mut self, _: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, _: ConnectionId, bytes: &[u8]) -> usize {
         let n = bytes.len().min(self.room);
         self.room -= n;
         self.wrote.extend_from_slice(&bytes[..n]);
         n
     }
-    fn close(&mut self, _: Conn) {}
-    fn reset(&mut self, _: Conn) {}
-    fn pause(&mut self, _: Conn, _: bool) {}
-    fn save(&mut self, _: &[u8]) {}
+    fn close(&mut self, _: ConnectionId) {}
+    fn reset(&mut self, _: ConnectionId) {}
+    fn pause(&mut self, _: ConnectionId, _: bool) {}
+    fn save_state(&mut self, _: &[u8]) {}
 }
 
 #[rstest]
@@ -35,19 +35,19 @@
     out.push(1, b"aaaa").unwrap();
     out.push(2, b"bbbbbb").unwrap();
     out.push(3, b"cc").unwrap();
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert!(!out.holds(&1) && out.holds(&2) && out.holds(&3));
     assert!(!out.retract(&2), "three of its bytes are out");
     assert!(out.retract(&3));
     out.push(4, b"dd").unwrap();
     io.room = 100;
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert!(
         out.waiting() > 0,
         "not before the socket says that there is room"
     );
     out.unblock();
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"aaaabbbbbbdd");
 }
 
@@ -65,7 +65,7 @@
     }
     assert!(out.retract(&2) && !out.retract(&2));
     io.room = 50;
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"onethree");
     assert!(!out.holds(&3));
 }
@@ -95,13 +95,13 @@
     ] {
         out.push(mark, piece).unwrap();
     }
-    out.flush_through(&8, Conn(0), &mut io);
+    out.flush_through(&8, ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"", "no piece has this mark");
-    out.flush_through(&7, Conn(0), &mut io);
+    out.flush_through(&7, ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"oneseventwoagain");
     assert!(out.holds(&3) && !out.holds(&7) && out.retract(&3));
     out.push(4, b"four").unwrap();
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"oneseventwoagainfour");
 }
 
@@ -116,16 +116,16 @@
     );
     out.push(1, b"aaa").unwrap();
     out.push(2, b"bbb").unwrap();
-    out.flush_through(&2, Conn(0), &mut io);
+    out.flush_through(&2, ConnectionId(0), &mut io);
     assert!(out.holds(&2));
     io.room = 10;
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert_eq!(
         io.wrote, b"aaab",
         "not before the socket says that there is room"
     );
     out.unblock();
-    out.flush(Conn(0), &mut io);
+    out.flush(ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"aaabbb");
 }
 
@@ -141,11 +141,11 @@
     for (mark, piece) in [(1, &b"aaaa"[..]), (2, b"bbbbbb"), (3, b"cc")] {
         out.push(mark, piece).unwrap();
     }
-    out.flush(Conn(1), &mut io);
+    out.flush(ConnectionId(1), &mut io);
     assert_eq!(out.unbegun().collect::<Vec<_>>(), [&2, &3]);
     assert!(!out.replace(&1, b"x") && out.replace(&2, b"B") && out.replace(&3, b"CCCC"));
     out.unblock();
     io.room = 100;
-    out.flush(Conn(1), &mut io);
+    out.flush(ConnectionId(1), &mut io);
     assert_eq!((io.wrote.as_slice(), out.waiting()), (&b"aaaaBCCCC"[..], 0));
 }
--- a/crates/sanddrum-net/tests/races.rs
+++ b/crates/sanddrum-net/tests/races.rs
@@ -14,9 +14,9 @@
 
 #[derive(Default)]
 struct Seen {
-    accepted: Vec<Conn>,
-    connected: Vec<Conn>,
-    closed: Vec<(Conn, Closed)>,
+    accepted: Vec<ConnectionId>,
+    connected: Vec<ConnectionId>,
+    closed: Vec<(ConnectionId, CloseCause)>,
     bytes: usize,
 }
 
@@ -28,21 +28,21 @@
 
 impl<F: FnMut(&Event<'_>, &mut dyn Io)> Core for Scripted<F> {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         {
             let mut seen = self.seen.borrow_mut();
             match event {
                 Event::Accepted { conn, .. } => seen.accepted.push(conn),
                 Event::Connected { conn } => seen.connected.push(conn),
-                Event::Closed { conn, how } => seen.closed.push((conn, how)),
+                Event::Closed { conn, cause: how } => seen.closed.push((conn, how)),
                 Event::Bytes { bytes, .. } => seen.bytes += bytes.len(),
                 Event::Writable { .. } => {}
             }
         }
         (self.does)(&event, io);
     }
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
 }
@@ -76,7 +76,7 @@
 }
 /// A loop with one core behind one door.
 fn behind_a_door(core: Box<dyn Core>) -> (EventLoop, SocketAddr) {
-    let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
+    let mut driver = EventLoop::new(Box::new(NullObserver)).unwrap();
     let (listener, at) = EventLoop::bind("127.0.0.1:0").unwrap();
     driver.add(core, vec![listener], None).unwrap();
     (driver, at.parse().unwrap())
@@ -114,7 +114,7 @@
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
     let second = TcpListener::bind("127.0.0.1:0").unwrap();
     let (hangs, hangs_at, waiting) = full_listener();
-    let dials = Shared::<Vec<Conn>>::default();
+    let dials = Shared::<Vec<ConnectionId>>::default();
     let core_dials = dials.clone();
     // When the first connection says something, the second is left for a dial to a third.
     let (core, seen) = scripted(move |event, io| {
@@ -124,23 +124,23 @@
             core_dials.borrow_mut().push(third);
         }
     });
-    let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
+    let mut driver = EventLoop::new(Box::new(NullObserver)).unwrap();
     let ats = [
         first.local_addr().unwrap().to_string(),
         second.local_addr().unwrap().to_string(),
     ];
-    struct Starts(Box<dyn Core>, [String; 2], Shared<Vec<Conn>>);
+    struct Starts(Box<dyn Core>, [String; 2], Shared<Vec<ConnectionId>>);
     impl Core for Starts {
         fn start(&mut self, _: Micros, io: &mut dyn Io) {
             self.2
                 .borrow_mut()
                 .extend(self.1.iter().map(|at| io.connect(at)));
         }
-        fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-            self.0.event(now, event, io);
+        fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+            self.0.on_event(now, event, io);
         }
-        fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-        fn wake(&self) -> Option<Micros> {
+        fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+        fn next_wakeup(&self) -> Option<Micros> {
             None
         }
     }
@@ -205,7 +205,7 @@
         seen.borrow()
             .closed
             .iter()
-            .any(|(_, how)| *how == Closed::Reset)
+            .any(|(_, how)| *how == CloseCause::Reset)
     });
 }
 
--- a/crates/sanddrum-net/tests/stopping.rs
+++ b/crates/sanddrum-net/tests/stopping.rs
@@ -12,12 +12,12 @@
 #[derive(Default)]
 struct Echo {
     stopping: bool,
-    open: BTreeSet<Conn>,
+    open: BTreeSet<ConnectionId>,
 }
 
 impl Core for Echo {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => drop(self.open.insert(conn)),
             // What is said behind that may still be told, if it comes before the loop's last look.
@@ -25,21 +25,21 @@
             _ => {}
         }
     }
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
-    fn stop(&mut self, _: Micros, _: &mut dyn Io) {
+    fn shut_down(&mut self, _: Micros, _: &mut dyn Io) {
         self.stopping = true;
     }
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.stopping && self.open.is_empty()
     }
 }
 
 #[rstest]
 fn who_connected_before_the_door_closed_is_answered_and_nothing_is_reset_by_the_end() {
-    let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
+    let mut driver = EventLoop::new(Box::new(NullObserver)).unwrap();
     driver.catch_signals().unwrap();
     let (listener, at) = EventLoop::bind("127.0.0.1:0").unwrap();
     driver
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -18,7 +18,7 @@
 use session::{End, Step};
 pub use verify::Limited;
 
-use sanddrum_net::{Conn, Core, Door, Event, Io, Micros, Peer};
+use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros, PeerIdentity};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bounds on handshakes and on what waits for a socket.
@@ -44,12 +44,12 @@
     calls: Option<Side>,
     doors: Option<Side>,
     bounds: Bounds,
-    ends: BTreeMap<Conn, End>,
-    due: BTreeSet<(Micros, Conn)>,
+    ends: BTreeMap<ConnectionId, End>,
+    due: BTreeSet<(Micros, ConnectionId)>,
     /// Ends that may have news for the core, looked at once it is not being called.
-    news: BTreeSet<Conn>,
+    news: BTreeSet<ConnectionId>,
     /// Made on terms that are not in force any more, and not judged by the new ones yet.
-    stale: BTreeSet<Conn>,
+    stale: BTreeSet<ConnectionId>,
     handshakes: usize,
     look_at_ends: Micros,
 }
@@ -154,7 +154,7 @@
                 }
                 _ => false,
             };
-            self.core.stale(
+            self.core.on_credentials_changed(
                 now,
                 conn,
                 denied,
@@ -192,7 +192,7 @@
     }
 
     fn tell(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        self.core.event(
+        self.core.on_event(
             now,
             event,
             &mut Inside {
@@ -220,7 +220,14 @@
                         metrics::counter!("sanddrum_handshakes_total", "with" => with, "kind" => kind)
                             .increment(1);
                         match door {
-                            Some(door) => self.tell(now, Event::Accepted { conn, door }, io),
+                            Some(door) => self.tell(
+                                now,
+                                Event::Accepted {
+                                    conn,
+                                    listener: door,
+                                },
+                                io,
+                            ),
                             None => self.tell(now, Event::Connected { conn }, io),
                         }
                     }
@@ -241,7 +248,7 @@
                         }
                         self.inner.ends.remove(&conn);
                         if tells {
-                            self.tell(now, Event::Closed { conn, how }, io);
+                            self.tell(now, Event::Closed { conn, cause: how }, io);
                         }
                     }
                 }
@@ -251,18 +258,18 @@
 }
 
 impl Inner {
-    fn handshake_over(&mut self, conn: Conn) {
+    fn handshake_over(&mut self, conn: ConnectionId) {
         if let Some(end) = self.ends.get_mut(&conn).filter(|end| end.counts) {
             end.counts = false;
             self.handshakes -= 1;
         }
     }
-    fn begin(&mut self, now: Micros, conn: Conn, end: End) {
+    fn begin(&mut self, now: Micros, conn: ConnectionId, end: End) {
         self.ends.insert(conn, end);
         self.due
             .insert((now + self.bounds.handshake_time_out, conn));
     }
-    fn accept(&mut self, now: Micros, conn: Conn, door: Door, io: &mut dyn Io) {
+    fn accept(&mut self, now: Micros, conn: ConnectionId, door: ListenerId, io: &mut dyn Io) {
         if self.handshakes >= self.bounds.handshakes {
             tracing::warn!(
                 reason = "handshakes",
@@ -296,7 +303,7 @@
         );
         self.settle(now, io);
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         for side in self.inner.calls.iter().chain(&self.inner.doors) {
             side.terms().set_time(now);
         }
@@ -304,7 +311,10 @@
             Event::Accepted { .. } if self.inner.doors.is_none() => {
                 return self.tell(now, event, io)
             }
-            Event::Accepted { conn, door } => {
+            Event::Accepted {
+                conn,
+                listener: door,
+            } => {
                 self.inner.accept(now, conn, door, io);
                 conn
             }
@@ -324,12 +334,12 @@
             Event::Accepted { .. } | Event::Connected { .. } => end.connected(),
             Event::Bytes { bytes, .. } => end.came(bytes),
             Event::Writable { .. } => end.has_room(),
-            Event::Closed { how, .. } => end.closed(how),
+            Event::Closed { cause: how, .. } => end.closed(how),
         }
         self.inner.news.insert(conn);
         self.settle(now, io);
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some((at, conn)) = self.inner.due.first().copied().filter(|(at, _)| *at <= now) {
             self.inner.due.remove(&(at, conn));
             if let Some(end) = self.inner.ends.get_mut(&conn) {
@@ -341,7 +351,7 @@
         self.judge_stale(now, io);
         self.look_at_ends(now);
         self.settle(now, io);
-        self.core.turn(
+        self.core.process(
             now,
             &mut Inside {
                 inner: &mut self.inner,
@@ -351,22 +361,22 @@
         );
         self.settle(now, io);
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         let due = self.inner.due.first().map(|(at, _)| *at);
         let stale = (!self.inner.stale.is_empty()).then_some(0);
         self.core
-            .wake()
+            .next_wakeup()
             .into_iter()
             .chain(due)
             .chain(stale)
             .chain([self.inner.look_at_ends])
             .min()
     }
-    fn file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         if self.take_file(now, name, content) {
             return;
         }
-        self.core.file(
+        self.core.on_file(
             now,
             name,
             content,
@@ -378,8 +388,14 @@
         );
         self.settle(now, io);
     }
-    fn stale(&mut self, now: Micros, conn: Conn, denied: bool, io: &mut dyn Io) {
-        self.core.stale(
+    fn on_credentials_changed(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        denied: bool,
+        io: &mut dyn Io,
+    ) {
+        self.core.on_credentials_changed(
             now,
             conn,
             denied,
@@ -391,8 +407,8 @@
         );
         self.settle(now, io);
     }
-    fn stop(&mut self, now: Micros, io: &mut dyn Io) {
-        self.core.stop(
+    fn shut_down(&mut self, now: Micros, io: &mut dyn Io) {
+        self.core.shut_down(
             now,
             &mut Inside {
                 inner: &mut self.inner,
@@ -402,11 +418,11 @@
         );
         self.settle(now, io);
     }
-    fn report(&mut self, now: Micros) {
-        self.core.report(now);
+    fn log_status(&mut self, now: Micros) {
+        self.core.log_status(now);
     }
-    fn done(&self) -> bool {
-        self.core.done() && self.inner.ends.values().all(End::is_flushed)
+    fn is_done(&self) -> bool {
+        self.core.is_done() && self.inner.ends.values().all(End::is_flushed)
     }
 }
 
@@ -418,10 +434,10 @@
 }
 
 impl Io for Inside<'_> {
-    fn connect(&mut self, to: &str) -> Conn {
+    fn connect(&mut self, to: &str) -> ConnectionId {
         self.io.connect(to)
     }
-    fn connect_named(&mut self, to: &str, name: &str) -> Conn {
+    fn connect_named(&mut self, to: &str, name: &str) -> ConnectionId {
         let Some(side) = &self.inner.calls else {
             return self.io.connect_named(to, name);
         };
@@ -434,7 +450,7 @@
         self.inner.news.insert(conn);
         conn
     }
-    fn peer(&self, conn: Conn) -> Option<Peer> {
+    fn peer(&self, conn: ConnectionId) -> Option<PeerIdentity> {
         match self.inner.ends.get(&conn) {
             Some(end) => Some(end.peer()),
             None => self.io.peer(conn),
@@ -446,10 +462,10 @@
     fn earliest_arrival(&self, now: Micros) -> Micros {
         self.io.earliest_arrival(now)
     }
-    fn is_held_up(&self) -> bool {
-        self.io.is_held_up()
+    fn is_delayed(&self) -> bool {
+        self.io.is_delayed()
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         match self.inner.ends.get_mut(&conn) {
             Some(end) => {
                 let taken = end.write(conn, bytes, self.io);
@@ -462,7 +478,7 @@
             None => self.io.write(conn, bytes),
         }
     }
-    fn close(&mut self, conn: Conn) {
+    fn close(&mut self, conn: ConnectionId) {
         match self.inner.ends.get_mut(&conn) {
             Some(end) => {
                 end.close();
@@ -471,16 +487,16 @@
             None => self.io.close(conn),
         }
     }
-    fn reset(&mut self, conn: Conn) {
+    fn reset(&mut self, conn: ConnectionId) {
         self.inner.handshake_over(conn);
         self.inner.ends.remove(&conn);
         self.io.reset(conn);
     }
-    fn pause(&mut self, conn: Conn, paused: bool) {
+    fn pause(&mut self, conn: ConnectionId, paused: bool) {
         self.io.pause(conn, paused);
     }
-    fn save(&mut self, state: &[u8]) {
-        self.io.save(state);
+    fn save_state(&mut self, state: &[u8]) {
+        self.io.save_state(state);
     }
     fn audit(&mut self, line: &str) {
         self.io.audit(line);
--- a/crates/sanddrum-tls/src/session.rs
+++ b/crates/sanddrum-tls/src/session.rs
@@ -3,18 +3,18 @@
 use crate::certificates::{self, KeyPrint, TermsError};
 use crate::config::Terms;
 use rustls::{ClientConnection, Connection, HandshakeKind, ServerConnection};
-use sanddrum_net::{Closed, Conn, Door, Io, Micros, Peer};
+use sanddrum_net::{CloseCause, ConnectionId, Io, ListenerId, Micros, PeerIdentity};
 use std::io::{Read, Write};
 
 /// What an end has for its core.
 pub(crate) enum Step {
     /// The handshake is done; with a door where it was accepted.
-    Up(Option<Door>),
+    Up(Option<ListenerId>),
     Bytes(Vec<u8>),
     Room,
     /// The last one. `tells`: the core has not ended it itself.
     Over {
-        how: Closed,
+        how: CloseCause,
         tells: bool,
         why: Option<String>,
     },
@@ -23,7 +23,7 @@
 pub(crate) struct End {
     tls: Option<Connection>,
     name: String,
-    door: Option<Door>,
+    door: Option<ListenerId>,
     waiting: usize,
     /// It counts among the handshakes under way.
     pub counts: bool,
@@ -33,7 +33,7 @@
     short: bool,
     closing: bool,
     /// The connection is gone, or to go.
-    over: Option<(Closed, Option<String>)>,
+    over: Option<(CloseCause, Option<String>)>,
     /// The driver told so itself; there is nothing left to end.
     gone: bool,
     plain: Vec<u8>,
@@ -41,7 +41,7 @@
 }
 
 impl End {
-    fn new(tls: Option<Connection>, name: &str, door: Option<Door>, waiting: usize) -> Self {
+    fn new(tls: Option<Connection>, name: &str, door: Option<ListenerId>, waiting: usize) -> Self {
         End {
             tls,
             name: name.to_string(),
@@ -59,7 +59,7 @@
             out: Vec::new(),
         }
     }
-    pub fn accepted(tls: ServerConnection, door: Door, waiting: usize) -> Self {
+    pub fn accepted(tls: ServerConnection, door: ListenerId, waiting: usize) -> Self {
         End::new(Some(tls.into()), "a caller", Some(door), waiting)
     }
     pub fn called(tls: ClientConnection, name: &str, waiting: usize) -> Self {
@@ -68,7 +68,7 @@
     /// One that can't be begun at all.
     pub fn never(why: String) -> Self {
         let mut end = End::new(None, "", None, 0);
-        end.over = Some((Closed::Refused, Some(why)));
+        end.over = Some((CloseCause::Refused, Some(why)));
         end
     }
     pub fn connected(&mut self) {
@@ -98,24 +98,24 @@
         self.tls.as_ref().and_then(|tls| tls.handshake_kind()) == Some(HandshakeKind::Resumed)
     }
     /// What the other side has proved.
-    pub fn peer(&self) -> Peer {
+    pub fn peer(&self) -> PeerIdentity {
         let chain = self
             .tls
             .as_ref()
             .and_then(|tls| tls.peer_certificates())
             .unwrap_or_default();
         let Some(leaf) = chain.first() else {
-            return Peer {
+            return PeerIdentity {
                 resumed: self.is_resumed(),
-                ..Peer::default()
+                ..PeerIdentity::default()
             };
         };
         let key = KeyPrint::of_certificate(leaf)
             .map(|print| print.to_string())
             .unwrap_or_default();
-        Peer {
+        PeerIdentity {
             names: certificates::names(leaf),
-            key,
+            key_fingerprint: key,
             resumed: self.is_resumed(),
         }
     }
@@ -134,9 +134,9 @@
     }
     fn fail(&mut self, why: String) {
         let how = if self.told_up {
-            Closed::Reset
+            CloseCause::Reset
         } else {
-            Closed::Refused
+            CloseCause::Refused
         };
         self.over.get_or_insert((how, Some(why)));
     }
@@ -166,16 +166,16 @@
             let why = format!("{}: {problem}", self.name);
             self.fail(why);
         } else if notified {
-            self.over.get_or_insert((Closed::InOrder, None));
+            self.over.get_or_insert((CloseCause::Orderly, None));
         }
     }
     /// The connection is gone. Without a close-notify before, it was cut short.
-    pub fn closed(&mut self, how: Closed) {
+    pub fn closed(&mut self, how: CloseCause) {
         self.gone = true;
         let how = match (self.told_up, how) {
-            (false, _) => Closed::Refused,
-            (true, Closed::Refused) => Closed::Refused,
-            (true, _) => Closed::Reset,
+            (false, _) => CloseCause::Refused,
+            (true, CloseCause::Refused) => CloseCause::Refused,
+            (true, _) => CloseCause::Reset,
         };
         self.over.get_or_insert((how, None));
     }
@@ -186,7 +186,7 @@
         }
     }
     /// Takes plain bytes as far as there is room for their ciphertext.
-    pub fn write(&mut self, conn: Conn, bytes: &[u8], io: &mut dyn Io) -> usize {
+    pub fn write(&mut self, conn: ConnectionId, bytes: &[u8], io: &mut dyn Io) -> usize {
         let room = self.waiting.saturating_sub(self.out.len());
         let Some(tls) = self
             .tls
@@ -208,7 +208,7 @@
         self.short = taken < bytes.len();
         taken
     }
-    fn flush(&mut self, conn: Conn, io: &mut dyn Io) {
+    fn flush(&mut self, conn: ConnectionId, io: &mut dyn Io) {
         if let Some(tls) = &mut self.tls {
             while tls.wants_write() && tls.write_tls(&mut self.out).is_ok() {}
         }
@@ -219,7 +219,7 @@
         }
     }
     /// The next thing that its core is to know.
-    pub fn step(&mut self, conn: Conn, io: &mut dyn Io) -> Option<Step> {
+    pub fn step(&mut self, conn: ConnectionId, io: &mut dyn Io) -> Option<Step> {
         self.flush(conn, io);
         let handshaking = self.tls.as_ref().is_none_or(|tls| tls.is_handshaking());
         if !self.told_up && self.connected && !handshaking && !self.closing {
@@ -234,7 +234,7 @@
                 io.close(conn);
             }
             return Some(Step::Over {
-                how: Closed::InOrder,
+                how: CloseCause::Orderly,
                 tells: false,
                 why: None,
             });
@@ -242,7 +242,7 @@
         if let Some((how, why)) = self.over.take() {
             match (self.gone, how) {
                 (true, _) => {}
-                (false, Closed::InOrder) => io.close(conn),
+                (false, CloseCause::Orderly) => io.close(conn),
                 (false, _) => io.reset(conn),
             }
             // A caller whose handshake failed was never told of.
--- a/crates/sanddrum-tls/tests/stories.rs
+++ b/crates/sanddrum-tls/tests/stories.rs
@@ -21,8 +21,8 @@
 struct Seen {
     came: Vec<u8>,
     up: u32,
-    closed: Vec<Closed>,
-    peers: Vec<Peer>,
+    closed: Vec<CloseCause>,
+    peers: Vec<PeerIdentity>,
     stale: Vec<bool>,
 }
 type Shared<T> = Rc<RefCell<T>>;
@@ -32,7 +32,7 @@
     calls: Option<(String, String)>,
     says: Vec<u8>,
     said: usize,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     echoes: bool,
     seen: Shared<Seen>,
 }
@@ -83,7 +83,7 @@
             }
         }
     }
-    fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } | Event::Connected { conn } => {
                 self.conn = Some(conn);
@@ -97,18 +97,18 @@
                 }
             }
             Event::Writable { .. } => {}
-            Event::Closed { how, .. } => {
+            Event::Closed { cause: how, .. } => {
                 self.conn = None;
                 self.seen.borrow_mut().closed.push(how);
             }
         }
         self.say(io);
     }
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
-    fn stale(&mut self, _: Micros, _: Conn, denied: bool, _: &mut dyn Io) {
+    fn on_credentials_changed(&mut self, _: Micros, _: ConnectionId, denied: bool, _: &mut dyn Io) {
         self.seen.borrow_mut().stale.push(denied);
     }
 }
@@ -209,12 +209,12 @@
     }
 }
 fn net(seed: u64) -> VirtualNet {
-    let links = Links {
-        split: 0.5,
+    let links = LinkModel {
+        split_share: 0.5,
         window: 30_000,
-        ..Links::default()
+        ..LinkModel::default()
     };
-    VirtualNet::new(seed, NOW, links, Box::new(NoTap))
+    VirtualNet::new(seed, NOW, links, Box::new(NullObserver))
 }
 fn run(net: &mut VirtualNet, seconds: i64) {
     let until = net.now() + seconds * 1_000_000;
@@ -240,7 +240,7 @@
 fn they_talk_on_sockets_too() {
     let authority = Authority::new();
     let (server, heard) = Talker::listens();
-    let mut driver = EventLoop::new(Box::new(NoTap)).unwrap();
+    let mut driver = EventLoop::new(Box::new(NullObserver)).unwrap();
     let (door, at) = EventLoop::bind("127.0.0.1:0").unwrap();
     let served = authority.side(Some(authority.leaf(NAME, 2040)), Asks::No);
     driver
@@ -283,7 +283,11 @@
     net.add(0, &[], dials(client, authority.side(None, Asks::No)));
     run(&mut net, 3);
     assert_eq!(heard.borrow().came.is_empty(), !good);
-    let closed = if good { vec![] } else { vec![Closed::Refused] };
+    let closed = if good {
+        vec![]
+    } else {
+        vec![CloseCause::Refused]
+    };
     assert_eq!(
         (seen.borrow().up, seen.borrow().closed.clone()),
         (u32::from(good), closed)
@@ -362,7 +366,7 @@
     assert_eq!(seen.borrow().came, b"x");
     net.kill(host);
     run(&mut net, 1);
-    assert_eq!(seen.borrow().closed, [Closed::Reset]);
+    assert_eq!(seen.borrow().closed, [CloseCause::Reset]);
 }
 
 #[rstest]
@@ -542,7 +546,7 @@
     fn start(&mut self, _: Micros, io: &mut dyn Io) {
         io.connect_named(&self.to, NAME);
     }
-    fn event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
                 self.resumed
@@ -561,12 +565,12 @@
             Event::Accepted { .. } | Event::Writable { .. } => {}
         }
     }
-    fn file(&mut self, _: Micros, _: &str, _: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(&mut self, _: Micros, _: &str, _: Result<&[u8], &str>, io: &mut dyn Io) {
         self.left += 1;
         io.connect_named(&self.to, NAME);
     }
-    fn turn(&mut self, _: Micros, _: &mut dyn Io) {}
-    fn wake(&self) -> Option<Micros> {
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
         None
     }
 }
@@ -649,12 +653,17 @@
     ] {
         let (server, heard) = Talker::listens();
         let (client, _) = Talker::calls("a:1", NAME, b"x");
-        let links = Links {
-            split: 0.5,
+        let links = LinkModel {
+            split_share: 0.5,
             window: 30_000,
-            ..Links::default()
+            ..LinkModel::default()
         };
-        let mut net = VirtualNet::new(1, truth + days * 86_400 * 1_000_000, links, Box::new(NoTap));
+        let mut net = VirtualNet::new(
+            1,
+            truth + days * 86_400 * 1_000_000,
+            links,
+            Box::new(NullObserver),
+        );
         net.add(
             0,
             &["a:1"],
@@ -669,7 +678,7 @@
 /// Writes these bytes, one at each of its wakes.
 struct Drips {
     bytes: Vec<u8>,
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     next: Micros,
     every: Micros,
     ended: Shared<Option<Micros>>,
@@ -679,19 +688,19 @@
         self.conn = Some(io.connect("a:1"));
         self.next = now + self.every;
     }
-    fn event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
+    fn on_event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
         if let Event::Closed { .. } = event {
             *self.ended.borrow_mut() = Some(now);
             self.conn = None;
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         if let (Some(conn), true) = (self.conn, now >= self.next && !self.bytes.is_empty()) {
             io.write(conn, &[self.bytes.remove(0)]);
             self.next = now + self.every;
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         (self.conn.is_some() && !self.bytes.is_empty()).then_some(self.next)
     }
 }
@@ -771,7 +780,7 @@
             heard
                 .peers
                 .iter()
-                .map(|peer| peer.key.clone())
+                .map(|peer| peer.key_fingerprint.clone())
                 .collect::<Vec<_>>(),
             peers
         );
@@ -856,7 +865,7 @@
 
 /// Writes a long message in its turns, as it has room, and not while it is told of something.
 struct InTurns {
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     left: usize,
     blocked: bool,
 }
@@ -864,14 +873,14 @@
     fn start(&mut self, _: Micros, io: &mut dyn Io) {
         io.connect_named("a:1", NAME);
     }
-    fn event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
+    fn on_event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
             Event::Connected { conn } => self.conn = Some(conn),
             Event::Writable { .. } => self.blocked = false,
             _ => {}
         }
     }
-    fn turn(&mut self, now: Micros, io: &mut dyn Io) {
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
         // Later than all that a handshake brings.
         let may = now >= NOW + 1_000_000 && !self.blocked && self.left > 0;
         if let Some(conn) = self.conn.filter(|_| may) {
@@ -880,7 +889,7 @@
             self.blocked = self.left > 0;
         }
     }
-    fn wake(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         (self.left > 0 && !self.blocked).then_some(NOW + 1_000_000)
     }
 }
@@ -897,11 +906,11 @@
     let mut net = VirtualNet::new(
         1,
         NOW,
-        Links {
+        LinkModel {
             window,
-            ..Links::default()
+            ..LinkModel::default()
         },
-        Box::new(NoTap),
+        Box::new(NullObserver),
     );
     net.add(
         0,
