--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,6 +9,7 @@
 mod decisions;
 mod events;
 mod ids;
+mod lazy;
 pub mod logic;
 pub mod rendezvous;
 mod settings;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -15,7 +15,7 @@
 mod rules;
 mod worker_view;
 
-use crate::rendezvous::Order;
+use crate::rendezvous::RendezvousTree;
 use crate::state::*;
 use crate::statistics::hash_of;
 use crate::*;
@@ -39,7 +39,7 @@
     now: Micros,
     workers: BTreeMap<WorkerId, Worker>,
     /// Workers listed as ready, by which homes are drawn; those that reported, by when; those suspected.
-    listed: Order,
+    listed: RendezvousTree,
     told: BTreeSet<(Micros, WorkerId)>,
     suspects: BTreeSet<WorkerId>,
     functions: Functions,
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -3,7 +3,7 @@
 use super::constants::*;
 use super::Router;
 use crate::state::*;
-use crate::statistics::{faded, middle, tie};
+use crate::statistics::{decayed, median, tie_break, unit_interval};
 use crate::*;
 
 impl Router {
@@ -48,12 +48,12 @@
             .filter(|w| w.ready());
         let last: Vec<&Worker> = last.take(HEARD_LAST).collect();
         let typical =
-            |figure: &dyn Fn(&Worker) -> f64| middle(last.iter().map(|w| figure(w)).collect());
+            |figure: &dyn Fn(&Worker) -> f64| median(last.iter().map(|w| figure(w)).collect());
         let (pace, crowding) = (typical(&|w| w.pace_now(now)), typical(&|w| w.crowding(now)));
         let loads = typical(&|w| w.report.loads_in_progress.unwrap_or(0.0));
         let size = |w: &Worker| w.row.size.max(f64::MIN_POSITIVE);
         let held = last.iter().filter(|w| w.report_at > 0);
-        let held = middle(
+        let held = median(
             held.filter_map(|w| w.report.in_flight.map(|held| held / size(w)))
                 .collect(),
         );
@@ -83,7 +83,7 @@
         self.waits = if told.is_empty() {
             0.0
         } else {
-            middle(newest.map(|(_, (_, part))| *part).collect())
+            median(newest.map(|(_, (_, part))| *part).collect())
         };
         self.middle = Middle {
             pace,
@@ -101,7 +101,7 @@
         self.middle.crowding > PRESSED || self.waits > WAITING
     }
     pub(super) fn load_pace_now(&self) -> f64 {
-        faded(
+        decayed(
             self.load_pace,
             1.0,
             self.now - self.load_pace_at,
@@ -164,7 +164,7 @@
     pub(super) fn drawn(&self, by: u64, w: &Worker) -> f64 {
         let size = w.row.size.max(f64::MIN_POSITIVE);
         let held = 1.0 + w.held_now(self.now, self.middle.held);
-        -(tie(FunctionId(by), w.row.worker) as f64 / u64::MAX as f64).ln() / size * held
+        -unit_interval(tie_break(FunctionId(by), w.row.worker)).ln() / size * held
     }
     /// A function's homes where a job may go, by draws that favour large workers: all routers find the same
     /// ones and share copies. Guards against a pass over a large fleet for each job: the next is found when
@@ -176,7 +176,7 @@
         work: f64,
     ) -> impl Iterator<Item = &'a Worker> + 'a {
         let fits = move |w: &&Worker| self.may_get(held, w, work);
-        let drawn = move || self.listed.drawn(key).take(2 * HOMES * LOOKS);
+        let drawn = move || self.listed.ranking(key).take(2 * HOMES * LOOKS);
         let drawn = move || {
             drawn()
                 .filter_map(|w| self.workers.get(&WorkerId(w)))
--- a/src/logic/keep_alive.rs
+++ b/src/logic/keep_alive.rs
@@ -33,7 +33,7 @@
         let renews = longer > keep && self.now < function.last_job + longer;
         let hashed = self
             .listed
-            .drawn(hash_of((id, me)))
+            .ranking(hash_of((id, me)))
             .map(WorkerId)
             .take(2 * HOMES * LOOKS);
         let last = function.warm_last.into_iter().chain(hashed).find(is_ready);
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -3,7 +3,7 @@
 use super::constants::*;
 use super::Router;
 use crate::state::*;
-use crate::statistics::{drop_until, faded};
+use crate::statistics::{decayed, remove_until, unit_interval};
 use crate::*;
 use std::collections::BTreeSet;
 
@@ -61,7 +61,7 @@
         // Guards against one that was away while suspected: it would never count among most that look ill.
         self.suspects.extend(worker.suspect.then_some(row.worker));
         match row.state {
-            WorkerState::Ready => self.listed.put(row.worker.0, size),
+            WorkerState::Ready => self.listed.insert(row.worker.0, size),
             WorkerState::Draining | WorkerState::Gone => self.listed.remove(row.worker.0),
         }
         self.told.remove(&told);
@@ -87,8 +87,8 @@
         function.lanes = (job.concurrency as u32).max(1);
         function.load = job.load_time.map_or(function.load, |told| told as f64);
         let keep = self.terms.keep_alive as f64;
-        function.calls = 1.0 + faded(function.calls, 0.0, self.now - function.last_job, keep);
-        self.calls = 1.0 + faded(self.calls, 0.0, self.now - self.calls_at, keep);
+        function.calls = 1.0 + decayed(function.calls, 0.0, self.now - function.last_job, keep);
+        self.calls = 1.0 + decayed(self.calls, 0.0, self.now - self.calls_at, keep);
         (self.calls_at, function.last_job) = (self.now, self.now);
         self.jobs.insert(
             job.id,
@@ -101,7 +101,7 @@
         self.due.insert((job.deadline, Due::JobEnds(job.id)));
         self.todo.insert(job.id);
         if self.terms.orders && self.terms.load_window > 0 {
-            drop_until(&mut self.taken, self.now - self.terms.load_window);
+            remove_until(&mut self.taken, self.now - self.terms.load_window);
             self.taken.push_back(self.now);
         }
         self.inflow = self.inflow_now() + self.work_of(job) / self.terms.fall;
@@ -345,8 +345,7 @@
                 .replace(end.function)
                 .is_some_and(|other| other != end.function)
             {
-                self.loads_again =
-                    now + (load * (0.5 + self.chance() as f64 / u64::MAX as f64)) as Micros;
+                self.loads_again = now + (load * (0.5 + unit_interval(self.chance()))) as Micros;
             }
         }
         self.functions.put(end.function, end.worker, place);
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -2,9 +2,9 @@
 
 use super::constants::*;
 use super::Router;
-use crate::rendezvous::Lazily;
+use crate::lazy::LazyList;
 use crate::state::*;
-use crate::statistics::hash_of;
+use crate::statistics::{hash_of, unit_interval};
 use crate::*;
 
 impl Router {
@@ -39,7 +39,7 @@
         let hopeless = left <= usual as Micros || tries >= self.terms.max_executions as usize;
         // Guards against overload that no single worker shows: where all are pressed, the part taken follows
         // from late and full answers, cheap jobs go first; one is taken where nobody was heard of for long.
-        let luck = hash_of((self.seed, id)) as f64 / u64::MAX as f64;
+        let luck = unit_interval(hash_of((self.seed, id)));
         let dear = self.earning(&job) >= self.earned * (1.0 - LATE_CUT);
         let part = 2.0 * self.taking - if dear { 0.0 } else { 1.0 };
         let shed = came == self.now && tries == 0 && self.pressed() && luck > part && self.heard;
@@ -88,7 +88,7 @@
             .max((self.listed.len() as f64).sqrt().ceil() as usize)
             .min(2 * HOMES);
         let homes =
-            Lazily::new(self.homes(held, hash_of((job.function, draw % parts as u64)), work));
+            LazyList::new(self.homes(held, hash_of((job.function, draw % parts as u64)), work));
         let place_at = |w: &Worker| function.place(w.row.worker);
 
         // Exception: a function's homes are presumed warm where the others, sending as this router does, call
@@ -398,7 +398,7 @@
                 .map_or(0.0, |f| f.load * self.load_pace_now());
             let shed = self.target(job.workload) as f64 * (1.0 - self.taking) / 2.0;
             let wait = if self.pressed() { shed } else { load }.max(self.work_of(&job));
-            let wait = (wait * (0.5 + self.chance() as f64 / u64::MAX as f64)) as Micros;
+            let wait = (wait * (0.5 + unit_interval(self.chance()))) as Micros;
             out.reject(id, wait.min(self.terms.max_retry_after));
         } else {
             out.fail(id);
--- a/src/logic/rules.rs
+++ b/src/logic/rules.rs
@@ -3,7 +3,7 @@
 use super::constants::*;
 use super::Router;
 use crate::state::*;
-use crate::statistics::{drop_until, hash_of};
+use crate::statistics::{hash_of, remove_until, unit_interval};
 use crate::*;
 
 impl Router {
@@ -11,7 +11,7 @@
     /// saved up over no more than the rule's window; all together stay near what it can do. What is saved up
     /// for a part only goes by chance, or many routers would each save up a job and send them together.
     pub(super) fn cold_room(&self, to: &Worker, job: RequestId, work: f64) -> bool {
-        let drawn = || hash_of((self.seed, to.row.worker, job)) as f64 / u64::MAX as f64;
+        let drawn = || unit_interval(hash_of((self.seed, to.row.worker, job)));
         self.cold_budget(to)
             .is_none_or(|budget| budget > drawn() * work)
     }
@@ -23,7 +23,7 @@
         let age = (now - worker.row.started_at).max(0);
         let from = self.terms.cold_from;
         let part = from + (1.0 - from) * age as f64 / span as f64;
-        let share = worker.row.size / self.listed.total().max(worker.row.size);
+        let share = worker.row.size / self.listed.total_weight().max(worker.row.size);
         let rate = self.inflow_now() * share * part * COLD_CAUTION;
         let saved = worker.budget + rate * (now - worker.budget_at).max(0) as f64;
         Some(saved.min(rate * fall))
@@ -66,8 +66,8 @@
             return false;
         }
         let window = self.terms.load_window;
-        drop_until(&mut self.taken, self.now - window);
-        drop_until(&mut self.ordered, self.now - window);
+        remove_until(&mut self.taken, self.now - window);
+        remove_until(&mut self.ordered, self.now - window);
         let most = self.terms.load_free + self.terms.load_share * self.taken.len() as f64;
         if window > 0 && (self.ordered.len() + 1) as f64 > most {
             return false;
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -2,7 +2,7 @@
 
 use super::constants::*;
 use crate::state::Worker;
-use crate::statistics::faded;
+use crate::statistics::decayed;
 use crate::*;
 
 impl Worker {
@@ -10,7 +10,7 @@
         self.row.state == WorkerState::Ready && !self.suspect
     }
     pub(super) fn pace_now(&self, now: Micros) -> f64 {
-        faded(self.pace, self.calm, now - self.pace_at, PACE_FADES_US)
+        decayed(self.pace, self.calm, now - self.pace_at, PACE_FADES_US)
     }
     /// How many times longer than when calm jobs take here of late.
     pub(super) fn crowding(&self, now: Micros) -> f64 {
@@ -32,7 +32,7 @@
     pub(super) fn held_now(&self, now: Micros, middle: f64) -> f64 {
         let held = self.report.in_flight.unwrap_or(middle * self.row.size)
             / self.row.size.max(f64::MIN_POSITIVE);
-        faded(held, middle, now - self.report_at, REPORT_FADES_US)
+        decayed(held, middle, now - self.report_at, REPORT_FADES_US)
     }
     /// What part of the jobs it last reported waits, or whether all its cores were busy, where it tells. A
     /// load under way is a job that waits, but not for a core, where workers load by themselves.
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,220 +1,224 @@
-//! An order of weighted keys drawn from a seed, the same for all who know the same keys, and found a step at a time: the
-//! next key costs draws along one path of a tree, however many keys there are. Knows nothing of what the keys are.
+//! Weighted rendezvous hashing over a tree: every router that knows the same keys ranks them alike for a seed, and finds
+//! the ranking a step at a time. The next key costs draws along one path of the tree, however many keys there are.
 //!
-//! Each key has a place in a tree of fixed shape, by a hash of the key alone. Among siblings the one with the least
-//! `-ln(draw) / weight` comes first (weighted rendezvous hashing), the others later by what theirs exceeds it: a race
-//! of exponential clocks, in which what is left after the first is again a race. So each key comes first as often as
-//! its weight says, and a change of one key's weight moves others only in that proportion, once for each level.
+//! A key's position in the tree of fixed shape follows from a hash of the key alone. Among siblings, the one with the
+//! least `-ln(draw) / weight` ranks first and the others later by the difference: a race of exponential clocks, in which
+//! what is left after the first is again a race. So each key ranks first with a probability in proportion to its weight,
+//! and changing one key's weight moves others only in that proportion, once for each level.
 
-use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Children of a node, as bits of a key's hash.
-const BITS: u32 = 4;
-/// Levels of nodes; below the last one are the keys themselves.
-const LEVELS: u32 = 3;
-/// Weights are kept as whole steps, so that sums do not depend on the order in which keys came.
-const STEPS: f64 = 65_536.0;
+/// Levels of inner nodes below the root; the keys themselves are below the last one.
+pub const LEVELS: u32 = 3;
+/// Bits of a key's hash that select a child: a node has 16 children.
+const BITS_PER_LEVEL: u32 = 4;
+/// Weights are kept as integral steps, so that sums do not depend on the order in which keys were inserted.
+const STEPS_PER_UNIT: f64 = 65_536.0;
+/// The golden ratio as a fraction of 2^64 (Fibonacci hashing): spreads consecutive inputs.
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
+/// Weighted keys in a tree from which rankings are drawn.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Weights of all nodes, level after level.
-    sums: Vec<u64>,
-    /// The keys below each node of the last level.
+pub struct RendezvousTree {
+    /// Weights of all inner nodes in steps, level after level.
+    node_weights: Vec<u64>,
+    /// Weights in steps of the keys, by their node of the last level.
     keys: BTreeMap<(usize, u64), u64>,
-    total: u64,
+    total_weight: u64,
 }
 
-impl Default for Order {
+impl Default for RendezvousTree {
     fn default() -> Self {
-        Order {
-            sums: vec![0; first(LEVELS + 1)],
+        RendezvousTree {
+            node_weights: vec![0; level_offset(LEVELS + 1)],
             keys: BTreeMap::new(),
-            total: 0,
+            total_weight: 0,
         }
     }
 }
 
-/// The first node of a level; the root is level nought and has no sum of its own here.
-fn first(level: u32) -> usize {
-    (1..level).map(|l| 1usize << (BITS * l)).sum()
+/// The index in `node_weights` of a level's first node; the root is level zero and is not stored.
+fn level_offset(level: u32) -> usize {
+    (1..level).map(|l| 1usize << (BITS_PER_LEVEL * l)).sum()
 }
 
-fn mixed(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+/// The finalizer of SplitMix64: a bijection in which every input bit affects every output bit.
+fn mix(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
 
-/// Where a key stands among the nodes of a level.
-pub fn cell(key: u64, level: u32) -> usize {
-    (mixed(key.wrapping_add(0x9e37_79b9_7f4a_7c15)) >> (64 - BITS * level)) as usize
+/// The node of a level, counted from its first one, that a key is below.
+pub fn node_of(key: u64, level: u32) -> usize {
+    (mix(key.wrapping_add(GOLDEN_RATIO)) >> (64 - BITS_PER_LEVEL * level)) as usize
 }
 
-/// What all draws of a seed on one level share.
-pub fn draws(seed: u64, level: u32) -> u64 {
-    mixed(seed ^ u64::from(level).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+/// The seed of all draws on one level of the tree.
+pub fn level_seed(seed: u64, level: u32) -> u64 {
+    mix(seed ^ u64::from(level).wrapping_mul(GOLDEN_RATIO))
 }
 
-/// How long the clock of a node, or of a key, takes: exponential, the sooner the more it weighs.
-pub fn clock(draws: u64, at: u64, weight: u64) -> f64 {
-    let draw = mixed(draws ^ mixed(at));
+/// The exponentially distributed clock of a node or key, with a rate in proportion to its weight.
+pub fn exponential_clock(level_seed: u64, node: u64, weight: u64) -> f64 {
+    let draw = mix(level_seed ^ mix(node));
     -((draw as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / weight as f64
 }
 
-/// A weight in whole steps; one step for what weighs nothing.
-pub fn steps(weight: f64) -> u64 {
-    ((weight * STEPS) as u64).max(1)
+/// A weight in whole steps, at least one.
+pub fn weight_steps(weight: f64) -> u64 {
+    ((weight * STEPS_PER_UNIT) as u64).max(1)
 }
 
-/// The levels of nodes of every order.
-pub const fn levels() -> u32 {
-    LEVELS
-}
-
-impl Order {
-    /// Adds a key, or changes its weight.
-    pub fn put(&mut self, key: u64, weight: f64) {
-        let before = self
-            .keys
-            .insert((cell(key, LEVELS), key), steps(weight))
-            .unwrap_or(0);
-        self.change(key, before, steps(weight));
+impl RendezvousTree {
+    /// Inserts a key or changes its weight.
+    pub fn insert(&mut self, key: u64, weight: f64) {
+        let steps = weight_steps(weight);
+        let position = (node_of(key, LEVELS), key);
+        let before = self.keys.insert(position, steps).unwrap_or(0);
+        self.change_weight(key, before, steps);
     }
 
+    /// Removes a key; does nothing if it is not there.
     pub fn remove(&mut self, key: u64) {
-        if let Some(before) = self.keys.remove(&(cell(key, LEVELS), key)) {
-            self.change(key, before, 0);
+        if let Some(before) = self.keys.remove(&(node_of(key, LEVELS), key)) {
+            self.change_weight(key, before, 0);
         }
     }
 
-    fn change(&mut self, key: u64, before: u64, after: u64) {
+    fn change_weight(&mut self, key: u64, before: u64, after: u64) {
         let changed = |sum: u64| sum.saturating_sub(before).saturating_add(after);
-        self.total = changed(self.total);
+        self.total_weight = changed(self.total_weight);
         for level in 1..=LEVELS {
-            if let Some(sum) = self.sums.get_mut(first(level) + cell(key, level)) {
+            let index = level_offset(level) + node_of(key, level);
+            if let Some(sum) = self.node_weights.get_mut(index) {
                 *sum = changed(*sum);
             }
         }
     }
 
+    /// The number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// The weight of all keys.
-    pub fn total(&self) -> f64 {
-        self.total as f64 / STEPS
+    /// The sum of all keys' weights.
+    pub fn total_weight(&self) -> f64 {
+        self.total_weight as f64 / STEPS_PER_UNIT
     }
 
-    /// The keys in the order drawn by this seed, each found when it is asked for.
-    pub fn drawn(&self, seed: u64) -> Drawn<'_> {
-        let later = if self.is_empty() {
+    /// The keys in the order that the seed draws, each found when it is asked for.
+    pub fn ranking(&self, seed: u64) -> Ranking<'_> {
+        let root = Contender {
+            time_bits: 0,
+            level: 0,
+            node: 0,
+        };
+        let contenders = if self.is_empty() {
             Vec::new()
         } else {
-            vec![Reverse((0, 0, 0))]
+            vec![Reverse(root)]
         };
-        Drawn {
-            order: self,
+        Ranking {
+            tree: self,
             seed,
-            later: later.into(),
-            drawn: Vec::new(),
+            contenders: contenders.into(),
+            siblings: Vec::new(),
         }
     }
 }
 
-/// See [`Order::drawn`].
-pub struct Drawn<'a> {
-    order: &'a Order,
+/// A node or key that ranks after those found so far. Ordered by time: the bits of a positive float sort as it does.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Contender {
+    time_bits: u64,
+    level: u32,
+    node: u64,
+}
+
+/// A child of the node that is being descended into.
+#[derive(Clone, Copy)]
+struct Sibling {
+    clock: f64,
+    node: u64,
+    weight: u64,
+}
+
+/// Iterates over keys by rank; see [`RendezvousTree::ranking`].
+pub struct Ranking<'a> {
+    tree: &'a RendezvousTree,
     seed: u64,
-    /// Nodes and keys that come later: the bits of when, which are in the order of the times, level and place there.
-    later: BinaryHeap<Reverse<(u64, u32, u64)>>,
-    drawn: Vec<(f64, u64, u64)>,
+    contenders: BinaryHeap<Reverse<Contender>>,
+    /// Scratch space of one descent, kept to save allocations.
+    siblings: Vec<Sibling>,
 }
 
-impl Drawn<'_> {
-    /// What stands below a node, each with its clock, which needs no draw where it stands alone.
-    fn draw_below(&mut self, level: u32, at: u64) {
-        let (order, below) = (self.order, level + 1);
-        self.drawn.clear();
+impl Ranking<'_> {
+    /// Lists the children of a node with their clocks; an only child needs no draw.
+    fn list_siblings(&mut self, level: u32, node: u64) {
+        let tree = self.tree;
+        let child_level = level + 1;
+        let child = |node, weight| Sibling {
+            clock: 0.0,
+            node,
+            weight,
+        };
+        self.siblings.clear();
         if level == LEVELS {
-            let keys = order.keys.range((at as usize, 0)..=(at as usize, u64::MAX));
-            self.drawn
-                .extend(keys.map(|((_, key), weight)| (0.0, *key, *weight)));
+            let keys = tree
+                .keys
+                .range((node as usize, 0)..=(node as usize, u64::MAX));
+            let children = keys.map(|((_, key), weight)| child(*key, *weight));
+            self.siblings.extend(children);
         } else {
-            let nodes = (at << BITS)..((at + 1) << BITS);
-            let nodes = nodes.map(|node| (0.0, node, order.sums[first(below) + node as usize]));
-            self.drawn.extend(nodes.filter(|(.., weight)| *weight > 0));
+            let offset = level_offset(child_level);
+            let nodes = (node << BITS_PER_LEVEL)..((node + 1) << BITS_PER_LEVEL);
+            let children = nodes.map(|node| child(node, tree.node_weights[offset + node as usize]));
+            self.siblings
+                .extend(children.filter(|sibling| sibling.weight > 0));
         }
-        if self.drawn.len() > 1 {
-            let draws = draws(self.seed, below);
-            self.drawn
-                .iter_mut()
-                .for_each(|(when, at, weight)| *when = clock(draws, *at, *weight));
+        if self.siblings.len() > 1 {
+            let seed = level_seed(self.seed, child_level);
+            for sibling in &mut self.siblings {
+                sibling.clock = exponential_clock(seed, sibling.node, sibling.weight);
+            }
         }
     }
 }
 
-impl Iterator for Drawn<'_> {
+impl Iterator for Ranking<'_> {
     type Item = u64;
 
     fn next(&mut self) -> Option<u64> {
-        let Reverse((bits, mut level, mut at)) = self.later.pop()?;
-        let when = f64::from_bits(bits);
+        let Reverse(Contender {
+            time_bits,
+            mut level,
+            mut node,
+        }) = self.contenders.pop()?;
+        let time = f64::from_bits(time_bits);
         while level <= LEVELS {
-            self.draw_below(level, at);
-            let soonest = self
-                .drawn
+            self.list_siblings(level, node);
+            let first = self
+                .siblings
                 .iter()
                 .copied()
-                .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
+                .min_by(|a, b| a.clock.total_cmp(&b.clock).then(a.node.cmp(&b.node)))?;
             level += 1;
-            for (clock, other, _) in self
-                .drawn
-                .iter()
-                .filter(|(_, other, _)| *other != soonest.1)
-            {
-                self.later.push(Reverse((
-                    (when + clock - soonest.0).to_bits(),
+            for sibling in self.siblings.iter().filter(|s| s.node != first.node) {
+                self.contenders.push(Reverse(Contender {
+                    time_bits: (time + sibling.clock - first.clock).to_bits(),
                     level,
-                    *other,
-                )));
+                    node: sibling.node,
+                }));
             }
-            at = soonest.1;
+            node = first.node;
         }
-        Some(at)
-    }
-}
-
-/// What an iterator brings, each taken from it once, when it is first asked for.
-pub struct Lazily<I: Iterator> {
-    rest: RefCell<I>,
-    found: RefCell<Vec<I::Item>>,
-}
-
-impl<I: Iterator<Item: Copy>> Lazily<I> {
-    pub fn new(rest: I) -> Self {
-        Lazily {
-            rest: RefCell::new(rest),
-            found: RefCell::default(),
-        }
-    }
-
-    fn get(&self, n: usize) -> Option<I::Item> {
-        let mut found = self.found.borrow_mut();
-        while found.len() <= n {
-            found.push(self.rest.borrow_mut().next()?);
-        }
-        found.get(n).copied()
-    }
-
-    /// The first ones, so many at most.
-    pub fn first(&self, most: usize) -> impl Iterator<Item = I::Item> + '_ {
-        (0..most).map_while(|n| self.get(n))
+        Some(node)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What the decision module remembers, as plain data. What it does with it, and every figure, is in `logic`.
 
-use crate::statistics::tie;
+use crate::statistics::tie_break;
 use crate::{
     Endpoint, FunctionId, LoadReport, Micros, Request, RequestId, Settings, WorkerId, ZoneId,
 };
@@ -236,12 +236,12 @@
             return;
         };
         if let Some(before) = function.places.insert(w, place) {
-            function.copies.remove(&(before.own, tie(id, w), w));
+            function.copies.remove(&(before.own, tie_break(id, w), w));
         } else {
             self.by_worker.insert((w, id));
         }
         if place.copies > 0 {
-            function.copies.insert((place.own, tie(id, w), w));
+            function.copies.insert((place.own, tie_break(id, w), w));
         }
         if place.loading || place.order.is_some() {
             function.open.insert(w);
@@ -269,7 +269,7 @@
             }
             for w in gone {
                 let own = function.place(w).own;
-                function.copies.remove(&(own, tie(id, w), w));
+                function.copies.remove(&(own, tie_break(id, w), w));
             }
         }
     }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,33 +1,40 @@
-//! Sums that the decision module works with; none of them knows what it is about.
+//! Small numeric helpers of the decision module: medians, exponential decay and hashes as random draws.
 
 use crate::{FunctionId, Micros, WorkerId};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The middle one; one where there is none.
-pub(crate) fn middle(mut figures: Vec<f64>) -> f64 {
-    figures.sort_unstable_by(f64::total_cmp);
-    figures.get(figures.len() / 2).copied().unwrap_or(1.0)
+/// The upper median of the values; 1.0 if there are none.
+pub(crate) fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_unstable_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(1.0)
 }
 
-/// A figure that goes back to calm with time.
-pub(crate) fn faded(figure: f64, calm: f64, passed: Micros, span: f64) -> f64 {
-    calm + (figure - calm) * (-(passed.max(0) as f64) / span).exp()
+/// A value that decays exponentially towards its resting value, after `elapsed` microseconds.
+pub(crate) fn decayed(value: f64, resting: f64, elapsed: Micros, time_constant_us: f64) -> f64 {
+    resting + (value - resting) * (-(elapsed.max(0) as f64) / time_constant_us).exp()
 }
 
-pub(crate) fn tie(function: FunctionId, worker: WorkerId) -> u64 {
+/// A hash that breaks ties between workers differently for each function.
+pub(crate) fn tie_break(function: FunctionId, worker: WorkerId) -> u64 {
     hash_of((function, worker))
 }
 
-pub(crate) fn hash_of(what: impl Hash) -> u64 {
+/// The hash of a value by the standard library's default hasher, which is the same in every process.
+pub(crate) fn hash_of(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    what.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Drops what is not later than this.
-pub(crate) fn drop_until(times: &mut VecDeque<Micros>, until: Micros) {
-    while times.front().is_some_and(|at| *at <= until) {
-        times.pop_front();
+/// Maps a hash or random draw to the interval from 0.0 to 1.0.
+pub(crate) fn unit_interval(draw: u64) -> f64 {
+    draw as f64 / u64::MAX as f64
+}
+
+/// Removes the instants at the front of a queue that are not later than `until`.
+pub(crate) fn remove_until(instants: &mut VecDeque<Micros>, until: Micros) {
+    while instants.front().is_some_and(|at| *at <= until) {
+        instants.pop_front();
     }
 }
