--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,8 +4,7 @@
 //! The crate does no I/O and reads no clock. Every decision is in [`logic`]; the other modules only describe what is
 //! decided about.
 
-#![allow(clippy::too_many_lines, clippy::wildcard_imports, missing_docs)] // unfinished: docs/ROADMAP.md
-
+mod config;
 mod decisions;
 mod events;
 mod ids;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,191 +1,230 @@
-//! Every decision of sanddrum is in this module and those below it. The host makes one `Router` an instance and calls `round` once
-//! a round with all that came in (`EventBatch`) and a writer (`Decisions`), see `lib.rs`; `state.rs` has what is
-//! remembered. All news is recorded first, the worker list before the rest; only then is decided.
+//! Every decision is in this module and those below it. The host creates one [`Router`] for an instance and calls
+//! [`Router::handle`] with each batch of events and a writer for the decisions; `state` has what is remembered.
+//! All events of a batch are recorded first, endpoint lists before the rest; only then are requests placed.
 //!
-//! The ordinary path is the design page's: a job goes to the believed-warm worker with the fewest own jobs in
-//! flight whose lanes have room, own zone first; failing that it loads on the ready worker with the fewest.
-//! Each departure is marked "Exception" below and told in docs/design.md with when it acts.
+//! The ordinary path is warm-first: a request goes to the worker that is believed to have an instance with capacity and
+//! has the fewest requests of this router in flight, local zone first; failing that, the function is loaded on the ready
+//! worker with the fewest. Each departure is marked "Exception" below; docs/design.md says when it acts.
 
-mod constants;
+mod admission;
+mod attempt_outcomes;
+mod candidates;
+mod cold_start;
+pub(crate) mod constants;
+mod dispatch;
+mod endpoint_list;
 mod estimates;
 mod keep_alive;
+mod load_budget;
+mod load_results;
 mod observations;
 mod outlier_detection;
+mod overload;
 mod placement;
-mod rules;
+mod rejection;
+mod retry_policy;
+mod slow_start;
+mod warm_first;
 mod worker_view;
 
+use crate::config::{Config, WorkloadConfig};
 use crate::rendezvous::RendezvousTree;
-use crate::state::*;
+use crate::state::{
+    FleetMedians, Functions, HintCalibration, PendingRequest, RunningMean, Timer, Worker,
+};
 use crate::statistics::hash_of;
-use crate::*;
-use constants::*;
+use crate::{Decisions, EventBatch, FunctionId, Micros, RequestId, Settings, WorkerId, WorkloadId};
+use constants::{EVICTION_KEEP_ALIVES, MIN_PREFERRED, SWEEPS_PER_OBJECTIVE};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Where the settings do not tell.
-const OTHERWISE: Otherwise = Otherwise {
-    target: 1_000_000,
-    keep_alive: 8_000_000,
-    fall: 2_000_000,
-    ask_every: 10_000_000,
-};
-
+/// One router of the fleet: records events and decides where requests go.
 #[derive(Default)]
 pub struct Router {
     settings: Settings,
-    terms: Terms,
+    config: Config,
     seed: u64,
-    draws: u64,
+    /// Random draws made so far.
+    draw_count: u64,
+    /// The instant of the batch that is being handled.
     now: Micros,
+
     workers: BTreeMap<WorkerId, Worker>,
-    /// Workers listed as ready, by which homes are drawn; those that reported, by when; those suspected.
-    listed: RendezvousTree,
-    told: BTreeSet<(Micros, WorkerId)>,
-    suspects: BTreeSet<WorkerId>,
+    /// Workers listed as ready, from which preferred endpoints are ranked.
+    ready_workers: RendezvousTree,
+    /// Listed workers, by when they reported.
+    by_report_time: BTreeSet<(Micros, WorkerId)>,
+    ejected_workers: BTreeSet<WorkerId>,
+    /// Most workers look ejected, which is then not believed.
+    is_in_panic_mode: bool,
+
     functions: Functions,
-    jobs: BTreeMap<RequestId, Held>,
-    /// All due times but the sweep's.
-    due: BTreeSet<(Micros, Due)>,
-    sweep: Micros,
-    wake: Micros,
-    most_suspect: bool,
-    /// Jobs to be placed this round, and those that wait for a copy or for room.
-    todo: BTreeSet<RequestId>,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// Requests to be placed in this batch.
+    to_place: BTreeSet<RequestId>,
+    /// Requests that wait for an instance or for capacity.
     waiting: BTreeSet<RequestId>,
-    /// Of the middle worker, as of the last sweep: for each job it would cost too much.
-    middle: Middle,
-    /// Work taken in a microsecond, and when that was last brought up to date.
-    inflow: f64,
-    inflow_at: Micros,
-    /// What part of its reported jobs waits at the middle worker, and whether any was heard of lately.
-    waits: f64,
-    heard: bool,
-    /// What part of new jobs is taken while pressed.
-    taking: f64,
-    /// Further executions that jobs turned away by full workers may still have while pressed.
-    further: f64,
-    /// Asks that may still be made.
-    asks: f64,
-    /// Jobs taken of late, over about a keep-alive.
-    calls: f64,
-    calls_at: Micros,
-    /// What jobs earn for their work, in the mean.
-    earned: f64,
-    /// What jobs of a workload take when calm, in the mean, and how many have told.
-    usual: BTreeMap<WorkloadId, (f64, f64)>,
-    /// Sums of what hinted jobs took and of their hints.
-    hinted: (f64, f64),
-    /// What a load takes, and loads of late as a multiple of it.
-    load: f64,
-    load_pace: f64,
-    load_pace_at: Micros,
-    /// The function whose load failed last, and until when no load is begun.
-    load_failed: Option<FunctionId>,
-    loads_again: Micros,
-    /// Jobs taken and loads ordered, for rule 5.
-    taken: VecDeque<Micros>,
-    ordered: VecDeque<Micros>,
+
+    /// All timers but the sweep's.
+    timers: BTreeSet<(Micros, Timer)>,
+    next_sweep_at: Micros,
+    /// The instant at which the host was last asked to call again.
+    wake_at: Micros,
+
+    /// As of the last sweep: for each request they would cost too much.
+    medians: FleetMedians,
+    /// The share of requests that waits for a core at the median worker.
+    queued_share: f64,
+    /// Whether any report is recent enough to judge overload by.
+    has_recent_report: bool,
+    /// The share of new requests that is admitted under overload.
+    admitted_share: f64,
+
+    /// Retries that rejected requests may still have under overload.
+    retry_budget: f64,
+    /// Queries for instances that may still be made.
+    query_budget: f64,
+    /// New requests and load commands within the load budget's window.
+    budgeted_requests: VecDeque<Micros>,
+    budgeted_loads: VecDeque<Micros>,
+
+    /// Work that arrives, in microseconds a microsecond, and when that was last updated.
+    work_rate: f64,
+    work_rate_at: Micros,
+    /// Requests of late, decayed over a keep-alive, and when that was last updated.
+    recent_requests: f64,
+    recent_requests_at: Micros,
+    /// The mean of requests' value for their work.
+    mean_value: f64,
+    /// The work of each workload's requests without congestion, in microseconds.
+    workload_work: BTreeMap<WorkloadId, RunningMean>,
+    hint_calibration: HintCalibration,
+
+    /// The time of a load, in microseconds; zero if none was observed.
+    load_us: f64,
+    /// The time of loads of late as a multiple of the usual, and when that was last updated.
+    load_speed_factor: f64,
+    load_speed_factor_at: Micros,
+    /// The function whose load failed last.
+    last_failed_load: Option<FunctionId>,
+    /// No load is commanded before this instant.
+    load_backoff_until: Micros,
 }
 
 impl Router {
+    /// A router whose random draws follow from the seed.
     pub fn new(seed: u64, settings: &Settings) -> Self {
-        let middle = Middle {
-            pace: 1.0,
-            crowding: 1.0,
-            ..Middle::default()
-        };
-        let calm = Router {
-            middle,
-            load_pace: 1.0,
-            ..Router::default()
-        };
-        let (settings, terms) = (settings.clone(), Terms::read(settings, &OTHERWISE));
+        let config = Config::read(settings);
         let mut router = Router {
-            settings,
-            terms,
+            settings: settings.clone(),
             seed,
-            taking: 1.0,
-            asks: FEW_HOMES as f64,
-            ..calm
+            medians: FleetMedians {
+                speed_factor: 1.0,
+                congestion: 1.0,
+                ..FleetMedians::default()
+            },
+            load_speed_factor: 1.0,
+            admitted_share: 1.0,
+            query_budget: MIN_PREFERRED as f64,
+            config,
+            ..Router::default()
         };
-        // Guards rule 3 where the list tells nothing by itself: drains would never be heard of.
-        if router.terms.subscribes {
-            router.due.insert((0, Due::List));
+        // Where nothing comes by itself, a drain would never be heard of.
+        if router.config.subscribes_to_endpoints {
+            router.timers.insert((0, Timer::Subscribe));
         }
         router
     }
 
-    pub fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
+    /// Records a batch of events and writes the decisions that follow from it. `now` must not decrease.
+    pub fn handle(&mut self, now: Micros, batch: &EventBatch, out: &mut impl Decisions) {
         self.now = now;
-        round
-            .endpoint_lists
-            .iter()
-            .for_each(|list| self.record_list(list));
-        round.requests.iter().for_each(|job| self.record_job(job));
-        round
-            .attempt_results
-            .iter()
-            .for_each(|end| self.record_end(end));
-        round
-            .load_results
-            .iter()
-            .for_each(|end| self.record_order(end));
-        for probe in round
-            .health_check_results
-            .iter()
-            .filter(|p| p.outcome == Outcome::Finished)
-        {
-            self.workers.entry(probe.worker).and_modify(|w| w.hear(now));
+        self.record_events(batch);
+        self.fire_timers(out);
+        if now >= self.next_sweep_at {
+            self.sweep();
         }
-        round.cancelled.iter().for_each(|job| self.end_job(*job));
-        while self.due.first().is_some_and(|(at, _)| *at <= now) {
-            match self.due.pop_first() {
-                Some((_, Due::JobEnds(id))) if self.jobs.contains_key(&id) => {
-                    out.fail(id);
-                    self.end_job(id);
-                }
-                Some((_, Due::Silence(id))) => self.look_into_silence(id, out),
-                Some((_, Due::Keep(id))) => self.keep_copies(id, out),
-                Some((_, Due::List)) => out.subscribe(),
-                Some((_, Due::JobEnds(_))) | None => {}
-            }
+        while let Some(request) = self.to_place.pop_first() {
+            self.place(request, out);
+        }
+        if batch.shutting_down {
+            let pending: Vec<_> = self.requests.keys().copied().collect();
+            pending.into_iter().for_each(|id| self.answer_now(id, out));
         }
-        if now >= self.sweep {
-            self.sweep = now + self.terms.tightest / SWEEPS_A_TARGET;
-            self.functions
-                .forget(now - FORGET_KEEPS * self.terms.keep_alive);
-            self.todo.extend(&self.waiting);
-            self.look_over_fleet();
+        self.schedule_wake(out);
+    }
+
+    fn record_events(&mut self, batch: &EventBatch) {
+        for list in &batch.endpoint_lists {
+            self.record_endpoint_list(list);
         }
-        while let Some(job) = self.todo.pop_first() {
-            self.place(job, out);
+        for request in &batch.requests {
+            self.record_request(request);
         }
-        let held = if round.shutting_down {
-            self.jobs.keys().copied().collect()
-        } else {
-            Vec::new()
-        };
-        held.into_iter().for_each(|id| self.end_now(id, out));
-        let sweep = (!self.waiting.is_empty()).then_some(self.sweep);
-        let due = self.due.first().map(|(at, _)| *at);
-        if let Some(next) = due.into_iter().chain(sweep).min().map(|at| at.max(now + 1)) {
-            if self.wake <= now || next < self.wake {
-                self.wake = next;
-                out.wake_at(next);
+        for result in &batch.attempt_results {
+            self.record_attempt_result(result);
+        }
+        for result in &batch.load_results {
+            self.record_load_result(result);
+        }
+        for result in &batch.health_check_results {
+            self.record_health_check_result(result);
+        }
+        for request in &batch.cancelled {
+            self.forget_request(*request);
+        }
+    }
+
+    fn fire_timers(&mut self, out: &mut impl Decisions) {
+        while self.timers.first().is_some_and(|(at, _)| *at <= self.now) {
+            let Some((_, timer)) = self.timers.pop_first() else {
+                return;
+            };
+            match timer {
+                Timer::Deadline(id) if self.requests.contains_key(&id) => {
+                    out.fail(id);
+                    self.forget_request(id);
+                }
+                Timer::Deadline(_) => {}
+                Timer::WorkerOverdue(id) => self.check_overdue_worker(id, out),
+                Timer::KeepAlive(id) => self.maintain_instances(id, out),
+                Timer::Subscribe => out.subscribe(),
             }
         }
     }
 
-    // ---- Settings, and chance
+    /// Updates what is too costly to compute for each request, and reconsiders the requests that wait.
+    fn sweep(&mut self) {
+        self.next_sweep_at = self.now + self.config.tightest_objective / SWEEPS_PER_OBJECTIVE;
+        let idle_since = self.now - EVICTION_KEEP_ALIVES * self.config.keep_alive;
+        self.functions.evict_idle(idle_since);
+        self.to_place.extend(&self.waiting);
+        self.refresh_fleet_view();
+    }
 
-    fn workload(&self, id: WorkloadId) -> &Workload {
-        self.terms.workloads.get(id.0).unwrap_or(&self.terms.other)
+    fn schedule_wake(&mut self, out: &mut impl Decisions) {
+        let sweep = (!self.waiting.is_empty()).then_some(self.next_sweep_at);
+        let timer = self.timers.first().map(|(at, _)| *at);
+        let Some(next) = timer.into_iter().chain(sweep).min() else {
+            return;
+        };
+        let next = next.max(self.now + 1);
+        if self.wake_at <= self.now || next < self.wake_at {
+            self.wake_at = next;
+            out.wake_at(next);
+        }
     }
-    fn target(&self, id: WorkloadId) -> Micros {
-        self.workload(id).target
+
+    fn workload(&self, id: WorkloadId) -> &WorkloadConfig {
+        self.config.workload(id)
+    }
+
+    fn latency_objective(&self, id: WorkloadId) -> Micros {
+        self.workload(id).latency_objective
     }
-    fn chance(&mut self) -> u64 {
-        self.draws += 1;
-        hash_of((self.seed, self.draws))
+
+    /// The next random draw.
+    fn random_draw(&mut self) -> u64 {
+        self.draw_count += 1;
+        hash_of((self.seed, self.draw_count))
     }
 }
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -1,195 +1,74 @@
-//! What is expected of jobs, workers and loads: times, pressure, crowds, and where a function has its homes.
+//! Estimates: the work of requests, their value, the rate at which work arrives and the time of loads.
 
-use super::constants::*;
+use super::constants::{INITIAL_WORK_SHARE, SPEED_FACTOR_DECAY_US};
 use super::Router;
-use crate::state::*;
-use crate::statistics::{decayed, median, tie_break, unit_interval};
-use crate::*;
+use crate::config::PriorityWeightUnit;
+use crate::statistics::decayed;
+use crate::{Micros, Request, WorkloadId};
+
+/// The client's hint of the expected work; a hint of zero is none.
+pub(super) fn work_hint(request: &Request) -> Option<Micros> {
+    request.expected_work.filter(|hint| *hint > 0)
+}
 
 impl Router {
-    /// What a job takes when calm: the geometric mean of what its function (its workload, before any answer)
-    /// takes and what it is hinted to, both being rough, scaled by what hinted jobs took.
-    pub(super) fn work_of(&self, job: &Request) -> f64 {
-        let scale = if self.hinted.1 > 0.0 {
-            self.hinted.0 / self.hinted.1
+    /// The work of a request without congestion, in microseconds: the geometric mean of its hint and of what its
+    /// function usually takes, both being rough, corrected by what hinted requests took.
+    pub(super) fn expected_work(&self, request: &Request) -> f64 {
+        let calibration = &self.hint_calibration;
+        let is_calibrated = work_hint(request).is_some() && calibration.expected_us > 0.0;
+        let correction = if is_calibrated {
+            calibration.actual_us / calibration.expected_us
         } else {
             1.0
         };
-        self.unscaled_work(job)
-            * if job.expected_work.is_some_and(|hint| hint > 0) {
-                scale
-            } else {
-                1.0
-            }
-    }
-    pub(super) fn usual_work(&self, id: WorkloadId) -> f64 {
-        self.usual
-            .get(&id)
-            .map_or(self.target(id) as f64 * GUESS_OF_TARGET, |(work, _)| *work)
+        self.uncorrected_work(request) * correction
     }
-    pub(super) fn unscaled_work(&self, job: &Request) -> f64 {
-        let learned = self.functions.get(job.function).filter(|f| f.answered);
-        let learned = learned.map_or(self.usual_work(job.workload), |f| f.work);
-        job.expected_work
-            .filter(|hint| *hint > 0)
-            .map_or(learned, |hint| (learned * hint as f64).sqrt())
+
+    /// The same without the correction for hints. Until a request of the function was answered, its workload's
+    /// usual work stands for it.
+    pub(super) fn uncorrected_work(&self, request: &Request) -> f64 {
+        let function = self.functions.get(request.function);
+        let observed = function.filter(|f| f.is_work_observed).map(|f| f.work_us);
+        let usual = observed.unwrap_or_else(|| self.usual_work(request.workload));
+        work_hint(request).map_or(usual, |hint| (usual * hint as f64).sqrt())
     }
-    pub(super) fn inflow_now(&self) -> f64 {
-        self.inflow * (-(self.now - self.inflow_at) as f64 / self.terms.fall).exp()
+
+    /// The usual work of a workload's requests without congestion, in microseconds.
+    fn usual_work(&self, id: WorkloadId) -> f64 {
+        self.workload_work.get(&id).map_or_else(
+            || self.latency_objective(id) as f64 * INITIAL_WORK_SHARE,
+            |work| work.mean,
+        )
     }
-    pub(super) fn look_over_fleet(&mut self) {
-        let now = self.now;
-        // Those heard of last stand for all: the fleet may be far larger than what this router hears of.
-        let last = self
-            .told
-            .iter()
-            .rev()
-            .filter_map(|(_, w)| self.workers.get(w))
-            .filter(|w| w.ready());
-        let last: Vec<&Worker> = last.take(HEARD_LAST).collect();
-        let typical =
-            |figure: &dyn Fn(&Worker) -> f64| median(last.iter().map(|w| figure(w)).collect());
-        let (pace, crowding) = (typical(&|w| w.pace_now(now)), typical(&|w| w.crowding(now)));
-        let loads = typical(&|w| w.report.loads_in_progress.unwrap_or(0.0));
-        let size = |w: &Worker| w.row.size.max(f64::MIN_POSITIVE);
-        let held = last.iter().filter(|w| w.report_at > 0);
-        let held = median(
-            held.filter_map(|w| w.report.in_flight.map(|held| held / size(w)))
-                .collect(),
-        );
-        // The middle one's, as most answers come from the crowded; newest, or the end is heard of late.
-        let fresh = last
-            .iter()
-            .filter(|w| w.report_at > (now - REPORT_FADES_US as Micros).max(0));
-        let told = fresh.filter_map(|w| {
-            Some((
-                now - w.report_at,
-                w.waiting_for_cores(!self.terms.answers_miss)?,
-            ))
-        });
-        let told: Vec<(Micros, f64)> = told.collect();
-        let (few, fresh) = (
-            (last.len() as f64).sqrt().max(FEW_REPORTS),
-            self.terms.tightest,
-        );
-        let newest = told
-            .iter()
-            .enumerate()
-            .take_while(|(n, (age, _))| (*n as f64) < few || *age < fresh);
-        let others = self.terms.routers / self.listed.len().max(1) as Micros;
-        self.heard = told
-            .first()
-            .is_some_and(|(age, _)| *age < fresh * others.max(1));
-        self.waits = if told.is_empty() {
-            0.0
-        } else {
-            median(newest.map(|(_, (_, part))| *part).collect())
-        };
-        self.middle = Middle {
-            pace,
-            crowding,
-            loads,
-            held,
-        };
-        let workers = &self.workers;
-        let ill = |w: &Worker| w.suspect && w.row.state == WorkerState::Ready;
-        self.suspects.retain(|w| workers.get(w).is_some_and(ill));
-        // Where most workers look ill, this router's own view is the likelier cause; the rest would drown.
-        self.most_suspect = self.suspects.len() * 2 > self.listed.len();
+
+    /// The value of a request for its work. Uses the workload's work: what a function was seen to take under overload
+    /// would have it shed for ever.
+    pub(super) fn value_for_work(&self, request: &Request) -> f64 {
+        let weight = self.workload(request.workload).priority_weight;
+        match self.config.priority_weight_unit {
+            PriorityWeightUnit::Work => weight,
+            PriorityWeightUnit::Request => {
+                let usual = self.usual_work(request.workload);
+                let hinted = work_hint(request).map(|hint| (usual * hint as f64).sqrt());
+                weight / hinted.unwrap_or(usual).max(1.0)
+            }
+        }
     }
-    pub(super) fn pressed(&self) -> bool {
-        self.middle.crowding > PRESSED || self.waits > WAITING
+
+    /// Work that arrives at this router, in microseconds a microsecond.
+    pub(super) fn work_rate_now(&self) -> f64 {
+        let elapsed = (self.now - self.work_rate_at) as f64;
+        self.work_rate * (-elapsed / self.config.collapse_window_us).exp()
     }
-    pub(super) fn load_pace_now(&self) -> f64 {
+
+    /// The time of loads of late as a multiple of the usual.
+    pub(super) fn load_speed_factor_now(&self) -> f64 {
         decayed(
-            self.load_pace,
+            self.load_speed_factor,
             1.0,
-            self.now - self.load_pace_at,
-            PACE_FADES_US,
+            self.now - self.load_speed_factor_at,
+            SPEED_FACTOR_DECAY_US,
         )
     }
-    /// Guards against a crowded or stopped store and load queues: loads take longer than told or usual.
-    pub(super) fn loads_pressed(&self) -> bool {
-        self.load_pace_now() > PRESSED || self.middle.loads > LOADS_WAIT
-    }
-    /// Guards against what this router cannot see, the others' jobs: a worker that reports far more than the
-    /// middle one for its size, was full of late, owes a late answer with no report since, or is slow.
-    pub(super) fn crowded(&self, w: &Worker) -> bool {
-        let late = w
-            .out
-            .iter()
-            .any(|(_, late, ..)| *late <= self.now && w.report_at < *late);
-        let uneven = w.held_now(self.now, self.middle.held) > UNEVEN * self.middle.held;
-        let pace = w.pace_now(self.now);
-        late || uneven
-            || w.jammed > self.now
-            || pace > (CROWDED * w.calm).min(SLOW * self.middle.pace)
-    }
-    /// It last reported that much of what it holds waits, or reports nothing of that.
-    pub(super) fn queues(&self, w: &Worker) -> bool {
-        w.waiting(!self.terms.answers_miss)
-            .is_none_or(|part| part > WAITING)
-    }
-    /// Own jobs in flight below what it bears; guards against overload of any cause.
-    pub(super) fn has_room(&self, w: &Worker, share: f64) -> bool {
-        f64::from(w.own) < w.limit * share && w.barred <= self.now
-    }
-    /// By its workload's work: what a function was seen to take under pressure would shed it for ever.
-    pub(super) fn earning(&self, job: &Request) -> f64 {
-        let usual = self.usual_work(job.workload);
-        let work = job
-            .expected_work
-            .filter(|hint| *hint > 0)
-            .map_or(usual, |hint| (usual * hint as f64).sqrt());
-        self.workload(job.workload).importance
-            / if self.terms.importance_by_work {
-                1.0
-            } else {
-                work.max(1.0)
-            }
-    }
-    /// How many homes a function needs by its share of this router's jobs; one call asks for no more.
-    pub(super) fn width(&self, function: &Function) -> usize {
-        let fleet = self.listed.len();
-        let sure = (function.calls - 1.0).max(0.0);
-        let part = if self.terms.answers_miss {
-            HOME_PART / 2.0
-        } else {
-            HOME_PART
-        };
-        let wanted = sure / self.calls.max(1.0) * fleet as f64 / part;
-        (wanted.ceil() as usize).max(FEW_HOMES).min(fleet)
-    }
-    /// A draw by which the lowest of several workers is each in proportion to its size over what it holds.
-    pub(super) fn drawn(&self, by: u64, w: &Worker) -> f64 {
-        let size = w.row.size.max(f64::MIN_POSITIVE);
-        let held = 1.0 + w.held_now(self.now, self.middle.held);
-        -unit_interval(tie_break(FunctionId(by), w.row.worker)).ln() / size * held
-    }
-    /// A function's homes where a job may go, by draws that favour large workers: all routers find the same
-    /// ones and share copies. Guards against a pass over a large fleet for each job: the next is found when
-    /// it is needed. Only where hardly any may be called (a keyed job's group) a further try looks at all.
-    pub(super) fn homes<'a>(
-        &'a self,
-        held: &'a Held,
-        key: u64,
-        work: f64,
-    ) -> impl Iterator<Item = &'a Worker> + 'a {
-        let fits = move |w: &&Worker| self.may_get(held, w, work);
-        let drawn = move || self.listed.ranking(key).take(2 * HOMES * LOOKS);
-        let drawn = move || {
-            drawn()
-                .filter_map(|w| self.workers.get(&WorkerId(w)))
-                .filter(fits)
-        };
-        let few = !held.executions.is_empty() && drawn().nth(FEW_HOMES - 1).is_none();
-        drawn().chain(self.workers.values().filter(move |w| few && fits(w)))
-    }
-    pub(super) fn may_get(&self, held: &Held, w: &Worker, work: f64) -> bool {
-        self.may_go(held, w) && self.cold_room(w, held.job.id, work)
-    }
-    /// A copy is believed while jobs run on it and, after the last, for the keep-alive.
-    pub(super) fn stands(&self, place: &Place) -> bool {
-        place.copies > 0 && (place.own > 0 || self.now < place.until)
-    }
 }
--- a/src/logic/keep_alive.rs
+++ b/src/logic/keep_alive.rs
@@ -1,62 +1,122 @@
-//! Copies that are kept longer than workers keep them, held ahead of need, or unloaded: the design's options, off unless set.
+//! Instances that are kept longer than workers keep them, pre-warmed, or unloaded early: the `design.` options, off
+//! unless they are set.
 
-use super::constants::*;
+use super::constants::{INSPECTED_ENDPOINTS, MAX_PREWARMED_INSTANCES, RENEWAL_POINT};
 use super::Router;
-use crate::state::*;
+use crate::config::design_option;
+use crate::state::{Function, Timer};
 use crate::statistics::hash_of;
-use crate::*;
+use crate::{Decisions, FunctionId, Micros, WorkerId};
+
+/// The options of one function.
+struct KeepAliveOptions {
+    /// How long instances are renewed after the last request.
+    renew_for: Micros,
+    /// This router's share of the instances to be kept pre-warmed.
+    prewarmed_share: i64,
+    /// Idle instances are unloaded this long after the last request; zero or less if they are not.
+    unload_after: Micros,
+    /// Whether anything has to be done at all.
+    is_active: bool,
+}
 
 impl Router {
-    /// Renews copies whose set keep-alive is longer than the worker's, and holds this router's share of the
-    /// pre-warmed count where the function was last found warm, else at a worker hashed from it and our
-    /// number. Idle copies of one not called for the set time are dropped, once each. All are off unless set.
-    pub(super) fn keep_copies(&mut self, id: FunctionId, out: &mut impl Decisions) {
-        let keep = self.terms.keep_alive;
-        let longer = option(&self.settings, id, "keep-alive-us", keep);
-        let (me, routers) = (self.terms.me, self.terms.routers.max(1));
-        let wanted = option(&self.settings, id, "pre-warmed", 0);
-        let share = wanted / routers + Micros::from(me < wanted % routers);
+    /// Renews, pre-warms and unloads instances of a function, as its options say.
+    pub(super) fn maintain_instances(&mut self, id: FunctionId, out: &mut impl Decisions) {
+        let options = self.keep_alive_options(id);
         let Some(function) = self.functions.get(id) else {
             return;
         };
-        let drop_after = option(&self.settings, id, "drop-after-us", 0);
-        if !self.terms.orders || (longer <= keep && wanted <= 0 && drop_after <= 0) {
+        if !self.config.may_command_loads || !options.is_active {
             return;
         }
-        let is_ready = |w: &WorkerId| self.workers.get(w).is_some_and(|w| w.ready());
-        let warm = function
-            .places
-            .iter()
-            .filter(|(_, p)| p.copies > 0)
-            .map(|(w, _)| *w);
-        let warm: Vec<WorkerId> = warm.filter(is_ready).collect();
-        let renews = longer > keep && self.now < function.last_job + longer;
-        let hashed = self
-            .listed
-            .ranking(hash_of((id, me)))
-            .map(WorkerId)
-            .take(2 * HOMES * LOOKS);
-        let last = function.warm_last.into_iter().chain(hashed).find(is_ready);
-        self.due
-            .insert((self.now + (keep as f64 * RENEW_AT) as Micros, Due::Keep(id)));
-        if let Some(w) = last.filter(|_| share > 0) {
-            self.order(w, id, share.min(16) as u32, out);
+        let keep_alive = self.config.keep_alive;
+        let renews = options.renew_for > keep_alive
+            && self.now < function.last_request_at + options.renew_for;
+        let warm = if renews {
+            self.ready_workers_with_instance(function)
+        } else {
+            Vec::new()
+        };
+        let prewarm_target = self.prewarm_target(id, function);
+        let next = self.now + (keep_alive as f64 * RENEWAL_POINT) as Micros;
+        self.timers.insert((next, Timer::KeepAlive(id)));
+        if let Some(worker) = prewarm_target.filter(|_| options.prewarmed_share > 0) {
+            let instances = options.prewarmed_share.min(MAX_PREWARMED_INSTANCES);
+            self.command_load(worker, id, instances as u32, out);
+        }
+        for worker in warm {
+            self.command_load(worker, id, 1, out);
         }
-        for w in warm.into_iter().filter(|_| renews) {
-            self.order(w, id, 1, out);
+        if options.unload_after > 0 && options.prewarmed_share == 0 {
+            self.unload_idle_instances(id, options.unload_after, out);
         }
+    }
+
+    fn keep_alive_options(&self, id: FunctionId) -> KeepAliveOptions {
+        let keep_alive = self.config.keep_alive;
+        let option = |name| design_option(&self.settings, id, name);
+        let renew_for = option("keep-alive-us").map_or(keep_alive, |us| us as Micros);
+        let prewarmed = option("pre-warmed").map_or(0, |count| count as i64);
+        let unload_after = option("drop-after-us").map_or(0, |us| us as Micros);
+        let routers = i64::from(self.config.router_count.max(1));
+        let index = i64::from(self.config.router_index);
+        let remainder = i64::from(index < prewarmed % routers);
+        KeepAliveOptions {
+            renew_for,
+            prewarmed_share: prewarmed / routers + remainder,
+            unload_after,
+            is_active: renew_for > keep_alive || prewarmed > 0 || unload_after > 0,
+        }
+    }
+
+    fn is_worker_ready(&self, id: WorkerId) -> bool {
+        self.workers
+            .get(&id)
+            .is_some_and(|worker| worker.is_ready())
+    }
+
+    fn ready_workers_with_instance(&self, function: &Function) -> Vec<WorkerId> {
+        let warm = function.workers.iter().filter(|(_, i)| i.instances > 0);
+        warm.map(|(worker, _)| *worker)
+            .filter(|worker| self.is_worker_ready(*worker))
+            .collect()
+    }
+
+    /// Where the function was last found warm, else a worker hashed from the function and this router's number.
+    fn prewarm_target(&self, id: FunctionId, function: &Function) -> Option<WorkerId> {
+        let seed = hash_of((id, i64::from(self.config.router_index)));
+        let ranked = self.ready_workers.ranking(seed).map(WorkerId);
+        function
+            .last_warm_worker
+            .into_iter()
+            .chain(ranked.take(INSPECTED_ENDPOINTS))
+            .find(|worker| self.is_worker_ready(*worker))
+    }
+
+    /// Unloads idle instances of a function that was not called for so long.
+    fn unload_idle_instances(
+        &mut self,
+        id: FunctionId,
+        unload_after: Micros,
+        out: &mut impl Decisions,
+    ) {
         let Some(function) = self.functions.get(id) else {
             return;
         };
-        if drop_after > 0 && share == 0 && self.now >= function.last_job + drop_after {
-            let idle = function
-                .places
-                .iter()
-                .filter(|(_, p)| p.copies > 0 && p.own == 0);
-            for (w, place) in idle.map(|(w, p)| (*w, *p)).collect::<Vec<_>>() {
-                self.functions.put(id, w, Place { copies: 0, ..place });
-                out.unload(w, id);
-            }
+        if self.now < function.last_request_at + unload_after {
+            return;
+        }
+        let idle: Vec<WorkerId> = function
+            .workers
+            .iter()
+            .filter(|(_, instance)| instance.instances > 0 && instance.in_flight == 0)
+            .map(|(worker, _)| *worker)
+            .collect();
+        for worker in idle {
+            self.functions
+                .update_instance(id, worker, |instance| instance.instances = 0);
+            out.unload(worker, id);
         }
     }
 }
--- /dev/null
+++ b/src/logic/load_budget.rs
@@ -0,0 +1,49 @@
+//! Load budget (rule 5): how many load commands may be sent in a window.
+
+use super::Router;
+use crate::state::InstanceCommand;
+use crate::statistics::remove_until;
+use crate::{Decisions, FunctionId, WorkerId};
+
+impl Router {
+    /// Commands a worker to load, if the load budget allows it and no command for the function is in flight there.
+    pub(super) fn command_load(
+        &mut self,
+        worker: WorkerId,
+        id: FunctionId,
+        instances: u32,
+        out: &mut impl Decisions,
+    ) -> bool {
+        if !self.config.may_command_loads || !self.has_load_budget() {
+            return false;
+        }
+        let mut instance = self.functions.instance(id, worker);
+        let is_cold = instance.instances == 0;
+        if instance.command.is_some() || (is_cold && self.now < self.load_backoff_until) {
+            return false;
+        }
+        instance.command = Some(InstanceCommand::Load);
+        self.functions.set_instance(id, worker, instance);
+        self.budgeted_loads.push_back(self.now);
+        out.load(worker, id, instances);
+        true
+    }
+
+    fn has_load_budget(&mut self) -> bool {
+        let window = self.config.load_budget_window;
+        remove_until(&mut self.budgeted_requests, self.now - window);
+        remove_until(&mut self.budgeted_loads, self.now - window);
+        let requests = self.budgeted_requests.len() as f64;
+        let budget = self.config.load_budget_base + self.config.load_budget_per_request * requests;
+        window <= 0 || (self.budgeted_loads.len() + 1) as f64 <= budget
+    }
+
+    /// Counts a new request, by which the load budget grows.
+    pub(super) fn count_request_for_load_budget(&mut self) {
+        let window = self.config.load_budget_window;
+        if self.config.may_command_loads && window > 0 {
+            remove_until(&mut self.budgeted_requests, self.now - window);
+            self.budgeted_requests.push_back(self.now);
+        }
+    }
+}
--- /dev/null
+++ b/src/logic/load_results.rs
@@ -0,0 +1,83 @@
+//! Records the outcomes of load commands and queries, and learns how long loads take.
+
+use super::constants::{
+    EWMA_WEIGHT, INITIAL_WORK_SHARE, MAX_SPEED_FACTOR, QUERIED_INSTANCE_LIFE_DIVISOR, QUERY_CREDIT,
+};
+use super::Router;
+use crate::state::InstanceCommand;
+use crate::statistics::unit_interval;
+use crate::{FunctionId, LoadResult, Micros, Outcome};
+
+impl Router {
+    pub(super) fn record_load_result(&mut self, result: &LoadResult) {
+        let now = self.now;
+        let has_answered = !matches!(
+            result.outcome,
+            Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset
+        );
+        if has_answered {
+            if let Some(worker) = self.workers.get_mut(&result.worker) {
+                worker.record_response(now);
+            }
+        }
+        let Some(function) = self.functions.get_mut(result.function) else {
+            return;
+        };
+        let mut instance = function.instance(result.worker);
+        let command = instance.command.take().unwrap_or(InstanceCommand::Query);
+        let is_load = command == InstanceCommand::Load;
+        let is_loaded = result.instances > 0;
+        instance.instances = result.instances;
+        if is_loaded {
+            let trusted_for = if is_load {
+                self.config.keep_alive
+            } else {
+                self.config.keep_alive / QUERIED_INSTANCE_LIFE_DIVISOR
+            };
+            instance.expires_at = instance.expires_at.max(now + trusted_for);
+        }
+        self.to_place.extend(&function.waiting);
+        if is_load && result.outcome == Outcome::Finished {
+            function.last_warm_worker = Some(result.worker);
+            if result.latency as f64 > function.load_us * INITIAL_WORK_SHARE {
+                self.learn_load(result.function, result.latency as f64);
+            }
+        } else if is_load {
+            instance.backoff_until = now + function.work_us as Micros;
+            let load_us = function.load_us;
+            self.record_failed_load(result.function, load_us);
+        }
+        self.functions
+            .set_instance(result.function, result.worker, instance);
+        let has_found = !is_load && is_loaded;
+        self.earn_query_budget(if has_found { QUERY_CREDIT } else { 0.0 });
+    }
+
+    /// Guards against a store that rejects loads: what failed for several functions is not commanded again at once by
+    /// all routers. A single function that fails may itself be at fault.
+    fn record_failed_load(&mut self, id: FunctionId, load_us: f64) {
+        let last_failed = self.last_failed_load.replace(id);
+        if last_failed.is_some_and(|other| other != id) {
+            let jitter = 0.5 + unit_interval(self.random_draw());
+            self.load_backoff_until = self.now + (load_us * jitter) as Micros;
+        }
+    }
+
+    /// Records the time of one load.
+    pub(super) fn learn_load(&mut self, id: FunctionId, observed_us: f64) {
+        let speed_factor = self.load_speed_factor_now();
+        let Some(function) = self.functions.get_mut(id) else {
+            return;
+        };
+        let observed = (observed_us / function.load_us.max(1.0)).min(MAX_SPEED_FACTOR);
+        self.load_speed_factor = speed_factor + EWMA_WEIGHT * (observed - speed_factor);
+        self.load_speed_factor_at = self.now;
+        let usual_us = observed_us / self.load_speed_factor;
+        function.load_us += EWMA_WEIGHT / 4.0 * (usual_us - function.load_us);
+        self.load_us += if self.load_us > 0.0 {
+            EWMA_WEIGHT / 4.0 * (usual_us - self.load_us)
+        } else {
+            usual_us
+        };
+    }
+}
--- a/src/logic/outlier_detection.rs
+++ b/src/logic/outlier_detection.rs
@@ -1,104 +1,96 @@
-//! Workers that take work and answer nothing: checks, suspicion, and moving jobs away.
+//! Outlier detection: workers that take requests and answer nothing are checked, ejected, and lose their requests.
 
-use super::constants::*;
+use super::constants::{MAX_CHECK_BACKOFF, POLLS_PER_OBJECTIVE};
 use super::Router;
-use crate::state::*;
-use crate::*;
-use std::collections::BTreeSet;
+use crate::state::{AttemptStatus, InFlightAttempt, InstanceCommand, Timer};
+use crate::{Decisions, Micros, RequestId, WorkerId, WorkerState};
 
 impl Router {
-    /// Guards against workers that take work and answer nothing: hung, cut off, dead. One that owes for long
-    /// is checked; one that leaves that unanswered gets nothing new and is checked on, ever less often.
-    pub(super) fn look_into_silence(&mut self, id: WorkerId, out: &mut impl Decisions) {
-        let (now, wait) = (self.now, self.terms.tightest / ASKS_A_TARGET);
+    /// Guards against workers that hang, are cut off or dead. One that owes an answer for long is checked; one that does
+    /// not answer the check is ejected and checked again, ever less often.
+    pub(super) fn check_overdue_worker(&mut self, id: WorkerId, out: &mut impl Decisions) {
+        let now = self.now;
+        let check_interval = self.config.tightest_objective / POLLS_PER_OBJECTIVE;
+        let can_check = self.config.may_check_health || self.config.may_command_loads;
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        let owes = worker
-            .out
-            .first()
-            .is_some_and(|(sent, ..)| worker.heard <= *sent);
-        let unanswered = worker.checked.map(|at| at + wait);
-        if worker.row.state != WorkerState::Ready
-            || !(owes || worker.suspect)
-            || unanswered > Some(now)
+        let oldest = worker.attempts.first();
+        let is_silent = oldest.is_some_and(|a| worker.last_heard_at <= a.dispatched_at);
+        let check_deadline = worker.unanswered_check_at.map(|at| at + check_interval);
+        let has_failed_check = check_deadline.is_some();
+        if worker.endpoint.state != WorkerState::Ready
+            || !(is_silent || worker.is_ejected)
+            || check_deadline > Some(now)
         {
             return;
         }
-        // Where nothing may be asked silence proves nothing, and who failed is tried again by the next job.
-        if unanswered.is_some() && !self.terms.probes && !self.terms.orders {
-            (worker.suspect, worker.checked) = (false, None);
+        // Where nothing can be checked, silence proves nothing, and a failed worker is retried by the next request.
+        if has_failed_check && !can_check {
+            worker.is_ejected = false;
+            worker.unanswered_check_at = None;
             return;
         }
-        worker.suspect |= unanswered.is_some();
-        if worker.suspect {
-            self.suspects.insert(id);
+        worker.is_ejected |= has_failed_check;
+        worker.unanswered_check_at = Some(now);
+        worker.unanswered_checks += 1;
+        let backoff = Micros::from(worker.unanswered_checks.min(MAX_CHECK_BACKOFF));
+        let mut stuck: Vec<InFlightAttempt> = Vec::new();
+        if worker.is_ejected {
+            stuck.extend(&worker.attempts);
+            self.ejected_workers.insert(id);
         }
-        (worker.checked, worker.checks) = (Some(now), worker.checks + 1);
-        self.due.insert((
-            now + wait * Micros::from(worker.checks.min(10)),
-            Due::Silence(id),
-        ));
-        let stuck = if worker.suspect {
-            worker.out.clone()
-        } else {
-            BTreeSet::new()
-        };
-        if self.terms.probes {
+        self.timers
+            .insert((now + check_interval * backoff, Timer::WorkerOverdue(id)));
+        self.check_worker(id, out);
+        for attempt in stuck {
+            self.move_request(attempt.request, attempt.attempt, out);
+        }
+    }
+
+    /// Starts a health check or, where there is none, a query for the instances of any function.
+    fn check_worker(&mut self, id: WorkerId, out: &mut impl Decisions) {
+        if self.config.may_check_health {
             out.check_health(id);
-        } else if self.terms.orders {
-            let places = self
+        } else if self.config.may_command_loads {
+            let idle = self
                 .functions
-                .at(id)
-                .map(|f| (f, self.functions.place(f, id)));
-            let unasked = places.into_iter().find(|(_, place)| place.order.is_none());
-            if let Some((f, place)) = unasked {
-                self.functions.put(
-                    f,
-                    id,
-                    Place {
-                        order: Some((now, 0)),
-                        ..place
-                    },
-                );
-                out.load(id, f, 0);
+                .at_worker(id)
+                .find(|f| self.functions.instance(*f, id).command.is_none());
+            if let Some(function) = idle {
+                self.functions.update_instance(function, id, |instance| {
+                    instance.command = Some(InstanceCommand::Query);
+                });
+                out.load(id, function, 0);
             }
         }
-        stuck
-            .iter()
-            .for_each(|(.., job, n)| self.move_away(*job, *n, out));
     }
 
-    /// A further execution for a job that is stuck at a silent worker, if the rules allow one and the time
-    /// left exceeds what it is expected to take: beside the first where allowed, else in its place.
-    pub(super) fn move_away(&mut self, id: RequestId, number: usize, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get(&id) else {
-            return;
-        };
-        let job = held.job;
-        let in_time = job.deadline - self.now > self.work_of(&job) as Micros;
-        let elsewhere = self.workers.values().any(|w| self.may_go(held, w));
-        let doubles =
-            self.terms.second_copies && self.workload(job.workload).effect == Effect::Restartable;
-        let Some(held) = self.jobs.get_mut(&id) else {
+    /// Another attempt for a request that is stuck at an ejected worker, if the retry policy allows one and the time
+    /// left exceeds what it is expected to take: a hedged one where that is allowed, else in place of the first.
+    fn move_request(&mut self, id: RequestId, number: usize, out: &mut impl Decisions) {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let pending = held.executions.iter().filter(|e| e.out).count();
-        let Some(execution) = held
-            .executions
-            .get_mut(number)
-            .filter(|e| e.out && !e.cancelled)
-        else {
-            return;
-        };
-        if pending > 1 || !in_time || !elsewhere {
+        let request = pending.request;
+        let attempt = pending.attempts.get(number);
+        let is_stuck = attempt.is_some_and(|a| a.status == AttemptStatus::InFlight);
+        let has_time = request.deadline - self.now > self.expected_work(&request) as Micros;
+        if !is_stuck || pending.in_flight() > 1 || !has_time || !self.has_allowed_worker(pending) {
             return;
         }
-        if doubles {
-            self.todo.insert(id);
-        } else if self.terms.cancels {
-            execution.cancelled = true;
+        if self.may_hedge(&request) {
+            self.to_place.insert(id);
+        } else if self.config.may_cancel {
+            self.mark_cancelling(id, number);
             out.cancel(id, number);
         }
     }
+
+    fn mark_cancelling(&mut self, id: RequestId, number: usize) {
+        let pending = self.requests.get_mut(&id);
+        if let Some(attempt) = pending.and_then(|p| p.attempts.get_mut(number)) {
+            attempt.status = AttemptStatus::Cancelling;
+        }
+    }
 }
--- /dev/null
+++ b/src/logic/overload.rs
@@ -0,0 +1,142 @@
+//! Whether the fleet is overloaded, loads are congested, or a single worker is congested.
+
+use super::constants::{
+    CONGESTED_LOADS, CONGESTION_FACTOR, MIN_REPORTS, OVERLOAD_FACTOR, QUEUED_SHARE_LIMIT,
+    REPORT_DECAY_US, SAMPLED_REPORTS, SLOW_FACTOR, UNEVEN_FACTOR,
+};
+use super::Router;
+use crate::state::{FleetMedians, Worker};
+use crate::statistics::median;
+use crate::{Micros, WorkerState};
+
+/// What a recent load report says of queues.
+struct QueueReport {
+    age: Micros,
+    queued_share: f64,
+}
+
+impl Router {
+    /// Updates the medians of the fleet and what is judged by them.
+    pub(super) fn refresh_fleet_view(&mut self) {
+        // Those that reported last stand for all: the fleet may be far larger than what this router hears of.
+        let latest = self.by_report_time.iter().rev();
+        let latest = latest.filter_map(|(_, worker)| self.workers.get(worker));
+        let sample: Vec<&Worker> = latest
+            .filter(|worker| worker.is_ready())
+            .take(SAMPLED_REPORTS)
+            .collect();
+        let medians = self.medians_of(&sample);
+        let reports = self.recent_queue_reports(&sample);
+        let has_recent_report = self.has_recent_report(&reports);
+        let queued_share = self.median_queued_share(&reports, sample.len());
+        self.medians = medians;
+        self.has_recent_report = has_recent_report;
+        self.queued_share = queued_share;
+        let workers = &self.workers;
+        self.ejected_workers.retain(|id| {
+            workers
+                .get(id)
+                .is_some_and(|w| w.is_ejected && w.endpoint.state == WorkerState::Ready)
+        });
+        // Where most workers look ejected, this router's own view is the likelier cause; the rest would drown.
+        self.is_in_panic_mode = self.ejected_workers.len() * 2 > self.ready_workers.len();
+    }
+
+    fn medians_of(&self, sample: &[&Worker]) -> FleetMedians {
+        let now = self.now;
+        let median_of = |value: &dyn Fn(&Worker) -> f64| {
+            median(sample.iter().map(|worker| value(worker)).collect())
+        };
+        let reported = sample.iter().filter(|worker| worker.reported_at > 0);
+        let in_flight = reported.filter_map(|worker| {
+            let in_flight = worker.report.in_flight?;
+            Some(in_flight / worker.positive_size())
+        });
+        FleetMedians {
+            speed_factor: median_of(&|worker| worker.speed_factor_now(now)),
+            congestion: median_of(&|worker| worker.congestion(now)),
+            loads_in_progress: median_of(&|worker| worker.report.loads_in_progress.unwrap_or(0.0)),
+            in_flight: median(in_flight.collect()),
+        }
+    }
+
+    /// The reports that are not too old, newest first.
+    fn recent_queue_reports(&self, sample: &[&Worker]) -> Vec<QueueReport> {
+        let oldest = (self.now - REPORT_DECAY_US as Micros).max(0);
+        let requests_start_loads = !self.config.workers_answer_misses;
+        let recent = sample.iter().filter(|worker| worker.reported_at > oldest);
+        let reports = recent.filter_map(|worker| {
+            Some(QueueReport {
+                age: self.now - worker.reported_at,
+                queued_share: worker.share_queued_for_cores(requests_start_loads)?,
+            })
+        });
+        reports.collect()
+    }
+
+    /// Whether a report came within a latency objective, or the longer the fewer answers this router gets.
+    fn has_recent_report(&self, reports: &[QueueReport]) -> bool {
+        let workers = self.ready_workers.len().max(1) as Micros;
+        let routers_per_worker = Micros::from(self.config.router_count) / workers;
+        let longest_age = self.config.tightest_objective * routers_per_worker.max(1);
+        reports
+            .first()
+            .is_some_and(|report| report.age < longest_age)
+    }
+
+    /// The queued share of the median worker, as most answers come from the congested ones; of the newest reports, or
+    /// the end of an overload is noticed late.
+    fn median_queued_share(&self, reports: &[QueueReport], sample_size: usize) -> f64 {
+        if reports.is_empty() {
+            return 0.0;
+        }
+        let wanted = (sample_size as f64).sqrt().max(MIN_REPORTS);
+        let fresh = self.config.tightest_objective;
+        let newest = reports
+            .iter()
+            .enumerate()
+            .take_while(|(index, report)| (*index as f64) < wanted || report.age < fresh);
+        median(newest.map(|(_, report)| report.queued_share).collect())
+    }
+
+    /// Whether the median worker is overloaded.
+    pub(super) fn is_overloaded(&self) -> bool {
+        self.medians.congestion > OVERLOAD_FACTOR || self.queued_share > QUEUED_SHARE_LIMIT
+    }
+
+    /// Whether loads take longer than announced or usual: the store or the load queues are congested.
+    pub(super) fn are_loads_congested(&self) -> bool {
+        self.load_speed_factor_now() > OVERLOAD_FACTOR
+            || self.medians.loads_in_progress > CONGESTED_LOADS
+    }
+
+    /// Guards against what this router cannot see, the others' requests: a worker reports far more in flight than the
+    /// median for its size, rejected a request of late, owes a late answer with no report since, or is slow.
+    pub(super) fn is_congested(&self, worker: &Worker) -> bool {
+        let is_overdue = worker
+            .attempts
+            .iter()
+            .any(|a| a.overdue_at <= self.now && worker.reported_at < a.overdue_at);
+        let median = self.medians.in_flight;
+        let is_uneven = worker.in_flight_per_size(self.now, median) > UNEVEN_FACTOR * median;
+        let slow = (CONGESTION_FACTOR * worker.baseline_speed_factor)
+            .min(SLOW_FACTOR * self.medians.speed_factor);
+        is_overdue
+            || is_uneven
+            || worker.congested_until > self.now
+            || worker.speed_factor_now(self.now) > slow
+    }
+
+    /// Whether much of what the worker last reported is queued, or it reports nothing of that.
+    pub(super) fn may_have_queue(&self, worker: &Worker) -> bool {
+        worker
+            .queued_share(!self.config.workers_answer_misses)
+            .is_none_or(|share| share > QUEUED_SHARE_LIMIT)
+    }
+
+    /// Whether a share of the worker's concurrency limit is not used up; guards against overload of any cause.
+    pub(super) fn has_capacity(&self, worker: &Worker, limit_share: f64) -> bool {
+        f64::from(worker.in_flight) < worker.concurrency_limit * limit_share
+            && worker.backoff_until <= self.now
+    }
+}
--- /dev/null
+++ b/src/logic/retry_policy.rs
@@ -0,0 +1,74 @@
+//! Retry policy (rules 2 and 3): where a request may have another attempt, and whether it may be hedged or repeated.
+
+use super::Router;
+use crate::config::{Idempotency, KeyScope};
+use crate::state::{Attempt, PendingRequest, Worker};
+use crate::{Endpoint, Request, WorkerState};
+
+impl Router {
+    /// Whether an attempt of the request may be dispatched to a worker: it is ready, not ejected, has no other attempt
+    /// of the request in flight, and the request may run there again if it may have run before.
+    pub(super) fn allows_attempt(&self, pending: &PendingRequest, to: &Worker) -> bool {
+        let is_healthy = !to.is_ejected || self.is_in_panic_mode;
+        let is_there = |a: &Attempt| a.is_in_flight() && a.worker == to.endpoint.worker;
+        if to.endpoint.state != WorkerState::Ready
+            || !is_healthy
+            || pending.attempts.iter().any(is_there)
+        {
+            return false;
+        }
+        let first_run = pending.attempts.iter().find(|a| a.may_have_run());
+        first_run.is_none_or(|first| self.allows_repetition(&pending.request, first, &to.endpoint))
+    }
+
+    /// Whether a request that may have run in an attempt may run again at an endpoint.
+    fn allows_repetition(&self, request: &Request, first: &Attempt, to: &Endpoint) -> bool {
+        let workload = self.workload(request.workload);
+        match workload.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::ByKey => {
+                let is_key_kept = self.now - first.dispatched_at < workload.key_window;
+                is_key_kept && self.is_in_key_scope(workload.key_scope, first, to)
+            }
+        }
+    }
+
+    fn is_in_key_scope(&self, scope: KeyScope, first: &Attempt, to: &Endpoint) -> bool {
+        let first_endpoint = || {
+            self.workers
+                .get(&first.worker)
+                .map(|worker| worker.endpoint)
+        };
+        match scope {
+            KeyScope::Fleet => true,
+            KeyScope::Zone => first_endpoint().is_some_and(|from| from.zone == to.zone),
+            KeyScope::Cell => first_endpoint().is_some_and(|from| from.cell == to.cell),
+            KeyScope::Nowhere => false,
+        }
+    }
+
+    /// Whether any worker may get another attempt of the request.
+    pub(super) fn has_allowed_worker(&self, pending: &PendingRequest) -> bool {
+        self.workers
+            .values()
+            .any(|worker| self.allows_attempt(pending, worker))
+    }
+
+    /// Whether a request may have two attempts in flight.
+    pub(super) fn may_hedge(&self, request: &Request) -> bool {
+        let idempotency = self.workload(request.workload).idempotency;
+        self.config.may_hedge && idempotency == Idempotency::Idempotent
+    }
+
+    /// Whether the client may safely repeat a request that gets no answer from this router.
+    pub(super) fn is_repeatable_by_client(&self, pending: &PendingRequest) -> bool {
+        let workload = self.workload(pending.request.workload);
+        let may_have_run = pending.attempts.iter().any(Attempt::may_have_run);
+        match workload.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::ByKey => !may_have_run || workload.key_scope == KeyScope::Fleet,
+            Idempotency::NonIdempotent => !may_have_run,
+        }
+    }
+}
--- /dev/null
+++ b/src/logic/slow_start.rs
@@ -0,0 +1,35 @@
+//! Slow start (rule 4): a worker that restarted gets a growing share of the work while it warms up.
+
+use super::constants::SLOW_START_HEADROOM;
+use super::Router;
+use crate::state::Worker;
+use crate::statistics::{hash_of, unit_interval};
+use crate::RequestId;
+
+impl Router {
+    /// Whether a request's work fits the worker's slow-start budget. What is saved up for a part only is enough with a
+    /// probability in proportion, or many routers would each save up for a request and dispatch them together.
+    pub(super) fn slow_start_admits(&self, to: &Worker, request: RequestId, work_us: f64) -> bool {
+        let draw = || unit_interval(hash_of((self.seed, to.endpoint.worker, request)));
+        self.slow_start_budget(to)
+            .is_none_or(|budget_us| budget_us > draw() * work_us)
+    }
+
+    /// Work, in microseconds, that may be dispatched to a worker now; none if it is warm. It accrues at the worker's
+    /// share of an even share of the work that arrives here, over no more than the collapse window; so all routers
+    /// together stay near what the worker can do.
+    pub(super) fn slow_start_budget(&self, worker: &Worker) -> Option<f64> {
+        let endpoint = &worker.endpoint;
+        if endpoint.started_at <= 0 || self.now >= worker.warm_at {
+            return None;
+        }
+        let age = (self.now - endpoint.started_at).max(0) as f64;
+        let initial = self.config.slow_start_initial_share;
+        let warm_share = initial + (1.0 - initial) * age / self.config.slow_start_window as f64;
+        let fleet_share = endpoint.size / self.ready_workers.total_weight().max(endpoint.size);
+        let rate = self.work_rate_now() * fleet_share * warm_share * SLOW_START_HEADROOM;
+        let elapsed = (self.now - worker.slow_start_budget_at).max(0) as f64;
+        let saved = worker.slow_start_budget_us + rate * elapsed;
+        Some(saved.min(rate * self.config.collapse_window_us))
+    }
+}
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -1,68 +1,110 @@
-//! What is known of one worker, as of now: readiness, pace, reports, and the limit of own jobs in flight.
+//! What is known of one worker at this instant: readiness, speed factor, load report and concurrency limit.
 
-use super::constants::*;
+use super::constants::{
+    BASELINE_RISE_US, BUSY_CORES, EWMA_WEIGHT, LIMIT_DECREASE, MAX_FAILURE_SCORE, REPORT_DECAY_US,
+    SPEED_FACTOR_DECAY_US,
+};
 use crate::state::Worker;
 use crate::statistics::decayed;
-use crate::*;
+use crate::{FunctionId, Micros, WorkerState};
 
 impl Worker {
-    pub(super) fn ready(&self) -> bool {
-        self.row.state == WorkerState::Ready && !self.suspect
+    /// Whether it is listed as ready and not ejected.
+    pub(super) fn is_ready(&self) -> bool {
+        self.endpoint.state == WorkerState::Ready && !self.is_ejected
     }
-    pub(super) fn pace_now(&self, now: Micros) -> f64 {
-        decayed(self.pace, self.calm, now - self.pace_at, PACE_FADES_US)
+
+    /// Its size, as a divisor.
+    pub(super) fn positive_size(&self) -> f64 {
+        self.endpoint.size.max(f64::MIN_POSITIVE)
+    }
+
+    /// The speed factor, decayed towards its baseline.
+    pub(super) fn speed_factor_now(&self, now: Micros) -> f64 {
+        decayed(
+            self.speed_factor,
+            self.baseline_speed_factor,
+            now - self.speed_factor_at,
+            SPEED_FACTOR_DECAY_US,
+        )
     }
-    /// How many times longer than when calm jobs take here of late.
-    pub(super) fn crowding(&self, now: Micros) -> f64 {
-        self.pace_now(now) / self.calm
+
+    /// How many times longer than without congestion requests take here of late.
+    pub(super) fn congestion(&self, now: Micros) -> f64 {
+        self.speed_factor_now(now) / self.baseline_speed_factor
     }
-    pub(super) fn learn_pace(&mut self, now: Micros, seen: f64) {
-        let risen = self.calm * (1.0 + (now - self.pace_at) as f64 / CALM_RISES_US);
-        self.pace = self.pace_now(now);
-        self.pace += NEWEST / 2.0 * (seen - self.pace);
-        (self.pace_at, self.seen) = (now, self.seen + 1.0);
-        self.long += (seen - self.long) * (1.0 / self.seen).max(NEWEST / 10.0);
-        self.calm = if self.seen * NEWEST < 4.0 {
-            self.long
+
+    /// Records the speed factor of one answer.
+    pub(super) fn observe_speed_factor(&mut self, now: Micros, observed: f64) {
+        let elapsed = (now - self.speed_factor_at) as f64;
+        let risen_baseline = self.baseline_speed_factor * (1.0 + elapsed / BASELINE_RISE_US);
+        self.speed_factor = self.speed_factor_now(now);
+        self.speed_factor += EWMA_WEIGHT / 2.0 * (observed - self.speed_factor);
+        self.speed_factor_at = now;
+        self.observation_count += 1.0;
+        let weight = (1.0 / self.observation_count).max(EWMA_WEIGHT / 10.0);
+        self.long_run_speed_factor += (observed - self.long_run_speed_factor) * weight;
+        self.baseline_speed_factor = if self.observation_count * EWMA_WEIGHT < 4.0 {
+            self.long_run_speed_factor
         } else {
-            risen.min(self.long)
+            risen_baseline.min(self.long_run_speed_factor)
         };
     }
-    /// Jobs of all routers held here for its size, as last reported; an old report tells as the middle one's.
-    pub(super) fn held_now(&self, now: Micros, middle: f64) -> f64 {
-        let held = self.report.in_flight.unwrap_or(middle * self.row.size)
-            / self.row.size.max(f64::MIN_POSITIVE);
-        decayed(held, middle, now - self.report_at, REPORT_FADES_US)
+
+    /// Requests of all routers in flight here, for a size of one; an old report decays towards the fleet median.
+    pub(super) fn in_flight_per_size(&self, now: Micros, median: f64) -> f64 {
+        let unknown = median * self.endpoint.size;
+        let reported = self.report.in_flight.unwrap_or(unknown) / self.positive_size();
+        decayed(reported, median, now - self.reported_at, REPORT_DECAY_US)
     }
-    /// What part of the jobs it last reported waits, or whether all its cores were busy, where it tells. A
-    /// load under way is a job that waits, but not for a core, where workers load by themselves.
-    pub(super) fn waiting(&self, own_loads: bool) -> Option<f64> {
-        let loads = self
-            .report
-            .loads_in_progress
-            .filter(|_| own_loads)
-            .unwrap_or(0.0);
+
+    /// The share of reported requests that is queued or, if that is not reported, whether all cores are busy. Where
+    /// requests start loads, a load in progress is a request that waits, but not for a core.
+    pub(super) fn queued_share(&self, requests_start_loads: bool) -> Option<f64> {
+        let loads = self.report.loads_in_progress;
+        let loads = loads.filter(|_| requests_start_loads).unwrap_or(0.0);
         let queued = self.report.queued.zip(self.report.in_flight);
-        let part = queued.map(|(queued, held)| (queued - loads) / held.max(1.0));
-        part.or(self
-            .report
-            .busy
-            .map(|busy| f64::from(u8::from(busy > BUSY))))
+        let share = queued.map(|(queued, in_flight)| (queued - loads) / in_flight.max(1.0));
+        let busy = self.report.busy.map(|busy| busy > BUSY_CORES);
+        share.or(busy.map(|busy| f64::from(u8::from(busy))))
     }
-    /// The same of what waits for a core. Guards against taking a cold fleet for a pressed one: where cores
-    /// are told to be idle, jobs wait for a lane of the only copy or a load: turning jobs away frees nothing.
-    pub(super) fn waiting_for_cores(&self, own_loads: bool) -> Option<f64> {
-        let idle = self.report.busy.is_some_and(|busy| busy <= BUSY);
-        self.waiting(own_loads)
-            .map(|part| if idle { 0.0 } else { part })
+
+    /// The share of requests that waits for a core. Guards against taking a cold fleet for an overloaded one: with
+    /// idle cores, requests wait for an instance or a load, and rejecting others frees nothing.
+    pub(super) fn share_queued_for_cores(&self, requests_start_loads: bool) -> Option<f64> {
+        let has_idle_cores = self.report.busy.is_some_and(|busy| busy <= BUSY_CORES);
+        self.queued_share(requests_start_loads)
+            .map(|share| if has_idle_cores { 0.0 } else { share })
     }
-    /// Cuts the limit, at most once in the time of a job, as what was sent before still shows.
-    pub(super) fn cut_limit(&mut self, now: Micros, work: f64) {
-        if now >= self.cut + (work * self.pace) as Micros {
-            (self.cut, self.limit) = (now, (self.limit * CUT).max(1.0));
+
+    /// Cuts the concurrency limit, at most once in the time of a request, as what was dispatched before still shows.
+    pub(super) fn cut_concurrency_limit(&mut self, now: Micros, work_us: f64) {
+        if now >= self.limit_cut_at + (work_us * self.speed_factor) as Micros {
+            self.limit_cut_at = now;
+            self.concurrency_limit = (self.concurrency_limit * LIMIT_DECREASE).max(1.0);
         }
     }
-    pub(super) fn hear(&mut self, now: Micros) {
-        (self.heard, self.checked, self.checks, self.suspect) = (now, None, 0, false);
+
+    /// Records an error. Guards against a worker that fails at once all it gets, and so always has the fewest requests
+    /// in flight: it backs off ever longer. A single function that fails may itself be at fault.
+    pub(super) fn record_error(&mut self, now: Micros, function: FunctionId, work_us: f64) {
+        if self.failure_score != 1 || self.last_failed_function != function {
+            self.failure_score = (self.failure_score + 1).min(MAX_FAILURE_SCORE);
+        }
+        let backoff_us = if self.failure_score > 1 {
+            work_us * f64::from(1 << self.failure_score) / 2.0
+        } else {
+            0.0
+        };
+        self.last_failed_function = function;
+        self.backoff_until = self.backoff_until.max(now + backoff_us as Micros);
+    }
+
+    /// Records any sign of life.
+    pub(super) fn record_response(&mut self, now: Micros) {
+        self.last_heard_at = now;
+        self.unanswered_check_at = None;
+        self.unanswered_checks = 0;
+        self.is_ejected = false;
     }
 }
