--- /dev/null
+++ b/tests/retries.rs
@@ -0,0 +1,104 @@
+//! Retry policy: which requests get another attempt, and where.
+
+mod common;
+
+use common::{endpoint, ready_endpoint, text, Action, FakeHost};
+use rstest::rstest;
+use sanddrum::{
+    Endpoint, EndpointList, EndpointListKind, EventBatch, Micros, Outcome, Value, Warmth,
+    WorkerState, ZoneId,
+};
+
+#[rstest]
+#[case::idempotent("restartable", true)]
+#[case::run_once("run-once", false)]
+fn error_is_retried_only_where_that_is_harmless(#[case] effect: &str, #[case] is_retried: bool) {
+    let mut host = FakeHost::new(3, &[("workloads.0.effect", text(effect))]);
+    host.send(1, 7);
+    host.end_attempt(1, Outcome::Error, Warmth::Unknown, 10_000);
+    assert_eq!(host.attempts[&1], if is_retried { 2 } else { 1 });
+    assert_eq!(
+        host.count(|action| *action == Action::Fail(1)),
+        usize::from(!is_retried),
+        "and at once"
+    );
+    assert_eq!(host.count(|action| *action == Action::Reject(1)), 0);
+}
+
+#[rstest]
+#[case::in_its_zone(0, 100_000, true)]
+#[case::in_another_zone(1, 100_000, false)]
+#[case::past_the_window(0, 600_000, false)]
+fn retry_by_idempotency_key_stays_in_scope_and_window(
+    #[case] zone: usize,
+    #[case] after: Micros,
+    #[case] is_retried: bool,
+) {
+    let settings = [
+        ("workloads.0.effect", text("fingerprinted")),
+        ("workloads.0.group", text("zone")),
+        ("workloads.0.repeat-window-us", Value::Number(500_000.0)),
+    ];
+    let mut host = FakeHost::new(1, &settings);
+    host.send(1, 7);
+    let other = Endpoint {
+        zone: ZoneId(zone),
+        ..ready_endpoint(9)
+    };
+    let draining = endpoint(0, WorkerState::Draining, 0);
+    host.update_endpoints(EndpointListKind::Delta, vec![draining, other]);
+    host.end_attempt(1, Outcome::Error, Warmth::Unknown, after);
+    assert_eq!(host.attempts[&1], if is_retried { 2 } else { 1 });
+    assert_eq!(
+        host.count(|action| *action == Action::Reject(1)),
+        0,
+        "it may have run"
+    );
+}
+
+#[rstest]
+#[case::draining(WorkerState::Draining)]
+#[case::gone(WorkerState::Gone)]
+fn nothing_new_goes_to_a_worker_that_drains_in_the_same_batch(#[case] state: WorkerState) {
+    let mut host = FakeHost::new(1, &[]);
+    let list = EndpointList {
+        kind: EndpointListKind::Delta,
+        endpoints: vec![endpoint(0, state, 0)],
+    };
+    let request = host.request(1, 7);
+    host.handle(EventBatch {
+        endpoint_lists: vec![list],
+        requests: vec![request],
+        ..EventBatch::default()
+    });
+    host.advance(4_000_000);
+    assert_eq!(host.count(|a| matches!(a, Action::Dispatch { .. })), 0);
+    assert_eq!(host.load_commands(None, 1), 0);
+    assert_eq!(host.final_answers(1), 1);
+}
+
+#[rstest]
+#[case::of_several_functions([0, 1, 2], true)]
+#[case::of_one_function([0, 0, 2], false)]
+fn worker_that_fails_several_functions_backs_off(
+    #[case] failing: [usize; 3],
+    #[case] backs_off: bool,
+) {
+    let mut host = FakeHost::new(2, &[]);
+    let mut functions_at_worker = Vec::new();
+    for function in 1..30 {
+        host.send(function, function);
+        if host.dispatched_to(function) == Some(1) {
+            functions_at_worker.push(function);
+        }
+        host.succeed(function, Warmth::StartedLoad, 100_000);
+    }
+    for (id, which) in (100..).zip(&failing[..2]) {
+        host.send(id, functions_at_worker[*which]);
+        host.now += 400_000;
+        host.report_outcome(id, Outcome::Error, Warmth::Warm, 1_000);
+        host.now += 300_000;
+    }
+    host.send(200, functions_at_worker[failing[2]]);
+    assert_eq!(host.dispatched_to(200) != Some(1), backs_off);
+}
--- /dev/null
+++ b/tests/robustness.rs
@@ -0,0 +1,74 @@
+//! Settings and events that make little sense are handled without a panic and without losing requests.
+
+mod common;
+
+use common::{endpoint, FakeHost, LOAD_COMMANDS};
+use rstest::rstest;
+use sanddrum::{
+    EndpointListKind, EventBatch, HealthCheckResult, Outcome, Request, RequestId, Value, Warmth,
+    WorkerId, WorkerState,
+};
+
+#[rstest]
+#[case::latency_objective("workloads.0.start-target-us")]
+#[case::keep_alive("copies.keep-alive-us")]
+#[case::slow_start_window("rules.cold-us")]
+#[case::collapse_window("rules.fall-us")]
+#[case::slow_start_initial_share("rules.cold-from")]
+#[case::routers("routers")]
+#[case::key_window("workloads.0.repeat-window-us")]
+#[case::workloads("workloads.count")]
+fn setting_of_zero_loses_no_request_and_wakes_no_more_often(#[case] name: &str) {
+    let mut host = FakeHost::new(5, &[(name, Value::Number(0.0)), LOAD_COMMANDS]);
+    host.update_endpoint(endpoint(1, WorkerState::Ready, host.now));
+    let mut wake_ups = 0;
+    for id in 0..40 {
+        host.send(id, id % 3);
+        host.answer_queries(0);
+        if host.is_dispatched(id) {
+            host.succeed(id, Warmth::Warm, 50_000);
+        }
+        wake_ups += host.advance(100_000);
+    }
+    host.advance(4_000_000);
+    let answered = (0..40)
+        .filter(|id| host.is_dispatched(*id) || host.final_answers(*id) == 1)
+        .count();
+    assert_eq!(answered, 40);
+    assert!(wake_ups < 40 * 40, "woken {wake_ups} times in four seconds");
+}
+
+#[rstest]
+fn odd_events_cause_no_panic() {
+    let mut host = FakeHost::new(0, &[]);
+    host.send(1, 7);
+    host.update_endpoints(EndpointListKind::Full, vec![]);
+    let late = Request {
+        deadline: host.now - 1,
+        concurrency: 0.0,
+        memory_mb: 0.0,
+        ..host.request(2, 8)
+    };
+    host.handle(EventBatch {
+        requests: vec![late],
+        cancelled: vec![RequestId(99)],
+        ..EventBatch::default()
+    });
+    host.end_load(5, 55, Outcome::Finished, 1);
+    host.end_attempt(77, Outcome::Finished, Warmth::Warm, 10);
+    host.end_attempt(2, Outcome::Finished, Warmth::Warm, 10);
+    host.end_attempt(2, Outcome::Finished, Warmth::Warm, 10);
+    let unknown_worker = HealthCheckResult {
+        worker: WorkerId(5),
+        outcome: Outcome::Finished,
+        latency: 1,
+        report: None,
+    };
+    host.handle(EventBatch {
+        health_check_results: vec![unknown_worker],
+        timer: true,
+        ..EventBatch::default()
+    });
+    host.advance(4_000_000);
+    assert_eq!((host.final_answers(1), host.final_answers(2)), (1, 1));
+}
