--- a/crates/sanddrum-bootstrap/src/lib.rs
+++ b/crates/sanddrum-bootstrap/src/lib.rs
@@ -1,5 +1,5 @@
-//! The steps of an edge's start, and when it may call the list service. The host makes one [`Start`] an edge and calls
-//! `round` with what came in ([`Events`]) and a writer ([`Decisions`]). All news is recorded first; only then is decided.
+//! The steps of an edge's start, and when it may call the list service. The host makes one [`Bootstrap`] an edge and calls
+//! `round` with what came in ([`DiscoveryEvent`]) and a writer ([`Decisions`]). All news is recorded first; only then is decided.
 //!
 //! Hundreds of edges that start at one instant, or that lose the list service at one, must not call it at one instant.
 //! Nobody tells an edge whether it is alone in this; so every edge keeps to a part of what the service is to bear from
@@ -13,51 +13,51 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sanddrum::{Micros, Settings};
-use sanddrum_limits::Bucket;
+use sanddrum_limits::TokenBucket;
 
 /// How far an edge's start has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum Readiness {
     /// It knows no worker: it can only push back.
-    Blind,
+    NoEndpoints,
     /// It serves by the list that it had kept, which may be old.
-    Kept,
+    CachedEndpoints,
     /// The list service has told it the list in this run.
-    Told,
+    Synced,
 }
 
-impl Step {
+impl Readiness {
     /// As the health page and the logs word it.
     pub fn name(self) -> &'static str {
         match self {
-            Step::Blind => "no-list",
-            Step::Kept => "kept-list",
-            Step::Told => "told",
+            Readiness::NoEndpoints => "no-list",
+            Readiness::CachedEndpoints => "kept-list",
+            Readiness::Synced => "told",
         }
     }
 }
 
 /// What came in since the last round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Events {
+pub enum DiscoveryEvent {
     /// The process begins, with a kept list or with none.
-    Began { kept: bool },
+    Started { has_cache: bool },
     /// The service answered with rows: the whole list, or what follows on what is known.
     Answered,
     /// It told of a change that does not follow on what is known.
     Gap,
     /// The connection could not be made, or ended.
-    Lost,
+    Disconnected,
 }
 
 /// Where decisions are written.
 pub trait Decisions {
     /// Call the service now, with the version that is known.
-    fn call(&mut self);
+    fn connect(&mut self);
     /// On the connection that is up, ask for all that follows on the version that is known.
-    fn ask(&mut self);
+    fn poll(&mut self);
     /// The connection leads nowhere: end it.
-    fn hang_up(&mut self);
+    fn disconnect(&mut self);
     /// Call again then, if not before.
     fn wake_at(&mut self, at: Micros);
 }
@@ -86,8 +86,8 @@
     Missing { at: Micros },
 }
 
-pub struct Start {
-    step: Step,
+pub struct Bootstrap {
+    step: Readiness,
     line: Line,
     chance: Pcg64Mcg,
     /// Calls a second that this edge may make.
@@ -99,18 +99,18 @@
     check_every: Micros,
     wait: Micros,
     unanswered: u32,
-    budget: Bucket,
+    budget: TokenBucket,
 }
 
-impl Start {
+impl Bootstrap {
     pub fn new(seed: u64, settings: &Settings) -> Self {
         let number = |name: &str, otherwise: f64| settings.number(name).unwrap_or(otherwise);
         let span = |name: &str, otherwise: f64| number(name, otherwise).max(1.0) as Micros;
         let rate = number("limits.list-calls", 100.0).max(f64::MIN_POSITIVE)
             / number("routers", 1.0).max(1.0);
         let least = span("limits.list-retry-least-us", 1e5);
-        Start {
-            step: Step::Blind,
+        Bootstrap {
+            step: Readiness::NoEndpoints,
             line: Line::Down { again: Micros::MAX },
             chance: Pcg64Mcg::seed_from_u64(seed),
             rate,
@@ -121,17 +121,17 @@
             check_every: span("limits.list-check-us", 1e7),
             wait: 0,
             unanswered: 0,
-            budget: Bucket::default(),
+            budget: TokenBucket::default(),
         }
     }
-    pub fn step(&self) -> Step {
+    pub fn readiness(&self) -> Readiness {
         self.step
     }
     /// An edge that knows a worker is of use to clients.
     pub fn is_healthy(&self) -> bool {
-        self.step > Step::Blind
+        self.step > Readiness::NoEndpoints
     }
-    pub fn handle(&mut self, now: Micros, news: &[Events], out: &mut impl Decisions) {
+    pub fn handle(&mut self, now: Micros, news: &[DiscoveryEvent], out: &mut impl Decisions) {
         news.iter().for_each(|news| self.record(now, *news));
         self.decide(now, out);
         let next = match self.line {
@@ -146,17 +146,21 @@
     fn part(&mut self) -> f64 {
         self.chance.random()
     }
-    fn record(&mut self, now: Micros, news: Events) {
+    fn record(&mut self, now: Micros, news: DiscoveryEvent) {
         match news {
-            Events::Began { kept } => {
-                self.step = if kept { Step::Kept } else { Step::Blind };
+            DiscoveryEvent::Started { has_cache: kept } => {
+                self.step = if kept {
+                    Readiness::CachedEndpoints
+                } else {
+                    Readiness::NoEndpoints
+                };
                 let over = self.spread as f64 * if kept { 1.0 } else { BLIND_PART };
                 self.line = Line::Down {
                     again: now + (over * self.part()) as Micros,
                 };
             }
-            Events::Answered => {
-                self.step = Step::Told;
+            DiscoveryEvent::Answered => {
+                self.step = Readiness::Synced;
                 (self.wait, self.unanswered) = (0, 0);
                 // Drawn, so that edges that were answered together do not look together.
                 let every = self.check_every as f64 * (0.5 + self.part());
@@ -166,13 +170,13 @@
                     };
                 }
             }
-            Events::Gap => {
+            DiscoveryEvent::Gap => {
                 // One that is asked about already is not asked about again.
                 if matches!(self.line, Line::Up { .. }) {
                     self.line = Line::Missing { at: now };
                 }
             }
-            Events::Lost => self.lost(now),
+            DiscoveryEvent::Disconnected => self.lost(now),
         }
     }
     fn lost(&mut self, now: Micros) {
@@ -198,7 +202,7 @@
                     self.line = Line::Waits {
                         until: now + self.patience(),
                     };
-                    out.call();
+                    out.connect();
                 }
                 Err(wait) => {
                     self.line = Line::Down {
@@ -207,21 +211,21 @@
                 }
             },
             Line::Waits { until } if until <= now => {
-                out.hang_up();
+                out.disconnect();
                 self.lost(now);
             }
             Line::Up { check } if check <= now => {
                 self.line = Line::Waits {
                     until: now + self.patience(),
                 };
-                out.ask();
+                out.poll();
             }
             Line::Missing { at } if at <= now => match self.budget.take(now, self.rate, BURST) {
                 Ok(()) => {
                     self.line = Line::Waits {
                         until: now + self.patience(),
                     };
-                    out.ask();
+                    out.poll();
                 }
                 Err(wait) => {
                     self.line = Line::Missing {
--- a/crates/sanddrum-bootstrap/tests/stories.rs
+++ b/crates/sanddrum-bootstrap/tests/stories.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddrum::{Micros, Settings, Value};
-use sanddrum_bootstrap::{Decisions, Events, Start, Step};
+use sanddrum_bootstrap::{Bootstrap, Decisions, DiscoveryEvent, Readiness};
 
 #[derive(Default)]
 struct Host {
@@ -14,13 +14,13 @@
 }
 
 impl Decisions for Host {
-    fn call(&mut self) {
+    fn connect(&mut self) {
         self.calls.push(self.now);
     }
-    fn ask(&mut self) {
+    fn poll(&mut self) {
         self.asks.push(self.now);
     }
-    fn hang_up(&mut self) {
+    fn disconnect(&mut self) {
         self.hung_up.push(self.now);
     }
     fn wake_at(&mut self, at: Micros) {
@@ -28,14 +28,19 @@
     }
 }
 
-fn edge(seed: u64, edges: f64) -> (Start, Host) {
+fn edge(seed: u64, edges: f64) -> (Bootstrap, Host) {
     let number = |name: &str, n: f64| (name.to_string(), Value::Number(n));
     let set = [number("routers", edges), number("limits.list-calls", 100.0)];
-    (Start::new(seed, &Settings(set.into())), Host::default())
+    (Bootstrap::new(seed, &Settings(set.into())), Host::default())
 }
 
 /// Lets time pass, with news at each wake as the service would have it.
-fn pass(start: &mut Start, host: &mut Host, until: Micros, news: impl Fn(&Host) -> Vec<Events>) {
+fn pass(
+    start: &mut Bootstrap,
+    host: &mut Host,
+    until: Micros,
+    news: impl Fn(&Host) -> Vec<DiscoveryEvent>,
+) {
     while host.wake <= until {
         host.now = host.wake.max(host.now);
         let (called, asked) = (host.calls.len(), host.asks.len());
@@ -57,10 +62,15 @@
     let mut calls = Vec::new();
     for n in 0..edges {
         let (mut start, mut host) = edge(n, set);
-        start.handle(0, &[Events::Began { kept: true }], &mut host);
-        assert_eq!((start.step(), start.is_healthy()), (Step::Kept, true));
-        pass(&mut start, &mut host, 5_000_000, |_| vec![Events::Answered]);
-        assert_eq!(start.step(), Step::Told);
+        start.handle(0, &[DiscoveryEvent::Started { has_cache: true }], &mut host);
+        assert_eq!(
+            (start.readiness(), start.is_healthy()),
+            (Readiness::CachedEndpoints, true)
+        );
+        pass(&mut start, &mut host, 5_000_000, |_| {
+            vec![DiscoveryEvent::Answered]
+        });
+        assert_eq!(start.readiness(), Readiness::Synced);
         calls.push(host.calls[0]);
     }
     calls.sort();
@@ -85,9 +95,15 @@
 #[rstest]
 fn an_edge_that_knows_no_worker_says_so_and_calls_early() {
     let (mut start, mut host) = edge(1, 300.0);
-    start.handle(0, &[Events::Began { kept: false }], &mut host);
+    start.handle(
+        0,
+        &[DiscoveryEvent::Started { has_cache: false }],
+        &mut host,
+    );
     assert!(!start.is_healthy());
-    pass(&mut start, &mut host, 750_000, |_| vec![Events::Answered]);
+    pass(&mut start, &mut host, 750_000, |_| {
+        vec![DiscoveryEvent::Answered]
+    });
     assert_eq!((host.calls.len(), start.is_healthy()), (1, true));
 }
 
@@ -96,8 +112,16 @@
     let mut calls = Vec::new();
     for n in 0..300 {
         let (mut start, mut host) = edge(n, 300.0);
-        start.handle(0, &[Events::Began { kept: n % 2 == 0 }], &mut host);
-        pass(&mut start, &mut host, 10_000_000, |_| vec![Events::Lost]);
+        start.handle(
+            0,
+            &[DiscoveryEvent::Started {
+                has_cache: n % 2 == 0,
+            }],
+            &mut host,
+        );
+        pass(&mut start, &mut host, 10_000_000, |_| {
+            vec![DiscoveryEvent::Disconnected]
+        });
         calls.extend(host.calls.iter().map(|at| at / 1_000_000));
     }
     for second in 0..10 {
@@ -110,19 +134,19 @@
 #[rstest]
 fn one_that_takes_the_call_and_says_nothing_is_left_and_called_ever_less_often() {
     let (mut start, mut host) = edge(7, 3.0);
-    start.handle(0, &[Events::Began { kept: true }], &mut host);
+    start.handle(0, &[DiscoveryEvent::Started { has_cache: true }], &mut host);
     pass(&mut start, &mut host, 60_000_000, |_| vec![]);
     assert!((5..20).contains(&host.hung_up.len()), "{:?}", host.hung_up);
-    assert_eq!(start.step(), Step::Kept);
+    assert_eq!(start.readiness(), Readiness::CachedEndpoints);
 }
 
 #[rstest]
 fn a_quiet_service_is_looked_after_and_left_when_it_does_not_answer() {
     let (mut start, mut host) = edge(7, 3.0);
-    start.handle(0, &[Events::Began { kept: true }], &mut host);
+    start.handle(0, &[DiscoveryEvent::Started { has_cache: true }], &mut host);
     pass(&mut start, &mut host, 40_000_000, |host| {
         if host.asks.len() < 2 {
-            vec![Events::Answered]
+            vec![DiscoveryEvent::Answered]
         } else {
             vec![]
         }
@@ -138,19 +162,25 @@
 #[rstest]
 fn a_gap_is_asked_about_once_however_often_it_shows() {
     let (mut start, mut host) = edge(7, 300.0);
-    start.handle(0, &[Events::Began { kept: true }], &mut host);
+    start.handle(0, &[DiscoveryEvent::Started { has_cache: true }], &mut host);
     // By now there is a permit again.
-    pass(&mut start, &mut host, 7_000_000, |_| vec![Events::Answered]);
+    pass(&mut start, &mut host, 7_000_000, |_| {
+        vec![DiscoveryEvent::Answered]
+    });
     for _ in 0..50 {
         host.now += 1_000;
-        start.handle(host.now, &[Events::Gap], &mut host);
+        start.handle(host.now, &[DiscoveryEvent::Gap], &mut host);
     }
     assert_eq!(host.asks.len(), 1);
     // The answer came, and the next gap waits for the budget.
-    start.handle(host.now, &[Events::Answered], &mut host);
+    start.handle(host.now, &[DiscoveryEvent::Answered], &mut host);
     for _ in 0..50 {
         host.now += 1_000;
-        start.handle(host.now, &[Events::Gap, Events::Answered], &mut host);
+        start.handle(
+            host.now,
+            &[DiscoveryEvent::Gap, DiscoveryEvent::Answered],
+            &mut host,
+        );
     }
     assert_eq!(host.asks.len(), 1, "{:?}", host.asks);
 }
@@ -166,15 +196,21 @@
     for n in 0..edges {
         for kept in [false, true] {
             let (mut start, mut host) = edge(n, edges as f64);
-            start.handle(0, &[Events::Began { kept }], &mut host);
-            pass(&mut start, &mut host, until, |_| vec![Events::Answered]);
+            start.handle(0, &[DiscoveryEvent::Started { has_cache: kept }], &mut host);
+            pass(&mut start, &mut host, until, |_| {
+                vec![DiscoveryEvent::Answered]
+            });
             calls[usize::from(kept)].push(host.calls[0]);
             if kept {
                 // It has been up for long, so that it has a permit.
-                pass(&mut start, &mut host, 2 * until, |_| vec![Events::Answered]);
+                pass(&mut start, &mut host, 2 * until, |_| {
+                    vec![DiscoveryEvent::Answered]
+                });
                 host.calls.clear();
-                start.handle(host.now, &[Events::Lost], &mut host);
-                pass(&mut start, &mut host, 3 * until, |_| vec![Events::Answered]);
+                start.handle(host.now, &[DiscoveryEvent::Disconnected], &mut host);
+                pass(&mut start, &mut host, 3 * until, |_| {
+                    vec![DiscoveryEvent::Answered]
+                });
                 calls[2].push(host.calls[0] - 2 * until);
             }
         }
--- a/crates/sanddrum-cli/src/call.rs
+++ b/crates/sanddrum-cli/src/call.rs
@@ -64,7 +64,7 @@
     }
 }
 
-fn ask(args: &CallArgs) -> Result<http::Answer, String> {
+fn ask(args: &CallArgs) -> Result<http::Response, String> {
     let limit = args.time_limit.map(|ms| ms.to_string());
     let token = args
         .token
@@ -86,7 +86,7 @@
             .filter_map(|(name, value)| value.map(|v| (*name, v))),
     );
     let path = format!("/v1/calls/{}/{}", args.workload, args.function);
-    let request = http::write_request("POST", &path, &fields, args.body.as_bytes());
+    let request = http::encode_request("POST", &path, &fields, args.body.as_bytes());
     let mut socket = TcpStream::connect(&args.edge).map_err(|e| e.to_string())?;
     let patience = Duration::from_millis(args.time_limit.unwrap_or(60_000) + 1000);
     socket
@@ -126,12 +126,14 @@
         .map_err(|e| e.to_string())
 }
 
-fn exchange(stream: &mut (impl Read + Write), request: &[u8]) -> Result<http::Answer, String> {
+fn exchange(stream: &mut (impl Read + Write), request: &[u8]) -> Result<http::Response, String> {
     stream.write_all(request).map_err(|e| e.to_string())?;
     let mut bytes = Vec::new();
     let mut piece = [0; 16 * 1024];
     loop {
-        if let Some((answer, _)) = http::answer(&bytes).map_err(|_| "the answer is no HTTP")? {
+        if let Some((answer, _)) =
+            http::parse_response(&bytes).map_err(|_| "the answer is no HTTP")?
+        {
             return Ok(answer);
         }
         match stream.read(&mut piece).map_err(|e| e.to_string())? {
--- a/crates/sanddrum-cli/src/config.rs
+++ b/crates/sanddrum-cli/src/config.rs
@@ -22,10 +22,10 @@
 fn load(
     file: &Path,
     scenario: bool,
-) -> Result<sanddrum_settings::Loaded, sanddrum_settings::Problem> {
+) -> Result<sanddrum_settings::LoadedSettings, sanddrum_settings::SettingsError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|e| sanddrum_settings::Problem::of_file(&name, &e))?;
+        .map_err(|e| sanddrum_settings::SettingsError::of_file(&name, &e))?;
     if scenario {
         return sanddrum_lab::Scenario::read(&name, &text, 1).map(|s| s.settings);
     }
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -7,7 +7,7 @@
 use sanddrum::Router;
 use sanddrum_edge::{endpoint_cache, Edge, Start, KEYS};
 use sanddrum_net::{Core, EventLoop, NullObserver, Shutdown};
-use sanddrum_settings::{Loaded, Problem};
+use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_tls::{Asks, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -63,10 +63,10 @@
 ///
 /// # Errors
 /// What is wrong, and where.
-pub fn settings(args: &EdgeArgs) -> Result<Loaded, Problem> {
+pub fn settings(args: &EdgeArgs) -> Result<LoadedSettings, SettingsError> {
     let path = args.settings.clone().unwrap_or_default();
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(&path).map_err(|e| Problem::of_file(&file, &e))?;
+    let text = std::fs::read_to_string(&path).map_err(|e| SettingsError::of_file(&file, &e))?;
     let more = if args.scenario {
         sanddrum_lab::SCENARIO
     } else {
@@ -92,21 +92,21 @@
     ];
     for (name, value, by) in given {
         if let Some(value) = value {
-            loaded.give(name, &value, by)?;
+            loaded.override_value(name, &value, by)?;
         }
     }
     for set in &args.set {
         let Some((name, value)) = set.split_once('=') else {
             let remedy = "as --set limits.max-open=500".to_string();
-            return Err(Problem {
+            return Err(SettingsError {
                 file: "--set".into(),
                 line: 0,
                 column: 0,
-                what: format!("{set:?} has no ="),
+                message: format!("{set:?} has no ="),
                 remedy,
             });
         };
-        loaded.give(name, value, "--set")?;
+        loaded.override_value(name, value, "--set")?;
     }
     sanddrum_settings::check(&loaded)?;
     Ok(loaded)
@@ -168,7 +168,7 @@
 ];
 
 /// What an edge starts on; it does not start on papers that are not good.
-fn side(l: &Loaded, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
+fn side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
         match l.has(key) {
             true => std::fs::read(l.text(key)).map_err(|e| format!("{} ({key}): {e}", l.text(key))),
@@ -195,7 +195,7 @@
         .map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
     Ok(side)
 }
-fn limited(l: &Loaded) -> Vec<Limited> {
+fn limited(l: &LoadedSettings) -> Vec<Limited> {
     let authorities = l.names("authorities").into_iter().enumerate();
     authorities
         .map(|(n, authority)| Limited {
@@ -206,7 +206,7 @@
 }
 
 /// The edge within the TLS that it speaks to workers and clients, where it does.
-fn within_tls(l: &Loaded, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
+fn within_tls(l: &LoadedSettings, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
     let (workers, clients) = (
         l.text("tls.workers") == "verified",
         l.text("door.speaks") == "tls",
@@ -255,7 +255,11 @@
     Ok(Box::new(layer))
 }
 
-fn serve(mut driver: EventLoop, args: &EdgeArgs, settings: Loaded) -> Result<Shutdown, String> {
+fn serve(
+    mut driver: EventLoop,
+    args: &EdgeArgs,
+    settings: LoadedSettings,
+) -> Result<Shutdown, String> {
     let listen = settings.text("edge.listen").to_string();
     let door = until_it_works(|| EventLoop::bind(&listen));
     let (door, at) = door.map_err(|e| format!("{listen}: {e}; give another --listen"))?;
--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -5,7 +5,7 @@
 use crate::{exit, fail};
 use sanddrum_edge::{Edge, Platform, Start, CONFIGURATION};
 use sanddrum_net::{EventLoop, Shutdown};
-use sanddrum_platform::Configuration;
+use sanddrum_platform::StartupConfig;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
 const LOOK_EVERY: i64 = 3_600_000_000;
 
 /// Reads the configuration that the environment names; the environment's own name and address count before it.
-fn configuration() -> Result<(PathBuf, Configuration), String> {
+fn configuration() -> Result<(PathBuf, StartupConfig), String> {
     let variable = |name: &str| std::env::var(name).ok().filter(|text| !text.is_empty());
     let file = variable("RELAY_CONFIG")
         .map(PathBuf::from)
@@ -25,7 +25,7 @@
         )
     })?;
     let mut read =
-        Configuration::read(&text).map_err(|why| format!("{}: {why}", file.display()))?;
+        StartupConfig::read(&text).map_err(|why| format!("{}: {why}", file.display()))?;
     read.name = variable("RELAY_NAME").unwrap_or(read.name);
     read.listen = variable("RELAY_LISTEN").unwrap_or(read.listen);
     // Guards against a configuration that promises more descriptors than there are: idle clients would take the last.
@@ -46,12 +46,12 @@
     }
 }
 
-fn serve(mut driver: EventLoop, file: PathBuf, read: &Configuration) -> Result<Shutdown, String> {
-    let settings = read.deployment()?;
+fn serve(mut driver: EventLoop, file: PathBuf, read: &StartupConfig) -> Result<Shutdown, String> {
+    let settings = read.deployment_settings()?;
     let now = driver.now();
     let platform = Platform {
-        known: read.told()?,
-        kinds: read.kinds(),
+        known: read.feed_events()?,
+        kinds: read.worker_kinds(),
     };
     let door = until_it_works(|| EventLoop::bind(&read.listen));
     let (door, at) = door.map_err(|e| format!("{}: {e}", read.listen))?;
@@ -68,7 +68,7 @@
         metrics_page: None,
         platform: Some(platform),
     };
-    let edge = Edge::with_settings(start, &read.module());
+    let edge = Edge::with_settings(start, &read.decision_settings());
     let host = driver
         .add(Box::new(edge), vec![door], None)
         .map_err(|e| e.to_string())?;
--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -46,7 +46,7 @@
             }
             thread::sleep(Duration::from_millis(50));
             let body = json!({"n": 1, "events": []}).to_string();
-            let _ = conn.write_all(&sanddrum_wire::http::response(
+            let _ = conn.write_all(&sanddrum_wire::http::encode_response(
                 200,
                 &[],
                 body.as_bytes(),
--- a/crates/sanddrum-cli/tests/processes.rs
+++ b/crates/sanddrum-cli/tests/processes.rs
@@ -115,18 +115,18 @@
 
 fn call(socket: &mut TcpStream) {
     socket
-        .write_all(&http::write_request("POST", "/v1/calls/job/f1", &[], b""))
+        .write_all(&http::encode_request("POST", "/v1/calls/job/f1", &[], b""))
         .unwrap();
 }
 
-fn answer(socket: &mut TcpStream) -> http::Answer {
+fn answer(socket: &mut TcpStream) -> http::Response {
     socket
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
     let mut bytes = Vec::new();
     let mut piece = [0; 4096];
     loop {
-        if let Some((answer, _)) = http::answer(&bytes).unwrap() {
+        if let Some((answer, _)) = http::parse_response(&bytes).unwrap() {
             return answer;
         }
         let n = socket.read(&mut piece).unwrap();
@@ -139,7 +139,7 @@
 fn healthy(at: &str) -> u16 {
     let mut socket = TcpStream::connect(at).unwrap();
     socket
-        .write_all(&http::write_request("GET", "/health", &[], b""))
+        .write_all(&http::encode_request("GET", "/health", &[], b""))
         .unwrap();
     answer(&mut socket).status
 }
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -353,7 +353,7 @@
 }
 pub fn told(last: u64, events: Value) -> Vec<u8> {
     let body = json!({"n": last, "events": events}).to_string();
-    sanddrum_wire::http::response(200, &[], body.as_bytes(), true)
+    sanddrum_wire::http::encode_response(200, &[], body.as_bytes(), true)
 }
 pub fn event(n: u64, member: Value) -> Value {
     json!({"n": n, "members": {"complete": false, "members": [member]}})
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -3,36 +3,38 @@
 use crate::requests::{Job, Refusal};
 use crate::Inner;
 use sanddrum::{Micros, RequestId};
-use sanddrum_limits::{Admission as Decisions, Asked, Events, Over, Repeats, Sharing};
-use sanddrum_settings::Loaded;
+use sanddrum_limits::{
+    Admission as Decisions, AdmissionEvents, QuotaPolicy, RejectReason, RetryBudget, RetryEvents,
+};
+use sanddrum_settings::LoadedSettings;
 use std::collections::BTreeMap;
 
 pub(crate) struct Admission {
-    sharing: Sharing,
-    repeats: Repeats,
-    pub news: Events,
+    sharing: QuotaPolicy,
+    repeats: RetryBudget,
+    pub news: AdmissionEvents,
     /// Jobs that ask to be taken, as the decision module will have them.
     asking: BTreeMap<RequestId, sanddrum::Request>,
 }
 
 /// What was decided for each, in order.
 #[derive(Default)]
-struct Ruled(Vec<(RequestId, Option<(Over, Micros)>)>);
+struct Ruled(Vec<(RequestId, Option<(RejectReason, Micros)>)>);
 
 impl Decisions for Ruled {
-    fn take(&mut self, job: RequestId) {
+    fn admit(&mut self, job: RequestId) {
         self.0.push((job, None));
     }
-    fn push_back(&mut self, job: RequestId, why: Over, wait: Micros) {
+    fn reject(&mut self, job: RequestId, why: RejectReason, wait: Micros) {
         self.0.push((job, Some((why, wait))));
     }
 }
 
 impl Admission {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let settings = l.values_for_module();
-        let (sharing, repeats) = (Sharing::new(&settings), Repeats::new(&settings));
-        let news = Events::default();
+        let (sharing, repeats) = (QuotaPolicy::new(&settings), RetryBudget::new(&settings));
+        let news = AdmissionEvents::default();
         Admission {
             sharing,
             repeats,
@@ -46,7 +48,7 @@
     /// A job has its final answer, or its client left.
     pub fn ended(&mut self, job: &Job) {
         if job.admitted {
-            self.news.ended.push(job.customer_id);
+            self.news.finished.push(job.customer_id);
         }
     }
 }
@@ -69,9 +71,9 @@
             .values()
             .filter(stays)
             .map(|job| (job.id, job.is_retry));
-        let asked = Asked {
-            jobs: asking.collect(),
-            pressed: self.admission.news.pressed,
+        let asked = RetryEvents {
+            requests: asking.collect(),
+            rejected: self.admission.news.rejected,
         };
         let mut ruled = Ruled::default();
         self.admission
@@ -79,14 +81,14 @@
             .handle(now, &asked, &mut |job, judged| {
                 ruled.0.push((job, judged.err()))
             });
-        let limits = self.admission.sharing.limits_anything();
+        let limits = self.admission.sharing.is_active();
         let mut news = std::mem::take(&mut self.admission.news);
         for (id, over) in std::mem::take(&mut ruled.0) {
             let Some(job) = self.admission.asking.get(&id) else {
                 continue;
             };
             match over {
-                None if limits => news.asked.push((id, job.customer)),
+                None if limits => news.requests.push((id, job.customer)),
                 over => ruled.0.push((id, over)),
             }
         }
@@ -106,7 +108,7 @@
                 continue;
             };
             let detail = match why {
-                Over::Repeats => "the fleet is pressed and repeats wait; the job has not run, come back after the stated time",
+                RejectReason::RetryBudget => "the fleet is pressed and repeats wait; the job has not run, come back after the stated time",
                 _ => "this customer has what it may have for now; the job has not run, come back after the stated time",
             };
             let refusal = Refusal {
--- a/crates/sanddrum-edge/src/connection_manager.rs
+++ b/crates/sanddrum-edge/src/connection_manager.rs
@@ -3,7 +3,9 @@
 use crate::Inner;
 use sanddrum::{Micros, WorkerId};
 use sanddrum_net::{ConnectionId, Io};
-use sanddrum_upstream::{ClientId, Decisions, LinkId, Old, Why};
+use sanddrum_upstream::{
+    ClientConnectionId, Decisions, OutdatedConnection, RejectReason, WorkerConnectionId,
+};
 
 pub(crate) struct Connect<'a> {
     pub inner: &'a mut Inner,
@@ -12,19 +14,19 @@
 }
 
 impl Decisions for Connect<'_> {
-    fn open(&mut self, link: LinkId) {
+    fn open(&mut self, link: WorkerConnectionId) {
         self.inner.begin_link(self.now, link, self.io);
     }
-    fn open_ahead(&mut self, worker: WorkerId) {
+    fn prewarm(&mut self, worker: WorkerId) {
         self.inner.link_ahead(self.now, worker);
     }
-    fn give_up(&mut self, link: LinkId, why: Why) {
+    fn reject(&mut self, link: WorkerConnectionId, why: RejectReason) {
         self.inner.give_link_up(self.now, link, why);
     }
-    fn retire(&mut self, old: Old) {
+    fn retire(&mut self, old: OutdatedConnection) {
         match old {
-            Old::Link(link) => self.inner.retire_link(self.now, link),
-            Old::Client(ClientId(conn)) => {
+            OutdatedConnection::Worker(link) => self.inner.retire_link(self.now, link),
+            OutdatedConnection::Client(ClientConnectionId(conn)) => {
                 self.inner
                     .retire_client(self.now, ConnectionId(conn), self.io)
             }
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -4,15 +4,15 @@
 use crate::{Inner, Owner};
 use sanddrum::{EndpointListKind, Micros};
 use sanddrum_net::{ConnectionId, Event, Io};
-use sanddrum_platform::control_feed::{self, Told};
-use sanddrum_platform::starts::{Clocks, Starts};
+use sanddrum_platform::control_feed::{self, FeedEvents};
+use sanddrum_platform::starts::{ClockReading, StartTimes};
 use sanddrum_wire::http;
 
 pub(crate) struct Feed {
     address: String,
     kinds: Vec<String>,
     /// When the listed servers started.
-    starts: Starts,
+    starts: StartTimes,
     /// The last event held; its number is the only thing that a new connection needs.
     last: u64,
     /// The last answer counted an event that it did not bring.
@@ -22,7 +22,7 @@
 
 impl Feed {
     pub fn new(address: &str, kinds: Vec<String>) -> Self {
-        let starts = Starts::default();
+        let starts = StartTimes::default();
         Feed {
             address: address.to_string(),
             kinds,
@@ -36,32 +36,36 @@
 
 impl Inner {
     /// Takes up events, in order, each once.
-    pub(crate) fn take_told(&mut self, clocks: Clocks, told: Told) {
+    pub(crate) fn take_told(&mut self, clocks: ClockReading, told: FeedEvents) {
         let Some(feed) = &mut self.feed else { return };
         let now = clocks.now;
-        feed.starts.look_at_clocks(clocks);
+        feed.starts.observe_clocks(clocks);
         let held = feed.last;
         let newest = told
-            .changes
+            .events
             .iter()
-            .map(|change| change.n)
+            .map(|change| change.number)
             .max()
             .unwrap_or(held)
             .max(held);
         // An event that an answer counts and does not bring is asked for once more. Guards against one lost for good;
         // a feed that has nothing to bring is believed then, or it would be asked without end.
-        let behind = newest < told.last;
+        let behind = newest < told.last_number;
         feed.last = if behind && feed.behind {
-            told.last
+            told.last_number
         } else {
             newest
         };
-        feed.behind = behind && feed.last < told.last;
-        for change in told.changes.into_iter().filter(|change| change.n > held) {
+        feed.behind = behind && feed.last < told.last_number;
+        for change in told
+            .events
+            .into_iter()
+            .filter(|change| change.number > held)
+        {
             let (Some(list), Some(feed)) = (change.members, &mut self.feed) else {
                 continue;
             };
-            let rows = feed.starts.rows(now, list.members, list.complete);
+            let rows = feed.starts.endpoints(now, list.members, list.complete);
             let kind = if list.complete {
                 EndpointListKind::Full
             } else {
@@ -71,7 +75,7 @@
             self.list.forget_gone();
         }
         if let Some(feed) = self.feed.as_mut().filter(|feed| !feed.behind) {
-            feed.starts.all_told(now);
+            feed.starts.finish_batch(now);
         }
     }
 
@@ -94,7 +98,7 @@
 
     fn ask_feed(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(feed) = &mut self.feed else { return };
-        let question = control_feed::request(&feed.address, feed.last, self.limits.feed_wait);
+        let question = control_feed::poll_request(&feed.address, feed.last, self.limits.feed_wait);
         if io.write(conn, &question) < question.len() {
             return self.feed_lost(now, "does not read", io);
         }
@@ -106,7 +110,7 @@
             self.owners.remove(&conn);
             io.reset(conn);
         }
-        let until = self.list.backoff.failed(now, 0, self.chance.unit());
+        let until = self.list.backoff.record_failure(now, 0, self.chance.unit());
         tracing::info!(
             reason = "feed-away",
             why,
@@ -128,7 +132,7 @@
             self.owners.remove(&conn);
             io.reset(conn);
         }
-        self.list.backoff.good();
+        self.list.backoff.reset();
         self.list.next = now;
         self.call_feed(now, io);
     }
@@ -151,7 +155,7 @@
             Event::Bytes { bytes, .. } => {
                 let Some(feed) = &mut self.feed else { return };
                 feed.bytes.extend_from_slice(bytes);
-                let told = match http::answer(&feed.bytes) {
+                let told = match http::parse_response(&feed.bytes) {
                     Ok(None) if feed.bytes.len() <= self.limits.largest_list => return,
                     Ok(None) => Err("an answer without end".to_string()),
                     Ok(Some((answer, _))) if answer.status != 200 => {
@@ -159,16 +163,16 @@
                     }
                     Ok(Some((answer, _))) => serde_json::from_slice(&answer.body)
                         .map_err(|e| e.to_string())
-                        .and_then(|json| control_feed::told(&json, &feed.kinds)),
+                        .and_then(|json| control_feed::parse(&json, &feed.kinds)),
                     Err(bad) => Err(bad.reason().to_string()),
                 };
                 match told {
                     Err(why) => self.feed_lost(now, &why, io),
                     Ok(told) => {
                         feed.bytes = Vec::new();
-                        self.list.backoff.good();
+                        self.list.backoff.reset();
                         self.take_told(
-                            Clocks {
+                            ClockReading {
                                 now,
                                 wall: io.wall_clock(now),
                             },
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -6,12 +6,13 @@
 use sanddrum::{
     CellId, Endpoint, EndpointList, EndpointListKind, KindId, Micros, WorkerId, WorkerState, ZoneId,
 };
-use sanddrum_bootstrap::{Decisions, Events};
+use sanddrum_bootstrap::{Decisions, DiscoveryEvent};
 use sanddrum_net::{ConnectionId, Event, Io, Outbox};
-use sanddrum_settings::Loaded;
+use sanddrum_settings::LoadedSettings;
 use sanddrum_upstream::Backoff;
 use sanddrum_wire::{
-    frame::frame, id_of, Frames, FromList, Hello, Phase, Row, Rows, ToList, VERSION,
+    frame::frame, id_of, EndpointRecord, EndpointUpdate, FrameDecoder, FromDiscovery, Hello, Phase,
+    ToDiscovery, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,11 +20,11 @@
     zones: Vec<String>,
     pub conn: Option<ConnectionId>,
     pub up: bool,
-    frames: Frames,
+    frames: FrameDecoder,
     out: Option<Outbox<()>>,
     known: Known,
     /// The list as it stands, and when each worker's process started (nought: long ago).
-    rows: BTreeMap<WorkerId, (Row, Micros)>,
+    rows: BTreeMap<WorkerId, (EndpointRecord, Micros)>,
     pub backoff: Backoff,
     /// When to look whether it is up, or to call again; what fell due before is of an earlier call.
     pub next: Micros,
@@ -31,13 +32,13 @@
 }
 
 impl List {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let span = |name: &str| l.span(&format!("limits.list-retry-{name}-us"));
         List {
             zones: l.names("zones"),
             conn: None,
             up: false,
-            frames: Frames::default(),
+            frames: FrameDecoder::default(),
             out: None,
             known: Known::default(),
             rows: BTreeMap::new(),
@@ -71,7 +72,7 @@
     }
     /// When a worker's process started. The same start stays the same instant, however often it is told, as a
     /// later one would mean a restart; an older incarnation is stale news.
-    fn started(&self, worker: WorkerId, row: &Row, now: Micros) -> (u64, Micros) {
+    fn started(&self, worker: WorkerId, row: &EndpointRecord, now: Micros) -> (u64, Micros) {
         match self.rows.get(&worker) {
             Some((known, started)) if known.incarnation >= row.incarnation => {
                 (known.incarnation, *started)
@@ -80,7 +81,7 @@
             _ => (row.incarnation, (now - row.age_us).max(1)),
         }
     }
-    fn worker_row(&self, worker: WorkerId, row: &Row, started: Micros) -> Endpoint {
+    fn worker_row(&self, worker: WorkerId, row: &EndpointRecord, started: Micros) -> Endpoint {
         Endpoint {
             worker,
             zone: self.zone(&row.zone),
@@ -107,13 +108,13 @@
 }
 
 impl Decisions for Wanted {
-    fn call(&mut self) {
+    fn connect(&mut self) {
         self.calls = true;
     }
-    fn ask(&mut self) {
+    fn poll(&mut self) {
         self.asks = true;
     }
-    fn hang_up(&mut self) {
+    fn disconnect(&mut self) {
         self.hangs_up = true;
     }
     fn wake_at(&mut self, at: Micros) {
@@ -151,7 +152,12 @@
         }
     }
 
-    pub(crate) fn take_rows(&mut self, now: Micros, kind: EndpointListKind, rows: &[Row]) {
+    pub(crate) fn take_rows(
+        &mut self,
+        now: Micros,
+        kind: EndpointListKind,
+        rows: &[EndpointRecord],
+    ) {
         if kind != EndpointListKind::Delta {
             let listed: BTreeSet<WorkerId> =
                 rows.iter().map(|row| WorkerId(id_of(&row.name))).collect();
@@ -177,7 +183,7 @@
             self.list.rows.insert(
                 worker,
                 (
-                    Row {
+                    EndpointRecord {
                         incarnation,
                         ..row.clone()
                     },
@@ -191,7 +197,13 @@
 
     /// A worker that has moved is called at its new address only, and one whose address a later start has taken over is
     /// called no more. Guards against work for a worker long warm that comes to a cold one in its place.
-    fn look_at_addresses(&mut self, now: Micros, worker: WorkerId, row: &Row, incarnation: u64) {
+    fn look_at_addresses(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        row: &EndpointRecord,
+        incarnation: u64,
+    ) {
         if self.links.has_moved(row) {
             self.leave_worker(now, worker);
         }
@@ -225,7 +237,7 @@
             return;
         }
         let Some(age) = age else { return };
-        let row = Row {
+        let row = EndpointRecord {
             incarnation,
             age_us: age,
             ..row.clone()
@@ -239,9 +251,9 @@
     }
 
     /// Has the module for starts decide on what came in, and carries it out.
-    pub(crate) fn follow_list(&mut self, now: Micros, news: &[Events], io: &mut dyn Io) {
+    pub(crate) fn follow_list(&mut self, now: Micros, news: &[DiscoveryEvent], io: &mut dyn Io) {
         let mut wanted = Wanted::default();
-        let before = self.start.step();
+        let before = self.start.readiness();
         self.start.handle(now, news, &mut wanted);
         if wanted.hangs_up {
             self.leave_list(io);
@@ -252,14 +264,14 @@
         if wanted.asks {
             let watch = self.list.known.watch();
             if let Some(out) = &mut self.list.out {
-                let _ = out.push((), &frame(&ToList::Watch(watch)));
+                let _ = out.push((), &frame(&ToDiscovery::Watch(watch)));
             }
             self.list
                 .conn
                 .into_iter()
                 .for_each(|conn| self.flush_list(conn, io));
         }
-        let step = self.start.step();
+        let step = self.start.readiness();
         if step != before || self.list.next == 0 {
             tracing::info!(step = step.name(), "the edge's start");
             self.figures.start_step.set(f64::from(step as u8));
@@ -278,12 +290,12 @@
             incarnation: self.incarnation,
             age_us: None,
         };
-        let _ = out.push((), &frame(&ToList::Hello(hello)));
-        let _ = out.push((), &frame(&ToList::Watch(self.list.known.watch())));
+        let _ = out.push((), &frame(&ToDiscovery::Hello(hello)));
+        let _ = out.push((), &frame(&ToDiscovery::Watch(self.list.known.watch())));
         self.list.conn = Some(conn);
         self.list.out = Some(out);
         self.list.up = false;
-        self.list.frames = Frames::new(self.limits.largest_frame);
+        self.list.frames = FrameDecoder::new(self.limits.largest_frame);
         tracing::debug!(at = now, "the list service is called");
     }
     /// The list service's time: a call, a check or a question may be due.
@@ -332,16 +344,16 @@
                 self.flush_list(conn, io);
             }
             Event::Bytes { bytes, .. } => {
-                self.list.frames.take_in(bytes);
+                self.list.frames.push_bytes(bytes);
                 loop {
-                    match self.list.frames.next_message::<FromList>() {
+                    match self.list.frames.next_message::<FromDiscovery>() {
                         Ok(None) => break,
-                        Ok(Some(FromList::Rows(rows))) => self.list_rows(now, &rows, io),
-                        Ok(Some(FromList::Hello(_))) => {}
+                        Ok(Some(FromDiscovery::Endpoints(rows))) => self.list_rows(now, &rows, io),
+                        Ok(Some(FromDiscovery::Hello(_))) => {}
                         Err(e) => {
                             tracing::warn!(reason = "garbled-list", problem = %e, "the list service is called anew");
                             self.leave_list(io);
-                            return self.follow_list(now, &[Events::Lost], io);
+                            return self.follow_list(now, &[DiscoveryEvent::Disconnected], io);
                         }
                     }
                 }
@@ -349,7 +361,7 @@
             Event::Closed { .. } => {
                 self.list.conn = None;
                 self.list_is_away();
-                self.follow_list(now, &[Events::Lost], io);
+                self.follow_list(now, &[DiscoveryEvent::Disconnected], io);
             }
             Event::Accepted { .. } => {}
         }
@@ -358,24 +370,24 @@
         self.list.out.iter_mut().for_each(|out| out.flush(conn, io));
     }
 
-    fn list_rows(&mut self, now: Micros, rows: &Rows, io: &mut dyn Io) {
+    fn list_rows(&mut self, now: Micros, rows: &EndpointUpdate, io: &mut dyn Io) {
         let head = rows.head();
         if !self.list.known.is_followed_by(head) {
             // A change was missed: the service tells what follows on the version that is known, or the whole list. What
             // this one says is true all the same, and a drain that waited for the rest would be found out too late.
-            self.take_rows(now, EndpointListKind::Delta, &rows.rows);
-            return self.follow_list(now, &[Events::Gap], io);
+            self.take_rows(now, EndpointListKind::Delta, &rows.endpoints);
+            return self.follow_list(now, &[DiscoveryEvent::Gap], io);
         }
-        self.follow_list(now, &[Events::Answered], io);
+        self.follow_list(now, &[DiscoveryEvent::Answered], io);
         if !self.list.known.take(head) {
             return;
         }
-        let kind = if rows.whole {
+        let kind = if rows.is_full_snapshot {
             EndpointListKind::Full
         } else {
             EndpointListKind::Delta
         };
-        self.take_rows(now, kind, &rows.rows);
+        self.take_rows(now, kind, &rows.endpoints);
         if !self.list.saving {
             self.list.saving = true;
             self.due.insert((now + self.limits.save_least, Due::Save));
@@ -392,9 +404,9 @@
             .rows
             .values()
             .filter(|(row, _)| row.phase != Phase::Gone);
-        let aged = |(row, started): &(Row, Micros)| {
+        let aged = |(row, started): &(EndpointRecord, Micros)| {
             let age_us = if *started > 0 { now - started } else { -1 };
-            Row {
+            EndpointRecord {
                 age_us,
                 ..row.clone()
             }
--- a/crates/sanddrum-edge/src/discovery_version.rs
+++ b/crates/sanddrum-edge/src/discovery_version.rs
@@ -1,7 +1,7 @@
 //! What of the list service's tale is known: its run and the version of its list. Everything that follows the list
 //! decides by it whether rows follow on what it has.
 
-use sanddrum_wire::{RowsHead, Watch};
+use sanddrum_wire::{EndpointUpdateHead, Watch};
 
 /// The run of the list service and the version of its list that are known; nought for none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -15,19 +15,23 @@
     pub fn watch(self) -> Watch {
         Watch {
             version: self.version,
-            run: self.run,
+            service_incarnation: self.run,
         }
     }
     /// Whether nothing is missing between what is known and these rows.
-    pub fn is_followed_by(self, rows: RowsHead) -> bool {
-        rows.whole || (rows.run == self.run && rows.after == self.version)
+    pub fn is_followed_by(self, rows: EndpointUpdateHead) -> bool {
+        rows.is_full_snapshot
+            || (rows.service_incarnation == self.run && rows.base_version == self.version)
     }
     /// Takes the version of rows that follow; false for a list that is older than what is known, which changes nothing.
-    pub fn take(&mut self, rows: RowsHead) -> bool {
-        if rows.whole && rows.run == self.run && rows.version < self.version {
+    pub fn take(&mut self, rows: EndpointUpdateHead) -> bool {
+        if rows.is_full_snapshot
+            && rows.service_incarnation == self.run
+            && rows.version < self.version
+        {
             return false;
         }
-        (self.run, self.version) = (rows.run, rows.version);
+        (self.run, self.version) = (rows.service_incarnation, rows.version);
         true
     }
 }
--- a/crates/sanddrum-edge/src/dispatch.rs
+++ b/crates/sanddrum-edge/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::worker_connections::{Mark, Piece};
 use crate::{Due, Inner};
 use sanddrum::{Decisions, FunctionId, Micros, Outcome, PeerId, RequestId, Warmth, WorkerId};
-use sanddrum_upstream::LinkId;
+use sanddrum_upstream::WorkerConnectionId;
 use sanddrum_wire as wire;
 
 pub(crate) struct Carry<'a> {
@@ -29,10 +29,10 @@
             .cloned()
             .unwrap_or_default(),
         function: function.map(|f| f.name.clone()).unwrap_or_default(),
-        limit_us: limit,
+        time_limit_us: limit,
         memory_mb: function.map_or(0.0, |f| f.memory_mb),
-        lanes: function.map_or(1, |f| f.lanes),
-        mark: job.mark.clone(),
+        concurrency: function.map_or(1, |f| f.lanes),
+        idempotency_key: job.mark.clone(),
         trace: job.trace.clone(),
         body: job.body.clone(),
         customer: job.customer.clone(),
@@ -71,7 +71,7 @@
             };
             inner.send(now, worker, piece, due)
         };
-        let link = sent.unwrap_or(LinkId(u64::MAX));
+        let link = sent.unwrap_or(WorkerConnectionId(u64::MAX));
         let record = Execution {
             job: id,
             number,
@@ -91,7 +91,7 @@
         );
         match sent {
             Ok(_) => {
-                inner.admission.news.sent.push((customer, worker));
+                inner.admission.news.dispatched.push((customer, worker));
                 inner.due.insert((due, Due::Execution(execution)));
             }
             Err(end) => inner.execution_ended(now, execution, end, Warmth::Unknown, None, None),
@@ -141,7 +141,7 @@
             retry_after: Some(wait.max(0)),
             job: Some(id),
         };
-        self.inner.admission.news.pressed += 1;
+        self.inner.admission.news.rejected += 1;
         self.inner.refuse(self.now, id, &refusal);
     }
 
--- a/crates/sanddrum-edge/src/endpoint_cache.rs
+++ b/crates/sanddrum-edge/src/endpoint_cache.rs
@@ -1,7 +1,7 @@
 //! What an edge keeps over a restart: the last worker list, with a mark of what it is and a checksum.
 
 use minicbor::{Decode, Encode};
-use sanddrum_wire::Row;
+use sanddrum_wire::EndpointRecord;
 
 const MAGIC: &[u8] = b"sanddrum worker list 1\n";
 
@@ -18,7 +18,7 @@
     pub version: u64,
     /// Ages are those at the time of keeping, which are the least that they can be later.
     #[n(3)]
-    pub rows: Vec<Row>,
+    pub rows: Vec<EndpointRecord>,
     /// The highest version of the keys that was in force, and the keys that were revoked.
     #[n(4)]
     #[cbor(default)]
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -6,7 +6,9 @@
 use crate::requests::{Answer, Call, Refusal};
 use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{Micros, RequestId, WorkloadId};
-use sanddrum_fastcgi::{self as fastcgi, Bounds, Request, Responder, Said, Status, Why};
+use sanddrum_fastcgi::{
+    self as fastcgi, RejectReason, Request, Responder, ResponderEvent, ResponderLimits, Status,
+};
 use sanddrum_net::{ConnectionId, Event, Io, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -105,12 +107,13 @@
                 None => return io.reset(conn),
             }
         }
-        let bounds = Bounds {
-            open: self.limits.pipelined,
-            params: self.limits.largest_head,
-            body: self.limits.largest_body,
+        let bounds = ResponderLimits {
+            max_open_requests: self.limits.pipelined,
+            max_params_bytes: self.limits.largest_head,
+            max_body_bytes: self.limits.largest_body,
             // All of them may come in turn; what all connections hold together is bounded besides.
-            held: self.limits.pipelined * (self.limits.largest_head + self.limits.largest_body),
+            max_buffered_bytes: self.limits.pipelined
+                * (self.limits.largest_head + self.limits.largest_body),
         };
         let front = Front {
             requests: Responder::new(bounds),
@@ -143,7 +146,7 @@
                     return;
                 };
                 front.active = now;
-                front.requests.take_in(bytes);
+                front.requests.push_bytes(bytes);
                 let from = arrival_time::counts_from(now, io.earliest_arrival(now));
                 self.read_front(now, from, conn, io);
                 self.bound_partial(conn);
@@ -166,10 +169,10 @@
             let Some(front) = self.fronts.fronts.get_mut(&conn) else {
                 return;
             };
-            let said = match front.requests.next_said() {
+            let said = match front.requests.next_event() {
                 Ok(Some(said)) => said,
                 Ok(None) => {
-                    let in_part = front.requests.in_part();
+                    let in_part = front.requests.has_partial_request();
                     let in_part = in_part && front.ends.is_none();
                     let newly = in_part && front.began.is_none();
                     front.began = if in_part {
@@ -190,19 +193,21 @@
                 }
             };
             match said {
-                Said::Reply(bytes) => self.write_front(conn, &bytes),
-                Said::Abort { id } => {
+                ResponderEvent::Reply(bytes) => self.write_front(conn, &bytes),
+                ResponderEvent::Abort { id } => {
                     if let Some(job) = front.jobs.remove(&id) {
                         self.give_job_up(now, job);
                     }
                     self.write_front(conn, &fastcgi::end_all(id, Status::RequestComplete));
                 }
-                Said::Refuse { id, why } => self.refuse_unread(now, conn, id, why, io),
+                ResponderEvent::Reject { id, reason: why } => {
+                    self.refuse_unread(now, conn, id, why, io)
+                }
                 // Its connection ends with what it has open; a request given up there is still heard of.
-                Said::Request { id, .. } if front.ends.is_some() => {
+                ResponderEvent::Request { id, .. } if front.ends.is_some() => {
                     self.end_front_request(conn, id, &fastcgi::end_all(id, Status::Overloaded));
                 }
-                Said::Request { id, request } => {
+                ResponderEvent::Request { id, request } => {
                     front.spoke = true;
                     self.take_front_request(now, from, conn, id, request);
                 }
@@ -216,7 +221,7 @@
         let Some(front) = self.fronts.fronts.get_mut(&conn) else {
             return;
         };
-        let held = front.requests.held();
+        let held = front.requests.buffered_bytes();
         self.fronts.partial =
             self.fronts.partial + held - std::mem::replace(&mut front.partial, held);
         if self.fronts.partial <= self.limits.held_bodies {
@@ -234,18 +239,20 @@
         now: Micros,
         conn: ConnectionId,
         id: u16,
-        why: Why,
+        why: RejectReason,
         io: &mut dyn Io,
     ) {
         let (status, reason, reads_on) = match why {
-            Why::TooMany => {
+            RejectReason::TooManyOpen => {
                 self.figures.limit_hit("pipelined");
                 return self.write_front(conn, &fastcgi::end_all(id, Status::Overloaded));
             }
-            Why::Role => return self.write_front(conn, &fastcgi::end_all(id, Status::UnknownRole)),
-            Why::Params => (400, "malformed-request", true),
-            Why::ParamsTooLong => (431, "head-too-large", false),
-            Why::BodyTooLong => (413, "body-too-large", false),
+            RejectReason::Role => {
+                return self.write_front(conn, &fastcgi::end_all(id, Status::UnknownRole))
+            }
+            RejectReason::Params => (400, "malformed-request", true),
+            RejectReason::ParamsTooLong => (431, "head-too-large", false),
+            RejectReason::BodyTooLong => (413, "body-too-large", false),
         };
         let no = no_job(
             status,
@@ -464,7 +471,7 @@
     fn end_front_request(&mut self, conn: ConnectionId, id: u16, answer: &[u8]) {
         self.write_front(conn, answer);
         if let Some(front) = self.fronts.fronts.get_mut(&conn) {
-            if front.requests.ended(id) && front.ends.is_none() {
+            if front.requests.finish(id) && front.ends.is_none() {
                 front.ends = Some(Micros::MAX);
             }
         }
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -1,7 +1,7 @@
 //! Which function a call names: what it needs and which workload it belongs to.
 
 use sanddrum::{FunctionId, Micros, WorkloadId};
-use sanddrum_settings::Loaded;
+use sanddrum_settings::LoadedSettings;
 use sanddrum_wire::id_of;
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
 }
 
 impl Functions {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let mut patterns: Vec<Pattern> = (0..l.count("functions"))
             .map(|n| {
                 let at = |key: &str| format!("functions.{n}.{key}");
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -5,7 +5,7 @@
 use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{CustomerId, Micros, RequestId};
 use sanddrum_net::{ConnectionId, Event, Io, Outbox};
-use sanddrum_upstream::{ClientId, Old};
+use sanddrum_upstream::{ClientConnectionId, OutdatedConnection};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -210,17 +210,21 @@
     ) {
         if denied {
             self.client_doubted(now, conn, io);
-            return self.links.news.denied.push(Old::Client(ClientId(conn.0)));
+            return self
+                .links
+                .news
+                .revoked
+                .push(OutdatedConnection::Client(ClientConnectionId(conn.0)));
         }
         let carries = self
             .clients
             .clients
             .get(&conn)
             .map_or(0, |client| client.places.len());
-        self.links
-            .news
-            .old
-            .push((Old::Client(ClientId(conn.0)), carries));
+        self.links.news.outdated.push((
+            OutdatedConnection::Client(ClientConnectionId(conn.0)),
+            carries,
+        ));
     }
     pub(crate) fn retire_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(client) = self.clients.clients.get_mut(&conn) else {
@@ -251,7 +255,7 @@
                 }
                 return;
             }
-            match http::request(
+            match http::parse_request(
                 &client.bytes,
                 self.limits.largest_head,
                 self.limits.largest_body,
@@ -334,7 +338,7 @@
                     .as_ref()
                     .map(|page| page())
                     .unwrap_or_default();
-                Ok(http::response(
+                Ok(http::encode_response(
                     200,
                     &[("content-type", "text/plain; version=0.0.4")],
                     page.as_bytes(),
@@ -345,9 +349,12 @@
                 // An edge that knows no worker can only push back: clients are better served elsewhere.
                 let (status, text) = match self.start.is_healthy() {
                     true => (200, "ok\n".to_string()),
-                    false => (503, format!("starting: {}\n", self.start.step().name())),
+                    false => (
+                        503,
+                        format!("starting: {}\n", self.start.readiness().name()),
+                    ),
                 };
-                Ok(http::response(
+                Ok(http::encode_response(
                     status,
                     &[("content-type", "text/plain")],
                     text.as_bytes(),
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -8,7 +8,7 @@
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
 use sanddrum_net::{ConnectionId, Io, Micros};
-use sanddrum_settings::{Loaded, Origin};
+use sanddrum_settings::{LoadedSettings, Origin};
 use sanddrum_wire::http::Request;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
 }
 
 /// Rights as the settings state them.
-pub fn rights_of(l: &Loaded) -> Rights {
+pub fn rights_of(l: &LoadedSettings) -> Rights {
     let mut lines = Vec::new();
     for (kind, allows) in [("deny", false), ("allow", true)] {
         for (n, customer) in l.names(kind).iter().enumerate() {
@@ -115,7 +115,7 @@
 }
 
 /// The names in certificates, and whose they are.
-fn owners_of(l: &Loaded) -> Owners {
+fn owners_of(l: &LoadedSettings) -> Owners {
     let customers = l.names("customers").into_iter().enumerate();
     Owners::new(customers.flat_map(|(n, customer)| {
         let names = l.names(&format!("customers.{n}.certificates")).into_iter();
@@ -130,7 +130,7 @@
 }
 
 impl Identity {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let seconds = |name: &str| l.span(name) / 1_000_000;
         let terms = Terms {
             audience: l.text("identity.audience").to_string(),
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -39,12 +39,12 @@
 use limits::Limits;
 use requests::Jobs;
 use sanddrum::{Decisions, EventBatch, Router, Settings};
-use sanddrum_bootstrap::Events;
+use sanddrum_bootstrap::DiscoveryEvent;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
-use sanddrum_platform::control_feed::Told;
-use sanddrum_platform::starts::Clocks;
-use sanddrum_settings::Loaded;
-use sanddrum_upstream::{Connections, LinkId, Rests};
+use sanddrum_platform::control_feed::FeedEvents;
+use sanddrum_platform::starts::ClockReading;
+use sanddrum_settings::LoadedSettings;
+use sanddrum_upstream::{ConnectionPolicy, IdleTimeoutEstimate, WorkerConnectionId};
 use std::collections::{BTreeMap, BTreeSet};
 use worker_connections::Links;
 use worker_protocol::Speech;
@@ -66,9 +66,9 @@
     Execution(u64),
     Order(u64),
     Probe(u64),
-    Link(LinkId),
+    Link(WorkerConnectionId),
     /// An execution that nobody waits for is not written to its end yet.
-    Unwritten(LinkId, u64),
+    Unwritten(WorkerConnectionId, u64),
     Client(ConnectionId),
     List,
     Save,
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Owner {
     Client,
-    Link(LinkId),
+    Link(WorkerConnectionId),
     List,
 }
 
@@ -95,14 +95,14 @@
 /// list.
 pub struct Platform {
     /// The list as the start configuration told it.
-    pub known: Told,
+    pub known: FeedEvents,
     /// Kinds of machine, in the settings' order.
     pub kinds: Vec<String>,
 }
 
 /// What an edge starts with.
 pub struct Start {
-    pub settings: Loaded,
+    pub settings: LoadedSettings,
     pub seed: u64,
     /// What it last had kept, if anything; see [`state`].
     pub kept: Option<Vec<u8>>,
@@ -116,13 +116,13 @@
 
 pub struct Edge<M> {
     module: M,
-    connections: Connections,
+    connections: ConnectionPolicy,
     inner: Inner,
 }
 
 /// All but the module, so that the module can be called with a writer on it.
 struct Inner {
-    settings: Loaded,
+    settings: LoadedSettings,
     limits: Limits,
     chance: Rng,
     incarnation: u64,
@@ -136,16 +136,16 @@
     on_platform: bool,
     speech: Speech,
     feed: Option<Feed>,
-    known: Option<Told>,
+    known: Option<FeedEvents>,
     jobs: Jobs,
     functions: Functions,
     identity: Identity,
     admission: Admission,
     links: Links,
-    rests: Rests,
+    rests: IdleTimeoutEstimate,
     connect_wake: Option<Micros>,
     list: List,
-    start: sanddrum_bootstrap::Start,
+    start: sanddrum_bootstrap::Bootstrap,
     began: Micros,
     due: BTreeSet<(Micros, Due)>,
     module_wake: Option<Micros>,
@@ -203,7 +203,7 @@
         let identity = Identity::of(&start.settings);
         let admission = Admission::of(&start.settings);
         // A seed of its own, so that one module's draws do not move the other's.
-        let connections = Connections::new(start.seed ^ 0xc0, &start.settings.values);
+        let connections = ConnectionPolicy::new(start.seed ^ 0xc0, &start.settings.values);
         let on_platform = start.platform.is_some();
         let platform = start.platform.map(|platform| {
             (
@@ -212,7 +212,7 @@
             )
         });
         let (feed, known) = platform.unzip();
-        let rests = Rests::new(limits.connect_time_out);
+        let rests = IdleTimeoutEstimate::new(limits.connect_time_out);
         let inner = Inner {
             fronts: Fronts::default(),
             on_platform,
@@ -240,7 +240,7 @@
             connect_wake: None,
             list,
             // A seed of its own, as for the connections.
-            start: sanddrum_bootstrap::Start::new(
+            start: sanddrum_bootstrap::Bootstrap::new(
                 start.seed ^ 0x57,
                 &start.settings.values_for_module(),
             ),
@@ -322,7 +322,7 @@
     /// The platform has replaced the start configuration: the feed may have moved, the rest holds from the next start.
     fn configuration_came(&mut self, now: Micros, content: Result<&[u8], &str>, io: &mut dyn Io) {
         let text = content.map_err(String::from).map(String::from_utf8_lossy);
-        match text.and_then(|text| sanddrum_platform::Configuration::read(&text)) {
+        match text.and_then(|text| sanddrum_platform::StartupConfig::read(&text)) {
             Ok(configuration) => self.feed_moved(now, &configuration.feed, io),
             Err(why) => {
                 tracing::error!(
@@ -371,7 +371,7 @@
         self.inner.take_up_kept_list(now);
         if let Some(known) = self.inner.known.take() {
             self.inner.take_told(
-                Clocks {
+                ClockReading {
                     now,
                     wall: io.wall_clock(now),
                 },
@@ -382,7 +382,8 @@
             return self.inner.call_for_list(now, io);
         }
         let kept = !self.inner.list.is_empty();
-        self.inner.follow_list(now, &[Events::Began { kept }], io);
+        self.inner
+            .follow_list(now, &[DiscoveryEvent::Started { has_cache: kept }], io);
     }
 
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -1,5 +1,5 @@
 use sanddrum_net::Micros;
-use sanddrum_settings::Loaded;
+use sanddrum_settings::LoadedSettings;
 
 /// Rounds of the module in one turn of the loop; what is left over waits for the next, so that sockets are served.
 pub(crate) const ROUNDS_A_TURN: usize = 4;
@@ -46,7 +46,7 @@
 }
 
 impl Limits {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let span = |name: &str| l.span(&format!("limits.{name}-us"));
         let bytes = |name: &str| l.size(&format!("limits.{name}-bytes"));
         let count = |name: &str| l.size(&format!("limits.{name}"));
--- a/crates/sanddrum-edge/src/metrics.rs
+++ b/crates/sanddrum-edge/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use metrics::{counter, gauge, Counter, Gauge};
 use sanddrum::Outcome;
-use sanddrum_upstream::Connections;
+use sanddrum_upstream::ConnectionPolicy;
 
 pub struct Figures {
     pub taken: Counter,
@@ -67,8 +67,9 @@
         counter!("sanddrum_answers_total", "end" => end, "reason" => reason.to_string())
             .increment(1);
     }
-    pub fn connecting(&self, connections: &Connections) {
-        self.handshakes_out.set(connections.handshakes_out() as f64);
+    pub fn connecting(&self, connections: &ConnectionPolicy) {
+        self.handshakes_out
+            .set(connections.handshakes_in_flight() as f64);
         self.links_waiting.set(connections.waiting() as f64);
         self.handshake_us.set(connections.costs().full() as f64);
     }
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -7,8 +7,8 @@
     WorkloadId,
 };
 use sanddrum_net::{ConnectionId, Micros};
-use sanddrum_upstream::LinkId;
-use sanddrum_wire::{self as wire, http, Copy, Done, Ended};
+use sanddrum_upstream::WorkerConnectionId;
+use sanddrum_wire::{self as wire, http, Done, ExecutionStatus, InstanceState};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -85,7 +85,7 @@
                     ("sanddrum-worker", worker),
                     ("sanddrum-copy", copy),
                 ];
-                http::response(200, &fields, body, keep_alive)
+                http::encode_response(200, &fields, body, keep_alive)
             }
             Answer::Refused(refusal) => refusal.response(keep_alive),
         }
@@ -96,7 +96,7 @@
     pub job: RequestId,
     pub number: usize,
     pub worker: WorkerId,
-    pub link: LinkId,
+    pub link: WorkerConnectionId,
     pub sent: Micros,
     /// When the deadline was worked out that its frame passes on.
     pub stated: Micros,
@@ -204,7 +204,7 @@
         if let Some(job) = self.job {
             body["job"] = json!(job.0);
         }
-        http::response(
+        http::encode_response(
             self.status,
             &fields,
             body.to_string().as_bytes(),
@@ -226,7 +226,7 @@
 
 impl Inner {
     /// A worker's answer to an execution.
-    pub(crate) fn execution_answered(&mut self, now: Micros, link: LinkId, done: Done) {
+    pub(crate) fn execution_answered(&mut self, now: Micros, link: WorkerConnectionId, done: Done) {
         let ours = self
             .jobs
             .executions
@@ -242,29 +242,32 @@
             );
             return;
         }
-        let end = match done.ended {
-            Ended::Finished => Outcome::Finished,
-            Ended::Error => Outcome::Error,
-            Ended::Full => Outcome::Rejected,
-            Ended::Miss => Outcome::ColdMiss,
+        let end = match done.status {
+            ExecutionStatus::Finished => Outcome::Finished,
+            ExecutionStatus::Error => Outcome::Error,
+            ExecutionStatus::Rejected => Outcome::Rejected,
+            ExecutionStatus::ColdMiss => Outcome::ColdMiss,
             // It was dropped before it began.
-            Ended::Dropped => Outcome::CancelledBeforeStart,
+            ExecutionStatus::Dropped => Outcome::CancelledBeforeStart,
         };
-        let warmth = match done.copy {
-            Some(Copy::Stood) => Warmth::Warm,
-            Some(Copy::BeganLoad) => Warmth::StartedLoad,
-            Some(Copy::WaitedForLoad) => Warmth::WaitedForLoad,
-            Some(Copy::LoadFailed) => Warmth::LoadFailed,
+        let warmth = match done.instance {
+            Some(InstanceState::Warm) => Warmth::Warm,
+            Some(InstanceState::StartedLoad) => Warmth::StartedLoad,
+            Some(InstanceState::WaitedForLoad) => Warmth::WaitedForLoad,
+            Some(InstanceState::LoadFailed) => Warmth::LoadFailed,
             None => Warmth::Unknown,
         };
         let report = done.report.as_ref().map(report_of);
         if let (Some(e), Some(of), Some(all)) = (
             self.jobs.executions.get(&done.id),
-            done.customer_pace,
-            done.all_pace,
+            done.customer_rate,
+            done.total_rate,
         ) {
             if let Some(job) = self.jobs.jobs.get(&e.job) {
-                self.admission.news.told.push((job.customer_id, of, all));
+                self.admission
+                    .news
+                    .reported_rates
+                    .push((job.customer_id, of, all));
             }
         }
         if end == Outcome::Finished {
@@ -272,7 +275,7 @@
                 self.finish(now, job, done.id, &done.body, warmth);
             }
         }
-        self.execution_ended(now, done.id, end, warmth, done.crowd, report);
+        self.execution_ended(now, done.id, end, warmth, done.function_in_flight, report);
     }
 
     fn finish(&mut self, now: Micros, id: RequestId, execution: u64, body: &[u8], warmth: Warmth) {
@@ -411,7 +414,7 @@
     }
 
     /// Tells a worker that an execution is not waited for any more, behind all that was told it before.
-    pub(crate) fn give_up_execution(&mut self, link: LinkId, id: u64) {
+    pub(crate) fn give_up_execution(&mut self, link: WorkerConnectionId, id: u64) {
         let Some(e) = self.jobs.executions.get(&id) else {
             return;
         };
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -13,8 +13,11 @@
     Endpoint, FunctionId, HealthCheckResult, LoadReport, Micros, Outcome, WorkerId, WorkerState,
 };
 use sanddrum_net::{CloseCause, ConnectionId, Event, Io, Outbox};
-use sanddrum_upstream::{Events, LinkId, Listed, Need, Old, Wanted, Why};
-use sanddrum_wire::{self as wire, FromWorker, Hello, Row, VERSION};
+use sanddrum_upstream::{
+    ConnectionEvents, ConnectionRequest, ListedWorker, OutdatedConnection, Purpose, RejectReason,
+    WorkerConnectionId,
+};
+use sanddrum_wire::{self as wire, EndpointRecord, FromWorker, Hello, VERSION};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -69,30 +72,30 @@
 pub(crate) struct Target {
     pub name: String,
     pub address: String,
-    links: BTreeSet<LinkId>,
+    links: BTreeSet<WorkerConnectionId>,
 }
 
 struct Asked {
     worker: WorkerId,
     function: FunctionId,
-    link: LinkId,
+    link: WorkerConnectionId,
     sent: Micros,
     due: Micros,
 }
 
 #[derive(Default)]
 pub(crate) struct Links {
-    links: BTreeMap<LinkId, Link>,
+    links: BTreeMap<WorkerConnectionId, Link>,
     targets: BTreeMap<WorkerId, Target>,
     orders: BTreeMap<u64, Asked>,
     probes: BTreeMap<u64, Asked>,
     asked: u64,
     made: u64,
-    dirty: BTreeSet<LinkId>,
+    dirty: BTreeSet<WorkerConnectionId>,
     /// Those on which something is given up; they are written to first.
-    first: BTreeSet<LinkId>,
+    first: BTreeSet<WorkerConnectionId>,
     /// What the connection module is to hear in its next round.
-    pub news: Events,
+    pub news: ConnectionEvents,
 }
 
 impl Links {
@@ -100,7 +103,7 @@
         self.links.len()
     }
     /// The connection that has carried nothing for longest and may end.
-    fn longest_idle(&self) -> Option<LinkId> {
+    fn longest_idle(&self) -> Option<WorkerConnectionId> {
         let idle = self
             .links
             .iter()
@@ -112,12 +115,12 @@
         self.targets.get(&worker).map(|t| t.name.as_str())
     }
     /// Whether a worker is called elsewhere than this row says.
-    pub fn has_moved(&self, row: &Row) -> bool {
+    pub fn has_moved(&self, row: &EndpointRecord) -> bool {
         let target = self.targets.get(&WorkerId(wire::id_of(&row.name)));
         target.is_some_and(|target| target.address != row.address)
     }
     /// Other workers called at this address.
-    pub fn called_at(&self, row: &Row) -> Vec<WorkerId> {
+    pub fn called_at(&self, row: &EndpointRecord) -> Vec<WorkerId> {
         let others = self
             .targets
             .iter()
@@ -134,35 +137,41 @@
             ..
         } = *row;
         if state == WorkerState::Gone {
-            self.news.gone.push(worker);
+            self.news.removed_workers.push(worker);
         }
-        self.news.listed.push(Listed {
+        self.news.listed_workers.push(ListedWorker {
             worker,
             size,
-            started,
-            ready: state != WorkerState::Gone,
+            started_at: started,
+            is_ready: state != WorkerState::Gone,
         });
         let target = self.targets.entry(worker).or_default();
         (target.name, target.address) = (name.to_string(), address.to_string());
     }
     /// Takes an execution back of which nothing was written.
-    pub fn take_back(&mut self, link: LinkId, execution: u64) -> bool {
+    pub fn take_back(&mut self, link: WorkerConnectionId, execution: u64) -> bool {
         self.take_back_mark(link, &Mark::Execution(execution))
     }
     /// Whether an execution is not written to its last byte.
-    fn holds(&self, link: LinkId, execution: u64) -> bool {
+    fn holds(&self, link: WorkerConnectionId, execution: u64) -> bool {
         self.links
             .get(&link)
             .is_some_and(|link| link.out.holds(&Mark::Execution(execution)))
     }
-    fn take_back_mark(&mut self, link: LinkId, mark: &Mark) -> bool {
+    fn take_back_mark(&mut self, link: WorkerConnectionId, mark: &Mark) -> bool {
         self.links
             .get_mut(&link)
             .is_some_and(|link| link.out.retract(mark))
     }
     /// What a link carried has ended, and its id is not used there again until then; `true` where a retired one has
     /// nothing more to wait for.
-    fn carried_ends(&mut self, id: LinkId, mark: Mark, now: Micros, until: Micros) -> bool {
+    fn carried_ends(
+        &mut self,
+        id: WorkerConnectionId,
+        mark: Mark,
+        now: Micros,
+        until: Micros,
+    ) -> bool {
         let Some(link) = self.links.get_mut(&id) else {
             return false;
         };
@@ -187,7 +196,7 @@
         streams: usize,
         piece: &Piece<'_>,
         fresh: impl Fn(Micros) -> bool,
-    ) -> Option<LinkId> {
+    ) -> Option<WorkerConnectionId> {
         let links = self.targets.get(&worker)?.links.iter();
         let links = links.filter_map(|id| self.links.get(id).map(|link| (id, link)));
         // One id stands for one thing on a connection.
@@ -201,7 +210,7 @@
         load.min().filter(|(n, ..)| *n < streams).map(|(.., id)| id)
     }
     /// Connections to a worker that have carried nothing for too long.
-    fn stale(&self, worker: WorkerId, fresh: impl Fn(Micros) -> bool) -> Vec<LinkId> {
+    fn stale(&self, worker: WorkerId, fresh: impl Fn(Micros) -> bool) -> Vec<WorkerConnectionId> {
         let links = self
             .targets
             .get(&worker)
@@ -225,7 +234,7 @@
     /// What the worker told of itself.
     pub fn reported(&mut self, worker: WorkerId, report: &LoadReport) {
         if let (Some(held), Some(queued)) = (report.in_flight, report.queued) {
-            self.news.loads.push((worker, held + queued));
+            self.news.load_reports.push((worker, held + queued));
         }
     }
     pub fn count(&self, worker: WorkerId) -> usize {
@@ -236,7 +245,7 @@
 }
 
 impl Inner {
-    pub(crate) fn release(&mut self, link: LinkId, mark: Mark, now: Micros) {
+    pub(crate) fn release(&mut self, link: WorkerConnectionId, mark: Mark, now: Micros) {
         if self
             .links
             .carried_ends(link, mark, now, now + self.limits.answers_late)
@@ -251,7 +260,7 @@
         worker: WorkerId,
         piece: Piece<'_>,
         due: Micros,
-    ) -> Result<LinkId, Outcome> {
+    ) -> Result<WorkerConnectionId, Outcome> {
         let mark = piece.mark;
         let rests = self.rests;
         let fresh = |since: Micros| rests.is_trusted(now, now - since);
@@ -284,27 +293,27 @@
             }
         }
         let need = if matches!(mark, Mark::Execution(_)) {
-            Need::Job
+            Purpose::Request
         } else {
-            Need::Errand
+            Purpose::Control
         };
         let full = link.carries.len() as f64 / self.limits.streams_wanted as f64;
         let waits = link.conn.is_none();
         let news = &mut self.links.news;
         if waits {
-            news.wanted.push(Wanted {
-                link: id,
+            news.requested.push(ConnectionRequest {
+                connection: id,
                 worker,
-                need,
-                due,
+                purpose: need,
+                deadline: due,
             });
         }
-        news.used.push((worker, full));
+        news.utilization.push((worker, full));
         self.links.dirty.insert(id);
         Ok(id)
     }
     /// Writes behind what is already on this connection, if it still stands.
-    pub(crate) fn tell(&mut self, id: LinkId, bytes: &[u8]) {
+    pub(crate) fn tell(&mut self, id: WorkerConnectionId, bytes: &[u8]) {
         if let Some(link) = self.links.links.get_mut(&id) {
             if link.out.push(Mark::GiveUp, bytes).is_ok() {
                 self.links.dirty.insert(id);
@@ -313,7 +322,7 @@
         }
     }
     /// A connection that is to be; the connection module says when it is begun.
-    fn new_link(&mut self, now: Micros, worker: WorkerId) -> Result<LinkId, Outcome> {
+    fn new_link(&mut self, now: Micros, worker: WorkerId) -> Result<WorkerConnectionId, Outcome> {
         let target = self
             .links
             .targets
@@ -336,7 +345,7 @@
             self.retire_link(now, idle);
         }
         self.links.made += 1;
-        let id = LinkId(self.links.made);
+        let id = WorkerConnectionId(self.links.made);
         if let Some(target) = self.links.targets.get_mut(&worker) {
             target.links.insert(id);
         }
@@ -370,7 +379,7 @@
         Ok(id)
     }
     /// Begins a connection that has waited.
-    pub(crate) fn begin_link(&mut self, now: Micros, id: LinkId, io: &mut dyn Io) {
+    pub(crate) fn begin_link(&mut self, now: Micros, id: WorkerConnectionId, io: &mut dyn Io) {
         let Some(link) = self
             .links
             .links
@@ -399,25 +408,25 @@
         }
         if let Ok(link) = self.new_link(now, worker) {
             let due = now + self.limits.connect_time_out;
-            self.links.news.wanted.push(Wanted {
-                link,
+            self.links.news.requested.push(ConnectionRequest {
+                connection: link,
                 worker,
-                need: Need::Ahead,
-                due,
+                purpose: Purpose::Prewarm,
+                deadline: due,
             });
         }
     }
     /// What waits for a connection is told that it does not come.
-    pub(crate) fn give_link_up(&mut self, now: Micros, id: LinkId, why: Why) {
+    pub(crate) fn give_link_up(&mut self, now: Micros, id: WorkerConnectionId, why: RejectReason) {
         self.figures.limit_hit(why.reason());
-        let end = if why == Why::Spared {
+        let end = if why == RejectReason::HandshakeBudget {
             Outcome::Rejected
         } else {
             Outcome::NoConnection
         };
         self.end_link(now, id, |_| end, false);
     }
-    pub(crate) fn retire_link(&mut self, now: Micros, id: LinkId) {
+    pub(crate) fn retire_link(&mut self, now: Micros, id: WorkerConnectionId) {
         let Some(link) = self.links.links.get_mut(&id) else {
             return;
         };
@@ -429,21 +438,25 @@
         self.due.insert((now, Due::Link(id)));
     }
     /// A connection was made on terms that are past.
-    pub(crate) fn link_is_old(&mut self, id: LinkId, denied: bool) {
+    pub(crate) fn link_is_old(&mut self, id: WorkerConnectionId, denied: bool) {
         let Some(link) = self.links.links.get(&id) else {
             return;
         };
         let carries = link.carries.len();
         match denied {
-            true => self.links.news.denied.push(Old::Link(id)),
-            false => self.links.news.old.push((Old::Link(id), carries)),
+            true => self.links.news.revoked.push(OutdatedConnection::Worker(id)),
+            false => self
+                .links
+                .news
+                .outdated
+                .push((OutdatedConnection::Worker(id), carries)),
         }
     }
 
     pub(crate) fn link_event(
         &mut self,
         now: Micros,
-        id: LinkId,
+        id: WorkerConnectionId,
         event: Event<'_>,
         io: &mut dyn Io,
     ) {
@@ -452,7 +465,7 @@
                 if let Some(link) = self.links.links.get_mut(&id) {
                     (link.up, link.quiet_since) = (true, now);
                     let resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
-                    self.links.news.up.push((id, resumed));
+                    self.links.news.established.push((id, resumed));
                     self.links.dirty.insert(id);
                 }
             }
@@ -468,7 +481,7 @@
         }
     }
 
-    fn link_bytes(&mut self, now: Micros, id: LinkId, bytes: &[u8], io: &mut dyn Io) {
+    fn link_bytes(&mut self, now: Micros, id: WorkerConnectionId, bytes: &[u8], io: &mut dyn Io) {
         let Some(link) = self.links.links.get_mut(&id) else {
             return;
         };
@@ -502,7 +515,7 @@
             link.frames = frames;
         }
     }
-    fn reset_link(&mut self, id: LinkId, io: &mut dyn Io) {
+    fn reset_link(&mut self, id: WorkerConnectionId, io: &mut dyn Io) {
         if let Some(conn) = self.links.links.get(&id).and_then(|link| link.conn) {
             self.owners.remove(&conn);
             io.reset(conn);
@@ -512,7 +525,7 @@
     fn worker_says(
         &mut self,
         now: Micros,
-        link: LinkId,
+        link: WorkerConnectionId,
         worker: WorkerId,
         says: FromWorker,
     ) -> Result<(), String> {
@@ -531,15 +544,19 @@
                 self.worker_started(now, worker, hello.incarnation, hello.age_us);
             }
             FromWorker::Done(done) => self.execution_answered(now, link, done),
-            FromWorker::Held(held) => {
-                let end = match held.ended {
-                    wire::Ended::Finished => Outcome::Finished,
-                    wire::Ended::Error | wire::Ended::Miss => Outcome::Error,
-                    wire::Ended::Full | wire::Ended::Dropped => Outcome::Rejected,
+            FromWorker::LoadDone(held) => {
+                let end = match held.status {
+                    wire::ExecutionStatus::Finished => Outcome::Finished,
+                    wire::ExecutionStatus::Error | wire::ExecutionStatus::ColdMiss => {
+                        Outcome::Error
+                    }
+                    wire::ExecutionStatus::Rejected | wire::ExecutionStatus::Dropped => {
+                        Outcome::Rejected
+                    }
                 };
-                self.order_ended(now, held.id, end, held.copies);
+                self.order_ended(now, held.id, end, held.instances);
             }
-            FromWorker::Probed(probed) => {
+            FromWorker::HealthStatus(probed) => {
                 let report = probed.report.as_ref().map(report_of);
                 if let Some(asked) = self.probe_over(now, probed.id) {
                     report
--- a/crates/sanddrum-edge/src/worker_connections/ends.rs
+++ b/crates/sanddrum-edge/src/worker_connections/ends.rs
@@ -4,12 +4,18 @@
 use crate::{Due, Inner};
 use sanddrum::{Micros, Outcome, Warmth};
 use sanddrum_net::{CloseCause, Io};
-use sanddrum_upstream::LinkId;
+use sanddrum_upstream::WorkerConnectionId;
 use std::collections::BTreeMap;
 
 impl Inner {
     /// A connection is gone. What was not written to its last byte cannot have been read; what was may have run.
-    pub(super) fn link_ended(&mut self, now: Micros, id: LinkId, how: CloseCause, lied: bool) {
+    pub(super) fn link_ended(
+        &mut self,
+        now: Micros,
+        id: WorkerConnectionId,
+        how: CloseCause,
+        lied: bool,
+    ) {
         let Some(link) = self.links.links.get(&id) else {
             return;
         };
@@ -25,7 +31,7 @@
             );
         }
         if link.up && how != CloseCause::Refused && !link.carries.is_empty() && !lied {
-            self.rests.broke(now, link.rested, now - link.began);
+            self.rests.record_reset(now, link.rested, now - link.began);
         }
         let unread = |link: &Link, mark: &Mark| {
             !link.up || how == CloseCause::Refused || link.out.holds(mark)
@@ -47,7 +53,7 @@
     pub(super) fn end_link(
         &mut self,
         now: Micros,
-        id: LinkId,
+        id: WorkerConnectionId,
         end: impl Fn(&Mark) -> Outcome,
         lied: bool,
     ) {
@@ -67,7 +73,7 @@
         if failed {
             &mut news.failed
         } else {
-            &mut news.ended
+            &mut news.closed
         }
         .push(id);
         for mark in &link.carries {
@@ -84,7 +90,7 @@
     }
 
     /// Its connection is not up in time, or carries nothing for long, or nothing more.
-    pub(crate) fn look_at_link(&mut self, now: Micros, id: LinkId, io: &mut dyn Io) {
+    pub(crate) fn look_at_link(&mut self, now: Micros, id: WorkerConnectionId, io: &mut dyn Io) {
         let Some(link) = self.links.links.get(&id) else {
             return;
         };
--- a/crates/sanddrum-edge/src/worker_connections/errands.rs
+++ b/crates/sanddrum-edge/src/worker_connections/errands.rs
@@ -26,12 +26,12 @@
             });
         };
         let (mark, bytes_of) = (Mark::Order(id), self.speech);
-        let hold = wire::Hold {
+        let hold = wire::Load {
             id,
             function: known.name.clone(),
-            copies,
+            instances: copies,
             memory_mb: known.memory_mb,
-            lanes: known.lanes,
+            concurrency: known.lanes,
         };
         if copies > 0 {
             self.figures.orders.increment(1);
--- a/crates/sanddrum-edge/src/worker_connections/guard.rs
+++ b/crates/sanddrum-edge/src/worker_connections/guard.rs
@@ -5,11 +5,11 @@
 use crate::invariants::{may_send, AttemptFacts, Rule};
 use crate::Inner;
 use sanddrum::{Micros, Outcome, Warmth};
-use sanddrum_upstream::LinkId;
+use sanddrum_upstream::WorkerConnectionId;
 
 impl Inner {
     /// Takes back what waits on this link and may not be sent.
-    pub(super) fn guard_writes(&mut self, now: Micros, id: LinkId) {
+    pub(super) fn guard_writes(&mut self, now: Micros, id: WorkerConnectionId) {
         let Some(link) = self.links.links.get(&id).filter(|link| link.up) else {
             return;
         };
--- a/crates/sanddrum-edge/src/worker_connections/recall.rs
+++ b/crates/sanddrum-edge/src/worker_connections/recall.rs
@@ -4,7 +4,7 @@
 use crate::{Due, Inner};
 use sanddrum::{Micros, Outcome, Warmth, WorkerId};
 use sanddrum_net::{CloseCause, Io};
-use sanddrum_upstream::LinkId;
+use sanddrum_upstream::WorkerConnectionId;
 use std::collections::BTreeSet;
 
 impl Inner {
@@ -70,14 +70,19 @@
             .copied()
             .collect();
         for worker in gone {
-            self.links.news.gone.push(worker);
+            self.links.news.removed_workers.push(worker);
             self.worker_gone(now, worker);
         }
     }
 
     /// Nobody waits any more for an execution of which a part is written: it is out soon, or its connection goes.
     /// Guards against one that begins long after its client has left, behind a worker that reads nothing.
-    pub(crate) fn finish_writing_soon(&mut self, now: Micros, link: LinkId, execution: u64) {
+    pub(crate) fn finish_writing_soon(
+        &mut self,
+        now: Micros,
+        link: WorkerConnectionId,
+        execution: u64,
+    ) {
         if self.links.holds(link, execution) {
             self.due
                 .insert((now + WRITTEN_SOON, Due::Unwritten(link, execution)));
@@ -86,7 +91,7 @@
     pub(crate) fn still_unwritten(
         &mut self,
         now: Micros,
-        id: LinkId,
+        id: WorkerConnectionId,
         execution: u64,
         io: &mut dyn Io,
     ) {
--- a/crates/sanddrum-edge/src/worker_connections/restate.rs
+++ b/crates/sanddrum-edge/src/worker_connections/restate.rs
@@ -5,14 +5,14 @@
 use crate::dispatch::execute_message;
 use crate::Inner;
 use sanddrum::Micros;
-use sanddrum_upstream::LinkId;
+use sanddrum_upstream::WorkerConnectionId;
 
 /// A frame that has waited longer than this states its deadline anew.
 const STATED_FOR: Micros = 10_000;
 
 impl Inner {
     /// Has the frames that wait on this link, and are not begun, state what is left by now.
-    pub(super) fn restate_deadlines(&mut self, now: Micros, id: LinkId) {
+    pub(super) fn restate_deadlines(&mut self, now: Micros, id: WorkerConnectionId) {
         let Some(link) = self.links.links.get(&id).filter(|link| link.up) else {
             return;
         };
@@ -32,7 +32,7 @@
         }
     }
 
-    fn restate_deadline(&mut self, now: Micros, id: LinkId, execution: u64) {
+    fn restate_deadline(&mut self, now: Micros, id: WorkerConnectionId, execution: u64) {
         let Some(e) = self.jobs.executions.get_mut(&execution) else {
             return;
         };
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -4,7 +4,8 @@
 use sanddrum_platform::frames;
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
-    self as wire, Done, Ended, Execute, Frames, FromWorker, Held, Hello, Hold, Probed, ToWorker,
+    self as wire, Done, Execute, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
+    Load, LoadDone, ToWorker,
 };
 use std::collections::BTreeMap;
 
@@ -16,13 +17,13 @@
 
 /// Cuts what a worker writes into messages.
 pub(crate) enum Reader {
-    Ours(Frames),
-    Platform(sanddrum_platform::Frames),
+    Ours(FrameDecoder),
+    Platform(sanddrum_platform::FrameDecoder),
 }
 
 impl Default for Reader {
     fn default() -> Self {
-        Reader::Ours(Frames::default())
+        Reader::Ours(FrameDecoder::default())
     }
 }
 
@@ -33,8 +34,8 @@
     }
     pub fn reader(self, most: usize) -> Reader {
         match self {
-            Speech::Ours => Reader::Ours(Frames::new(most)),
-            Speech::Platform => Reader::Platform(sanddrum_platform::Frames::new(most)),
+            Speech::Ours => Reader::Ours(FrameDecoder::new(most)),
+            Speech::Platform => Reader::Platform(sanddrum_platform::FrameDecoder::new(most)),
         }
     }
     pub fn hello(self, hello: Hello) -> Option<Vec<u8>> {
@@ -47,9 +48,9 @@
                 let Execute {
                     workload,
                     function,
-                    limit_us,
+                    time_limit_us: limit_us,
                     body,
-                    mark,
+                    idempotency_key: mark,
                     ..
                 } = execute;
                 frames::keyed_request(call, &workload, &function, limit_us, mark.as_deref(), &body)
@@ -59,13 +60,13 @@
     pub fn cancel(self, execution: u64, call: u64) -> Vec<u8> {
         match self {
             Speech::Ours => frame(&ToWorker::Cancel(wire::Cancel { id: execution })),
-            Speech::Platform => frames::give_up(call),
+            Speech::Platform => frames::cancel(call),
         }
     }
-    pub fn hold(self, hold: Hold) -> Vec<u8> {
+    pub fn hold(self, hold: Load) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Hold(hold)),
-            Speech::Platform => frames::load(hold.id, &hold.function, hold.copies),
+            Speech::Ours => frame(&ToWorker::Load(hold)),
+            Speech::Platform => frames::load(hold.id, &hold.function, hold.instances),
         }
     }
     pub fn unload(self, function: String) -> Vec<u8> {
@@ -78,7 +79,7 @@
     }
     pub fn probe(self, id: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Probe(wire::Probe { id })),
+            Speech::Ours => frame(&ToWorker::HealthCheck(wire::HealthCheck { id })),
             Speech::Platform => frames::ping(id),
         }
     }
@@ -87,8 +88,8 @@
 impl Reader {
     pub fn take_in(&mut self, bytes: &[u8]) {
         match self {
-            Reader::Ours(frames) => frames.take_in(bytes),
-            Reader::Platform(frames) => frames.take_in(bytes),
+            Reader::Ours(frames) => frames.push_bytes(bytes),
+            Reader::Platform(frames) => frames.push_bytes(bytes),
         }
     }
     /// The next message; `ids` says what is out under which id on this connection.
@@ -109,33 +110,33 @@
 fn meant(answer: frames::Answer, ids: &BTreeMap<u64, Mark>) -> FromWorker {
     let frames::Answer {
         id,
-        ended,
-        copy,
+        status: ended,
+        instance: copy,
         report,
-        copies,
+        instances: copies,
         body,
     } = answer;
     let done = |id, ended| {
         FromWorker::Done(Done {
             id,
-            ended,
-            copy,
-            crowd: None,
+            status: ended,
+            instance: copy,
+            function_in_flight: None,
             report,
             body,
-            customer_pace: None,
-            all_pace: None,
+            customer_rate: None,
+            total_rate: None,
         })
     };
     match (ids.get(&id), ended) {
         (Some(Mark::Execution(id)), Some(ended)) => done(*id, ended),
-        (Some(Mark::Order(id)), Some(ended)) => FromWorker::Held(Held {
+        (Some(Mark::Order(id)), Some(ended)) => FromWorker::LoadDone(LoadDone {
             id: *id,
-            ended,
-            copies: copies.unwrap_or(0),
+            status: ended,
+            instances: copies.unwrap_or(0),
         }),
-        (Some(Mark::Probe(id)), None) => FromWorker::Probed(Probed { id: *id, report }),
+        (Some(Mark::Probe(id)), None) => FromWorker::HealthStatus(HealthStatus { id: *id, report }),
         // No execution has this number: it is counted as an answer that nothing waits for.
-        _ => done(0, Ended::Dropped),
+        _ => done(0, ExecutionStatus::Dropped),
     }
 }
--- a/crates/sanddrum-edge/tests/clients.rs
+++ b/crates/sanddrum-edge/tests/clients.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sanddrum::RequestId;
 use sanddrum_net::{CloseCause, Core, Event};
-use sanddrum_wire::{http, Ended};
+use sanddrum_wire::{http, ExecutionStatus};
 
 #[rstest]
 fn answers_go_out_in_the_order_of_the_requests() {
@@ -17,20 +17,20 @@
         .deeds
         .extend([Do::Execute(0, 5 * S), Do::Execute(1, 5 * S)]);
     let two = [
-        http::write_request("POST", "/v1/calls/job/f1", &[], b"a"),
-        http::write_request("POST", "/v1/calls/job/f2", &[], b"b"),
+        http::encode_request("POST", "/v1/calls/job/f1", &[], b"a"),
+        http::encode_request("POST", "/v1/calls/job/f2", &[], b"b"),
     ];
     h.says(client, &two.concat());
     let worker = h.io.connects.last().unwrap().0;
     h.up(worker);
     let ids = h.executions_read(worker);
-    h.done(worker, ids[1], Ended::Finished);
+    h.done(worker, ids[1], ExecutionStatus::Finished);
     assert!(
         h.statuses(client).is_empty(),
         "the first is not answered yet"
     );
     h.decide(Do::PushBack(0));
-    h.done(worker, ids[0], Ended::Finished);
+    h.done(worker, ids[0], ExecutionStatus::Finished);
     assert_eq!(h.statuses(client), [503, 200]);
     let first = &h.answers(client)[0];
     assert_eq!(
@@ -59,7 +59,7 @@
         ("limits.largest-body", "1KB"),
     ]);
     let client = h.client();
-    let one = http::write_request("POST", "/v1/calls/job/f1", &[], b"");
+    let one = http::encode_request("POST", "/v1/calls/job/f1", &[], b"");
     h.says(client, &one.repeat(calls));
     assert_eq!(h.strings.borrow().jobs.len(), 2);
     // One that is not paused is heard when it leaves.
@@ -77,7 +77,7 @@
 fn a_request_may_come_byte_by_byte_but_not_for_ever() {
     let mut h = Host::new(&[("limits.head-time-out", "1s")]);
     let (client, slow) = (h.client(), h.client());
-    let request = http::write_request(
+    let request = http::encode_request(
         "POST",
         "/v1/calls/job/f1",
         &[("sanddrum-time-limit-ms", "700")],
@@ -139,7 +139,11 @@
     h.says(client, text.as_bytes());
     h.wait(2 * S);
     assert!(h.io.closed.is_empty());
-    h.done(worker, h.executions_read(worker)[0], Ended::Finished);
+    h.done(
+        worker,
+        h.executions_read(worker)[0],
+        ExecutionStatus::Finished,
+    );
     assert_eq!(h.statuses(client), [200, status]);
     h.wait(S);
     assert_eq!(h.io.closed, [(client, Some(CloseCause::Orderly))]);
@@ -154,7 +158,7 @@
 fn what_is_no_call_becomes_no_job(#[case] method: &str, #[case] path: &str, #[case] status: u16) {
     let mut h = Host::new(&[]);
     let client = h.client();
-    h.says(client, &http::write_request(method, path, &[], b""));
+    h.says(client, &http::encode_request(method, path, &[], b""));
     assert_eq!(h.statuses(client), [status]);
     assert!(h.strings.borrow().jobs.is_empty());
 }
@@ -229,7 +233,11 @@
     });
     h.turn();
     assert_eq!(h.strings.borrow().left, [RequestId(0)]);
-    h.done(worker, h.executions_read(worker)[0], Ended::Finished);
+    h.done(
+        worker,
+        h.executions_read(worker)[0],
+        ExecutionStatus::Finished,
+    );
     assert!(h.strings.borrow().ends[0].is_final);
     assert!(h.statuses(client).is_empty());
 }
@@ -273,7 +281,11 @@
     h.calls(late, &[]);
     assert_eq!(h.statuses(late), [503]);
     assert!(h.io.closed.contains(&(late, Some(CloseCause::Orderly))));
-    h.done(worker, h.executions_read(worker)[0], Ended::Finished);
+    h.done(
+        worker,
+        h.executions_read(worker)[0],
+        ExecutionStatus::Finished,
+    );
     assert_eq!(h.statuses(client), [200]);
     assert!(!h.edge.is_done());
     h.wait(3 * S);
--- a/crates/sanddrum-edge/tests/host/mod.rs
+++ b/crates/sanddrum-edge/tests/host/mod.rs
@@ -6,10 +6,11 @@
 use sanddrum::*;
 use sanddrum_edge::{DecisionModule, Edge, Platform, Start};
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, ListenerId, PeerIdentity};
-use sanddrum_platform::control_feed::{Change, Member, Members, Told};
+use sanddrum_platform::control_feed::{FeedEvent, FeedEvents, Member, Members};
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
-    http, Done, Ended, Frames, FromList, FromWorker, Hello, Phase, Row, Rows, ToWorker,
+    http, Done, EndpointRecord, EndpointUpdate, ExecutionStatus, FrameDecoder, FromDiscovery,
+    FromWorker, Hello, Phase, ToWorker,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -155,16 +156,16 @@
     /// An edge on the platform: its list as the start configuration told it, with one worker `w`.
     pub fn on_platform(set: &[(&str, &str)]) -> Host {
         let members = vec![Member {
-            row: row("w", 0, Phase::Ready),
+            endpoint: row("w", 0, Phase::Ready),
             up_since_ms: 0,
         }];
         let members = Some(Members {
             complete: true,
             members,
         });
-        let known = Told {
-            last: 1,
-            changes: vec![Change { n: 1, members }],
+        let known = FeedEvents {
+            last_number: 1,
+            events: vec![FeedEvent { number: 1, members }],
         };
         Host::begun(
             set,
@@ -183,7 +184,7 @@
             "",
             None,
             Some(Platform {
-                known: Told::default(),
+                known: FeedEvents::default(),
                 kinds: vec![],
             }),
         )
@@ -207,10 +208,10 @@
         let mut settings = sanddrum_settings::read("story", &format!("{text}{more}")).unwrap();
         // Stories begin with the first call for the list, which is not spread here.
         settings
-            .give("limits.list-calls", "1000000", "story")
+            .override_value("limits.list-calls", "1000000", "story")
             .unwrap();
         set.iter()
-            .for_each(|(name, value)| settings.give(name, value, "story").unwrap());
+            .for_each(|(name, value)| settings.override_value(name, value, "story").unwrap());
         let strings = Rc::new(RefCell::new(Strings::default()));
         let start = Start {
             settings,
@@ -287,7 +288,7 @@
     pub fn calls(&mut self, conn: ConnectionId, fields: &[(&str, &str)]) {
         self.says(
             conn,
-            &http::write_request("POST", "/v1/calls/job/f1", fields, b"in"),
+            &http::encode_request("POST", "/v1/calls/job/f1", fields, b"in"),
         );
     }
     /// A client with a call that the puppet sends to the worker at once.
@@ -302,10 +303,10 @@
         let worker = self.io.connects.last().unwrap().0;
         (client, worker)
     }
-    pub fn answers(&self, conn: ConnectionId) -> Vec<http::Answer> {
+    pub fn answers(&self, conn: ConnectionId) -> Vec<http::Response> {
         let mut bytes = self.io.wrote.get(&conn).cloned().unwrap_or_default();
         let mut answers = Vec::new();
-        while let Ok(Some((answer, took))) = http::answer(&bytes) {
+        while let Ok(Some((answer, took))) = http::parse_response(&bytes) {
             bytes.drain(..took);
             answers.push(answer);
         }
@@ -330,8 +331,8 @@
     }
     /// What a worker has read whole.
     pub fn read_by(&self, conn: ConnectionId) -> Vec<ToWorker> {
-        let mut frames = Frames::new(1 << 20);
-        frames.take_in(self.io.wrote.get(&conn).map_or(&[][..], Vec::as_slice));
+        let mut frames = FrameDecoder::new(1 << 20);
+        frames.push_bytes(self.io.wrote.get(&conn).map_or(&[][..], Vec::as_slice));
         std::iter::from_fn(|| frames.next_message().ok().flatten()).collect()
     }
     pub fn executions_read(&self, conn: ConnectionId) -> Vec<u64> {
@@ -347,16 +348,16 @@
     pub fn worker_says(&mut self, conn: ConnectionId, message: &FromWorker) {
         self.says(conn, &frame(message));
     }
-    pub fn done(&mut self, conn: ConnectionId, id: u64, ended: Ended) {
+    pub fn done(&mut self, conn: ConnectionId, id: u64, ended: ExecutionStatus) {
         let done = Done {
             id,
-            ended,
-            copy: None,
-            crowd: None,
+            status: ended,
+            instance: None,
+            function_in_flight: None,
             report: None,
             body: b"out".to_vec(),
-            customer_pace: None,
-            all_pace: None,
+            customer_rate: None,
+            total_rate: None,
         };
         self.worker_says(conn, &FromWorker::Done(done));
     }
@@ -378,23 +379,29 @@
 
     // ---- The list service
 
-    pub fn rows(&self, version: u64, whole: bool, after: u64, rows: &[Row]) -> Rows {
-        Rows {
+    pub fn rows(
+        &self,
+        version: u64,
+        whole: bool,
+        after: u64,
+        rows: &[EndpointRecord],
+    ) -> EndpointUpdate {
+        EndpointUpdate {
             version,
-            run: 1,
-            whole,
-            after,
-            rows: rows.to_vec(),
+            service_incarnation: 1,
+            is_full_snapshot: whole,
+            base_version: after,
+            endpoints: rows.to_vec(),
         }
     }
-    pub fn list_says(&mut self, rows: &Rows) {
-        self.says(self.list, &frame(&FromList::Rows(rows.clone())));
+    pub fn list_says(&mut self, rows: &EndpointUpdate) {
+        self.says(self.list, &frame(&FromDiscovery::Endpoints(rows.clone())));
     }
 }
 
-pub fn row(name: &str, incarnation: u64, phase: Phase) -> Row {
+pub fn row(name: &str, incarnation: u64, phase: Phase) -> EndpointRecord {
     let (address, zone) = (format!("10.0.0.1:{}", 7000 + name.len()), "a".to_string());
-    Row {
+    EndpointRecord {
         name: name.into(),
         address,
         zone,
@@ -402,6 +409,6 @@
         phase,
         incarnation,
         age_us: -1,
-        ..Row::default()
+        ..EndpointRecord::default()
     }
 }
--- a/crates/sanddrum-edge/tests/host/platform.rs
+++ b/crates/sanddrum-edge/tests/host/platform.rs
@@ -71,7 +71,7 @@
 pub fn told(host: &mut Host, n: u64, member: serde_json::Value) {
     let json =
         json!({"n": n, "events": [{"n": n, "members": {"complete": false, "members": [member]}}]});
-    let answer = sanddrum_wire::http::response(200, &[], json.to_string().as_bytes(), true);
+    let answer = sanddrum_wire::http::encode_response(200, &[], json.to_string().as_bytes(), true);
     host.says(host.list, &answer);
 }
 pub fn member(id: &str, phase: &str) -> serde_json::Value {
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -8,7 +8,7 @@
 use sanddrum_identity::token;
 use sanddrum_identity::{Claims, KeySet, SecretKey};
 use sanddrum_net::{CloseCause, ConnectionId, Core, PeerIdentity};
-use sanddrum_wire::{http, Ended};
+use sanddrum_wire::{http, ExecutionStatus};
 
 fn key(kid: &str) -> SecretKey {
     let mut seed = [9; 32];
@@ -111,8 +111,8 @@
     keys.revoke("k1").unwrap();
     gives(&mut h, Ok(&keys.write()));
     let id = h.executions_read(worker)[0];
-    h.done(worker, id, Ended::Finished);
-    h.done(worker, id, Ended::Finished);
+    h.done(worker, id, ExecutionStatus::Finished);
+    h.done(worker, id, ExecutionStatus::Finished);
     assert_eq!(h.statuses(client), [200]);
 }
 
@@ -176,7 +176,7 @@
         ],
     );
     assert_eq!(h.statuses(client), [403, 403]);
-    let two = http::write_request(
+    let two = http::encode_request(
         "POST",
         "/v1/calls/job/f2",
         &[("authorization", &school)],
@@ -309,7 +309,7 @@
     let now = h.now;
     h.edge.on_credentials_changed(now, gateway, true, &mut h.io);
     h.calls(gateway, &[]);
-    h.done(worker, id, Ended::Finished);
+    h.done(worker, id, ExecutionStatus::Finished);
     assert_eq!(h.statuses(gateway), [200, 401]);
     assert!(h
         .io
--- a/crates/sanddrum-edge/tests/platform.rs
+++ b/crates/sanddrum-edge/tests/platform.rs
@@ -218,7 +218,7 @@
         .deeds
         .extend([Do::Cancel(0, 0), Do::Execute(0, 1_000_000)]);
     told(&mut host, 2, member("w", "in_service"));
-    assert!(host.io.wrote[&first].ends_with(&frames::give_up(call_number())));
+    assert!(host.io.wrote[&first].ends_with(&frames::cancel(call_number())));
     let second = worker(&host);
     assert_ne!(first, second);
     host.up(second);
@@ -235,7 +235,7 @@
     let (_, worker) = job_out(&mut host);
     host.wait(2 * S);
     assert_eq!(host.ends(), [Outcome::TimedOut]);
-    assert!(host.io.wrote[&worker].ends_with(&frames::give_up(call_number())));
+    assert!(host.io.wrote[&worker].ends_with(&frames::cancel(call_number())));
 }
 
 #[rstest]
--- a/crates/sanddrum-edge/tests/platform_net.rs
+++ b/crates/sanddrum-edge/tests/platform_net.rs
@@ -266,7 +266,7 @@
             let body = json!({"n": told, "events": new}).to_string();
             io.write(
                 conn,
-                &sanddrum_wire::http::response(200, &[], body.as_bytes(), true),
+                &sanddrum_wire::http::encode_response(200, &[], body.as_bytes(), true),
             );
         }
     }
@@ -346,22 +346,22 @@
             "limits": {"cancel": true, "may-duplicate": false, "try-limit": 5},
         },
     });
-    let read = sanddrum_platform::Configuration::read(&config.to_string()).unwrap();
+    let read = sanddrum_platform::StartupConfig::read(&config.to_string()).unwrap();
     let start = Start {
-        settings: read.deployment().unwrap(),
+        settings: read.deployment_settings().unwrap(),
         seed: read.seed,
         kept: None,
         incarnation: 1,
         metrics_page: None,
         platform: Some(Platform {
-            known: read.told().unwrap(),
-            kinds: read.kinds(),
+            known: read.feed_events().unwrap(),
+            kinds: read.worker_kinds(),
         }),
     };
     net.add(
         0,
         &[DOOR],
-        Box::new(Edge::with_settings(start, &read.module())),
+        Box::new(Edge::with_settings(start, &read.decision_settings())),
     );
     let web = Web {
         truth: truth.clone(),
--- a/crates/sanddrum-edge/tests/races.rs
+++ b/crates/sanddrum-edge/tests/races.rs
@@ -15,7 +15,7 @@
 
 fn tells(host: &mut Host, last: u64, events: serde_json::Value) {
     let json = json!({"n": last, "events": events});
-    let answer = sanddrum_wire::http::response(200, &[], json.to_string().as_bytes(), true);
+    let answer = sanddrum_wire::http::encode_response(200, &[], json.to_string().as_bytes(), true);
     host.says(host.list, &answer);
 }
 /// Has the puppet decide: any word of the list calls it.
@@ -179,7 +179,7 @@
     let other = u64::from_str_radix(OTHER, 16).unwrap();
     let given_up = host.io.writes[before..]
         .iter()
-        .position(|(conn, bytes)| *conn == second && bytes.ends_with(&frames::give_up(other)));
+        .position(|(conn, bytes)| *conn == second && bytes.ends_with(&frames::cancel(other)));
     let request = frames::request(other, "job", FUNCTION, 1_000_000, b"in");
     let sent = host.io.writes[before..]
         .iter()
@@ -454,7 +454,7 @@
     let mut host = Host::on_platform(&[]);
     let (now, feed) = (host.now, host.list);
     let json = json!({"n": 2, "events": [{"n": 2, "members": {"complete": false, "members": [member("w", "terminating")]}}]});
-    let answer = sanddrum_wire::http::response(200, &[], json.to_string().as_bytes(), true);
+    let answer = sanddrum_wire::http::encode_response(200, &[], json.to_string().as_bytes(), true);
     host.edge.on_event(
         now,
         Event::Bytes {
@@ -479,7 +479,7 @@
     let old = host.list;
     host.wait(2 * S);
     let json = json!({"n": 2, "events": [{"n": 2, "members": {"complete": false, "members": [member("w", "terminated")]}}]});
-    let answer = sanddrum_wire::http::response(200, &[], json.to_string().as_bytes(), true);
+    let answer = sanddrum_wire::http::encode_response(200, &[], json.to_string().as_bytes(), true);
     host.says(old, &answer);
     assert_eq!(host.strings.borrow().lists.len(), 1);
 }
--- a/crates/sanddrum-edge/tests/workers.rs
+++ b/crates/sanddrum-edge/tests/workers.rs
@@ -7,7 +7,7 @@
 use sanddrum::{EndpointListKind, Outcome, WorkerState};
 use sanddrum_edge::endpoint_cache;
 use sanddrum_net::{CloseCause, Core, Event};
-use sanddrum_wire::{Ended, FromWorker, Held, Phase, Probed};
+use sanddrum_wire::{ExecutionStatus, FromWorker, HealthStatus, LoadDone, Phase};
 
 #[rstest]
 #[case::refused(0, CloseCause::Refused, Outcome::NoConnection)]
@@ -71,7 +71,7 @@
         "none is idle"
     );
     let id = h.executions_read(first)[0];
-    h.done(first, id, Ended::Finished);
+    h.done(first, id, ExecutionStatus::Finished);
     call_at_v(&mut h, 2);
     h.wait(S / 100);
     assert_eq!(h.io.connects.len(), connects + 1);
@@ -87,16 +87,16 @@
     h.decide(Do::Cancel(0, 0));
     h.turn();
     assert_eq!(h.ends(), [Outcome::Cancelled]);
-    h.done(worker, id, Ended::Finished);
+    h.done(worker, id, ExecutionStatus::Finished);
     assert_eq!((h.ends().len(), h.statuses(client).len()), (1, 0));
     h.decide(Do::PushBack(0));
-    h.done(worker, id, Ended::Finished);
+    h.done(worker, id, ExecutionStatus::Finished);
     assert_eq!(h.statuses(client), [503]);
 
     let (client, _) = h.call_out(5 * S);
     let id = h.executions_read(worker)[1];
-    h.done(worker, id, Ended::Finished);
-    h.done(worker, id, Ended::Error);
+    h.done(worker, id, ExecutionStatus::Finished);
+    h.done(worker, id, ExecutionStatus::Error);
     assert_eq!(h.statuses(client), [200]);
     assert!(h.strings.borrow().ends[1].is_final);
     assert_eq!(h.ends().len(), 2);
@@ -128,7 +128,7 @@
     h.wait(2 * S);
     assert_eq!(h.ends(), [Outcome::TimedOut]);
     let id = h.executions_read(worker)[0];
-    h.done(worker, id, Ended::Finished);
+    h.done(worker, id, ExecutionStatus::Finished);
     assert_eq!(
         h.statuses(client),
         [] as [u16; 0],
@@ -137,12 +137,12 @@
 }
 
 #[rstest]
-#[case::finished(Ended::Finished, Outcome::Finished)]
-#[case::error(Ended::Error, Outcome::Error)]
-#[case::full(Ended::Full, Outcome::Rejected)]
-#[case::miss(Ended::Miss, Outcome::ColdMiss)]
-#[case::dropped(Ended::Dropped, Outcome::CancelledBeforeStart)]
-fn workers_ends_are_told_as_they_are(#[case] ended: Ended, #[case] end: Outcome) {
+#[case::finished(ExecutionStatus::Finished, Outcome::Finished)]
+#[case::error(ExecutionStatus::Error, Outcome::Error)]
+#[case::full(ExecutionStatus::Rejected, Outcome::Rejected)]
+#[case::miss(ExecutionStatus::ColdMiss, Outcome::ColdMiss)]
+#[case::dropped(ExecutionStatus::Dropped, Outcome::CancelledBeforeStart)]
+fn workers_ends_are_told_as_they_are(#[case] ended: ExecutionStatus, #[case] end: Outcome) {
     let mut h = Host::new(&[]);
     let (client, worker) = h.call_out(5 * S);
     h.up(worker);
@@ -150,7 +150,7 @@
     assert_eq!(h.ends(), [end]);
     assert_eq!(
         h.statuses(client).len(),
-        usize::from(ended == Ended::Finished)
+        usize::from(ended == ExecutionStatus::Finished)
     );
 }
 
@@ -176,10 +176,10 @@
     h.up(one);
     h.up(two);
     let id = h.executions_read(one)[0];
-    h.done(two, id, Ended::Finished);
-    h.done(two, 999, Ended::Finished);
+    h.done(two, id, ExecutionStatus::Finished);
+    h.done(two, 999, ExecutionStatus::Finished);
     assert!(h.ends().is_empty() && h.statuses(first).is_empty() && h.statuses(second).is_empty());
-    h.done(one, id, Ended::Finished);
+    h.done(one, id, ExecutionStatus::Finished);
     assert_eq!(h.statuses(first), [200]);
 }
 
@@ -206,7 +206,11 @@
     assert_eq!(h.ends(), [Outcome::Rejected]);
     h.wait(5 * S);
     assert!(h.io.closed.is_empty(), "it carries an execution");
-    h.done(worker, h.executions_read(worker)[0], Ended::Finished);
+    h.done(
+        worker,
+        h.executions_read(worker)[0],
+        ExecutionStatus::Finished,
+    );
     h.wait(4 * S);
     assert!(h.io.closed.contains(&(worker, Some(CloseCause::Orderly))));
 }
@@ -231,12 +235,12 @@
     h.up(worker);
     h.decide(Do::Hold(1));
     h.decide(Do::Probe);
-    let held = FromWorker::Held(Held {
+    let held = FromWorker::LoadDone(LoadDone {
         id: 1,
-        ended: Ended::Finished,
-        copies: 1,
+        status: ExecutionStatus::Finished,
+        instances: 1,
     });
-    let probed = FromWorker::Probed(Probed {
+    let probed = FromWorker::HealthStatus(HealthStatus {
         id: 2,
         report: None,
     });
@@ -293,7 +297,7 @@
 #[rstest]
 fn the_same_start_is_one_instant_and_a_greeting_may_tell_of_a_new_one() {
     let mut h = Host::new(&[]);
-    let young = |incarnation, age_us| sanddrum_wire::Row {
+    let young = |incarnation, age_us| sanddrum_wire::EndpointRecord {
         age_us,
         ..row("w", incarnation, Phase::Ready)
     };
@@ -400,11 +404,11 @@
         !h.io.closed.iter().any(|(conn, _)| *conn == old),
         "a job is out on it"
     );
-    h.done(old, first, Ended::Finished);
+    h.done(old, first, ExecutionStatus::Finished);
     h.wait(S);
     assert!(h.io.closed.contains(&(old, Some(CloseCause::Orderly))));
     let second = h.executions_read(new)[0];
-    h.done(new, second, Ended::Finished);
+    h.done(new, second, ExecutionStatus::Finished);
     assert_eq!(
         (h.statuses(client), h.statuses(other)),
         (vec![200], vec![200])
@@ -496,12 +500,12 @@
     host.strings.borrow_mut().deeds.push(Do::Execute(0, S));
     host.says(
         client,
-        &sanddrum_wire::http::write_request("POST", "/v1/calls/once/g1", &[], b"in"),
+        &sanddrum_wire::http::encode_request("POST", "/v1/calls/once/g1", &[], b"in"),
     );
     let worker = host.io.connects.last().unwrap().0;
     host.up(worker);
     let first = host.executions_read(worker)[0];
-    host.done(worker, first, Ended::Error);
+    host.done(worker, first, ExecutionStatus::Error);
     host.decide(Do::Execute(0, S));
 }
 
@@ -512,7 +516,7 @@
     #[case] kept_at: i64,
 ) {
     use sanddrum_edge::endpoint_cache::{write, Kept};
-    let young = sanddrum_wire::Row {
+    let young = sanddrum_wire::EndpointRecord {
         age_us: 500_000,
         ..row("w", 1, Phase::Ready)
     };
--- a/crates/sanddrum-emulator/src/list_service.rs
+++ b/crates/sanddrum-emulator/src/list_service.rs
@@ -3,7 +3,9 @@
 use crate::faults::{ListFaults, Shared};
 use crate::peers::Peers;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
-use sanddrum_wire::{frame::frame, FromList, Hello, Phase, Row, Rows, ToList, VERSION};
+use sanddrum_wire::{
+    frame::frame, EndpointRecord, EndpointUpdate, FromDiscovery, Hello, Phase, ToDiscovery, VERSION,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Clone, Debug)]
@@ -22,7 +24,7 @@
 }
 
 struct Member {
-    row: Row,
+    row: EndpointRecord,
     started: Micros,
     heard: Micros,
     conn: Option<ConnectionId>,
@@ -40,7 +42,7 @@
     /// As told to edges; `seen` is what the service itself knows.
     told: BTreeMap<String, Member>,
     seen: BTreeMap<String, Member>,
-    changes: VecDeque<(u64, Row, Micros)>,
+    changes: VecDeque<(u64, EndpointRecord, Micros)>,
     due: BTreeSet<(Micros, String)>,
     /// Calls in hand, with the run and the version that each caller knows, and until when its core is at one.
     calls: VecDeque<(ConnectionId, u64, u64)>,
@@ -66,7 +68,7 @@
         }
     }
     /// Workers that it knows from the start, as one that kept its list would.
-    pub fn with_rows(mut self, now: Micros, rows: &[Row]) -> Self {
+    pub fn with_rows(mut self, now: Micros, rows: &[EndpointRecord]) -> Self {
         for row in rows {
             let started = if row.age_us < 0 { 0 } else { now - row.age_us };
             let member = || Member {
@@ -81,21 +83,21 @@
         self.version = 1;
         self
     }
-    fn aged(row: &Row, started: Micros, now: Micros) -> Row {
-        Row {
+    fn aged(row: &EndpointRecord, started: Micros, now: Micros) -> EndpointRecord {
+        EndpointRecord {
             age_us: if started > 0 { now - started } else { -1 },
             ..row.clone()
         }
     }
-    fn whole(&self, now: Micros) -> Rows {
+    fn whole(&self, now: Micros) -> EndpointUpdate {
         let stands = self.told.values().filter(|m| m.row.phase != Phase::Gone);
         let rows = stands.map(|m| Self::aged(&m.row, m.started, now)).collect();
-        Rows {
+        EndpointUpdate {
             version: self.version,
-            run: self.run,
-            whole: true,
-            after: 0,
-            rows,
+            service_incarnation: self.run,
+            is_full_snapshot: true,
+            base_version: 0,
+            endpoints: rows,
         }
     }
     /// Takes the calls in hand up, one after the other, as far as its core gets by now.
@@ -106,16 +108,17 @@
             };
             let rows = self.rows_for(now, run, version);
             self.busy = now
-                + if rows.whole {
+                + if rows.is_full_snapshot {
                     self.spec.whole
                 } else {
                     self.spec.change
                 };
             self.watchers.insert(conn);
-            self.peers.send(conn, &frame(&FromList::Rows(rows)));
+            self.peers
+                .send(conn, &frame(&FromDiscovery::Endpoints(rows)));
         }
     }
-    fn rows_for(&self, now: Micros, run: u64, version: u64) -> Rows {
+    fn rows_for(&self, now: Micros, run: u64, version: u64) -> EndpointUpdate {
         let first = self.changes.front().map_or(self.version, |(v, ..)| v - 1);
         if run != self.run || version < first || version > self.version || version == 0 {
             return self.whole(now);
@@ -124,12 +127,12 @@
         let rows = since
             .map(|(_, row, started)| Self::aged(row, *started, now))
             .collect();
-        Rows {
+        EndpointUpdate {
             version: self.version,
-            run: self.run,
-            whole: false,
-            after: version,
-            rows,
+            service_incarnation: self.run,
+            is_full_snapshot: false,
+            base_version: version,
+            endpoints: rows,
         }
     }
     fn forget(&mut self, conn: ConnectionId) {
@@ -170,34 +173,36 @@
         }
         let rows = vec![Self::aged(&row, started, now)];
         let (version, run) = (self.version, self.run);
-        let change = frame(&FromList::Rows(Rows {
+        let change = frame(&FromDiscovery::Endpoints(EndpointUpdate {
             version,
-            run,
-            whole: false,
-            after: version - 1,
-            rows,
+            service_incarnation: run,
+            is_full_snapshot: false,
+            base_version: version - 1,
+            endpoints: rows,
         }));
         self.watchers
             .iter()
             .for_each(|conn| self.peers.send(*conn, &change));
     }
-    fn message(&mut self, now: Micros, conn: ConnectionId, message: ToList, io: &mut dyn Io) {
+    fn message(&mut self, now: Micros, conn: ConnectionId, message: ToDiscovery, io: &mut dyn Io) {
         match message {
-            ToList::Hello(_) => {
+            ToDiscovery::Hello(_) => {
                 let hello = Hello {
                     version: VERSION,
                     name: "list".into(),
                     incarnation: self.run,
                     age_us: None,
                 };
-                self.peers.send(conn, &frame(&FromList::Hello(hello)));
+                self.peers.send(conn, &frame(&FromDiscovery::Hello(hello)));
             }
-            ToList::Watch(_) if self.calls.len() >= self.spec.most => {
+            ToDiscovery::Watch(_) if self.calls.len() >= self.spec.most => {
                 self.forget(conn);
                 io.reset(conn);
             }
-            ToList::Watch(w) => self.calls.push_back((conn, w.run, w.version)),
-            ToList::Register(row) => {
+            ToDiscovery::Watch(w) => self
+                .calls
+                .push_back((conn, w.service_incarnation, w.version)),
+            ToDiscovery::Register(row) => {
                 let name = row.name.clone();
                 if self
                     .seen
@@ -218,7 +223,7 @@
                 );
                 self.later(now, &name);
             }
-            ToList::Beat(beat) => {
+            ToDiscovery::Heartbeat(beat) => {
                 let heard =
                     |m: &&mut Member| m.conn == Some(conn) && m.row.incarnation == beat.incarnation;
                 if let Some(member) = self.seen.values_mut().find(heard) {
@@ -254,7 +259,7 @@
             Event::Bytes { conn, bytes } => {
                 self.peers.take_in(conn, bytes);
                 loop {
-                    match self.peers.next_message::<ToList>(conn) {
+                    match self.peers.next_message::<ToDiscovery>(conn) {
                         Ok(Some(message)) => self.message(now, conn, message, io),
                         Ok(None) => break,
                         Err(_) => {
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -3,7 +3,7 @@
 
 use crate::ground_truth::{TrueFunction, TrueWorker};
 use sanddrum_net::{Micros, Rng};
-use sanddrum_wire::{Copy, Ended, LoadReport};
+use sanddrum_wire::{ExecutionStatus, InstanceState, LoadReport};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,14 +50,14 @@
 pub enum Effect {
     Done {
         ticket: Ticket,
-        ended: Ended,
-        copy: Option<Copy>,
+        ended: ExecutionStatus,
+        copy: Option<InstanceState>,
         crowd: u32,
         mark: Option<String>,
     },
     Held {
         ticket: Ticket,
-        ended: Ended,
+        ended: ExecutionStatus,
         copies: u32,
     },
     Fetch {
@@ -93,13 +93,13 @@
 
 struct Waiting {
     task: Task,
-    copy: Copy,
+    copy: InstanceState,
     crowd: u32,
 }
 
 struct Running {
     task: Task,
-    copy: Copy,
+    copy: InstanceState,
     crowd: u32,
     on: u64,
     ends: Micros,
@@ -295,20 +295,20 @@
             mark: None,
         };
         if full && !(free && !draining && self.running.len() < self.size.cores) {
-            return self.effects.push(refused(Ended::Full));
+            return self.effects.push(refused(ExecutionStatus::Rejected));
         }
         let copy = if self.standing(&task.function) > 0 {
-            Copy::Stood
+            InstanceState::Warm
         } else if copies > 0 {
-            Copy::WaitedForLoad
+            InstanceState::WaitedForLoad
         } else if self.size.on_miss == OnMiss::Miss {
-            return self.effects.push(refused(Ended::Miss));
+            return self.effects.push(refused(ExecutionStatus::ColdMiss));
         } else if self.load(now, &task.function, task.memory_mb, task.lanes) {
-            Copy::BeganLoad
+            InstanceState::StartedLoad
         } else {
-            return self.effects.push(refused(Ended::Full));
+            return self.effects.push(refused(ExecutionStatus::Rejected));
         };
-        if copy == Copy::Stood && !free {
+        if copy == InstanceState::Warm && !free {
             // Another copy by itself, where there is room for it.
             let lanes: u32 = self.of(&task.function).map(|(_, c)| c.lanes).sum();
             if crowd >= lanes {
@@ -325,7 +325,7 @@
                 let (copy, crowd) = (Some(w.copy), w.crowd);
                 self.effects.push(Effect::Done {
                     ticket,
-                    ended: Ended::Dropped,
+                    ended: ExecutionStatus::Dropped,
                     copy,
                     crowd,
                     mark: None,
@@ -338,16 +338,16 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        hold: &sanddrum_wire::Hold,
+        hold: &sanddrum_wire::Load,
         draining: bool,
     ) {
-        let (function, copies) = (hold.function.as_str(), hold.copies);
-        let (memory_mb, lanes) = (hold.memory_mb, hold.lanes.max(1));
+        let (function, copies) = (hold.function.as_str(), hold.instances);
+        let (memory_mb, lanes) = (hold.memory_mb, hold.concurrency.max(1));
         if copies == 0 {
             let copies = self.standing(function);
             return self.effects.push(Effect::Held {
                 ticket,
-                ended: Ended::Finished,
+                ended: ExecutionStatus::Finished,
                 copies,
             });
         }
@@ -364,7 +364,7 @@
             let copies = self.standing(function);
             return self.effects.push(Effect::Held {
                 ticket,
-                ended: Ended::Full,
+                ended: ExecutionStatus::Rejected,
                 copies,
             });
         }
@@ -496,10 +496,10 @@
             let gone: VecDeque<Waiting> = gone;
             for w in gone {
                 let ticket = w.task.ticket;
-                let copy = Some(Copy::LoadFailed);
+                let copy = Some(InstanceState::LoadFailed);
                 self.effects.push(Effect::Done {
                     ticket,
-                    ended: Ended::Miss,
+                    ended: ExecutionStatus::ColdMiss,
                     copy,
                     crowd: w.crowd,
                     mark: None,
@@ -515,7 +515,7 @@
             let copies = self.standing(&function);
             self.effects.push(Effect::Held {
                 ticket: w.ticket,
-                ended: Ended::Error,
+                ended: ExecutionStatus::Error,
                 copies,
             });
         }
@@ -545,7 +545,7 @@
             let ticket = r.task.ticket;
             self.effects.push(Effect::Done {
                 ticket,
-                ended: Ended::Finished,
+                ended: ExecutionStatus::Finished,
                 copy,
                 crowd: r.crowd,
                 mark,
@@ -575,7 +575,7 @@
             let copies = self.standing(&w.function);
             self.effects.push(Effect::Held {
                 ticket: w.ticket,
-                ended: Ended::Finished,
+                ended: ExecutionStatus::Finished,
                 copies,
             });
         }
@@ -588,7 +588,7 @@
                 .partition(|w| w.task.until <= now);
         self.waiting = in_time;
         for w in late {
-            let (ticket, copy, ended) = (w.task.ticket, Some(w.copy), Ended::Dropped);
+            let (ticket, copy, ended) = (w.task.ticket, Some(w.copy), ExecutionStatus::Dropped);
             self.effects.push(Effect::Done {
                 ticket,
                 ended,
@@ -637,7 +637,7 @@
             let ticket = w.task.ticket;
             self.effects.push(Effect::Done {
                 ticket,
-                ended: Ended::Full,
+                ended: ExecutionStatus::Rejected,
                 copy: None,
                 crowd: w.crowd,
                 mark: None,
--- a/crates/sanddrum-emulator/src/machine_tests.rs
+++ b/crates/sanddrum-emulator/src/machine_tests.rs
@@ -31,7 +31,7 @@
         until: 5_000_000,
     }
 }
-fn ends(m: &mut Machine) -> Vec<(u64, Ended)> {
+fn ends(m: &mut Machine) -> Vec<(u64, ExecutionStatus)> {
     let done = m.effects.drain(..).filter_map(|e| match e {
         Effect::Done { ticket, ended, .. } => Some((ticket.1, ended)),
         _ => None,
@@ -55,7 +55,7 @@
     assert_eq!(m.wake(), Some(400_000));
     m.advance(400_000);
     m.advance(500_000);
-    assert_eq!(ends(&mut m), [(1, Ended::Finished)]);
+    assert_eq!(ends(&mut m), [(1, ExecutionStatus::Finished)]);
     m.take(600_000, task(2, "a"), false);
     assert_eq!(m.wake(), Some(700_000));
     m.advance(700_000);
@@ -67,14 +67,14 @@
 fn a_failed_load_and_a_full_queue_prove_that_a_job_has_not_run() {
     let mut m = machine(OnMiss::Load, 0);
     (1..=5).for_each(|n| m.take(0, task(n, "a"), false));
-    assert_eq!(ends(&mut m), [(5, Ended::Full)]);
+    assert_eq!(ends(&mut m), [(5, ExecutionStatus::Rejected)]);
     m.fetched(10, 1, false);
     assert_eq!(ends(&mut m).len(), 4);
     m.take(20, task(6, "a"), true);
-    assert_eq!(ends(&mut m), [(6, Ended::Full)], "draining");
+    assert_eq!(ends(&mut m), [(6, ExecutionStatus::Rejected)], "draining");
     let mut m = machine(OnMiss::Miss, 0);
     m.take(0, task(1, "a"), false);
-    assert_eq!(ends(&mut m), [(1, Ended::Miss)]);
+    assert_eq!(ends(&mut m), [(1, ExecutionStatus::ColdMiss)]);
 }
 
 #[rstest]
--- a/crates/sanddrum-emulator/src/peers.rs
+++ b/crates/sanddrum-emulator/src/peers.rs
@@ -1,14 +1,14 @@
 //! The accepted connections of a stand-in: frames in, frames out.
 
 use sanddrum_net::{ConnectionId, Io, Outbox};
-use sanddrum_wire::{FrameError, Frames};
+use sanddrum_wire::{FrameDecoder, FrameError};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that may wait for one peer, and the largest frame taken from one.
 const MOST: usize = 64 << 20;
 
 struct Peer {
-    frames: Frames,
+    frames: FrameDecoder,
     out: Outbox<()>,
 }
 
@@ -23,7 +23,7 @@
         self.peers.insert(
             conn,
             Peer {
-                frames: Frames::new(MOST),
+                frames: FrameDecoder::new(MOST),
                 out: Outbox::new(MOST),
             },
         );
@@ -40,7 +40,7 @@
     }
     pub fn take_in(&mut self, conn: ConnectionId, bytes: &[u8]) {
         if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.frames.take_in(bytes);
+            peer.frames.push_bytes(bytes);
         }
     }
     pub fn next_message<T: for<'b> minicbor::Decode<'b, ()>>(
--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -65,7 +65,7 @@
                 f.conn,
                 &frame(&FromStore::Fetched(Fetched {
                     id: f.id,
-                    whole: true,
+                    is_complete: true,
                 })),
             );
         }
@@ -96,7 +96,7 @@
                             {
                                 let refused = Fetched {
                                     id: f.id,
-                                    whole: false,
+                                    is_complete: false,
                                 };
                                 self.peers.send(conn, &frame(&FromStore::Fetched(refused)));
                             } else {
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -5,11 +5,12 @@
 use crate::handshakes::HandshakeWork;
 use crate::machine::{Effect, Machine, OnMiss, Size, Task, Ticket};
 use crate::peers::Peers;
-use sanddrum_limits::Pace;
+use sanddrum_limits::RateMeter;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
 use sanddrum_wire::{
-    frame::frame, Beat, Done, Ended, Fetch, Frames, FromStore, FromWorker, Held, Hello, LoadReport,
-    Phase, Probed, Row, ToList, ToStore, ToWorker, VERSION,
+    frame::frame, Done, EndpointRecord, ExecutionStatus, Fetch, FrameDecoder, FromStore,
+    FromWorker, HealthStatus, Heartbeat, Hello, LoadDone, LoadReport, Phase, ToDiscovery, ToStore,
+    ToWorker, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -46,7 +47,7 @@
     conn: Option<ConnectionId>,
     up: bool,
     out: Outbox<()>,
-    frames: Frames,
+    frames: FrameDecoder,
     again: Micros,
 }
 
@@ -56,7 +57,7 @@
 
 impl Upstream {
     fn new(address: &str) -> Self {
-        let (out, frames) = (Outbox::new(MOST), Frames::new(MOST));
+        let (out, frames) = (Outbox::new(MOST), FrameDecoder::new(MOST));
         Upstream {
             address: address.to_string(),
             conn: None,
@@ -68,7 +69,7 @@
     }
     fn call(&mut self, io: &mut dyn Io) {
         (self.conn, self.up) = (Some(io.connect(&self.address)), false);
-        (self.out, self.frames) = (Outbox::new(MOST), Frames::new(MOST));
+        (self.out, self.frames) = (Outbox::new(MOST), FrameDecoder::new(MOST));
     }
     fn flush(&mut self, io: &mut dyn Io) {
         if let Some(conn) = self.conn.filter(|_| self.up) {
@@ -79,7 +80,7 @@
         match event {
             Event::Connected { .. } => self.up = true,
             Event::Writable { .. } => self.out.unblock(),
-            Event::Bytes { bytes, .. } => self.frames.take_in(bytes),
+            Event::Bytes { bytes, .. } => self.frames.push_bytes(bytes),
             Event::Closed { .. } => (self.conn, self.up, self.again) = (None, false, now + again),
             Event::Accepted { .. } => {}
         }
@@ -101,11 +102,11 @@
     store: Upstream,
     fetches: BTreeSet<u64>,
     /// Each customer's pace, and whose the executions here are.
-    paces: BTreeMap<String, Pace>,
+    paces: BTreeMap<String, RateMeter>,
     /// What its handshakes cost, where that is played.
     handshakes: Option<Shared<HandshakeWork>>,
     truth: Option<Shared<Truth>>,
-    all: Pace,
+    all: RateMeter,
     whose: BTreeMap<Ticket, String>,
     drains: bool,
     beat: Micros,
@@ -150,7 +151,7 @@
             paces: BTreeMap::new(),
             handshakes: None,
             truth: None,
-            all: Pace::default(),
+            all: RateMeter::default(),
             whose: BTreeMap::new(),
             drains: false,
             beat: 0,
@@ -177,7 +178,7 @@
         }
     }
     fn register(&mut self, now: Micros) {
-        let row = Row {
+        let row = EndpointRecord {
             name: self.spec.name.clone(),
             address: self.spec.address.clone(),
             zone: self.spec.zone.clone(),
@@ -192,7 +193,7 @@
             incarnation: self.incarnation,
             age_us: self.age(now),
         };
-        let _ = self.list.out.push((), &frame(&ToList::Register(row)));
+        let _ = self.list.out.push((), &frame(&ToDiscovery::Register(row)));
     }
     fn current_report(&mut self, now: Micros) -> LoadReport {
         if now >= self.report.0 + self.spec.report_every {
@@ -216,20 +217,20 @@
             }
             ToWorker::Execute(e) => {
                 let ticket = Ticket(conn.0, e.id);
-                self.all.count(now, PACE_WINDOW);
+                self.all.record(now, PACE_WINDOW);
                 if let Some(customer) = &e.customer {
                     self.paces
                         .entry(customer.clone())
                         .or_default()
-                        .count(now, PACE_WINDOW);
+                        .record(now, PACE_WINDOW);
                     self.whose.insert(ticket, customer.clone());
                 }
-                if e.mark
+                if e.idempotency_key
                     .as_deref()
                     .is_some_and(|mark| self.marks.borrow().is_repeat(now, mark))
                 {
-                    let copy = Some(sanddrum_wire::Copy::Stood);
-                    let ended = Ended::Finished;
+                    let copy = Some(sanddrum_wire::InstanceState::Warm);
+                    let ended = ExecutionStatus::Finished;
                     return self.machine.effects.push(Effect::Done {
                         ticket,
                         ended,
@@ -242,8 +243,9 @@
                     .ok()
                     .and_then(|text| text.strip_prefix("work-us="));
                 let work = work.and_then(|us| us.trim().parse().ok()).unwrap_or(1000.0);
-                let (memory_mb, lanes, mark) = (e.memory_mb, e.lanes.max(1), e.mark);
-                let until = now + e.limit_us;
+                let (memory_mb, lanes, mark) =
+                    (e.memory_mb, e.concurrency.max(1), e.idempotency_key);
+                let until = now + e.time_limit_us;
                 let task = Task {
                     ticket,
                     function: e.function,
@@ -256,17 +258,17 @@
                 self.machine.take(now, task, self.drains);
             }
             ToWorker::Cancel(c) => self.machine.cancel(Ticket(conn.0, c.id)),
-            ToWorker::Hold(h) => {
+            ToWorker::Load(h) => {
                 let ticket = Ticket(conn.0, h.id);
                 self.machine.hold(now, ticket, &h, self.drains);
             }
             ToWorker::Unload(u) => self.machine.unload(&u.function),
-            ToWorker::Probe(p) => {
+            ToWorker::HealthCheck(p) => {
                 if !self.faults.borrow().hangs {
                     let report = Some(self.current_report(now));
                     self.peers.send(
                         conn,
-                        &frame(&FromWorker::Probed(Probed { id: p.id, report })),
+                        &frame(&FromWorker::HealthStatus(HealthStatus { id: p.id, report })),
                     );
                 }
             }
@@ -305,9 +307,9 @@
                     } => {
                         let customer = self.whose.remove(&ticket);
                         let pace = customer.and_then(|customer| self.paces.get(&customer));
-                        let all_pace = Some(self.all.now(now, PACE_WINDOW));
-                        let customer_pace = pace.map(|pace| pace.now(now, PACE_WINDOW));
-                        if let Some(mark) = mark.filter(|_| ended == Ended::Finished) {
+                        let all_pace = Some(self.all.per_second(now, PACE_WINDOW));
+                        let customer_pace = pace.map(|pace| pace.per_second(now, PACE_WINDOW));
+                        if let Some(mark) = mark.filter(|_| ended == ExecutionStatus::Finished) {
                             self.marks.borrow_mut().ended(now, &mark);
                         }
                         if faults.hangs || self.chance.happens(faults.loses) {
@@ -315,20 +317,20 @@
                         }
                         let report = Some(self.current_report(now));
                         let crowd = self.spec.tells_crowd.then_some(crowd);
-                        let body = if ended == Ended::Finished {
+                        let body = if ended == ExecutionStatus::Finished {
                             b"done".to_vec()
                         } else {
                             Vec::new()
                         };
                         let done = Done {
                             id: ticket.1,
-                            ended,
-                            copy,
-                            crowd,
+                            status: ended,
+                            instance: copy,
+                            function_in_flight: crowd,
                             report,
                             body,
-                            customer_pace,
-                            all_pace,
+                            customer_rate: customer_pace,
+                            total_rate: all_pace,
                         };
                         self.peers
                             .send(ConnectionId(ticket.0), &frame(&FromWorker::Done(done)));
@@ -339,10 +341,10 @@
                         copies,
                     } => {
                         if !faults.hangs {
-                            let held = FromWorker::Held(Held {
+                            let held = FromWorker::LoadDone(LoadDone {
                                 id: ticket.1,
-                                ended,
-                                copies,
+                                status: ended,
+                                instances: copies,
                             });
                             self.peers.send(ConnectionId(ticket.0), &frame(&held));
                         }
@@ -397,7 +399,7 @@
                 self.store.frames.next_message::<FromStore>()
             {
                 self.fetches.remove(&f.id);
-                self.machine.fetched(now, f.id, f.whole);
+                self.machine.fetched(now, f.id, f.is_complete);
             }
         } else {
             match event {
@@ -464,7 +466,7 @@
             if !self.fell {
                 let _ = self.list.out.push(
                     (),
-                    &frame(&ToList::Beat(Beat {
+                    &frame(&ToDiscovery::Heartbeat(Heartbeat {
                         incarnation: self.incarnation,
                     })),
                 );
--- a/crates/sanddrum-fastcgi/src/lib.rs
+++ b/crates/sanddrum-fastcgi/src/lib.rs
@@ -1,6 +1,6 @@
 //! FastCGI 1.0 (the specification of 29 April 1996), the Responder's side, without I/O. Bytes go into a [`Responder`],
 //! whole requests come out of it, many at a time on one connection; [`answer`] and [`end`] write what goes back. All that
-//! is held of what has not come whole is bounded by [`Bounds`].
+//! is held of what has not come whole is bounded by [`ResponderLimits`].
 
 #![allow(missing_docs)] // unfinished: docs/ROADMAP.md
 
@@ -10,7 +10,9 @@
 pub use record::{
     answer, begin, end, end_all, header, params, stream, Kind, Record, HEADER, LONGEST,
 };
-pub use responder::{Bounds, Broken, Request, Responder, Said, Why};
+pub use responder::{
+    ProtocolError, RejectReason, Request, Responder, ResponderEvent, ResponderLimits,
+};
 
 /// How the application ended a request (section 5.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/sanddrum-fastcgi/src/responder.rs
+++ b/crates/sanddrum-fastcgi/src/responder.rs
@@ -6,20 +6,20 @@
 
 /// What a connection may have the responder hold.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ResponderLimits {
     /// Requests open at a time, whole or not.
-    pub open: usize,
+    pub max_open_requests: usize,
     /// Bytes of a request's parameters.
-    pub params: usize,
+    pub max_params_bytes: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Bytes of all requests that have not come whole.
-    pub held: usize,
+    pub max_buffered_bytes: usize,
 }
 
-/// Why the connection can't be read on.
+/// RejectReason the connection can't be read on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ProtocolError {
     /// Not FastCGI 1.0.
     Version(u8),
     /// A request begins under a number that is open: an answer under it would be for either of the two.
@@ -27,31 +27,33 @@
     /// A request that begins with less than its body, or without a number.
     Malformed,
     /// More of unfinished requests than is held.
-    TooMuch,
+    BufferFull,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Version(version) => write!(f, "version {version} is not FastCGI 1.0"),
-            Broken::NumberInUse(id) => write!(f, "request number {id} begins while it is open"),
-            Broken::Malformed => write!(f, "a request's beginning can't be read"),
-            Broken::TooMuch => write!(f, "too much of requests that are not whole"),
+            ProtocolError::Version(version) => write!(f, "version {version} is not FastCGI 1.0"),
+            ProtocolError::NumberInUse(id) => {
+                write!(f, "request number {id} begins while it is open")
+            }
+            ProtocolError::Malformed => write!(f, "a request's beginning can't be read"),
+            ProtocolError::BufferFull => write!(f, "too much of requests that are not whole"),
         }
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ProtocolError {}
 
-/// Why a request is not taken up, though its records can be read.
+/// RejectReason a request is not taken up, though its records can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     /// Its parameters can't be read.
     Params,
     ParamsTooLong,
     BodyTooLong,
     /// As many are open as may be.
-    TooMany,
+    TooManyOpen,
     /// Not the Responder's role.
     Role,
 }
@@ -70,11 +72,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ResponderEvent {
     /// It stays open until [`Responder::ended`].
     Request { id: u16, request: Request },
     /// It is not taken up, and its number is free again once it is ended; what still comes of it is skipped.
-    Refuse { id: u16, why: Why },
+    Reject { id: u16, reason: RejectReason },
     /// The web server gives an open request up; it is closed.
     Abort { id: u16 },
     /// To be written back as it is: an answer to a management record.
@@ -90,7 +92,7 @@
 }
 
 pub struct Responder {
-    bounds: Bounds,
+    bounds: ResponderLimits,
     bytes: Vec<u8>,
     read: usize,
     open: BTreeMap<u16, Open>,
@@ -99,7 +101,7 @@
 }
 
 impl Responder {
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: ResponderLimits) -> Self {
         Responder {
             bounds,
             bytes: Vec::new(),
@@ -110,11 +112,11 @@
         }
     }
     /// Requests that are open, whole or not.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
     /// Bytes held of requests that have not come whole.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.held
     }
     /// Gives up all requests that have not come whole; what still comes of them is skipped. Their numbers are free.
@@ -131,11 +133,11 @@
         partial
     }
     /// Whether something has begun and is not whole.
-    pub fn in_part(&self) -> bool {
+    pub fn has_partial_request(&self) -> bool {
         self.bytes.len() > self.read || self.open.values().any(|open| !open.whole)
     }
     /// A request has had its end; true where the connection is to be closed after it (section 5.1, FCGI_KEEP_CONN).
-    pub fn ended(&mut self, id: u16) -> bool {
+    pub fn finish(&mut self, id: u16) -> bool {
         self.closes |= self.drop_open(id).is_some_and(|open| !open.keep);
         self.closes
     }
@@ -148,7 +150,7 @@
         }
         Some(open)
     }
-    pub fn take_in(&mut self, bytes: &[u8]) {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         if self.read > 0 {
             self.bytes.drain(..self.read);
             self.read = 0;
@@ -159,12 +161,12 @@
     ///
     /// # Errors
     /// The connection can't be read on and is to be closed.
-    pub fn next_said(&mut self) -> Result<Option<Said>, Broken> {
+    pub fn next_event(&mut self) -> Result<Option<ResponderEvent>, ProtocolError> {
         loop {
             let bytes = std::mem::take(&mut self.bytes);
             let read = Record::read(&bytes[self.read..]);
             let said = match read {
-                Err(version) => Err(Broken::Version(version)),
+                Err(version) => Err(ProtocolError::Version(version)),
                 Ok(None) => Ok(None),
                 Ok(Some((record, took))) => {
                     self.read += took;
@@ -185,10 +187,10 @@
         }
     }
 
-    fn heed(&mut self, record: Record<'_>) -> Result<Option<Said>, Broken> {
+    fn heed(&mut self, record: Record<'_>) -> Result<Option<ResponderEvent>, ProtocolError> {
         let Record { kind, id, content } = record;
         if id == 0 {
-            return Ok(Some(Said::Reply(match kind {
+            return Ok(Some(ResponderEvent::Reply(match kind {
                 Kind::GetValues => self.values(content),
                 other => unknown(other),
             })));
@@ -196,30 +198,33 @@
         match kind {
             Kind::Begin => self.begin(id, content),
             // Records under a number that is not open are ignored (section 3.3).
-            Kind::Abort => Ok(self.drop_open(id).map(|_| Said::Abort { id })),
+            Kind::Abort => Ok(self.drop_open(id).map(|_| ResponderEvent::Abort { id })),
             Kind::Params => self.more_params(id, content),
             Kind::Stdin => self.more_body(id, content),
             _ => Ok(None),
         }
     }
 
-    fn begin(&mut self, id: u16, content: &[u8]) -> Result<Option<Said>, Broken> {
+    fn begin(&mut self, id: u16, content: &[u8]) -> Result<Option<ResponderEvent>, ProtocolError> {
         let [role1, role0, flags, ..] = *content else {
-            return Err(Broken::Malformed);
+            return Err(ProtocolError::Malformed);
         };
         if content.len() < 8 {
-            return Err(Broken::Malformed);
+            return Err(ProtocolError::Malformed);
         }
         if self.open.contains_key(&id) {
-            return Err(Broken::NumberInUse(id));
+            return Err(ProtocolError::NumberInUse(id));
         }
         if u16::from_be_bytes([role1, role0]) != 1 {
-            return Ok(Some(Said::Refuse { id, why: Why::Role }));
+            return Ok(Some(ResponderEvent::Reject {
+                id,
+                reason: RejectReason::Role,
+            }));
         }
-        if self.open.len() >= self.bounds.open {
-            return Ok(Some(Said::Refuse {
+        if self.open.len() >= self.bounds.max_open_requests {
+            return Ok(Some(ResponderEvent::Reject {
                 id,
-                why: Why::TooMany,
+                reason: RejectReason::TooManyOpen,
             }));
         }
         let keep = flags & 1 != 0;
@@ -237,22 +242,26 @@
         Ok(None)
     }
 
-    fn hold(&mut self, more: usize) -> Result<(), Broken> {
+    fn hold(&mut self, more: usize) -> Result<(), ProtocolError> {
         self.held += more;
-        if self.held > self.bounds.held {
-            return Err(Broken::TooMuch);
+        if self.held > self.bounds.max_buffered_bytes {
+            return Err(ProtocolError::BufferFull);
         }
         Ok(())
     }
 
-    fn refuse(&mut self, id: u16, why: Why) -> Option<Said> {
+    fn refuse(&mut self, id: u16, why: RejectReason) -> Option<ResponderEvent> {
         let open = self.drop_open(id)?;
         self.closes |= !open.keep;
-        Some(Said::Refuse { id, why })
+        Some(ResponderEvent::Reject { id, reason: why })
     }
 
-    fn more_params(&mut self, id: u16, content: &[u8]) -> Result<Option<Said>, Broken> {
-        let most = self.bounds.params;
+    fn more_params(
+        &mut self,
+        id: u16,
+        content: &[u8],
+    ) -> Result<Option<ResponderEvent>, ProtocolError> {
+        let most = self.bounds.max_params_bytes;
         let Some(open) = self.open.get_mut(&id).filter(|open| !open.params_done) else {
             return Ok(None);
         };
@@ -261,21 +270,25 @@
             return Ok(None);
         }
         if open.params.len() + content.len() > most {
-            return Ok(self.refuse(id, Why::ParamsTooLong));
+            return Ok(self.refuse(id, RejectReason::ParamsTooLong));
         }
         open.params.extend_from_slice(content);
         self.hold(content.len())?;
         Ok(None)
     }
 
-    fn more_body(&mut self, id: u16, content: &[u8]) -> Result<Option<Said>, Broken> {
-        let most = self.bounds.body;
+    fn more_body(
+        &mut self,
+        id: u16,
+        content: &[u8],
+    ) -> Result<Option<ResponderEvent>, ProtocolError> {
+        let most = self.bounds.max_body_bytes;
         let Some(open) = self.open.get_mut(&id).filter(|open| !open.whole) else {
             return Ok(None);
         };
         if !content.is_empty() {
             if open.body.len() + content.len() > most {
-                return Ok(self.refuse(id, Why::BodyTooLong));
+                return Ok(self.refuse(id, RejectReason::BodyTooLong));
             }
             open.body.extend_from_slice(content);
             self.hold(content.len())?;
@@ -290,13 +303,13 @@
                 .collect::<Option<_>>()
         });
         let Some(params) = params else {
-            return Ok(self.refuse(id, Why::Params));
+            return Ok(self.refuse(id, RejectReason::Params));
         };
         open.whole = true;
         let body = std::mem::take(&mut open.body);
         self.held = self.held.saturating_sub(open.params.len() + body.len());
         open.params = Vec::new();
-        Ok(Some(Said::Request {
+        Ok(Some(ResponderEvent::Request {
             id,
             request: Request { params, body },
         }))
@@ -304,7 +317,7 @@
 
     /// Section 4.1.
     fn values(&self, content: &[u8]) -> Vec<u8> {
-        let open = self.bounds.open.to_string();
+        let open = self.bounds.max_open_requests.to_string();
         let known = [
             ("FCGI_MAX_CONNS", open.as_str()),
             ("FCGI_MAX_REQS", open.as_str()),
--- a/crates/sanddrum-fastcgi/tests/records.rs
+++ b/crates/sanddrum-fastcgi/tests/records.rs
@@ -4,11 +4,11 @@
 use rstest::rstest;
 use sanddrum_fastcgi::*;
 
-const BOUNDS: Bounds = Bounds {
-    open: 4,
-    params: 1000,
-    body: 2000,
-    held: 10_000,
+const BOUNDS: ResponderLimits = ResponderLimits {
+    max_open_requests: 4,
+    max_params_bytes: 1000,
+    max_body_bytes: 2000,
+    max_buffered_bytes: 10_000,
 };
 
 fn asked(id: u16, pairs: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
@@ -19,10 +19,10 @@
     out
 }
 
-fn heard(responder: &mut Responder, bytes: &[u8]) -> Result<Vec<Said>, Broken> {
-    responder.take_in(bytes);
+fn heard(responder: &mut Responder, bytes: &[u8]) -> Result<Vec<ResponderEvent>, ProtocolError> {
+    responder.push_bytes(bytes);
     let mut said = Vec::new();
-    while let Some(one) = responder.next_said()? {
+    while let Some(one) = responder.next_event()? {
         said.push(one);
     }
     Ok(said)
@@ -41,39 +41,39 @@
     let whole: Vec<_> = said
         .iter()
         .map(|said| match said {
-            Said::Request { id, request } => {
+            ResponderEvent::Request { id, request } => {
                 (*id, request.param("A").unwrap(), request.body.as_slice())
             }
             other => panic!("{other:?}"),
         })
         .collect();
     assert_eq!(whole, [(2, "2", &b"second"[..]), (1, "1", &b"first"[..])]);
-    assert_eq!(responder.open(), 2);
-    assert!(!responder.ended(1) && !responder.in_part());
+    assert_eq!(responder.open_requests(), 2);
+    assert!(!responder.finish(1) && !responder.has_partial_request());
 }
 
 #[rstest]
-#[case::a_body_too_long(asked(1, &[], &[7; 2001]), Why::BodyTooLong)]
-#[case::parameters_too_long(asked(1, &[("A", &"x".repeat(1001))], &[]), Why::ParamsTooLong)]
+#[case::a_body_too_long(asked(1, &[], &[7; 2001]), RejectReason::BodyTooLong)]
+#[case::parameters_too_long(asked(1, &[("A", &"x".repeat(1001))], &[]), RejectReason::ParamsTooLong)]
 #[case::parameters_that_lie_about_their_length({
     let mut out = Vec::new();
     begin(&mut out, 1, true);
     stream(&mut out, Kind::Params, 1, &[200, 200, 1]);
     stream(&mut out, Kind::Stdin, 1, &[]);
     out
-}, Why::Params)]
+}, RejectReason::Params)]
 fn a_request_out_of_bounds_is_refused_once_and_its_number_is_free(
     #[case] bytes: Vec<u8>,
-    #[case] why: Why,
+    #[case] why: RejectReason,
 ) {
     let mut responder = Responder::new(BOUNDS);
     assert_eq!(
         heard(&mut responder, &bytes).unwrap(),
-        [Said::Refuse { id: 1, why }]
+        [ResponderEvent::Reject { id: 1, reason: why }]
     );
-    assert_eq!(responder.open(), 0);
+    assert_eq!(responder.open_requests(), 0);
     let next = heard(&mut responder, &asked(1, &[], b"x")).unwrap();
-    assert!(matches!(next[..], [Said::Request { id: 1, .. }]));
+    assert!(matches!(next[..], [ResponderEvent::Request { id: 1, .. }]));
 }
 
 #[rstest]
@@ -85,12 +85,12 @@
     let fifth = heard(&mut responder, &asked(5, &[], b"")).unwrap();
     assert_eq!(
         fifth,
-        [Said::Refuse {
+        [ResponderEvent::Reject {
             id: 5,
-            why: Why::TooMany
+            reason: RejectReason::TooManyOpen
         }]
     );
-    assert_eq!(responder.open(), 4);
+    assert_eq!(responder.open_requests(), 4);
 }
 
 #[rstest]
@@ -99,7 +99,7 @@
     heard(&mut responder, &asked(1, &[], b"")).unwrap();
     assert_eq!(
         heard(&mut responder, &asked(1, &[], b"")),
-        Err(Broken::NumberInUse(1))
+        Err(ProtocolError::NumberInUse(1))
     );
 }
 
@@ -110,7 +110,7 @@
     let abort = header(Kind::Abort, 1, 0);
     assert_eq!(
         heard(&mut responder, &abort).unwrap(),
-        [Said::Abort { id: 1 }]
+        [ResponderEvent::Abort { id: 1 }]
     );
     assert_eq!(heard(&mut responder, &abort).unwrap(), []);
 }
@@ -126,7 +126,7 @@
     let replies: Vec<_> = said
         .iter()
         .map(|said| match said {
-            Said::Reply(reply) => Record::read(reply).unwrap().unwrap().0,
+            ResponderEvent::Reply(reply) => Record::read(reply).unwrap().unwrap().0,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -185,7 +185,7 @@
             let mut bytes = header(Kind::of(kind % 12), id, content.len()).to_vec();
             bytes.extend_from_slice(&content);
             if heard(&mut responder, if raw { &content } else { &bytes }).is_err() { break }
-            prop_assert!(responder.open() <= BOUNDS.open);
+            prop_assert!(responder.open_requests() <= BOUNDS.max_open_requests);
         }
     }
 }
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -237,7 +237,7 @@
             fields.push(("sanddrum-repeat", "1"));
         }
         let path = format!("/v1/calls/{}/{}", what.workload, call.function);
-        let bytes = http::write_request(
+        let bytes = http::encode_request(
             "POST",
             &path,
             &fields,
@@ -269,7 +269,7 @@
         }
     }
 
-    fn answered(&mut self, now: Micros, conn: ConnectionId, answer: &http::Answer) {
+    fn answered(&mut self, now: Micros, conn: ConnectionId, answer: &http::Response) {
         let Some(line) = self.lines.get_mut(&conn) else {
             return;
         };
@@ -377,7 +377,7 @@
                     return;
                 };
                 line.bytes.extend_from_slice(bytes);
-                match http::answer(&line.bytes) {
+                match http::parse_response(&line.bytes) {
                     Ok(Some((answer, took))) => {
                         line.bytes.drain(..took);
                         self.answered(now, conn, &answer);
--- a/crates/sanddrum-lab/src/capacity.rs
+++ b/crates/sanddrum-lab/src/capacity.rs
@@ -39,7 +39,7 @@
 pub use point::{slopes, Point, Role, Slope, Source};
 pub use sink::{Sink, Stop};
 
-use sanddrum_settings::{Problem, Section};
+use sanddrum_settings::{Section, SettingsError};
 
 /// A play: what its plan may say, what is wrong with a plan, and what it measures.
 pub struct Play {
@@ -47,7 +47,7 @@
     pub name: &'static str,
     pub section: Section,
     /// What can't be is refused before anything starts, with the key named.
-    pub check: fn(&Plan) -> Result<(), Problem>,
+    pub check: fn(&Plan) -> Result<(), SettingsError>,
     /// Gives its points to the sink as they are measured, and ends early where it is asked to.
     pub play: fn(&Plan, &mut Sink, &Stop) -> Result<(), String>,
 }
--- a/crates/sanddrum-lab/src/capacity/beside.rs
+++ b/crates/sanddrum-lab/src/capacity/beside.rs
@@ -47,7 +47,7 @@
 /// # Errors
 /// A scenario can't be set up, or the hollow router decided otherwise.
 pub(crate) fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    for workers in plan.settings.wholes("router-plays.real-workers") {
+    for workers in plan.settings.integers("router-plays.real-workers") {
         if stop.is_set() {
             return Ok(());
         }
--- a/crates/sanddrum-lab/src/capacity/configuration.rs
+++ b/crates/sanddrum-lab/src/capacity/configuration.rs
@@ -2,7 +2,7 @@
 //! carries one to all routers today; what exists is told.
 
 use super::{Plan, Play, Point, Role, Sink, Source, Stop};
-use sanddrum_settings::{Problem, Section};
+use sanddrum_settings::{Section, SettingsError};
 
 pub const PLAY: Play = Play {
     name: "configuration",
@@ -18,7 +18,7 @@
     play,
 };
 
-fn check(_: &Plan) -> Result<(), Problem> {
+fn check(_: &Plan) -> Result<(), SettingsError> {
     Ok(())
 }
 
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -3,7 +3,7 @@
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_net::{EventLoop, Micros, NullObserver};
-use sanddrum_wire::{Phase, Row};
+use sanddrum_wire::{EndpointRecord, Phase};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
     let Some(program) = &plan.program else {
         return Ok(());
     };
-    for workers in plan.settings.wholes("router-plays.workers") {
+    for workers in plan.settings.integers("router-plays.workers") {
         if stop.is_set() {
             return Ok(());
         }
@@ -65,8 +65,8 @@
     Ok(())
 }
 
-fn row(n: u64, zones: &[String]) -> Row {
-    Row {
+fn row(n: u64, zones: &[String]) -> EndpointRecord {
+    EndpointRecord {
         name: format!("worker-{n}"),
         address: format!(
             "10.{}.{}.{}:7000",
@@ -82,7 +82,7 @@
         phase: Phase::Ready,
         incarnation: 1,
         age_us: -1,
-        ..Row::default()
+        ..EndpointRecord::default()
     }
 }
 
@@ -104,7 +104,7 @@
         most: 64,
     };
     let zones = plan.settings.names("zones");
-    let rows: Vec<Row> = (0..workers).map(|n| row(n, &zones)).collect();
+    let rows: Vec<EndpointRecord> = (0..workers).map(|n| row(n, &zones)).collect();
     let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
     driver.add(Box::new(list), vec![door], None).map_err(text)?;
     let folder = std::env::temp_dir().join(format!(
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow.rs
@@ -16,8 +16,8 @@
 };
 use sanddrum_emulator::machine::{Effect, Task, Ticket};
 use sanddrum_net::Rng;
-use sanddrum_upstream::LinkId;
-use sanddrum_wire::{Copy, Ended, Hold, LoadReport as WireLoadReport};
+use sanddrum_upstream::WorkerConnectionId;
+use sanddrum_wire::{ExecutionStatus, InstanceState, Load, LoadReport as WireLoadReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Instant;
@@ -142,14 +142,14 @@
 enum Answer {
     Done {
         id: u64,
-        ended: Ended,
-        copy: Option<Copy>,
+        ended: ExecutionStatus,
+        copy: Option<InstanceState>,
         report: WireLoadReport,
         worker: usize,
     },
     Held {
         id: u64,
-        ended: Ended,
+        ended: ExecutionStatus,
         copies: u32,
     },
     Probed {
@@ -194,16 +194,16 @@
     },
     LinkUp {
         router: usize,
-        link: LinkId,
+        link: WorkerConnectionId,
     },
     /// A connection is to be looked at.
     Link {
         router: usize,
-        link: LinkId,
+        link: WorkerConnectionId,
     },
     LinkBroken {
         router: usize,
-        link: LinkId,
+        link: WorkerConnectionId,
     },
     List {
         router: usize,
--- a/crates/sanddrum-lab/src/capacity/hollow/links.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/links.rs
@@ -2,7 +2,10 @@
 
 use super::super::host::{Link, Mark};
 use super::*;
-use sanddrum_upstream::{Decisions, LinkId, Listed, Need, Old, Wanted, Why};
+use sanddrum_upstream::{
+    ConnectionRequest, Decisions, ListedWorker, OutdatedConnection, Purpose, RejectReason,
+    WorkerConnectionId,
+};
 use std::cmp::Reverse;
 
 /// What the connection module decided, carried out after its round.
@@ -10,25 +13,25 @@
 struct Decided(Vec<Connecting>);
 
 enum Connecting {
-    Open(LinkId),
+    Open(WorkerConnectionId),
     OpenAhead(WorkerId),
-    GiveUp(LinkId, Why),
-    Retire(LinkId),
+    GiveUp(WorkerConnectionId, RejectReason),
+    Retire(WorkerConnectionId),
     WakeAt(Micros),
 }
 
 impl Decisions for Decided {
-    fn open(&mut self, link: LinkId) {
+    fn open(&mut self, link: WorkerConnectionId) {
         self.0.push(Connecting::Open(link));
     }
-    fn open_ahead(&mut self, worker: WorkerId) {
+    fn prewarm(&mut self, worker: WorkerId) {
         self.0.push(Connecting::OpenAhead(worker));
     }
-    fn give_up(&mut self, link: LinkId, why: Why) {
+    fn reject(&mut self, link: WorkerConnectionId, why: RejectReason) {
         self.0.push(Connecting::GiveUp(link, why));
     }
-    fn retire(&mut self, old: Old) {
-        if let Old::Link(link) = old {
+    fn retire(&mut self, old: OutdatedConnection) {
+        if let OutdatedConnection::Worker(link) = old {
             self.0.push(Connecting::Retire(link));
         }
     }
@@ -46,7 +49,7 @@
         mark: Mark,
         message: Message,
         due: Micros,
-    ) -> Result<LinkId, Outcome> {
+    ) -> Result<WorkerConnectionId, Outcome> {
         let streams = self.model.streams;
         let host = &self.hosts[router];
         let targets = host.targets.get(&worker).ok_or(Outcome::NoConnection)?;
@@ -67,32 +70,32 @@
             link.carries.insert(mark);
         }
         let need = if matches!(mark, Mark::Execution(_)) {
-            Need::Job
+            Purpose::Request
         } else {
-            Need::Errand
+            Purpose::Control
         };
         let full = link.carries.len() as f64 / streams as f64;
         if !link.dialled {
-            host.news.wanted.push(Wanted {
-                link: id,
+            host.news.requested.push(ConnectionRequest {
+                connection: id,
                 worker,
-                need,
-                due,
+                purpose: need,
+                deadline: due,
             });
         }
-        host.news.used.push((worker, full));
+        host.news.utilization.push((worker, full));
         host.dirty.insert(id);
         Ok(id)
     }
     /// Written behind what is already on a connection, if it still stands.
-    pub(super) fn tell(&mut self, router: usize, id: LinkId, message: Message) {
+    pub(super) fn tell(&mut self, router: usize, id: WorkerConnectionId, message: Message) {
         let host = &mut self.hosts[router];
         if let Some(link) = host.links.get_mut(&id) {
             link.out.push((Mark::Other, message));
             host.dirty.insert(id);
         }
     }
-    fn new_link(&mut self, router: usize, worker: WorkerId) -> Result<LinkId, Outcome> {
+    fn new_link(&mut self, router: usize, worker: WorkerId) -> Result<WorkerConnectionId, Outcome> {
         let (now, most) = (self.now, self.model.connections);
         let to = self
             .by_id
@@ -105,7 +108,7 @@
             return Err(Outcome::Rejected);
         }
         host.made += 1;
-        let id = LinkId(host.made);
+        let id = WorkerConnectionId(host.made);
         target.insert(id);
         host.links.insert(id, Link::new(to, worker, now));
         Ok(id)
@@ -125,7 +128,7 @@
         link.out.len() < before
     }
     /// What a connection carried has ended.
-    pub(super) fn release(&mut self, router: usize, id: LinkId, mark: Mark) {
+    pub(super) fn release(&mut self, router: usize, id: WorkerConnectionId, mark: Mark) {
         let now = self.now;
         let Some(link) = self.hosts[router].links.get_mut(&id) else {
             return;
@@ -155,7 +158,7 @@
                 Connecting::Open(link) => self.dial(router, link),
                 Connecting::OpenAhead(worker) => self.link_ahead(router, worker),
                 Connecting::GiveUp(link, why) => {
-                    let end = if why == Why::Spared {
+                    let end = if why == RejectReason::HandshakeBudget {
                         Outcome::Rejected
                     } else {
                         Outcome::NoConnection
@@ -170,7 +173,7 @@
             }
         }
     }
-    fn dial(&mut self, router: usize, id: LinkId) {
+    fn dial(&mut self, router: usize, id: WorkerConnectionId) {
         let now = self.now;
         let hellos = self.bytes.hellos;
         let host = &mut self.hosts[router];
@@ -207,25 +210,25 @@
         }
         if let Ok(link) = self.new_link(router, worker) {
             let due = self.now + self.model.connect_time_out;
-            self.hosts[router].news.wanted.push(Wanted {
-                link,
+            self.hosts[router].news.requested.push(ConnectionRequest {
+                connection: link,
                 worker,
-                need: Need::Ahead,
-                due,
+                purpose: Purpose::Prewarm,
+                deadline: due,
             });
         }
     }
-    pub(super) fn link_up(&mut self, router: usize, id: LinkId) {
+    pub(super) fn link_up(&mut self, router: usize, id: WorkerConnectionId) {
         let (now, host) = (self.now, &mut self.hosts[router]);
         if let Some(link) = host.links.get_mut(&id) {
             (link.up, link.quiet_since) = (true, now);
-            host.news.up.push((id, false));
+            host.news.established.push((id, false));
             host.dirty.insert(id);
             self.touched_routers.insert(router);
         }
     }
     /// It is not up in time, or carries nothing for long, or nothing more.
-    pub(super) fn look_at_link(&mut self, router: usize, id: LinkId) {
+    pub(super) fn look_at_link(&mut self, router: usize, id: WorkerConnectionId) {
         let (now, idle_close) = (self.now, self.model.idle_close);
         let Some(link) = self.hosts[router].links.get(&id) else {
             return;
@@ -245,7 +248,7 @@
         }
     }
     /// A connection is gone, with all that it carried.
-    pub(super) fn end_link(&mut self, router: usize, id: LinkId, end: Outcome) {
+    pub(super) fn end_link(&mut self, router: usize, id: WorkerConnectionId, end: Outcome) {
         let host = &mut self.hosts[router];
         let Some(link) = host.links.remove(&id) else {
             return;
@@ -258,7 +261,7 @@
         if failed {
             &mut host.news.failed
         } else {
-            &mut host.news.ended
+            &mut host.news.closed
         }
         .push(id);
         for mark in link.carries {
@@ -271,7 +274,7 @@
         }
         self.touched_routers.insert(router);
     }
-    fn retire_link(&mut self, router: usize, id: LinkId) {
+    fn retire_link(&mut self, router: usize, id: WorkerConnectionId) {
         let host = &mut self.hosts[router];
         let Some(link) = host.links.get_mut(&id) else {
             return;
@@ -313,13 +316,13 @@
             let (worker, ready) = (row.worker, row.state != WorkerState::Gone);
             let host = &mut self.hosts[router];
             if !ready {
-                host.news.gone.push(worker);
+                host.news.removed_workers.push(worker);
             }
-            host.news.listed.push(Listed {
+            host.news.listed_workers.push(ListedWorker {
                 worker,
                 size: row.size,
-                started: row.started_at,
-                ready,
+                started_at: row.started_at,
+                is_ready: ready,
             });
             host.targets.entry(worker).or_default();
             if row.state == WorkerState::Ready {
@@ -367,8 +370,8 @@
         for router in 0..self.hosts.len() {
             let host = &self.hosts[router];
             let at = self.now + self.way(host.zone, self.workers[worker].zone);
-            let of = |(id, link): (&LinkId, &Link)| (link.to == worker).then_some(*id);
-            let broken: Vec<LinkId> = host.links.iter().filter_map(of).collect();
+            let of = |(id, link): (&WorkerConnectionId, &Link)| (link.to == worker).then_some(*id);
+            let broken: Vec<WorkerConnectionId> = host.links.iter().filter_map(of).collect();
             broken.into_iter().for_each(|link| {
                 self.post(at, Event::LinkBroken { router, link });
             });
--- a/crates/sanddrum-lab/src/capacity/hollow/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/routers.rs
@@ -89,7 +89,7 @@
                             },
                         ),
                     ),
-                    Err(_) => (LinkId(u64::MAX), (0, 0)),
+                    Err(_) => (WorkerConnectionId(u64::MAX), (0, 0)),
                 };
                 let out = Out {
                     job: id,
@@ -356,7 +356,7 @@
         let id = self.workers[worker].id;
         self.hosts[router]
             .news
-            .loads
+            .load_reports
             .extend(told.map(|load| (id, load)));
     }
 }
--- a/crates/sanddrum-lab/src/capacity/hollow/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/workers.rs
@@ -45,12 +45,12 @@
             } => {
                 let f = &functions.all[function];
                 let (function, memory_mb, lanes) = (f.name.clone(), f.memory_mb, f.lanes);
-                let hold = Hold {
+                let hold = Load {
                     id,
                     function,
-                    copies,
+                    instances: copies,
                     memory_mb,
-                    lanes,
+                    concurrency: lanes,
                 };
                 worker
                     .machine
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -2,10 +2,12 @@
 //! is known. It is hollow behind that, as it keeps no rows and serves nobody.
 
 use sanddrum::Settings;
-use sanddrum_bootstrap::{Decisions, Events, Start};
+use sanddrum_bootstrap::{Bootstrap, Decisions, DiscoveryEvent};
 use sanddrum_edge::Known;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox};
-use sanddrum_wire::{frame::frame, Frames, FromListHead, Hello, RowsHead, ToList, VERSION};
+use sanddrum_wire::{
+    frame::frame, EndpointUpdateHead, FrameDecoder, FromDiscoveryHead, Hello, ToDiscovery, VERSION,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -46,11 +48,11 @@
 
 pub struct HollowRouter {
     spec: HollowRouterSpec,
-    start: Start,
+    start: Bootstrap,
     known: Known,
     conn: Option<ConnectionId>,
     out: Outbox<()>,
-    frames: Frames,
+    frames: FrameDecoder,
     /// When to decide again; what fell due before is of an earlier call.
     next: Micros,
     followers: Rc<RefCell<Followers>>,
@@ -65,13 +67,13 @@
 }
 
 impl Decisions for Wanted {
-    fn call(&mut self) {
+    fn connect(&mut self) {
         self.calls = true;
     }
-    fn ask(&mut self) {
+    fn poll(&mut self) {
         self.asks = true;
     }
-    fn hang_up(&mut self) {
+    fn disconnect(&mut self) {
         self.hangs_up = true;
     }
     fn wake_at(&mut self, at: Micros) {
@@ -88,17 +90,17 @@
     ) -> Self {
         HollowRouter {
             // The edge's own seed for it.
-            start: Start::new(spec.seed ^ 0x57, settings),
+            start: Bootstrap::new(spec.seed ^ 0x57, settings),
             known: spec.kept.unwrap_or_default(),
             conn: None,
             out: Outbox::new(spec.largest_frame),
-            frames: Frames::new(spec.largest_frame),
+            frames: FrameDecoder::new(spec.largest_frame),
             next: 0,
             followers,
             spec,
         }
     }
-    fn follow(&mut self, now: Micros, news: &[Events], io: &mut dyn Io) {
+    fn follow(&mut self, now: Micros, news: &[DiscoveryEvent], io: &mut dyn Io) {
         let mut wanted = Wanted::default();
         self.start.handle(now, news, &mut wanted);
         if wanted.hangs_up {
@@ -110,7 +112,7 @@
         if wanted.asks {
             let _ = self
                 .out
-                .push((), &frame(&ToList::Watch(self.known.watch())));
+                .push((), &frame(&ToDiscovery::Watch(self.known.watch())));
             self.flush(io);
         }
         self.next = wanted.wake.max(now + 1);
@@ -119,7 +121,7 @@
         self.leave(io);
         self.conn = Some(io.connect(&self.spec.list));
         self.out = Outbox::new(self.spec.largest_frame);
-        self.frames = Frames::new(self.spec.largest_frame);
+        self.frames = FrameDecoder::new(self.spec.largest_frame);
         let (name, incarnation) = (self.spec.name.clone(), self.spec.incarnation);
         let hello = Hello {
             version: VERSION,
@@ -127,10 +129,10 @@
             incarnation,
             age_us: None,
         };
-        let _ = self.out.push((), &frame(&ToList::Hello(hello)));
+        let _ = self.out.push((), &frame(&ToDiscovery::Hello(hello)));
         let _ = self
             .out
-            .push((), &frame(&ToList::Watch(self.known.watch())));
+            .push((), &frame(&ToDiscovery::Watch(self.known.watch())));
         self.followers.borrow_mut().calls += 1;
     }
     fn leave(&mut self, io: &mut dyn Io) {
@@ -144,16 +146,16 @@
             .into_iter()
             .for_each(|conn| self.out.flush(conn, io));
     }
-    fn rows(&mut self, now: Micros, rows: RowsHead, io: &mut dyn Io) {
+    fn rows(&mut self, now: Micros, rows: EndpointUpdateHead, io: &mut dyn Io) {
         if !self.known.is_followed_by(rows) {
             self.followers.borrow_mut().gaps += 1;
-            return self.follow(now, &[Events::Gap], io);
+            return self.follow(now, &[DiscoveryEvent::Gap], io);
         }
-        self.follow(now, &[Events::Answered], io);
+        self.follow(now, &[DiscoveryEvent::Answered], io);
         let before = self.known;
         let taken = self.known.take(rows);
         let mut followers = self.followers.borrow_mut();
-        followers.whole_lists += u64::from(rows.whole);
+        followers.whole_lists += u64::from(rows.is_full_snapshot);
         if let Some(follower) = followers
             .routers
             .get_mut(self.spec.number)
@@ -168,13 +170,13 @@
     }
     fn read(&mut self, now: Micros, io: &mut dyn Io) {
         while self.conn.is_some() {
-            match self.frames.next_message::<FromListHead>() {
+            match self.frames.next_message::<FromDiscoveryHead>() {
                 Ok(None) => break,
-                Ok(Some(FromListHead::Rows(rows))) => self.rows(now, rows, io),
-                Ok(Some(FromListHead::Hello(_))) => {}
+                Ok(Some(FromDiscoveryHead::Endpoints(rows))) => self.rows(now, rows, io),
+                Ok(Some(FromDiscoveryHead::Hello(_))) => {}
                 Err(_) => {
                     self.leave(io);
-                    return self.follow(now, &[Events::Lost], io);
+                    return self.follow(now, &[DiscoveryEvent::Disconnected], io);
                 }
             }
         }
@@ -195,7 +197,7 @@
                 ..Follower::default()
             };
         }
-        self.follow(now, &[Events::Began { kept }], io);
+        self.follow(now, &[DiscoveryEvent::Started { has_cache: kept }], io);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let conn = match event {
@@ -215,13 +217,13 @@
                 self.flush(io);
             }
             Event::Bytes { bytes, .. } => {
-                self.frames.take_in(bytes);
+                self.frames.push_bytes(bytes);
                 self.read(now, io);
             }
             Event::Closed { .. } => {
                 self.conn = None;
                 self.followers.borrow_mut().losses += 1;
-                self.follow(now, &[Events::Lost], io);
+                self.follow(now, &[DiscoveryEvent::Disconnected], io);
             }
             Event::Accepted { .. } => {}
         }
--- a/crates/sanddrum-lab/src/capacity/host.rs
+++ b/crates/sanddrum-lab/src/capacity/host.rs
@@ -6,8 +6,8 @@
     AttemptResult, Decisions, EventBatch, FunctionId, HealthCheckResult, LoadReport, LoadResult,
     Micros, Outcome, PeerId, RequestId, Router, Settings, Warmth, WorkerId,
 };
-use sanddrum_upstream::{Connections, Events, LinkId};
-use sanddrum_wire::{Copy, Ended, LoadReport as WireLoadReport};
+use sanddrum_upstream::{ConnectionEvents, ConnectionPolicy, WorkerConnectionId};
+use sanddrum_wire::{ExecutionStatus, InstanceState, LoadReport as WireLoadReport};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a module decided, as it was written.
@@ -222,7 +222,7 @@
     pub sent: Micros,
     /// Its time-out's place in the queue of events.
     pub late: (Micros, u64),
-    pub link: LinkId,
+    pub link: WorkerConnectionId,
 }
 
 #[derive(Clone, Copy)]
@@ -231,7 +231,7 @@
     pub function: FunctionId,
     pub sent: Micros,
     pub late: (Micros, u64),
-    pub link: LinkId,
+    pub link: WorkerConnectionId,
 }
 
 /// What is out on a connection.
@@ -286,13 +286,13 @@
     pub(crate) executions: BTreeMap<u64, Out>,
     pub(crate) orders: BTreeMap<u64, Asked>,
     pub(crate) probes: BTreeMap<u64, Asked>,
-    pub(crate) links: BTreeMap<LinkId, Link>,
+    pub(crate) links: BTreeMap<WorkerConnectionId, Link>,
     /// Connections to each worker that may be called, but retired ones.
-    pub(crate) targets: BTreeMap<WorkerId, BTreeSet<LinkId>>,
+    pub(crate) targets: BTreeMap<WorkerId, BTreeSet<WorkerConnectionId>>,
     pub(crate) made: u64,
-    pub(crate) dirty: BTreeSet<LinkId>,
-    pub(crate) connections: Connections,
-    pub(crate) news: Events,
+    pub(crate) dirty: BTreeSet<WorkerConnectionId>,
+    pub(crate) connections: ConnectionPolicy,
+    pub(crate) news: ConnectionEvents,
     pub(crate) connect_wake: Option<Micros>,
     pub(crate) round: EventBatch,
     pub(crate) wake: Option<Micros>,
@@ -320,8 +320,8 @@
             made: 0,
             dirty: BTreeSet::new(),
             // A seed of its own, as an edge gives it.
-            connections: Connections::new(seed ^ 0xc0, settings),
-            news: Events::default(),
+            connections: ConnectionPolicy::new(seed ^ 0xc0, settings),
+            news: ConnectionEvents::default(),
             connect_wake: None,
             round: EventBatch::default(),
             wake: None,
@@ -455,30 +455,30 @@
     }
 }
 
-pub(crate) fn end_of(ended: Ended) -> Outcome {
+pub(crate) fn end_of(ended: ExecutionStatus) -> Outcome {
     match ended {
-        Ended::Finished => Outcome::Finished,
-        Ended::Error => Outcome::Error,
-        Ended::Full => Outcome::Rejected,
-        Ended::Miss => Outcome::ColdMiss,
-        Ended::Dropped => Outcome::CancelledBeforeStart,
+        ExecutionStatus::Finished => Outcome::Finished,
+        ExecutionStatus::Error => Outcome::Error,
+        ExecutionStatus::Rejected => Outcome::Rejected,
+        ExecutionStatus::ColdMiss => Outcome::ColdMiss,
+        ExecutionStatus::Dropped => Outcome::CancelledBeforeStart,
     }
 }
 
-pub(crate) fn order_end_of(ended: Ended) -> Outcome {
+pub(crate) fn order_end_of(ended: ExecutionStatus) -> Outcome {
     match ended {
-        Ended::Finished => Outcome::Finished,
-        Ended::Error | Ended::Miss => Outcome::Error,
-        Ended::Full | Ended::Dropped => Outcome::Rejected,
+        ExecutionStatus::Finished => Outcome::Finished,
+        ExecutionStatus::Error | ExecutionStatus::ColdMiss => Outcome::Error,
+        ExecutionStatus::Rejected | ExecutionStatus::Dropped => Outcome::Rejected,
     }
 }
 
-pub(crate) fn warmth_of(copy: Option<Copy>) -> Warmth {
+pub(crate) fn warmth_of(copy: Option<InstanceState>) -> Warmth {
     match copy {
-        Some(Copy::Stood) => Warmth::Warm,
-        Some(Copy::BeganLoad) => Warmth::StartedLoad,
-        Some(Copy::WaitedForLoad) => Warmth::WaitedForLoad,
-        Some(Copy::LoadFailed) => Warmth::LoadFailed,
+        Some(InstanceState::Warm) => Warmth::Warm,
+        Some(InstanceState::StartedLoad) => Warmth::StartedLoad,
+        Some(InstanceState::WaitedForLoad) => Warmth::WaitedForLoad,
+        Some(InstanceState::LoadFailed) => Warmth::LoadFailed,
         None => Warmth::Unknown,
     }
 }
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -7,7 +7,7 @@
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{ListFaults, ListService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
-use sanddrum_wire::{frame::frame, Hello, Row, ToList, Watch, VERSION};
+use sanddrum_wire::{frame::frame, EndpointRecord, Hello, ToDiscovery, Watch, VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -95,7 +95,7 @@
     /// A worker tells that it has started anew, and all callers are told.
     fn change(&mut self) {
         self.incarnation += 1;
-        let register = ToList::Register(Row {
+        let register = ToDiscovery::Register(EndpointRecord {
             incarnation: self.incarnation,
             ..row(0, 1)
         });
@@ -113,13 +113,13 @@
         self.callers += 1;
         self.now += self.whole + 1;
         let name = crate::Scenario::edge_name(self.callers as usize);
-        let hello = ToList::Hello(Hello {
+        let hello = ToDiscovery::Hello(Hello {
             version: VERSION,
             name,
             incarnation: 1,
             age_us: None,
         });
-        let bytes = [frame(&hello), frame(&ToList::Watch(Watch::default()))].concat();
+        let bytes = [frame(&hello), frame(&ToDiscovery::Watch(Watch::default()))].concat();
         self.service.on_event(
             self.now,
             Event::Accepted {
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -8,7 +8,7 @@
 use super::{Plan, Play, Sink, Stop};
 use sanddrum_emulator::ListSpec;
 use sanddrum_net::{LinkModel, Micros};
-use sanddrum_settings::{key, Kind, Problem, Section};
+use sanddrum_settings::{key, Kind, Section, SettingsError};
 use std::time::Duration;
 
 pub const PLAY: Play = Play {
@@ -122,7 +122,7 @@
     format!("list-service-plays.{name}")
 }
 
-fn check(plan: &Plan) -> Result<(), Problem> {
+fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     let most = |name: &str| plan.sizes(&key_of(name)).map(|sizes| most_of(&sizes));
     let (routers, rows) = (most("routers")?, most("rows")?);
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -11,8 +11,8 @@
     ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
 };
 use sanddrum_net::{Core, Event, HostId, Io, LinkModel, Micros, NullObserver, VirtualNet};
-use sanddrum_settings::{Loaded, Problem};
-use sanddrum_wire::{Phase, Row};
+use sanddrum_settings::{LoadedSettings, SettingsError};
+use sanddrum_wire::{EndpointRecord, Phase};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -39,7 +39,7 @@
 /// Who plays.
 #[derive(Clone, Debug)]
 pub struct ListStageSpec {
-    pub settings: Loaded,
+    pub settings: LoadedSettings,
     pub list: ListSpec,
     pub seed: u64,
     pub routers: usize,
@@ -86,8 +86,8 @@
 }
 
 /// A worker's row as the service knows it from the start.
-pub(crate) fn row(n: usize, zones: usize) -> Row {
-    Row {
+pub(crate) fn row(n: usize, zones: usize) -> EndpointRecord {
+    EndpointRecord {
         name: Scenario::worker_name(n),
         address: address(1, n),
         zone: format!("z{}", n % zones.max(1)),
@@ -105,9 +105,9 @@
     ///
     /// # Errors
     /// The settings take no such number of routers.
-    pub fn new(spec: ListStageSpec, stop: Stop, takes: Duration) -> Result<Self, Problem> {
+    pub fn new(spec: ListStageSpec, stop: Stop, takes: Duration) -> Result<Self, SettingsError> {
         let mut settings = spec.settings.clone();
-        settings.give("edge.edges", &spec.routers.max(1).to_string(), "capacity")?;
+        settings.override_value("edge.edges", &spec.routers.max(1).to_string(), "capacity")?;
         let mut net = VirtualNet::new(spec.seed, BEGIN, spec.links.clone(), Box::new(NullObserver));
         net.add(0, &[STORE], Box::new(Deaf));
         let list = net.add(0, &[LIST], Box::new(Deaf));
@@ -139,7 +139,7 @@
     /// The service starts with a list that it had kept, in a run of its own.
     pub fn start_list(&mut self) {
         self.list_runs += 1;
-        let rows: Vec<Row> = (0..self.spec.rows)
+        let rows: Vec<EndpointRecord> = (0..self.spec.rows)
             .map(|n| row(n, self.spec.zones))
             .collect();
         let faults = Rc::new(RefCell::new(ListFaults::default()));
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     /// The settings are none for an edge.
-    pub fn start_routers(&mut self, count: usize, keep: bool) -> Result<(), Problem> {
+    pub fn start_routers(&mut self, count: usize, keep: bool) -> Result<(), SettingsError> {
         for n in 0..count.min(self.spec.routers) {
             self.starts += 1;
             let seed = self
@@ -186,7 +186,7 @@
         }
         Ok(())
     }
-    fn edge(&self, n: usize, seed: u64, keep: bool) -> Result<Box<dyn Core>, Problem> {
+    fn edge(&self, n: usize, seed: u64, keep: bool) -> Result<Box<dyn Core>, SettingsError> {
         let mut settings = self.spec.settings.clone();
         for (name, value) in [
             ("edge.name", Scenario::edge_name(n)),
@@ -194,7 +194,7 @@
             ("edge.edges", self.spec.routers.max(1).to_string()),
             ("edge.number", n.to_string()),
         ] {
-            settings.give(name, &value, "capacity")?;
+            settings.override_value(name, &value, "capacity")?;
         }
         let kept = self
             .routers
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, PeerIdentity};
-use sanddrum_wire::{Frames, FromList, ToList};
+use sanddrum_wire::{FrameDecoder, FromDiscovery, ToDiscovery};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -106,9 +106,9 @@
 #[derive(Default)]
 struct Wire {
     router: String,
-    inn: Frames,
+    inn: FrameDecoder,
     out: FrameCount,
-    told: Frames,
+    told: FrameDecoder,
 }
 
 /// The largest frame that the meter reads.
@@ -159,17 +159,21 @@
         let Some(wire) = self.wires.get_mut(&conn) else {
             return;
         };
-        wire.inn.take_in(bytes);
+        wire.inn.push_bytes(bytes);
         let mut tally = self.tally.borrow_mut();
-        while let Ok(Some(message)) = wire.inn.next_message::<ToList>() {
+        while let Ok(Some(message)) = wire.inn.next_message::<ToDiscovery>() {
             match message {
-                ToList::Hello(hello) => {
+                ToDiscovery::Hello(hello) => {
                     tally.second(now).greetings += 1;
                     wire.router = hello.name;
                 }
-                ToList::Watch(watch) => {
+                ToDiscovery::Watch(watch) => {
                     tally.second(now).calls += 1;
-                    let (router, run, version) = (wire.router.clone(), watch.run, watch.version);
+                    let (router, run, version) = (
+                        wire.router.clone(),
+                        watch.service_incarnation,
+                        watch.version,
+                    );
                     let asks = Said::Asks {
                         router,
                         run,
@@ -180,8 +184,8 @@
                         .iter_mut()
                         .for_each(|said| said.push((now, asks.clone())));
                 }
-                ToList::Register(_) => tally.second(now).registers += 1,
-                ToList::Beat(_) => tally.second(now).beats += 1,
+                ToDiscovery::Register(_) => tally.second(now).registers += 1,
+                ToDiscovery::Heartbeat(_) => tally.second(now).beats += 1,
             }
         }
     }
@@ -195,7 +199,7 @@
         match event {
             Event::Accepted { conn, .. } => {
                 self.tally.borrow_mut().second(now).connections += 1;
-                let (inn, told) = (Frames::new(MOST), Frames::new(MOST));
+                let (inn, told) = (FrameDecoder::new(MOST), FrameDecoder::new(MOST));
                 self.wires.insert(
                     conn,
                     Wire {
@@ -253,13 +257,17 @@
         second.messages += wire.out.ends(bytes);
         second.bytes += bytes.len() as u64;
         let Some(said) = &mut tally.said else { return };
-        wire.told.take_in(bytes);
-        while let Ok(Some(message)) = wire.told.next_message::<FromList>() {
-            let FromList::Rows(rows) = message else {
+        wire.told.push_bytes(bytes);
+        while let Ok(Some(message)) = wire.told.next_message::<FromDiscovery>() {
+            let FromDiscovery::Endpoints(rows) = message else {
                 continue;
             };
-            let (router, count) = (wire.router.clone(), rows.rows.len());
-            let (run, version, whole) = (rows.run, rows.version, rows.whole);
+            let (router, count) = (wire.router.clone(), rows.endpoints.len());
+            let (run, version, whole) = (
+                rows.service_incarnation,
+                rows.version,
+                rows.is_full_snapshot,
+            );
             said.push((
                 self.now,
                 Said::Told {
