--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -6,7 +6,7 @@
 use sanddrum_emulator::machine::{Machine, Size};
 use sanddrum_emulator::OnMiss;
 use sanddrum_net::Rng;
-use sanddrum_settings::{key, Kind, Loaded, Problem, Section};
+use sanddrum_settings::{key, Kind, LoadedSettings, Section, SettingsError};
 use sanddrum_wire::{id_of, LoadReport};
 
 pub const SECTION: Section = Section {
@@ -95,7 +95,7 @@
 };
 
 /// Why a model can't be.
-pub(crate) fn check(plan: &Plan) -> Result<(), Problem> {
+pub(crate) fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     if l.count("functions") == 0 {
         let remedy = "add (function \"f-*\" (workload \"...\"))";
@@ -157,7 +157,7 @@
 }
 
 impl Model {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let span = |name: &str| l.span(&format!("model.{name}-us"));
         Model {
             size: Size {
@@ -243,7 +243,7 @@
 
 impl Functions {
     /// So many of the plan's first function pattern.
-    pub fn new(l: &Loaded, count: usize, shape: Shape, seed: u64) -> Self {
+    pub fn new(l: &LoadedSettings, count: usize, shape: Shape, seed: u64) -> Self {
         let prefix = l.text("functions.0.name").trim_end_matches('*').to_string();
         let workload = l.text("functions.0.workload").to_string();
         let (memory_mb, lanes) = (
--- a/crates/sanddrum-lab/src/capacity/plan.rs
+++ b/crates/sanddrum-lab/src/capacity/plan.rs
@@ -1,7 +1,7 @@
 //! What is to be measured, at which sizes: a deployment, and what each play says beside it.
 
 use super::{model, PLAYS};
-use sanddrum_settings::{key, Kind, Loaded, Problem, Section};
+use sanddrum_settings::{key, Kind, LoadedSettings, Section, SettingsError};
 use std::path::PathBuf;
 
 /// The operators' sizes; a fifth to a third of an hour.
@@ -122,7 +122,7 @@
 /// A plan that has been read and checked.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    pub settings: Loaded,
+    pub settings: LoadedSettings,
     pub text: String,
     pub seed: u64,
     pub memory: Memory,
@@ -135,7 +135,7 @@
     ///
     /// # Errors
     /// What is wrong with it, and where: what can't be played is refused here, with its key.
-    pub fn read(file: &str, text: &str, seed: u64, memory: Memory) -> Result<Self, Problem> {
+    pub fn read(file: &str, text: &str, seed: u64, memory: Memory) -> Result<Self, SettingsError> {
         let sections: Vec<Section> = [DEPLOYMENT, model::SECTION]
             .into_iter()
             .chain(PLAYS.iter().map(|play| play.section))
@@ -156,7 +156,7 @@
     ///
     /// # Errors
     /// With this key.
-    pub fn fits(&self, key: &str, what: &str, bytes: u64) -> Result<(), Problem> {
+    pub fn fits(&self, key: &str, what: &str, bytes: u64) -> Result<(), SettingsError> {
         let most = self.memory.most();
         if bytes <= most {
             return Ok(());
@@ -175,7 +175,7 @@
         key: &str,
         what: impl Into<String>,
         remedy: impl Into<String>,
-    ) -> Problem {
+    ) -> SettingsError {
         let counted = format!("{key}.count");
         let at = if self.settings.has(&counted) {
             &counted
@@ -188,8 +188,8 @@
     ///
     /// # Errors
     /// With this key.
-    pub fn sizes(&self, key: &str) -> Result<Vec<u64>, Problem> {
-        let sizes = self.settings.wholes(key);
+    pub fn sizes(&self, key: &str) -> Result<Vec<u64>, SettingsError> {
+        let sizes = self.settings.integers(key);
         if sizes.is_empty() {
             return Err(self.problem(key, format!("{key}: no size is named"), "as 10 100 1000"));
         }
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -6,7 +6,7 @@
 use super::model::{Functions, Model, Others, Shape};
 use super::{beside, edge_process, memory, workers, Plan, Play, Point, Role, Sink, Source, Stop};
 use sanddrum::{Micros, Settings, Value};
-use sanddrum_settings::{key, Kind, Problem, Section};
+use sanddrum_settings::{key, Kind, Section, SettingsError};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -98,7 +98,7 @@
 /// A router's module knows each worker.
 const BYTES_A_KNOWN_WORKER: u64 = 1 << 10;
 
-fn check(plan: &Plan) -> Result<(), Problem> {
+fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     for name in [
         "workers",
@@ -211,7 +211,8 @@
         ("edge.zone", zone.as_str()),
         ("copies.orders", orders),
     ] {
-        l.give(name, value, "capacity").map_err(|e| e.to_string())?;
+        l.override_value(name, value, "capacity")
+            .map_err(|e| e.to_string())?;
     }
     Ok(l.values_for_module())
 }
@@ -359,7 +360,7 @@
 
 fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let usual = Size::usual(plan);
-    let sizes = |name: &str| plan.settings.wholes(&format!("router-plays.{name}"));
+    let sizes = |name: &str| plan.settings.integers(&format!("router-plays.{name}"));
     for way in WAYS {
         for workers in sizes("workers") {
             let size = Size {
@@ -512,7 +513,7 @@
     if size.workers != plan.settings.size("router-plays.at-workers") {
         return Ok(());
     }
-    for changes in plan.settings.wholes("router-plays.changes") {
+    for changes in plan.settings.integers("router-plays.changes") {
         let (at, a_second) = (changes as f64, changes as f64 / SECONDS_A_DAY);
         for (figure, unit, value) in [
             (
--- a/crates/sanddrum-lab/src/capacity/sizes.rs
+++ b/crates/sanddrum-lab/src/capacity/sizes.rs
@@ -2,9 +2,12 @@
 
 use super::model::Functions;
 use sanddrum_wire::{
-    frame::frame, Cancel, Ended, FromList, FromWorker, Held, Hello, Hold, LoadReport, Phase,
+    frame::frame, Cancel, ExecutionStatus, FromDiscovery, FromWorker, Hello, Load, LoadDone,
+    LoadReport, Phase,
+};
+use sanddrum_wire::{
+    EndpointRecord, EndpointUpdate, HealthCheck, HealthStatus, ToWorker, Unload, VERSION,
 };
-use sanddrum_wire::{Probe, Probed, Row, Rows, ToWorker, Unload, VERSION};
 
 /// Bytes of frames; TLS and what is below it aren't in them.
 pub(crate) struct Bytes {
@@ -27,17 +30,17 @@
         let last = functions.all.last();
         let function = last.map(|f| f.name.clone()).unwrap_or_default();
         let (memory_mb, lanes) = last.map_or((0.0, 1), |f| (f.memory_mb, f.lanes));
-        let hold = Hold {
+        let hold = Load {
             id: NUMBER,
             function: function.clone(),
-            copies: 1,
+            instances: 1,
             memory_mb,
-            lanes,
+            concurrency: lanes,
         };
-        let held = Held {
+        let held = LoadDone {
             id: NUMBER,
-            ended: Ended::Finished,
-            copies: 1,
+            status: ExecutionStatus::Finished,
+            instances: 1,
         };
         let some = Some(0.3);
         let report = LoadReport {
@@ -53,7 +56,7 @@
             incarnation: NUMBER,
             age_us: Some(1 << 40),
         };
-        let row = Row {
+        let row = EndpointRecord {
             name: "worker-10000".into(),
             address: "10.100.100.100:10000".into(),
             zone: "zone-10".into(),
@@ -61,25 +64,25 @@
             phase: Phase::Ready,
             incarnation: NUMBER,
             age_us: 1 << 40,
-            ..Row::default()
+            ..EndpointRecord::default()
         };
         let rows = |n: usize| {
             let rows = vec![row.clone(); n];
-            let rows = Rows {
+            let rows = EndpointUpdate {
                 version: NUMBER,
-                run: NUMBER,
-                whole: false,
-                after: NUMBER,
-                rows,
+                service_incarnation: NUMBER,
+                is_full_snapshot: false,
+                base_version: NUMBER,
+                endpoints: rows,
             };
-            frame(&FromList::Rows(rows)).len() as u64
+            frame(&FromDiscovery::Endpoints(rows)).len() as u64
         };
         let to = |message: &ToWorker| frame(message).len() as u64;
         let from = |message: &FromWorker| frame(message).len() as u64;
         Bytes {
-            hold: to(&ToWorker::Hold(hold)) + from(&FromWorker::Held(held)),
-            probe: to(&ToWorker::Probe(Probe { id: NUMBER }))
-                + from(&FromWorker::Probed(Probed {
+            hold: to(&ToWorker::Load(hold)) + from(&FromWorker::LoadDone(held)),
+            probe: to(&ToWorker::HealthCheck(HealthCheck { id: NUMBER }))
+                + from(&FromWorker::HealthStatus(HealthStatus {
                     id: NUMBER,
                     report: Some(report),
                 })),
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -8,7 +8,7 @@
 use super::starts::{Begun, Starts};
 use super::{Plan, Play, Point, Role, Sink, Source, Stop};
 use sanddrum::Micros;
-use sanddrum_settings::{key, Kind, Problem, Section};
+use sanddrum_settings::{key, Kind, Section, SettingsError};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -81,7 +81,7 @@
     functions: usize,
 }
 
-fn sizes(plan: &Plan) -> Result<Vec<Size>, Problem> {
+fn sizes(plan: &Plan) -> Result<Vec<Size>, SettingsError> {
     let at = |name: &str| format!("start-target-plays.{name}");
     let (routers, workers) = (plan.sizes(&at("routers"))?, plan.sizes(&at("workers"))?);
     let functions = plan.sizes(&at("functions"))?;
@@ -106,7 +106,7 @@
         .collect())
 }
 
-fn check(plan: &Plan) -> Result<(), Problem> {
+fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     let calls = l.number("capacity.calls") / l.number("capacity.routers");
     let limit = l.span("workloads.0.time-limit-us") as f64 / 1e6;
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -5,7 +5,7 @@
 use crate::waits::{Waits, OURS};
 use hdrhistogram::Histogram;
 use sanddrum_net::Micros;
-use sanddrum_wire::{Ended, Phase};
+use sanddrum_wire::{ExecutionStatus, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -269,7 +269,14 @@
     /// Rule 2. An execution that reached a worker may have run unless the worker had answered that it did not.
     fn effects(&mut self) {
         let not_run = |run: &Run, by: Micros| {
-            let no = |e: &Ended| matches!(e, Ended::Full | Ended::Miss | Ended::Dropped);
+            let no = |e: &ExecutionStatus| {
+                matches!(
+                    e,
+                    ExecutionStatus::Rejected
+                        | ExecutionStatus::ColdMiss
+                        | ExecutionStatus::Dropped
+                )
+            };
             run.answers
                 .first()
                 .is_some_and(|(at, ended)| *at <= by && no(ended))
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -8,7 +8,7 @@
 use sanddrum_edge::Edge;
 use sanddrum_emulator::Truth;
 use sanddrum_net::{LinkModel, Rng};
-use sanddrum_settings::Problem;
+use sanddrum_settings::SettingsError;
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// What is wrong with it, and where.
-    pub fn read(file: &str, text: &str, seeds: Option<u64>) -> Result<Self, Problem> {
+    pub fn read(file: &str, text: &str, seeds: Option<u64>) -> Result<Self, SettingsError> {
         let scenario = Scenario::read(file, text, 1)?;
         let l = &scenario.settings;
         let variant = |(n, name): (usize, String)| Variant {
@@ -84,11 +84,11 @@
             .enumerate()
             .map(variant)
             .collect();
-        let told = |what: String, remedy: &str| Problem {
+        let told = |what: String, remedy: &str| SettingsError {
             file: file.into(),
             line: 0,
             column: 0,
-            what,
+            message: what,
             remedy: remedy.into(),
         };
         if variants.len() < 2 {
@@ -108,7 +108,7 @@
         }
         Ok(experiment)
     }
-    fn scenario(&self, variant: &Variant, seed: u64) -> Result<Scenario, Problem> {
+    fn scenario(&self, variant: &Variant, seed: u64) -> Result<Scenario, SettingsError> {
         Scenario::read_with(&self.file, &self.text, seed, &variant.set, &variant.name)
     }
     fn run(&self, variant: &Variant, seed: u64) -> io::Result<Figures> {
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -10,7 +10,7 @@
     Worker, WorkerFaults,
 };
 use sanddrum_net::{Core, HostId, Micros};
-use sanddrum_settings::{Loaded, Problem};
+use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_tls::{Layer, Papers, Rules, Side};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -302,7 +302,7 @@
     ///
     /// # Errors
     /// An address is none.
-    pub fn edge(&mut self, n: usize) -> Result<(Loaded, u64, u64), Problem> {
+    pub fn edge(&mut self, n: usize) -> Result<(LoadedSettings, u64, u64), SettingsError> {
         self.edge_starts[n] += 1;
         let settings = self
             .scenario
--- a/crates/sanddrum-lab/src/hammer.rs
+++ b/crates/sanddrum-lab/src/hammer.rs
@@ -104,7 +104,7 @@
             let field = token
                 .as_ref()
                 .map(|token| ("authorization", token.as_str()));
-            http::write_request("POST", &path, field.as_slice(), spec.body.as_bytes())
+            http::encode_request("POST", &path, field.as_slice(), spec.body.as_bytes())
         };
         let (count, tokens) = (
             spec.functions.max(1).max(spec.tokens.len()),
@@ -222,7 +222,7 @@
                     return;
                 };
                 line.bytes.extend_from_slice(bytes);
-                if let Ok(Some((answer, took))) = http::answer(&line.bytes) {
+                if let Ok(Some((answer, took))) = http::parse_response(&line.bytes) {
                     line.bytes.drain(..took);
                     self.answered(now, conn, answer.status, io);
                 }
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -2,7 +2,9 @@
 //! all, with workers that only count. No network: what is measured is what the edges decide from what they see.
 
 use sanddrum::{CustomerId, Micros, RequestId, Settings, Value, WorkerId};
-use sanddrum_limits::{Admission, Bucket, Events, Over, Pace, Sharing};
+use sanddrum_limits::{
+    Admission, AdmissionEvents, QuotaPolicy, RateMeter, RejectReason, TokenBucket,
+};
 use sanddrum_net::Rng;
 use std::collections::BTreeMap;
 
@@ -30,10 +32,10 @@
 }
 
 pub struct Size {
-    edges: Vec<Sharing>,
-    even: Vec<BTreeMap<usize, Bucket>>,
-    news: Vec<Events>,
-    workers: BTreeMap<(u64, usize), Pace>,
+    edges: Vec<QuotaPolicy>,
+    even: Vec<BTreeMap<usize, TokenBucket>>,
+    news: Vec<AdmissionEvents>,
+    workers: BTreeMap<(u64, usize), RateMeter>,
     settings: Settings,
     policy: Policy,
     capacity: f64,
@@ -48,10 +50,10 @@
     taken: Vec<RequestId>,
 }
 impl Admission for Ruled {
-    fn take(&mut self, job: RequestId) {
+    fn admit(&mut self, job: RequestId) {
         self.taken.push(job);
     }
-    fn push_back(&mut self, _: RequestId, _: Over, _: Micros) {}
+    fn reject(&mut self, _: RequestId, _: RejectReason, _: Micros) {}
 }
 
 impl Size {
@@ -71,9 +73,9 @@
         map.insert("sharing.shares".into(), Value::Flag(policy == Policy::Seen));
         let settings = Settings(map);
         Size {
-            edges: (0..edges).map(|_| Sharing::new(&settings)).collect(),
+            edges: (0..edges).map(|_| QuotaPolicy::new(&settings)).collect(),
             even: vec![BTreeMap::new(); edges],
-            news: vec![Events::default(); edges],
+            news: vec![AdmissionEvents::default(); edges],
             workers: BTreeMap::new(),
             settings,
             policy,
@@ -110,7 +112,7 @@
                     whose.insert(RequestId(self.next), stream.customer);
                     done.entry(stream.customer).or_default().0 += 1.0;
                     self.news[edge]
-                        .asked
+                        .requests
                         .push((RequestId(self.next), CustomerId(stream.customer)));
                 }
             }
@@ -122,10 +124,12 @@
                 let mut ruled = Ruled::default();
                 match self.policy {
                     Policy::Seen => self.edges[n].handle(self.now, &news, &mut ruled),
-                    Policy::None => ruled.taken = news.asked.iter().map(|(job, _)| *job).collect(),
+                    Policy::None => {
+                        ruled.taken = news.requests.iter().map(|(job, _)| *job).collect()
+                    }
                     Policy::Even => {
                         let fit = news
-                            .asked
+                            .requests
                             .iter()
                             .filter(|(_, c)| self.even_part_has_room(n, c.0));
                         ruled.taken = fit.map(|(job, _)| *job).collect();
@@ -141,18 +145,22 @@
                 let finished = self.room >= 1.0;
                 self.room -= f64::from(u8::from(finished));
                 let news = &mut self.news[edge];
-                news.ended.push(CustomerId(customer));
-                news.pressed += u32::from(!finished);
+                news.finished.push(CustomerId(customer));
+                news.rejected += u32::from(!finished);
                 if finished {
                     done.entry(customer).or_default().1 += 1.0;
-                    news.sent.push((CustomerId(customer), WorkerId(worker)));
+                    news.dispatched
+                        .push((CustomerId(customer), WorkerId(worker)));
                     let pace = self.workers.entry((worker, customer)).or_default();
-                    pace.count(self.now, S);
-                    let of = pace.now(self.now, S);
+                    pace.record(self.now, S);
+                    let of = pace.per_second(self.now, S);
                     let all = self.workers.entry((worker, ALL)).or_default();
-                    all.count(self.now, S);
-                    news.told
-                        .push((CustomerId(customer), of, all.now(self.now, S)));
+                    all.record(self.now, S);
+                    news.reported_rates.push((
+                        CustomerId(customer),
+                        of,
+                        all.per_second(self.now, S),
+                    ));
                 }
             }
         }
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -8,12 +8,12 @@
 use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
-use sanddrum_settings::Loaded;
+use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Layer, Rules, Side};
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
-    Copy, Done, Ended, Frames, FromWorker, Held, Hello, LoadReport, Phase, Probed, Row, ToWorker,
-    VERSION,
+    Done, EndpointRecord, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
+    InstanceState, LoadDone, LoadReport, Phase, ToWorker, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -38,7 +38,7 @@
 struct Instant {
     /// The number of the first door's worker.
     first: usize,
-    peers: BTreeMap<ConnectionId, (usize, Frames, Vec<u8>)>,
+    peers: BTreeMap<ConnectionId, (usize, FrameDecoder, Vec<u8>)>,
     dirty: BTreeSet<ConnectionId>,
 }
 
@@ -52,14 +52,14 @@
             } => {
                 self.peers.insert(
                     conn,
-                    (self.first + door.0, Frames::new(1 << 24), Vec::new()),
+                    (self.first + door.0, FrameDecoder::new(1 << 24), Vec::new()),
                 );
             }
             Event::Bytes { conn, bytes } => {
                 let Some((n, frames, out)) = self.peers.get_mut(&conn) else {
                     return;
                 };
-                frames.take_in(bytes);
+                frames.push_bytes(bytes);
                 while let Ok(Some(message)) = frames.next_message::<ToWorker>() {
                     let report = Some(LoadReport {
                         in_flight: Some(0.0),
@@ -78,20 +78,22 @@
                         }
                         ToWorker::Execute(e) => FromWorker::Done(Done {
                             id: e.id,
-                            ended: Ended::Finished,
-                            copy: Some(Copy::Stood),
-                            crowd: None,
+                            status: ExecutionStatus::Finished,
+                            instance: Some(InstanceState::Warm),
+                            function_in_flight: None,
                             report,
                             body: b"done".to_vec(),
-                            customer_pace: None,
-                            all_pace: None,
+                            customer_rate: None,
+                            total_rate: None,
                         }),
-                        ToWorker::Hold(h) => FromWorker::Held(Held {
+                        ToWorker::Load(h) => FromWorker::LoadDone(LoadDone {
                             id: h.id,
-                            ended: Ended::Finished,
-                            copies: h.copies.max(1),
+                            status: ExecutionStatus::Finished,
+                            instances: h.instances.max(1),
                         }),
-                        ToWorker::Probe(p) => FromWorker::Probed(Probed { id: p.id, report }),
+                        ToWorker::HealthCheck(p) => {
+                            FromWorker::HealthStatus(HealthStatus { id: p.id, report })
+                        }
                         ToWorker::Cancel(_) | ToWorker::Unload(_) => continue,
                     };
                     out.extend_from_slice(&frame(&answer));
@@ -237,13 +239,13 @@
     (limits (max-clients 100000) (client-idle 10min) (largest-body 16MB) (largest-frame 32MB)
             (waiting-per-worker 64MB))"#;
 
-fn settings(listen: &str, list: &str) -> Result<Loaded, String> {
+fn settings(listen: &str, list: &str) -> Result<LoadedSettings, String> {
     let mut settings = sanddrum_settings::read("measure", SETTINGS).map_err(|e| e.to_string())?;
     settings
-        .give("edge.listen", listen, "measure")
+        .override_value("edge.listen", listen, "measure")
         .map_err(|e| e.to_string())?;
     settings
-        .give("edge.list", list, "measure")
+        .override_value("edge.list", list, "measure")
         .map_err(|e| e.to_string())?;
     Ok(settings)
 }
@@ -325,7 +327,7 @@
         .map_err(text)?;
     let (list_door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let (edge_door, edge_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
-    let row = |(n, (_, at)): (usize, &(TcpListener, String))| Row {
+    let row = |(n, (_, at)): (usize, &(TcpListener, String))| EndpointRecord {
         name: format!("worker-{n}"),
         address: at.clone(),
         zone: "here".into(),
@@ -333,9 +335,9 @@
         phase: Phase::Ready,
         incarnation: 1,
         age_us: -1,
-        ..Row::default()
+        ..EndpointRecord::default()
     };
-    let rows: Vec<Row> = bound.iter().enumerate().map(row).collect();
+    let rows: Vec<EndpointRecord> = bound.iter().enumerate().map(row).collect();
     let doors: Vec<TcpListener> = bound.into_iter().map(|(listener, _)| listener).collect();
     let authority = Authority::new().map_err(|e| e.to_string())?;
     let worker_terms = match spec.tls {
@@ -421,7 +423,7 @@
             ("door.certificates", "required"),
         ] {
             settings
-                .give(name, value, "measure")
+                .override_value(name, value, "measure")
                 .map_err(|e| e.to_string())?;
         }
     }
@@ -432,7 +434,7 @@
             ("identity.token-checks", "10000000"),
         ] {
             settings
-                .give(name, value, "measure")
+                .override_value(name, value, "measure")
                 .map_err(|e| e.to_string())?;
         }
     }
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -4,7 +4,9 @@
 use crate::waits::Waits;
 use sanddrum_net::{ConnectionId, HostId, Micros, Side, TrafficObserver};
 use sanddrum_wire::http::{self, Parsed};
-use sanddrum_wire::{Ended, Frames, FromList, FromWorker, Phase, ToList, ToWorker};
+use sanddrum_wire::{
+    ExecutionStatus, FrameDecoder, FromDiscovery, FromWorker, Phase, ToDiscovery, ToWorker,
+};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -50,7 +52,7 @@
     pub number: u32,
     pub workload: String,
     /// What the worker answered to it, and when that left it.
-    pub answers: Vec<(Micros, Ended)>,
+    pub answers: Vec<(Micros, ExecutionStatus)>,
 }
 
 /// An order to load that reached a worker.
@@ -148,15 +150,15 @@
     Worker {
         n: usize,
         edge: String,
-        inn: Frames,
-        out: Frames,
+        inn: FrameDecoder,
+        out: FrameDecoder,
         runs: BTreeMap<u64, usize>,
     },
     List {
         name: String,
         edge: Option<String>,
-        inn: Frames,
-        out: Frames,
+        inn: FrameDecoder,
+        out: FrameDecoder,
     },
 }
 
@@ -191,7 +193,7 @@
         out: &mut Vec<u8>,
         open: &mut Option<usize>,
     ) {
-        while let Ok(Parsed::Whole(request, took)) = http::request(out, MOST, MOST) {
+        while let Ok(Parsed::Whole(request, took)) = http::parse_request(out, MOST, MOST) {
             out.drain(..took);
             let trace = request.field("sanddrum-trace").unwrap_or_default();
             let Some((call, number, since)) = read_trace(trace) else {
@@ -259,7 +261,7 @@
             }
             (Role::Worker(n), Side::Accepted) => {
                 this.log.load(Target::Worker(n), now).handshakes += 1;
-                let (inn, out) = (Frames::new(MOST), Frames::new(MOST));
+                let (inn, out) = (FrameDecoder::new(MOST), FrameDecoder::new(MOST));
                 Reader::Worker {
                     n,
                     edge: String::new(),
@@ -271,8 +273,8 @@
             (Role::List, Side::Accepted) => Reader::List {
                 name: String::new(),
                 edge: None,
-                inn: Frames::new(MOST),
-                out: Frames::new(MOST),
+                inn: FrameDecoder::new(MOST),
+                out: FrameDecoder::new(MOST),
             },
             _ => return,
         };
@@ -287,7 +289,7 @@
         match this.readers.get_mut(&(host, conn)) {
             Some(Reader::Caller { inn, open, .. }) => {
                 inn.extend_from_slice(bytes);
-                while let Ok(Some((answer, took))) = http::answer(inn) {
+                while let Ok(Some((answer, took))) = http::parse_response(inn) {
                     inn.drain(..took);
                     // An answer with no try open belongs to the last one: it is one too many.
                     let at = open.take().or(log.tries.len().checked_sub(1));
@@ -299,7 +301,7 @@
             Some(Reader::Worker {
                 n, edge, inn, runs, ..
             }) => {
-                inn.take_in(bytes);
+                inn.push_bytes(bytes);
                 while let Ok(Some(message)) = inn.next_message::<ToWorker>() {
                     match message {
                         ToWorker::Hello(hello) => *edge = hello.name,
@@ -321,17 +323,17 @@
                                 answers,
                             });
                         }
-                        ToWorker::Hold(h) if h.copies == 0 => {
+                        ToWorker::Load(h) if h.instances == 0 => {
                             log.load(Target::Worker(*n), now).asks += 1
                         }
-                        ToWorker::Probe(_) => log.load(Target::Worker(*n), now).probes += 1,
-                        ToWorker::Hold(h) => {
+                        ToWorker::HealthCheck(_) => log.load(Target::Worker(*n), now).probes += 1,
+                        ToWorker::Load(h) => {
                             log.load(Target::Worker(*n), now).orders += 1;
                             log.orders.push(Order {
                                 worker: *n,
                                 edge: edge.clone(),
                                 came: now,
-                                copies: h.copies,
+                                copies: h.instances,
                             });
                         }
                         _ => {}
@@ -341,11 +343,11 @@
             Some(Reader::List {
                 name, edge, inn, ..
             }) => {
-                inn.take_in(bytes);
-                while let Ok(Some(message)) = inn.next_message::<ToList>() {
+                inn.push_bytes(bytes);
+                while let Ok(Some(message)) = inn.next_message::<ToDiscovery>() {
                     match message {
-                        ToList::Hello(hello) => *name = hello.name,
-                        ToList::Watch(_) => {
+                        ToDiscovery::Hello(hello) => *name = hello.name,
+                        ToDiscovery::Watch(_) => {
                             log.load(Target::List, now).calls += 1;
                             *edge = Some(name.clone());
                         }
@@ -369,15 +371,15 @@
                 Recorder::caller_sent(log, now, edge, out, open);
             }
             Some(Reader::Worker { n, out, runs, .. }) => {
-                out.take_in(bytes);
+                out.push_bytes(bytes);
                 while let Ok(Some(message)) = out.next_message::<FromWorker>() {
                     let FromWorker::Done(done) = message else {
                         continue;
                     };
                     log.load(Target::Worker(*n), now).misses +=
-                        u64::from(done.ended == Ended::Miss);
+                        u64::from(done.status == ExecutionStatus::ColdMiss);
                     if let Some(run) = runs.get(&done.id).and_then(|at| log.runs.get_mut(*at)) {
-                        run.answers.push((now, done.ended));
+                        run.answers.push((now, done.status));
                     }
                 }
             }
@@ -386,14 +388,14 @@
                 out,
                 ..
             }) => {
-                out.take_in(bytes);
+                out.push_bytes(bytes);
                 log.load(Target::List, now).bytes += bytes.len() as u64;
-                while let Ok(Some(message)) = out.next_message::<FromList>() {
-                    let FromList::Rows(rows) = message else {
+                while let Ok(Some(message)) = out.next_message::<FromDiscovery>() {
+                    let FromDiscovery::Endpoints(rows) = message else {
                         continue;
                     };
-                    log.load(Target::List, now).whole_lists += u64::from(rows.whole);
-                    for row in rows.rows {
+                    log.load(Target::List, now).whole_lists += u64::from(rows.is_full_snapshot);
+                    for row in rows.endpoints {
                         log.told.push(Told {
                             edge: edge.clone(),
                             at: now,
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -3,7 +3,7 @@
 
 use sanddrum_emulator::Shared;
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Outbox};
-use sanddrum_wire::{Frames, ToList, ToWorker};
+use sanddrum_wire::{FrameDecoder, ToDiscovery, ToWorker};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What is wrong with a link.
@@ -87,7 +87,7 @@
     back: Option<ConnectionId>,
     back_up: bool,
     name: Option<String>,
-    greeting: Frames,
+    greeting: FrameDecoder,
     /// To the process behind, and back from it.
     to: Way,
     from: Way,
@@ -197,7 +197,7 @@
         let Some(pair) = self.pairs.get_mut(&front).filter(|p| p.name.is_none()) else {
             return;
         };
-        pair.greeting.take_in(bytes);
+        pair.greeting.push_bytes(bytes);
         pair.name = match greets {
             Greets::No => None,
             Greets::Worker => match pair.greeting.next_message::<ToWorker>() {
@@ -205,9 +205,9 @@
                 _ => None,
             },
             // A worker tells of itself by its first row.
-            Greets::List => match pair.greeting.next_message::<ToList>() {
-                Ok(Some(ToList::Hello(hello))) => Some(hello.name),
-                Ok(Some(ToList::Register(row))) => Some(row.name),
+            Greets::List => match pair.greeting.next_message::<ToDiscovery>() {
+                Ok(Some(ToDiscovery::Hello(hello))) => Some(hello.name),
+                Ok(Some(ToDiscovery::Register(row))) => Some(row.name),
                 _ => None,
             },
         };
@@ -333,7 +333,7 @@
         match event {
             Event::Accepted { conn, .. } => {
                 let name = (self.greets == Greets::No).then(String::new);
-                let (to, from, greeting) = (way(), way(), Frames::new(MOST));
+                let (to, from, greeting) = (way(), way(), FrameDecoder::new(MOST));
                 let pair = Pair {
                     back: None,
                     back_up: false,
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -4,8 +4,8 @@
 use crate::schema::{kinds, SCENARIO};
 use sanddrum_emulator::{ListSpec, OnMiss, StoreSpec, WorkerSpec};
 use sanddrum_net::{Micros, Rng};
-use sanddrum_settings::{Loaded, Problem};
-use sanddrum_wire::{Phase, Row};
+use sanddrum_settings::{LoadedSettings, SettingsError};
+use sanddrum_wire::{EndpointRecord, Phase};
 
 #[derive(Clone, Debug)]
 pub struct Calls {
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    pub settings: Loaded,
+    pub settings: LoadedSettings,
     pub text: String,
     pub seed: u64,
     pub zones: Vec<String>,
@@ -82,13 +82,13 @@
 ];
 
 /// Gives settings over those of the file, each as `fleet.edges=1000`; `by` says whose they are.
-fn give_over(l: &mut Loaded, set: &[String], by: &str) -> Result<(), Problem> {
+fn give_over(l: &mut LoadedSettings, set: &[String], by: &str) -> Result<(), SettingsError> {
     for set in set {
-        let refused = |what: String, remedy: &str| Problem {
+        let refused = |what: String, remedy: &str| SettingsError {
             file: by.into(),
             line: 0,
             column: 0,
-            what: format!("{set}: {what}"),
+            message: format!("{set}: {what}"),
             remedy: remedy.into(),
         };
         let Some((name, value)) = set.split_once('=') else {
@@ -100,8 +100,8 @@
                 remedy,
             ));
         }
-        l.give(name, value, by)
-            .map_err(|problem| refused(problem.what, &problem.remedy))?;
+        l.override_value(name, value, by)
+            .map_err(|problem| refused(problem.message, &problem.remedy))?;
     }
     Ok(())
 }
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// What is wrong with it, and where.
-    pub fn read(file: &str, text: &str, seed: u64) -> Result<Self, Problem> {
+    pub fn read(file: &str, text: &str, seed: u64) -> Result<Self, SettingsError> {
         Self::read_with(file, text, seed, &[], "")
     }
     /// The same with settings over its own, each as `fleet.edges=1000`; `by` says whose they are, for a problem. All that
@@ -125,17 +125,17 @@
         seed: u64,
         set: &[String],
         by: &str,
-    ) -> Result<Self, Problem> {
+    ) -> Result<Self, SettingsError> {
         let mut l = sanddrum_settings::read_with(file, text, SCENARIO)?;
         if !set.is_empty() {
             give_over(&mut l, set, by)?;
             sanddrum_settings::check(&l)?;
         }
-        let problem = |what: String, remedy: &str| Problem {
+        let problem = |what: String, remedy: &str| SettingsError {
             file: file.into(),
             line: 0,
             column: 0,
-            what,
+            message: what,
             remedy: remedy.into(),
         };
         let workloads = l.names("workloads");
@@ -306,10 +306,10 @@
         }
     }
     /// The workers at these addresses, as the list service knows them from the start.
-    pub fn list_rows(&self, addresses: &[String]) -> Vec<Row> {
+    pub fn list_rows(&self, addresses: &[String]) -> Vec<EndpointRecord> {
         let row = |(n, address): (usize, &String)| {
             let spec = self.worker(n, address, "", "");
-            Row {
+            EndpointRecord {
                 size: spec.cores as f64 * spec.speed,
                 phase: Phase::Ready,
                 incarnation: 1,
@@ -327,7 +327,12 @@
     ///
     /// # Errors
     /// An address is none.
-    pub fn edge(&self, n: usize, listen: &str, list: &str) -> Result<Loaded, Problem> {
+    pub fn edge(
+        &self,
+        n: usize,
+        listen: &str,
+        list: &str,
+    ) -> Result<LoadedSettings, SettingsError> {
         let mut l = self.settings.clone();
         for (name, value) in [
             ("edge.name", Self::edge_name(n)),
@@ -337,7 +342,7 @@
             ("edge.edges", self.told_edges().to_string()),
             ("edge.number", n.to_string()),
         ] {
-            l.give(name, &value, "scenario")?;
+            l.override_value(name, &value, "scenario")?;
         }
         Ok(l)
     }
--- a/crates/sanddrum-lab/src/soak/feed.rs
+++ b/crates/sanddrum-lab/src/soak/feed.rs
@@ -119,7 +119,7 @@
         (asking.asked, asking.answers_at) = (None, None);
         let news = tale.events.get(held..).unwrap_or_default();
         let body = json!({"n": tale.events.len().max(held), "events": news}).to_string();
-        let answer = http::response(200, &[], body.as_bytes(), true);
+        let answer = http::encode_response(200, &[], body.as_bytes(), true);
         if tale.mood == Mood::Cuts {
             io.write(conn, &answer[..answer.len() / 2]);
             io.reset(conn);
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/tapped.rs
@@ -5,7 +5,7 @@
 use sanddrum_net::{
     ConnectionId, Core, Event, HostId, Io, Micros, PeerIdentity, Side as TapSide, TrafficObserver,
 };
-use sanddrum_settings::Loaded;
+use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Papers, Rules, Side};
 
 pub struct Tapped<C> {
@@ -245,7 +245,7 @@
     }
 }
 
-pub fn bounds(l: &Loaded) -> Bounds {
+pub fn bounds(l: &LoadedSettings) -> Bounds {
     Bounds {
         handshake_time_out: l.span("tls.handshake-time-out-us"),
         handshakes: l.size("tls.handshakes"),
--- a/crates/sanddrum-lab/tests/capacity.rs
+++ b/crates/sanddrum-lab/tests/capacity.rs
@@ -153,7 +153,7 @@
 fn a_plan_that_cannot_be_is_refused_by_its_key(#[case] added: &str, #[case] what: &str) {
     let text = format!("{DEPLOYED}{added}");
     let problem = Plan::read("plan.sx", &text, 1, Memory { total: 8 << 30 }).unwrap_err();
-    assert!(problem.what.starts_with(what), "{problem}");
+    assert!(problem.message.starts_with(what), "{problem}");
 }
 
 #[rstest]
@@ -164,7 +164,7 @@
 )]
 fn a_plan_without_calls_that_can_be_made_is_refused(#[case] text: &str, #[case] what: &str) {
     let problem = Plan::read("plan.sx", text, 1, MEMORY).unwrap_err();
-    assert!(problem.what.starts_with(what), "{problem}");
+    assert!(problem.message.starts_with(what), "{problem}");
 }
 
 #[rstest]
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -16,7 +16,11 @@
     read(sizes, limits, MEMORY).unwrap()
 }
 
-fn read(sizes: &str, limits: &str, memory: Memory) -> Result<Plan, sanddrum_settings::Problem> {
+fn read(
+    sizes: &str,
+    limits: &str,
+    memory: Memory,
+) -> Result<Plan, sanddrum_settings::SettingsError> {
     let text = format!(
         r#"(deployment (name "list") (zones "z0" "z1"))
            (workload "call" (start-target 1800ms) (time-limit 10s) (effect restartable))
@@ -284,7 +288,7 @@
     let mut hurried = text_time.clone();
     hurried
         .settings
-        .give("capacity.time-a-point", "0s", "story")
+        .override_value("capacity.time-a-point", "0s", "story")
         .unwrap();
     let points = played(&hurried);
     assert!(
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -208,7 +208,7 @@
     if after_its_start > 10_000_000 {
         scenario
             .settings
-            .give("rules.cold", "10 s", "story")
+            .override_value("rules.cold", "10 s", "story")
             .unwrap();
     }
     let log = Log {
--- a/crates/sanddrum-limits/src/fleet_rate_estimate.rs
+++ b/crates/sanddrum-limits/src/fleet_rate_estimate.rs
@@ -12,7 +12,7 @@
 /// are found as one finds the size of a crowd from how often one meets the same face twice: by how often two of the own
 /// jobs went to one worker. That needs no job of one's own at each worker, so it holds at edges with little traffic.
 #[derive(Clone, Debug, Default)]
-pub struct Sight {
+pub struct FleetRateEstimate {
     sends: VecDeque<WorkerId>,
     /// Means of what was told, and how much they rest on.
     of_customer: f64,
@@ -21,8 +21,8 @@
     at: Micros,
 }
 
-impl Sight {
-    pub fn sent_to(&mut self, worker: WorkerId) {
+impl FleetRateEstimate {
+    pub fn record_dispatch(&mut self, worker: WorkerId) {
         if self.sends.len() == SENDS {
             self.sends.pop_front();
         }
@@ -30,7 +30,7 @@
     }
     /// A job's answer told the paces at its worker. The job itself is left out: seen from one's own jobs, one always
     /// seems to send more than one does.
-    pub fn told(&mut self, now: Micros, window: Micros, of_customer: f64, of_all: f64) {
+    pub fn record_report(&mut self, now: Micros, window: Micros, of_customer: f64, of_all: f64) {
         let one = 1e6 / window as f64;
         let faded = (-((now - self.at).max(0) as f64) / window as f64).exp();
         let weight = self.weight * faded + 1.0;
@@ -42,7 +42,7 @@
     fn is_fresh(&self, now: Micros, window: Micros) -> bool {
         self.weight > 0.0 && now < self.at + TOLD_HOLDS * window
     }
-    /// Over how many workers the jobs go.
+    /// RejectReason how many workers the jobs go.
     pub fn workers(&self) -> f64 {
         let mut sends: Vec<WorkerId> = self.sends.iter().copied().collect();
         sends.sort_unstable();
@@ -55,12 +55,12 @@
         n * (n - 1.0).max(1.0) / met.max(2.0)
     }
     /// The customer's jobs a second over the whole fleet, if anything was told of late.
-    pub fn whole(&self, now: Micros, window: Micros) -> Option<f64> {
+    pub fn fleet_rate(&self, now: Micros, window: Micros) -> Option<f64> {
         self.is_fresh(now, window)
             .then(|| self.of_customer * self.workers())
     }
     /// The customer's part of all jobs, where its jobs go.
-    pub fn part_of_all(&self, now: Micros, window: Micros) -> Option<f64> {
+    pub fn fleet_share(&self, now: Micros, window: Micros) -> Option<f64> {
         (self.is_fresh(now, window) && self.of_all > 0.0).then(|| self.of_customer / self.of_all)
     }
 }
--- a/crates/sanddrum-limits/src/lib.rs
+++ b/crates/sanddrum-limits/src/lib.rs
@@ -1,5 +1,5 @@
 //! What each customer gets under load, decided before a job reaches the decision module. The host makes one
-//! [`Sharing`] an edge and calls `round` once a round with all that came in ([`Events`]) and a writer ([`Admission`]).
+//! [`QuotaPolicy`] an edge and calls `round` once a round with all that came in ([`AdmissionEvents`]) and a writer ([`Admission`]).
 //! All news is recorded first; only then is decided.
 //!
 //! Three limits, each for a customer over all edges together: a rate, jobs in flight, and, while the fleet is pressed,
@@ -19,9 +19,9 @@
 mod rate;
 mod retry_budget;
 
-pub use fleet_rate_estimate::Sight;
-pub use rate::{Bucket, Pace};
-pub use retry_budget::{Asked, Repeats};
+pub use fleet_rate_estimate::FleetRateEstimate;
+pub use rate::{RateMeter, TokenBucket};
+pub use retry_budget::{RetryBudget, RetryEvents};
 
 use sanddrum::{CustomerId, Micros, RequestId, Settings, WorkerId};
 
@@ -44,45 +44,45 @@
 
 /// What came in since the last round.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct AdmissionEvents {
     /// Jobs that ask to be taken, with their customers.
-    pub asked: Vec<(RequestId, CustomerId)>,
+    pub requests: Vec<(RequestId, CustomerId)>,
     /// Jobs that were taken and now have their final answer, or whose client left.
-    pub ended: Vec<CustomerId>,
+    pub finished: Vec<CustomerId>,
     /// Jobs that the decision module pushed back.
-    pub pressed: u32,
+    pub rejected: u32,
     /// Executions sent.
-    pub sent: Vec<(CustomerId, WorkerId)>,
+    pub dispatched: Vec<(CustomerId, WorkerId)>,
     /// How many jobs a second of this customer, and of all, came to a worker from all edges.
-    pub told: Vec<(CustomerId, f64, f64)>,
+    pub reported_rates: Vec<(CustomerId, f64, f64)>,
 }
 
 /// Why a job is pushed back here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum RejectReason {
     Rate,
     InFlight,
-    Share,
+    Quota,
     /// A client's repeat while the fleet is pressed, beyond what first tries earn.
-    Repeats,
+    RetryBudget,
 }
 
-impl Over {
+impl RejectReason {
     pub fn reason(self) -> &'static str {
         match self {
-            Over::Rate => "over-rate",
-            Over::InFlight => "over-in-flight",
-            Over::Share => "over-share",
-            Over::Repeats => "over-repeats",
+            RejectReason::Rate => "over-rate",
+            RejectReason::InFlight => "over-in-flight",
+            RejectReason::Quota => "over-share",
+            RejectReason::RetryBudget => "over-repeats",
         }
     }
 }
 
 /// Where decisions are written.
 pub trait Admission {
-    fn take(&mut self, job: RequestId);
+    fn admit(&mut self, job: RequestId);
     /// Final answer, best tried again after `wait`.
-    fn push_back(&mut self, job: RequestId, why: Over, wait: Micros);
+    fn reject(&mut self, job: RequestId, why: RejectReason, wait: Micros);
 }
 
 #[derive(Default)]
@@ -91,18 +91,18 @@
     in_flight: Option<f64>,
     share: f64,
     held: f64,
-    asked: Pace,
-    sent: Pace,
-    sight: Sight,
+    asked: RateMeter,
+    sent: RateMeter,
+    sight: FleetRateEstimate,
     /// What is let through here a second, while something limits it.
     lets: f64,
-    permits: Bucket,
-    limited: Option<Over>,
+    permits: TokenBucket,
+    limited: Option<RejectReason>,
     /// Jobs that asked since the last look.
     asks: u32,
 }
 
-pub struct Sharing {
+pub struct QuotaPolicy {
     edges: f64,
     window: Micros,
     shares: bool,
@@ -114,7 +114,7 @@
     next_look: Micros,
 }
 
-impl Sharing {
+impl QuotaPolicy {
     /// Customers as the settings name them, in their order; one more for all others.
     pub fn new(settings: &Settings) -> Self {
         let count = settings.number("customers.count").unwrap_or(0.0) as usize;
@@ -139,7 +139,7 @@
                 .any(|c| c.rate.is_some() || c.in_flight.is_some());
         let window = settings.number("sharing.window-us").unwrap_or(1e6) as Micros;
         let edges = settings.number("routers").unwrap_or(1.0).max(1.0);
-        Sharing {
+        QuotaPolicy {
             edges,
             window: window.max(1),
             shares,
@@ -151,32 +151,32 @@
         }
     }
     /// Whether anything is limited at all; if not, a host need not ask.
-    pub fn limits_anything(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.any
     }
 
-    pub fn handle(&mut self, now: Micros, news: &Events, out: &mut impl Admission) {
+    pub fn handle(&mut self, now: Micros, news: &AdmissionEvents, out: &mut impl Admission) {
         let window = self.window;
-        for customer in &news.ended {
+        for customer in &news.finished {
             if let Some(c) = self.customers.get_mut(customer.0) {
                 c.held = (c.held - 1.0).max(0.0);
             }
         }
-        for (customer, worker) in &news.sent {
+        for (customer, worker) in &news.dispatched {
             if let Some(c) = self.customers.get_mut(customer.0) {
-                c.sent.count(now, window);
-                c.sight.sent_to(*worker);
+                c.sent.record(now, window);
+                c.sight.record_dispatch(*worker);
             }
         }
-        for (customer, of_customer, of_all) in &news.told {
+        for (customer, of_customer, of_all) in &news.reported_rates {
             if let Some(c) = self.customers.get_mut(customer.0) {
-                c.sight.told(now, window, *of_customer, *of_all);
+                c.sight.record_report(now, window, *of_customer, *of_all);
             }
         }
-        self.pushed += news.pressed;
-        for (_, customer) in &news.asked {
+        self.pushed += news.rejected;
+        for (_, customer) in &news.requests {
             if let Some(c) = self.customers.get_mut(customer.0) {
-                c.asked.count(now, window);
+                c.asked.record(now, window);
                 c.asks += 1;
             }
         }
@@ -189,16 +189,16 @@
                 .iter_mut()
                 .for_each(|c| c.steer(now, window, edges, pressed));
         }
-        for (job, customer) in &news.asked {
+        for (job, customer) in &news.requests {
             match self.judge(now, *customer) {
                 Ok(()) => {
                     if let Some(c) = self.customers.get_mut(customer.0) {
                         c.held += 1.0;
                     }
                     self.let_in += 1;
-                    out.take(*job);
+                    out.admit(*job);
                 }
-                Err((why, wait)) => out.push_back(*job, why, wait),
+                Err((why, wait)) => out.reject(*job, why, wait),
             }
         }
     }
@@ -214,20 +214,20 @@
         }
     }
 
-    fn judge(&mut self, now: Micros, customer: CustomerId) -> Result<(), (Over, Micros)> {
+    fn judge(&mut self, now: Micros, customer: CustomerId) -> Result<(), (RejectReason, Micros)> {
         let (window, even) = (self.window, 1.0 / self.edges);
         let Some(c) = self.customers.get_mut(customer.0) else {
             return Ok(());
         };
         if let Some(most) = c.in_flight {
-            let whole = c.sight.whole(now, window).filter(|whole| *whole > 0.0);
+            let whole = c.sight.fleet_rate(now, window).filter(|whole| *whole > 0.0);
             let part = whole.map_or(even, |whole| {
-                (c.sent.now(now, window) / whole).clamp(even * FLOOR, 1.0)
+                (c.sent.per_second(now, window) / whole).clamp(even * FLOOR, 1.0)
             });
             // One at least, unless none is allowed at all.
             if c.held + 1.0 > (most * part).max(f64::from(u8::from(most > 0.0))) {
                 // A place is free once one of those held ends; when is not known here, a window is told.
-                return Err((Over::InFlight, window));
+                return Err((RejectReason::InFlight, window));
             }
         }
         let Some(why) = c.limited else { return Ok(()) };
@@ -240,14 +240,17 @@
 
 impl Customer {
     /// What limits it now, and by how much more or less is to be let through at the next look.
-    fn limits(&self, now: Micros, window: Micros, pressed: f64) -> Option<(Over, f64)> {
+    fn limits(&self, now: Micros, window: Micros, pressed: f64) -> Option<(RejectReason, f64)> {
         // What this edge lets through by itself is seen at once, and the whole is no less.
-        let own = self.lets.min(self.asked.now(now, window));
-        let whole = self.sight.whole(now, window).map(|whole| whole.max(own));
+        let own = self.lets.min(self.asked.per_second(now, window));
+        let whole = self
+            .sight
+            .fleet_rate(now, window)
+            .map(|whole| whole.max(own));
         let of_rate = self.rate.map(|rate| {
             let off = whole.map_or(1.0, |whole| rate / whole.max(1e-9));
             (
-                Over::Rate,
+                RejectReason::Rate,
                 if off >= 2.0 {
                     STEP
                 } else {
@@ -257,13 +260,14 @@
         });
         let over = self
             .sight
-            .part_of_all(now, window)
+            .fleet_share(now, window)
             .is_some_and(|part| part > self.share);
         let of_share = (over && pressed > PRESSED).then(|| (1.0 - pressed).max(1.0 / STEP) * LENDS);
         // What was limited a moment ago soon is again: a share is lent step by step.
-        let lent = self.limited == Some(Over::Share) && self.lets < self.asked.now(now, window);
+        let lent = self.limited == Some(RejectReason::Quota)
+            && self.lets < self.asked.per_second(now, window);
         let lent = lent.then_some(LENDS);
-        let of_share = of_share.or(lent).map(|step| (Over::Share, step));
+        let of_share = of_share.or(lent).map(|step| (RejectReason::Quota, step));
         of_rate
             .into_iter()
             .chain(of_share)
@@ -274,13 +278,13 @@
         let one = 1e6 / window as f64;
         // What it asks for right now counts, too, as a pace takes a window to tell of a rise.
         let just_asked = f64::from(std::mem::take(&mut self.asks)) * one * LOOKS_A_WINDOW as f64;
-        let asked = self.asked.now(now, window).max(just_asked);
+        let asked = self.asked.per_second(now, window).max(just_asked);
         let Some((why, step)) = self.limits(now, window, pressed) else {
             (self.limited, self.lets) = (None, asked);
             return;
         };
         let even = self.rate.unwrap_or(0.0) / edges;
-        if self.limited.is_none() && why == Over::Rate {
+        if self.limited.is_none() && why == RejectReason::Rate {
             // It may have moved here with all it has, or call everywhere: it begins with an even part.
             self.lets = even.max(one);
         }
--- a/crates/sanddrum-limits/src/rate.rs
+++ b/crates/sanddrum-limits/src/rate.rs
@@ -3,13 +3,13 @@
 /// How often something happens a second, of late: what happened counts ever less, by half in about seven tenths of
 /// the window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct RateMeter {
     per_window: f64,
     at: Micros,
 }
 
-impl Pace {
-    pub fn count(&mut self, now: Micros, window: Micros) {
+impl RateMeter {
+    pub fn record(&mut self, now: Micros, window: Micros) {
         self.per_window = self.faded(now, window) + 1.0;
         self.at = now;
     }
@@ -17,17 +17,17 @@
         self.per_window * (-((now - self.at).max(0) as f64) / window as f64).exp()
     }
     /// A second.
-    pub fn now(&self, now: Micros, window: Micros) -> f64 {
+    pub fn per_second(&self, now: Micros, window: Micros) -> f64 {
         self.faded(now, window) * 1e6 / window as f64
     }
-    pub fn last(&self) -> Micros {
+    pub fn last_event(&self) -> Micros {
         self.at
     }
 }
 
 /// Permits that come at a rate and are saved up to a bound; one may always be saved, however low the rate.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Bucket {
+pub struct TokenBucket {
     saved: f64,
     at: Option<Micros>,
 }
@@ -35,7 +35,7 @@
 /// A rate so low that nothing is to be waited for.
 const NEVER_US: f64 = 3.6e9;
 
-impl Bucket {
+impl TokenBucket {
     /// Takes a permit.
     ///
     /// # Errors
--- a/crates/sanddrum-limits/src/retry_budget.rs
+++ b/crates/sanddrum-limits/src/retry_budget.rs
@@ -6,16 +6,16 @@
 //! the rest is pushed back before it costs anything. While little is pushed back there is no budget: after a crash or a
 //! lost zone repeats are what has to be served.
 
-use crate::{Bucket, Over, Pace};
+use crate::{RateMeter, RejectReason, TokenBucket};
 use sanddrum::{Micros, RequestId, Settings};
 
 /// What came in since the last round.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct RetryEvents {
     /// Jobs that ask to be taken, and whether each is a client's repeat.
-    pub jobs: Vec<(RequestId, bool)>,
+    pub requests: Vec<(RequestId, bool)>,
     /// Jobs that the decision module pushed back.
-    pub pressed: u32,
+    pub rejected: u32,
 }
 
 /// Each first try earns this part of a repeat, unless set otherwise.
@@ -26,29 +26,29 @@
 /// Permits are saved up for no more than this part of a window.
 const BURST: f64 = 0.3;
 
-pub struct Repeats {
+pub struct RetryBudget {
     part: f64,
     window: Micros,
     longest: Micros,
-    firsts: Pace,
-    repeats: Pace,
-    let_in: Pace,
-    pushed: Pace,
-    permits: Bucket,
+    firsts: RateMeter,
+    repeats: RateMeter,
+    let_in: RateMeter,
+    pushed: RateMeter,
+    permits: TokenBucket,
 }
 
-impl Repeats {
+impl RetryBudget {
     pub fn new(settings: &Settings) -> Self {
         let number = |name: &str, otherwise: f64| settings.number(name).unwrap_or(otherwise);
-        Repeats {
+        RetryBudget {
             part: number("limits.repeats", PART),
             window: (number("sharing.window-us", 1e6) as Micros).max(1),
             longest: number("limits.max-retry-after-us", 2e6) as Micros,
-            firsts: Pace::default(),
-            repeats: Pace::default(),
-            let_in: Pace::default(),
-            pushed: Pace::default(),
-            permits: Bucket::default(),
+            firsts: RateMeter::default(),
+            repeats: RateMeter::default(),
+            let_in: RateMeter::default(),
+            pushed: RateMeter::default(),
+            permits: TokenBucket::default(),
         }
     }
 
@@ -56,42 +56,45 @@
     pub fn handle(
         &mut self,
         now: Micros,
-        asked: &Asked,
-        out: &mut impl FnMut(RequestId, Result<(), (Over, Micros)>),
+        asked: &RetryEvents,
+        out: &mut impl FnMut(RequestId, Result<(), (RejectReason, Micros)>),
     ) {
         let window = self.window;
-        (0..asked.pressed).for_each(|_| self.pushed.count(now, window));
-        for (_, repeat) in &asked.jobs {
+        (0..asked.rejected).for_each(|_| self.pushed.record(now, window));
+        for (_, repeat) in &asked.requests {
             if *repeat {
                 &mut self.repeats
             } else {
                 &mut self.firsts
             }
-            .count(now, window);
+            .record(now, window);
         }
         // A part of all is a budget without bound.
         let pressed = self.part < 1.0
-            && self.pushed.now(now, window) > PRESSED * self.let_in.now(now, window);
-        for (id, repeat) in &asked.jobs {
+            && self.pushed.per_second(now, window) > PRESSED * self.let_in.per_second(now, window);
+        for (id, repeat) in &asked.requests {
             let judged = if pressed && *repeat {
                 self.judge(now)
             } else {
                 Ok(())
             };
             if judged.is_ok() {
-                self.let_in.count(now, window);
+                self.let_in.record(now, window);
             }
             out(*id, judged);
         }
     }
-    fn judge(&mut self, now: Micros) -> Result<(), (Over, Micros)> {
-        let rate = self.firsts.now(now, self.window) * self.part;
+    fn judge(&mut self, now: Micros) -> Result<(), (RejectReason, Micros)> {
+        let rate = self.firsts.per_second(now, self.window) * self.part;
         let burst = rate * self.window as f64 / 1e6 * BURST;
         self.permits.take(now, rate, burst).map_err(|wait| {
             // All that asked in the last window are ahead of it, as far as can be told.
-            let queue = self.repeats.now(now, self.window) * self.window as f64 / 1e6;
+            let queue = self.repeats.per_second(now, self.window) * self.window as f64 / 1e6;
             let wait = (wait as f64).max(queue * 1e6 / rate.max(1e-6));
-            (Over::Repeats, (wait as Micros).min(self.longest))
+            (
+                RejectReason::RetryBudget,
+                (wait as Micros).min(self.longest),
+            )
         })
     }
 }
--- a/crates/sanddrum-limits/tests/repeats.rs
+++ b/crates/sanddrum-limits/tests/repeats.rs
@@ -2,13 +2,13 @@
 
 use rstest::rstest;
 use sanddrum::{Micros, RequestId, Settings, Value};
-use sanddrum_limits::{Asked, Over, Repeats};
+use sanddrum_limits::{RejectReason, RetryBudget, RetryEvents};
 
 const MS: Micros = 1_000;
 
 struct Story {
     now: Micros,
-    repeats: Repeats,
+    repeats: RetryBudget,
     next: u64,
 }
 
@@ -20,7 +20,7 @@
             .insert("limits.repeats".into(), Value::Number(part));
         Story {
             now: 1_000_000_000,
-            repeats: Repeats::new(&settings),
+            repeats: RetryBudget::new(&settings),
             next: 0,
         }
     }
@@ -28,20 +28,20 @@
     /// repeats were taken, and the waits of the others.
     fn step(&mut self, firsts: u32, repeats: u32, pressed: u32) -> (u32, Vec<Micros>) {
         self.now += 10 * MS;
-        let mut asked = Asked {
-            jobs: Vec::new(),
-            pressed,
+        let mut asked = RetryEvents {
+            requests: Vec::new(),
+            rejected: pressed,
         };
         for n in 0..firsts + repeats {
             self.next += 1;
-            asked.jobs.push((RequestId(self.next), n >= firsts));
+            asked.requests.push((RequestId(self.next), n >= firsts));
         }
         let (mut taken, mut waits) = (0, Vec::new());
         self.repeats
             .handle(self.now, &asked, &mut |_, judged| match judged {
                 Ok(()) => taken += 1,
                 Err((why, wait)) => {
-                    assert_eq!(why, Over::Repeats);
+                    assert_eq!(why, RejectReason::RetryBudget);
                     waits.push(wait);
                 }
             });
--- a/crates/sanddrum-limits/tests/stories.rs
+++ b/crates/sanddrum-limits/tests/stories.rs
@@ -10,13 +10,13 @@
 #[derive(Default)]
 struct Log {
     taken: Vec<RequestId>,
-    back: Vec<(RequestId, Over, Micros)>,
+    back: Vec<(RequestId, RejectReason, Micros)>,
 }
 impl Admission for Log {
-    fn take(&mut self, job: RequestId) {
+    fn admit(&mut self, job: RequestId) {
         self.taken.push(job);
     }
-    fn push_back(&mut self, job: RequestId, why: Over, wait: Micros) {
+    fn reject(&mut self, job: RequestId, why: RejectReason, wait: Micros) {
         self.back.push((job, why, wait));
     }
 }
@@ -32,10 +32,10 @@
 
 /// Edges, the workers that they share, and what they all can do together in a second.
 struct Scene {
-    edges: Vec<Sharing>,
-    news: Vec<Events>,
-    workers: BTreeMap<(WorkerId, CustomerId), Pace>,
-    all: BTreeMap<WorkerId, Pace>,
+    edges: Vec<QuotaPolicy>,
+    news: Vec<AdmissionEvents>,
+    workers: BTreeMap<(WorkerId, CustomerId), RateMeter>,
+    all: BTreeMap<WorkerId, RateMeter>,
     capacity: f64,
     room: f64,
     now: Micros,
@@ -47,8 +47,10 @@
     fn new(edges: usize, capacity: f64, set: &[(&str, f64)]) -> Scene {
         let set = [set, &[("routers", edges as f64)]].concat();
         Scene {
-            edges: (0..edges).map(|_| Sharing::new(&settings(&set))).collect(),
-            news: vec![Events::default(); edges],
+            edges: (0..edges)
+                .map(|_| QuotaPolicy::new(&settings(&set)))
+                .collect(),
+            news: vec![AdmissionEvents::default(); edges],
             workers: BTreeMap::new(),
             all: BTreeMap::new(),
             capacity,
@@ -73,7 +75,7 @@
                     self.next += 1;
                     whose.insert(RequestId(self.next), CustomerId(*customer));
                     self.news[*edge]
-                        .asked
+                        .requests
                         .push((RequestId(self.next), CustomerId(*customer)));
                 }
             }
@@ -95,19 +97,20 @@
                     let finished = self.room >= 1.0;
                     self.room -= f64::from(u8::from(finished));
                     let next = &mut self.news[n];
-                    next.ended.push(customer);
-                    next.pressed += u32::from(!finished);
+                    next.finished.push(customer);
+                    next.rejected += u32::from(!finished);
                     if finished {
                         *done.entry(customer.0).or_default() += 1.0;
-                        next.sent.push((customer, worker));
+                        next.dispatched.push((customer, worker));
                         self.workers
                             .entry((worker, customer))
                             .or_default()
-                            .count(self.now, S);
-                        let of = self.workers[&(worker, customer)].now(self.now, S);
+                            .record(self.now, S);
+                        let of = self.workers[&(worker, customer)].per_second(self.now, S);
                         let all = self.all.entry(worker).or_default();
-                        all.count(self.now, S);
-                        next.told.push((customer, of, all.now(self.now, S)));
+                        all.record(self.now, S);
+                        next.reported_rates
+                            .push((customer, of, all.per_second(self.now, S)));
                     }
                 }
             }
@@ -179,10 +182,10 @@
         ("customers.0.share", 0.0),
         ("customers.0.in-flight", 3.0),
     ];
-    let mut sharing = Sharing::new(&settings(&set));
-    let news = Events {
-        asked: (0..5).map(|n| (RequestId(n), CustomerId(0))).collect(),
-        ..Events::default()
+    let mut sharing = QuotaPolicy::new(&settings(&set));
+    let news = AdmissionEvents {
+        requests: (0..5).map(|n| (RequestId(n), CustomerId(0))).collect(),
+        ..AdmissionEvents::default()
     };
     let mut log = Log::default();
     sharing.handle(S, &news, &mut log);
@@ -190,11 +193,11 @@
     assert!(log
         .back
         .iter()
-        .all(|(_, why, wait)| *why == Over::InFlight && *wait > 0));
-    let ended = Events {
-        ended: vec![CustomerId(0)],
-        asked: news.asked.clone(),
-        ..Events::default()
+        .all(|(_, why, wait)| *why == RejectReason::InFlight && *wait > 0));
+    let ended = AdmissionEvents {
+        finished: vec![CustomerId(0)],
+        requests: news.requests.clone(),
+        ..AdmissionEvents::default()
     };
     let mut log = Log::default();
     sharing.handle(S, &ended, &mut log);
@@ -203,7 +206,7 @@
 
 #[rstest]
 fn the_time_to_return_is_when_there_is_a_permit() {
-    let mut bucket = Bucket::default();
+    let mut bucket = TokenBucket::default();
     assert_eq!(bucket.take(0, 10.0, 1.0), Ok(()));
     let wait = bucket.take(0, 10.0, 1.0).unwrap_err();
     assert!(bucket.take(wait - 2, 10.0, 1.0).is_err());
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -1,14 +1,14 @@
 //! The control feed: numbered events that change the list of model servers, asked for over HTTP/1.1.
 
 use sanddrum::Micros;
-use sanddrum_wire::{Phase, Row};
+use sanddrum_wire::{EndpointRecord, Phase};
 use serde_json::Value as Json;
 
 /// A model server as the feed describes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
     /// All but its start, which [`crate::starts`] works out from the date below.
-    pub row: Row,
+    pub endpoint: EndpointRecord,
     /// When its process started, in Unix milliseconds by the servers' wall clock; nought: long ago.
     pub up_since_ms: i64,
 }
@@ -23,21 +23,21 @@
 
 /// One event of the feed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
-    pub n: u64,
+pub struct FeedEvent {
+    pub number: u64,
     /// None where the event is about something else than the list.
     pub members: Option<Members>,
 }
 
 /// What the feed has told: the last number, and the events up to it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
-    pub last: u64,
-    pub changes: Vec<Change>,
+pub struct FeedEvents {
+    pub last_number: u64,
+    pub events: Vec<FeedEvent>,
 }
 
 /// The request for what follows event `n`; the answer comes by itself within `wait`.
-pub fn request(address: &str, n: u64, wait: Micros) -> Vec<u8> {
+pub fn poll_request(address: &str, n: u64, wait: Micros) -> Vec<u8> {
     let ms = wait / 1000;
     format!(
         "GET /v1/events?SUB={n}&wait={ms} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// What can't be read, by its name.
-pub fn told(json: &Json, kinds: &[String]) -> Result<Told, String> {
+pub fn parse(json: &Json, kinds: &[String]) -> Result<FeedEvents, String> {
     let last = json["n"].as_u64().ok_or("n: a whole number is wanted")?;
     let events = match &json["events"] {
         Json::Null => &[][..],
@@ -59,16 +59,22 @@
         .iter()
         .map(|event| change(event, kinds))
         .collect::<Result<_, _>>()?;
-    Ok(Told { last, changes })
+    Ok(FeedEvents {
+        last_number: last,
+        events: changes,
+    })
 }
 
-fn change(event: &Json, kinds: &[String]) -> Result<Change, String> {
+fn change(event: &Json, kinds: &[String]) -> Result<FeedEvent, String> {
     let n = event["n"]
         .as_u64()
         .ok_or("events: n: a whole number is wanted")?;
     let members = &event["members"];
     if members.is_null() {
-        return Ok(Change { n, members: None });
+        return Ok(FeedEvent {
+            number: n,
+            members: None,
+        });
     }
     let complete = members["complete"].as_bool().unwrap_or(false);
     let list = members["members"]
@@ -78,8 +84,8 @@
         .iter()
         .map(|member| read_member(member, kinds))
         .collect::<Result<_, _>>()?;
-    Ok(Change {
-        n,
+    Ok(FeedEvent {
+        number: n,
         members: Some(Members { complete, members }),
     })
 }
@@ -96,7 +102,7 @@
     let kind = member["flavor"]
         .as_str()
         .and_then(|flavor| kinds.iter().position(|kind| kind == flavor));
-    let row = Row {
+    let row = EndpointRecord {
         address: text("host_port").unwrap_or_default(),
         zone: text("locality").unwrap_or_default(),
         cell: member["cell"].as_u64().unwrap_or(0) as u32,
@@ -108,7 +114,7 @@
         name,
     };
     Ok(Member {
-        row,
+        endpoint: row,
         up_since_ms: member["up_since_ms"].as_i64().unwrap_or(0).max(0),
     })
 }
--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -1,8 +1,8 @@
-//! Frames between routers and workers: `mark code fields:2 body:4 id:8`, so many bytes of fields and of body, and the
+//! FrameDecoder between routers and workers: `mark code fields:2 body:4 id:8`, so many bytes of fields and of body, and the
 //! CRC-32 of both. Numbers are unsigned, most significant byte first.
 
 use sanddrum::Micros;
-use sanddrum_wire::{Copy, Ended, LoadReport};
+use sanddrum_wire::{ExecutionStatus, InstanceState, LoadReport};
 use std::fmt;
 
 const HEAD: usize = 16;
@@ -49,7 +49,7 @@
     frame(FROM_ROUTER, REQUEST, id, &fields, body)
 }
 /// A job is given up; nothing answers this.
-pub fn give_up(id: u64) -> Vec<u8> {
+pub fn cancel(id: u64) -> Vec<u8> {
     frame(FROM_ROUTER, GIVE_UP, id, "", &[])
 }
 /// Asks whether the connection works.
@@ -80,17 +80,17 @@
 pub struct Answer {
     pub id: u64,
     /// None where it tells only that the connection works.
-    pub ended: Option<Ended>,
-    pub copy: Option<Copy>,
+    pub status: Option<ExecutionStatus>,
+    pub instance: Option<InstanceState>,
     pub report: Option<LoadReport>,
-    /// Loaded copies, where an order is answered.
-    pub copies: Option<u32>,
+    /// LoadedSettings copies, where an order is answered.
+    pub instances: Option<u32>,
     pub body: Vec<u8>,
 }
 
 /// Why a stream of frames can't be read on. The connection has no meaning any more and is to be ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Garbled {
+pub enum FrameError {
     Mark(u8),
     Code(u8),
     /// Longer than this side takes.
@@ -99,51 +99,51 @@
     Fields,
 }
 
-impl fmt::Display for Garbled {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Garbled::Mark(mark) => write!(f, "a frame begins with {mark}"),
-            Garbled::Code(code) => write!(f, "code {code} is no answer"),
-            Garbled::TooLong(length) => {
+            FrameError::Mark(mark) => write!(f, "a frame begins with {mark}"),
+            FrameError::Code(code) => write!(f, "code {code} is no answer"),
+            FrameError::TooLong(length) => {
                 write!(f, "a frame of {length} bytes (limits largest-frame)")
             }
-            Garbled::Check => write!(f, "a frame's check does not fit"),
-            Garbled::Fields => write!(f, "a frame's fields can't be read"),
+            FrameError::Check => write!(f, "a frame's check does not fit"),
+            FrameError::Fields => write!(f, "a frame's fields can't be read"),
         }
     }
 }
 
-impl std::error::Error for Garbled {}
+impl std::error::Error for FrameError {}
 
-fn ended(code: u8) -> Result<Option<Ended>, Garbled> {
+fn ended(code: u8) -> Result<Option<ExecutionStatus>, FrameError> {
     Ok(match code {
-        97 => Some(Ended::Finished),
-        99 => Some(Ended::Miss),
-        100 => Some(Ended::Full),
-        101 => Some(Ended::Error),
-        102 => Some(Ended::Dropped),
+        97 => Some(ExecutionStatus::Finished),
+        99 => Some(ExecutionStatus::ColdMiss),
+        100 => Some(ExecutionStatus::Rejected),
+        101 => Some(ExecutionStatus::Error),
+        102 => Some(ExecutionStatus::Dropped),
         103 => None,
-        other => return Err(Garbled::Code(other)),
+        other => return Err(FrameError::Code(other)),
     })
 }
 
-fn read(code: u8, id: u64, fields: &[u8], body: &[u8]) -> Result<Answer, Garbled> {
+fn read(code: u8, id: u64, fields: &[u8], body: &[u8]) -> Result<Answer, FrameError> {
     let mut answer = Answer {
         id,
-        ended: ended(code)?,
+        status: ended(code)?,
         body: body.to_vec(),
         ..Answer::default()
     };
-    let fields = std::str::from_utf8(fields).map_err(|_| Garbled::Fields)?;
+    let fields = std::str::from_utf8(fields).map_err(|_| FrameError::Fields)?;
     for field in fields.split(',').filter(|field| !field.is_empty()) {
-        let (name, value) = field.split_once('=').ok_or(Garbled::Fields)?;
+        let (name, value) = field.split_once('=').ok_or(FrameError::Fields)?;
         match name {
             "remark" => {
-                answer.copy = match value {
-                    "hot" => Some(Copy::Stood),
-                    "started" => Some(Copy::BeganLoad),
-                    "waited" => Some(Copy::WaitedForLoad),
-                    "broken" => Some(Copy::LoadFailed),
+                answer.instance = match value {
+                    "hot" => Some(InstanceState::Warm),
+                    "started" => Some(InstanceState::StartedLoad),
+                    "waited" => Some(InstanceState::WaitedForLoad),
+                    "broken" => Some(InstanceState::LoadFailed),
                     _ => None,
                 }
             }
@@ -160,7 +160,7 @@
                     loads_in_progress: told.loads_in_progress,
                 });
             }
-            "copies" => answer.copies = Some(value.parse().map_err(|_| Garbled::Fields)?),
+            "copies" => answer.instances = Some(value.parse().map_err(|_| FrameError::Fields)?),
             _ => {}
         }
     }
@@ -169,22 +169,22 @@
 
 /// Cuts a worker's stream into answers. Holds no more than one frame and what came with it.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     bytes: Vec<u8>,
     read: usize,
     most: usize,
 }
 
-impl Frames {
-    /// Frames of more than `most` bytes are refused as soon as their lengths are read.
+impl FrameDecoder {
+    /// FrameDecoder of more than `most` bytes are refused as soon as their lengths are read.
     pub fn new(most: usize) -> Self {
-        Frames {
+        FrameDecoder {
             bytes: Vec::new(),
             read: 0,
             most,
         }
     }
-    pub fn take_in(&mut self, bytes: &[u8]) {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         if self.read > 0 {
             self.bytes.drain(..self.read);
             self.read = 0;
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     /// What comes is no frame of a worker's; nothing after it can be read.
-    pub fn next_answer(&mut self) -> Result<Option<Answer>, Garbled> {
+    pub fn next_answer(&mut self) -> Result<Option<Answer>, FrameError> {
         let rest = &self.bytes[self.read..];
         match rest.first() {
             None => {
@@ -204,7 +204,7 @@
                 self.read = 0;
                 return Ok(None);
             }
-            Some(mark) if *mark != FROM_WORKER => return Err(Garbled::Mark(*mark)),
+            Some(mark) if *mark != FROM_WORKER => return Err(FrameError::Mark(*mark)),
             Some(_) => {}
         }
         let Some((head, rest)) = rest.split_first_chunk::<HEAD>() else {
@@ -216,7 +216,7 @@
         let body = u32::from_be_bytes([b3, b2, b1, b0]) as usize;
         let length = fields.saturating_add(body);
         if length > self.most {
-            return Err(Garbled::TooLong(length));
+            return Err(FrameError::TooLong(length));
         }
         let Some((content, rest)) = rest.split_at_checked(length) else {
             return Ok(None);
@@ -225,7 +225,7 @@
             return Ok(None);
         };
         if crc32fast::hash(content) != u32::from_be_bytes(*check) {
-            return Err(Garbled::Check);
+            return Err(FrameError::Check);
         }
         let answer = read(
             code,
--- a/crates/sanddrum-platform/src/lib.rs
+++ b/crates/sanddrum-platform/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod start;
 pub mod starts;
 
-pub use frames::{Answer, Frames, Garbled};
-pub use start::Configuration;
+pub use frames::{Answer, FrameDecoder, FrameError};
+pub use start::StartupConfig;
--- a/crates/sanddrum-platform/src/start.rs
+++ b/crates/sanddrum-platform/src/start.rs
@@ -1,16 +1,16 @@
 //! What a router is told at its start, and the deployment that follows from it: our own settings, written as
 //! S-expressions and checked as any others. The decision module's map comes from the dialect alone.
 
-use crate::control_feed::{self as feed, Told};
+use crate::control_feed::{self as feed, FeedEvents};
 use sanddrum::Settings;
-use sanddrum_settings::Loaded;
+use sanddrum_settings::LoadedSettings;
 use serde_json::Value as Json;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
 /// A start configuration that has been read.
 #[derive(Clone, Debug)]
-pub struct Configuration {
+pub struct StartupConfig {
     pub name: String,
     pub listen: String,
     pub feed: String,
@@ -40,7 +40,7 @@
 /// What the platform's pages state and no setting tells. Each is told in docs/operating/platform.md.
 const LIMITS: &str = include_str!("limits.sx");
 
-impl Configuration {
+impl StartupConfig {
     /// # Errors
     /// What can't be used, by the name of its key.
     pub fn read(text: &str) -> Result<Self, String> {
@@ -67,7 +67,7 @@
         }
         let module = sanddrum_platform_config::settings(&json["settings"])
             .map_err(|why| format!("settings.{why}"))?;
-        let read = Configuration {
+        let read = StartupConfig {
             name: text("name")?,
             listen: address("listen")?,
             feed: address("feed")?,
@@ -78,28 +78,28 @@
             settings: json["settings"].clone(),
             module,
         };
-        read.told().map_err(|e| format!("known: {e}"))?;
+        read.feed_events().map_err(|e| format!("known: {e}"))?;
         Ok(read)
     }
     /// The list as it stood when the configuration was written.
     ///
     /// # Errors
     /// What can't be read of it.
-    pub fn told(&self) -> Result<Told, String> {
-        feed::told(&self.known, &self.kinds())
+    pub fn feed_events(&self) -> Result<FeedEvents, String> {
+        feed::parse(&self.known, &self.worker_kinds())
     }
-    pub fn kinds(&self) -> Vec<String> {
+    pub fn worker_kinds(&self) -> Vec<String> {
         sanddrum_platform_config::names(&self.settings, "kinds")
     }
     /// The decision module's map.
-    pub fn module(&self) -> Settings {
+    pub fn decision_settings(&self) -> Settings {
         self.module.clone()
     }
     /// The edge's own settings.
     ///
     /// # Errors
     /// What is missing or out of bounds.
-    pub fn deployment(&self) -> Result<Loaded, String> {
+    pub fn deployment_settings(&self) -> Result<LoadedSettings, String> {
         let text = self.written(&self.module);
         sanddrum_settings::read("settings", &text).map_err(|e| e.to_string())
     }
--- a/crates/sanddrum-platform/src/starts.rs
+++ b/crates/sanddrum-platform/src/starts.rs
@@ -9,12 +9,12 @@
 
 use crate::control_feed::Member;
 use sanddrum::Micros;
-use sanddrum_wire::{Phase, Row};
+use sanddrum_wire::{EndpointRecord, Phase};
 use std::collections::{BTreeMap, VecDeque};
 
 /// An instant by both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Clocks {
+pub struct ClockReading {
     /// The driver's clock, which only goes forward.
     pub now: Micros,
     /// The machine's wall clock.
@@ -35,9 +35,9 @@
     incarnation: u64,
 }
 
-/// Starts of the model servers that stand.
+/// StartTimes of the model servers that stand.
 #[derive(Debug, Default)]
-pub struct Starts {
+pub struct StartTimes {
     known: BTreeMap<String, Start>,
     /// Distances of the wall clock from the driver's, the newest last.
     distances: VecDeque<Micros>,
@@ -46,9 +46,9 @@
     incarnations: u64,
 }
 
-impl Starts {
+impl StartTimes {
     /// Looks at the wall clock. It is to be called with each answer of the feed, before its events are taken.
-    pub fn look_at_clocks(&mut self, clocks: Clocks) {
+    pub fn observe_clocks(&mut self, clocks: ClockReading) {
         let distance = clocks.wall - clocks.now;
         if self
             .distances
@@ -63,15 +63,20 @@
         }
     }
     /// All that the feed had to tell by now has been taken.
-    pub fn all_told(&mut self, now: Micros) {
+    pub fn finish_batch(&mut self, now: Micros) {
         self.told_at = Some(now);
     }
     /// Rows of one event, each with its start: the incarnation and the age at `now`. A later start has the larger
     /// incarnation.
-    pub fn rows(&mut self, now: Micros, members: Vec<Member>, complete: bool) -> Vec<Row> {
+    pub fn endpoints(
+        &mut self,
+        now: Micros,
+        members: Vec<Member>,
+        complete: bool,
+    ) -> Vec<EndpointRecord> {
         if complete {
             self.known
-                .retain(|name, _| members.iter().any(|member| member.row.name == *name));
+                .retain(|name, _| members.iter().any(|member| member.endpoint.name == *name));
         }
         let mut order: Vec<usize> = (0..members.len()).collect();
         order.sort_by_key(|n| members[*n].up_since_ms);
@@ -81,18 +86,18 @@
             .collect();
         let row = |(n, member): (usize, Member)| {
             let (incarnation, age_us) = ages.get(&n).copied().unwrap_or((0, -1));
-            Row {
+            EndpointRecord {
                 incarnation,
                 age_us,
-                ..member.row
+                ..member.endpoint
             }
         };
         members.into_iter().enumerate().map(row).collect()
     }
     fn start_of(&mut self, now: Micros, member: &Member) -> (u64, Micros) {
-        let (name, up_since_ms) = (&member.row.name, member.up_since_ms);
+        let (name, up_since_ms) = (&member.endpoint.name, member.up_since_ms);
         let known = self.known.get(name).copied();
-        if member.row.phase == Phase::Gone {
+        if member.endpoint.phase == Phase::Gone {
             self.known.remove(name);
         }
         let same = known.filter(|known| known.up_since_ms == up_since_ms || up_since_ms <= 0);
@@ -116,7 +121,7 @@
             0
         };
         self.incarnations = self.incarnations.max(incarnation);
-        if member.row.phase != Phase::Gone {
+        if member.endpoint.phase != Phase::Gone {
             self.known.insert(
                 name.clone(),
                 Start {
--- a/crates/sanddrum-platform/tests/protocol.rs
+++ b/crates/sanddrum-platform/tests/protocol.rs
@@ -3,14 +3,14 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sanddrum_platform::control_feed::Members;
-use sanddrum_platform::starts::{Clocks, Starts};
-use sanddrum_platform::{control_feed, frames, Configuration, Frames, Garbled};
-use sanddrum_wire::{Copy, Ended, Phase};
+use sanddrum_platform::starts::{ClockReading, StartTimes};
+use sanddrum_platform::{control_feed, frames, FrameDecoder, FrameError, StartupConfig};
+use sanddrum_wire::{ExecutionStatus, InstanceState, Phase};
 use serde_json::json;
 
-fn read(bytes: &[u8]) -> Result<Option<frames::Answer>, Garbled> {
-    let mut frames = Frames::new(4096);
-    frames.take_in(bytes);
+fn read(bytes: &[u8]) -> Result<Option<frames::Answer>, FrameError> {
+    let mut frames = FrameDecoder::new(4096);
+    frames.push_bytes(bytes);
     frames.next_answer()
 }
 
@@ -33,20 +33,23 @@
 }
 
 #[rstest]
-#[case(97, Some(Ended::Finished))]
-#[case(99, Some(Ended::Miss))]
-#[case(100, Some(Ended::Full))]
-#[case(101, Some(Ended::Error))]
-#[case(102, Some(Ended::Dropped))]
+#[case(97, Some(ExecutionStatus::Finished))]
+#[case(99, Some(ExecutionStatus::ColdMiss))]
+#[case(100, Some(ExecutionStatus::Rejected))]
+#[case(101, Some(ExecutionStatus::Error))]
+#[case(102, Some(ExecutionStatus::Dropped))]
 #[case(103, None)]
-fn an_answer_tells_its_end_its_copy_and_its_report(#[case] code: u8, #[case] ended: Option<Ended>) {
+fn an_answer_tells_its_end_its_copy_and_its_report(
+    #[case] code: u8,
+    #[case] ended: Option<ExecutionStatus>,
+) {
     let fields = "remark=started,report=rif:7;q:2;x0:0.25;x1:1;new:3,copies=2";
     let answer = read(&frames::answer(code, 5, fields, b"out"))
         .unwrap()
         .unwrap();
     assert_eq!(
-        (answer.id, answer.ended, answer.copy, answer.copies),
-        (5, ended, Some(Copy::BeganLoad), Some(2))
+        (answer.id, answer.status, answer.instance, answer.instances),
+        (5, ended, Some(InstanceState::StartedLoad), Some(2))
     );
     let report = answer.report.unwrap();
     assert_eq!(
@@ -62,13 +65,13 @@
 }
 
 #[rstest]
-#[case::noise(b"GET / HTTP/1.1".to_vec(), Garbled::Mark(b'G'))]
-#[case::a_router_answers({ let mut f = frames::answer(97, 1, "", b""); f[0] = 76; f }, Garbled::Mark(76))]
-#[case::no_such_answer(frames::answer(98, 1, "", b""), Garbled::Code(98))]
-#[case::three_gigabytes({ let mut f = frames::answer(97, 1, "", b""); f[4] = 0xc0; f }, Garbled::TooLong(0xc000_0000))]
-#[case::a_bit_turned({ let mut f = frames::answer(97, 1, "", b"out"); f[17] ^= 1; f }, Garbled::Check)]
-#[case::fields_without_values(frames::answer(97, 1, "remark", b""), Garbled::Fields)]
-fn what_can_not_be_read_ends_the_connection(#[case] bytes: Vec<u8>, #[case] why: Garbled) {
+#[case::noise(b"GET / HTTP/1.1".to_vec(), FrameError::Mark(b'G'))]
+#[case::a_router_answers({ let mut f = frames::answer(97, 1, "", b""); f[0] = 76; f }, FrameError::Mark(76))]
+#[case::no_such_answer(frames::answer(98, 1, "", b""), FrameError::Code(98))]
+#[case::three_gigabytes({ let mut f = frames::answer(97, 1, "", b""); f[4] = 0xc0; f }, FrameError::TooLong(0xc000_0000))]
+#[case::a_bit_turned({ let mut f = frames::answer(97, 1, "", b"out"); f[17] ^= 1; f }, FrameError::Check)]
+#[case::fields_without_values(frames::answer(97, 1, "remark", b""), FrameError::Fields)]
+fn what_can_not_be_read_ends_the_connection(#[case] bytes: Vec<u8>, #[case] why: FrameError) {
     assert_eq!(read(&bytes), Err(why));
 }
 
@@ -88,10 +91,10 @@
     ) {
         let bytes: Vec<u8> = bodies.iter().enumerate()
             .flat_map(|(n, body)| frames::answer(97, n as u64, "remark=hot", body)).collect();
-        let (mut frames, mut rest, mut came) = (Frames::new(4096), bytes.as_slice(), Vec::new());
+        let (mut frames, mut rest, mut came) = (FrameDecoder::new(4096), bytes.as_slice(), Vec::new());
         for cut in cuts.iter().cycle() {
             let (piece, left) = rest.split_at((*cut).min(rest.len()));
-            frames.take_in(piece);
+            frames.push_bytes(piece);
             while let Some(answer) = frames.next_answer().unwrap() { came.push(answer.body) }
             rest = left;
             if rest.is_empty() { break }
@@ -103,8 +106,8 @@
     fn garbage_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..400), marked in any::<bool>()) {
         let mut bytes = bytes;
         if let (true, [mark, code, ..]) = (marked, &mut bytes[..]) { (*mark, *code) = (108, 97) }
-        let mut frames = Frames::new(4096);
-        frames.take_in(&bytes);
+        let mut frames = FrameDecoder::new(4096);
+        frames.push_bytes(&bytes);
         while let Ok(Some(_)) = frames.next_answer() {}
     }
 }
@@ -120,18 +123,25 @@
         {"n": 9, "members": {"revision": 2, "complete": false,
             "members": [member("a", "terminating", 0), member("b", "in_service", 5_000), member("c", "terminated", 0)]}},
     ]});
-    let told = control_feed::told(&json, &["slow".to_string(), "fast".to_string()]).unwrap();
-    assert_eq!((told.last, told.changes[0].n, told.changes[1].n), (9, 8, 9));
-    let Members { complete, members } = told.changes[1].members.clone().unwrap();
-    assert!(!complete && told.changes[0].members.as_ref().unwrap().complete);
-    let phases: Vec<Phase> = members.iter().map(|member| member.row.phase).collect();
+    let told = control_feed::parse(&json, &["slow".to_string(), "fast".to_string()]).unwrap();
+    assert_eq!(
+        (
+            told.last_number,
+            told.events[0].number,
+            told.events[1].number
+        ),
+        (9, 8, 9)
+    );
+    let Members { complete, members } = told.events[1].members.clone().unwrap();
+    assert!(!complete && told.events[0].members.as_ref().unwrap().complete);
+    let phases: Vec<Phase> = members.iter().map(|member| member.endpoint.phase).collect();
     assert_eq!(phases, [Phase::Draining, Phase::Ready, Phase::Gone]);
-    let mut starts = Starts::default();
-    starts.look_at_clocks(Clocks {
+    let mut starts = StartTimes::default();
+    starts.observe_clocks(ClockReading {
         now: 7_000_000,
         wall: 7_000_000,
     });
-    let rows = starts.rows(7_000_000, members, complete);
+    let rows = starts.endpoints(7_000_000, members, complete);
     assert_eq!(
         (rows[0].age_us, rows[1].age_us, rows[1].kind, rows[1].cell),
         (-1, 2_000_000, 1, 2)
@@ -157,8 +167,8 @@
 
 #[rstest]
 fn a_deployment_follows_from_the_start_configuration() {
-    let read = Configuration::read(&configuration().to_string()).unwrap();
-    let loaded = read.deployment().unwrap();
+    let read = StartupConfig::read(&configuration().to_string()).unwrap();
+    let loaded = read.deployment_settings().unwrap();
     assert_eq!(loaded.names("workloads"), ["job"]);
     assert_eq!(loaded.text("workloads.0.effect"), "run-once");
     assert_eq!(loaded.span("workloads.0.time-limit-us"), 2_000_000);
@@ -186,9 +196,9 @@
 ) {
     let mut json = configuration();
     json["settings"]["classes"][0]["deadline-us"] = json!(longest);
-    let loaded = Configuration::read(&json.to_string())
+    let loaded = StartupConfig::read(&json.to_string())
         .unwrap()
-        .deployment()
+        .deployment_settings()
         .unwrap();
     assert_eq!(loaded.span("limits.stop-within-us"), by);
 }
@@ -204,7 +214,7 @@
 ) {
     let mut json = configuration();
     json["settings"][key] = value;
-    let why = Configuration::read(&json.to_string()).unwrap_err();
+    let why = StartupConfig::read(&json.to_string()).unwrap_err();
     assert!(why.starts_with(&format!("settings.{key}")), "{why}");
 }
 
@@ -222,7 +232,7 @@
 ) {
     let mut json = configuration();
     json[key] = value;
-    let why = Configuration::read(&json.to_string()).unwrap_err();
+    let why = StartupConfig::read(&json.to_string()).unwrap_err();
     assert!(why.starts_with(key), "{why}");
 }
 
@@ -280,8 +290,8 @@
         });
         (settings["me"], settings["balancers"]) = (json!(size.2), json!(size.3));
         json["limits"] = json!({"sockets": size.0, "memory_mb": size.1});
-        let read = Configuration::read(&json.to_string()).unwrap();
-        let loaded = read.deployment();
+        let read = StartupConfig::read(&json.to_string()).unwrap();
+        let loaded = read.deployment_settings();
         prop_assert!(loaded.is_ok(), "{}", loaded.err().unwrap_or_default());
         prop_assert_eq!(loaded.unwrap().names("workloads").len(), classes.len());
     }
--- a/crates/sanddrum-platform/tests/starts.rs
+++ b/crates/sanddrum-platform/tests/starts.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sanddrum_platform::control_feed::Member;
-use sanddrum_platform::starts::{Clocks, Starts};
-use sanddrum_wire::{Phase, Row};
+use sanddrum_platform::starts::{ClockReading, StartTimes};
+use sanddrum_wire::{EndpointRecord, Phase};
 
 const S: i64 = 1_000_000;
 const HOUR: i64 = 3600 * S;
@@ -12,21 +12,21 @@
 const BEGUN: i64 = 1_000_000 * S;
 
 fn member(name: &str, up_since: i64) -> Member {
-    let row = Row {
+    let row = EndpointRecord {
         name: name.into(),
         phase: Phase::Ready,
-        ..Row::default()
+        ..EndpointRecord::default()
     };
     Member {
-        row,
+        endpoint: row,
         up_since_ms: up_since / 1000,
     }
 }
 /// Takes one event with one server; its incarnation and age.
-fn told(starts: &mut Starts, now: i64, wall: i64, up_since: i64) -> (u64, i64) {
-    starts.look_at_clocks(Clocks { now, wall });
-    let rows = starts.rows(now, vec![member("a", up_since)], false);
-    starts.all_told(now);
+fn told(starts: &mut StartTimes, now: i64, wall: i64, up_since: i64) -> (u64, i64) {
+    starts.observe_clocks(ClockReading { now, wall });
+    let rows = starts.endpoints(now, vec![member("a", up_since)], false);
+    starts.finish_batch(now);
     (rows[0].incarnation, rows[0].age_us)
 }
 
@@ -37,12 +37,12 @@
 #[case::only_this_clock_forward(HOUR, 0)]
 #[case::only_this_clock_back(-HOUR, 0)]
 fn a_start_told_after_a_long_gap_is_no_older_than_it_is(#[case] here: i64, #[case] there: i64) {
-    let mut starts = Starts::default();
-    starts.look_at_clocks(Clocks {
+    let mut starts = StartTimes::default();
+    starts.observe_clocks(ClockReading {
         now: BEGUN,
         wall: BEGUN,
     });
-    starts.all_told(BEGUN);
+    starts.finish_batch(BEGUN);
     let (started, now) = (BEGUN + 50 * S, BEGUN + 60 * S);
     let (_, age) = told(&mut starts, now, now + here, started + there);
     assert!(age <= 10 * S, "{age}");
@@ -50,7 +50,7 @@
 
 #[rstest]
 fn the_same_date_is_the_same_start_and_an_earlier_one_a_later_start() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     let (first, _) = told(&mut starts, BEGUN, BEGUN, BEGUN - 5 * S);
     let (again, age) = told(&mut starts, BEGUN + S, BEGUN + S, BEGUN - 5 * S);
     let (later, new_age) = told(
@@ -68,8 +68,8 @@
 
 #[rstest]
 fn a_date_a_little_ahead_of_this_clock_is_a_start_just_now() {
-    let mut starts = Starts::default();
-    starts.look_at_clocks(Clocks {
+    let mut starts = StartTimes::default();
+    starts.observe_clocks(ClockReading {
         now: BEGUN,
         wall: BEGUN + HOUR,
     });
@@ -84,7 +84,7 @@
 
 #[rstest]
 fn a_server_that_stands_since_long_stays_one_whatever_the_clocks_do() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     for step in [0, HOUR, -HOUR] {
         assert_eq!(told(&mut starts, BEGUN + S, BEGUN + S + step, 0), (0, -1));
     }
@@ -98,7 +98,7 @@
         steps in prop::collection::vec((-2 * HOUR..2 * HOUR, 1i64..20), 0..3),
         start in 0i64..60, late in 0i64..5,
     ) {
-        let mut starts = Starts::default();
+        let mut starts = StartTimes::default();
         let mut at = 0;
         let offset_at = |second: i64| {
             let mut from = 0;
@@ -106,8 +106,8 @@
         };
         while at < start + late {
             let now = BEGUN + at * S;
-            starts.look_at_clocks(Clocks { now, wall: now + offset_at(at) });
-            starts.all_told(now);
+            starts.observe_clocks(ClockReading { now, wall: now + offset_at(at) });
+            starts.finish_batch(now);
             at += 1;
         }
         let now = BEGUN + (start + late) * S;
--- a/crates/sanddrum-settings/src/checks.rs
+++ b/crates/sanddrum-settings/src/checks.rs
@@ -1,10 +1,10 @@
 //! Combinations that cannot work are refused before anything starts.
 
-use crate::forms::Problem;
-use crate::values::Loaded;
+use crate::forms::SettingsError;
+use crate::values::LoadedSettings;
 use std::collections::BTreeMap;
 
-pub(crate) fn check(l: &Loaded) -> Result<(), Problem> {
+pub(crate) fn check(l: &LoadedSettings) -> Result<(), SettingsError> {
     let zones = l.names("zones");
     let workloads = l.names("workloads");
     if workloads.is_empty() {
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-fn door(l: &Loaded) -> Result<(), Problem> {
+fn door(l: &LoadedSettings) -> Result<(), SettingsError> {
     let tls = l.text("door.speaks") == "tls";
     if tls && !(l.has("door.certificate-file") && l.has("door.key-file")) {
         let what = "the client door can't speak TLS without a certificate and its key";
@@ -179,7 +179,7 @@
     Ok(())
 }
 
-fn workload(l: &Loaded, at: &str) -> Result<(), Problem> {
+fn workload(l: &LoadedSettings, at: &str) -> Result<(), SettingsError> {
     let name = |key: &str| format!("{at}.{key}");
     let (target, limit) = (
         l.span(&name("start-target-us")),
--- a/crates/sanddrum-settings/src/forms.rs
+++ b/crates/sanddrum-settings/src/forms.rs
@@ -6,35 +6,35 @@
 
 /// What is wrong with a file, where, and what to do about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct SettingsError {
     pub file: String,
     /// From one; nought where the whole file is meant.
     pub line: usize,
     pub column: usize,
-    pub what: String,
+    pub message: String,
     pub remedy: String,
 }
 
-impl Problem {
+impl SettingsError {
     pub fn of_file(file: &str, error: &std::io::Error) -> Self {
         let remedy = "give the path of a readable settings file".to_string();
-        Problem {
+        SettingsError {
             file: file.into(),
             line: 0,
             column: 0,
-            what: error.to_string(),
+            message: error.to_string(),
             remedy,
         }
     }
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if self.line > 0 {
             write!(f, ":{}:{}", self.line, self.column)?;
         }
-        write!(f, ": {}", self.what)?;
+        write!(f, ": {}", self.message)?;
         if !self.remedy.is_empty() {
             write!(f, "\n  {}", self.remedy)?;
         }
@@ -42,7 +42,7 @@
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for SettingsError {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Place {
@@ -73,19 +73,19 @@
     place: Place,
     what: impl Into<String>,
     remedy: impl Into<String>,
-) -> Problem {
+) -> SettingsError {
     let (what, remedy) = (what.into(), remedy.into());
-    Problem {
+    SettingsError {
         file: file.into(),
         line: place.line,
         column: place.column,
-        what,
+        message: what,
         remedy,
     }
 }
 
 /// All forms of a text, in order.
-pub(crate) fn forms(file: &str, text: &str) -> Result<Vec<Form>, Problem> {
+pub(crate) fn forms(file: &str, text: &str) -> Result<Vec<Form>, SettingsError> {
     too_deep(file, text)?;
     let mut parser = Parser::from_str(text);
     let mut forms = Vec::new();
@@ -111,7 +111,7 @@
     }
 }
 
-fn too_deep(file: &str, text: &str) -> Result<(), Problem> {
+fn too_deep(file: &str, text: &str) -> Result<(), SettingsError> {
     let mut depth = 0usize;
     for (n, line) in text.lines().enumerate() {
         for (column, c) in line.chars().enumerate() {
@@ -145,7 +145,7 @@
     }
 }
 
-fn form(file: &str, datum: Ref<'_>) -> Result<Form, Problem> {
+fn form(file: &str, datum: Ref<'_>) -> Result<Form, SettingsError> {
     let at = place(datum);
     let wanted = || {
         problem(
--- a/crates/sanddrum-settings/src/lib.rs
+++ b/crates/sanddrum-settings/src/lib.rs
@@ -8,9 +8,9 @@
 mod schema;
 mod values;
 
-pub use forms::Problem;
+pub use forms::SettingsError;
 pub use schema::{key, Key, Kind, Section, DEPLOYMENT};
-pub use values::{Loaded, Origin};
+pub use values::{LoadedSettings, Origin};
 
 use std::path::Path;
 
@@ -18,9 +18,9 @@
 ///
 /// # Errors
 /// The file can't be read, or something in it is wrong: the problem names the place, what is wrong and what to do.
-pub fn load(path: &Path) -> Result<Loaded, Problem> {
+pub fn load(path: &Path) -> Result<LoadedSettings, SettingsError> {
     let text = std::fs::read_to_string(path)
-        .map_err(|e| Problem::of_file(&path.display().to_string(), &e))?;
+        .map_err(|e| SettingsError::of_file(&path.display().to_string(), &e))?;
     read(&path.display().to_string(), &text)
 }
 
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// As [`load`].
-pub fn read(file: &str, text: &str) -> Result<Loaded, Problem> {
+pub fn read(file: &str, text: &str) -> Result<LoadedSettings, SettingsError> {
     let loaded = values::read(file, text, DEPLOYMENT)?;
     checks::check(&loaded)?;
     Ok(loaded)
@@ -38,7 +38,11 @@
 ///
 /// # Errors
 /// As [`load`].
-pub fn read_with(file: &str, text: &str, more: &[Section]) -> Result<Loaded, Problem> {
+pub fn read_with(
+    file: &str,
+    text: &str,
+    more: &[Section],
+) -> Result<LoadedSettings, SettingsError> {
     let schema = [DEPLOYMENT, more].concat();
     let loaded = values::read(file, text, &schema)?;
     checks::check(&loaded)?;
@@ -49,6 +53,6 @@
 ///
 /// # Errors
 /// As [`load`].
-pub fn check(loaded: &Loaded) -> Result<(), Problem> {
+pub fn check(loaded: &LoadedSettings) -> Result<(), SettingsError> {
     checks::check(loaded)
 }
--- a/crates/sanddrum-settings/src/values.rs
+++ b/crates/sanddrum-settings/src/values.rs
@@ -1,6 +1,6 @@
 //! From forms to dotted names with plain values, each with where it came from.
 
-use crate::forms::{self, problem, Form, Part, Place, Problem};
+use crate::forms::{self, problem, Form, Part, Place, SettingsError};
 use crate::schema::{Key, Kind, Section};
 use sanddrum::{Micros, Settings, Value};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 
 /// Settings that have been read.
 #[derive(Clone, Debug, Default)]
-pub struct Loaded {
+pub struct LoadedSettings {
     pub file: String,
     /// Dotted names to plain values, as the decision module takes them.
     pub values: Settings,
@@ -34,7 +34,7 @@
     schema: Vec<Section>,
 }
 
-impl Loaded {
+impl LoadedSettings {
     pub fn number(&self, name: &str) -> f64 {
         self.values.number(name).unwrap_or_default()
     }
@@ -58,7 +58,7 @@
         self.size(&format!("{name}.count"))
     }
     /// A list of whole numbers.
-    pub fn wholes(&self, name: &str) -> Vec<u64> {
+    pub fn integers(&self, name: &str) -> Vec<u64> {
         let each = |n| self.values.number(&format!("{name}.{n}"));
         (0..self.count(name))
             .filter_map(|n| each(n).map(|whole| whole as u64))
@@ -78,7 +78,12 @@
     ///
     /// # Errors
     /// The name is unknown or the value is wrong for it.
-    pub fn give(&mut self, name: &str, value: &str, by: &str) -> Result<(), Problem> {
+    pub fn override_value(
+        &mut self,
+        name: &str,
+        value: &str,
+        by: &str,
+    ) -> Result<(), SettingsError> {
         let nowhere = Place { line: 0, column: 0 };
         let schema = self.schema.clone();
         let known = schema
@@ -128,7 +133,7 @@
         name: &str,
         what: impl Into<String>,
         remedy: impl Into<String>,
-    ) -> Problem {
+    ) -> SettingsError {
         let place = match self.origins.get(name) {
             Some(Origin::File { line, column }) => Place {
                 line: *line,
@@ -153,11 +158,15 @@
     }
 }
 
-pub(crate) fn read(file: &str, text: &str, schema: &[Section]) -> Result<Loaded, Problem> {
-    let mut loaded = Loaded {
+pub(crate) fn read(
+    file: &str,
+    text: &str,
+    schema: &[Section],
+) -> Result<LoadedSettings, SettingsError> {
+    let mut loaded = LoadedSettings {
         file: file.into(),
         schema: schema.to_vec(),
-        ..Loaded::default()
+        ..LoadedSettings::default()
     };
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for form in forms::forms(file, text)? {
@@ -199,11 +208,11 @@
 }
 
 fn section_of(
-    loaded: &mut Loaded,
+    loaded: &mut LoadedSettings,
     section: &Section,
     form: &Form,
     n: usize,
-) -> Result<(), Problem> {
+) -> Result<(), SettingsError> {
     let file = loaded.file.clone();
     let mut parts = form.parts.as_slice();
     let mut at = section.dotted.to_string();
@@ -260,7 +269,7 @@
     defaults(loaded, section, &at)
 }
 
-impl Loaded {
+impl LoadedSettings {
     fn names_so_far(&self, section: &Section, n: usize) -> Vec<String> {
         let name = |n| {
             self.values
@@ -273,12 +282,12 @@
 
 /// Names or whole numbers, one after the other.
 fn list(
-    loaded: &mut Loaded,
+    loaded: &mut LoadedSettings,
     key: &Key,
     form: &Form,
     at: &str,
     origin: &Origin,
-) -> Result<(), Problem> {
+) -> Result<(), SettingsError> {
     let dotted = key
         .dotted
         .map_or_else(|| format!("{at}.{}", key.name), String::from);
@@ -315,7 +324,7 @@
     Ok(())
 }
 
-fn defaults(loaded: &mut Loaded, section: &Section, at: &str) -> Result<(), Problem> {
+fn defaults(loaded: &mut LoadedSettings, section: &Section, at: &str) -> Result<(), SettingsError> {
     for key in section.keys {
         let Some(default) = key.default else { continue };
         let text = match key.kind {
@@ -352,7 +361,7 @@
 }
 
 /// One setting as its dotted name and plain value.
-fn plain(file: &str, at: &str, key: &Key, form: &Form) -> Result<(String, Value), Problem> {
+fn plain(file: &str, at: &str, key: &Key, form: &Form) -> Result<(String, Value), SettingsError> {
     let dotted = key
         .dotted
         .map_or_else(|| format!("{at}.{}", full_name(key)), String::from);
--- a/crates/sanddrum-settings/tests/stories.rs
+++ b/crates/sanddrum-settings/tests/stories.rs
@@ -78,10 +78,11 @@
 #[rstest]
 fn the_command_line_sets_what_a_file_may() {
     let mut l = read("demo.sx", GOOD).unwrap();
-    l.give("edge.listen", "127.0.0.1:0", "--listen").unwrap();
+    l.override_value("edge.listen", "127.0.0.1:0", "--listen")
+        .unwrap();
     assert_eq!(l.text("edge.listen"), "127.0.0.1:0");
     assert!(l
-        .give("limits.tik", "3s", "--set")
+        .override_value("limits.tik", "3s", "--set")
         .unwrap_err()
         .to_string()
         .contains("not a setting"));
@@ -102,7 +103,7 @@
 #[case::none("(sizes (workers))", &[])]
 fn a_list_of_whole_numbers_is_told_in_its_order(#[case] added: &str, #[case] wholes: &[u64]) {
     let l = read_with("demo.sx", &format!("{GOOD}{added}"), SIZES).unwrap();
-    assert_eq!(l.wholes("sizes.workers"), wholes);
+    assert_eq!(l.integers("sizes.workers"), wholes);
 }
 
 #[rstest]
@@ -120,7 +121,7 @@
 ) {
     let problem = read_with("demo.sx", &format!("{GOOD}{added}"), SIZES).unwrap_err();
     assert_eq!((problem.line, problem.column), (8, column), "{problem}");
-    assert_eq!(problem.what, what);
+    assert_eq!(problem.message, what);
 }
 
 proptest! {
--- a/crates/sanddrum-simulator-adapter/src/decode_tests.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode_tests.rs
@@ -21,9 +21,9 @@
         "name": "n1", "listen": "127.0.0.1:80", "feed": "127.0.0.1:81", "seed": "7", "settings": settings,
         "limits": {"sockets": 256, "memory_mb": 32}, "known": {"n": 0, "events": []},
     });
-    let routers = sanddrum_platform::Configuration::read(&configuration.to_string())
+    let routers = sanddrum_platform::StartupConfig::read(&configuration.to_string())
         .unwrap()
-        .module();
+        .decision_settings();
     assert_eq!(adapters.0, routers.0);
     assert_eq!(adapters.text("workloads.0.effect"), Some("fingerprinted"));
 }
--- a/crates/sanddrum-upstream/src/backoff.rs
+++ b/crates/sanddrum-upstream/src/backoff.rs
@@ -22,19 +22,19 @@
         }
     }
     /// It failed after a while, which is the least that it is left alone for now. `part` is drawn, from nought to one.
-    pub fn failed(&mut self, now: Micros, after: Micros, part: f64) -> Micros {
+    pub fn record_failure(&mut self, now: Micros, after: Micros, part: f64) -> Micros {
         self.wait = (self.wait * 2).max(after).clamp(self.least, self.most);
         self.until = now + (self.wait as f64 * (1.0 - part / 2.0)) as Micros;
         self.until
     }
-    pub fn good(&mut self) {
+    pub fn reset(&mut self) {
         (self.wait, self.until) = (0, Micros::MIN);
     }
     /// The last try failed.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.wait > 0
     }
-    pub fn is_left_alone(&self, now: Micros) -> bool {
+    pub fn is_backing_off(&self, now: Micros) -> bool {
         now < self.until
     }
 }
--- a/crates/sanddrum-upstream/src/handshake_budget.rs
+++ b/crates/sanddrum-upstream/src/handshake_budget.rs
@@ -2,7 +2,7 @@
 
 /// What handshakes take, as learned from those that were done: a long one, and one that takes up a session.
 #[derive(Clone, Debug)]
-pub struct Costs {
+pub struct HandshakeCosts {
     full: f64,
     short: f64,
 }
@@ -15,15 +15,15 @@
 /// handshakes.
 const MOST_TIMES: f64 = 4.0;
 
-impl Costs {
+impl HandshakeCosts {
     pub(crate) fn new(time_out: Micros) -> Self {
         let first = time_out as f64 * FIRST_PART;
-        Costs {
+        HandshakeCosts {
             full: first,
             short: first,
         }
     }
-    pub(crate) fn took(&mut self, span: Micros, short: bool) {
+    pub(crate) fn record(&mut self, span: Micros, short: bool) {
         let known = if short {
             &mut self.short
         } else {
@@ -35,7 +35,7 @@
     pub fn full(&self) -> Micros {
         self.full as Micros
     }
-    pub fn short(&self) -> Micros {
+    pub fn resumed(&self) -> Micros {
         self.short as Micros
     }
 }
--- a/crates/sanddrum-upstream/src/idle_timeout.rs
+++ b/crates/sanddrum-upstream/src/idle_timeout.rs
@@ -12,17 +12,17 @@
 const TELLS: Micros = 25;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Rests {
+pub struct IdleTimeoutEstimate {
     least: Micros,
     /// None: any rest is trusted.
     trusted: Option<Micros>,
     since: Micros,
 }
 
-impl Rests {
+impl IdleTimeoutEstimate {
     /// `time_out` is the time within which a connection is up or given up.
     pub fn new(time_out: Micros) -> Self {
-        Rests {
+        IdleTimeoutEstimate {
             least: (time_out / TELLS).max(1),
             trusted: None,
             since: 0,
@@ -30,7 +30,7 @@
     }
     /// A connection broke under what it carried, unanswered, after such a rest and so long after it was written to. What
     /// is dropped shows at once; a break later than that has another cause, such as a worker that died.
-    pub fn broke(&mut self, now: Micros, rested: Micros, written: Micros) {
+    pub fn record_reset(&mut self, now: Micros, rested: Micros, written: Micros) {
         if rested >= self.least && written <= self.least {
             let now_trusted = self.trusted(now).unwrap_or(rested).min(rested);
             (self.trusted, self.since) = (Some((now_trusted / CUT).max(self.least)), now);
--- a/crates/sanddrum-upstream/src/lib.rs
+++ b/crates/sanddrum-upstream/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which connections to workers are opened, kept, left alone and retired, and when. The host makes one [`Connections`]
-//! an edge and calls `round` once a round with all that came in ([`Events`]) and a writer ([`Decisions`]). All news is
+//! Which connections to workers are opened, kept, left alone and retired, and when. The host makes one [`ConnectionPolicy`]
+//! an edge and calls `round` once a round with all that came in ([`ConnectionEvents`]) and a writer ([`Decisions`]). All news is
 //! recorded first; only then is decided. It chooses no worker: that is the decision module's matter. Here is decided
 //! what becomes of the connections that its choices need.
 //!
@@ -7,7 +7,7 @@
 //! time; a worker that has just started gets no more of them than a part of what it can do yet, all edges together, with
 //! no word between them: each keeps a distance between its own, and begins at a moment drawn by chance. A worker that
 //! can't be reached is left alone for a while that grows, and all tries at such workers share one budget, so that a
-//! dead zone costs little. Connections made on past terms are replaced a few at a time within a stated time.
+//! dead zone costs little. ConnectionPolicy made on past terms are replaced a few at a time within a stated time.
 
 #![allow(clippy::too_many_lines, missing_docs)] // unfinished: docs/ROADMAP.md
 
@@ -18,116 +18,116 @@
 mod worker;
 
 pub use backoff::Backoff;
-pub use handshake_budget::Costs;
-pub use idle_timeout::Rests;
-use rotation::Retiring;
+pub use handshake_budget::HandshakeCosts;
+pub use idle_timeout::IdleTimeoutEstimate;
+use rotation::Rotation;
 use worker::Worker;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sanddrum::{Micros, Settings, WorkerId};
-use sanddrum_limits::Bucket;
+use sanddrum_limits::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A connection to a worker, or one that is to be; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LinkId(pub u64);
+pub struct WorkerConnectionId(pub u64);
 
 /// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ClientId(pub u64);
+pub struct ClientConnectionId(pub u64);
 
 /// What a connection is wanted for; the first is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Need {
-    Job,
+pub enum Purpose {
+    Request,
     /// An order or a probe.
-    Errand,
-    Ahead,
+    Control,
+    Prewarm,
 }
 
 /// A worker as the list has it.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedWorker {
     pub worker: WorkerId,
     pub size: f64,
     /// When its process started; nought: long ago.
-    pub started: Micros,
-    pub ready: bool,
+    pub started_at: Micros,
+    pub is_ready: bool,
 }
 
 /// What waits for a connection that is not up.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
-    pub link: LinkId,
+pub struct ConnectionRequest {
+    pub connection: WorkerConnectionId,
     pub worker: WorkerId,
-    pub need: Need,
+    pub purpose: Purpose,
     /// Of no use later than this.
-    pub due: Micros,
+    pub deadline: Micros,
 }
 
 /// A connection made on terms that are past.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Old {
-    Link(LinkId),
-    Client(ClientId),
+pub enum OutdatedConnection {
+    Worker(WorkerConnectionId),
+    Client(ClientConnectionId),
 }
 
 /// What came in since the last round.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
-    pub listed: Vec<Listed>,
-    /// Listed no more.
-    pub gone: Vec<WorkerId>,
-    pub wanted: Vec<Wanted>,
+pub struct ConnectionEvents {
+    pub listed_workers: Vec<ListedWorker>,
+    /// ListedWorker no more.
+    pub removed_workers: Vec<WorkerId>,
+    pub requested: Vec<ConnectionRequest>,
     /// Up now; whether its handshake was a short one.
-    pub up: Vec<(LinkId, bool)>,
+    pub established: Vec<(WorkerConnectionId, bool)>,
     /// It never came to be, or what answered there was not who is listed.
-    pub failed: Vec<LinkId>,
+    pub failed: Vec<WorkerConnectionId>,
     /// Gone after it was up, or not wanted any more before.
-    pub ended: Vec<LinkId>,
+    pub closed: Vec<WorkerConnectionId>,
     /// Something was sent there, on a connection that is then full to this part.
-    pub used: Vec<(WorkerId, f64)>,
+    pub utilization: Vec<(WorkerId, f64)>,
     /// What it holds and what waits there, as it told.
-    pub loads: Vec<(WorkerId, f64)>,
+    pub load_reports: Vec<(WorkerId, f64)>,
     /// Made on past terms, with what it carries.
-    pub old: Vec<(Old, usize)>,
+    pub outdated: Vec<(OutdatedConnection, usize)>,
     /// With somebody who is not believed any more.
-    pub denied: Vec<Old>,
+    pub revoked: Vec<OutdatedConnection>,
 }
 
-impl Events {
+impl ConnectionEvents {
     pub fn is_empty(&self) -> bool {
-        self.listed.is_empty()
-            && self.wanted.is_empty()
-            && self.up.is_empty()
+        self.listed_workers.is_empty()
+            && self.requested.is_empty()
+            && self.established.is_empty()
             && self.failed.is_empty()
-            && self.ended.is_empty()
-            && self.old.is_empty()
-            && self.denied.is_empty()
-            && self.gone.is_empty()
-            && self.used.is_empty()
-            && self.loads.is_empty()
+            && self.closed.is_empty()
+            && self.outdated.is_empty()
+            && self.revoked.is_empty()
+            && self.removed_workers.is_empty()
+            && self.utilization.is_empty()
+            && self.load_reports.is_empty()
     }
 }
 
-/// Why what waits for a connection is told to go elsewhere.
+/// RejectReason what waits for a connection is told to go elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     /// It could not be reached a moment ago and is left alone.
-    Failing,
+    BackingOff,
     /// It could not be reached, and the tries at such workers are used up.
-    Again,
+    RetryBudget,
     /// It is cold or handshakes queue there, and it has its share of them for now.
-    Spared,
+    HandshakeBudget,
 }
 
-impl Why {
+impl RejectReason {
     pub fn reason(self) -> &'static str {
         match self {
-            Why::Failing => "left-alone",
-            Why::Again => "connect-again",
-            Why::Spared => "spared-handshakes",
+            RejectReason::BackingOff => "left-alone",
+            RejectReason::RetryBudget => "connect-again",
+            RejectReason::HandshakeBudget => "spared-handshakes",
         }
     }
 }
@@ -135,13 +135,13 @@
 /// Where decisions are written.
 pub trait Decisions {
     /// Begin this connection now.
-    fn open(&mut self, link: LinkId);
+    fn open(&mut self, link: WorkerConnectionId);
     /// Begin one that nothing waits for yet.
-    fn open_ahead(&mut self, worker: WorkerId);
+    fn prewarm(&mut self, worker: WorkerId);
     /// What waits for it is to be told at once.
-    fn give_up(&mut self, link: LinkId, why: Why);
+    fn reject(&mut self, link: WorkerConnectionId, why: RejectReason);
     /// Give it nothing new; it ends once it carries nothing.
-    fn retire(&mut self, old: Old);
+    fn retire(&mut self, old: OutdatedConnection);
     /// Call again then, if not before.
     fn wake_at(&mut self, at: Micros);
 }
@@ -155,12 +155,12 @@
 const PATIENCE: f64 = 0.25;
 /// Where the emptiest connection to a worker is full to this part, a further one is made ahead of need.
 const NEARLY_FULL: f64 = 0.75;
-/// Connections that nothing waits for leave this part of the handshakes to those that something does.
+/// ConnectionPolicy that nothing waits for leave this part of the handshakes to those that something does.
 const AHEAD_PART: f64 = 0.5;
 
 struct Waiting {
     worker: WorkerId,
-    need: Need,
+    need: Purpose,
     due: Micros,
 }
 struct Begun {
@@ -168,7 +168,7 @@
     at: Micros,
 }
 
-pub struct Connections {
+pub struct ConnectionPolicy {
     handshakes: usize,
     per_worker: usize,
     ahead: usize,
@@ -182,27 +182,27 @@
     idle: Micros,
     chance: Pcg64Mcg,
     workers: BTreeMap<WorkerId, Worker>,
-    waiting: BTreeMap<LinkId, Waiting>,
-    begun: BTreeMap<LinkId, Begun>,
-    up: BTreeMap<LinkId, WorkerId>,
+    waiting: BTreeMap<WorkerConnectionId, Waiting>,
+    begun: BTreeMap<WorkerConnectionId, Begun>,
+    up: BTreeMap<WorkerConnectionId, WorkerId>,
     tight: BTreeSet<WorkerId>,
     /// Something has changed by which a connection ahead of need may be missing.
     look_ahead: bool,
-    costs: Costs,
+    costs: HandshakeCosts,
     /// Tries at what failed when it was last tried, shared by all who want something there: so many a second, and a
     /// second's worth may be saved up.
-    again: Bucket,
+    again: TokenBucket,
     again_per_s: f64,
-    retiring: Retiring,
+    retiring: Rotation,
     backoff: (Micros, Micros),
 }
 
-impl Connections {
+impl ConnectionPolicy {
     pub fn new(seed: u64, settings: &Settings) -> Self {
         let number = |name: &str, otherwise: f64| settings.number(name).unwrap_or(otherwise);
         let span = |name: &str, otherwise: f64| number(name, otherwise) as Micros;
         let time_out = span("limits.connect-time-out-us", 1e6);
-        Connections {
+        ConnectionPolicy {
             handshakes: number("limits.handshakes-out", 32.0) as usize,
             per_worker: number("limits.handshakes-per-worker", 2.0) as usize,
             ahead: number("limits.connections-ahead", 0.0) as usize,
@@ -219,10 +219,10 @@
             up: BTreeMap::new(),
             tight: BTreeSet::new(),
             look_ahead: false,
-            costs: Costs::new(time_out),
-            again: Bucket::default(),
+            costs: HandshakeCosts::new(time_out),
+            again: TokenBucket::default(),
             again_per_s: number("limits.connect-again", 20.0),
-            retiring: Retiring::new(
+            retiring: Rotation::new(
                 span("limits.retire-within-us", 30e6),
                 number("limits.retire-at-once", 4.0),
             ),
@@ -233,16 +233,16 @@
         }
     }
     /// What handshakes take, as learned.
-    pub fn costs(&self) -> &Costs {
+    pub fn costs(&self) -> &HandshakeCosts {
         &self.costs
     }
-    pub fn handshakes_out(&self) -> usize {
+    pub fn handshakes_in_flight(&self) -> usize {
         self.begun.len()
     }
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
-    pub fn handle(&mut self, now: Micros, news: &Events, out: &mut impl Decisions) {
+    pub fn handle(&mut self, now: Micros, news: &ConnectionEvents, out: &mut impl Decisions) {
         self.record(now, news);
         self.retire(now, out);
         self.serve(now, out);
@@ -255,30 +255,33 @@
         self.chance.random()
     }
 
-    fn record(&mut self, now: Micros, news: &Events) {
-        for row in &news.listed {
+    fn record(&mut self, now: Micros, news: &ConnectionEvents) {
+        for row in &news.listed_workers {
             let worker = self
                 .workers
                 .entry(row.worker)
                 .or_insert_with(|| Worker::new(self.backoff));
-            if worker.started != row.started {
+            if worker.started != row.started_at {
                 // A new process: what the old one did to us says nothing of it.
-                worker.backoff.good();
+                worker.backoff.reset();
                 worker.next = None;
                 worker.spared_until = Micros::MIN;
             }
-            (worker.size, worker.started, worker.ready) =
-                (row.size.max(f64::MIN_POSITIVE), row.started, row.ready);
+            (worker.size, worker.started, worker.ready) = (
+                row.size.max(f64::MIN_POSITIVE),
+                row.started_at,
+                row.is_ready,
+            );
         }
-        for id in &news.gone {
+        for id in &news.removed_workers {
             self.workers.entry(*id).and_modify(|w| w.ready = false);
         }
-        for wanted in &news.wanted {
-            let Wanted {
-                link,
+        for wanted in &news.requested {
+            let ConnectionRequest {
+                connection: link,
                 worker,
-                need,
-                due,
+                purpose: need,
+                deadline: due,
             } = *wanted;
             if self.begun.contains_key(&link) || self.up.contains_key(&link) {
                 continue;
@@ -289,19 +292,19 @@
                 .or_insert(Waiting { worker, need, due });
             (waiting.need, waiting.due) = (waiting.need.min(need), waiting.due.max(due));
         }
-        for (link, short) in &news.up {
+        for (link, short) in &news.established {
             let Some(begun) = self.begun.remove(link) else {
                 continue;
             };
             let (span, usual) = (
                 now - begun.at,
                 if *short {
-                    self.costs.short()
+                    self.costs.resumed()
                 } else {
                     self.costs.full()
                 },
             );
-            self.costs.took(span, *short);
+            self.costs.record(span, *short);
             if span > QUEUES * usual {
                 self.spare(now, begun.worker);
             }
@@ -310,7 +313,7 @@
             if let Some(worker) = self.workers.get_mut(&begun.worker) {
                 worker.under_way -= 1;
                 worker.open += 1;
-                worker.backoff.good();
+                worker.backoff.reset();
             }
         }
         for link in &news.failed {
@@ -324,16 +327,16 @@
             worker.open -= usize::from(up.is_some());
             // What took long to fail is left alone for at least as long, or it would be tried all the time.
             let after = begun.map_or(0, |begun| now - begun.at);
-            worker.backoff.failed(now, after, part);
-            self.retiring.ended(Old::Link(*link));
+            worker.backoff.record_failure(now, after, part);
+            self.retiring.ended(OutdatedConnection::Worker(*link));
             if let Some(id) = id.filter(|_| after * 2 >= self.time_out) {
-                self.costs.took(after, false);
+                self.costs.record(after, false);
                 self.spare(now, id);
             }
         }
-        for link in &news.ended {
+        for link in &news.closed {
             self.waiting.remove(link);
-            self.retiring.ended(Old::Link(*link));
+            self.retiring.ended(OutdatedConnection::Worker(*link));
             if let Some(begun) = self.begun.remove(link) {
                 self.workers
                     .entry(begun.worker)
@@ -343,7 +346,7 @@
                 self.workers.entry(worker).and_modify(|w| w.open -= 1);
             }
         }
-        for (id, full) in &news.used {
+        for (id, full) in &news.utilization {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.used(now, self.idle);
             }
@@ -351,13 +354,15 @@
                 self.tight.insert(*id);
             }
         }
-        for (worker, load) in &news.loads {
+        for (worker, load) in &news.load_reports {
             self.workers.entry(*worker).and_modify(|w| w.load = *load);
         }
-        self.retiring.add(now, &news.old);
-        self.retiring.at_once(&news.denied);
-        self.look_ahead |= !(news.listed.is_empty() && news.up.is_empty() && news.ended.is_empty());
-        if !news.gone.is_empty() {
+        self.retiring.add(now, &news.outdated);
+        self.retiring.at_once(&news.revoked);
+        self.look_ahead |= !(news.listed_workers.is_empty()
+            && news.established.is_empty()
+            && news.closed.is_empty());
+        if !news.removed_workers.is_empty() {
             let waited: BTreeSet<WorkerId> = self.waiting.values().map(|w| w.worker).collect();
             self.workers
                 .retain(|id, w| w.ready || w.open + w.under_way > 0 || waited.contains(id));
@@ -412,7 +417,7 @@
     /// How many handshakes may be under way to a worker: one where its own work already waits, where it is spared, or
     /// where nobody knows whether it can be reached.
     fn bound(&self, worker: &Worker) -> usize {
-        match worker.load >= worker.size || worker.backoff.is_doubtful() || worker.next.is_some() {
+        match worker.load >= worker.size || worker.backoff.has_failed() || worker.next.is_some() {
             true => 1,
             false => self.per_worker,
         }
@@ -423,7 +428,7 @@
     /// Begins what waits, in the order of needs and then of times, as far as there is room; tells the rest whether to
     /// wait or to go elsewhere.
     fn serve(&mut self, now: Micros, out: &mut impl Decisions) {
-        let mut order: Vec<(Need, Micros, LinkId)> = self
+        let mut order: Vec<(Purpose, Micros, WorkerConnectionId)> = self
             .waiting
             .iter()
             .map(|(link, w)| (w.need, w.due, *link))
@@ -435,14 +440,15 @@
             };
             let spared = self.next(now, id);
             let listed = self.workers.get(&id);
-            let Some(worker) = listed.filter(|worker| !worker.backoff.is_left_alone(now)) else {
-                self.give_up(link, Why::Failing, out);
+            let Some(worker) = listed.filter(|worker| !worker.backoff.is_backing_off(now)) else {
+                self.give_up(link, RejectReason::BackingOff, out);
                 continue;
             };
             if let Some(at) = spared.filter(|at| *at > now) {
-                match need < Need::Ahead && (at - now) as f64 > PATIENCE * (due - now).max(0) as f64
+                match need < Purpose::Prewarm
+                    && (at - now) as f64 > PATIENCE * (due - now).max(0) as f64
                 {
-                    true => self.give_up(link, Why::Spared, out),
+                    true => self.give_up(link, RejectReason::HandshakeBudget, out),
                     false => out.wake_at(at),
                 }
                 continue;
@@ -450,13 +456,13 @@
             if worker.under_way >= self.bound(worker) || self.begun.len() >= self.handshakes {
                 continue;
             }
-            if worker.backoff.is_doubtful()
+            if worker.backoff.has_failed()
                 && self
                     .again
                     .take(now, self.again_per_s, self.again_per_s)
                     .is_err()
             {
-                self.give_up(link, Why::Again, out);
+                self.give_up(link, RejectReason::RetryBudget, out);
                 continue;
             }
             self.waiting.remove(&link);
@@ -464,11 +470,11 @@
             out.open(link);
         }
     }
-    fn give_up(&mut self, link: LinkId, why: Why, out: &mut impl Decisions) {
+    fn give_up(&mut self, link: WorkerConnectionId, why: RejectReason, out: &mut impl Decisions) {
         self.waiting.remove(&link);
-        out.give_up(link, why);
+        out.reject(link, why);
     }
-    fn begin(&mut self, now: Micros, link: LinkId, id: WorkerId) {
+    fn begin(&mut self, now: Micros, link: WorkerConnectionId, id: WorkerId) {
         self.begun.insert(
             link,
             Begun {
@@ -494,7 +500,7 @@
         }
         let room = (self.handshakes as f64 * AHEAD_PART) as usize;
         let ready =
-            |w: &Worker| w.ready && !w.backoff.is_doubtful() && w.load < w.size && w.under_way == 0;
+            |w: &Worker| w.ready && !w.backoff.has_failed() && w.load < w.size && w.under_way == 0;
         let waited: BTreeSet<WorkerId> = self.waiting.values().map(|w| w.worker).collect();
         let tight = std::mem::take(&mut self.tight);
         let tight = tight
@@ -521,10 +527,7 @@
             wanted.extend(missing.map(|(_, id)| *id));
         }
         let room = room.saturating_sub(self.begun.len() + self.waiting.len());
-        wanted
-            .into_iter()
-            .take(room)
-            .for_each(|id| out.open_ahead(id));
+        wanted.into_iter().take(room).for_each(|id| out.prewarm(id));
     }
 
     /// Replaces connections made on past terms: where one is in use, its successor is made first.
@@ -535,17 +538,17 @@
             .for_each(|old| out.retire(old));
         for old in self.retiring.due(now) {
             let in_use = match old {
-                Old::Link(link) => self.up.get(&link).copied().filter(|id| {
+                OutdatedConnection::Worker(link) => self.up.get(&link).copied().filter(|id| {
                     self.workers
                         .get(id)
                         .is_some_and(|w| w.ready && w.use_now(now, self.idle) >= 1.0)
                 }),
-                Old::Client(_) => None,
+                OutdatedConnection::Client(_) => None,
             };
             match in_use {
                 Some(worker) => {
                     self.retiring.waits_for(old, worker, now);
-                    out.open_ahead(worker);
+                    out.prewarm(worker);
                 }
                 None => out.retire(old),
             }
--- a/crates/sanddrum-wire/src/frame.rs
+++ b/crates/sanddrum-wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: four bytes of length, most significant first, then so many bytes of CBOR.
+//! FrameDecoder: four bytes of length, most significant first, then so many bytes of CBOR.
 
 use minicbor::{Decode, Encode};
 use std::fmt;
@@ -32,22 +32,22 @@
 
 /// Cuts a stream into frames. Holds no more than one frame and what came with it.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     bytes: Vec<u8>,
     read: usize,
     most: usize,
 }
 
-impl Frames {
-    /// Frames of more than `most` bytes are refused as soon as their length is read.
+impl FrameDecoder {
+    /// FrameDecoder of more than `most` bytes are refused as soon as their length is read.
     pub fn new(most: usize) -> Self {
-        Frames {
+        FrameDecoder {
             bytes: Vec::new(),
             read: 0,
             most,
         }
     }
-    pub fn take_in(&mut self, bytes: &[u8]) {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         if self.read > 0 {
             self.bytes.drain(..self.read);
             self.read = 0;
--- a/crates/sanddrum-wire/src/http.rs
+++ b/crates/sanddrum-wire/src/http.rs
@@ -7,7 +7,7 @@
 
 /// Why a request can't be read, as the status that tells the client (RFC 9110, section 15).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum HttpError {
     Malformed,
     HeadTooLarge,
     BodyTooLarge,
@@ -15,23 +15,23 @@
     Version,
 }
 
-impl Bad {
+impl HttpError {
     pub fn status(self) -> u16 {
         match self {
-            Bad::Malformed => 400,
-            Bad::HeadTooLarge => 431,
-            Bad::BodyTooLarge => 413,
-            Bad::LengthRequired => 411,
-            Bad::Version => 505,
+            HttpError::Malformed => 400,
+            HttpError::HeadTooLarge => 431,
+            HttpError::BodyTooLarge => 413,
+            HttpError::LengthRequired => 411,
+            HttpError::Version => 505,
         }
     }
     pub fn reason(self) -> &'static str {
         match self {
-            Bad::Malformed => "malformed-request",
-            Bad::HeadTooLarge => "head-too-large",
-            Bad::BodyTooLarge => "body-too-large",
-            Bad::LengthRequired => "length-required",
-            Bad::Version => "http-version",
+            HttpError::Malformed => "malformed-request",
+            HttpError::HeadTooLarge => "head-too-large",
+            HttpError::BodyTooLarge => "body-too-large",
+            HttpError::LengthRequired => "length-required",
+            HttpError::Version => "http-version",
         }
     }
 }
@@ -64,18 +64,22 @@
 }
 
 /// Reads a request from the front of `bytes`.
-pub fn request(bytes: &[u8], most_head: usize, most_body: usize) -> Result<Parsed, Bad> {
+pub fn parse_request(
+    bytes: &[u8],
+    most_head: usize,
+    most_body: usize,
+) -> Result<Parsed, HttpError> {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     let parsed = head.parse(bytes).map_err(|e| match e {
-        httparse::Error::TooManyHeaders => Bad::HeadTooLarge,
-        httparse::Error::Version => Bad::Version,
-        _ => Bad::Malformed,
+        httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
+        httparse::Error::Version => HttpError::Version,
+        _ => HttpError::Malformed,
     })?;
     let httparse::Status::Complete(at) = parsed else {
         let too_large = bytes.len() > most_head;
         return if too_large {
-            Err(Bad::HeadTooLarge)
+            Err(HttpError::HeadTooLarge)
         } else {
             Ok(Parsed::Partial {
                 expects_continue: false,
@@ -83,15 +87,15 @@
         };
     };
     if at > most_head {
-        return Err(Bad::HeadTooLarge);
+        return Err(HttpError::HeadTooLarge);
     }
     let field = |name| values(head.headers, name);
     if field("transfer-encoding").next().is_some() {
-        return Err(Bad::LengthRequired);
+        return Err(HttpError::LengthRequired);
     }
     let length = length_of(field("content-length"))?;
     if length > most_body {
-        return Err(Bad::BodyTooLarge);
+        return Err(HttpError::BodyTooLarge);
     }
     let Some(body) = bytes[at..].get(..length) else {
         let expects_continue = field("expect").any(|v| v.eq_ignore_ascii_case(b"100-continue"));
@@ -133,20 +137,25 @@
 }
 
 /// One length, said once or the same each time (RFC 9112, section 6.3).
-fn length_of<'a>(mut said: impl Iterator<Item = &'a [u8]>) -> Result<usize, Bad> {
+fn length_of<'a>(mut said: impl Iterator<Item = &'a [u8]>) -> Result<usize, HttpError> {
     let Some(first) = said.next() else {
         return Ok(0);
     };
     if said.any(|other| other != first) || first.is_empty() || !first.iter().all(u8::is_ascii_digit)
     {
-        return Err(Bad::Malformed);
+        return Err(HttpError::Malformed);
     }
-    let digits = std::str::from_utf8(first).map_err(|_| Bad::Malformed)?;
-    digits.parse().map_err(|_| Bad::BodyTooLarge)
+    let digits = std::str::from_utf8(first).map_err(|_| HttpError::Malformed)?;
+    digits.parse().map_err(|_| HttpError::BodyTooLarge)
 }
 
 /// An answer's head and body.
-pub fn response(status: u16, fields: &[(&str, &str)], body: &[u8], keep_alive: bool) -> Vec<u8> {
+pub fn encode_response(
+    status: u16,
+    fields: &[(&str, &str)],
+    body: &[u8],
+    keep_alive: bool,
+) -> Vec<u8> {
     let mut head = String::with_capacity(160);
     let _ = write!(head, "HTTP/1.1 {status} {}\r\n", phrase(status));
     for (name, value) in fields {
@@ -186,7 +195,7 @@
 }
 
 /// A request as a client writes it.
-pub fn write_request(method: &str, path: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn encode_request(method: &str, path: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = String::with_capacity(200);
     let _ = write!(head, "{method} {path} HTTP/1.1\r\nhost: sanddrum\r\n");
     for (name, value) in fields {
@@ -199,13 +208,13 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
@@ -215,10 +224,11 @@
 }
 
 /// Reads an answer from the front of `bytes`, and how many bytes it took.
-pub fn answer(bytes: &[u8]) -> Result<Option<(Answer, usize)>, Bad> {
+pub fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS];
     let mut head = httparse::Response::new(&mut fields);
-    let httparse::Status::Complete(at) = head.parse(bytes).map_err(|_| Bad::Malformed)? else {
+    let httparse::Status::Complete(at) = head.parse(bytes).map_err(|_| HttpError::Malformed)?
+    else {
         return Ok(None);
     };
     let length = length_of(values(head.headers, "content-length"))?;
@@ -226,7 +236,7 @@
         return Ok(None);
     };
     let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
-    let answer = Answer {
+    let answer = Response {
         status: head.code.unwrap_or_default(),
         fields: head
             .headers
--- a/crates/sanddrum-wire/src/lib.rs
+++ b/crates/sanddrum-wire/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod http;
 pub mod messages;
 
-pub use frame::{FrameError, Frames};
+pub use frame::{FrameDecoder, FrameError};
 pub use messages::*;
 
 use std::hash::{DefaultHasher, Hasher};
--- a/crates/sanddrum-wire/src/messages.rs
+++ b/crates/sanddrum-wire/src/messages.rs
@@ -18,11 +18,11 @@
     #[n(2)]
     Cancel(#[n(0)] Cancel),
     #[n(3)]
-    Hold(#[n(0)] Hold),
+    Load(#[n(0)] Load),
     #[n(4)]
     Unload(#[n(0)] Unload),
     #[n(5)]
-    Probe(#[n(0)] Probe),
+    HealthCheck(#[n(0)] HealthCheck),
 }
 
 /// From a worker to an edge.
@@ -34,15 +34,15 @@
     #[n(1)]
     Done(#[n(0)] Done),
     #[n(2)]
-    Held(#[n(0)] Held),
+    LoadDone(#[n(0)] LoadDone),
     #[n(3)]
-    Probed(#[n(0)] Probed),
+    HealthStatus(#[n(0)] HealthStatus),
 }
 
 /// To the list service, from edges and workers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
-pub enum ToList {
+pub enum ToDiscovery {
     #[n(0)]
     Hello(#[n(0)] Hello),
     /// An edge follows the list.
@@ -50,20 +50,20 @@
     Watch(#[n(0)] Watch),
     /// A worker tells of itself; again when something changes.
     #[n(2)]
-    Register(#[n(0)] Row),
+    Register(#[n(0)] EndpointRecord),
     /// A worker's process still runs.
     #[n(3)]
-    Beat(#[n(0)] Beat),
+    Heartbeat(#[n(0)] Heartbeat),
 }
 
 /// From the list service to an edge.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
-pub enum FromList {
+pub enum FromDiscovery {
     #[n(0)]
     Hello(#[n(0)] Hello),
     #[n(1)]
-    Rows(#[n(0)] Rows),
+    Endpoints(#[n(0)] EndpointUpdate),
 }
 
 /// From a worker to the function store.
@@ -109,14 +109,14 @@
     pub function: String,
     /// No answer is wanted after so many microseconds from its arrival.
     #[n(3)]
-    pub limit_us: i64,
+    pub time_limit_us: i64,
     #[n(4)]
     pub memory_mb: f64,
     #[n(5)]
-    pub lanes: u32,
+    pub concurrency: u32,
     /// The mark by which a repeat of a fingerprinted job is known.
     #[n(6)]
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Passed through from the client, to find a job's way.
     #[n(7)]
     pub trace: Option<String>,
@@ -136,18 +136,18 @@
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
-pub struct Hold {
+pub struct Load {
     #[n(0)]
     pub id: u64,
     #[n(1)]
     pub function: String,
     /// Nought only asks.
     #[n(2)]
-    pub copies: u32,
+    pub instances: u32,
     #[n(3)]
     pub memory_mb: f64,
     #[n(4)]
-    pub lanes: u32,
+    pub concurrency: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
@@ -159,7 +159,7 @@
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
-pub struct Probe {
+pub struct HealthCheck {
     #[n(0)]
     pub id: u64,
 }
@@ -167,7 +167,7 @@
 /// How a worker ended an execution or an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
-pub enum Ended {
+pub enum ExecutionStatus {
     #[n(0)]
     Finished,
     /// It ran, or may have, and came to nothing.
@@ -175,10 +175,10 @@
     Error,
     /// Turned away unlooked at: no room, or draining. It has not run.
     #[n(2)]
-    Full,
+    Rejected,
     /// The function is not loaded here, or its load failed. It has not run.
     #[n(3)]
-    Miss,
+    ColdMiss,
     /// Its time was up, or it was cancelled, before it began. It has not run.
     #[n(4)]
     Dropped,
@@ -187,11 +187,11 @@
 /// What stood loaded when an execution came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
-pub enum Copy {
+pub enum InstanceState {
     #[n(1)]
-    Stood,
+    Warm,
     #[n(2)]
-    BeganLoad,
+    StartedLoad,
     #[n(3)]
     WaitedForLoad,
     #[n(4)]
@@ -204,12 +204,12 @@
     #[n(0)]
     pub id: u64,
     #[n(1)]
-    pub ended: Ended,
+    pub status: ExecutionStatus,
     #[n(2)]
-    pub copy: Option<Copy>,
+    pub instance: Option<InstanceState>,
     /// Jobs for the same function that were held when this one came.
     #[n(3)]
-    pub crowd: Option<u32>,
+    pub function_in_flight: Option<u32>,
     #[n(4)]
     pub report: Option<LoadReport>,
     #[n(5)]
@@ -217,26 +217,26 @@
     pub body: Vec<u8>,
     /// Jobs a second of this job's customer that came here of late, from all edges, this one included.
     #[n(6)]
-    pub customer_pace: Option<f64>,
+    pub customer_rate: Option<f64>,
     /// The same of all jobs.
     #[n(7)]
-    pub all_pace: Option<f64>,
+    pub total_rate: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct Held {
+pub struct LoadDone {
     #[n(0)]
     pub id: u64,
     #[n(1)]
-    pub ended: Ended,
+    pub status: ExecutionStatus,
     #[n(2)]
-    pub copies: u32,
+    pub instances: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct Probed {
+pub struct HealthStatus {
     #[n(0)]
     pub id: u64,
     #[n(1)]
@@ -267,7 +267,7 @@
     /// Which run of the list service that version is of; nought for none.
     #[n(1)]
     #[cbor(default)]
-    pub run: u64,
+    pub service_incarnation: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Encode, Decode)]
@@ -284,7 +284,7 @@
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
-pub struct Row {
+pub struct EndpointRecord {
     #[n(0)]
     pub name: String,
     #[n(1)]
@@ -311,46 +311,46 @@
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
-pub struct Rows {
+pub struct EndpointUpdate {
     #[n(0)]
     pub version: u64,
     #[n(1)]
-    pub run: u64,
+    pub service_incarnation: u64,
     /// The whole list, or only what changed since the version that this follows.
     #[n(2)]
-    pub whole: bool,
+    pub is_full_snapshot: bool,
     /// The version that changes apply to.
     #[n(3)]
     #[cbor(default)]
-    pub after: u64,
+    pub base_version: u64,
     #[n(4)]
-    pub rows: Vec<Row>,
+    pub endpoints: Vec<EndpointRecord>,
 }
 
-/// The head of [`Rows`].
+/// The head of [`EndpointUpdate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub struct RowsHead {
+pub struct EndpointUpdateHead {
     pub version: u64,
-    pub run: u64,
-    pub whole: bool,
-    pub after: u64,
+    pub service_incarnation: u64,
+    pub is_full_snapshot: bool,
+    pub base_version: u64,
 }
 
-impl Rows {
-    pub fn head(&self) -> RowsHead {
-        RowsHead {
+impl EndpointUpdate {
+    pub fn head(&self) -> EndpointUpdateHead {
+        EndpointUpdateHead {
             version: self.version,
-            run: self.run,
-            whole: self.whole,
-            after: self.after,
+            service_incarnation: self.service_incarnation,
+            is_full_snapshot: self.is_full_snapshot,
+            base_version: self.base_version,
         }
     }
 }
 
-/// Reads a [`Rows`] as far as its rows and no further; this encoder writes them last.
-impl<C> Decode<'_, C> for RowsHead {
+/// Reads a [`EndpointUpdate`] as far as its rows and no further; this encoder writes them last.
+impl<C> Decode<'_, C> for EndpointUpdateHead {
     fn decode(d: &mut Decoder<'_>, _: &mut C) -> Result<Self, minicbor::decode::Error> {
-        let mut head = RowsHead::default();
+        let mut head = EndpointUpdateHead::default();
         let keys = d.map()?.unwrap_or(u64::MAX);
         for _ in 0..keys {
             if d.datatype()? == Type::Break {
@@ -358,9 +358,9 @@
             }
             match d.u32()? {
                 0 => head.version = d.u64()?,
-                1 => head.run = d.u64()?,
-                2 => head.whole = d.bool()?,
-                3 => head.after = d.u64()?,
+                1 => head.service_incarnation = d.u64()?,
+                2 => head.is_full_snapshot = d.bool()?,
+                3 => head.base_version = d.u64()?,
                 _ => break,
             }
         }
@@ -368,19 +368,19 @@
     }
 }
 
-/// [`FromList`] for who follows the list's versions and keeps no rows.
+/// [`FromDiscovery`] for who follows the list's versions and keeps no rows.
 #[derive(Clone, Debug, PartialEq, Decode)]
 #[cbor(flat)]
-pub enum FromListHead {
+pub enum FromDiscoveryHead {
     #[n(0)]
     Hello(#[n(0)] Hello),
     #[n(1)]
-    Rows(#[n(0)] RowsHead),
+    Endpoints(#[n(0)] EndpointUpdateHead),
 }
 
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
-pub struct Beat {
+pub struct Heartbeat {
     #[n(0)]
     pub incarnation: u64,
 }
@@ -403,5 +403,5 @@
     pub id: u64,
     /// Otherwise turned away.
     #[n(1)]
-    pub whole: bool,
+    pub is_complete: bool,
 }
--- a/crates/sanddrum-wire/tests/codecs.rs
+++ b/crates/sanddrum-wire/tests/codecs.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_wire::frame::{frame, FrameError, Frames};
-use sanddrum_wire::http::{self, Bad, Parsed};
+use sanddrum_wire::frame::{frame, FrameDecoder, FrameError};
+use sanddrum_wire::http::{self, HttpError, Parsed};
 use sanddrum_wire::*;
 
 fn execute() -> impl Strategy<Value = ToWorker> {
@@ -22,7 +22,7 @@
             |((workload, function, mark), (id, limit_us, memory_mb, lanes), body)| {
                 let trace = mark.clone();
                 let rest = Execute {
-                    mark,
+                    idempotency_key: mark,
                     trace,
                     body,
                     ..Execute::default()
@@ -31,9 +31,9 @@
                     id,
                     workload,
                     function,
-                    limit_us,
+                    time_limit_us: limit_us,
                     memory_mb,
-                    lanes,
+                    concurrency: lanes,
                     ..rest
                 })
             },
@@ -44,10 +44,10 @@
     #[test]
     fn messages_survive_any_cut_of_the_stream(messages in proptest::collection::vec(execute(), 1..6), cut in 1usize..50) {
         let bytes: Vec<u8> = messages.iter().flat_map(frame).collect();
-        let mut frames = Frames::new(1 << 16);
+        let mut frames = FrameDecoder::new(1 << 16);
         let mut read = Vec::new();
         for piece in bytes.chunks(cut) {
-            frames.take_in(piece);
+            frames.push_bytes(piece);
             while let Some(message) = frames.next_message::<ToWorker>().unwrap() {
                 read.push(message);
             }
@@ -57,27 +57,27 @@
 
     #[test]
     fn noise_never_panics_either_codec(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
-        let mut frames = Frames::new(1 << 10);
-        frames.take_in(&bytes);
+        let mut frames = FrameDecoder::new(1 << 10);
+        frames.push_bytes(&bytes);
         while let Ok(Some(_)) = frames.next_message::<FromWorker>() {}
         let mut framed = ((bytes.len() as u32).to_be_bytes()).to_vec();
         framed.extend_from_slice(&bytes);
-        let mut frames = Frames::new(1 << 10);
-        frames.take_in(&framed);
-        while let Ok(Some(_)) = frames.next_message::<ToList>() {}
-        let _ = http::request(&bytes, 1 << 12, 1 << 12);
-        let _ = http::answer(&bytes);
+        let mut frames = FrameDecoder::new(1 << 10);
+        frames.push_bytes(&framed);
+        while let Ok(Some(_)) = frames.next_message::<ToDiscovery>() {}
+        let _ = http::parse_request(&bytes, 1 << 12, 1 << 12);
+        let _ = http::parse_response(&bytes);
     }
 
     #[test]
     fn requests_survive_any_cut(body in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..400) {
-        let bytes = http::write_request("POST", "/v1/calls/a/b", &[("x-y", "z")], &body);
+        let bytes = http::encode_request("POST", "/v1/calls/a/b", &[("x-y", "z")], &body);
         let at = at.min(bytes.len());
         if at < bytes.len() {
-            let partial = matches!(http::request(&bytes[..at], 1 << 12, 1 << 12), Ok(Parsed::Partial { .. }));
+            let partial = matches!(http::parse_request(&bytes[..at], 1 << 12, 1 << 12), Ok(Parsed::Partial { .. }));
             prop_assert!(partial);
         }
-        let Ok(Parsed::Whole(request, took)) = http::request(&bytes, 1 << 12, 1 << 12) else {
+        let Ok(Parsed::Whole(request, took)) = http::parse_request(&bytes, 1 << 12, 1 << 12) else {
             return Err(TestCaseError::fail("not read"));
         };
         prop_assert_eq!((request.body, took), (body, bytes.len()));
@@ -86,8 +86,8 @@
 
 #[rstest]
 fn a_frame_too_large_is_refused_before_its_content_comes() {
-    let mut frames = Frames::new(1000);
-    frames.take_in(&1001u32.to_be_bytes());
+    let mut frames = FrameDecoder::new(1000);
+    frames.push_bytes(&1001u32.to_be_bytes());
     assert_eq!(
         frames.next_frame(),
         Err(FrameError::TooLarge {
@@ -100,12 +100,12 @@
 #[rstest]
 fn what_a_later_version_adds_is_skipped() {
     // A message of kind 99, then a probe with a field 7 that is not known here.
-    let mut frames = Frames::new(1000);
-    frames.take_in(&[0, 0, 0, 4, 0x82, 0x18, 99, 0xa0]);
-    frames.take_in(&[0, 0, 0, 8, 0x82, 0x05, 0xa2, 0x00, 0x03, 0x07, 0x61, b'x']);
+    let mut frames = FrameDecoder::new(1000);
+    frames.push_bytes(&[0, 0, 0, 4, 0x82, 0x18, 99, 0xa0]);
+    frames.push_bytes(&[0, 0, 0, 8, 0x82, 0x05, 0xa2, 0x00, 0x03, 0x07, 0x61, b'x']);
     assert_eq!(
         frames.next_message::<ToWorker>(),
-        Ok(Some(ToWorker::Probe(Probe { id: 3 })))
+        Ok(Some(ToWorker::HealthCheck(HealthCheck { id: 3 })))
     );
 }
 
@@ -128,10 +128,10 @@
         id: 7,
         workload: "trace-pass".into(),
         function: "pick-1".into(),
-        limit_us: 1_500_000,
+        time_limit_us: 1_500_000,
         memory_mb: 300.0,
-        lanes: 1,
-        mark: Some("k1".into()),
+        concurrency: 1,
+        idempotency_key: Some("k1".into()),
         body: b"hi".to_vec(),
         ..Execute::default()
     };
@@ -141,13 +141,13 @@
     };
     let done = Done {
         id: 7,
-        ended: Ended::Finished,
-        copy: Some(sanddrum_wire::Copy::Stood),
-        crowd: None,
+        status: ExecutionStatus::Finished,
+        instance: Some(sanddrum_wire::InstanceState::Warm),
+        function_in_flight: None,
         report: Some(report),
         body: b"ok".to_vec(),
-        customer_pace: None,
-        all_pace: None,
+        customer_rate: None,
+        total_rate: None,
     };
     let hello = Hello {
         version: VERSION,
@@ -161,22 +161,25 @@
         ("cancel", frame(&ToWorker::Cancel(Cancel { id: 7 }))),
         (
             "hold",
-            frame(&ToWorker::Hold(Hold {
+            frame(&ToWorker::Load(Load {
                 id: 8,
                 function: "pick-1".into(),
-                copies: 1,
+                instances: 1,
                 memory_mb: 300.0,
-                lanes: 1,
+                concurrency: 1,
             })),
         ),
-        ("probe", frame(&ToWorker::Probe(Probe { id: 9 }))),
+        (
+            "probe",
+            frame(&ToWorker::HealthCheck(HealthCheck { id: 9 })),
+        ),
         ("done", frame(&FromWorker::Done(done))),
         (
             "held",
-            frame(&FromWorker::Held(Held {
+            frame(&FromWorker::LoadDone(LoadDone {
                 id: 8,
-                ended: Ended::Full,
-                copies: 0,
+                status: ExecutionStatus::Rejected,
+                instances: 0,
             })),
         ),
     ];
@@ -189,34 +192,38 @@
 }
 
 #[rstest]
-#[case::no_head_end(&b"GET / HTTP/1.1\r\nx: y\r\n"[..], 10, Bad::HeadTooLarge)]
+#[case::no_head_end(&b"GET / HTTP/1.1\r\nx: y\r\n"[..], 10, HttpError::HeadTooLarge)]
 #[case::two_lengths(
     b"POST / HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab",
     99,
-    Bad::Malformed
+    HttpError::Malformed
+)]
+#[case::signed_length(
+    b"POST / HTTP/1.1\r\ncontent-length: +1\r\n\r\na",
+    99,
+    HttpError::Malformed
 )]
-#[case::signed_length(b"POST / HTTP/1.1\r\ncontent-length: +1\r\n\r\na", 99, Bad::Malformed)]
 #[case::chunked(
     b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n",
     99,
-    Bad::LengthRequired
+    HttpError::LengthRequired
 )]
 #[case::body(
     b"POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n",
     99,
-    Bad::BodyTooLarge
+    HttpError::BodyTooLarge
 )]
 #[case::endless_length(
     b"POST / HTTP/1.1\r\ncontent-length: 99999999999999999999999\r\n\r\n",
     99,
-    Bad::BodyTooLarge
+    HttpError::BodyTooLarge
 )]
 fn requests_that_cannot_be_served_say_why(
     #[case] bytes: &[u8],
     #[case] most: usize,
-    #[case] why: Bad,
+    #[case] why: HttpError,
 ) {
-    assert_eq!(http::request(bytes, most, 100), Err(why));
+    assert_eq!(http::parse_request(bytes, most, 100), Err(why));
 }
 
 /// Who keeps no rows reads the same head of a list, whatever its rows are.
@@ -225,33 +232,33 @@
 #[case::one(1)]
 #[case::many(1000)]
 fn the_head_of_a_list_is_read_without_its_rows(#[case] count: usize) {
-    let row = |n: usize| Row {
+    let row = |n: usize| EndpointRecord {
         name: format!("worker-{n}"),
         size: 8.0,
         age_us: -1,
-        ..Row::default()
+        ..EndpointRecord::default()
     };
-    let rows = Rows {
+    let rows = EndpointUpdate {
         version: 7,
-        run: 2,
-        whole: false,
-        after: 6,
-        rows: (0..count).map(row).collect(),
+        service_incarnation: 2,
+        is_full_snapshot: false,
+        base_version: 6,
+        endpoints: (0..count).map(row).collect(),
     };
-    let mut frames = Frames::new(1 << 20);
-    let changes = Rows {
-        whole: true,
-        after: 0,
+    let mut frames = FrameDecoder::new(1 << 20);
+    let changes = EndpointUpdate {
+        is_full_snapshot: true,
+        base_version: 0,
         ..rows.clone()
     };
     for rows in [&rows, &changes] {
-        frames.take_in(&frame(&FromList::Rows(rows.clone())));
+        frames.push_bytes(&frame(&FromDiscovery::Endpoints(rows.clone())));
     }
     for rows in [&rows, &changes] {
         assert_eq!(
-            frames.next_message::<FromListHead>(),
-            Ok(Some(FromListHead::Rows(rows.head())))
+            frames.next_message::<FromDiscoveryHead>(),
+            Ok(Some(FromDiscoveryHead::Endpoints(rows.head())))
         );
     }
-    assert_eq!(frames.next_message::<FromListHead>(), Ok(None));
+    assert_eq!(frames.next_message::<FromDiscoveryHead>(), Ok(None));
 }
