--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -145,8 +145,8 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     match serve(driver, args, settings) {
-        Ok(Shutdown::InOrder) => ExitCode::from(exit::GOOD),
-        Ok(Shutdown::AtOnce) => fail(exit::TROUBLE, "ended at once, as a second signal came"),
+        Ok(Shutdown::Graceful) => ExitCode::from(exit::GOOD),
+        Ok(Shutdown::Immediate) => fail(exit::TROUBLE, "ended at once, as a second signal came"),
         Err(e) => fail(exit::TROUBLE, e),
     }
 }
@@ -319,7 +319,7 @@
         .zip(CALL_KEYS)
         .chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
     for (name, key) in files.filter(|(_, key)| settings.has(key)) {
-        driver.watch(
+        driver.watch_file(
             host,
             name,
             PathBuf::from(settings.text(key)),
@@ -327,14 +327,14 @@
         );
     }
     if let Some(file) = audit_file {
-        driver.audit_to(
+        driver.set_audit_file(
             host,
             file,
             settings.size("identity.audit-most-bytes") as u64,
         );
     }
     if let Some(file) = keys_file {
-        driver.watch(host, KEYS, file, settings.span("identity.watch-every-us"));
+        driver.watch_file(host, KEYS, file, settings.span("identity.watch-every-us"));
     }
     if let Some(file) = &args.address_file {
         crate::fleet::tell_address(file, &at).map_err(|e| format!("{}: {e}", file.display()))?;
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -370,10 +370,10 @@
     let host = driver
         .add(core, vec![door], None)
         .map_err(|e| e.to_string())?;
-    driver.watch(host, FAULTS, args.faults.clone(), FAULTS_EVERY);
+    driver.watch_file(host, FAULTS, args.faults.clone(), FAULTS_EVERY);
     tell_address(&args.address_file, &at)
         .map_err(|e| format!("{}: {e}", args.address_file.display()))?;
-    while !driver.signalled() {
+    while !driver.shutdown_requested() {
         let next = driver.now() + 1_000_000;
         driver.run_until(next).map_err(|e| e.to_string())?;
     }
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -75,7 +75,7 @@
     let hammer = Hammer::new(spec);
     let seen = hammer.seen.clone();
     let host = driver.add(Box::new(hammer), vec![], None)?;
-    while !driver.core_done(host) && driver.now() < until && !driver.signalled() {
+    while !driver.is_core_done(host) && driver.now() < until && !driver.shutdown_requested() {
         let next = driver.now() + 50_000;
         driver.run_until(next)?;
     }
--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -40,8 +40,8 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     match serve(driver, file, &read) {
-        Ok(Shutdown::InOrder) => ExitCode::from(exit::GOOD),
-        Ok(Shutdown::AtOnce) => fail(exit::TROUBLE, "ended at once"),
+        Ok(Shutdown::Graceful) => ExitCode::from(exit::GOOD),
+        Ok(Shutdown::Immediate) => fail(exit::TROUBLE, "ended at once"),
         Err(e) => fail(exit::TROUBLE, e),
     }
 }
@@ -72,7 +72,7 @@
     let host = driver
         .add(Box::new(edge), vec![door], None)
         .map_err(|e| e.to_string())?;
-    driver.watch(host, CONFIGURATION, file, LOOK_EVERY);
-    driver.end_in_order_only();
+    driver.watch_file(host, CONFIGURATION, file, LOOK_EVERY);
+    driver.ignore_repeated_signals();
     driver.run().map_err(|e| e.to_string())
 }
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -110,7 +110,10 @@
             self.owners.remove(&conn);
             io.reset(conn);
         }
-        let until = self.list.backoff.record_failure(now, 0, self.chance.unit());
+        let until = self
+            .list
+            .backoff
+            .record_failure(now, 0, self.chance.next_f64());
         tracing::info!(
             reason = "feed-away",
             why,
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -48,7 +48,7 @@
     pub fn nothing_to_write(&self) -> bool {
         self.fronts
             .values()
-            .all(|front| front.jobs.is_empty() && front.out.waiting() == 0)
+            .all(|front| front.jobs.is_empty() && front.out.pending_bytes() == 0)
     }
     /// Whether a request has come in part.
     pub fn reads_one(&self) -> bool {
@@ -61,7 +61,7 @@
         let idle = self
             .fronts
             .iter()
-            .filter(|(_, front)| front.jobs.is_empty() && front.out.waiting() == 0);
+            .filter(|(_, front)| front.jobs.is_empty() && front.out.pending_bytes() == 0);
         let rank = |front: &Front| missed(front.spoke, now - front.came >= time_to_speak);
         idle.min_by_key(|(conn, front)| (rank(front), front.active, **conn))
             .map(|(conn, _)| *conn)
@@ -493,12 +493,12 @@
             let Some(front) = self.fronts.fronts.get_mut(&conn) else {
                 continue;
             };
-            let before = front.out.waiting();
+            let before = front.out.pending_bytes();
             front.out.flush(conn, io);
-            if front.out.waiting() < before {
+            if front.out.pending_bytes() < before {
                 front.active = now;
             }
-            let written = front.out.waiting() == 0 && front.jobs.is_empty();
+            let written = front.out.pending_bytes() == 0 && front.jobs.is_empty();
             match front.ends {
                 Some(0) => self.drop_front(now, conn, io, CloseReason::ReadsNothing),
                 Some(_) if written => self.drop_front(now, conn, io, CloseReason::Answered),
@@ -516,7 +516,7 @@
         reason: CloseReason,
     ) {
         if let Some(front) = self.fronts.fronts.get(&conn) {
-            let (open, unwritten) = (front.jobs.len(), front.out.waiting());
+            let (open, unwritten) = (front.jobs.len(), front.out.pending_bytes());
             tracing::debug!(
                 conn = conn.0,
                 reason = reason.name(),
@@ -556,7 +556,7 @@
         let Some(front) = self.fronts.fronts.get(&conn) else {
             return;
         };
-        let (open, unwritten) = (front.jobs.len(), front.out.waiting());
+        let (open, unwritten) = (front.jobs.len(), front.out.pending_bytes());
         if front.ends.is_some_and(|at| at <= now) {
             let reason = if open == 0 && unwritten == 0 {
                 CloseReason::Answered
@@ -571,7 +571,7 @@
             .began
             .filter(|_| front.ends.is_none())
             .map(|at| at + patience);
-        let quiet = front.jobs.is_empty() || front.out.waiting() > 0;
+        let quiet = front.jobs.is_empty() || front.out.pending_bytes() > 0;
         let idle = quiet.then_some(front.active + self.limits.client_idle);
         if slow.is_some_and(|at| at <= now) && !front.jobs.is_empty() {
             // Guards against a request that never comes whole and takes with it all that are open beside it: its
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -55,7 +55,7 @@
     pub fn nothing_to_write(&self) -> bool {
         self.clients
             .values()
-            .all(|c| c.places.is_empty() && c.out.waiting() == 0)
+            .all(|c| c.places.is_empty() && c.out.pending_bytes() == 0)
     }
     /// Whether a request has come in part.
     pub fn reads_one(&self) -> bool {
@@ -63,7 +63,8 @@
     }
     /// Who goes where there is no room for one more, as for web servers: the silent first, never one with a request.
     fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
-        let quiet = |c: &Client| c.places.is_empty() && c.out.waiting() == 0 && c.bytes.is_empty();
+        let quiet =
+            |c: &Client| c.places.is_empty() && c.out.pending_bytes() == 0 && c.bytes.is_empty();
         let idle = self.clients.iter().filter(|(_, client)| quiet(client));
         let rank = |client: &Client| missed(client.first > 0, now - client.came >= time_to_speak);
         idle.min_by_key(|(conn, client)| (rank(client), client.active, **conn))
@@ -231,7 +232,7 @@
             return;
         };
         client.retired = true;
-        if client.places.is_empty() && client.bytes.is_empty() && client.out.waiting() == 0 {
+        if client.places.is_empty() && client.bytes.is_empty() && client.out.pending_bytes() == 0 {
             self.drop_client(now, conn, io, true);
         }
     }
@@ -542,9 +543,9 @@
                 client.places.pop_front();
                 client.first += 1;
             }
-            let before = client.out.waiting();
+            let before = client.out.pending_bytes();
             client.out.flush(conn, io);
-            if client.out.waiting() < before {
+            if client.out.pending_bytes() < before {
                 client.active = now;
             }
             if slow {
@@ -554,7 +555,7 @@
                     "a client that reads too slowly is closed"
                 );
                 self.drop_client(now, conn, io, false);
-            } else if client.ending == Ending::WhenWritten && client.out.waiting() == 0 {
+            } else if client.ending == Ending::WhenWritten && client.out.pending_bytes() == 0 {
                 self.drop_client(now, conn, io, true);
             } else if !client.bytes.is_empty() && client.places.len() < self.limits.pipelined {
                 if std::mem::take(&mut client.paused) {
@@ -581,12 +582,12 @@
             return;
         };
         let head = client.began.map(|at| at + self.limits.head_time_out);
-        let quiet = client.places.is_empty() || client.out.waiting() > 0;
+        let quiet = client.places.is_empty() || client.out.pending_bytes() > 0;
         let idle = client.active + self.limits.client_idle;
         match client.ending {
             // Guards against a request that can't be read and takes those before it on its connection with it.
             Ending::Lingers(until) if until <= now && client.places.is_empty() => {
-                return self.drop_client(now, conn, io, client.out.waiting() == 0)
+                return self.drop_client(now, conn, io, client.out.pending_bytes() == 0)
             }
             Ending::Lingers(until) => {
                 self.due.insert((
@@ -608,7 +609,7 @@
             );
         }
         if quiet && idle <= now {
-            return self.drop_client(now, conn, io, client.out.waiting() == 0);
+            return self.drop_client(now, conn, io, client.out.pending_bytes() == 0);
         }
         let idle = if quiet {
             idle
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -156,12 +156,12 @@
     fn holds(&self, link: WorkerConnectionId, execution: u64) -> bool {
         self.links
             .get(&link)
-            .is_some_and(|link| link.out.holds(&Mark::Execution(execution)))
+            .is_some_and(|link| link.out.is_pending(&Mark::Execution(execution)))
     }
     fn take_back_mark(&mut self, link: WorkerConnectionId, mark: &Mark) -> bool {
         self.links
             .get_mut(&link)
-            .is_some_and(|link| link.out.retract(mark))
+            .is_some_and(|link| link.out.remove_unwritten(mark))
     }
     /// What a link carried has ended, and its id is not used there again until then; `true` where a retired one has
     /// nothing more to wait for.
--- a/crates/sanddrum-edge/src/worker_connections/ends.rs
+++ b/crates/sanddrum-edge/src/worker_connections/ends.rs
@@ -34,7 +34,7 @@
             self.rests.record_reset(now, link.rested, now - link.began);
         }
         let unread = |link: &Link, mark: &Mark| {
-            !link.up || how == CloseCause::Refused || link.out.holds(mark)
+            !link.up || how == CloseCause::Refused || link.out.is_pending(mark)
         };
         let each: BTreeMap<Mark, bool> = link
             .carries
@@ -95,7 +95,7 @@
             return;
         };
         let idle = link.quiet_since + self.limits.idle_close;
-        let empty = link.carries.is_empty() && link.out.waiting() == 0;
+        let empty = link.carries.is_empty() && link.out.pending_bytes() == 0;
         if !link.up && link.conn.is_some() && !link.retired {
             self.reset_link(id, io);
             return self.link_ended(now, id, CloseCause::Refused, false);
@@ -130,7 +130,7 @@
             if let Some(conn) = link.conn {
                 link.out.flush_through(&Mark::GiveUp, conn, io);
             }
-            if self.on_platform && link.out.holds(&Mark::GiveUp) {
+            if self.on_platform && link.out.is_pending(&Mark::GiveUp) {
                 // It reads nothing, so that what is given up there would be out twice at a time.
                 self.reset_link(id, io);
                 self.link_ended(now, id, CloseCause::Reset, false);
--- a/crates/sanddrum-edge/src/worker_connections/guard.rs
+++ b/crates/sanddrum-edge/src/worker_connections/guard.rs
@@ -13,7 +13,7 @@
         let Some(link) = self.links.links.get(&id).filter(|link| link.up) else {
             return;
         };
-        let executions = link.out.unbegun().filter_map(|mark| match mark {
+        let executions = link.out.unwritten().filter_map(|mark| match mark {
             Mark::Execution(execution) => Some(*execution),
             _ => None,
         });
--- a/crates/sanddrum-edge/src/worker_connections/recall.rs
+++ b/crates/sanddrum-edge/src/worker_connections/recall.rs
@@ -21,7 +21,7 @@
             let back: Vec<Mark> = link
                 .carries
                 .iter()
-                .filter(|mark| link.out.holds(mark))
+                .filter(|mark| link.out.is_pending(mark))
                 .copied()
                 .collect();
             for mark in back {
--- a/crates/sanddrum-edge/src/worker_connections/restate.rs
+++ b/crates/sanddrum-edge/src/worker_connections/restate.rs
@@ -16,7 +16,7 @@
         let Some(link) = self.links.links.get(&id).filter(|link| link.up) else {
             return;
         };
-        let executions = link.out.unbegun().filter_map(|mark| match mark {
+        let executions = link.out.unwritten().filter_map(|mark| match mark {
             Mark::Execution(execution) => Some(*execution),
             _ => None,
         });
@@ -43,7 +43,8 @@
         let message = execute_message(&self.functions, job, execution, (e.due - now).max(0));
         let bytes = self.speech.execute(message, job.number);
         if let Some(link) = self.links.links.get_mut(&id) {
-            link.out.replace(&Mark::Execution(execution), &bytes);
+            link.out
+                .replace_unwritten(&Mark::Execution(execution), &bytes);
         }
     }
 }
--- a/crates/sanddrum-emulator/src/list_service.rs
+++ b/crates/sanddrum-emulator/src/list_service.rs
@@ -143,8 +143,9 @@
     /// Something about a worker has changed; edges are told in a while.
     fn later(&mut self, now: Micros, name: &str) {
         let (from, to) = self.spec.notice;
-        let wait =
-            from + (self.chance.unit() * (to - from) as f64) as Micros + self.faults.borrow().lags;
+        let wait = from
+            + (self.chance.next_f64() * (to - from) as f64) as Micros
+            + self.faults.borrow().lags;
         self.due.insert((now + wait, name.to_string()));
     }
     fn tell(&mut self, now: Micros, name: &str) {
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -473,7 +473,7 @@
     }
     /// The store answered a fetch.
     pub fn fetched(&mut self, now: Micros, load: u64, whole: bool) {
-        let fails = !whole || self.chance.happens(self.load_fails);
+        let fails = !whole || self.chance.random_bool(self.load_fails);
         let start = self.size.start_us_per_mb;
         let Some(copy) = self
             .copies
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -312,7 +312,7 @@
                         if let Some(mark) = mark.filter(|_| ended == ExecutionStatus::Finished) {
                             self.marks.borrow_mut().ended(now, &mark);
                         }
-                        if faults.hangs || self.chance.happens(faults.loses) {
+                        if faults.hangs || self.chance.random_bool(faults.loses) {
                             continue;
                         }
                         let report = Some(self.current_report(now));
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -125,7 +125,7 @@
         Callers { patience, ..self }
     }
     fn pick(chance: &mut Rng, sums: &[f64]) -> usize {
-        let at = chance.unit() * sums.last().copied().unwrap_or(1.0);
+        let at = chance.next_f64() * sums.last().copied().unwrap_or(1.0);
         sums.partition_point(|sum| *sum <= at)
             .min(sums.len().saturating_sub(1))
     }
@@ -149,7 +149,7 @@
             .collect();
         let of = Self::pick(&mut self.chance, &shares);
         let what = &self.scenario.calls[of];
-        let function = if self.chance.happens(mood.hot) {
+        let function = if self.chance.random_bool(mood.hot) {
             format!("{}hot-{}", what.prefix, self.chance.index(HOT))
         } else {
             format!(
@@ -170,7 +170,7 @@
                 Some(*sum)
             })
             .collect();
-        let greedy = mood.greedy > 0.0 && self.chance.happens(mood.greedy);
+        let greedy = mood.greedy > 0.0 && self.chance.random_bool(mood.greedy);
         let customer = match shares.len() {
             0 => None,
             n if greedy => Some(n - 1),
@@ -228,7 +228,7 @@
             fields.push(("authorization", token));
         }
         // A hint is right within a factor of two or so.
-        let hint = (call.work as f64 * (0.5 + self.chance.unit() * 1.5)) as Micros;
+        let hint = (call.work as f64 * (0.5 + self.chance.next_f64() * 1.5)) as Micros;
         let hint = if what.exact { call.work } else { hint }.to_string();
         if what.hints || what.exact {
             fields.push(("sanddrum-work-us", &hint));
@@ -283,7 +283,7 @@
         if answer.status == 503 {
             let heeds = self
                 .chance
-                .happens(self.scenario.settings.number("traffic.heeds"));
+                .random_bool(self.scenario.settings.number("traffic.heeds"));
             let usual = self.scenario.settings.span("traffic.retry-wait-us");
             let wait = wait
                 .filter(|_| heeds)
@@ -325,7 +325,7 @@
             return;
         };
         // Unreachable, or nothing of it was read: harmless for any workload. Else only where a repeat is.
-        let unsent = how == CloseCause::Refused || !line.up || line.out.holds(&());
+        let unsent = how == CloseCause::Refused || !line.up || line.out.is_pending(&());
         let restartable = self.scenario.calls[call.of].effect == "restartable";
         if unsent || restartable {
             let wait = self.scenario.settings.span("traffic.retry-wait-us");
--- a/crates/sanddrum-lab/src/capacity/hollow/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/workers.rs
@@ -196,7 +196,7 @@
     /// The list service notices after so long, and tells a little later.
     pub(super) fn notice(&mut self, workers: Vec<usize>, after: Micros) {
         let (least, most) = self.model.notice;
-        let tells = least + (self.chance.unit() * (most - least) as f64) as Micros;
+        let tells = least + (self.chance.next_f64() * (most - least) as f64) as Micros;
         self.post(self.now + after + tells, Event::Noticed(workers));
     }
     pub(super) fn look_at_drained(&mut self, n: usize, since: Micros) {
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -199,7 +199,7 @@
         let kept = self
             .routers
             .get(n)
-            .and_then(|host| self.net.kept(*host))
+            .and_then(|host| self.net.saved_state(*host))
             .filter(|_| keep);
         let incarnation = self.starts;
         let start = Start {
@@ -309,7 +309,7 @@
     }
     /// Events carried out so far.
     pub fn steps(&self) -> u64 {
-        self.net.steps()
+        self.net.processed_events()
     }
 
     /// Goes on to the next whole second, so that what follows falls into seconds of its own.
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -200,7 +200,7 @@
     /// What a load takes, drawn about the middle one.
     pub fn draw_load(&self, chance: &mut Rng) -> Micros {
         // A normal draw, by Box and Muller.
-        let (u, v) = (1.0 - chance.unit(), chance.unit());
+        let (u, v) = (1.0 - chance.next_f64(), chance.next_f64());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         (self.load as f64 * (self.load_spread * normal).exp()).max(1.0) as Micros
     }
@@ -263,7 +263,7 @@
             ),
         };
         let rates: Vec<f64> = (frequent..count)
-            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.unit()))
+            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.next_f64()))
             .collect();
         let of_rare = rates.iter().sum::<f64>() / calls;
         let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
@@ -296,7 +296,7 @@
     /// One, as often as it is called.
     pub fn draw(&self, chance: &mut Rng) -> usize {
         let all = self.sums.last().copied().unwrap_or(1.0);
-        let at = chance.unit() * all;
+        let at = chance.next_f64() * all;
         self.sums
             .partition_point(|sum| *sum <= at)
             .min(self.all.len().saturating_sub(1))
@@ -344,7 +344,7 @@
             .clamp(PLACES, (workers as f64).max(PLACES));
         let expected = part * self.calls * (keep as f64 / 1e6) / places;
         let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
-        Rng::new(self.seed ^ draw).unit() < 1.0 - (-expected).exp()
+        Rng::new(self.seed ^ draw).next_f64() < 1.0 - (-expected).exp()
     }
     /// A report with the others' jobs in it.
     fn in_report(
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -113,7 +113,7 @@
 pub fn even_links() -> LinkModel {
     LinkModel {
         jitter: 0.0,
-        split_share: 0.0,
+        split_probability: 0.0,
         ..LinkModel::default()
     }
 }
@@ -178,7 +178,7 @@
     model.size.loads_at_once = worker.loads_at_once;
     model.size.start_us_per_mb = worker.start_us_per_mb;
     model.report_every = worker.report_every;
-    (model.same_zone, model.cross_zone) = (links.same_zone, links.cross_zone);
+    (model.same_zone, model.cross_zone) = (links.same_zone_latency, links.cross_zone_latency);
     let numbered = |(at, job): &(Micros, Request)| {
         let function = functions.all.iter().position(|f| f.id == job.function);
         let function = function.ok_or("a call of a function that isn't known")?;
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -255,7 +255,7 @@
     let mut left: Vec<usize> = (0..size.workers).collect();
     for n in 0..(failed + replaced).min(size.workers / 2) {
         let worker = left.swap_remove(chance.index(left.len()));
-        let at = from + (chance.unit() * (until - from) as f64) as Micros;
+        let at = from + (chance.next_f64() * (until - from) as f64) as Micros;
         fleet.script(
             at,
             if n < failed {
--- a/crates/sanddrum-lab/src/hunt.rs
+++ b/crates/sanddrum-lab/src/hunt.rs
@@ -48,7 +48,7 @@
             1 + chance.index(6),
         );
         let work_ms = 10 + chance.index(60);
-        let load = 0.2 + chance.unit();
+        let load = 0.2 + chance.next_f64();
         let rate =
             ((workers * cores) as f64 * 1000.0 / work_ms as f64 * load).clamp(20.0, 900.0) as usize;
         let names: Vec<String> = ["a", "b", "c"]
@@ -56,8 +56,8 @@
             .take(zones)
             .map(|z| format!("{z:?}"))
             .collect();
-        let tls = chance.happens(0.15);
-        let (share, once) = (chance.unit(), chance.unit());
+        let tls = chance.random_bool(0.15);
+        let (share, once) = (chance.next_f64(), chance.next_f64());
         let mut head = vec![
             format!("(deployment (zones {}))", names.join(" ")),
             "(workload \"re\" (start-target 1s) (time-limit 3s) (effect restartable))".into(),
@@ -88,10 +88,10 @@
             format!("(calls \"fi\" (share {:.2}) (work {work_ms}ms))", (0.9 - 0.8 * share) * once),
             format!("(calls \"on\" (share {:.2}) (work {work_ms}ms))", (0.9 - 0.8 * share) * (1.0 - once)),
         ];
-        if chance.happens(0.4) {
+        if chance.random_bool(0.4) {
             head.push("(customer \"one\" (share 60%)) (customer \"two\" (share 30%))".into());
         }
-        if chance.happens(0.3) {
+        if chance.random_bool(0.3) {
             head.push("(sharing (shares yes))".into());
         }
         if tls {
@@ -113,7 +113,7 @@
         let (at, length) = (chance.index(8000), 200 + chance.index(4000));
         let mut out = format!("(trouble {kind:?} (at {at}ms) (length {length}ms)");
         let zone = ["a", "b", "c"][chance.index(zones)];
-        if kind == "zone-loss" || chance.happens(0.2) {
+        if kind == "zone-loss" || chance.random_bool(0.2) {
             let _ = write!(out, " (zone {zone:?})");
         }
         match chance.index(3) {
@@ -127,7 +127,11 @@
             let _ = write!(out, " (to {to}) (fault {fault})");
         }
         if let Some((_, least, most)) = NEEDS_SIZE.iter().find(|(of, ..)| *of == kind) {
-            let _ = write!(out, " (size {:.2})", least + (most - least) * chance.unit());
+            let _ = write!(
+                out,
+                " (size {:.2})",
+                least + (most - least) * chance.next_f64()
+            );
         }
         out + ")"
     }
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -102,7 +102,7 @@
             let mut whose: BTreeMap<RequestId, usize> = BTreeMap::new();
             for stream in streams {
                 let mean = stream.rate * STEP as f64 / S as f64;
-                let mut left = mean + self.chance.unit();
+                let mut left = mean + self.chance.next_f64();
                 while left >= 1.0 {
                     left -= 1.0;
                     self.next += 1;
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -544,7 +544,7 @@
     wait(&mut driver, spec.length - spec.warm_up)?;
     let after = cpu();
     for _ in 0..100 {
-        if driver.core_done(host) {
+        if driver.is_core_done(host) {
             break;
         }
         wait(&mut driver, 20_000)?;
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -305,7 +305,7 @@
                 vec![]
             };
             door.steering.borrow_mut().lead_to(to.clone());
-            self.driver.set_doors(door.host, listeners)?;
+            self.driver.set_listeners(door.host, listeners)?;
         }
         Ok(())
     }
@@ -429,7 +429,7 @@
                 self.told_at = next;
                 self.short_of_files |= is_short_of_files();
             }
-            if self.driver.signalled() {
+            if self.driver.shutdown_requested() {
                 return Err(io::Error::other(
                     "ended by a signal before the scenario was over",
                 ));
@@ -485,7 +485,8 @@
         Ok(())
     }
     fn calls_are_over(&self) -> bool {
-        self.callers.is_none_or(|host| self.driver.core_done(host))
+        self.callers
+            .is_none_or(|host| self.driver.is_core_done(host))
     }
     fn holds_up(&self) -> Micros {
         SLACK
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -127,7 +127,7 @@
         self.pieces.push_back((at, piece));
     }
     fn is_empty(&self) -> bool {
-        self.pieces.is_empty() && self.out.waiting() == 0
+        self.pieces.is_empty() && self.out.pending_bytes() == 0
     }
     /// Passes on what is due; what ends the connection comes last.
     fn pass(&mut self, now: Micros, fault: Option<Fault>, silent: bool) -> Option<CloseCause> {
@@ -288,7 +288,7 @@
             pair.back.iter().for_each(|back| io.pause(*back, false));
         }
         let over =
-            |way: &Way, how: CloseCause| way.out.waiting() == 0 || how != CloseCause::Orderly;
+            |way: &Way, how: CloseCause| way.out.pending_bytes() == 0 || how != CloseCause::Orderly;
         match (ended_from, ended_to) {
             (Some(how), _) if over(&pair.from, how) => self.end(front, io, how, true),
             (_, Some(how)) if over(&pair.to, how) => self.end(front, io, how, false),
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -249,7 +249,7 @@
     pub fn worker(&self, n: usize, address: &str, list: &str, store: &str) -> WorkerSpec {
         let l = &self.settings;
         let slow = Rng::new(self.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9))
-            .happens(l.number("fleet.slow-part"));
+            .random_bool(l.number("fleet.slow-part"));
         WorkerSpec {
             name: Self::worker_name(n),
             address: address.into(),
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -135,8 +135,8 @@
 
     fn manner(&mut self) -> Manner {
         let bad = self.steering.borrow().bad;
-        if !self.chance.happens(bad) {
-            return if self.chance.happens(0.15) {
+        if !self.chance.random_bool(bad) {
+            return if self.chance.random_bool(0.15) {
                 Manner::Pieces
             } else {
                 Manner::Plain
@@ -204,7 +204,7 @@
             manner,
             Manner::Plain | Manner::Pieces | Manner::Hurried | Manner::Aborts(_)
         );
-        let new = self.chance.happens(0.2);
+        let new = self.chance.random_bool(0.2);
         let connects = self.steering.borrow().fronts[router.0].connects;
         let conn = match shares && !new {
             true => self.kept(now, router, io),
@@ -217,7 +217,7 @@
         }
         self.next_call += 1;
         let call = CallId(self.next_call);
-        let effect = if self.chance.happens(0.5) {
+        let effect = if self.chance.random_bool(0.5) {
             Effect::Once
         } else {
             Effect::Repeatable
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -274,7 +274,7 @@
         let ends = begins + work as Micros;
         self.cores[core] = ends;
         self.held += 1;
-        let fails = self.mood() == Mood::Failing && self.chance.happens(0.5);
+        let fails = self.mood() == Mood::Failing && self.chance.random_bool(0.5);
         let fields = format!("remark={remark},{}", self.load_report());
         let bytes = match fails {
             true => frames::answer(CODE_ERROR, frame.id, &fields, b""),
@@ -318,13 +318,13 @@
             return;
         }
         match mood {
-            Mood::Resets if frees && self.chance.happens(0.3) => {
+            Mood::Resets if frees && self.chance.random_bool(0.3) => {
                 io.write(conn, &bytes[..bytes.len() / 2]);
                 io.reset(conn);
                 self.peers.remove(&conn);
                 return;
             }
-            Mood::Spoilt if self.chance.happens(0.5) => {
+            Mood::Spoilt if self.chance.random_bool(0.5) => {
                 let turned = self.chance.index(bytes.len());
                 bytes[turned] ^= 0x10;
             }
--- a/crates/sanddrum-lab/src/soak/settings.rs
+++ b/crates/sanddrum-lab/src/soak/settings.rs
@@ -28,7 +28,7 @@
     /// Terms drawn within what the platform's pages allow.
     pub fn drawn(chance: &mut Rng) -> Self {
         let one_of = |chance: &mut Rng, all: &[i64]| all[chance.index(all.len())];
-        let orders = chance.happens(0.6);
+        let orders = chance.random_bool(0.6);
         Terms {
             longest_deadline: one_of(chance, &[1_500_000, 2_000_000, 2_500_000]),
             grace: 250_000,
@@ -40,8 +40,8 @@
             idle_close: one_of(chance, &[2_000_000, 5_000_000, 30_000_000]),
             connect_time_out: one_of(chance, &[250_000, 1_000_000]),
             orders,
-            cancels: chance.happens(0.7),
-            misses: orders && chance.happens(0.4),
+            cancels: chance.random_bool(0.7),
+            misses: orders && chance.random_bool(0.4),
             descriptors: 512,
         }
     }
--- a/crates/sanddrum-lab/src/soak/troubles.rs
+++ b/crates/sanddrum-lab/src/soak/troubles.rs
@@ -141,7 +141,7 @@
             },
             8 | 9 => Trouble::Replace {
                 servers: some(chance, servers),
-                same_address: chance.happens(0.5),
+                same_address: chance.random_bool(0.5),
             },
             10 => Trouble::Drain {
                 servers: some(chance, servers),
@@ -165,7 +165,7 @@
             15 => Trouble::FeedCuts {
                 span: span(chance, S / 2, 2 * S),
             },
-            _ => match chance.happens(0.5) {
+            _ => match chance.random_bool(0.5) {
                 true => Trouble::BadClients {
                     part: 0.5,
                     span: span(chance, S, 3 * S),
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -163,13 +163,13 @@
             // An impostor shows what it came with.
             Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
                 let name = Scenario::worker_name(n);
-                self.driver.watch(
+                self.driver.watch_file(
                     host,
                     DOOR_FILES[1],
                     self.folder.join(format!("{name}.pem")),
                     every,
                 );
-                self.driver.watch(
+                self.driver.watch_file(
                     host,
                     DOOR_FILES[2],
                     self.folder.join(format!("{name}.key")),
@@ -178,7 +178,7 @@
             }
             Who::Edge(_) => {
                 self.driver
-                    .watch(host, CALL_FILES[0], self.folder.join("roots.pem"), every)
+                    .watch_file(host, CALL_FILES[0], self.folder.join("roots.pem"), every)
             }
             _ => {}
         }
@@ -190,7 +190,7 @@
     fn watch_keys(&mut self, who: Who, host: HostId) {
         if self.fleet.wallet.is_some() && matches!(who, Who::Edge(_)) {
             let every = self.fleet.scenario.settings.span("identity.watch-every-us");
-            self.driver.watch(host, KEYS, self.keys_file(), every);
+            self.driver.watch_file(host, KEYS, self.keys_file(), every);
         }
     }
     fn state_file(&self, who: Who) -> Option<PathBuf> {
@@ -266,7 +266,7 @@
     }
     /// Whether a signal asked for the end.
     pub fn signalled(&self) -> bool {
-        self.driver.signalled()
+        self.driver.shutdown_requested()
     }
     pub fn catch_signals(&mut self) -> io::Result<()> {
         self.driver.catch_signals()
@@ -421,13 +421,13 @@
     }
     fn tear(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
-            self.driver.tear_connections(*host);
+            self.driver.reset_on_next_write(*host);
         }
     }
     fn calls_are_over(&self) -> bool {
         self.hosts
             .get(&Who::Callers)
-            .is_none_or(|host| self.driver.core_done(*host))
+            .is_none_or(|host| self.driver.is_core_done(*host))
     }
     fn slack(&self) -> Micros {
         SOCKET_SLACK
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -88,7 +88,7 @@
             list: address(3, 0),
             store: address(3, 1),
         };
-        let slack = 4 * links.cross_zone + 2 * links.retransmit_after;
+        let slack = 4 * links.cross_zone_latency + 2 * links.retransmit_after;
         let seed = scenario.seed;
         let net = VirtualNet::new(seed, BEGIN, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
@@ -122,7 +122,10 @@
             Who::Callers => self.fleet.callers(0),
             Who::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
-                let kept = self.hosts.get(&who).and_then(|host| self.net.kept(*host));
+                let kept = self
+                    .hosts
+                    .get(&who)
+                    .and_then(|host| self.net.saved_state(*host));
                 let start = Start {
                     settings,
                     seed,
@@ -171,12 +174,12 @@
         if let (Who::Edge(_), Some(host), Some(keys)) =
             (who, self.hosts.get(&who), self.fleet.keys())
         {
-            self.net.give_file(*host, KEYS, Ok(&keys));
+            self.net.deliver_file(*host, KEYS, Ok(&keys));
         }
     }
     /// Events carried out so far.
     pub fn steps(&self) -> u64 {
-        self.net.steps()
+        self.net.processed_events()
     }
 }
 
@@ -218,14 +221,14 @@
         let roots = self.fleet.roots();
         for n in 0..self.fleet.scenario.edges {
             if let Some(host) = self.hosts.get(&Who::Edge(n)) {
-                self.net.give_file(*host, CALL_FILES[0], Ok(&roots));
+                self.net.deliver_file(*host, CALL_FILES[0], Ok(&roots));
             }
         }
         for n in 0..self.fleet.scenario.workers {
             let (chain, key) = self.fleet.worker_papers(n)?.own.unwrap_or_default();
             if let Some(host) = self.hosts.get(&Who::Worker(n)) {
-                self.net.give_file(*host, DOOR_FILES[1], Ok(&chain));
-                self.net.give_file(*host, DOOR_FILES[2], Ok(&key));
+                self.net.deliver_file(*host, DOOR_FILES[1], Ok(&chain));
+                self.net.deliver_file(*host, DOOR_FILES[2], Ok(&key));
             }
         }
         Ok(())
@@ -245,14 +248,14 @@
             }
             Some(Fault::Slow(per_s)) => {
                 let bend = Some(LinkFault {
-                    bytes_per_s: per_s,
+                    bytes_per_second: per_s,
                     ..LinkFault::default()
                 });
                 (bend, bend)
             }
             Some(Fault::SilentTo) => (
                 Some(LinkFault {
-                    is_silent: true,
+                    drops_data: true,
                     ..LinkFault::default()
                 }),
                 None,
@@ -260,13 +263,13 @@
             Some(Fault::SilentFrom) => (
                 None,
                 Some(LinkFault {
-                    is_silent: true,
+                    drops_data: true,
                     ..LinkFault::default()
                 }),
             ),
             Some(Fault::Unanswered) => {
                 let bend = Some(LinkFault {
-                    is_silent: true,
+                    drops_data: true,
                     ..LinkFault::default()
                 });
                 (bend, bend)
@@ -281,26 +284,26 @@
         };
         let (from, to) = (*from, *to);
         if fault == Some(Fault::Refused) {
-            self.net.break_between(from, to);
+            self.net.reset_between(from, to);
         }
-        self.net.bend(from, to, there);
-        self.net.bend(to, from, back);
+        self.net.set_link_fault(from, to, there);
+        self.net.set_link_fault(to, from, back);
         Ok(())
     }
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
         if let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) {
-            self.net.break_between(*from, *to);
+            self.net.reset_between(*from, *to);
         }
         Ok(())
     }
     fn forget(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
-            self.net.forget(*host);
+            self.net.clear_saved_state(*host);
         }
     }
     fn ask_to_end(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
-            self.net.stop(*host);
+            self.net.shut_down(*host);
         }
     }
     fn freeze(&mut self, who: Who, frozen: bool) {
@@ -310,13 +313,13 @@
     }
     fn tear(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
-            self.net.tear_connections(*host);
+            self.net.reset_on_next_write(*host);
         }
     }
     fn calls_are_over(&self) -> bool {
         self.hosts
             .get(&Who::Callers)
-            .is_none_or(|host| self.net.done(*host))
+            .is_none_or(|host| self.net.is_core_done(*host))
     }
     fn slack(&self) -> Micros {
         self.slack
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -36,8 +36,8 @@
     // Links without chance, so that what others send moves no draw.
     let links = LinkModel {
         jitter: 0.0,
-        loss_share: 0.0,
-        split_share: 0.0,
+        loss_probability: 0.0,
+        split_probability: 0.0,
         ..LinkModel::default()
     };
     let spec = ListStageSpec {
--- a/crates/sanddrum-net/src/event_loop.rs
+++ b/crates/sanddrum-net/src/event_loop.rs
@@ -143,9 +143,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shutdown {
     /// Every core was asked to end and owes nothing.
-    InOrder,
+    Graceful,
     /// A second signal came.
-    AtOnce,
+    Immediate,
 }
 
 pub struct EventLoop {
@@ -211,11 +211,11 @@
     pub fn now(&self) -> Micros {
         self.epoch + self.begun.elapsed().as_micros() as Micros
     }
-    pub fn tap(&mut self) -> &mut dyn TrafficObserver {
+    pub fn observer(&mut self) -> &mut dyn TrafficObserver {
         &mut *self.tap
     }
     /// Lines of this core's audit go to a file, and to one more of the same size once that is full.
-    pub fn audit_to(&mut self, host: HostId, file: PathBuf, most: u64) {
+    pub fn set_audit_file(&mut self, host: HostId, file: PathBuf, most: u64) {
         if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
             hosted.audit = Some(Audit::new(file, most));
         }
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// A door can't be watched.
-    pub fn set_doors(&mut self, host: HostId, doors: Vec<TcpListener>) -> io::Result<()> {
+    pub fn set_listeners(&mut self, host: HostId, doors: Vec<TcpListener>) -> io::Result<()> {
         let before = self
             .hosts
             .get_mut(host.0)
@@ -315,20 +315,11 @@
         keys.into_iter().for_each(|key| self.attend(key));
     }
     /// Each connection of a core breaks at its next write, in the middle of what is written.
-    pub fn tear_connections(&mut self, host: HostId) {
+    pub fn reset_on_next_write(&mut self, host: HostId) {
         if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
             hosted.torn = hosted.conns.keys().copied().collect();
         }
     }
-    /// Breaks every connection of a core, as a reset on the way would.
-    pub fn break_connections(&mut self, host: HostId) {
-        let conns: Vec<ConnectionId> = self
-            .host(host)
-            .map_or(vec![], |h| h.conns.keys().copied().collect());
-        for conn in conns {
-            self.end(host, conn, CloseCause::Reset);
-        }
-    }
     fn host(&self, host: HostId) -> Option<&Hosted> {
         self.hosts.get(host.0).and_then(Option::as_ref)
     }
@@ -342,11 +333,11 @@
             looks = if done { looks + 1 } else { 0 };
             let came = self.step(done.then(|| self.now()))?;
             if self.signals > 1 && !self.ends_in_order_only {
-                return Ok(Shutdown::AtOnce);
+                return Ok(Shutdown::Immediate);
             }
             if done && (came == 0 || looks >= LAST_LOOKS) {
                 self.leave()?;
-                return Ok(Shutdown::InOrder);
+                return Ok(Shutdown::Graceful);
             }
         }
     }
@@ -395,11 +386,11 @@
         Ok(())
     }
     /// Whether a core says that it owes nothing more; a dead one owes nothing.
-    pub fn core_done(&self, host: HostId) -> bool {
+    pub fn is_core_done(&self, host: HostId) -> bool {
         self.host(host).is_none_or(|h| h.core.is_done())
     }
     /// Whether a signal asked for the end.
-    pub fn signalled(&self) -> bool {
+    pub fn shutdown_requested(&self) -> bool {
         self.signals > 0
     }
 
--- a/crates/sanddrum-net/src/event_loop/signals.rs
+++ b/crates/sanddrum-net/src/event_loop/signals.rs
@@ -37,11 +37,11 @@
     }
     /// From now on a second signal to end changes nothing, as whoever repeats it would take what is open with it: there is
     /// SIGKILL for who can't wait.
-    pub fn end_in_order_only(&mut self) {
+    pub fn ignore_repeated_signals(&mut self) {
         self.ends_in_order_only = true;
     }
     /// Tells this core of a file now, whenever it changes (looked at every so often), and on SIGHUP.
-    pub fn watch(&mut self, host: HostId, name: &str, file: PathBuf, every: Micros) {
+    pub fn watch_file(&mut self, host: HostId, name: &str, file: PathBuf, every: Micros) {
         if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
             hosted.watched.push(Watched::new(name, file, every));
         }
--- a/crates/sanddrum-net/src/link_model.rs
+++ b/crates/sanddrum-net/src/link_model.rs
@@ -6,29 +6,29 @@
 #[derive(Clone, Debug)]
 pub struct LinkModel {
     /// One way, between hosts of one zone and of two.
-    pub same_zone: Micros,
-    pub cross_zone: Micros,
+    pub same_zone_latency: Micros,
+    pub cross_zone_latency: Micros,
     /// The part of the latency that chance may add.
     pub jitter: f64,
     /// The part of pieces that are lost and come again after `retransmit_after`.
-    pub loss_share: f64,
+    pub loss_probability: f64,
     pub retransmit_after: Micros,
     /// The part of pieces that arrive in two halves.
-    pub split_share: f64,
+    pub split_probability: f64,
     /// Bytes that may be under way on a connection, one way.
-    pub window: usize,
+    pub window_bytes: usize,
 }
 
 impl Default for LinkModel {
     fn default() -> Self {
         LinkModel {
-            same_zone: 200,
-            cross_zone: 600,
+            same_zone_latency: 200,
+            cross_zone_latency: 600,
             jitter: 0.2,
-            loss_share: 0.0,
+            loss_probability: 0.0,
             retransmit_after: 200_000,
-            split_share: 0.05,
-            window: 256 * 1024,
+            split_probability: 0.05,
+            window_bytes: 256 * 1024,
         }
     }
 }
@@ -39,9 +39,9 @@
     /// Everything takes so much longer.
     pub delay: Micros,
     /// No more than so many bytes a second pass on each connection; nought: any.
-    pub bytes_per_s: f64,
+    pub bytes_per_second: f64,
     /// Connections are made, and what is sent on them does not arrive until the way is mended.
-    pub is_silent: bool,
+    pub drops_data: bool,
     /// Connections are refused.
     pub refuses_connections: bool,
 }
--- a/crates/sanddrum-net/src/outbox.rs
+++ b/crates/sanddrum-net/src/outbox.rs
@@ -33,11 +33,11 @@
             blocked: false,
         }
     }
-    pub fn waiting(&self) -> usize {
+    pub fn pending_bytes(&self) -> usize {
         self.bytes.len() - self.taken
     }
     pub fn push(&mut self, mark: M, piece: &[u8]) -> Result<(), OutboxFull> {
-        if self.waiting() > 0 && self.waiting() + piece.len() > self.most {
+        if self.pending_bytes() > 0 && self.pending_bytes() + piece.len() > self.most {
             return Err(OutboxFull);
         }
         self.bytes.extend_from_slice(piece);
@@ -45,7 +45,7 @@
         Ok(())
     }
     /// Takes a piece back of which nothing was written; true if that was still possible.
-    pub fn retract(&mut self, mark: &M) -> bool {
+    pub fn remove_unwritten(&mut self, mark: &M) -> bool {
         let Some(n) = self.pieces.iter().position(|(_, m)| m == mark) else {
             return false;
         };
@@ -67,7 +67,7 @@
         true
     }
     /// Puts other bytes in the place of a piece of which nothing was written; true if that was still possible.
-    pub fn replace(&mut self, mark: &M, piece: &[u8]) -> bool {
+    pub fn replace_unwritten(&mut self, mark: &M, piece: &[u8]) -> bool {
         let Some(n) = self.pieces.iter().position(|(_, m)| m == mark) else {
             return false;
         };
@@ -88,7 +88,7 @@
         true
     }
     /// The marks of pieces of which nothing was written.
-    pub fn unbegun(&self) -> impl Iterator<Item = &M> {
+    pub fn unwritten(&self) -> impl Iterator<Item = &M> {
         self.pieces
             .iter()
             .skip(usize::from(self.begun))
@@ -125,7 +125,7 @@
                 .pop_front()
                 .is_some_and(|(end, _)| end < self.taken);
         }
-        if self.waiting() == 0 {
+        if self.pending_bytes() == 0 {
             self.bytes.clear();
             self.taken = 0;
         } else if self.taken > self.most {
@@ -137,7 +137,7 @@
         self.blocked = false;
     }
     /// Whether this piece was not taken to its end, so that it cannot have been read.
-    pub fn holds(&self, mark: &M) -> bool {
+    pub fn is_pending(&self, mark: &M) -> bool {
         self.pieces.iter().any(|(_, m)| m == mark)
     }
     fn compact(&mut self) {
--- a/crates/sanddrum-net/src/rng.rs
+++ b/crates/sanddrum-net/src/rng.rs
@@ -13,18 +13,18 @@
         self.0.next_u64()
     }
     /// From nought up to, but without, one.
-    pub fn unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
     /// From nought up to, but without, `end`; nought where `end` is.
     pub fn index(&mut self, end: usize) -> usize {
-        ((self.unit() * end as f64) as usize).min(end.saturating_sub(1))
+        ((self.next_f64() * end as f64) as usize).min(end.saturating_sub(1))
     }
     /// Exponentially distributed, as the gaps between calls that know nothing of each other.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.unit()).ln()
+        -mean * (1.0 - self.next_f64()).ln()
     }
-    pub fn happens(&mut self, part: f64) -> bool {
-        self.unit() < part
+    pub fn random_bool(&mut self, probability: f64) -> bool {
+        self.next_f64() < probability
     }
 }
--- a/crates/sanddrum-net/src/virtual_net.rs
+++ b/crates/sanddrum-net/src/virtual_net.rs
@@ -57,8 +57,6 @@
     resumed: BTreeSet<ConnectionId>,
     /// Connections that break at their next write.
     torn: BTreeSet<ConnectionId>,
-    /// One-way links between hosts that carry nothing until they are mended; what is sent meanwhile comes then.
-    cut: BTreeMap<(HostId, HostId), Vec<What>>,
     /// Ways that something is wrong with, and what is held there.
     bent: BTreeMap<(HostId, HostId), (LinkFault, Vec<What>)>,
     steps: u64,
@@ -81,7 +79,6 @@
             touched: BTreeSet::new(),
             resumed: BTreeSet::new(),
             torn: BTreeSet::new(),
-            cut: BTreeMap::new(),
             bent: BTreeMap::new(),
             steps: 0,
         }
@@ -89,11 +86,11 @@
     pub fn now(&self) -> Micros {
         self.now
     }
-    pub fn tap(&mut self) -> &mut dyn TrafficObserver {
+    pub fn observer(&mut self) -> &mut dyn TrafficObserver {
         &mut *self.tap
     }
     /// Events carried out so far.
-    pub fn steps(&self) -> u64 {
+    pub fn processed_events(&self) -> u64 {
         self.steps
     }
     pub fn add(&mut self, zone: usize, doors: &[&str], core: Box<dyn Core>) -> HostId {
@@ -113,11 +110,11 @@
         host
     }
     /// What the core last had kept; it outlives the core.
-    pub fn kept(&self, host: HostId) -> Option<Vec<u8>> {
+    pub fn saved_state(&self, host: HostId) -> Option<Vec<u8>> {
         self.hosts.get(host.0).and_then(|h| h.kept.clone())
     }
     /// What a core had kept is lost.
-    pub fn forget(&mut self, host: HostId) {
+    pub fn clear_saved_state(&mut self, host: HostId) {
         self.hosts
             .get_mut(host.0)
             .iter_mut()
@@ -128,7 +125,7 @@
         self.hosts.get(host.0).map_or(&[], |h| &h.audit)
     }
     /// Tells a core of a file that it watches.
-    pub fn give_file(&mut self, host: HostId, name: &str, content: Result<&[u8], &str>) {
+    pub fn deliver_file(&mut self, host: HostId, name: &str, content: Result<&[u8], &str>) {
         self.call(host, |core, now, io| core.on_file(now, name, content, io));
         self.turn_touched();
     }
@@ -171,18 +168,8 @@
             self.turn_touched();
         }
     }
-    /// A one-way link carries nothing, or again what it should have and all that follows.
-    pub fn cut(&mut self, from: HostId, to: HostId, cut: bool) {
-        if cut {
-            self.cut.entry((from, to)).or_default();
-        } else if let Some(held) = self.cut.remove(&(from, to)) {
-            for what in held {
-                self.post(from, Some(to), 0, what);
-            }
-        }
-    }
     /// Something is wrong with the way from one host to another, or no more; what was held there goes on then.
-    pub fn bend(&mut self, from: HostId, to: HostId, how: Option<LinkFault>) {
+    pub fn set_link_fault(&mut self, from: HostId, to: HostId, how: Option<LinkFault>) {
         let held = self
             .bent
             .remove(&(from, to))
@@ -195,7 +182,7 @@
         }
     }
     /// Breaks every connection between two hosts.
-    pub fn break_between(&mut self, one: HostId, other: HostId) {
+    pub fn reset_between(&mut self, one: HostId, other: HostId) {
         let of = |conn: &ConnectionId| self.ends.get(conn).map(|end| end.host);
         let between = |(_, end): &(&ConnectionId, &End)| {
             end.host == one && end.peer.is_some_and(|peer| of(&peer) == Some(other))
@@ -221,16 +208,16 @@
         }
     }
     /// Each connection of a core breaks at its next write, in the middle of what is written.
-    pub fn tear_connections(&mut self, host: HostId) {
+    pub fn reset_on_next_write(&mut self, host: HostId) {
         self.torn
             .extend(self.hosts.get(host.0).iter().flat_map(|h| &h.conns));
     }
-    pub fn stop(&mut self, host: HostId) {
+    pub fn shut_down(&mut self, host: HostId) {
         self.call(host, |core, now, io| core.shut_down(now, io));
         self.turn_touched();
     }
     /// Whether a core says that it owes nothing more; a dead one owes nothing.
-    pub fn done(&self, host: HostId) -> bool {
+    pub fn is_core_done(&self, host: HostId) -> bool {
         self.hosts
             .get(host.0)
             .and_then(|h| h.core.as_ref())
@@ -310,35 +297,32 @@
         let zone = |host: HostId| self.hosts.get(host.0).map_or(0, |h| h.zone);
         let same = to.is_none_or(|to| zone(from) == zone(to));
         let way = if same {
-            self.links.same_zone
+            self.links.same_zone_latency
         } else {
-            self.links.cross_zone
+            self.links.cross_zone_latency
         };
-        let mut takes = way as f64 * (1.0 + self.chance.unit() * self.links.jitter);
-        if self.links.loss_share > 0.0 && self.chance.happens(self.links.loss_share) {
+        let mut takes = way as f64 * (1.0 + self.chance.next_f64() * self.links.jitter);
+        if self.links.loss_probability > 0.0 && self.chance.random_bool(self.links.loss_probability)
+        {
             takes += self.links.retransmit_after as f64;
         }
         takes as Micros
     }
     /// Sends on the way; nothing arrives before what the same end sent earlier.
     fn post(&mut self, from: HostId, to: Option<HostId>, earliest: Micros, what: What) -> Micros {
-        if let Some(held) = to.and_then(|to| self.cut.get_mut(&(from, to))) {
-            held.push(what);
-            return earliest;
-        }
         let arrives = self.now + self.latency(from, to);
         let mut at = arrives.max(earliest);
         if let Some((bend, held)) = to.and_then(|to| self.bent.get_mut(&(from, to))) {
             let passes = matches!(what, What::Knock { .. } | What::Connected { .. });
-            if bend.is_silent && !passes {
+            if bend.drops_data && !passes {
                 held.push(what);
                 return earliest;
             }
             // Behind what was sent before it, and not later than that by a delay of its own: pieces that follow each
             // other would be late by the sum of all their delays.
             at = (arrives + bend.delay).max(earliest);
-            if let (What::Bytes { bytes, .. }, true) = (&what, bend.bytes_per_s > 0.0) {
-                at += (bytes.len() as f64 / bend.bytes_per_s * 1e6) as Micros;
+            if let (What::Bytes { bytes, .. }, true) = (&what, bend.bytes_per_second > 0.0) {
+                at += (bytes.len() as f64 / bend.bytes_per_second * 1e6) as Micros;
             }
         }
         self.sent += 1;
@@ -495,7 +479,7 @@
             What::Bytes { bytes, .. } => {
                 if let Some(other) = peer.and_then(|peer| self.ends.get_mut(&peer)) {
                     other.under_way = other.under_way.saturating_sub(bytes.len());
-                    if other.short && other.under_way * 2 <= self.links.window {
+                    if other.short && other.under_way * 2 <= self.links.window_bytes {
                         other.short = false;
                         self.post_on(
                             conn,
@@ -581,7 +565,7 @@
             self.net.queue.insert((self.net.now, self.net.sent), broken);
             return wrote;
         }
-        let window = self.net.links.window;
+        let window = self.net.links.window_bytes;
         let Some(end) = self.net.ends.get_mut(&conn) else {
             return 0;
         };
@@ -592,7 +576,11 @@
         let taken = &bytes[..takes];
         let now = self.net.now;
         self.net.tap.sent(now, self.host, conn, taken);
-        let split = takes > 1 && self.net.chance.happens(self.net.links.split_share);
+        let split = takes > 1
+            && self
+                .net
+                .chance
+                .random_bool(self.net.links.split_probability);
         let at = if split {
             1 + self.net.chance.index(takes - 1)
         } else {
--- a/crates/sanddrum-net/tests/both_drivers.rs
+++ b/crates/sanddrum-net/tests/both_drivers.rs
@@ -108,8 +108,8 @@
 impl Driver {
     fn new(on_sockets: bool, seed: u64) -> Driver {
         let links = LinkModel {
-            window: 10_000,
-            split_share: 0.5,
+            window_bytes: 10_000,
+            split_probability: 0.5,
             ..LinkModel::default()
         };
         match on_sockets {
@@ -174,8 +174,8 @@
     }
     fn tear(&mut self, host: HostId) {
         match self {
-            Driver::Sockets(driver) => driver.tear_connections(host),
-            Driver::Virtual(net) => net.tear_connections(host),
+            Driver::Sockets(driver) => driver.reset_on_next_write(host),
+            Driver::Virtual(net) => net.reset_on_next_write(host),
         }
     }
 }
@@ -292,7 +292,7 @@
     let play = |seed| {
         let times = Times::default();
         let links = LinkModel {
-            loss_share: 0.1,
+            loss_probability: 0.1,
             ..LinkModel::default()
         };
         let mut net = VirtualNet::new(seed, 0, links, Box::new(times.clone()));
@@ -332,14 +332,14 @@
         1,
         1_000_000,
         LinkModel {
-            split_share: 0.0,
+            split_probability: 0.0,
             ..LinkModel::default()
         },
         Box::new(NullObserver),
     );
     let to = net.add(0, &["a:1"], listens);
     let from = net.add(0, &[], Box::new(Drips(None, 0, 0)));
-    net.bend(
+    net.set_link_fault(
         from,
         to,
         Some(LinkFault {
--- a/crates/sanddrum-net/tests/outbox.rs
+++ b/crates/sanddrum-net/tests/outbox.rs
@@ -36,14 +36,14 @@
     out.push(2, b"bbbbbb").unwrap();
     out.push(3, b"cc").unwrap();
     out.flush(ConnectionId(0), &mut io);
-    assert!(!out.holds(&1) && out.holds(&2) && out.holds(&3));
-    assert!(!out.retract(&2), "three of its bytes are out");
-    assert!(out.retract(&3));
+    assert!(!out.is_pending(&1) && out.is_pending(&2) && out.is_pending(&3));
+    assert!(!out.remove_unwritten(&2), "three of its bytes are out");
+    assert!(out.remove_unwritten(&3));
     out.push(4, b"dd").unwrap();
     io.room = 100;
     out.flush(ConnectionId(0), &mut io);
     assert!(
-        out.waiting() > 0,
+        out.pending_bytes() > 0,
         "not before the socket says that there is room"
     );
     out.unblock();
@@ -63,11 +63,11 @@
     for (mark, piece) in [(1, &b"one"[..]), (2, b"two"), (3, b"three")] {
         out.push(mark, piece).unwrap();
     }
-    assert!(out.retract(&2) && !out.retract(&2));
+    assert!(out.remove_unwritten(&2) && !out.remove_unwritten(&2));
     io.room = 50;
     out.flush(ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"onethree");
-    assert!(!out.holds(&3));
+    assert!(!out.is_pending(&3));
 }
 
 #[rstest]
@@ -99,7 +99,7 @@
     assert_eq!(io.wrote, b"", "no piece has this mark");
     out.flush_through(&7, ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"oneseventwoagain");
-    assert!(out.holds(&3) && !out.holds(&7) && out.retract(&3));
+    assert!(out.is_pending(&3) && !out.is_pending(&7) && out.remove_unwritten(&3));
     out.push(4, b"four").unwrap();
     out.flush(ConnectionId(0), &mut io);
     assert_eq!(io.wrote, b"oneseventwoagainfour");
@@ -117,7 +117,7 @@
     out.push(1, b"aaa").unwrap();
     out.push(2, b"bbb").unwrap();
     out.flush_through(&2, ConnectionId(0), &mut io);
-    assert!(out.holds(&2));
+    assert!(out.is_pending(&2));
     io.room = 10;
     out.flush(ConnectionId(0), &mut io);
     assert_eq!(
@@ -142,10 +142,17 @@
         out.push(mark, piece).unwrap();
     }
     out.flush(ConnectionId(1), &mut io);
-    assert_eq!(out.unbegun().collect::<Vec<_>>(), [&2, &3]);
-    assert!(!out.replace(&1, b"x") && out.replace(&2, b"B") && out.replace(&3, b"CCCC"));
+    assert_eq!(out.unwritten().collect::<Vec<_>>(), [&2, &3]);
+    assert!(
+        !out.replace_unwritten(&1, b"x")
+            && out.replace_unwritten(&2, b"B")
+            && out.replace_unwritten(&3, b"CCCC")
+    );
     out.unblock();
     io.room = 100;
     out.flush(ConnectionId(1), &mut io);
-    assert_eq!((io.wrote.as_slice(), out.waiting()), (&b"aaaaBCCCC"[..], 0));
+    assert_eq!(
+        (io.wrote.as_slice(), out.pending_bytes()),
+        (&b"aaaaBCCCC"[..], 0)
+    );
 }
--- a/crates/sanddrum-net/tests/stopping.rs
+++ b/crates/sanddrum-net/tests/stopping.rs
@@ -65,7 +65,7 @@
         );
         piece
     });
-    assert_eq!(driver.run().unwrap(), Shutdown::InOrder);
+    assert_eq!(driver.run().unwrap(), Shutdown::Graceful);
     drop(driver);
     assert_eq!(&reads.join().unwrap(), b"asks");
 }
--- a/crates/sanddrum-tls/tests/stories.rs
+++ b/crates/sanddrum-tls/tests/stories.rs
@@ -210,8 +210,8 @@
 }
 fn net(seed: u64) -> VirtualNet {
     let links = LinkModel {
-        split_share: 0.5,
-        window: 30_000,
+        split_probability: 0.5,
+        window_bytes: 30_000,
         ..LinkModel::default()
     };
     VirtualNet::new(seed, NOW, links, Box::new(NullObserver))
@@ -390,9 +390,9 @@
     let roots: String = format!("{}{}", old.0.pem(), new.0.pem());
     let (chain, key) = new.leaf(NAME, 2040);
     let (torn, _) = chain.split_at(chain.len() / 2);
-    net.give_file(host, DOOR_FILES[0], Ok(roots.as_bytes()));
-    net.give_file(host, DOOR_FILES[1], Ok(torn));
-    net.give_file(host, DOOR_FILES[2], Ok(&key));
+    net.deliver_file(host, DOOR_FILES[0], Ok(roots.as_bytes()));
+    net.deliver_file(host, DOOR_FILES[1], Ok(torn));
+    net.deliver_file(host, DOOR_FILES[2], Ok(&key));
     let late = |net: &mut VirtualNet, authority: &Authority| {
         let (client, seen) = Talker::calls("a:1", NAME, b"two");
         net.add(0, &[], dials(client, authority.side(None, Asks::No)));
@@ -405,9 +405,9 @@
         b"two",
         "the last good one, as the new one is torn"
     );
-    net.give_file(host, DOOR_FILES[1], Err("unreadable"));
+    net.deliver_file(host, DOOR_FILES[1], Err("unreadable"));
     assert_eq!(late(&mut net, &old), b"two");
-    net.give_file(host, DOOR_FILES[1], Ok(&chain));
+    net.deliver_file(host, DOOR_FILES[1], Ok(&chain));
     assert_eq!(
         late(&mut net, &new),
         b"two",
@@ -519,14 +519,14 @@
     let edge = net.add(0, &[], dials(client, side(papers, Asks::No)));
     run(&mut net, 1);
     assert_eq!(seen.borrow().came, b"one");
-    net.give_file(edge, CALL_FILES[3], Ok(&authority.revokes(2022, &[2038])));
-    net.give_file(edge, CALL_FILES[3], Ok(b"-----BEGIN X509 CRL-----\ntorn"));
+    net.deliver_file(edge, CALL_FILES[3], Ok(&authority.revokes(2022, &[2038])));
+    net.deliver_file(edge, CALL_FILES[3], Ok(b"-----BEGIN X509 CRL-----\ntorn"));
     run(&mut net, 1);
     assert!(
         seen.borrow().stale.is_empty(),
         "an older list and a torn one change nothing"
     );
-    net.give_file(edge, CALL_FILES[3], Ok(&authority.revokes(2024, &[2038])));
+    net.deliver_file(edge, CALL_FILES[3], Ok(&authority.revokes(2024, &[2038])));
     run(&mut net, 1);
     assert_eq!(seen.borrow().stale, [true]);
     assert!(
@@ -596,20 +596,20 @@
     let edge = net.add(0, &[], dials(again, ours.side(None, Asks::No)));
     run(&mut net, 2);
     assert_eq!(*resumed.borrow(), [false, true, true]);
-    net.give_file(
+    net.deliver_file(
         edge,
         CALL_FILES[0],
         Ok(&[ours.roots(), other.roots()].concat()),
     );
-    net.give_file(edge, "go", Ok(b""));
+    net.deliver_file(edge, "go", Ok(b""));
     run(&mut net, 1);
     assert_eq!(
         *resumed.borrow(),
         [false, true, true, false],
         "roots have changed"
     );
-    net.give_file(edge, CALL_FILES[4], Ok(Authority::print(&shown).as_bytes()));
-    net.give_file(edge, "go", Ok(b""));
+    net.deliver_file(edge, CALL_FILES[4], Ok(Authority::print(&shown).as_bytes()));
+    net.deliver_file(edge, "go", Ok(b""));
     run(&mut net, 1);
     assert_eq!(
         (resumed.borrow().len(), *refused.borrow()),
@@ -654,8 +654,8 @@
         let (server, heard) = Talker::listens();
         let (client, _) = Talker::calls("a:1", NAME, b"x");
         let links = LinkModel {
-            split_share: 0.5,
-            window: 30_000,
+            split_probability: 0.5,
+            window_bytes: 30_000,
             ..LinkModel::default()
         };
         let mut net = VirtualNet::new(
@@ -805,7 +805,7 @@
         let mut net = net(1);
         let host = net.add(0, &["a:1"], serves(talker, authority.side(Some(own), Asks::May)));
         for content in [&junk[..], &bytes[..], &good[file][..]] {
-            net.give_file(host, DOOR_FILES[file], Ok(content));
+            net.deliver_file(host, DOOR_FILES[file], Ok(content));
         }
         // Whatever came before, with the good file back all is well; a denied key is the server's own and hurts nobody.
         let (client, seen) = Talker::calls("a:1", NAME, b"x");
@@ -855,8 +855,8 @@
         ),
     );
     let (chain, key) = authority.leaf(NAME, 2022);
-    net.give_file(host, DOOR_FILES[1], Ok(&chain));
-    net.give_file(host, DOOR_FILES[2], Ok(&key));
+    net.deliver_file(host, DOOR_FILES[1], Ok(&chain));
+    net.deliver_file(host, DOOR_FILES[2], Ok(&key));
     let (client, _) = Talker::calls("a:1", NAME, b"x");
     net.add(0, &[], dials(client, authority.side(None, Asks::No)));
     run(&mut net, 1);
@@ -907,7 +907,7 @@
         1,
         NOW,
         LinkModel {
-            window,
+            window_bytes: window,
             ..LinkModel::default()
         },
         Box::new(NullObserver),
