--- a/crates/sanddrum-edge/src/worker_connections/restate.rs
+++ b/crates/sanddrum-edge/src/worker_connections/restate.rs
@@ -5,18 +5,18 @@
 use crate::dispatch::execute_message;
 use crate::Inner;
 use sanddrum::Micros;
-use sanddrum_upstream::LinkId;
+use sanddrum_upstream::WorkerConnectionId;
 
 /// A frame that has waited longer than this states its deadline anew.
 const STATED_FOR: Micros = 10_000;
 
 impl Inner {
     /// Has the frames that wait on this link, and are not begun, state what is left by now.
-    pub(super) fn restate_deadlines(&mut self, now: Micros, id: LinkId) {
+    pub(super) fn restate_deadlines(&mut self, now: Micros, id: WorkerConnectionId) {
         let Some(link) = self.links.links.get(&id).filter(|link| link.up) else {
             return;
         };
-        let executions = link.out.unbegun().filter_map(|mark| match mark {
+        let executions = link.out.unwritten().filter_map(|mark| match mark {
             Mark::Execution(execution) => Some(*execution),
             _ => None,
         });
@@ -32,7 +32,7 @@
         }
     }
 
-    fn restate_deadline(&mut self, now: Micros, id: LinkId, execution: u64) {
+    fn restate_deadline(&mut self, now: Micros, id: WorkerConnectionId, execution: u64) {
         let Some(e) = self.jobs.executions.get_mut(&execution) else {
             return;
         };
@@ -43,7 +43,8 @@
         let message = execute_message(&self.functions, job, execution, (e.due - now).max(0));
         let bytes = self.speech.execute(message, job.number);
         if let Some(link) = self.links.links.get_mut(&id) {
-            link.out.replace(&Mark::Execution(execution), &bytes);
+            link.out
+                .replace_unwritten(&Mark::Execution(execution), &bytes);
         }
     }
 }
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -6,7 +6,7 @@
 use sanddrum_emulator::machine::{Machine, Size};
 use sanddrum_emulator::OnMiss;
 use sanddrum_net::Rng;
-use sanddrum_settings::{key, Kind, Loaded, Problem, Section};
+use sanddrum_settings::{key, Kind, LoadedSettings, Section, SettingsError};
 use sanddrum_wire::{id_of, LoadReport};
 
 pub const SECTION: Section = Section {
@@ -95,7 +95,7 @@
 };
 
 /// Why a model can't be.
-pub(crate) fn check(plan: &Plan) -> Result<(), Problem> {
+pub(crate) fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     if l.count("functions") == 0 {
         let remedy = "add (function \"f-*\" (workload \"...\"))";
@@ -157,7 +157,7 @@
 }
 
 impl Model {
-    pub fn of(l: &Loaded) -> Self {
+    pub fn of(l: &LoadedSettings) -> Self {
         let span = |name: &str| l.span(&format!("model.{name}-us"));
         Model {
             size: Size {
@@ -200,7 +200,7 @@
     /// What a load takes, drawn about the middle one.
     pub fn draw_load(&self, chance: &mut Rng) -> Micros {
         // A normal draw, by Box and Muller.
-        let (u, v) = (1.0 - chance.unit(), chance.unit());
+        let (u, v) = (1.0 - chance.next_f64(), chance.next_f64());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         (self.load as f64 * (self.load_spread * normal).exp()).max(1.0) as Micros
     }
@@ -243,7 +243,7 @@
 
 impl Functions {
     /// So many of the plan's first function pattern.
-    pub fn new(l: &Loaded, count: usize, shape: Shape, seed: u64) -> Self {
+    pub fn new(l: &LoadedSettings, count: usize, shape: Shape, seed: u64) -> Self {
         let prefix = l.text("functions.0.name").trim_end_matches('*').to_string();
         let workload = l.text("functions.0.workload").to_string();
         let (memory_mb, lanes) = (
@@ -263,7 +263,7 @@
             ),
         };
         let rates: Vec<f64> = (frequent..count)
-            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.unit()))
+            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.next_f64()))
             .collect();
         let of_rare = rates.iter().sum::<f64>() / calls;
         let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
@@ -296,7 +296,7 @@
     /// One, as often as it is called.
     pub fn draw(&self, chance: &mut Rng) -> usize {
         let all = self.sums.last().copied().unwrap_or(1.0);
-        let at = chance.unit() * all;
+        let at = chance.next_f64() * all;
         self.sums
             .partition_point(|sum| *sum <= at)
             .min(self.all.len().saturating_sub(1))
@@ -344,7 +344,7 @@
             .clamp(PLACES, (workers as f64).max(PLACES));
         let expected = part * self.calls * (keep as f64 / 1e6) / places;
         let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
-        Rng::new(self.seed ^ draw).unit() < 1.0 - (-expected).exp()
+        Rng::new(self.seed ^ draw).next_f64() < 1.0 - (-expected).exp()
     }
     /// A report with the others' jobs in it.
     fn in_report(
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -16,7 +16,11 @@
     read(sizes, limits, MEMORY).unwrap()
 }
 
-fn read(sizes: &str, limits: &str, memory: Memory) -> Result<Plan, sanddrum_settings::Problem> {
+fn read(
+    sizes: &str,
+    limits: &str,
+    memory: Memory,
+) -> Result<Plan, sanddrum_settings::SettingsError> {
     let text = format!(
         r#"(deployment (name "list") (zones "z0" "z1"))
            (workload "call" (start-target 1800ms) (time-limit 10s) (effect restartable))
@@ -32,8 +36,8 @@
     // Links without chance, so that what others send moves no draw.
     let links = LinkModel {
         jitter: 0.0,
-        loss_share: 0.0,
-        split_share: 0.0,
+        loss_probability: 0.0,
+        split_probability: 0.0,
         ..LinkModel::default()
     };
     let spec = ListStageSpec {
@@ -284,7 +288,7 @@
     let mut hurried = text_time.clone();
     hurried
         .settings
-        .give("capacity.time-a-point", "0s", "story")
+        .override_value("capacity.time-a-point", "0s", "story")
         .unwrap();
     let points = played(&hurried);
     assert!(
