--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -1,50 +1,329 @@
-//! From the wire's events to the rounds that the module takes, and from its words to ours.
+//! Decodes messages of the simulator's wire into the events of the decision module.
 
-use crate::{Host, Instance, Names};
+use crate::error::{DecodeError, ValueKind};
+use crate::fields::{unknown_value, wrong_type, Fields};
+use crate::host::{Host, Instance, NamedEndpoint};
+use crate::names::Names;
 use base64::{engine::general_purpose::STANDARD, Engine};
-use sanddrum::*;
-use sanddrum_platform_config::{self as dialect, id_of};
+use sanddrum::{
+    AttemptResult, CellId, CustomerId, Endpoint, EndpointList, EndpointListKind, EventBatch,
+    FunctionId, GossipMessage, HealthCheckResult, KindId, LoadReport, LoadResult, Micros, Outcome,
+    PeerId, Request, Router, Settings, Warmth, WorkerId, WorkerState, WorkloadId, ZoneId,
+};
+use sanddrum_platform_config::{self as platform_config, id_of};
 use serde_json::Value as Json;
+use std::collections::HashMap;
 
-type Read<T> = Result<T, String>;
+/// Bit of a request's options: the hint of its work is valid.
+const OPTION_WORK_HINT: u64 = 1;
+/// Bit of a request's options: it is a retry by the client.
+const OPTION_CLIENT_RETRY: u64 = 2;
+/// An outcome's note is the warmth below this, and the function's requests in flight above.
+const WARMTH_CODES: u32 = 8;
 
-/// A message's values, asked for by place and name.
-struct Fields<'a>(&'a [Json]);
+/// How far a batch of messages has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum BatchProgress {
+    /// More messages follow.
+    Incomplete,
+    /// It is to be answered.
+    Complete,
+}
+
+/// A message to one instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum InstanceMessage {
+    Start,
+    Stop,
+    EndpointList,
+    Request,
+    AnswerBegun,
+    AttemptResult,
+    Cancelled,
+    Timer,
+    HealthCheckResult,
+    Gossip,
+    LoadResult,
+}
+
+impl InstanceMessage {
+    /// The message of this name; none if the adapter has no use for it.
+    fn of(name: &str) -> Option<Self> {
+        Some(match name {
+            "power-on" => InstanceMessage::Start,
+            "killed" => InstanceMessage::Stop,
+            "peers-known" => InstanceMessage::EndpointList,
+            "incoming" => InstanceMessage::Request,
+            "accepted" => InstanceMessage::AnswerBegun,
+            "outcome" => InstanceMessage::AttemptResult,
+            "cancelled-by-client" => InstanceMessage::Cancelled,
+            "due" => InstanceMessage::Timer,
+            "sampled" => InstanceMessage::HealthCheckResult,
+            "whisper" => InstanceMessage::Gossip,
+            "loaded" => InstanceMessage::LoadResult,
+            _ => return None,
+        })
+    }
+}
 
-impl<'a> Fields<'a> {
-    fn get(&self, place: usize) -> &'a Json {
-        self.0.get(place).unwrap_or(&Json::Null)
+impl Host {
+    /// Reads one message.
+    pub fn read_message(&mut self, text: &str) -> Result<BatchProgress, DecodeError> {
+        let json: Json = serde_json::from_str(text)?;
+        let fields = Fields::of(&json).ok_or(DecodeError::NoList)?;
+        match fields.text(0, "message name")? {
+            "clock" => self.now = fields.number(1, "clock")? as Micros,
+            "end" => return Ok(BatchProgress::Complete),
+            "snapshot-rows" => self.read_endpoint_rows(fields)?,
+            name => {
+                if let Some(message) = InstanceMessage::of(name) {
+                    self.read_instance_message(message, fields)?;
+                }
+            }
+        }
+        Ok(BatchProgress::Incomplete)
     }
-    fn text(&self, place: usize, name: &str) -> Read<&'a str> {
-        self.get(place)
-            .as_str()
-            .ok_or_else(|| format!("{name}: a text is wanted"))
+
+    /// Reads a numbered list of endpoints, to which messages refer.
+    fn read_endpoint_rows(&mut self, fields: Fields) -> Result<(), DecodeError> {
+        let rows = fields.list(2, "lines")?.iter().map(read_endpoint);
+        let rows = rows.collect::<Result<Vec<_>, _>>()?;
+        let number = fields.number(1, "ref")? as u64;
+        self.endpoint_lists.insert(number, rows);
+        Ok(())
     }
-    fn maybe(&self, place: usize, name: &str) -> Read<Option<f64>> {
-        match self.get(place) {
-            Json::Null => Ok(None),
-            v => v
-                .as_f64()
-                .map(Some)
-                .ok_or_else(|| format!("{name}: a number is wanted")),
+
+    fn read_instance_message(
+        &mut self,
+        message: InstanceMessage,
+        fields: Fields,
+    ) -> Result<(), DecodeError> {
+        let name = fields.text(1, "i")?;
+        if message == InstanceMessage::Stop {
+            self.instances.remove(name);
+            return Ok(());
+        }
+        if !self.called.iter().any(|called| called == name) {
+            self.called.push(name.to_string());
+        }
+        if message == InstanceMessage::Start {
+            let instance = read_start(fields)?;
+            self.instances.insert(name.to_string(), instance);
+            return Ok(());
         }
+        let instance = self.instances.get_mut(name);
+        let instance = instance.ok_or_else(|| DecodeError::UnknownInstance(name.to_string()))?;
+        if message == InstanceMessage::EndpointList {
+            return instance.read_endpoint_list(fields, &self.endpoint_lists);
+        }
+        instance.read_event(message, fields)
+    }
+}
+
+impl Instance {
+    fn read_event(&mut self, message: InstanceMessage, fields: Fields) -> Result<(), DecodeError> {
+        match message {
+            InstanceMessage::Request => self.read_request(fields)?,
+            InstanceMessage::AnswerBegun => self.read_answer_begun(fields)?,
+            InstanceMessage::AttemptResult => self.read_attempt_result(fields)?,
+            InstanceMessage::Cancelled => self.read_cancelled(fields)?,
+            InstanceMessage::Timer => self.batch.timer = true,
+            InstanceMessage::HealthCheckResult => self.read_health_check_result(fields)?,
+            InstanceMessage::Gossip => self.batch.gossip.push(read_gossip(fields)?),
+            InstanceMessage::LoadResult => self.batch.load_results.push(read_load_result(fields)?),
+            InstanceMessage::Start | InstanceMessage::Stop | InstanceMessage::EndpointList => {}
+        }
+        Ok(())
+    }
+
+    fn read_endpoint_list(
+        &mut self,
+        fields: Fields,
+        lists: &HashMap<u64, Vec<NamedEndpoint>>,
+    ) -> Result<(), DecodeError> {
+        let kind = match fields.text(2, "mode")? {
+            "delta" => EndpointListKind::Delta,
+            "full" => EndpointListKind::Full,
+            "cached" => EndpointListKind::Cached,
+            "failed" => EndpointListKind::Failed,
+            other => return Err(unknown_value("mode", other)),
+        };
+        let number = fields.number_or_zero(4, "ref")? as u64;
+        let rows: &[NamedEndpoint] = if kind == EndpointListKind::Failed {
+            &[]
+        } else {
+            let list = lists.get(&number);
+            list.ok_or(DecodeError::UnknownList(number))?
+        };
+        for row in rows {
+            self.names.add_worker(row.endpoint.worker, &row.name);
+        }
+        let endpoints = rows.iter().map(|row| row.endpoint).collect();
+        self.batch
+            .endpoint_lists
+            .push(EndpointList { kind, endpoints });
+        Ok(())
+    }
+
+    fn read_request(&mut self, fields: Fields) -> Result<(), DecodeError> {
+        let name = fields.text(2, "rid")?;
+        let function_name = fields.text(5, "function")?;
+        let function = FunctionId(id_of(function_name));
+        let options = fields.number_or_zero(9, "opts")? as u64;
+        let has_hint = options & OPTION_WORK_HINT != 0;
+        self.names.add_function(function, function_name);
+        self.batch.requests.push(Request {
+            id: self.names.add_request(name),
+            function,
+            workload: WorkloadId(fields.number_or_zero(6, "qos")? as usize),
+            customer: CustomerId(fields.number_or_zero(7, "team")? as usize),
+            deadline: fields.number(3, "due-us")? as Micros,
+            memory_mb: fields.number_or_zero(8, "ram-mb")?,
+            concurrency: fields.number_or_zero(10, "at-once")?,
+            load_time: fields
+                .optional_number(4, "load-time-ms")?
+                .map(|ms| (ms * 1000.0) as Micros),
+            expected_work: fields
+                .optional_number(11, "work-us")?
+                .filter(|_| has_hint)
+                .map(|us| us as Micros),
+            is_retry: options & OPTION_CLIENT_RETRY != 0,
+        });
+        Ok(())
+    }
+
+    fn read_attempt_result(&mut self, fields: Fields) -> Result<(), DecodeError> {
+        let Some(request) = self.names.request_id(fields.text(2, "rid")?) else {
+            return Ok(());
+        };
+        let is_final = fields.flag(7, "settled")?;
+        self.names.record_attempt_end(request, is_final);
+        let note = fields.number_or_zero(8, "note")? as u32;
+        let function_in_flight = note / WARMTH_CODES;
+        self.batch.attempt_results.push(AttemptResult {
+            request,
+            attempt: fields.number(3, "attempt")? as usize,
+            worker: WorkerId(id_of(fields.text(4, "server")?)),
+            outcome: read_outcome(fields.text(5, "state-code")?)?,
+            latency: fields.number_or_zero(6, "latency-us")? as Micros,
+            is_final,
+            warmth: warmth_of(note),
+            function_in_flight: self
+                .reports_function_in_flight
+                .then_some(function_in_flight),
+            report: read_report(&self.report_fields, fields.get(9)),
+        });
+        Ok(())
+    }
+
+    /// The client has the beginning of its answer: nothing further is owed, and its deadline no longer applies.
+    fn read_answer_begun(&mut self, fields: Fields) -> Result<(), DecodeError> {
+        let request = self.names.request_id(fields.text(2, "rid")?);
+        self.batch.cancelled.extend(request);
+        Ok(())
     }
-    fn number(&self, place: usize, name: &str) -> Read<f64> {
-        self.maybe(place, name)?
-            .ok_or_else(|| format!("{name}: a number is wanted"))
+
+    fn read_cancelled(&mut self, fields: Fields) -> Result<(), DecodeError> {
+        if let Some(request) = self.names.request_id(fields.text(2, "rid")?) {
+            self.names.record_request_end(request);
+            self.batch.cancelled.push(request);
+        }
+        Ok(())
     }
-    fn or_nought(&self, place: usize, name: &str) -> Read<f64> {
-        Ok(self.maybe(place, name)?.unwrap_or(0.0))
+
+    fn read_health_check_result(&mut self, fields: Fields) -> Result<(), DecodeError> {
+        self.batch.health_check_results.push(HealthCheckResult {
+            worker: WorkerId(id_of(fields.text(2, "server")?)),
+            outcome: read_outcome(fields.text(3, "state-code")?)?,
+            latency: fields.number_or_zero(4, "latency-us")? as Micros,
+            report: read_report(&self.report_fields, fields.get(5)),
+        });
+        Ok(())
     }
-    fn list(&self, place: usize, name: &str) -> Read<&'a [Json]> {
-        self.get(place)
-            .as_array()
-            .map(Vec::as_slice)
-            .ok_or_else(|| format!("{name}: a list is wanted"))
+}
+
+/// The settings that an instance's first message gives the decision module.
+///
+/// # Errors
+///
+/// If the text is no such message, or its settings can't be used.
+pub fn start_settings(message: &str) -> Result<Settings, DecodeError> {
+    let json: Json = serde_json::from_str(message)?;
+    let fields = Fields::of(&json).ok_or(DecodeError::NoList)?;
+    read_settings(read_start_info(fields)?)
+}
+
+fn read_start_info<'a>(fields: Fields<'a>) -> Result<&'a Json, DecodeError> {
+    let info = fields.get(3);
+    if info.is_object() {
+        Ok(info)
+    } else {
+        Err(wrong_type("boot-info", ValueKind::Object))
     }
 }
 
-fn end_of(code: &str) -> Read<Outcome> {
+fn read_settings(info: &Json) -> Result<Settings, DecodeError> {
+    platform_config::settings(info).map_err(|error| DecodeError::Settings(error.to_string()))
+}
+
+fn read_start(fields: Fields) -> Result<Instance, DecodeError> {
+    let info = read_start_info(fields)?;
+    let settings = read_settings(info)?;
+    let seed = fields.get(2);
+    let seed = seed.as_u64().or_else(|| seed.as_i64().map(|n| n as u64));
+    let seed = seed.ok_or_else(|| wrong_type("rng-seed", ValueKind::Integer))?;
+    Ok(Instance {
+        router: Router::new(seed, &settings),
+        batch: EventBatch::default(),
+        report_fields: platform_config::report_fields(info),
+        reports_function_in_flight: info["family-info"]["tells-crowd"].as_bool() == Some(true),
+        names: Names::default(),
+    })
+}
+
+fn read_endpoint(json: &Json) -> Result<NamedEndpoint, DecodeError> {
+    let fields = Fields::of(json).ok_or_else(|| wrong_type("lines", ValueKind::List))?;
+    let state = match fields.text(2, "phase")? {
+        "IN" => WorkerState::Ready,
+        "LAME" => WorkerState::Draining,
+        "OUT" => WorkerState::Gone,
+        other => return Err(unknown_value("phase", other)),
+    };
+    let name = fields.text(5, "server")?;
+    let endpoint = Endpoint {
+        worker: WorkerId(id_of(name)),
+        zone: ZoneId(fields.number_or_zero(6, "locality")? as usize),
+        cell: CellId(fields.number_or_zero(3, "cohort")? as usize),
+        kind: KindId(fields.number_or_zero(0, "hw")? as usize),
+        size: fields.optional_number(1, "nominal")?.unwrap_or(1.0),
+        state,
+        started_at: fields.number_or_zero(4, "started-at-us")? as Micros,
+    };
+    Ok(NamedEndpoint {
+        endpoint,
+        name: name.to_string(),
+    })
+}
+
+fn read_load_result(fields: Fields) -> Result<LoadResult, DecodeError> {
+    Ok(LoadResult {
+        worker: WorkerId(id_of(fields.text(2, "server")?)),
+        function: FunctionId(id_of(fields.text(3, "function")?)),
+        outcome: read_outcome(fields.text(4, "state-code")?)?,
+        latency: fields.number_or_zero(5, "latency-us")? as Micros,
+        instances: fields.number_or_zero(6, "count")? as u32,
+    })
+}
+
+fn read_gossip(fields: Fields) -> Result<GossipMessage, DecodeError> {
+    let payload = STANDARD.decode(fields.text(3, "content")?)?;
+    Ok(GossipMessage {
+        from: PeerId(fields.number(2, "origin-peer")? as usize),
+        payload,
+    })
+}
+
+fn read_outcome(code: &str) -> Result<Outcome, DecodeError> {
     Ok(match code {
         "completed" => Outcome::Finished,
         "errored" => Outcome::Error,
@@ -55,19 +334,18 @@
         "recalled" => Outcome::Cancelled,
         "superseded" => Outcome::CancelledBeforeStart,
         "lookup_miss" => Outcome::ColdMiss,
-        other => return Err(format!("state-code: unknown {other:?}")),
+        other => return Err(unknown_value("state-code", other)),
     })
 }
 
-fn report_of(names: &[String], gauge: &Json) -> Option<LoadReport> {
-    let values = gauge.as_array()?.iter().map(Json::as_f64);
-    Some(dialect::report(
-        names.iter().map(String::as_str).zip(values),
-    ))
+fn read_report(names: &[String], values: &Json) -> Option<LoadReport> {
+    let values = values.as_array()?.iter().map(Json::as_f64);
+    let names = names.iter().map(String::as_str);
+    Some(platform_config::report(names.zip(values)))
 }
 
 fn warmth_of(note: u32) -> Warmth {
-    match note % 8 {
+    match note % WARMTH_CODES {
         1 => Warmth::Warm,
         2 => Warmth::StartedLoad,
         3 => Warmth::WaitedForLoad,
@@ -75,221 +353,3 @@
         _ => Warmth::Unknown,
     }
 }
-
-fn row_of(json: &Json) -> Read<(Endpoint, String)> {
-    let f = Fields(json.as_array().ok_or("lines: a list is wanted")?);
-    let state = match f.text(2, "phase")? {
-        "IN" => WorkerState::Ready,
-        "LAME" => WorkerState::Draining,
-        "OUT" => WorkerState::Gone,
-        other => return Err(format!("phase: unknown {other:?}")),
-    };
-    let server = f.text(5, "server")?;
-    let row = Endpoint {
-        worker: WorkerId(id_of(server)),
-        zone: ZoneId(f.or_nought(6, "locality")? as usize),
-        cell: CellId(f.or_nought(3, "cohort")? as usize),
-        kind: KindId(f.or_nought(0, "hw")? as usize),
-        size: f.maybe(1, "nominal")?.unwrap_or(1.0),
-        state,
-        started_at: f.or_nought(4, "started-at-us")? as Micros,
-    };
-    Ok((row, server.to_string()))
-}
-
-/// The settings of an instance's first message.
-fn told_at_start<'a>(f: &Fields<'a>) -> Read<(&'a Json, Settings)> {
-    let info = f.get(3);
-    if !info.is_object() {
-        return Err("boot-info: an object is wanted".into());
-    }
-    Ok((
-        info,
-        dialect::settings(info).map_err(|why| format!("boot-info: {why}"))?,
-    ))
-}
-
-fn power_on(f: &Fields) -> Read<Instance> {
-    let (info, map) = told_at_start(f)?;
-    let seed = f.get(2);
-    let seed = seed.as_u64().or_else(|| seed.as_i64().map(|n| n as u64));
-    let seed = seed.ok_or("rng-seed: a whole number is wanted")?;
-    Ok(Instance {
-        router: Router::new(seed, &map),
-        round: EventBatch::default(),
-        fields: dialect::report_fields(info),
-        tells_crowd: info["family-info"]["tells-crowd"].as_bool() == Some(true),
-        names: Names::default(),
-    })
-}
-
-/// Takes one line in; true at the end of a batch.
-pub fn line(host: &mut Host, text: &str) -> Read<bool> {
-    let json: Json = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let f = Fields(json.as_array().ok_or("a list is wanted")?);
-    let word = f.text(0, "message name")?;
-    match word {
-        "clock" => {
-            host.now = f.number(1, "clock")? as i64;
-            return Ok(false);
-        }
-        "end" => return Ok(true),
-        "snapshot-rows" => {
-            let rows = f
-                .list(2, "lines")?
-                .iter()
-                .map(row_of)
-                .collect::<Read<Vec<_>>>()?;
-            host.lists.insert(f.number(1, "ref")? as u64, rows);
-            return Ok(false);
-        }
-        "power-on"
-        | "killed"
-        | "peers-known"
-        | "incoming"
-        | "accepted"
-        | "outcome"
-        | "cancelled-by-client"
-        | "due"
-        | "sampled"
-        | "whisper"
-        | "loaded" => {}
-        _ => return Ok(false),
-    }
-    let name = f.text(1, "i")?;
-    if word == "killed" {
-        host.instances.remove(name);
-        return Ok(false);
-    }
-    if !host.called.iter().any(|c| c == name) {
-        host.called.push(name.to_string());
-    }
-    if word == "power-on" {
-        host.instances.insert(name.to_string(), power_on(&f)?);
-        return Ok(false);
-    }
-    let instance = host
-        .instances
-        .get_mut(name)
-        .ok_or_else(|| format!("i: no instance {name:?}"))?;
-    let (round, names) = (&mut instance.round, &mut instance.names);
-    match word {
-        "peers-known" => {
-            let kind = match f.text(2, "mode")? {
-                "delta" => EndpointListKind::Delta,
-                "full" => EndpointListKind::Full,
-                "cached" => EndpointListKind::Cached,
-                "failed" => EndpointListKind::Failed,
-                other => return Err(format!("mode: unknown {other:?}")),
-            };
-            let number = f.or_nought(4, "ref")? as u64;
-            let rows = match kind {
-                EndpointListKind::Failed => &Vec::new(),
-                _ => host
-                    .lists
-                    .get(&number)
-                    .ok_or_else(|| format!("ref: no list {number}"))?,
-            };
-            names
-                .workers
-                .extend(rows.iter().map(|(row, text)| (row.worker.0, text.clone())));
-            round.endpoint_lists.push(EndpointList {
-                kind,
-                endpoints: rows.iter().map(|(row, _)| *row).collect(),
-            });
-        }
-        "incoming" => {
-            let (rid, function) = (f.text(2, "rid")?, f.text(5, "function")?);
-            let opts = f.or_nought(9, "opts")? as u64;
-            names
-                .functions
-                .entry(id_of(function))
-                .or_insert_with(|| function.to_string());
-            round.requests.push(Request {
-                id: names.take(rid),
-                function: FunctionId(id_of(function)),
-                workload: WorkloadId(f.or_nought(6, "qos")? as usize),
-                customer: CustomerId(f.or_nought(7, "team")? as usize),
-                deadline: f.number(3, "due-us")? as Micros,
-                memory_mb: f.or_nought(8, "ram-mb")?,
-                concurrency: f.or_nought(10, "at-once")?,
-                load_time: f
-                    .maybe(4, "load-time-ms")?
-                    .map(|ms| (ms * 1000.0) as Micros),
-                expected_work: f
-                    .maybe(11, "work-us")?
-                    .filter(|_| opts & 1 != 0)
-                    .map(|us| us as Micros),
-                is_retry: opts & 2 != 0,
-            });
-        }
-        "outcome" => {
-            let Some(&id) = names.jobs.get(f.text(2, "rid")?) else {
-                return Ok(false);
-            };
-            let settled = f.get(7).as_bool().ok_or("settled: a bool is wanted")?;
-            if let Some(job) = names.job_texts.get_mut(&id) {
-                job.out = job.out.saturating_sub(1);
-                job.ended |= settled;
-            }
-            names.forget_if_done(id);
-            let note = f.or_nought(8, "note")? as u32;
-            round.attempt_results.push(AttemptResult {
-                request: RequestId(id),
-                attempt: f.number(3, "attempt")? as usize,
-                worker: WorkerId(id_of(f.text(4, "server")?)),
-                outcome: end_of(f.text(5, "state-code")?)?,
-                latency: f.or_nought(6, "latency-us")? as Micros,
-                is_final: settled,
-                warmth: warmth_of(note),
-                function_in_flight: instance.tells_crowd.then_some(note / 8),
-                report: report_of(&instance.fields, f.get(9)),
-            });
-        }
-        // The client has its answer begun: nothing further is owed, and its time no longer runs.
-        "accepted" => {
-            if let Some(&id) = names.jobs.get(f.text(2, "rid")?) {
-                round.cancelled.push(RequestId(id));
-            }
-        }
-        "cancelled-by-client" => {
-            let Some(&id) = names.jobs.get(f.text(2, "rid")?) else {
-                return Ok(false);
-            };
-            if let Some(job) = names.job_texts.get_mut(&id) {
-                job.ended = true;
-            }
-            names.forget_if_done(id);
-            round.cancelled.push(RequestId(id));
-        }
-        "loaded" => round.load_results.push(LoadResult {
-            worker: WorkerId(id_of(f.text(2, "server")?)),
-            function: FunctionId(id_of(f.text(3, "function")?)),
-            outcome: end_of(f.text(4, "state-code")?)?,
-            latency: f.or_nought(5, "latency-us")? as Micros,
-            instances: f.or_nought(6, "count")? as u32,
-        }),
-        "sampled" => round.health_check_results.push(HealthCheckResult {
-            worker: WorkerId(id_of(f.text(2, "server")?)),
-            outcome: end_of(f.text(3, "state-code")?)?,
-            latency: f.or_nought(4, "latency-us")? as Micros,
-            report: report_of(&instance.fields, f.get(5)),
-        }),
-        "whisper" => {
-            let content = STANDARD
-                .decode(f.text(3, "content")?)
-                .map_err(|e| format!("content: {e}"))?;
-            round.gossip.push(GossipMessage {
-                from: PeerId(f.number(2, "origin-peer")? as usize),
-                payload: content,
-            });
-        }
-        "due" => round.timer = true,
-        _ => {}
-    }
-    Ok(false)
-}
-
-#[cfg(test)]
-#[path = "decode_tests.rs"]
-mod tests;
--- /dev/null
+++ b/crates/sanddrum-simulator-adapter/src/fields.rs
@@ -0,0 +1,78 @@
+//! Typed access to the fields of a message, which is a JSON array.
+
+use crate::error::{DecodeError, ValueKind};
+use serde_json::Value as Json;
+
+/// The fields of a message, read by index; the name is for errors. A field that is absent is null.
+#[derive(Clone, Copy)]
+pub(crate) struct Fields<'a>(&'a [Json]);
+
+impl<'a> Fields<'a> {
+    /// The fields of a message; none if it is no array.
+    pub fn of(json: &'a Json) -> Option<Self> {
+        json.as_array().map(|fields| Fields(fields))
+    }
+
+    /// A field of any type.
+    pub fn get(&self, index: usize) -> &'a Json {
+        self.0.get(index).unwrap_or(&Json::Null)
+    }
+
+    /// A string.
+    pub fn text(&self, index: usize, name: &'static str) -> Result<&'a str, DecodeError> {
+        let text = self.get(index).as_str();
+        text.ok_or_else(|| wrong_type(name, ValueKind::Text))
+    }
+
+    /// A number, or null.
+    pub fn optional_number(
+        &self,
+        index: usize,
+        name: &'static str,
+    ) -> Result<Option<f64>, DecodeError> {
+        match self.get(index) {
+            Json::Null => Ok(None),
+            value => match value.as_f64() {
+                Some(number) => Ok(Some(number)),
+                None => Err(wrong_type(name, ValueKind::Number)),
+            },
+        }
+    }
+
+    /// A number.
+    pub fn number(&self, index: usize, name: &'static str) -> Result<f64, DecodeError> {
+        let number = self.optional_number(index, name)?;
+        number.ok_or_else(|| wrong_type(name, ValueKind::Number))
+    }
+
+    /// A number, or zero for null.
+    pub fn number_or_zero(&self, index: usize, name: &'static str) -> Result<f64, DecodeError> {
+        Ok(self.optional_number(index, name)?.unwrap_or(0.0))
+    }
+
+    /// True or false.
+    pub fn flag(&self, index: usize, name: &'static str) -> Result<bool, DecodeError> {
+        let flag = self.get(index).as_bool();
+        flag.ok_or_else(|| wrong_type(name, ValueKind::Bool))
+    }
+
+    /// An array.
+    pub fn list(&self, index: usize, name: &'static str) -> Result<&'a [Json], DecodeError> {
+        let list = self.get(index).as_array();
+        list.map(Vec::as_slice)
+            .ok_or_else(|| wrong_type(name, ValueKind::List))
+    }
+}
+
+/// The error for a field that is absent or of another type.
+pub(crate) fn wrong_type(field: &'static str, expected: ValueKind) -> DecodeError {
+    DecodeError::WrongType { field, expected }
+}
+
+/// The error for a value that the adapter does not know.
+pub(crate) fn unknown_value(field: &'static str, value: &str) -> DecodeError {
+    DecodeError::UnknownValue {
+        field,
+        value: value.to_string(),
+    }
+}
--- a/crates/sanddrum-simulator-adapter/src/decode_tests.rs
+++ b/crates/sanddrum-simulator-adapter/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The first message, read as the router reads its configuration.
+//! The settings that an instance starts with, compared with those of a router that is started by the platform.
 
-use super::*;
+use sanddrum_simulator_adapter::start_settings;
 use serde_json::json;
 
 #[test]
-fn one_first_message_gives_the_module_equal_settings_in_adapter_and_router() {
+fn adapter_and_router_give_the_decision_module_equal_settings() {
     let settings = json!({
         "azs": ["here"], "az": 0, "me": 1, "balancers": 3, "kinds": ["fast"], "value-by": "request",
         "classes": [{"name": "job", "aim-us": 700000, "deadline-us": 2000000, "effect": "by_key",
@@ -16,14 +16,14 @@
         "stats": {"fields": ["q", "rif"], "via": "answers"},
     });
     let message = json!(["power-on", "router_1", 7, settings]);
-    let (_, adapters) = told_at_start(&Fields(message.as_array().unwrap())).unwrap();
+    let of_adapter = start_settings(&message.to_string()).unwrap();
     let configuration = json!({
         "name": "n1", "listen": "127.0.0.1:80", "feed": "127.0.0.1:81", "seed": "7", "settings": settings,
         "limits": {"sockets": 256, "memory_mb": 32}, "known": {"n": 0, "events": []},
     });
-    let routers = sanddrum_platform::StartupConfig::read(&configuration.to_string())
+    let of_router = sanddrum_platform::StartupConfig::read(&configuration.to_string())
         .unwrap()
         .decision_settings();
-    assert_eq!(adapters.0, routers.0);
-    assert_eq!(adapters.text("workloads.0.effect"), Some("fingerprinted"));
+    assert_eq!(of_adapter.0, of_router.0);
+    assert_eq!(of_adapter.text("workloads.0.effect"), Some("fingerprinted"));
 }
