--- a/crates/sanddrum-simulator-adapter/src/names.rs
+++ b/crates/sanddrum-simulator-adapter/src/names.rs
@@ -8,7 +8,7 @@
 struct RequestName {
     text: String,
     attempts_in_flight: usize,
-    has_ended: bool,
+    is_finished: bool,
 }
 
 /// The names of one instance. Identifiers of workers and functions are the same at every instance; those of requests
@@ -31,7 +31,7 @@
         let name = RequestName {
             text: text.to_string(),
             attempts_in_flight: 0,
-            has_ended: false,
+            is_finished: false,
         };
         self.requests.insert(id, name);
         id
@@ -53,7 +53,7 @@
     pub fn record_attempt_end(&mut self, id: RequestId, is_final: bool) {
         if let Some(name) = self.requests.get_mut(&id) {
             name.attempts_in_flight = name.attempts_in_flight.saturating_sub(1);
-            name.has_ended |= is_final;
+            name.is_finished |= is_final;
         }
         self.forget_if_done(id);
     }
@@ -61,7 +61,7 @@
     /// Records that a request ended; attempts may still be in flight.
     pub fn record_request_end(&mut self, id: RequestId) {
         if let Some(name) = self.requests.get_mut(&id) {
-            name.has_ended = true;
+            name.is_finished = true;
         }
         self.forget_if_done(id);
     }
@@ -69,7 +69,7 @@
     /// Forgets a request that no message can refer to any more.
     fn forget_if_done(&mut self, id: RequestId) {
         let name = self.requests.get(&id);
-        if !name.is_some_and(|name| name.has_ended && name.attempts_in_flight == 0) {
+        if !name.is_some_and(|name| name.is_finished && name.attempts_in_flight == 0) {
             return;
         }
         if let Some(name) = self.requests.remove(&id) {
--- a/src/config.rs
+++ b/src/config.rs
@@ -105,7 +105,7 @@
     /// How long a restarted worker warms up.
     pub slow_start_window: Micros,
     /// The share of its capacity that a worker has as it starts to warm up, 0 to 1.
-    pub slow_start_initial_share: f64,
+    pub slow_start_initial_fraction: f64,
     /// How long a worker can be overloaded before it collapses, in microseconds; at least one.
     pub collapse_window_us: f64,
     /// How often endpoint lists are to be polled.
@@ -136,7 +136,7 @@
         self.0.flag(name) == Some(true)
     }
 
-    fn says(&self, name: &str, text: &str) -> bool {
+    fn text_equals(&self, name: &str, text: &str) -> bool {
         self.0.text(name) == Some(text)
     }
 
@@ -178,7 +178,7 @@
         let workloads: Vec<_> = (0..workload_count).map(|n| reader.workload(n)).collect();
         let objectives = workloads.iter().map(|w| w.latency_objective);
         let tightest = objectives.filter(|objective| *objective > 0).min();
-        let priority_weight_unit = if reader.says("importance-by", "work") {
+        let priority_weight_unit = if reader.text_equals("importance-by", "work") {
             PriorityWeightUnit::Work
         } else {
             PriorityWeightUnit::Request
@@ -189,8 +189,8 @@
             unnamed_workload: reader.workload(workloads.len()),
             workloads,
             priority_weight_unit,
-            subscribes_to_endpoints: reader.says("membership-mode", "subscribe"),
-            sizes_are_live: reader.says("sizes", "live"),
+            subscribes_to_endpoints: reader.text_equals("membership-mode", "subscribe"),
+            sizes_are_live: reader.text_equals("sizes", "live"),
             router_count: reader.small_count("routers", 1),
             router_index: reader.small_count("me", 0),
             local_zone: ZoneId(reader.count("zone", 0)),
@@ -200,13 +200,13 @@
             may_hedge: reader.is_set("limits.second-copies"),
             may_check_health: reader.is_set("limits.probes"),
             may_command_loads: reader.is_set("copies.orders"),
-            workers_answer_misses: reader.says("copies.on-miss", "miss"),
+            workers_answer_misses: reader.text_equals("copies.on-miss", "miss"),
             keep_alive: reader.span("copies.keep-alive-us", DEFAULT_KEEP_ALIVE),
             load_budget_window: reader.span("copies.load-window-us", 0),
             load_budget_base: reader.number("copies.load-free", 0.0),
             load_budget_per_request: reader.number("copies.load-share", 0.0),
             slow_start_window: reader.span("rules.cold-us", 0),
-            slow_start_initial_share: reader.number("rules.cold-from", 1.0),
+            slow_start_initial_fraction: reader.number("rules.cold-from", 1.0),
             collapse_window_us: collapse_window.max(1) as f64,
             endpoint_poll_interval: reader
                 .span("rules.ask-every-us", DEFAULT_ENDPOINT_POLL_INTERVAL),
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The writer through which the decision module tells its host what to do.
+//! The writer through which the decision module notifies its host of decisions.
 
 use crate::{FunctionId, Micros, PeerId, RequestId, WorkerId};
 
@@ -23,7 +23,7 @@
     fn subscribe(&mut self) {}
     /// Sends a message to one other router, or to all.
     fn gossip(&mut self, peer: Option<PeerId>, payload: &[u8]);
-    /// Asks to be called again at this instant.
+    /// Requests to be called again at this instant.
     fn wake_at(&mut self, at: Micros);
     /// A line for the host's log.
     fn log(&mut self, text: &str);
--- a/src/events.rs
+++ b/src/events.rs
@@ -167,7 +167,7 @@
 /// The outcome of a load command.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadResult {
-    /// The worker that was told to load.
+    /// The worker that got the command.
     pub worker: WorkerId,
     /// The function.
     pub function: FunctionId,
@@ -218,7 +218,7 @@
     pub gossip: Vec<GossipMessage>,
     /// Requests whose client cancelled them or closed its connection.
     pub cancelled: Vec<RequestId>,
-    /// The instant asked for by [`Decisions::wake_at`](crate::Decisions::wake_at) has come.
+    /// The instant requested by [`Decisions::wake_at`](crate::Decisions::wake_at) has come.
     pub timer: bool,
     /// The host shuts down: every request in flight gets its final answer in this batch.
     pub shutting_down: bool,
--- a/src/lazy.rs
+++ b/src/lazy.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-/// The items of an iterator, each computed when it is first asked for and cached from then on.
+/// The items of an iterator, each computed when it is first needed and cached from then on.
 pub(crate) struct LazyList<I: Iterator> {
     source: RefCell<I>,
     cached: RefCell<Vec<I::Item>>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -4,7 +4,7 @@
 //!
 //! The ordinary path is warm-first: a request goes to the worker that is believed to have an instance with capacity and
 //! has the fewest requests of this router in flight, local zone first; failing that, the function is loaded on the ready
-//! worker with the fewest. Each departure is marked "Exception" below; docs/design.md says when it acts.
+//! worker with the fewest. Each departure is marked "Exception" below; docs/design.md text_equals when it acts.
 
 mod admission;
 mod attempt_outcomes;
@@ -44,7 +44,7 @@
     config: Config,
     seed: u64,
     /// Random draws made so far.
-    draw_count: u64,
+    random_draw_count: u64,
     /// The instant of the batch that is being handled.
     now: Micros,
 
@@ -60,7 +60,7 @@
     functions: Functions,
     requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests to be placed in this batch.
-    to_place: BTreeSet<RequestId>,
+    unplaced: BTreeSet<RequestId>,
     /// Requests that wait for an instance or for capacity.
     waiting: BTreeSet<RequestId>,
 
@@ -73,11 +73,11 @@
     /// As of the last sweep: for each request they would cost too much.
     medians: FleetMedians,
     /// The share of requests that waits for a core at the median worker.
-    queued_share: f64,
+    queued_fraction: f64,
     /// Whether any report is recent enough to judge overload by.
     has_recent_report: bool,
     /// The share of new requests that is admitted under overload.
-    admitted_share: f64,
+    admitted_fraction: f64,
 
     /// Retries that rejected requests may still have under overload.
     retry_budget: f64,
@@ -123,7 +123,7 @@
                 ..FleetMedians::default()
             },
             load_speed_factor: 1.0,
-            admitted_share: 1.0,
+            admitted_fraction: 1.0,
             query_budget: MIN_PREFERRED as f64,
             config,
             ..Router::default()
@@ -143,8 +143,8 @@
         if now >= self.next_sweep_at {
             self.sweep();
         }
-        while let Some(request) = self.to_place.pop_first() {
-            self.place(request, out);
+        while let Some(request) = self.unplaced.pop_first() {
+            self.place_request(request, out);
         }
         if batch.shutting_down {
             let pending: Vec<_> = self.requests.keys().copied().collect();
@@ -197,7 +197,7 @@
         self.next_sweep_at = self.now + self.config.tightest_objective / SWEEPS_PER_OBJECTIVE;
         let idle_since = self.now - EVICTION_KEEP_ALIVES * self.config.keep_alive;
         self.functions.evict_idle(idle_since);
-        self.to_place.extend(&self.waiting);
+        self.unplaced.extend(&self.waiting);
         self.refresh_fleet_view();
     }
 
@@ -224,7 +224,7 @@
 
     /// The next random draw.
     fn random_draw(&mut self) -> u64 {
-        self.draw_count += 1;
-        hash_of((self.seed, self.draw_count))
+        self.random_draw_count += 1;
+        hash_of((self.seed, self.random_draw_count))
     }
 }
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -34,7 +34,7 @@
     pub(super) fn admits(&self, placement: &PlacementRequest) -> bool {
         let is_hopeless = placement.time_left <= placement.median_work_us as Micros
             || placement.attempts >= self.config.max_attempts;
-        !is_hopeless && !self.sheds(placement) && !self.has_spent_retries(placement)
+        !is_hopeless && !self.sheds(placement) && !self.has_exhausted_retries(placement)
     }
 
     /// Load shedding. Guards against overload that no single worker shows: the share that is admitted follows from late
@@ -44,12 +44,12 @@
         let is_new = placement.arrived_at == self.now && placement.attempts == 0;
         let draw = unit_interval(hash_of((self.seed, placement.request.id)));
         let penalty = if placement.is_valuable { 0.0 } else { 1.0 };
-        let admitted_share = 2.0 * self.admitted_share - penalty;
-        is_new && self.is_overloaded() && draw > admitted_share && self.has_recent_report
+        let admitted_fraction = 2.0 * self.admitted_fraction - penalty;
+        is_new && self.is_overloaded() && draw > admitted_fraction && self.has_recent_report
     }
 
     /// Guards against requests that try one full worker after the other, six times what is finished.
-    fn has_spent_retries(&self, placement: &PlacementRequest) -> bool {
+    fn has_exhausted_retries(&self, placement: &PlacementRequest) -> bool {
         let has_budget = placement.is_valuable && self.retry_budget >= 1.0;
         placement.was_last_rejected && !placement.is_hedge && self.is_overloaded() && !has_budget
     }
--- a/src/logic/attempt_outcomes.rs
+++ b/src/logic/attempt_outcomes.rs
@@ -1,7 +1,7 @@
 //! Learns from the outcome of an attempt: instances, latencies, work, and the worker's concurrency limit.
 
 use super::constants::{
-    CONGESTION_FACTOR, EWMA_WEIGHT, INITIAL_WORK_SHARE, IN_TIME_MARGIN, LIMIT_INCREASE,
+    CONGESTION_FACTOR, EWMA_WEIGHT, INITIAL_WORK_FRACTION, IN_TIME_MARGIN, LIMIT_INCREASE,
     MAX_SPEED_FACTOR, OVERLOAD_FACTOR,
 };
 use super::estimates::work_hint;
@@ -57,8 +57,8 @@
                 if result.warmth == Warmth::StartedLoad {
                     instance.instances = 1;
                     let load_us = latency_us - expected_us;
-                    observed_load_us = Some(load_us.max(latency_us * INITIAL_WORK_SHARE));
-                } else if is_work_alone(result, attempt) {
+                    observed_load_us = Some(load_us.max(latency_us * INITIAL_WORK_FRACTION));
+                } else if is_work_only(result, attempt) {
                     let usual = self.workload_work.entry(request.workload).or_default();
                     let calibration = &mut self.hint_calibration;
                     learn_work(&served, worker, function, usual, calibration);
@@ -82,7 +82,7 @@
 }
 
 /// Whether an attempt's latency is that of the work, without waiting for a load or for other requests.
-fn is_work_alone(result: &AttemptResult, attempt: &Attempt) -> bool {
+fn is_work_only(result: &AttemptResult, attempt: &Attempt) -> bool {
     matches!(result.warmth, Warmth::Warm | Warmth::Unknown) && !attempt.was_queued
 }
 
--- a/src/logic/candidates.rs
+++ b/src/logic/candidates.rs
@@ -2,8 +2,8 @@
 //! endpoints, which all routers rank alike.
 
 use super::constants::{
-    INSPECTED_ENDPOINTS, LOW_VALUE_LIMIT_SHARE, MAX_WARM_CANDIDATES, MIN_PREFERRED,
-    PREFERRED_ENDPOINTS, PREFERRED_LOAD_SHARE,
+    INSPECTED_ENDPOINTS, LOW_VALUE_LIMIT_FRACTION, MAX_WARM_CANDIDATES, MIN_PREFERRED,
+    PREFERRED_ENDPOINTS, PREFERRED_LOAD_FRACTION,
 };
 use super::placement::PlacementRequest;
 use super::Router;
@@ -15,7 +15,9 @@
 /// A worker and what is known, or presumed, of the function there.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate<'a> {
+    /// The worker.
     pub worker: &'a Worker,
+    /// The function there.
     pub instance: InstanceState,
 }
 
@@ -30,17 +32,22 @@
     pub inspected: usize,
 }
 
+/// Endpoints that may get the request, by rank.
 type PreferredEndpoints<'a> = LazyList<Box<dyn Iterator<Item = &'a Worker> + 'a>>;
 
 /// The workers that one request is placed among.
 pub(super) struct Candidates<'a> {
+    /// The router that decides.
     pub router: &'a Router,
+    /// The request to be placed.
     pub placement: &'a PlacementRequest,
+    /// The function that it calls.
     pub function: &'a Function,
     /// The random draw of this placement.
     pub draw: u64,
     /// The expected time of a load, in microseconds.
     pub load_us: f64,
+    /// How many endpoints are inspected.
     pub fan_out: FanOut,
     /// Workers that are believed to have an instance.
     pub warm: Vec<Candidate<'a>>,
@@ -50,6 +57,7 @@
 }
 
 impl<'a> Candidates<'a> {
+    /// Collects the workers that are believed to have an instance; the preferred endpoints are ranked when needed.
     pub(super) fn new(
         router: &'a Router,
         placement: &'a PlacementRequest,
@@ -100,12 +108,12 @@
     /// Whether the worker's concurrency limit leaves room for the request. Under overload, requests of less value for
     /// their work may not fill its last places.
     pub(super) fn has_capacity(&self, worker: &Worker) -> bool {
-        let limit_share = if self.placement.is_valuable {
+        let limit_fraction = if self.placement.is_valuable {
             1.0
         } else {
-            LOW_VALUE_LIMIT_SHARE
+            LOW_VALUE_LIMIT_FRACTION
         };
-        self.router.has_capacity(worker, limit_share)
+        self.router.has_capacity(worker, limit_fraction)
     }
 
     /// Whether the request may run on an instance now or after others, within its time budget.
@@ -143,12 +151,12 @@
     fn fan_out(&self, function: &Function) -> FanOut {
         let fleet = self.ready_workers.len();
         let repeated_calls = (function.recent_requests - 1.0).max(0.0);
-        let share_each = if self.config.workers_answer_misses {
-            PREFERRED_LOAD_SHARE / 2.0
+        let fraction_each = if self.config.workers_answer_misses {
+            PREFERRED_LOAD_FRACTION / 2.0
         } else {
-            PREFERRED_LOAD_SHARE
+            PREFERRED_LOAD_FRACTION
         };
-        let wanted = repeated_calls / self.recent_requests.max(1.0) * fleet as f64 / share_each;
+        let wanted = repeated_calls / self.recent_requests.max(1.0) * fleet as f64 / fraction_each;
         let preferred = (wanted.ceil() as usize).max(MIN_PREFERRED).min(fleet);
         let partitions = if preferred > 2 * PREFERRED_ENDPOINTS {
             preferred.div_ceil(PREFERRED_ENDPOINTS)
@@ -190,7 +198,7 @@
 
     /// A random draw by which the least of several workers is each with a probability in proportion to its size over
     /// its requests in flight.
-    pub(super) fn weighted_draw(&self, draw: u64, worker: &Worker) -> f64 {
+    pub(super) fn weighted_random(&self, draw: u64, worker: &Worker) -> f64 {
         let in_flight = 1.0 + worker.in_flight_per_size(self.now, self.medians.in_flight);
         let uniform = unit_interval(tie_break(FunctionId(draw), worker.endpoint.worker));
         -uniform.ln() / worker.positive_size() * in_flight
--- a/src/logic/cold_start.rs
+++ b/src/logic/cold_start.rs
@@ -31,6 +31,7 @@
 }
 
 impl Candidates<'_> {
+    /// Lists what can be done for the request, before anything is changed.
     pub(super) fn plan_cold_start(&self) -> ColdStart {
         let load_target = self.load_target();
         let load_target_in_time = load_target.filter(|t| t.is_in_time).map(|t| t.worker);
@@ -94,7 +95,7 @@
             && self.has_capacity(worker)
     }
 
-    /// The inspected endpoints without a believed instance, but for one: where it would load, the answer tells.
+    /// The inspected endpoints without a believed instance, except one: the load target's own answer will show it.
     fn unknown_endpoints(&self, except: Option<WorkerId>) -> Vec<WorkerId> {
         let endpoints = self.preferred.first(self.fan_out.inspected);
         let unknown = endpoints.filter(|worker| !self.router.is_warm(&self.instance_at(worker)));
@@ -106,6 +107,7 @@
 }
 
 impl Router {
+    /// Does the first that is possible of: query, short queue, wait for a load under way, load, give up.
     pub(super) fn start_cold(
         &mut self,
         placement: &PlacementRequest,
--- a/src/logic/constants.rs
+++ b/src/logic/constants.rs
@@ -35,7 +35,7 @@
 // ---- Observations
 
 /// Before anything is observed, work takes this part of the latency objective and a load the whole of it.
-pub(super) const INITIAL_WORK_SHARE: f64 = 0.25;
+pub(super) const INITIAL_WORK_FRACTION: f64 = 0.25;
 /// Weight of the newest value in an exponentially weighted mean: about the last ten count.
 pub(super) const EWMA_WEIGHT: f64 = 0.2;
 /// An attempt is overdue once its answer takes this many times longer than expected.
@@ -44,7 +44,7 @@
 pub(super) const SPEED_FACTOR_DECAY_US: f64 = 2e6;
 /// A load report decays at this rate: of hundreds of routers each receives a worker's every ten seconds or so.
 pub(super) const REPORT_DECAY_US: f64 = 1e7;
-/// One answer counts for no more than this speed factor: a request that was itself long says little of its worker.
+/// One answer counts for no more than this speed factor: a request that was itself long text_equals little of its worker.
 pub(super) const MAX_SPEED_FACTOR: f64 = 10.0;
 /// A baseline is the least mean seen; it may rise this slowly, should the work change.
 pub(super) const BASELINE_RISE_US: f64 = 3e7;
@@ -62,7 +62,7 @@
 /// Workers, or loads, count as overloaded once they take this many times their baseline.
 pub(super) const OVERLOAD_FACTOR: f64 = 1.5;
 /// Workers count as overloaded, too, once this share of the median worker's requests is queued.
-pub(super) const QUEUED_SHARE_LIMIT: f64 = 0.4;
+pub(super) const QUEUED_FRACTION_LIMIT: f64 = 0.4;
 /// Loads in progress at the median worker from which on they wait for each other: few run at a time.
 pub(super) const CONGESTED_LOADS: f64 = 2.0;
 /// Reports by which overload is judged at least: of fewer, one congested worker would decide too much.
@@ -83,7 +83,7 @@
 /// An answer in time from a worker without a queue raises it by this much.
 pub(super) const IDLE_INCREASE: f64 = 5.0 * IN_TIME_INCREASE;
 /// The least share admitted, so that some answers come back by which it can rise again.
-pub(super) const MIN_ADMITTED_SHARE: f64 = 0.01;
+pub(super) const MIN_ADMITTED_FRACTION: f64 = 0.01;
 /// What an answer in time adds to the retry budget of rejected requests.
 pub(super) const RETRY_CREDIT: f64 = 0.1;
 /// What an answer in time adds to the query budget, and so does a query that finds an instance: together no more
@@ -96,7 +96,7 @@
 /// What is left of a worker's limit once its answers are too slow for their latency objectives.
 pub(super) const LIMIT_DECREASE: f64 = 0.8;
 /// Requests of less value for their work than the mean fill this share of a worker's limit.
-pub(super) const LOW_VALUE_LIMIT_SHARE: f64 = 0.6;
+pub(super) const LOW_VALUE_LIMIT_FRACTION: f64 = 0.6;
 /// Failures that count, each of which doubles the time for which a worker is left alone.
 pub(super) const MAX_FAILURE_SCORE: u32 = 6;
 /// A worker that warms up gets this part of its proportional share; the rest is for bursts and chance.
@@ -117,6 +117,6 @@
 pub(super) const MIN_PREFERRED: usize = 2;
 /// A function gets so many preferred endpoints that each bears this part of a mean worker's load from it; half of
 /// it where a wrong presumption costs a cold miss and not a load.
-pub(super) const PREFERRED_LOAD_SHARE: f64 = 0.5;
+pub(super) const PREFERRED_LOAD_FRACTION: f64 = 0.5;
 /// Instances that a router keeps pre-warmed at one worker at most.
 pub(super) const MAX_PREWARMED_INSTANCES: i64 = 16;
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Router {
+    /// Records a snapshot, a change or a failure of the endpoint list.
     pub(super) fn record_endpoint_list(&mut self, list: &EndpointList) {
         match list.kind {
             EndpointListKind::Failed => return self.retry_subscription(),
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -1,6 +1,6 @@
 //! Estimates: the work of requests, their value, the rate at which work arrives and the time of loads.
 
-use super::constants::{INITIAL_WORK_SHARE, SPEED_FACTOR_DECAY_US};
+use super::constants::{INITIAL_WORK_FRACTION, SPEED_FACTOR_DECAY_US};
 use super::Router;
 use crate::config::PriorityWeightUnit;
 use crate::statistics::decayed;
@@ -37,7 +37,7 @@
     /// The usual work of a workload's requests without congestion, in microseconds.
     fn usual_work(&self, id: WorkloadId) -> f64 {
         self.workload_work.get(&id).map_or_else(
-            || self.latency_objective(id) as f64 * INITIAL_WORK_SHARE,
+            || self.latency_objective(id) as f64 * INITIAL_WORK_FRACTION,
             |work| work.mean,
         )
     }
--- a/src/logic/keep_alive.rs
+++ b/src/logic/keep_alive.rs
@@ -13,7 +13,7 @@
     /// How long instances are renewed after the last request.
     renew_for: Micros,
     /// This router's share of the instances to be kept pre-warmed.
-    prewarmed_share: i64,
+    prewarmed_quota: i64,
     /// Idle instances are unloaded this long after the last request; zero or less if they are not.
     unload_after: Micros,
     /// Whether anything has to be done at all.
@@ -41,14 +41,14 @@
         let prewarm_target = self.prewarm_target(id, function);
         let next = self.now + (keep_alive as f64 * RENEWAL_POINT) as Micros;
         self.timers.insert((next, Timer::KeepAlive(id)));
-        if let Some(worker) = prewarm_target.filter(|_| options.prewarmed_share > 0) {
-            let instances = options.prewarmed_share.min(MAX_PREWARMED_INSTANCES);
+        if let Some(worker) = prewarm_target.filter(|_| options.prewarmed_quota > 0) {
+            let instances = options.prewarmed_quota.min(MAX_PREWARMED_INSTANCES);
             self.command_load(worker, id, instances as u32, out);
         }
         for worker in warm {
             self.command_load(worker, id, 1, out);
         }
-        if options.unload_after > 0 && options.prewarmed_share == 0 {
+        if options.unload_after > 0 && options.prewarmed_quota == 0 {
             self.unload_idle_instances(id, options.unload_after, out);
         }
     }
@@ -64,7 +64,7 @@
         let remainder = i64::from(index < prewarmed % routers);
         KeepAliveOptions {
             renew_for,
-            prewarmed_share: prewarmed / routers + remainder,
+            prewarmed_quota: prewarmed / routers + remainder,
             unload_after,
             is_active: renew_for > keep_alive || prewarmed > 0 || unload_after > 0,
         }
--- a/src/logic/load_results.rs
+++ b/src/logic/load_results.rs
@@ -1,7 +1,8 @@
 //! Records the outcomes of load commands and queries, and learns how long loads take.
 
 use super::constants::{
-    EWMA_WEIGHT, INITIAL_WORK_SHARE, MAX_SPEED_FACTOR, QUERIED_INSTANCE_LIFE_DIVISOR, QUERY_CREDIT,
+    EWMA_WEIGHT, INITIAL_WORK_FRACTION, MAX_SPEED_FACTOR, QUERIED_INSTANCE_LIFE_DIVISOR,
+    QUERY_CREDIT,
 };
 use super::Router;
 use crate::state::InstanceCommand;
@@ -9,6 +10,7 @@
 use crate::{FunctionId, LoadResult, Micros, Outcome};
 
 impl Router {
+    /// Records the outcome of a load command or query; it also shows how many instances are loaded.
     pub(super) fn record_load_result(&mut self, result: &LoadResult) {
         let now = self.now;
         let has_answered = !matches!(
@@ -36,10 +38,10 @@
             };
             instance.expires_at = instance.expires_at.max(now + trusted_for);
         }
-        self.to_place.extend(&function.waiting);
+        self.unplaced.extend(&function.waiting);
         if is_load && result.outcome == Outcome::Finished {
             function.last_warm_worker = Some(result.worker);
-            if result.latency as f64 > function.load_us * INITIAL_WORK_SHARE {
+            if result.latency as f64 > function.load_us * INITIAL_WORK_FRACTION {
                 self.learn_load(result.function, result.latency as f64);
             }
         } else if is_load {
@@ -50,7 +52,7 @@
         self.functions
             .set_instance(result.function, result.worker, instance);
         let has_found = !is_load && is_loaded;
-        self.earn_query_budget(if has_found { QUERY_CREDIT } else { 0.0 });
+        self.credit_query_budget(if has_found { QUERY_CREDIT } else { 0.0 });
     }
 
     /// Guards against a store that rejects loads: what failed for several functions is not commanded again at once by
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -1,8 +1,8 @@
 //! Records requests, the outcomes of their attempts and health checks; adjusts admission and budgets by them.
 
 use super::constants::{
-    EWMA_WEIGHT, IDLE_INCREASE, INITIAL_WORK_SHARE, IN_TIME_INCREASE, LATE_DECREASE,
-    MIN_ADMITTED_SHARE, MIN_PREFERRED, QUERY_CREDIT, REJECTION_DECREASE, REPORT_DECAY_US,
+    EWMA_WEIGHT, IDLE_INCREASE, INITIAL_WORK_FRACTION, IN_TIME_INCREASE, LATE_DECREASE,
+    MIN_ADMITTED_FRACTION, MIN_PREFERRED, QUERY_CREDIT, REJECTION_DECREASE, REPORT_DECAY_US,
     RETRY_CREDIT,
 };
 use super::Router;
@@ -22,6 +22,7 @@
 }
 
 impl Router {
+    /// Records a new request, which is then to be placed.
     pub(super) fn record_request(&mut self, request: &Request) {
         self.record_call(request);
         let pending = PendingRequest {
@@ -32,7 +33,7 @@
         self.requests.insert(request.id, pending);
         self.timers
             .insert((request.deadline, Timer::Deadline(request.id)));
-        self.to_place.insert(request.id);
+        self.unplaced.insert(request.id);
         self.count_request_for_load_budget();
         let added_rate = self.expected_work(request) / self.config.collapse_window_us;
         self.work_rate = self.work_rate_now() + added_rate;
@@ -54,7 +55,7 @@
         let function = self.functions.record_request(request.function, now, || {
             self.timers
                 .insert((now, Timer::KeepAlive(request.function)));
-            Function::new(objective_us * INITIAL_WORK_SHARE, usual_load_us)
+            Function::new(objective_us * INITIAL_WORK_FRACTION, usual_load_us)
         });
         function.concurrency = (request.concurrency as u32).max(1);
         if let Some(announced) = request.load_time {
@@ -69,6 +70,8 @@
         self.recent_requests_at = now;
     }
 
+    /// Records the outcome of an attempt. Its request, unless it is answered, and those that wait for the function are
+    /// then to be placed.
     pub(super) fn record_attempt_result(&mut self, result: &AttemptResult) {
         self.record_at_worker(result);
         let Some(pending) = self.requests.get_mut(&result.request) else {
@@ -91,18 +94,18 @@
             Timeliness::Failed
         };
         self.adjust_admission(result, timeliness);
-        self.earn_budgets(timeliness);
+        self.credit_budgets(timeliness);
         if result.is_final {
             self.forget_request(result.request);
         } else {
-            self.to_place.insert(result.request);
+            self.unplaced.insert(result.request);
         }
         if let Some(function) = self.functions.get(request.function) {
-            self.to_place.extend(&function.waiting);
+            self.unplaced.extend(&function.waiting);
         }
     }
 
-    /// Records what an attempt's end says of the worker: a slot is free, it reported load, it lives or not.
+    /// Records what an attempt's end text_equals of the worker: a slot is free, it reported load, it lives or not.
     fn record_at_worker(&mut self, result: &AttemptResult) {
         let now = self.now;
         let id = result.worker;
@@ -146,42 +149,44 @@
 
     /// Adjusts the share of requests admitted under overload: cut by a part, raised by a constant.
     fn adjust_admission(&mut self, result: &AttemptResult, timeliness: Timeliness) {
-        // What waited for a load says nothing of overload; a cold fleet would later shed nearly all.
+        // What waited for a load text_equals nothing of overload; a cold fleet would later shed nearly all.
         let waited_for_load = matches!(
             result.warmth,
             Warmth::StartedLoad | Warmth::WaitedForLoad | Warmth::LoadFailed
         );
         let queued = result.report.and_then(|report| report.queued);
         let change = if result.outcome == Outcome::Rejected && result.attempt == 0 {
-            -REJECTION_DECREASE * self.admitted_share
+            -REJECTION_DECREASE * self.admitted_fraction
         } else if waited_for_load {
             0.0
         } else {
             match timeliness {
                 Timeliness::Failed => 0.0,
-                Timeliness::Late => -LATE_DECREASE * self.admitted_share,
+                Timeliness::Late => -LATE_DECREASE * self.admitted_fraction,
                 Timeliness::InTime if queued.is_some_and(|queued| queued < 1.0) => IDLE_INCREASE,
                 Timeliness::InTime => IN_TIME_INCREASE,
             }
         };
-        self.admitted_share = (self.admitted_share + change).clamp(MIN_ADMITTED_SHARE, 1.0);
+        self.admitted_fraction =
+            (self.admitted_fraction + change).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
     /// Answers in time pay for retries and queries.
-    fn earn_budgets(&mut self, timeliness: Timeliness) {
+    fn credit_budgets(&mut self, timeliness: Timeliness) {
         let is_in_time = timeliness == Timeliness::InTime;
         let credit = |credit| if is_in_time { credit } else { 0.0 };
         let largest_budget = (self.recent_requests * RETRY_CREDIT).max(1.0);
         self.retry_budget = (self.retry_budget + credit(RETRY_CREDIT)).min(largest_budget);
-        self.earn_query_budget(credit(QUERY_CREDIT));
+        self.credit_query_budget(credit(QUERY_CREDIT));
     }
 
     /// The budget of queries is earned by answers: a function without instances costs no more than others pay.
-    pub(super) fn earn_query_budget(&mut self, credit: f64) {
+    pub(super) fn credit_query_budget(&mut self, credit: f64) {
         let largest_budget = (self.recent_requests * QUERY_CREDIT).max(MIN_PREFERRED as f64);
         self.query_budget = (self.query_budget + credit).min(largest_budget);
     }
 
+    /// Records the outcome of a health check; only a success shows anything.
     pub(super) fn record_health_check_result(&mut self, result: &HealthCheckResult) {
         if result.outcome != Outcome::Finished {
             return;
@@ -198,7 +203,7 @@
         };
         let request = pending.request;
         self.timers.remove(&(request.deadline, Timer::Deadline(id)));
-        self.to_place.remove(&id);
+        self.unplaced.remove(&id);
         self.waiting.remove(&id);
         let Some(function) = self.functions.get_mut(request.function) else {
             return;
--- a/src/logic/outlier_detection.rs
+++ b/src/logic/outlier_detection.rs
@@ -16,7 +16,7 @@
             return;
         };
         let oldest = worker.attempts.first();
-        let is_silent = oldest.is_some_and(|a| worker.last_heard_at <= a.dispatched_at);
+        let is_silent = oldest.is_some_and(|a| worker.last_response_at <= a.dispatched_at);
         let check_deadline = worker.unanswered_check_at.map(|at| at + check_interval);
         let has_failed_check = check_deadline.is_some();
         if worker.endpoint.state != WorkerState::Ready
@@ -80,14 +80,14 @@
             return;
         }
         if self.may_hedge(&request) {
-            self.to_place.insert(id);
+            self.unplaced.insert(id);
         } else if self.config.may_cancel {
-            self.mark_cancelling(id, number);
+            self.set_cancelling(id, number);
             out.cancel(id, number);
         }
     }
 
-    fn mark_cancelling(&mut self, id: RequestId, number: usize) {
+    fn set_cancelling(&mut self, id: RequestId, number: usize) {
         let pending = self.requests.get_mut(&id);
         if let Some(attempt) = pending.and_then(|p| p.attempts.get_mut(number)) {
             attempt.status = AttemptStatus::Cancelling;
--- a/src/logic/overload.rs
+++ b/src/logic/overload.rs
@@ -1,7 +1,7 @@
 //! Whether the fleet is overloaded, loads are congested, or a single worker is congested.
 
 use super::constants::{
-    CONGESTED_LOADS, CONGESTION_FACTOR, MIN_REPORTS, OVERLOAD_FACTOR, QUEUED_SHARE_LIMIT,
+    CONGESTED_LOADS, CONGESTION_FACTOR, MIN_REPORTS, OVERLOAD_FACTOR, QUEUED_FRACTION_LIMIT,
     REPORT_DECAY_US, SAMPLED_REPORTS, SLOW_FACTOR, UNEVEN_FACTOR,
 };
 use super::Router;
@@ -9,10 +9,10 @@
 use crate::statistics::median;
 use crate::{Micros, WorkerState};
 
-/// What a recent load report says of queues.
+/// What a recent load report text_equals of queues.
 struct QueueReport {
     age: Micros,
-    queued_share: f64,
+    queued_fraction: f64,
 }
 
 impl Router {
@@ -28,10 +28,10 @@
         let medians = self.medians_of(&sample);
         let reports = self.recent_queue_reports(&sample);
         let has_recent_report = self.has_recent_report(&reports);
-        let queued_share = self.median_queued_share(&reports, sample.len());
+        let queued_fraction = self.median_queued_fraction(&reports, sample.len());
         self.medians = medians;
         self.has_recent_report = has_recent_report;
-        self.queued_share = queued_share;
+        self.queued_fraction = queued_fraction;
         let workers = &self.workers;
         self.ejected_workers.retain(|id| {
             workers
@@ -68,7 +68,7 @@
         let reports = recent.filter_map(|worker| {
             Some(QueueReport {
                 age: self.now - worker.reported_at,
-                queued_share: worker.share_queued_for_cores(requests_start_loads)?,
+                queued_fraction: worker.fraction_queued_for_cores(requests_start_loads)?,
             })
         });
         reports.collect()
@@ -86,7 +86,7 @@
 
     /// The queued share of the median worker, as most answers come from the congested ones; of the newest reports, or
     /// the end of an overload is noticed late.
-    fn median_queued_share(&self, reports: &[QueueReport], sample_size: usize) -> f64 {
+    fn median_queued_fraction(&self, reports: &[QueueReport], sample_size: usize) -> f64 {
         if reports.is_empty() {
             return 0.0;
         }
@@ -96,12 +96,12 @@
             .iter()
             .enumerate()
             .take_while(|(index, report)| (*index as f64) < wanted || report.age < fresh);
-        median(newest.map(|(_, report)| report.queued_share).collect())
+        median(newest.map(|(_, report)| report.queued_fraction).collect())
     }
 
     /// Whether the median worker is overloaded.
     pub(super) fn is_overloaded(&self) -> bool {
-        self.medians.congestion > OVERLOAD_FACTOR || self.queued_share > QUEUED_SHARE_LIMIT
+        self.medians.congestion > OVERLOAD_FACTOR || self.queued_fraction > QUEUED_FRACTION_LIMIT
     }
 
     /// Whether loads take longer than announced or usual: the store or the load queues are congested.
@@ -130,13 +130,13 @@
     /// Whether much of what the worker last reported is queued, or it reports nothing of that.
     pub(super) fn may_have_queue(&self, worker: &Worker) -> bool {
         worker
-            .queued_share(!self.config.workers_answer_misses)
-            .is_none_or(|share| share > QUEUED_SHARE_LIMIT)
+            .queued_fraction(!self.config.workers_answer_misses)
+            .is_none_or(|share| share > QUEUED_FRACTION_LIMIT)
     }
 
     /// Whether a share of the worker's concurrency limit is not used up; guards against overload of any cause.
-    pub(super) fn has_capacity(&self, worker: &Worker, limit_share: f64) -> bool {
-        f64::from(worker.in_flight) < worker.concurrency_limit * limit_share
+    pub(super) fn has_capacity(&self, worker: &Worker, limit_fraction: f64) -> bool {
+        f64::from(worker.in_flight) < worker.concurrency_limit * limit_fraction
             && worker.backoff_until <= self.now
     }
 }
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -46,7 +46,7 @@
 
 impl Router {
     /// Dispatches a request, has it wait, or answers it.
-    pub(super) fn place(&mut self, id: RequestId, out: &mut impl Decisions) {
+    pub(super) fn place_request(&mut self, id: RequestId, out: &mut impl Decisions) {
         let pending = self.requests.get(&id);
         let Some(placement) = pending.and_then(|p| self.placement_request(p)) else {
             return;
--- a/src/logic/rejection.rs
+++ b/src/logic/rejection.rs
@@ -29,12 +29,12 @@
     }
 
     /// The Retry-After of a rejected request: under overload the longer the less is admitted, else the time of a load.
-    /// It is drawn at random, lest rejected requests come back together.
+    /// It has random jitter, so that rejected requests do not come back together.
     fn retry_after(&mut self, request: &Request) -> Micros {
         let function = self.functions.get(request.function);
         let base_us = if self.is_overloaded() {
             let objective_us = self.latency_objective(request.workload) as f64;
-            objective_us * (1.0 - self.admitted_share) / 2.0
+            objective_us * (1.0 - self.admitted_fraction) / 2.0
         } else {
             function.map_or(0.0, |f| f.load_us * self.load_speed_factor_now())
         };
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -24,10 +24,10 @@
             return None;
         }
         let age = (self.now - endpoint.started_at).max(0) as f64;
-        let initial = self.config.slow_start_initial_share;
-        let warm_share = initial + (1.0 - initial) * age / self.config.slow_start_window as f64;
-        let fleet_share = endpoint.size / self.ready_workers.total_weight().max(endpoint.size);
-        let rate = self.work_rate_now() * fleet_share * warm_share * SLOW_START_HEADROOM;
+        let initial = self.config.slow_start_initial_fraction;
+        let warm_fraction = initial + (1.0 - initial) * age / self.config.slow_start_window as f64;
+        let fleet_fraction = endpoint.size / self.ready_workers.total_weight().max(endpoint.size);
+        let rate = self.work_rate_now() * fleet_fraction * warm_fraction * SLOW_START_HEADROOM;
         let elapsed = (self.now - worker.slow_start_budget_at).max(0) as f64;
         let saved = worker.slow_start_budget_us + rate * elapsed;
         Some(saved.min(rate * self.config.collapse_window_us))
--- a/src/logic/warm_first.rs
+++ b/src/logic/warm_first.rs
@@ -15,6 +15,7 @@
 }
 
 impl Router {
+    /// Dispatches a request to the chosen instance, after the load command for later requests.
     pub(super) fn dispatch_warm(
         &mut self,
         placement: &PlacementRequest,
@@ -33,12 +34,12 @@
     /// flight, in this order. Ties are random in proportion to a worker's size and to how little it reports to have in
     /// flight: with hundreds of routers most are ties.
     pub(super) fn choose_warm(&self) -> Option<WarmChoice> {
-        let is_frequent = self.is_called_frequently_by_others();
+        let is_frequent = self.has_frequent_calls_elsewhere();
         let presumed = self.presumed_instances(is_frequent);
         let free = self.warm.iter().chain(&presumed);
         let free = free.filter(|c| self.is_open(c) && self.is_free(c));
         let best = free.map(|c| c.worker).min_by_key(|worker| {
-            let tie_break = self.router.weighted_draw(self.draw, worker).to_bits();
+            let tie_break = self.router.weighted_random(self.draw, worker).to_bits();
             (
                 self.router.is_congested(worker),
                 self.is_remote(worker),
@@ -54,7 +55,7 @@
 
     /// Whether the other routers, if they dispatch as this one does, call each preferred endpoint many times in a
     /// keep-alive.
-    fn is_called_frequently_by_others(&self) -> bool {
+    fn has_frequent_calls_elsewhere(&self) -> bool {
         let other_routers = f64::from(self.router.config.router_count) - 1.0;
         let partitions = self.fan_out.partitions as f64;
         let calls = other_routers * self.function.recent_requests / partitions;
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -60,7 +60,7 @@
 
     /// The share of reported requests that is queued or, if that is not reported, whether all cores are busy. Where
     /// requests start loads, a load in progress is a request that waits, but not for a core.
-    pub(super) fn queued_share(&self, requests_start_loads: bool) -> Option<f64> {
+    pub(super) fn queued_fraction(&self, requests_start_loads: bool) -> Option<f64> {
         let loads = self.report.loads_in_progress;
         let loads = loads.filter(|_| requests_start_loads).unwrap_or(0.0);
         let queued = self.report.queued.zip(self.report.in_flight);
@@ -71,9 +71,9 @@
 
     /// The share of requests that waits for a core. Guards against taking a cold fleet for an overloaded one: with
     /// idle cores, requests wait for an instance or a load, and rejecting others frees nothing.
-    pub(super) fn share_queued_for_cores(&self, requests_start_loads: bool) -> Option<f64> {
+    pub(super) fn fraction_queued_for_cores(&self, requests_start_loads: bool) -> Option<f64> {
         let has_idle_cores = self.report.busy.is_some_and(|busy| busy <= BUSY_CORES);
-        self.queued_share(requests_start_loads)
+        self.queued_fraction(requests_start_loads)
             .map(|share| if has_idle_cores { 0.0 } else { share })
     }
 
@@ -102,7 +102,7 @@
 
     /// Records any sign of life.
     pub(super) fn record_response(&mut self, now: Micros) {
-        self.last_heard_at = now;
+        self.last_response_at = now;
         self.unanswered_check_at = None;
         self.unanswered_checks = 0;
         self.is_ejected = false;
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -113,7 +113,7 @@
         self.total_weight as f64 / STEPS_PER_UNIT
     }
 
-    /// The keys in the order that the seed draws, each found when it is asked for.
+    /// The keys in the order that the seed draws, each found when the iterator is advanced.
     pub fn ranking(&self, seed: u64) -> Ranking<'_> {
         let root = Contender {
             time_bits: 0,
--- a/src/state/function.rs
+++ b/src/state/function.rs
@@ -166,7 +166,7 @@
         self.set_instance(id, worker, instance);
     }
 
-    /// Removes expired instances from those that [`Function::warm_workers`] yields, lest they hide others.
+    /// Removes expired instances from those that [`Function::warm_workers`] yields, where they would hide others.
     pub fn remove_expired(
         &mut self,
         id: FunctionId,
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -48,7 +48,7 @@
     /// When that came; zero if there is none.
     pub reported_at: Micros,
     /// When it last answered anything.
-    pub last_heard_at: Micros,
+    pub last_response_at: Micros,
     /// When the health check was sent that it has not answered.
     pub unanswered_check_at: Option<Micros>,
     /// Health checks in a row that it has not answered.
--- a/tests/rendezvous.rs
+++ b/tests/rendezvous.rs
@@ -72,7 +72,7 @@
 }
 
 /// The share of many seeds for which two trees rank different keys first.
-fn share_moved(one: &RendezvousTree, other: &RendezvousTree) -> f64 {
+fn fraction_moved(one: &RendezvousTree, other: &RendezvousTree) -> f64 {
     const SEEDS: u64 = 20_000;
     let moved = (0..SEEDS)
         .filter(|seed| one.ranking(*seed).next() != other.ranking(*seed).next())
@@ -145,11 +145,11 @@
     let before = tree_of(&equal_weights(keys));
     let mut after = before.clone();
     (0..removed).for_each(|key| after.remove(key * 7));
-    let share_removed = removed as f64 / keys as f64;
-    let moved = share_moved(&before, &after);
+    let fraction_removed = removed as f64 / keys as f64;
+    let moved = fraction_moved(&before, &after);
     assert!(
-        moved <= share_removed * f64::from(LEVELS + 1) + 0.002,
-        "{moved} moved where {share_removed} was removed"
+        moved <= fraction_removed * f64::from(LEVELS + 1) + 0.002,
+        "{moved} moved where {fraction_removed} was removed"
     );
 }
 
@@ -159,12 +159,12 @@
     let mut other = one.clone();
     (0..10).for_each(|key| other.remove(key * 190));
     (5_000..5_010).for_each(|key| other.insert(key, 2.0));
-    assert!(share_moved(&one, &other) < 0.04);
+    assert!(fraction_moved(&one, &other) < 0.04);
 }
 
 #[rstest]
 fn tenfold_growth_keeps_a_tenth_in_place() {
-    let moved = share_moved(
+    let moved = fraction_moved(
         &tree_of(&equal_weights(300)),
         &tree_of(&equal_weights(3_000)),
     );
--- a/tests/robustness.rs
+++ b/tests/robustness.rs
@@ -14,7 +14,7 @@
 #[case::keep_alive("copies.keep-alive-us")]
 #[case::slow_start_window("rules.cold-us")]
 #[case::collapse_window("rules.fall-us")]
-#[case::slow_start_initial_share("rules.cold-from")]
+#[case::slow_start_initial_fraction("rules.cold-from")]
 #[case::routers("routers")]
 #[case::key_window("workloads.0.repeat-window-us")]
 #[case::workloads("workloads.count")]
