--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::lab::{read_scenario, tell, Folder, Shipped, DEMO};
 use crate::{exit, fail};
 use clap::{Args, ValueEnum};
-use sanddrum_emulator::{ListService, Marks, Shared, Store, Worker};
+use sanddrum_emulator::{DiscoveryService, IdempotencyKeys, Shared, Store, Worker};
 use sanddrum_lab::{
     play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who,
     FAULTS, FLEET_DAY, LATE, OURS,
@@ -342,7 +342,7 @@
             let known_as = args.known_as.as_deref().unwrap_or(&at);
             let spec = scenario.worker(args.number, known_as, &args.list, &args.store);
             let seed = args.seed.wrapping_mul(31).wrapping_add(args.number as u64);
-            let (faults, marks) = (shared(), Rc::new(RefCell::new(Marks::new(0))));
+            let (faults, marks) = (shared(), Rc::new(RefCell::new(IdempotencyKeys::new(0))));
             let started = if args.cold { now } else { 0 };
             steered(
                 Worker::new(spec, seed, started, args.incarnation, faults.clone(), marks),
@@ -358,13 +358,16 @@
             let workers =
                 std::fs::read_to_string(args.file.with_file_name("workers")).unwrap_or_default();
             let workers: Vec<String> = workers.lines().map(String::from).collect();
-            let list = ListService::new(
+            let list = DiscoveryService::new(
                 scenario.list(),
                 args.seed ^ 0x115,
                 args.incarnation,
                 faults.clone(),
             );
-            steered(list.with_rows(now, &scenario.list_rows(&workers)), faults)
+            steered(
+                list.with_endpoints(now, &scenario.list_rows(&workers)),
+                faults,
+            )
         }
     };
     let host = driver
--- a/crates/sanddrum-emulator/src/ground_truth.rs
+++ b/crates/sanddrum-emulator/src/ground_truth.rs
@@ -1,33 +1,37 @@
-//! What is true of the stand-in workers, for an oracle that sees it: an upper bound that no router can know.
+//! What is true of the emulated workers, for an oracle that sees it: an upper bound that no router can know.
 
 use std::collections::BTreeMap;
 
-/// A function at a worker as it is.
+/// A function at a worker, as it is.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TrueFunction {
-    /// Of its standing copies.
-    pub lanes: u32,
-    pub loading: bool,
-    pub held: u32,
+pub struct FunctionTruth {
+    /// Requests that its loaded instances run at a time, summed up.
+    pub concurrency: u32,
+    /// A load is under way.
+    pub is_loading: bool,
+    /// Requests that run or wait.
+    pub in_flight: u32,
 }
 
-/// A worker as it is.
+/// A worker, as it is.
 #[derive(Clone, Debug, Default)]
-pub struct TrueWorker {
+pub struct WorkerTruth {
+    /// Requests that it runs at a time.
     pub cores: usize,
-    /// The speed of a core now, with coldness and slowness in it.
-    pub pace: f64,
-    pub held: usize,
-    /// Jobs that it takes before it is full.
-    pub room: usize,
-    /// Work that is left to do here, in microseconds of a core at full pace.
+    /// Work that a core does in a microsecond now, warm-up and slowdown included.
+    pub core_speed: f64,
+    /// Requests that run or wait.
+    pub in_flight: usize,
+    /// Requests that it accepts before it rejects one.
+    pub free_capacity: usize,
+    /// Work that is left to do, in microseconds of a standard core.
     pub backlog: f64,
     /// It answers what it is sent.
-    pub serves: bool,
-    /// Functions by their number.
-    pub functions: BTreeMap<u64, TrueFunction>,
+    pub is_serving: bool,
+    /// Its functions, by the hash of their names.
+    pub functions: BTreeMap<u64, FunctionTruth>,
 }
 
-/// All workers by their number; those that are down are missing.
+/// All workers, by the hash of their names; those that are down are missing.
 #[derive(Clone, Debug, Default)]
-pub struct Truth(pub BTreeMap<u64, TrueWorker>);
+pub struct GroundTruth(pub BTreeMap<u64, WorkerTruth>);
--- a/crates/sanddrum-emulator/src/handshakes.rs
+++ b/crates/sanddrum-emulator/src/handshakes.rs
@@ -1,91 +1,108 @@
-//! What handshakes cost a stand-in worker: each takes its time on one core, one after the other, longer while the worker
-//! is cold; until then nothing that came on its connection is heard.
+//! What handshakes cost an emulated worker: each takes its time on one core, one after the other, and longer while the
+//! worker warms up; until it is through, nothing that arrives on its connection is processed.
 
 use crate::faults::Shared;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a worker's handshakes are to take, and what became of them.
+const MICROS_PER_SECOND: Micros = 1_000_000;
+/// Below this share of its capacity a machine's handshakes take no longer still.
+const MIN_CAPACITY_SHARE: f64 = 0.01;
+
+/// What a worker's handshakes cost, and how many there were.
 #[derive(Clone, Debug, Default)]
 pub struct HandshakeWork {
-    /// Of one, at full speed.
-    pub takes: Micros,
-    /// Begun and not yet counted among the work that a cold machine bears.
-    pub came: Vec<f64>,
-    /// Begun in each second.
-    pub seconds: BTreeMap<Micros, u32>,
+    /// Time of one at full speed.
+    pub cost: Micros,
+    /// Costs of those started and not yet counted among the work that a warming machine bears.
+    pub uncounted: Vec<f64>,
+    /// How many were started in each second of the clock.
+    pub per_second: BTreeMap<Micros, u32>,
 }
 
-/// A core behind its handshakes.
-pub struct Slowed<C> {
+/// A core whose connections each wait for their handshake.
+pub struct HandshakeQueue<C> {
     core: C,
     work: Shared<HandshakeWork>,
-    started: Micros,
-    cold: Micros,
-    cold_from: f64,
-    held: BTreeMap<ConnectionId, Vec<u8>>,
+    started_at: Micros,
+    warm_up: Micros,
+    initial_capacity: f64,
+    /// What arrived before its connection's handshake was through.
+    buffered: BTreeMap<ConnectionId, Vec<u8>>,
+    /// When each handshake is through, in order.
     queue: VecDeque<(Micros, ConnectionId)>,
-    free: Micros,
+    /// When all handshakes so far are through.
+    busy_until: Micros,
 }
 
-impl<C: Core> Slowed<C> {
+impl<C: Core> HandshakeQueue<C> {
+    /// Puts a core behind its handshakes. The machine started at `started_at` (zero or less: long ago) with a share of
+    /// `initial_capacity` of its full capacity, and reaches that over `warm_up`.
     pub fn new(
         core: C,
         work: Shared<HandshakeWork>,
-        started: Micros,
-        cold: Micros,
-        cold_from: f64,
+        started_at: Micros,
+        warm_up: Micros,
+        initial_capacity: f64,
     ) -> Self {
-        Slowed {
+        HandshakeQueue {
             core,
             work,
-            started,
-            cold,
-            cold_from,
-            held: BTreeMap::new(),
+            started_at,
+            warm_up,
+            initial_capacity,
+            buffered: BTreeMap::new(),
             queue: VecDeque::new(),
-            free: 0,
+            busy_until: 0,
         }
     }
-    fn begin(&mut self, now: Micros, conn: ConnectionId) {
-        let age = (now - self.started) as f64 / self.cold.max(1) as f64;
-        let warm = self.started <= 0 || age >= 1.0;
-        let part = if warm {
+
+    /// The share of the machine's full capacity now.
+    fn capacity_share(&self, now: Micros) -> f64 {
+        let age = (now - self.started_at) as f64 / self.warm_up.max(1) as f64;
+        if self.started_at <= 0 || age >= 1.0 {
             1.0
         } else {
-            self.cold_from + (1.0 - self.cold_from) * age
-        };
+            self.initial_capacity + (1.0 - self.initial_capacity) * age
+        }
+    }
+
+    fn start_handshake(&mut self, now: Micros, connection: ConnectionId) {
+        let share = self.capacity_share(now).max(MIN_CAPACITY_SHARE);
         let mut work = self.work.borrow_mut();
-        let takes = work.takes as f64;
-        work.came.push(takes);
-        *work.seconds.entry(now / 1_000_000).or_default() += 1;
-        self.free = self.free.max(now) + (takes / part.max(0.01)) as Micros;
-        self.queue.push_back((self.free, conn));
-        self.held.insert(conn, Vec::new());
+        let cost = work.cost as f64;
+        work.uncounted.push(cost);
+        *work.per_second.entry(now / MICROS_PER_SECOND).or_default() += 1;
+        self.busy_until = self.busy_until.max(now) + (cost / share) as Micros;
+        self.queue.push_back((self.busy_until, connection));
+        self.buffered.insert(connection, Vec::new());
     }
 }
 
-impl<C: Core> Core for Slowed<C> {
+impl<C: Core> Core for HandshakeQueue<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
     }
+
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match &event {
-            Event::Accepted { conn, .. } => self.begin(now, *conn),
+            Event::Accepted { conn, .. } => self.start_handshake(now, *conn),
             Event::Bytes { conn, bytes } => {
-                if let Some(held) = self.held.get_mut(conn) {
-                    return held.extend_from_slice(bytes);
+                if let Some(buffered) = self.buffered.get_mut(conn) {
+                    return buffered.extend_from_slice(bytes);
                 }
             }
-            Event::Closed { conn, .. } => drop(self.held.remove(conn)),
+            Event::Closed { conn, .. } => drop(self.buffered.remove(conn)),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
         self.core.on_event(now, event, io);
     }
+
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some((_, conn)) = self.queue.front().copied().filter(|(at, _)| *at <= now) {
             self.queue.pop_front();
-            if let Some(bytes) = self.held.remove(&conn).filter(|bytes| !bytes.is_empty()) {
+            let buffered = self.buffered.remove(&conn);
+            if let Some(bytes) = buffered.filter(|bytes| !bytes.is_empty()) {
                 self.core.on_event(
                     now,
                     Event::Bytes {
@@ -98,6 +115,7 @@
         }
         self.core.process(now, io);
     }
+
     fn next_wakeup(&self) -> Option<Micros> {
         self.core
             .next_wakeup()
@@ -105,9 +123,11 @@
             .chain(self.queue.front().map(|(at, _)| *at))
             .min()
     }
+
     fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         self.core.on_file(now, name, content, io);
     }
+
     fn is_done(&self) -> bool {
         self.core.is_done()
     }
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -1,662 +1,474 @@
-//! What a worker's machine does, in simulated time: cores, copies, lanes, a bounded queue, loads and memory. No I/O:
-//! what the store is asked and what is answered goes to `Effects`.
+//! What a worker's machine does, in emulated time: cores, loaded instances with a concurrency limit each, a bounded queue,
+//! loads and memory. It does no I/O: what the store is asked for and what is answered are [`Effect`]s, which the worker
+//! around it carries out.
+
+mod loading;
+mod reporting;
 
-use crate::ground_truth::{TrueFunction, TrueWorker};
 use sanddrum_net::{Micros, Rng};
-use sanddrum_wire::{ExecutionStatus, InstanceState, LoadReport};
+use sanddrum_wire::{ExecutionStatus, InstanceState};
 use std::collections::{BTreeMap, VecDeque};
 
+/// What a worker does with a request for a function that it has not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnMiss {
-    /// A worker that lacks the function loads it while the job waits.
+    /// It loads the function while the request waits.
     Load,
-    /// It answers a miss; only an order loads.
+    /// It answers a cold miss; only a load command loads.
     Miss,
 }
 
+/// The machine's size and behaviour.
 #[derive(Clone, Debug)]
-pub struct Size {
+pub struct MachineConfig {
+    /// Requests that run at a time, each on a core of its own.
     pub cores: usize,
+    /// Work done by one core in a microsecond, in microseconds of a standard core.
     pub speed: f64,
-    pub queue: usize,
+    /// Requests that wait before further ones are rejected.
+    pub queue_limit: usize,
+    /// Memory for loaded instances, in megabytes.
     pub memory_mb: f64,
-    pub loads_at_once: usize,
+    /// Loads that run at a time; twice as many wait.
+    pub concurrent_loads: usize,
+    /// How long an idle instance stays loaded.
     pub keep_alive: Micros,
+    /// What is done with a request for a function that is not loaded.
     pub on_miss: OnMiss,
-    /// The part of a load that follows the fetch, for each MB.
+    /// The part of a load that follows the fetch, for each megabyte.
     pub start_us_per_mb: f64,
-    pub cold_from: f64,
-    pub cold: Micros,
-    pub fall_multiple: f64,
-    pub fall: Micros,
+    /// Share of the full capacity that a machine has as it starts, 0 to 1.
+    pub initial_capacity: f64,
+    /// How long a machine warms up after its start.
+    pub warm_up: Micros,
+    /// How many times its present capacity a warming machine bears over `collapse_window`.
+    pub collapse_multiple: f64,
+    /// The span over which the work sent to a warming machine is summed.
+    pub collapse_window: Micros,
 }
 
-/// One execution here, by the connection and number that brought it.
+/// Identifies one attempt at this worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64, pub u64);
+pub struct Ticket {
+    /// The connection that brought it.
+    pub connection: u64,
+    /// Its id on that connection.
+    pub id: u64,
+}
 
+/// A request to be run.
 #[derive(Clone, Debug)]
 pub struct Task {
+    /// Which attempt it is.
     pub ticket: Ticket,
+    /// The function that it calls.
     pub function: String,
+    /// Memory of one instance of the function, in megabytes.
     pub memory_mb: f64,
-    pub lanes: u32,
+    /// Requests that one instance runs at a time.
+    pub concurrency: u32,
+    /// Its work, in microseconds of a standard core.
     pub work: f64,
-    pub mark: Option<String>,
-    pub until: Micros,
+    /// Its idempotency key, if it has one.
+    pub idempotency_key: Option<String>,
+    /// It is dropped if it has not started by then.
+    pub deadline: Micros,
 }
 
+/// What the worker around the machine has to do.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
+    /// Answer an attempt.
     Done {
+        /// Which attempt.
         ticket: Ticket,
-        ended: ExecutionStatus,
-        copy: Option<InstanceState>,
-        crowd: u32,
-        mark: Option<String>,
+        /// How it ended.
+        status: ExecutionStatus,
+        /// The instance that it found, where it got that far.
+        instance: Option<InstanceState>,
+        /// Requests for the same function in flight here as it arrived.
+        function_in_flight: u32,
+        /// The idempotency key of a request that ran.
+        idempotency_key: Option<String>,
     },
-    Held {
+    /// Answer a load command.
+    LoadDone {
+        /// Which command.
         ticket: Ticket,
-        ended: ExecutionStatus,
-        copies: u32,
+        /// How it ended.
+        status: ExecutionStatus,
+        /// Instances that are loaded now.
+        instances: u32,
     },
+    /// Fetch a function from the store.
     Fetch {
+        /// Names the load in [`Machine::finish_fetch`].
         load: u64,
+        /// The function.
         function: String,
+        /// Its size, in megabytes.
         size_mb: f64,
     },
-    /// It was sent far more than it can do while cold, and stays down.
-    Fell,
+    /// The machine was sent far more than it bears while it warms up, and stays down.
+    Collapsed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+enum InstanceStage {
     /// Waits for its turn to load.
     Queued,
     Fetching,
-    Starting(Micros),
-    Stands {
+    Starting {
+        ready_at: Micros,
+    },
+    Loaded {
         idle_since: Micros,
     },
 }
 
 #[derive(Debug)]
-struct Standing {
+struct Instance {
     function: String,
     memory_mb: f64,
-    lanes: u32,
-    busy: u32,
-    stage: Stage,
-    /// Released anew while at work: it goes when it is idle.
-    void: bool,
+    concurrency: u32,
+    running: u32,
+    stage: InstanceStage,
+    /// Its function was released anew while it ran: it is unloaded when it is idle.
+    is_obsolete: bool,
 }
 
-struct Waiting {
-    task: Task,
-    copy: InstanceState,
-    crowd: u32,
+impl Instance {
+    fn is_loaded(&self) -> bool {
+        matches!(self.stage, InstanceStage::Loaded { .. })
+    }
+
+    fn has_capacity(&self) -> bool {
+        self.is_loaded() && self.running < self.concurrency
+    }
+
+    fn is_idle(&self) -> bool {
+        self.is_loaded() && self.running == 0
+    }
 }
 
-struct Running {
+struct QueuedTask {
     task: Task,
-    copy: InstanceState,
-    crowd: u32,
-    on: u64,
-    ends: Micros,
+    instance: InstanceState,
+    function_in_flight: u32,
 }
 
-struct Wanted {
-    ticket: Ticket,
-    function: String,
-    copies: u32,
+impl QueuedTask {
+    /// The answer to a task that ends before it has started.
+    fn unstarted(self, status: ExecutionStatus, instance: Option<InstanceState>) -> Effect {
+        Effect::Done {
+            ticket: self.task.ticket,
+            status,
+            instance,
+            function_in_flight: self.function_in_flight,
+            idempotency_key: None,
+        }
+    }
 }
 
+struct RunningTask {
+    task: Task,
+    instance: InstanceState,
+    function_in_flight: u32,
+    instance_id: u64,
+    ends_at: Micros,
+}
+
+/// An emulated machine.
 pub struct Machine {
-    pub size: Size,
-    chance: Rng,
-    /// When it started; nought or less: long ago.
-    pub started: Micros,
-    copies: BTreeMap<u64, Standing>,
-    next_copy: u64,
-    waiting: VecDeque<Waiting>,
-    running: Vec<Running>,
-    wanted: Vec<Wanted>,
-    /// Work that came while cold, for the fall.
-    came: VecDeque<(Micros, f64)>,
-    pub slower: f64,
-    pub load_fails: f64,
+    /// Its size and behaviour.
+    pub config: MachineConfig,
+    rng: Rng,
+    /// When it started; zero or less: long ago.
+    pub started_at: Micros,
+    instances: BTreeMap<u64, Instance>,
+    last_instance_id: u64,
+    queue: VecDeque<QueuedTask>,
+    running: Vec<RunningTask>,
+    pending_loads: Vec<loading::PendingLoad>,
+    /// Work that arrived while it was warming up, with the time of its arrival.
+    recent_work: VecDeque<(Micros, f64)>,
+    /// How many times slower than usual its cores are; below one counts as one.
+    pub slowdown: f64,
+    /// Probability that a load fails, 0 to 1.
+    pub load_failure_probability: f64,
+    /// What the worker has to do, oldest first; the worker empties it.
     pub effects: Vec<Effect>,
 }
 
 impl Machine {
-    pub fn new(size: Size, seed: u64, started: Micros) -> Self {
+    /// A machine with nothing loaded. `seed` is for the loads that fail.
+    pub fn new(config: MachineConfig, seed: u64, started_at: Micros) -> Self {
         Machine {
-            size,
-            chance: Rng::new(seed),
-            started,
-            copies: BTreeMap::new(),
-            next_copy: 0,
-            waiting: VecDeque::new(),
+            config,
+            rng: Rng::new(seed),
+            started_at,
+            instances: BTreeMap::new(),
+            last_instance_id: 0,
+            queue: VecDeque::new(),
             running: Vec::new(),
-            wanted: Vec::new(),
-            came: VecDeque::new(),
-            slower: 1.0,
-            load_fails: 0.0,
+            pending_loads: Vec::new(),
+            recent_work: VecDeque::new(),
+            slowdown: 1.0,
+            load_failure_probability: 0.0,
             effects: Vec::new(),
         }
     }
-    /// The part of its capacity that it has now.
-    fn part(&self, now: Micros) -> f64 {
-        let age = now - self.started;
-        if self.started <= 0 || age >= self.size.cold {
+
+    /// The share of its full capacity that it has now.
+    fn capacity_share(&self, now: Micros) -> f64 {
+        let age = now - self.started_at;
+        if self.started_at <= 0 || age >= self.config.warm_up {
             return 1.0;
         }
-        self.size.cold_from
-            + (1.0 - self.size.cold_from) * age as f64 / self.size.cold.max(1) as f64
+        let initial = self.config.initial_capacity;
+        initial + (1.0 - initial) * age as f64 / self.config.warm_up.max(1) as f64
     }
-    fn cold(&self, now: Micros) -> bool {
-        self.started > 0 && now - self.started < self.size.cold
-    }
-    fn used_mb(&self) -> f64 {
-        self.copies.values().map(|c| c.memory_mb).sum()
-    }
-    fn loading(&self) -> usize {
-        self.copies
-            .values()
-            .filter(|c| !matches!(c.stage, Stage::Stands { .. }))
-            .count()
-    }
-    fn of<'a>(&'a self, function: &'a str) -> impl Iterator<Item = (&'a u64, &'a Standing)> {
-        self.copies
-            .iter()
-            .filter(move |(_, c)| c.function == function && !c.void)
-    }
-    fn standing(&self, function: &str) -> u32 {
-        self.of(function)
-            .filter(|(_, c)| matches!(c.stage, Stage::Stands { .. }))
-            .count() as u32
-    }
-    fn held_of(&self, function: &str) -> u32 {
-        let running = self
-            .running
-            .iter()
-            .filter(|r| r.task.function == function)
-            .count();
-        (running
-            + self
-                .waiting
-                .iter()
-                .filter(|w| w.task.function == function)
-                .count()) as u32
-    }
-    pub fn report(&self) -> LoadReport {
-        let pinned = |c: &&Standing| c.busy > 0 || !matches!(c.stage, Stage::Stands { .. });
-        let pinned_mb: f64 = self
-            .copies
-            .values()
-            .filter(pinned)
-            .map(|c| c.memory_mb)
-            .sum();
-        LoadReport {
-            in_flight: Some((self.running.len() + self.waiting.len()) as f64),
-            queued: Some(self.waiting.len() as f64),
-            busy: Some(self.running.len() as f64 / self.size.cores.max(1) as f64),
-            memory_pinned: Some(pinned_mb / self.size.memory_mb.max(1.0)),
-            loads_in_progress: Some(self.loading() as f64),
-        }
+
+    fn is_warming_up(&self, now: Micros) -> bool {
+        self.started_at > 0 && now - self.started_at < self.config.warm_up
     }
-    /// What is true of it, for who may see it.
-    pub fn truth(&self, now: Micros, serves: bool) -> TrueWorker {
-        let mut functions: BTreeMap<u64, TrueFunction> = BTreeMap::new();
-        for copy in self.copies.values().filter(|c| !c.void) {
-            let of = functions
-                .entry(sanddrum_wire::id_of(&copy.function))
-                .or_default();
-            match copy.stage {
-                Stage::Stands { .. } => of.lanes += copy.lanes,
-                _ => of.loading = true,
-            }
-        }
-        let tasks = self
-            .running
-            .iter()
-            .map(|r| &r.task)
-            .chain(self.waiting.iter().map(|w| &w.task));
-        for task in tasks {
-            functions
-                .entry(sanddrum_wire::id_of(&task.function))
-                .or_default()
-                .held += 1;
-        }
-        let pace = self.size.speed * self.part(now) / self.slower.max(1.0);
-        let held = self.running.len() + self.waiting.len();
-        let running: f64 = self
-            .running
-            .iter()
-            .map(|r| (r.ends - now).max(0) as f64 * pace)
-            .sum();
-        let backlog = running + self.waiting.iter().map(|w| w.task.work).sum::<f64>();
-        let room = (self.size.queue + self.size.cores).saturating_sub(held);
-        TrueWorker {
-            cores: self.size.cores,
-            pace,
-            held,
-            room,
-            backlog,
-            serves,
-            functions,
-        }
+
+    /// Work that one core does in a microsecond now.
+    fn core_speed(&self, now: Micros) -> f64 {
+        self.config.speed * self.capacity_share(now) / self.slowdown.max(1.0)
     }
+
+    /// Whether nothing runs and nothing waits to run.
     pub fn is_idle(&self) -> bool {
-        self.running.is_empty() && self.waiting.is_empty()
+        self.running.is_empty() && self.queue.is_empty()
     }
 
-    /// Work that reaches a cold machine counts, whatever becomes of it.
-    pub fn bear(&mut self, now: Micros, work: f64) {
-        if !self.cold(now) {
-            return self.came.clear();
+    /// Counts work that reaches a machine as it warms up, whatever becomes of it: too much of it makes it collapse.
+    pub fn record_work(&mut self, now: Micros, work: f64) {
+        if !self.is_warming_up(now) {
+            return self.recent_work.clear();
         }
-        self.came.push_back((now, work));
+        self.recent_work.push_back((now, work));
+        let window_start = now - self.config.collapse_window;
         while self
-            .came
+            .recent_work
             .front()
-            .is_some_and(|(at, _)| *at <= now - self.size.fall)
+            .is_some_and(|(at, _)| *at <= window_start)
         {
-            self.came.pop_front();
+            self.recent_work.pop_front();
         }
-        let sent: f64 = self.came.iter().map(|(_, work)| work).sum();
-        let window = self
-            .size
-            .fall
-            .min(now - self.started)
-            .max(self.size.fall / 2) as f64;
-        let bears = self.size.fall_multiple
-            * self.part(now)
-            * self.size.cores as f64
-            * self.size.speed
-            * window;
-        if sent > bears {
-            self.effects.push(Effect::Fell);
+        let sent: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
+        if sent > self.collapse_threshold(now) {
+            self.effects.push(Effect::Collapsed);
         }
     }
 
-    pub fn take(&mut self, now: Micros, task: Task, draining: bool) {
-        self.bear(now, task.work);
-        let crowd = self.held_of(&task.function);
-        let full = draining || self.waiting.len() >= self.size.queue;
-        let copies = self.of(&task.function).count();
-        let free = self.free_copy(&task.function).is_some();
-        let ticket = task.ticket;
-        let refused = |ended| Effect::Done {
-            ticket,
-            ended,
-            copy: None,
-            crowd,
-            mark: None,
-        };
-        if full && !(free && !draining && self.running.len() < self.size.cores) {
-            return self.effects.push(refused(ExecutionStatus::Rejected));
-        }
-        let copy = if self.standing(&task.function) > 0 {
-            InstanceState::Warm
-        } else if copies > 0 {
-            InstanceState::WaitedForLoad
-        } else if self.size.on_miss == OnMiss::Miss {
-            return self.effects.push(refused(ExecutionStatus::ColdMiss));
-        } else if self.load(now, &task.function, task.memory_mb, task.lanes) {
-            InstanceState::StartedLoad
-        } else {
-            return self.effects.push(refused(ExecutionStatus::Rejected));
-        };
-        if copy == InstanceState::Warm && !free {
-            // Another copy by itself, where there is room for it.
-            let lanes: u32 = self.of(&task.function).map(|(_, c)| c.lanes).sum();
-            if crowd >= lanes {
-                self.load(now, &task.function, task.memory_mb, task.lanes);
-            }
-        }
-        self.waiting.push_back(Waiting { task, copy, crowd });
-        self.start_tasks(now);
+    /// The work over the collapse window beyond which the machine goes down.
+    fn collapse_threshold(&self, now: Micros) -> f64 {
+        let window = self
+            .config
+            .collapse_window
+            .min(now - self.started_at)
+            .max(self.config.collapse_window / 2) as f64;
+        self.config.collapse_multiple
+            * self.capacity_share(now)
+            * self.config.cores as f64
+            * self.config.speed
+            * window
     }
 
-    pub fn cancel(&mut self, ticket: Ticket) {
-        if let Some(n) = self.waiting.iter().position(|w| w.task.ticket == ticket) {
-            if let Some(w) = self.waiting.remove(n) {
-                let (copy, crowd) = (Some(w.copy), w.crowd);
-                self.effects.push(Effect::Done {
-                    ticket,
-                    ended: ExecutionStatus::Dropped,
-                    copy,
-                    crowd,
-                    mark: None,
+    /// Accepts a request, or answers it at once where it can't be run here.
+    pub fn accept(&mut self, now: Micros, task: Task, is_draining: bool) {
+        self.record_work(now, task.work);
+        let function_in_flight = self.in_flight_of(&task.function);
+        let has_free_instance = self.free_instance(&task.function).is_some();
+        match self.find_instance(now, &task, is_draining, has_free_instance) {
+            Ok(instance) => {
+                if instance == InstanceState::Warm && !has_free_instance {
+                    self.add_instance_under_load(now, &task, function_in_flight);
+                }
+                self.queue.push_back(QueuedTask {
+                    task,
+                    instance,
+                    function_in_flight,
                 });
+                self.start_tasks(now);
             }
+            Err(status) => self.effects.push(Effect::Done {
+                ticket: task.ticket,
+                status,
+                instance: None,
+                function_in_flight,
+                idempotency_key: None,
+            }),
         }
     }
 
-    pub fn hold(
+    /// The instance that a request will run in, or why it can't run here.
+    fn find_instance(
         &mut self,
         now: Micros,
-        ticket: Ticket,
-        hold: &sanddrum_wire::Load,
-        draining: bool,
-    ) {
-        let (function, copies) = (hold.function.as_str(), hold.instances);
-        let (memory_mb, lanes) = (hold.memory_mb, hold.concurrency.max(1));
-        if copies == 0 {
-            let copies = self.standing(function);
-            return self.effects.push(Effect::Held {
-                ticket,
-                ended: ExecutionStatus::Finished,
-                copies,
-            });
+        task: &Task,
+        is_draining: bool,
+        has_free_instance: bool,
+    ) -> Result<InstanceState, ExecutionStatus> {
+        let is_full = is_draining || self.queue.len() >= self.config.queue_limit;
+        let starts_at_once =
+            has_free_instance && !is_draining && self.running.len() < self.config.cores;
+        if is_full && !starts_at_once {
+            return Err(ExecutionStatus::Rejected);
         }
-        for copy in self.copies.values_mut().filter(|c| c.function == function) {
-            if let Stage::Stands { idle_since } = &mut copy.stage {
-                *idle_since = now;
-            }
+        if self.loaded_instances(&task.function) > 0 {
+            return Ok(InstanceState::Warm);
         }
-        let mut have = self.of(function).count() as u32;
-        while !draining && have < copies && self.load(now, function, memory_mb, lanes) {
-            have += 1;
+        if self.instances_of(&task.function).count() > 0 {
+            return Ok(InstanceState::WaitedForLoad);
         }
-        if have < copies {
-            let copies = self.standing(function);
-            return self.effects.push(Effect::Held {
-                ticket,
-                ended: ExecutionStatus::Rejected,
-                copies,
-            });
+        if self.config.on_miss == OnMiss::Miss {
+            return Err(ExecutionStatus::ColdMiss);
         }
-        self.wanted.push(Wanted {
-            ticket,
-            function: function.to_string(),
-            copies,
-        });
-        self.answer_holds(now);
-    }
-    /// A copy that somebody else has had loaded here before, where there is room for it.
-    pub fn has_stood(&mut self, now: Micros, function: &str, memory_mb: f64, lanes: u32) {
-        if self.of(function).count() > 0 || !self.make_room(memory_mb) {
-            return;
+        if self.start_load(now, &task.function, task.memory_mb, task.concurrency) {
+            Ok(InstanceState::StartedLoad)
+        } else {
+            Err(ExecutionStatus::Rejected)
         }
-        self.add(
-            function,
-            memory_mb,
-            lanes,
-            Stage::Stands { idle_since: now },
-        );
-    }
-    fn add(&mut self, function: &str, memory_mb: f64, lanes: u32, stage: Stage) {
-        self.next_copy += 1;
-        let function = function.to_string();
-        self.copies.insert(
-            self.next_copy,
-            Standing {
-                function,
-                memory_mb,
-                lanes,
-                busy: 0,
-                stage,
-                void: false,
-            },
-        );
-    }
-    pub fn unload(&mut self, function: &str) {
-        self.copies.retain(|_, c| {
-            c.function != function || c.busy > 0 || !matches!(c.stage, Stage::Stands { .. })
-        });
-    }
-    /// All functions are released anew: what is idle goes, what is at work goes when it is done.
-    pub fn flush(&mut self) {
-        self.copies
-            .retain(|_, c| c.busy > 0 || !matches!(c.stage, Stage::Stands { .. }));
-        self.copies
-            .values_mut()
-            .filter(|c| c.busy > 0)
-            .for_each(|c| c.void = true);
     }
 
-    fn free_copy(&self, function: &str) -> Option<u64> {
-        let free = |c: &Standing| matches!(c.stage, Stage::Stands { .. }) && c.busy < c.lanes;
-        self.of(function).find(|(_, c)| free(c)).map(|(id, _)| *id)
-    }
-    /// Unloads the copies that were idle for longest, until so much fits; false where it can't.
-    fn make_room(&mut self, memory_mb: f64) -> bool {
-        while self.used_mb() + memory_mb > self.size.memory_mb {
-            let idle = self.copies.iter().filter_map(|(id, c)| match c.stage {
-                Stage::Stands { idle_since } if c.busy == 0 => Some((idle_since, *id)),
-                _ => None,
-            });
-            let Some((_, oldest)) = idle.min() else {
-                return false;
-            };
-            self.copies.remove(&oldest);
-        }
-        true
-    }
-    /// Begins a load, or has it wait its turn; false without room in memory or among the loads.
-    fn load(&mut self, now: Micros, function: &str, memory_mb: f64, lanes: u32) -> bool {
-        if self.loading() >= self.size.loads_at_once * 3 || !self.make_room(memory_mb) {
-            return false;
+    /// Loads another instance where all that are there have as many requests as they run at a time.
+    fn add_instance_under_load(&mut self, now: Micros, task: &Task, function_in_flight: u32) {
+        let concurrency: u32 = self
+            .instances_of(&task.function)
+            .map(|(_, instance)| instance.concurrency)
+            .sum();
+        if function_in_flight >= concurrency {
+            self.start_load(now, &task.function, task.memory_mb, task.concurrency);
         }
-        self.add(function, memory_mb, lanes, Stage::Queued);
-        self.begin_loads(now);
-        true
     }
-    fn begin_loads(&mut self, _now: Micros) {
-        let at_work = self
-            .copies
-            .values()
-            .filter(|c| matches!(c.stage, Stage::Fetching | Stage::Starting(_)))
-            .count();
-        let queued: Vec<u64> = self
-            .copies
+
+    /// Drops a request that has not started; one that runs goes on.
+    pub fn cancel(&mut self, ticket: Ticket) {
+        let position = self
+            .queue
             .iter()
-            .filter(|(_, c)| c.stage == Stage::Queued)
-            .map(|(id, _)| *id)
-            .collect();
-        for id in queued
-            .into_iter()
-            .take(self.size.loads_at_once.saturating_sub(at_work))
-        {
-            if let Some(copy) = self.copies.get_mut(&id) {
-                copy.stage = Stage::Fetching;
-                let (function, size_mb) = (copy.function.clone(), copy.memory_mb);
-                self.effects.push(Effect::Fetch {
-                    load: id,
-                    function,
-                    size_mb,
-                });
-            }
-        }
-    }
-    /// The store answered a fetch.
-    pub fn fetched(&mut self, now: Micros, load: u64, whole: bool) {
-        let fails = !whole || self.chance.random_bool(self.load_fails);
-        let start = self.size.start_us_per_mb;
-        let Some(copy) = self
-            .copies
-            .get_mut(&load)
-            .filter(|c| c.stage == Stage::Fetching)
-        else {
-            return;
-        };
-        if !fails {
-            copy.stage = Stage::Starting(now + (copy.memory_mb * start) as Micros);
-            return;
-        }
-        let function = copy.function.clone();
-        self.copies.remove(&load);
-        if self.of(&function).count() == 0 {
-            let (gone, stay) = std::mem::take(&mut self.waiting)
-                .into_iter()
-                .partition(|w| w.task.function == function);
-            self.waiting = stay;
-            let gone: VecDeque<Waiting> = gone;
-            for w in gone {
-                let ticket = w.task.ticket;
-                let copy = Some(InstanceState::LoadFailed);
-                self.effects.push(Effect::Done {
-                    ticket,
-                    ended: ExecutionStatus::ColdMiss,
-                    copy,
-                    crowd: w.crowd,
-                    mark: None,
-                });
-            }
+            .position(|queued| queued.task.ticket == ticket);
+        if let Some(queued) = position.and_then(|position| self.queue.remove(position)) {
+            let instance = Some(queued.instance);
+            let effect = queued.unstarted(ExecutionStatus::Dropped, instance);
+            self.effects.push(effect);
         }
-        let (failed, stay) = std::mem::take(&mut self.wanted)
-            .into_iter()
-            .partition(|w| w.function == function);
-        self.wanted = stay;
-        let failed: Vec<Wanted> = failed;
-        for w in failed {
-            let copies = self.standing(&function);
-            self.effects.push(Effect::Held {
-                ticket: w.ticket,
-                ended: ExecutionStatus::Error,
-                copies,
-            });
-        }
-        self.begin_loads(now);
     }
 
-    /// Everything that is due by now.
+    /// Does everything that is due by now.
     pub fn advance(&mut self, now: Micros) {
-        for copy in self.copies.values_mut() {
-            if matches!(copy.stage, Stage::Starting(at) if at <= now) {
-                copy.stage = Stage::Stands { idle_since: now };
+        for instance in self.instances.values_mut() {
+            if matches!(instance.stage, InstanceStage::Starting { ready_at } if ready_at <= now) {
+                instance.stage = InstanceStage::Loaded { idle_since: now };
             }
         }
-        let (done, still): (Vec<Running>, Vec<Running>) = std::mem::take(&mut self.running)
-            .into_iter()
-            .partition(|r| r.ends <= now);
-        self.running = still;
-        for r in done {
-            if let Some(copy) = self.copies.get_mut(&r.on) {
-                copy.busy = copy.busy.saturating_sub(1);
-                copy.stage = Stage::Stands { idle_since: now };
-                if copy.void && copy.busy == 0 {
-                    self.copies.remove(&r.on);
-                }
-            }
-            let (copy, mark) = (Some(r.copy), r.task.mark);
-            let ticket = r.task.ticket;
-            self.effects.push(Effect::Done {
-                ticket,
-                ended: ExecutionStatus::Finished,
-                copy,
-                crowd: r.crowd,
-                mark,
-            });
-        }
-        let keep = self.size.keep_alive;
-        self.copies.retain(|_, c| {
-            !matches!(c.stage, Stage::Stands { idle_since } if c.busy == 0 && idle_since + keep <= now)
+        self.finish_tasks(now);
+        let keep_alive = self.config.keep_alive;
+        self.instances.retain(|_, instance| {
+            !matches!(
+                instance.stage,
+                InstanceStage::Loaded { idle_since }
+                    if instance.running == 0 && idle_since + keep_alive <= now
+            )
         });
-        self.begin_loads(now);
+        self.start_queued_loads();
         self.start_tasks(now);
-        self.answer_holds(now);
-    }
-    fn answer_holds(&mut self, _now: Micros) {
-        let stands: Vec<bool> = self
-            .wanted
-            .iter()
-            .map(|w| self.standing(&w.function) >= w.copies)
-            .collect();
-        let mut stands = stands.into_iter();
-        let (met, stay) = std::mem::take(&mut self.wanted)
-            .into_iter()
-            .partition(|_| stands.next().unwrap_or_default());
-        self.wanted = stay;
-        let met: Vec<Wanted> = met;
-        for w in met {
-            let copies = self.standing(&w.function);
-            self.effects.push(Effect::Held {
-                ticket: w.ticket,
-                ended: ExecutionStatus::Finished,
-                copies,
-            });
-        }
+        self.finish_pending_loads();
     }
-    /// Tasks begin in the order they came, each with a lane and a core of its own.
-    fn start_tasks(&mut self, now: Micros) {
-        let (late, in_time): (VecDeque<Waiting>, VecDeque<Waiting>) =
-            std::mem::take(&mut self.waiting)
+
+    fn finish_tasks(&mut self, now: Micros) {
+        let (finished, still_running): (Vec<RunningTask>, Vec<RunningTask>) =
+            std::mem::take(&mut self.running)
                 .into_iter()
-                .partition(|w| w.task.until <= now);
-        self.waiting = in_time;
-        for w in late {
-            let (ticket, copy, ended) = (w.task.ticket, Some(w.copy), ExecutionStatus::Dropped);
+                .partition(|running| running.ends_at <= now);
+        self.running = still_running;
+        for done in finished {
+            self.release_instance(now, done.instance_id);
             self.effects.push(Effect::Done {
-                ticket,
-                ended,
-                copy,
-                crowd: w.crowd,
-                mark: None,
+                ticket: done.task.ticket,
+                status: ExecutionStatus::Finished,
+                instance: Some(done.instance),
+                function_in_flight: done.function_in_flight,
+                idempotency_key: done.task.idempotency_key,
             });
         }
-        let mut n = 0;
-        while n < self.waiting.len() && self.running.len() < self.size.cores {
-            let function = self.waiting[n].task.function.clone();
-            let Some(on) = self.free_copy(&function) else {
-                if self.of(&function).count() == 0 && !self.load_again(now, n) {
+    }
+
+    fn release_instance(&mut self, now: Micros, instance_id: u64) {
+        let Some(instance) = self.instances.get_mut(&instance_id) else {
+            return;
+        };
+        instance.running = instance.running.saturating_sub(1);
+        instance.stage = InstanceStage::Loaded { idle_since: now };
+        if instance.is_obsolete && instance.running == 0 {
+            self.instances.remove(&instance_id);
+        }
+    }
+
+    /// Starts queued requests in the order of their arrival, each in an instance and on a core of its own.
+    fn start_tasks(&mut self, now: Micros) {
+        self.drop_expired_tasks(now);
+        let mut position = 0;
+        while position < self.queue.len() && self.running.len() < self.config.cores {
+            let function = self.queue[position].task.function.clone();
+            let Some(instance_id) = self.free_instance(&function) else {
+                if self.instances_of(&function).count() == 0 && !self.reload(now, position) {
                     continue;
                 }
-                n += 1;
+                position += 1;
                 continue;
             };
-            let Some(w) = self.waiting.remove(n) else {
+            let Some(queued) = self.queue.remove(position) else {
                 return;
             };
-            if let Some(copy) = self.copies.get_mut(&on) {
-                copy.busy += 1;
-            }
-            let pace = self.size.speed * self.part(now) / self.slower.max(1.0);
-            let ends = now + ((w.task.work / pace).max(1.0)) as Micros;
-            self.running.push(Running {
-                task: w.task,
-                copy: w.copy,
-                crowd: w.crowd,
-                on,
-                ends,
-            });
+            self.run(now, queued, instance_id);
         }
     }
-    /// A task whose copy went while it waited has it loaded again, or is answered.
-    fn load_again(&mut self, now: Micros, n: usize) -> bool {
-        let (function, memory_mb, lanes) = {
-            let task = &self.waiting[n].task;
-            (task.function.clone(), task.memory_mb, task.lanes)
-        };
-        if self.load(now, &function, memory_mb, lanes) {
-            return true;
-        }
-        if let Some(w) = self.waiting.remove(n) {
-            let ticket = w.task.ticket;
-            self.effects.push(Effect::Done {
-                ticket,
-                ended: ExecutionStatus::Rejected,
-                copy: None,
-                crowd: w.crowd,
-                mark: None,
-            });
+
+    fn drop_expired_tasks(&mut self, now: Micros) {
+        let (expired, in_time): (VecDeque<QueuedTask>, VecDeque<QueuedTask>) =
+            std::mem::take(&mut self.queue)
+                .into_iter()
+                .partition(|queued| queued.task.deadline <= now);
+        self.queue = in_time;
+        for queued in expired {
+            let instance = Some(queued.instance);
+            let effect = queued.unstarted(ExecutionStatus::Dropped, instance);
+            self.effects.push(effect);
         }
-        false
     }
-    pub fn wake(&self) -> Option<Micros> {
-        let running = self.running.iter().map(|r| r.ends);
-        let copies = self.copies.values().filter_map(|c| match c.stage {
-            Stage::Starting(at) => Some(at),
-            Stage::Stands { idle_since } if c.busy == 0 => Some(idle_since + self.size.keep_alive),
-            _ => None,
+
+    fn run(&mut self, now: Micros, queued: QueuedTask, instance_id: u64) {
+        if let Some(instance) = self.instances.get_mut(&instance_id) {
+            instance.running += 1;
+        }
+        let duration = (queued.task.work / self.core_speed(now)).max(1.0);
+        self.running.push(RunningTask {
+            task: queued.task,
+            instance: queued.instance,
+            function_in_flight: queued.function_in_flight,
+            instance_id,
+            ends_at: now + duration as Micros,
         });
-        let drops = self.waiting.iter().map(|w| w.task.until);
-        running.chain(copies).chain(drops).min()
     }
-}
 
-#[cfg(test)]
-#[path = "machine_tests.rs"]
-mod tests;
+    /// When [`advance`](Self::advance) next has something to do.
+    pub fn next_wakeup(&self) -> Option<Micros> {
+        let running = self.running.iter().map(|running| running.ends_at);
+        let instances = self
+            .instances
+            .values()
+            .filter_map(|instance| match instance.stage {
+                InstanceStage::Starting { ready_at } => Some(ready_at),
+                InstanceStage::Loaded { idle_since } if instance.running == 0 => {
+                    Some(idle_since + self.config.keep_alive)
+                }
+                _ => None,
+            });
+        let deadlines = self.queue.iter().map(|queued| queued.task.deadline);
+        running.chain(instances).chain(deadlines).min()
+    }
+}
--- /dev/null
+++ b/crates/sanddrum-emulator/src/machine/reporting.rs
@@ -0,0 +1,91 @@
+//! What a machine reports of itself, and what is true of it.
+
+use super::Machine;
+use crate::ground_truth::{FunctionTruth, WorkerTruth};
+use sanddrum_net::Micros;
+use sanddrum_wire::LoadReport;
+use std::collections::BTreeMap;
+
+impl Machine {
+    /// Requests for a function that run or wait here.
+    pub(super) fn in_flight_of(&self, function: &str) -> u32 {
+        let running = self
+            .running
+            .iter()
+            .filter(|running| running.task.function == function)
+            .count();
+        let queued = self
+            .queue
+            .iter()
+            .filter(|queued| queued.task.function == function)
+            .count();
+        (running + queued) as u32
+    }
+
+    /// The load report, as of now.
+    pub fn load_report(&self) -> LoadReport {
+        let pinned_mb: f64 = self
+            .instances
+            .values()
+            .filter(|instance| instance.running > 0 || !instance.is_loaded())
+            .map(|instance| instance.memory_mb)
+            .sum();
+        LoadReport {
+            in_flight: Some((self.running.len() + self.queue.len()) as f64),
+            queued: Some(self.queue.len() as f64),
+            busy: Some(self.running.len() as f64 / self.config.cores.max(1) as f64),
+            memory_pinned: Some(pinned_mb / self.config.memory_mb.max(1.0)),
+            loads_in_progress: Some(self.loads_in_progress() as f64),
+        }
+    }
+
+    /// What is true of the machine, for an oracle. `is_serving` says whether the worker around it answers.
+    pub fn ground_truth(&self, now: Micros, is_serving: bool) -> WorkerTruth {
+        let in_flight = self.running.len() + self.queue.len();
+        let capacity = self.config.queue_limit + self.config.cores;
+        WorkerTruth {
+            cores: self.config.cores,
+            core_speed: self.core_speed(now),
+            in_flight,
+            free_capacity: capacity.saturating_sub(in_flight),
+            backlog: self.backlog(now),
+            is_serving,
+            functions: self.functions(),
+        }
+    }
+
+    fn backlog(&self, now: Micros) -> f64 {
+        let core_speed = self.core_speed(now);
+        let running: f64 = self
+            .running
+            .iter()
+            .map(|running| (running.ends_at - now).max(0) as f64 * core_speed)
+            .sum();
+        let queued: f64 = self.queue.iter().map(|queued| queued.task.work).sum();
+        running + queued
+    }
+
+    fn functions(&self) -> BTreeMap<u64, FunctionTruth> {
+        let mut functions: BTreeMap<u64, FunctionTruth> = BTreeMap::new();
+        let instances = self.instances.values();
+        for instance in instances.filter(|instance| !instance.is_obsolete) {
+            let function = functions
+                .entry(sanddrum_wire::id_of(&instance.function))
+                .or_default();
+            if instance.is_loaded() {
+                function.concurrency += instance.concurrency;
+            } else {
+                function.is_loading = true;
+            }
+        }
+        let running = self.running.iter().map(|running| &running.task);
+        let queued = self.queue.iter().map(|queued| &queued.task);
+        for task in running.chain(queued) {
+            functions
+                .entry(sanddrum_wire::id_of(&task.function))
+                .or_default()
+                .in_flight += 1;
+        }
+        functions
+    }
+}
--- a/crates/sanddrum-emulator/src/peers.rs
+++ b/crates/sanddrum-emulator/src/peers.rs
@@ -1,73 +1,82 @@
-//! The accepted connections of a stand-in: frames in, frames out.
+//! The connections that an emulated service has accepted: frames in, frames out.
 
 use sanddrum_net::{ConnectionId, Io, Outbox};
 use sanddrum_wire::{FrameDecoder, FrameError};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that may wait for one peer, and the largest frame taken from one.
-const MOST: usize = 64 << 20;
+const MAX_BYTES: usize = 64 << 20;
 
 struct Peer {
     frames: FrameDecoder,
-    out: Outbox<()>,
+    outbox: Outbox<()>,
 }
 
 #[derive(Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<ConnectionId, Peer>,
-    dirty: BTreeSet<ConnectionId>,
+    /// Connections with something to write.
+    unflushed: BTreeSet<ConnectionId>,
 }
 
 impl Peers {
-    pub fn add(&mut self, conn: ConnectionId) {
+    pub fn add(&mut self, connection: ConnectionId) {
         self.peers.insert(
-            conn,
+            connection,
             Peer {
-                frames: FrameDecoder::new(MOST),
-                out: Outbox::new(MOST),
+                frames: FrameDecoder::new(MAX_BYTES),
+                outbox: Outbox::new(MAX_BYTES),
             },
         );
     }
-    pub fn remove(&mut self, conn: ConnectionId) -> bool {
-        self.dirty.remove(&conn);
-        self.peers.remove(&conn).is_some()
+
+    pub fn remove(&mut self, connection: ConnectionId) -> bool {
+        self.unflushed.remove(&connection);
+        self.peers.remove(&connection).is_some()
     }
-    pub fn has(&self, conn: ConnectionId) -> bool {
-        self.peers.contains_key(&conn)
+
+    pub fn has(&self, connection: ConnectionId) -> bool {
+        self.peers.contains_key(&connection)
     }
+
     pub fn all(&self) -> Vec<ConnectionId> {
         self.peers.keys().copied().collect()
     }
-    pub fn take_in(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        if let Some(peer) = self.peers.get_mut(&conn) {
+
+    pub fn push_bytes(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        if let Some(peer) = self.peers.get_mut(&connection) {
             peer.frames.push_bytes(bytes);
         }
     }
+
     pub fn next_message<T: for<'b> minicbor::Decode<'b, ()>>(
         &mut self,
-        conn: ConnectionId,
+        connection: ConnectionId,
     ) -> Result<Option<T>, FrameError> {
         self.peers
-            .get_mut(&conn)
+            .get_mut(&connection)
             .map_or(Ok(None), |peer| peer.frames.next_message())
     }
-    pub fn send(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        if let Some(peer) = self.peers.get_mut(&conn) {
-            if peer.out.push((), bytes).is_ok() {
-                self.dirty.insert(conn);
+
+    pub fn send(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        if let Some(peer) = self.peers.get_mut(&connection) {
+            if peer.outbox.push((), bytes).is_ok() {
+                self.unflushed.insert(connection);
             }
         }
     }
-    pub fn unblock(&mut self, conn: ConnectionId) {
-        if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.out.unblock();
-            self.dirty.insert(conn);
+
+    pub fn unblock(&mut self, connection: ConnectionId) {
+        if let Some(peer) = self.peers.get_mut(&connection) {
+            peer.outbox.unblock();
+            self.unflushed.insert(connection);
         }
     }
+
     pub fn flush(&mut self, io: &mut dyn Io) {
-        while let Some(conn) = self.dirty.pop_first() {
-            if let Some(peer) = self.peers.get_mut(&conn) {
-                peer.out.flush(conn, io);
+        while let Some(connection) = self.unflushed.pop_first() {
+            if let Some(peer) = self.peers.get_mut(&connection) {
+                peer.outbox.flush(connection, io);
             }
         }
     }
--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -1,81 +1,120 @@
-//! A stand-in for the store that functions are fetched from: slow when many fetch at once, and full beyond a limit.
+//! An emulated store that functions are fetched from: slow when many fetch at once, and rejecting beyond a limit.
 
 use crate::faults::{Shared, StoreFaults};
 use crate::peers::Peers;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
-use sanddrum_wire::{frame::frame, Fetched, FromStore, ToStore};
+use sanddrum_wire::{frame::frame, Fetch, Fetched, FromStore, ToStore};
 use std::collections::VecDeque;
 
+/// A fetch with less left than this, in microseconds, is complete: sums of fractions are not exact.
+const COMPLETE_BELOW_US: f64 = 0.5;
+/// How often a stalled store looks whether it may go on.
+const STALL_CHECK: Micros = 20_000;
+
+/// How a store is set up.
 #[derive(Clone, Debug)]
 pub struct StoreSpec {
-    /// Fetches served at full pace at a time.
-    pub at_once: usize,
-    /// Fetches taken in hand; more are turned away.
-    pub most: usize,
+    /// Fetches served at full speed at a time; more share it.
+    pub full_speed_fetches: usize,
+    /// Fetches accepted at a time; more are rejected.
+    pub max_fetches: usize,
+    /// Time of a fetch at full speed, for each megabyte.
     pub us_per_mb: f64,
 }
 
-struct Fetching {
-    conn: ConnectionId,
+struct PendingFetch {
+    connection: ConnectionId,
     id: u64,
-    /// What is left of it, at full pace.
-    left: f64,
+    /// Time that it still takes at full speed, in microseconds.
+    remaining_us: f64,
 }
 
+/// An emulated store, as a core.
 pub struct Store {
     spec: StoreSpec,
     faults: Shared<StoreFaults>,
     peers: Peers,
-    in_hand: VecDeque<Fetching>,
-    at: Micros,
-    pub fetches: u64,
+    pending: VecDeque<PendingFetch>,
+    advanced_to: Micros,
 }
 
 impl Store {
+    /// A store without anything in hand.
     pub fn new(spec: StoreSpec, faults: Shared<StoreFaults>) -> Self {
         Store {
             spec,
             faults,
             peers: Peers::default(),
-            in_hand: VecDeque::new(),
-            at: 0,
-            fetches: 0,
+            pending: VecDeque::new(),
+            advanced_to: 0,
         }
     }
-    /// The pace of each fetch: shared once more are in hand than are served at a time.
-    fn pace(&self) -> f64 {
+
+    /// The speed of each fetch, 0 to 1.
+    fn speed(&self) -> f64 {
         let faults = self.faults.borrow();
-        if faults.stalls {
+        if faults.is_stalled {
             return 0.0;
         }
-        let crowd = self.in_hand.len().max(1) as f64 / self.spec.at_once.max(1) as f64;
-        1.0 / crowd.max(1.0) / faults.slower.max(1.0)
+        let fetches = self.pending.len().max(1) as f64;
+        let contention = fetches / self.spec.full_speed_fetches.max(1) as f64;
+        1.0 / contention.max(1.0) / faults.slowdown.max(1.0)
     }
+
     fn advance(&mut self, now: Micros) {
-        let done = (now - self.at).max(0) as f64 * self.pace();
-        self.at = now;
-        self.in_hand.iter_mut().for_each(|f| f.left -= done);
-        let (ended, still) = std::mem::take(&mut self.in_hand)
-            .into_iter()
-            .partition(|f| f.left <= 0.5);
-        self.in_hand = still;
-        let ended: VecDeque<Fetching> = ended;
-        for f in ended {
-            self.peers.send(
-                f.conn,
-                &frame(&FromStore::Fetched(Fetched {
-                    id: f.id,
-                    is_complete: true,
-                })),
-            );
+        let progress = (now - self.advanced_to).max(0) as f64 * self.speed();
+        self.advanced_to = now;
+        for fetch in &mut self.pending {
+            fetch.remaining_us -= progress;
+        }
+        let (complete, pending): (VecDeque<PendingFetch>, VecDeque<PendingFetch>) =
+            std::mem::take(&mut self.pending)
+                .into_iter()
+                .partition(|fetch| fetch.remaining_us <= COMPLETE_BELOW_US);
+        self.pending = pending;
+        for fetch in complete {
+            self.answer(fetch.connection, fetch.id, true);
+        }
+    }
+
+    fn answer(&mut self, connection: ConnectionId, id: u64, is_complete: bool) {
+        let message = FromStore::Fetched(Fetched { id, is_complete });
+        self.peers.send(connection, &frame(&message));
+    }
+
+    fn fetch(&mut self, connection: ConnectionId, fetch: &Fetch) {
+        let is_full = self.pending.len() >= self.spec.max_fetches;
+        if self.faults.borrow().rejects_all || is_full {
+            return self.answer(connection, fetch.id, false);
+        }
+        self.pending.push_back(PendingFetch {
+            connection,
+            id: fetch.id,
+            remaining_us: (fetch.size_mb * self.spec.us_per_mb).max(1.0),
+        });
+    }
+
+    fn on_bytes(&mut self, now: Micros, connection: ConnectionId, bytes: &[u8], io: &mut dyn Io) {
+        self.advance(now);
+        self.peers.push_bytes(connection, bytes);
+        loop {
+            match self.peers.next_message::<ToStore>(connection) {
+                Ok(Some(ToStore::Fetch(fetch))) => self.fetch(connection, &fetch),
+                Ok(None) => return,
+                Err(_) => {
+                    self.peers.remove(connection);
+                    return io.reset(connection);
+                }
+            }
         }
     }
 }
 
 impl Core for Store {
     fn start(&mut self, now: Micros, _: &mut dyn Io) {
-        self.at = now;
+        self.advanced_to = now;
     }
+
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => self.peers.add(conn),
@@ -83,57 +122,33 @@
             Event::Closed { conn, .. } => {
                 self.advance(now);
                 self.peers.remove(conn);
-                self.in_hand.retain(|f| f.conn != conn);
-            }
-            Event::Bytes { conn, bytes } => {
-                self.advance(now);
-                self.peers.take_in(conn, bytes);
-                loop {
-                    match self.peers.next_message::<ToStore>(conn) {
-                        Ok(Some(ToStore::Fetch(f))) => {
-                            self.fetches += 1;
-                            if self.faults.borrow().refuses || self.in_hand.len() >= self.spec.most
-                            {
-                                let refused = Fetched {
-                                    id: f.id,
-                                    is_complete: false,
-                                };
-                                self.peers.send(conn, &frame(&FromStore::Fetched(refused)));
-                            } else {
-                                let left = (f.size_mb * self.spec.us_per_mb).max(1.0);
-                                self.in_hand.push_back(Fetching {
-                                    conn,
-                                    id: f.id,
-                                    left,
-                                });
-                            }
-                        }
-                        Ok(None) => break,
-                        Err(_) => {
-                            self.peers.remove(conn);
-                            io.reset(conn);
-                            break;
-                        }
-                    }
-                }
+                self.pending.retain(|fetch| fetch.connection != conn);
             }
+            Event::Bytes { conn, bytes } => self.on_bytes(now, conn, bytes, io),
             Event::Connected { .. } => {}
         }
     }
+
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.advance(now);
         self.peers.flush(io);
     }
+
     fn next_wakeup(&self) -> Option<Micros> {
-        let least = self.in_hand.iter().map(|f| f.left).min_by(f64::total_cmp)?;
-        let pace = self.pace();
-        // While it stands still it looks now and then whether it may go on.
-        Some(if pace > 0.0 {
-            self.at + (least / pace).ceil().max(1.0) as Micros
+        let shortest = self
+            .pending
+            .iter()
+            .map(|fetch| fetch.remaining_us)
+            .min_by(f64::total_cmp)?;
+        let speed = self.speed();
+        let wait = if speed > 0.0 {
+            (shortest / speed).ceil().max(1.0) as Micros
         } else {
-            self.at + 20_000
-        })
+            STALL_CHECK
+        };
+        Some(self.advanced_to + wait)
     }
+
     fn is_done(&self) -> bool {
         true
     }
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -1,191 +1,154 @@
-//! A stand-in worker: the worker protocol on one side, the emulated machine on the other.
+//! An emulated worker: the worker protocol on one side, the emulated [`Machine`] on the other.
 
-use crate::faults::{Marks, Shared, WorkerFaults};
-use crate::ground_truth::Truth;
+use crate::faults::{IdempotencyKeys, Shared, WorkerFaults};
+use crate::ground_truth::GroundTruth;
 use crate::handshakes::HandshakeWork;
-use crate::machine::{Effect, Machine, OnMiss, Size, Task, Ticket};
+use crate::machine::{Effect, Machine, MachineConfig, Task, Ticket};
 use crate::peers::Peers;
+use crate::upstream::Upstream;
 use sanddrum_limits::RateMeter;
-use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
+use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_wire::{
-    frame::frame, Done, EndpointRecord, ExecutionStatus, Fetch, FrameDecoder, FromStore,
-    FromWorker, HealthStatus, Heartbeat, Hello, LoadDone, LoadReport, Phase, ToDiscovery, ToStore,
-    ToWorker, VERSION,
+    frame::frame, Done, EndpointRecord, Execute, ExecutionStatus, Fetch, FromStore, FromWorker,
+    HealthStatus, Heartbeat, Hello, InstanceState, LoadDone, LoadReport, Phase, ToDiscovery,
+    ToStore, ToWorker, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Rates are reported over a second, as the protocol says.
+const RATE_WINDOW: Micros = 1_000_000;
+/// Work of a request whose body does not state it, in microseconds.
+const DEFAULT_WORK_US: f64 = 1000.0;
+/// A frame of three bytes that are no message.
+const GARBLED_FRAME: [u8; 7] = [0, 0, 0, 3, 0xff, 0xfe, 0xfd];
+/// Sets the seed of lost answers apart from that of failed loads.
+const ANSWER_LOSS_SEED: u64 = 0x5eed;
+
+/// How a worker is set up.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
+    /// Its name in the endpoint list.
     pub name: String,
+    /// Where it listens.
     pub address: String,
+    /// Its availability zone.
     pub zone: String,
+    /// Its cell.
     pub cell: u32,
+    /// Its kind of machine, as a position in the settings' list.
     pub kind: u32,
-    pub cores: usize,
-    pub speed: f64,
-    pub queue: usize,
-    pub memory_mb: f64,
-    pub loads_at_once: usize,
-    pub keep_alive: Micros,
-    pub on_miss: OnMiss,
-    pub start_us_per_mb: f64,
-    pub cold_from: f64,
-    pub cold: Micros,
-    pub fall_multiple: f64,
-    pub fall: Micros,
-    pub tells_crowd: bool,
-    pub report_every: Micros,
-    pub list: String,
-    pub store: String,
-    /// How often it tells the list service that it runs, and how long it waits before it calls again.
-    pub beat_every: Micros,
-}
-
-/// A connection that the worker itself opens and keeps.
-struct Upstream {
-    address: String,
-    conn: Option<ConnectionId>,
-    up: bool,
-    out: Outbox<()>,
-    frames: FrameDecoder,
-    again: Micros,
+    /// Its machine.
+    pub machine: MachineConfig,
+    /// Whether answers tell how many requests for the function were in flight.
+    pub reports_function_in_flight: bool,
+    /// How often the load report is renewed.
+    pub report_interval: Micros,
+    /// Address of the discovery service.
+    pub discovery_address: String,
+    /// Address of the store.
+    pub store_address: String,
+    /// How often it sends a heartbeat to the discovery service, and how long it waits before it connects again.
+    pub heartbeat_interval: Micros,
 }
 
-const MOST: usize = 16 << 20;
-/// Customers' paces are told over a second, as the protocol says.
-const PACE_WINDOW: Micros = 1_000_000;
-
-impl Upstream {
-    fn new(address: &str) -> Self {
-        let (out, frames) = (Outbox::new(MOST), FrameDecoder::new(MOST));
-        Upstream {
-            address: address.to_string(),
-            conn: None,
-            up: false,
-            out,
-            frames,
-            again: 0,
-        }
-    }
-    fn call(&mut self, io: &mut dyn Io) {
-        (self.conn, self.up) = (Some(io.connect(&self.address)), false);
-        (self.out, self.frames) = (Outbox::new(MOST), FrameDecoder::new(MOST));
-    }
-    fn flush(&mut self, io: &mut dyn Io) {
-        if let Some(conn) = self.conn.filter(|_| self.up) {
-            self.out.flush(conn, io);
-        }
-    }
-    fn event(&mut self, now: Micros, event: &Event<'_>, again: Micros) {
-        match event {
-            Event::Connected { .. } => self.up = true,
-            Event::Writable { .. } => self.out.unblock(),
-            Event::Bytes { bytes, .. } => self.frames.push_bytes(bytes),
-            Event::Closed { .. } => (self.conn, self.up, self.again) = (None, false, now + again),
-            Event::Accepted { .. } => {}
-        }
+impl WorkerSpec {
+    /// Its capacity as the endpoint list states it: cores times their speed.
+    pub fn size(&self) -> f64 {
+        self.machine.cores as f64 * self.machine.speed
     }
 }
 
+/// An emulated worker, as a core.
 pub struct Worker {
     spec: WorkerSpec,
-    /// Grows from start to start.
     incarnation: u64,
-    /// When its process started; nought or less: long ago.
-    started: Micros,
+    started_at: Micros,
     machine: Machine,
-    chance: Rng,
+    rng: Rng,
     faults: Shared<WorkerFaults>,
-    marks: Shared<Marks>,
+    idempotency_keys: Shared<IdempotencyKeys>,
     peers: Peers,
-    list: Upstream,
+    discovery: Upstream,
     store: Upstream,
     fetches: BTreeSet<u64>,
-    /// Each customer's pace, and whose the executions here are.
-    paces: BTreeMap<String, RateMeter>,
-    /// What its handshakes cost, where that is played.
+    customer_rates: BTreeMap<String, RateMeter>,
+    total_rate: RateMeter,
+    /// On whose behalf the attempts that are in flight here are made.
+    customers: BTreeMap<Ticket, String>,
     handshakes: Option<Shared<HandshakeWork>>,
-    truth: Option<Shared<Truth>>,
-    all: RateMeter,
-    whose: BTreeMap<Ticket, String>,
-    drains: bool,
-    beat: Micros,
-    report: (Micros, LoadReport),
-    fell: bool,
+    ground_truth: Option<Shared<GroundTruth>>,
+    is_draining: bool,
+    next_heartbeat: Micros,
+    report: LoadReport,
+    reported_at: Micros,
+    has_collapsed: bool,
 }
 
 impl Worker {
+    /// A worker whose process started at `started_at` (zero or less: long ago). `incarnation` is larger at each start.
     pub fn new(
         spec: WorkerSpec,
         seed: u64,
-        started: Micros,
+        started_at: Micros,
         incarnation: u64,
         faults: Shared<WorkerFaults>,
-        marks: Shared<Marks>,
+        idempotency_keys: Shared<IdempotencyKeys>,
     ) -> Self {
-        let size = Size {
-            cores: spec.cores,
-            speed: spec.speed,
-            queue: spec.queue,
-            memory_mb: spec.memory_mb,
-            loads_at_once: spec.loads_at_once,
-            keep_alive: spec.keep_alive,
-            on_miss: spec.on_miss,
-            start_us_per_mb: spec.start_us_per_mb,
-            cold_from: spec.cold_from,
-            cold: spec.cold,
-            fall_multiple: spec.fall_multiple,
-            fall: spec.fall,
-        };
         Worker {
-            machine: Machine::new(size, seed, started),
-            chance: Rng::new(seed ^ 0x5eed),
+            machine: Machine::new(spec.machine.clone(), seed, started_at),
+            rng: Rng::new(seed ^ ANSWER_LOSS_SEED),
             incarnation,
-            started,
+            started_at,
             faults,
-            marks,
+            idempotency_keys,
             peers: Peers::default(),
-            list: Upstream::new(&spec.list),
-            store: Upstream::new(&spec.store),
+            discovery: Upstream::new(&spec.discovery_address),
+            store: Upstream::new(&spec.store_address),
             fetches: BTreeSet::new(),
-            paces: BTreeMap::new(),
+            customer_rates: BTreeMap::new(),
+            total_rate: RateMeter::default(),
+            customers: BTreeMap::new(),
             handshakes: None,
-            truth: None,
-            all: RateMeter::default(),
-            whose: BTreeMap::new(),
-            drains: false,
-            beat: 0,
-            report: (Micros::MIN / 2, LoadReport::default()),
-            fell: false,
+            ground_truth: None,
+            is_draining: false,
+            next_heartbeat: 0,
+            report: LoadReport::default(),
+            reported_at: Micros::MIN / 2,
+            has_collapsed: false,
             spec,
         }
     }
-    /// Its handshakes count among the work that it bears while cold.
+
+    /// Counts its handshakes among the work that it bears while it warms up.
     pub fn with_handshakes(mut self, work: Shared<HandshakeWork>) -> Self {
         self.handshakes = Some(work);
         self
     }
-    /// What is true of it is told to an oracle.
-    pub fn seen_by(mut self, truth: Shared<Truth>) -> Self {
-        self.truth = Some(truth);
+
+    /// Publishes what is true of it to an oracle.
+    pub fn with_ground_truth(mut self, truth: Shared<GroundTruth>) -> Self {
+        self.ground_truth = Some(truth);
         self
     }
+
+    /// Microseconds since its process started; negative where that is long ago.
     fn age(&self, now: Micros) -> Micros {
-        if self.started > 0 {
-            now - self.started
+        if self.started_at > 0 {
+            now - self.started_at
         } else {
             -1
         }
     }
+
     fn register(&mut self, now: Micros) {
-        let row = EndpointRecord {
+        let endpoint = EndpointRecord {
             name: self.spec.name.clone(),
             address: self.spec.address.clone(),
             zone: self.spec.zone.clone(),
             cell: self.spec.cell,
             kind: self.spec.kind,
-            size: self.spec.cores as f64 * self.spec.speed,
-            phase: if self.drains {
+            size: self.spec.size(),
+            phase: if self.is_draining {
                 Phase::Draining
             } else {
                 Phase::Ready
@@ -193,306 +156,367 @@
             incarnation: self.incarnation,
             age_us: self.age(now),
         };
-        let _ = self.list.out.push((), &frame(&ToDiscovery::Register(row)));
+        let message = frame(&ToDiscovery::Register(endpoint));
+        // A full outbox loses it; the next heartbeat or connection brings the discovery service up to date.
+        let _ = self.discovery.outbox.push((), &message);
     }
+
     fn current_report(&mut self, now: Micros) -> LoadReport {
-        if now >= self.report.0 + self.spec.report_every {
-            self.report = (now, self.machine.report());
+        if now >= self.reported_at + self.spec.report_interval {
+            self.report = self.machine.load_report();
+            self.reported_at = now;
         }
-        self.report.1
+        self.report
     }
 
-    fn message(&mut self, now: Micros, conn: ConnectionId, message: ToWorker) {
+    fn on_message(&mut self, now: Micros, connection: ConnectionId, message: ToWorker) {
+        let ticket = |id| Ticket {
+            connection: connection.0,
+            id,
+        };
         match message {
-            ToWorker::Hello(_) => {
-                let age_us = Some(self.age(now)).filter(|age| *age >= 0);
-                let name = self.spec.name.clone();
-                let hello = Hello {
-                    version: VERSION,
-                    name,
-                    incarnation: self.incarnation,
-                    age_us,
-                };
-                self.peers.send(conn, &frame(&FromWorker::Hello(hello)));
-            }
-            ToWorker::Execute(e) => {
-                let ticket = Ticket(conn.0, e.id);
-                self.all.record(now, PACE_WINDOW);
-                if let Some(customer) = &e.customer {
-                    self.paces
-                        .entry(customer.clone())
-                        .or_default()
-                        .record(now, PACE_WINDOW);
-                    self.whose.insert(ticket, customer.clone());
-                }
-                if e.idempotency_key
-                    .as_deref()
-                    .is_some_and(|mark| self.marks.borrow().is_repeat(now, mark))
-                {
-                    let copy = Some(sanddrum_wire::InstanceState::Warm);
-                    let ended = ExecutionStatus::Finished;
-                    return self.machine.effects.push(Effect::Done {
-                        ticket,
-                        ended,
-                        copy,
-                        crowd: 0,
-                        mark: None,
-                    });
-                }
-                let work = std::str::from_utf8(&e.body)
-                    .ok()
-                    .and_then(|text| text.strip_prefix("work-us="));
-                let work = work.and_then(|us| us.trim().parse().ok()).unwrap_or(1000.0);
-                let (memory_mb, lanes, mark) =
-                    (e.memory_mb, e.concurrency.max(1), e.idempotency_key);
-                let until = now + e.time_limit_us;
-                let task = Task {
-                    ticket,
-                    function: e.function,
-                    memory_mb,
-                    lanes,
-                    work,
-                    mark,
-                    until,
-                };
-                self.machine.take(now, task, self.drains);
-            }
-            ToWorker::Cancel(c) => self.machine.cancel(Ticket(conn.0, c.id)),
-            ToWorker::Load(h) => {
-                let ticket = Ticket(conn.0, h.id);
-                self.machine.hold(now, ticket, &h, self.drains);
+            ToWorker::Hello(_) => self.greet(now, connection),
+            ToWorker::Execute(request) => self.execute(now, ticket(request.id), request),
+            ToWorker::Cancel(cancel) => self.machine.cancel(ticket(cancel.id)),
+            ToWorker::Load(command) => {
+                self.machine
+                    .load_instances(now, ticket(command.id), &command, self.is_draining)
             }
-            ToWorker::Unload(u) => self.machine.unload(&u.function),
-            ToWorker::HealthCheck(p) => {
-                if !self.faults.borrow().hangs {
+            ToWorker::Unload(unload) => self.machine.unload(&unload.function),
+            ToWorker::HealthCheck(check) => {
+                if !self.faults.borrow().is_hung {
                     let report = Some(self.current_report(now));
-                    self.peers.send(
-                        conn,
-                        &frame(&FromWorker::HealthStatus(HealthStatus { id: p.id, report })),
-                    );
+                    let status = HealthStatus {
+                        id: check.id,
+                        report,
+                    };
+                    let message = FromWorker::HealthStatus(status);
+                    self.peers.send(connection, &frame(&message));
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, io: &mut dyn Io) {
+    fn greet(&mut self, now: Micros, connection: ConnectionId) {
+        let hello = Hello {
+            version: VERSION,
+            name: self.spec.name.clone(),
+            incarnation: self.incarnation,
+            age_us: Some(self.age(now)).filter(|age| *age >= 0),
+        };
+        self.peers
+            .send(connection, &frame(&FromWorker::Hello(hello)));
+    }
+
+    fn execute(&mut self, now: Micros, ticket: Ticket, request: Execute) {
+        self.total_rate.record(now, RATE_WINDOW);
+        if let Some(customer) = &request.customer {
+            self.customer_rates
+                .entry(customer.clone())
+                .or_default()
+                .record(now, RATE_WINDOW);
+            self.customers.insert(ticket, customer.clone());
+        }
+        let is_duplicate = request
+            .idempotency_key
+            .as_deref()
+            .is_some_and(|key| self.idempotency_keys.borrow().is_duplicate(now, key));
+        if is_duplicate {
+            return self.machine.effects.push(Effect::Done {
+                ticket,
+                status: ExecutionStatus::Finished,
+                instance: Some(InstanceState::Warm),
+                function_in_flight: 0,
+                idempotency_key: None,
+            });
+        }
+        let task = Task {
+            ticket,
+            work: stated_work(&request.body).unwrap_or(DEFAULT_WORK_US),
+            function: request.function,
+            memory_mb: request.memory_mb,
+            concurrency: request.concurrency.max(1),
+            idempotency_key: request.idempotency_key,
+            deadline: now + request.time_limit_us,
+        };
+        self.machine.accept(now, task, self.is_draining);
+    }
+
+    fn carry_out_effects(&mut self, now: Micros, io: &mut dyn Io) {
         let faults = self.faults.borrow().clone();
         while !self.machine.effects.is_empty() {
             for effect in std::mem::take(&mut self.machine.effects) {
-                match effect {
-                    Effect::Fetch {
-                        load,
-                        function,
-                        size_mb,
-                    } => {
-                        self.fetches.insert(load);
-                        let fetch = ToStore::Fetch(Fetch {
-                            id: load,
-                            function,
-                            size_mb,
-                        });
-                        if self.store.conn.is_none()
-                            || self.store.out.push((), &frame(&fetch)).is_err()
-                        {
-                            self.fetches.remove(&load);
-                            self.machine.fetched(now, load, false);
-                        }
-                    }
-                    Effect::Done {
-                        ticket,
-                        ended,
-                        copy,
-                        crowd,
-                        mark,
-                    } => {
-                        let customer = self.whose.remove(&ticket);
-                        let pace = customer.and_then(|customer| self.paces.get(&customer));
-                        let all_pace = Some(self.all.per_second(now, PACE_WINDOW));
-                        let customer_pace = pace.map(|pace| pace.per_second(now, PACE_WINDOW));
-                        if let Some(mark) = mark.filter(|_| ended == ExecutionStatus::Finished) {
-                            self.marks.borrow_mut().ended(now, &mark);
-                        }
-                        if faults.hangs || self.chance.random_bool(faults.loses) {
-                            continue;
-                        }
-                        let report = Some(self.current_report(now));
-                        let crowd = self.spec.tells_crowd.then_some(crowd);
-                        let body = if ended == ExecutionStatus::Finished {
-                            b"done".to_vec()
-                        } else {
-                            Vec::new()
-                        };
-                        let done = Done {
-                            id: ticket.1,
-                            status: ended,
-                            instance: copy,
-                            function_in_flight: crowd,
-                            report,
-                            body,
-                            customer_rate: customer_pace,
-                            total_rate: all_pace,
-                        };
-                        self.peers
-                            .send(ConnectionId(ticket.0), &frame(&FromWorker::Done(done)));
-                    }
-                    Effect::Held {
-                        ticket,
-                        ended,
-                        copies,
-                    } => {
-                        if !faults.hangs {
-                            let held = FromWorker::LoadDone(LoadDone {
-                                id: ticket.1,
-                                status: ended,
-                                instances: copies,
-                            });
-                            self.peers.send(ConnectionId(ticket.0), &frame(&held));
-                        }
-                    }
-                    Effect::Fell => {
-                        tracing::warn!(
-                            worker = self.spec.name,
-                            "fell over while cold and stays down"
-                        );
-                        self.fell = true;
-                        for conn in self.peers.all() {
-                            self.peers.remove(conn);
-                            io.reset(conn);
-                        }
-                    }
+                self.carry_out(now, effect, &faults, io);
+            }
+        }
+    }
+
+    fn carry_out(&mut self, now: Micros, effect: Effect, faults: &WorkerFaults, io: &mut dyn Io) {
+        match effect {
+            Effect::Fetch {
+                load,
+                function,
+                size_mb,
+            } => self.fetch(now, load, function, size_mb),
+            Effect::Done {
+                ticket,
+                status,
+                instance,
+                function_in_flight,
+                idempotency_key,
+            } => {
+                let done = self.done(now, ticket, status, instance, function_in_flight);
+                if let Some(key) = idempotency_key.filter(|_| status == ExecutionStatus::Finished) {
+                    self.idempotency_keys.borrow_mut().record(now, &key);
                 }
+                if faults.is_hung || self.rng.random_bool(faults.answer_loss) {
+                    return;
+                }
+                let report = Some(self.current_report(now));
+                let message = FromWorker::Done(Done { report, ..done });
+                self.peers
+                    .send(ConnectionId(ticket.connection), &frame(&message));
             }
+            Effect::LoadDone {
+                ticket,
+                status,
+                instances,
+            } => {
+                if !faults.is_hung {
+                    let message = FromWorker::LoadDone(LoadDone {
+                        id: ticket.id,
+                        status,
+                        instances,
+                    });
+                    self.peers
+                        .send(ConnectionId(ticket.connection), &frame(&message));
+                }
+            }
+            Effect::Collapsed => self.collapse(io),
         }
     }
-}
 
-impl Core for Worker {
-    fn start(&mut self, _: Micros, io: &mut dyn Io) {
-        self.list.call(io);
-        self.store.call(io);
+    fn fetch(&mut self, now: Micros, load: u64, function: String, size_mb: f64) {
+        let message = ToStore::Fetch(Fetch {
+            id: load,
+            function,
+            size_mb,
+        });
+        let is_sent =
+            self.store.connection.is_some() && self.store.outbox.push((), &frame(&message)).is_ok();
+        if is_sent {
+            self.fetches.insert(load);
+        } else {
+            self.machine.finish_fetch(now, load, false);
+        }
     }
 
-    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        let conn = match event {
-            Event::Accepted { conn, .. } if self.fell => return io.reset(conn),
-            Event::Accepted { conn, .. } => return self.peers.add(conn),
-            Event::Connected { conn }
-            | Event::Bytes { conn, .. }
-            | Event::Writable { conn }
-            | Event::Closed { conn, .. } => conn,
+    /// The answer to an attempt, but for the load report.
+    fn done(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        status: ExecutionStatus,
+        instance: Option<InstanceState>,
+        function_in_flight: u32,
+    ) -> Done {
+        let customer = self.customers.remove(&ticket);
+        let customer_rate = customer
+            .and_then(|customer| self.customer_rates.get(&customer))
+            .map(|rate| rate.per_second(now, RATE_WINDOW));
+        let body = if status == ExecutionStatus::Finished {
+            b"done".to_vec()
+        } else {
+            Vec::new()
         };
-        let again = self.spec.beat_every;
-        if self.list.conn == Some(conn) {
-            let connected = matches!(event, Event::Connected { .. });
-            self.list.event(now, &event, again);
-            if connected && !self.fell {
-                self.register(now);
-            }
-        } else if self.store.conn == Some(conn) {
-            self.store.event(now, &event, again);
-            if self.store.conn.is_none() {
-                for load in std::mem::take(&mut self.fetches) {
-                    self.machine.fetched(now, load, false);
-                }
-            }
-            while let Ok(Some(FromStore::Fetched(f))) =
-                self.store.frames.next_message::<FromStore>()
-            {
-                self.fetches.remove(&f.id);
-                self.machine.fetched(now, f.id, f.is_complete);
+        Done {
+            id: ticket.id,
+            status,
+            instance,
+            function_in_flight: self
+                .spec
+                .reports_function_in_flight
+                .then_some(function_in_flight),
+            report: None,
+            body,
+            customer_rate,
+            total_rate: Some(self.total_rate.per_second(now, RATE_WINDOW)),
+        }
+    }
+
+    fn collapse(&mut self, io: &mut dyn Io) {
+        tracing::warn!(
+            worker = self.spec.name,
+            "collapsed under overload while warming up, and stays down"
+        );
+        self.has_collapsed = true;
+        for connection in self.peers.all() {
+            self.peers.remove(connection);
+            io.reset(connection);
+        }
+    }
+
+    fn on_discovery_event(&mut self, now: Micros, event: &Event<'_>) {
+        let is_connected = matches!(event, Event::Connected { .. });
+        self.discovery
+            .on_event(now, event, self.spec.heartbeat_interval);
+        if is_connected && !self.has_collapsed {
+            self.register(now);
+        }
+    }
+
+    fn on_store_event(&mut self, now: Micros, event: &Event<'_>) {
+        self.store
+            .on_event(now, event, self.spec.heartbeat_interval);
+        if self.store.connection.is_none() {
+            for load in std::mem::take(&mut self.fetches) {
+                self.machine.finish_fetch(now, load, false);
             }
-        } else {
-            match event {
-                Event::Writable { .. } => self.peers.unblock(conn),
-                Event::Closed { .. } => drop(self.peers.remove(conn)),
-                Event::Bytes { bytes, .. } if self.peers.has(conn) => {
-                    self.peers.take_in(conn, bytes);
-                    self.machine.slower = self.faults.borrow().slower;
-                    self.machine.advance(now);
-                    loop {
-                        match self.peers.next_message::<ToWorker>(conn) {
-                            Ok(Some(message)) => self.message(now, conn, message),
-                            Ok(None) => break,
-                            Err(problem) => {
-                                tracing::warn!(worker = self.spec.name, %problem, "an edge's connection is ended");
-                                self.peers.remove(conn);
-                                io.reset(conn);
-                                break;
-                            }
-                        }
-                    }
+        }
+        while let Ok(Some(FromStore::Fetched(fetched))) =
+            self.store.frames.next_message::<FromStore>()
+        {
+            self.fetches.remove(&fetched.id);
+            self.machine
+                .finish_fetch(now, fetched.id, fetched.is_complete);
+        }
+    }
+
+    fn on_peer_bytes(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &[u8],
+        io: &mut dyn Io,
+    ) {
+        self.peers.push_bytes(connection, bytes);
+        self.machine.slowdown = self.faults.borrow().slowdown;
+        self.machine.advance(now);
+        loop {
+            match self.peers.next_message::<ToWorker>(connection) {
+                Ok(Some(message)) => self.on_message(now, connection, message),
+                Ok(None) => return,
+                Err(problem) => {
+                    tracing::warn!(worker = self.spec.name, %problem, "closing a router's connection");
+                    self.peers.remove(connection);
+                    return io.reset(connection);
                 }
-                _ => {}
             }
         }
     }
 
-    fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        {
+    fn apply_faults(&mut self, now: Micros) {
+        let (is_draining, garble_once) = {
             let mut faults = self.faults.borrow_mut();
-            (self.machine.slower, self.machine.load_fails) = (faults.slower, faults.load_fails);
-            if std::mem::take(&mut faults.flush) {
-                self.machine.flush();
+            self.machine.slowdown = faults.slowdown;
+            self.machine.load_failure_probability = faults.load_failure;
+            if std::mem::take(&mut faults.invalidate_once) {
+                self.machine.invalidate_instances();
             }
-        }
-        let (drains, garbles) = {
-            let faults = self.faults.borrow();
-            (faults.drains, faults.garbles)
+            let garble_once = std::mem::take(&mut faults.garble_once);
+            (faults.is_draining, garble_once)
         };
         if let Some(work) = &self.handshakes {
-            let came = std::mem::take(&mut work.borrow_mut().came);
-            came.into_iter()
-                .for_each(|work| self.machine.bear(now, work));
+            let uncounted = std::mem::take(&mut work.borrow_mut().uncounted);
+            for work in uncounted {
+                self.machine.record_work(now, work);
+            }
         }
-        if drains != self.drains {
-            self.drains = drains;
+        if is_draining != self.is_draining {
+            self.is_draining = is_draining;
             self.register(now);
         }
-        if garbles {
-            self.faults.borrow_mut().garbles = false;
-            self.peers
-                .all()
-                .into_iter()
-                .for_each(|conn| self.peers.send(conn, &[0, 0, 0, 3, 0xff, 0xfe, 0xfd]));
-        }
-        if now >= self.beat {
-            self.beat = now + self.spec.beat_every;
-            if self.list.conn.is_none() && now >= self.list.again {
-                self.list.call(io);
+        if garble_once {
+            for connection in self.peers.all() {
+                self.peers.send(connection, &GARBLED_FRAME);
             }
-            if self.store.conn.is_none() && now >= self.store.again {
-                self.store.call(io);
+        }
+    }
+
+    fn send_heartbeat(&mut self, now: Micros, io: &mut dyn Io) {
+        self.next_heartbeat = now + self.spec.heartbeat_interval;
+        for upstream in [&mut self.discovery, &mut self.store] {
+            if upstream.connection.is_none() && now >= upstream.retry_at {
+                upstream.connect(io);
             }
-            if !self.fell {
-                let _ = self.list.out.push(
-                    (),
-                    &frame(&ToDiscovery::Heartbeat(Heartbeat {
-                        incarnation: self.incarnation,
-                    })),
-                );
+        }
+        if !self.has_collapsed {
+            let message = ToDiscovery::Heartbeat(Heartbeat {
+                incarnation: self.incarnation,
+            });
+            // A full outbox loses it; the next one follows.
+            let _ = self.discovery.outbox.push((), &frame(&message));
+        }
+    }
+
+    fn publish_ground_truth(&self, now: Micros) {
+        let Some(truth) = &self.ground_truth else {
+            return;
+        };
+        let is_hung = self.faults.borrow().is_hung;
+        let is_serving = !(self.has_collapsed || self.is_draining || is_hung);
+        let id = sanddrum_wire::id_of(&self.spec.name);
+        let worker = self.machine.ground_truth(now, is_serving);
+        truth.borrow_mut().0.insert(id, worker);
+    }
+}
+
+/// The work that a request's body states, as `work-us=20000`.
+fn stated_work(body: &[u8]) -> Option<f64> {
+    let text = std::str::from_utf8(body).ok()?;
+    text.strip_prefix("work-us=")?.trim().parse().ok()
+}
+
+impl Core for Worker {
+    fn start(&mut self, _: Micros, io: &mut dyn Io) {
+        self.discovery.connect(io);
+        self.store.connect(io);
+    }
+
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+        let connection = match event {
+            Event::Accepted { conn, .. } if self.has_collapsed => return io.reset(conn),
+            Event::Accepted { conn, .. } => return self.peers.add(conn),
+            Event::Connected { conn }
+            | Event::Bytes { conn, .. }
+            | Event::Writable { conn }
+            | Event::Closed { conn, .. } => conn,
+        };
+        if self.discovery.connection == Some(connection) {
+            return self.on_discovery_event(now, &event);
+        }
+        if self.store.connection == Some(connection) {
+            return self.on_store_event(now, &event);
+        }
+        match event {
+            Event::Writable { .. } => self.peers.unblock(connection),
+            Event::Closed { .. } => drop(self.peers.remove(connection)),
+            Event::Bytes { bytes, .. } if self.peers.has(connection) => {
+                self.on_peer_bytes(now, connection, bytes, io);
             }
+            _ => {}
         }
-        self.machine.advance(now);
-        self.carry_out(now, io);
-        if let Some(truth) = &self.truth {
-            let serves = !(self.fell || self.drains || self.faults.borrow().hangs);
-            let id = sanddrum_wire::id_of(&self.spec.name);
-            truth
-                .borrow_mut()
-                .0
-                .insert(id, self.machine.truth(now, serves));
+    }
+
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        self.apply_faults(now);
+        if now >= self.next_heartbeat {
+            self.send_heartbeat(now, io);
         }
+        self.machine.advance(now);
+        self.carry_out_effects(now, io);
+        self.publish_ground_truth(now);
         self.peers.flush(io);
-        self.list.flush(io);
+        self.discovery.flush(io);
         self.store.flush(io);
     }
 
     fn next_wakeup(&self) -> Option<Micros> {
-        let next = self.machine.wake().into_iter().chain([self.beat]).min();
-        if self.fell {
-            return Some(self.beat);
+        if self.has_collapsed {
+            return Some(self.next_heartbeat);
         }
-        next
+        let machine = self.machine.next_wakeup();
+        machine.into_iter().chain([self.next_heartbeat]).min()
     }
 
     fn is_done(&self) -> bool {
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -7,7 +7,7 @@
     WorkerState, WorkloadId,
 };
 use sanddrum_edge::DecisionModule;
-use sanddrum_emulator::{Shared, Truth};
+use sanddrum_emulator::{GroundTruth, Shared};
 use sanddrum_net::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -54,7 +54,7 @@
 pub struct Baseline {
     choice: Choice,
     chance: Rng,
-    truth: Shared<Truth>,
+    truth: Shared<GroundTruth>,
     settings: Settings,
     sizes: BTreeMap<WorkerId, f64>,
     in_flight: BTreeMap<WorkerId, u32>,
@@ -65,7 +65,7 @@
 }
 
 impl Baseline {
-    pub fn new(choice: Choice, seed: u64, settings: Settings, truth: Shared<Truth>) -> Self {
+    pub fn new(choice: Choice, seed: u64, settings: Settings, truth: Shared<GroundTruth>) -> Self {
         Baseline {
             choice,
             chance: Rng::new(seed),
@@ -139,8 +139,11 @@
         let work = job.expected_work.unwrap_or(50_000) as f64;
         let load = job.load_time.unwrap_or(400_000) as f64;
         let done = |worker: &WorkerId| -> Option<f64> {
-            let w = truth.0.get(&worker.0).filter(|w| w.serves && w.room > 0)?;
-            let pace = w.pace.max(0.01);
+            let w = truth
+                .0
+                .get(&worker.0)
+                .filter(|w| w.is_serving && w.free_capacity > 0)?;
+            let pace = w.core_speed.max(0.01);
             let queue = (w.backlog - work * (w.cores.max(1) - 1) as f64).max(0.0)
                 / w.cores.max(1) as f64
                 / pace;
@@ -149,10 +152,10 @@
                 .get(&job.function.0)
                 .copied()
                 .unwrap_or_default();
-            let copies = match (f.lanes, f.loading) {
-                (0, true) => load * 0.6 + f64::from(f.held) * work / pace,
+            let copies = match (f.concurrency, f.is_loading) {
+                (0, true) => load * 0.6 + f64::from(f.in_flight) * work / pace,
                 (0, false) => load,
-                (lanes, _) => f64::from(f.held / lanes) * work / pace,
+                (lanes, _) => f64::from(f.in_flight / lanes) * work / pace,
             };
             Some(queue.max(copies) + work / pace)
         };
@@ -201,10 +204,13 @@
         held.tries += 1;
         *self.in_flight.entry(worker).or_default() += 1;
         if let Some(w) = self.truth.borrow_mut().0.get_mut(&worker.0) {
-            w.held += 1;
-            w.room = w.room.saturating_sub(1);
+            w.in_flight += 1;
+            w.free_capacity = w.free_capacity.saturating_sub(1);
             w.backlog += held.job.expected_work.unwrap_or(0) as f64;
-            w.functions.entry(held.job.function.0).or_default().held += 1;
+            w.functions
+                .entry(held.job.function.0)
+                .or_default()
+                .in_flight += 1;
         }
         out.dispatch(id, worker, held.job.deadline - now);
     }
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -1,7 +1,7 @@
 //! An edge as a process of its own, with the list of so many workers and no calls: what it takes when it stands by.
 
 use super::{Plan, Point, Role, Sink, Source, Stop};
-use sanddrum_emulator::{ListService, ListSpec};
+use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
 use sanddrum_net::{EventLoop, Micros, NullObserver};
 use sanddrum_wire::{EndpointRecord, Phase};
 use std::io::{Read, Write};
@@ -95,17 +95,19 @@
     let text = |e: std::io::Error| e.to_string();
     let (door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(text)?;
-    let spec = ListSpec {
-        notice: (0, 0),
-        silent_after: Micros::MAX / 4,
-        changes_kept: 16,
-        whole: 0,
-        change: 0,
-        most: 64,
+    let spec = DiscoverySpec {
+        min_publish_delay: 0,
+        max_publish_delay: 0,
+        heartbeat_timeout: Micros::MAX / 4,
+        change_history: 16,
+        snapshot_cost: 0,
+        delta_cost: 0,
+        max_pending_calls: 64,
     };
     let zones = plan.settings.names("zones");
     let rows: Vec<EndpointRecord> = (0..workers).map(|n| row(n, &zones)).collect();
-    let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
+    let list =
+        DiscoveryService::new(spec, 1, 1, Default::default()).with_endpoints(driver.now(), &rows);
     driver.add(Box::new(list), vec![door], None).map_err(text)?;
     let folder = std::env::temp_dir().join(format!(
         "sanddrum-capacity-{}-{workers}",
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow.rs
@@ -425,7 +425,7 @@
             kind: KindId(0),
             size: self.model.size.cores as f64 * self.model.size.speed,
             state,
-            started_at: worker.machine.started,
+            started_at: worker.machine.started_at,
         }
     }
 
@@ -463,7 +463,7 @@
             } => {
                 let (now, w) = (self.now, &mut self.workers[worker]);
                 if w.up && w.incarnation == incarnation {
-                    w.machine.fetched(now, load, true);
+                    w.machine.finish_fetch(now, load, true);
                     self.touched_workers.insert(worker);
                 }
             }
--- a/crates/sanddrum-lab/src/capacity/hollow/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/workers.rs
@@ -27,17 +27,23 @@
             } => {
                 let f = &functions.all[function];
                 let task = Task {
-                    ticket: Ticket(router as u64, id),
+                    ticket: Ticket {
+                        connection: router as u64,
+                        id,
+                    },
                     function: f.name.clone(),
                     memory_mb: f.memory_mb,
-                    lanes: f.lanes,
+                    concurrency: f.lanes,
                     work,
-                    mark: None,
-                    until: now + limit,
+                    idempotency_key: None,
+                    deadline: now + limit,
                 };
-                worker.machine.take(now, task, worker.drains);
+                worker.machine.accept(now, task, worker.drains);
             }
-            Message::Cancel { id } => worker.machine.cancel(Ticket(router as u64, id)),
+            Message::Cancel { id } => worker.machine.cancel(Ticket {
+                connection: router as u64,
+                id,
+            }),
             Message::Hold {
                 id,
                 function,
@@ -52,9 +58,15 @@
                     memory_mb,
                     concurrency: lanes,
                 };
-                worker
-                    .machine
-                    .hold(now, Ticket(router as u64, id), &hold, worker.drains);
+                worker.machine.load_instances(
+                    now,
+                    Ticket {
+                        connection: router as u64,
+                        id,
+                    },
+                    &hold,
+                    worker.drains,
+                );
             }
             Message::Unload { function } => worker.machine.unload(&functions.all[function].name),
             Message::Probe { id } => {
@@ -108,9 +120,13 @@
                         }
                     }
                     Effect::Done {
-                        ticket: Ticket(router, id),
-                        ended,
-                        copy,
+                        ticket:
+                            Ticket {
+                                connection: router,
+                                id,
+                            },
+                        status: ended,
+                        instance: copy,
                         ..
                     } => {
                         let report = self.workers[n].report(now, every, of_others);
@@ -123,21 +139,28 @@
                         };
                         self.answer_router(n, router as usize, answer);
                     }
-                    Effect::Held {
-                        ticket: Ticket(router, id),
-                        ended,
-                        copies,
+                    Effect::LoadDone {
+                        ticket:
+                            Ticket {
+                                connection: router,
+                                id,
+                            },
+                        status: ended,
+                        instances: copies,
                     } => {
                         self.answer_router(n, router as usize, Answer::Held { id, ended, copies });
                     }
-                    Effect::Fell => {
+                    Effect::Collapsed => {
                         self.workers[n].up = false;
                         self.break_links(n);
                     }
                 }
             }
         }
-        let wake = self.workers[n].machine.wake().map(|at| at.max(now + 1));
+        let wake = self.workers[n]
+            .machine
+            .next_wakeup()
+            .map(|at| at.max(now + 1));
         if wake != self.workers[n].wake {
             self.workers[n].wake = wake;
             if let Some(at) = wake {
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -5,7 +5,7 @@
 use super::list_service::{list_spec, most_of};
 use super::list_stage::row;
 use super::{Plan, Point, Role, Sink, Source, Stop};
-use sanddrum_emulator::{ListFaults, ListService};
+use sanddrum_emulator::{DiscoveryFaults, DiscoveryService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
 use sanddrum_wire::{frame::frame, EndpointRecord, Hello, ToDiscovery, Watch, VERSION};
 use std::cell::RefCell;
@@ -47,7 +47,7 @@
 
 /// The service's core with callers that come one after the other, each once the one before has its answer.
 struct Alone {
-    service: ListService,
+    service: DiscoveryService,
     io: Takes,
     now: Micros,
     whole: Micros,
@@ -65,14 +65,14 @@
         let (spec, now) = (list_spec(plan), 1_000_000_000);
         let zones = plan.settings.size("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
-        let (whole, notice) = (spec.whole, spec.notice.1);
-        let service = ListService::new(
+        let (whole, notice) = (spec.snapshot_cost, spec.max_publish_delay);
+        let service = DiscoveryService::new(
             spec,
             plan.seed,
             1,
-            Rc::new(RefCell::new(ListFaults::default())),
+            Rc::new(RefCell::new(DiscoveryFaults::default())),
         );
-        let service = service.with_rows(now, &rows);
+        let service = service.with_endpoints(now, &rows);
         let mut alone = Alone {
             service,
             io: Takes::default(),
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -6,7 +6,7 @@
 use super::list_plays::{play_all, seconds, source_of, Played, Told, NEVER};
 use super::list_stage::{ListStage, ListStageSpec, SECOND};
 use super::{Plan, Play, Sink, Stop};
-use sanddrum_emulator::ListSpec;
+use sanddrum_emulator::DiscoverySpec;
 use sanddrum_net::{LinkModel, Micros};
 use sanddrum_settings::{key, Kind, Section, SettingsError};
 use std::time::Duration;
@@ -151,16 +151,17 @@
 }
 
 /// The stand-in as the plan has it.
-pub(crate) fn list_spec(plan: &Plan) -> ListSpec {
+pub(crate) fn list_spec(plan: &Plan) -> DiscoverySpec {
     let l = &plan.settings;
     let span = |name: &str| l.span(&format!("list-service-plays.{name}-us"));
-    ListSpec {
-        notice: (span("notice-least"), span("notice-most")),
-        silent_after: NEVER_SILENT,
-        changes_kept: l.size("list-service-plays.changes-kept"),
-        whole: span("whole"),
-        change: span("change"),
-        most: l.size("list-service-plays.calls"),
+    DiscoverySpec {
+        min_publish_delay: span("notice-least"),
+        max_publish_delay: span("notice-most"),
+        heartbeat_timeout: NEVER_SILENT,
+        change_history: l.size("list-service-plays.changes-kept"),
+        snapshot_cost: span("whole"),
+        delta_cost: span("change"),
+        max_pending_calls: l.size("list-service-plays.calls"),
     }
 }
 
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -8,7 +8,8 @@
 use sanddrum::Settings;
 use sanddrum_edge::{Edge, Known, Start};
 use sanddrum_emulator::{
-    ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
+    DiscoveryFaults, DiscoveryService, DiscoverySpec, IdempotencyKeys, MachineConfig, OnMiss,
+    Worker, WorkerFaults, WorkerSpec,
 };
 use sanddrum_net::{Core, Event, HostId, Io, LinkModel, Micros, NullObserver, VirtualNet};
 use sanddrum_settings::{LoadedSettings, SettingsError};
@@ -40,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct ListStageSpec {
     pub settings: LoadedSettings,
-    pub list: ListSpec,
+    pub list: DiscoverySpec,
     pub seed: u64,
     pub routers: usize,
     /// Workers that the service knows from the start.
@@ -142,14 +143,14 @@
         let rows: Vec<EndpointRecord> = (0..self.spec.rows)
             .map(|n| row(n, self.spec.zones))
             .collect();
-        let faults = Rc::new(RefCell::new(ListFaults::default()));
-        let service = ListService::new(
+        let faults = Rc::new(RefCell::new(DiscoveryFaults::default()));
+        let service = DiscoveryService::new(
             self.spec.list.clone(),
             self.spec.seed ^ 0x115,
             self.list_runs,
             faults,
         );
-        let service = service.with_rows(self.now(), &rows);
+        let service = service.with_endpoints(self.now(), &rows);
         self.net.replace(
             self.list,
             Box::new(Metered::new(service, self.tally.clone())),
@@ -248,28 +249,30 @@
             zone: row.zone,
             cell: row.cell,
             kind: row.kind,
-            cores: row.size as usize,
-            speed: 1.0,
-            queue: 64,
-            memory_mb: 1e4,
-            loads_at_once: 4,
-            keep_alive: 10 * SECOND,
-            on_miss: OnMiss::Load,
-            start_us_per_mb: 400.0,
-            cold_from: 1.0,
-            cold: 0,
-            fall_multiple: f64::MAX,
-            fall: 0,
-            tells_crowd: false,
-            report_every: SECOND,
-            list: LIST.into(),
-            store: STORE.into(),
-            beat_every: self.spec.beat_every,
+            machine: MachineConfig {
+                cores: row.size as usize,
+                speed: 1.0,
+                queue_limit: 64,
+                memory_mb: 1e4,
+                concurrent_loads: 4,
+                keep_alive: 10 * SECOND,
+                on_miss: OnMiss::Load,
+                start_us_per_mb: 400.0,
+                initial_capacity: 1.0,
+                warm_up: 0,
+                collapse_multiple: f64::MAX,
+                collapse_window: 0,
+            },
+            reports_function_in_flight: false,
+            report_interval: SECOND,
+            discovery_address: LIST.into(),
+            store_address: STORE.into(),
+            heartbeat_interval: self.spec.beat_every,
         };
         let started = if incarnation > 1 { now } else { 0 };
         let (faults, marks) = (
             Rc::new(RefCell::new(WorkerFaults::default())),
-            Rc::new(RefCell::new(Marks::new(0))),
+            Rc::new(RefCell::new(IdempotencyKeys::new(0))),
         );
         let seed = self.spec.seed.wrapping_mul(31).wrapping_add(n as u64);
         Box::new(Worker::new(spec, seed, started, incarnation, faults, marks))
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -3,7 +3,7 @@
 
 use super::Plan;
 use sanddrum::{FunctionId, Micros, WorkerId};
-use sanddrum_emulator::machine::{Machine, Size};
+use sanddrum_emulator::machine::{Machine, MachineConfig};
 use sanddrum_emulator::OnMiss;
 use sanddrum_net::Rng;
 use sanddrum_settings::{key, Kind, LoadedSettings, Section, SettingsError};
@@ -136,7 +136,7 @@
 /// The figures of the model, as set.
 #[derive(Clone, Debug)]
 pub struct Model {
-    pub size: Size,
+    pub size: MachineConfig,
     pub load: Micros,
     pub load_spread: f64,
     pub work: Micros,
@@ -160,12 +160,12 @@
     pub fn of(l: &LoadedSettings) -> Self {
         let span = |name: &str| l.span(&format!("model.{name}-us"));
         Model {
-            size: Size {
+            size: MachineConfig {
                 cores: l.size("model.cores"),
                 speed: 1.0,
-                queue: l.size("model.queue"),
+                queue_limit: l.size("model.queue"),
                 memory_mb: l.number("model.memory-mb"),
-                loads_at_once: l.size("model.loads-at-once"),
+                concurrent_loads: l.size("model.loads-at-once"),
                 keep_alive: l.span("copies.keep-alive-us"),
                 on_miss: if l.text("copies.on-miss") == "miss" {
                     OnMiss::Miss
@@ -174,10 +174,10 @@
                 },
                 // The whole of a load is drawn.
                 start_us_per_mb: 0.0,
-                cold_from: l.number("rules.cold-from"),
-                cold: l.span("rules.cold-us"),
-                fall_multiple: l.number("rules.fall-multiple"),
-                fall: l.span("rules.fall-us"),
+                initial_capacity: l.number("rules.cold-from"),
+                warm_up: l.span("rules.cold-us"),
+                collapse_multiple: l.number("rules.fall-multiple"),
+                collapse_window: l.span("rules.fall-us"),
             },
             load: span("load"),
             load_spread: l.number("model.load-spread"),
@@ -337,7 +337,7 @@
         n: usize,
         workers: usize,
     ) -> bool {
-        let keep = at.machine.size.keep_alive.max(1);
+        let keep = at.machine.config.keep_alive.max(1);
         let part = functions.part(n);
         let places = (part * workers as f64 / PLACE_PART)
             .ceil()
@@ -360,7 +360,7 @@
         while gone < jobs {
             (more, gone) = (more + 1.0, gone + chance.exponential(1.0));
         }
-        let cores = at.machine.size.cores.max(1) as f64;
+        let cores = at.machine.config.cores.max(1) as f64;
         LoadReport {
             in_flight: report.in_flight.map(|held| held + more),
             busy: report.busy.map(|busy| (busy + more / cores).min(1.0)),
@@ -385,7 +385,7 @@
 
 impl HollowWorker {
     /// One that has run for long.
-    pub fn new(n: usize, zones: usize, size: &Size, seed: u64) -> Self {
+    pub fn new(n: usize, zones: usize, size: &MachineConfig, seed: u64) -> Self {
         let id = WorkerId(id_of(&crate::Scenario::worker_name(n)));
         let seed = seed.wrapping_mul(31).wrapping_add(n as u64);
         let machine = Machine::new(size.clone(), seed, 0);
@@ -403,7 +403,7 @@
     }
     /// It starts anew, empty and cold.
     pub fn restart(&mut self, now: Micros) {
-        let size = self.machine.size.clone();
+        let size = self.machine.config.clone();
         self.incarnation += 1;
         self.machine = Machine::new(size, self.id.0 ^ self.incarnation, now);
         (self.up, self.drains, self.report, self.wake) = (true, false, None, None);
@@ -417,7 +417,7 @@
         match self.report {
             Some((at, report)) if now < at + every => report,
             _ => {
-                let own = self.machine.report();
+                let own = self.machine.load_report();
                 let report =
                     others.map_or(own, |(others, jobs)| others.in_report(now, self, own, jobs));
                 self.report = Some((now, report));
@@ -435,7 +435,7 @@
     ) {
         if others.stands(now, self, functions, n, workers) {
             let f = &functions.all[n];
-            self.machine.has_stood(now, &f.name, f.memory_mb, f.lanes);
+            self.machine.preload(now, &f.name, f.memory_mb, f.lanes);
         }
     }
 }
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -171,13 +171,13 @@
     let functions = Functions::new(l, count, Shape::Zipf(1.0), scenario.seed);
     let worker = scenario.worker(0, address, address, address);
     let mut model = Model::of(l);
-    model.size.cores = worker.cores;
-    model.size.speed = worker.speed;
-    model.size.queue = worker.queue;
-    model.size.memory_mb = worker.memory_mb;
-    model.size.loads_at_once = worker.loads_at_once;
-    model.size.start_us_per_mb = worker.start_us_per_mb;
-    model.report_every = worker.report_every;
+    model.size.cores = worker.machine.cores;
+    model.size.speed = worker.machine.speed;
+    model.size.queue_limit = worker.machine.queue_limit;
+    model.size.memory_mb = worker.machine.memory_mb;
+    model.size.concurrent_loads = worker.machine.concurrent_loads;
+    model.size.start_us_per_mb = worker.machine.start_us_per_mb;
+    model.report_every = worker.report_interval;
     (model.same_zone, model.cross_zone) = (links.same_zone_latency, links.cross_zone_latency);
     let numbered = |(at, job): &(Micros, Request)| {
         let function = functions.all.iter().position(|f| f.id == job.function);
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -407,7 +407,7 @@
         let mut broken = Vec::new();
         for (worker, started) in &self.log.starts {
             let spec = self.scenario.worker(*worker, "", "", "");
-            let capacity = spec.cores as f64 * spec.speed;
+            let capacity = spec.size();
             let mut came: Vec<(Micros, f64)> = self
                 .log
                 .runs
--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -47,7 +47,7 @@
     };
     let worst = |(worker, started): &(usize, Micros)| {
         let spec = scenario.worker(*worker, "", "", "");
-        let capacity = spec.cores as f64 * spec.speed;
+        let capacity = spec.size();
         let while_cold = |at: &Micros| (*started..started + cold).contains(at);
         let runs = log
             .runs
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -6,7 +6,7 @@
 use crate::stage::{product_edge, MakeEdge, VirtualStage};
 use crate::{play, Outcome};
 use sanddrum_edge::Edge;
-use sanddrum_emulator::Truth;
+use sanddrum_emulator::GroundTruth;
 use sanddrum_net::{LinkModel, Rng};
 use sanddrum_settings::SettingsError;
 use std::cell::RefCell;
@@ -118,7 +118,7 @@
             .calls
             .iter_mut()
             .for_each(|calls| calls.exact = sees_all);
-        let truth = Rc::new(RefCell::new(Truth::default()));
+        let truth = Rc::new(RefCell::new(GroundTruth::default()));
         let make: MakeEdge = match variant.decides {
             None => product_edge(),
             Some(choice) => {
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -6,8 +6,8 @@
 use crate::tapped::{bounds, Authority, Tapped};
 use crate::wallet::Wallet;
 use sanddrum_emulator::{
-    HandshakeWork, ListFaults, ListService, Marks, Shared, Slowed, Store, StoreFaults, Truth,
-    Worker, WorkerFaults,
+    DiscoveryFaults, DiscoveryService, GroundTruth, HandshakeQueue, HandshakeWork, IdempotencyKeys,
+    Shared, Store, StoreFaults, Worker, WorkerFaults,
 };
 use sanddrum_net::{Core, HostId, Micros};
 use sanddrum_settings::{LoadedSettings, SettingsError};
@@ -39,7 +39,7 @@
     pub addresses: Addresses,
     pub workers: Vec<Shared<WorkerFaults>>,
     pub store: Shared<StoreFaults>,
-    pub list: Shared<ListFaults>,
+    pub list: Shared<DiscoveryFaults>,
     pub mood: Shared<Mood>,
     /// Where callers show tokens.
     pub wallet: Option<Shared<Wallet>>,
@@ -52,9 +52,9 @@
     pub impostors: BTreeSet<usize>,
     pub handshakes: Vec<Shared<HandshakeWork>>,
     /// Where an oracle sees what is true of the workers.
-    pub truth: Option<Shared<Truth>>,
+    pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
-    marks: Vec<Shared<Marks>>,
+    marks: Vec<Shared<IdempotencyKeys>>,
     incarnations: Vec<u64>,
     edge_starts: Vec<u64>,
     list_runs: u64,
@@ -105,7 +105,7 @@
                 .map(|_| {
                     let takes = l.span("fleet.handshake-us");
                     shared(HandshakeWork {
-                        takes,
+                        cost: takes,
                         ..HandshakeWork::default()
                     })
                 })
@@ -115,10 +115,10 @@
                 .map(|_| shared(WorkerFaults::default()))
                 .collect(),
             store: shared(StoreFaults::default()),
-            list: shared(ListFaults::default()),
+            list: shared(DiscoveryFaults::default()),
             mood: shared(Mood::default()),
             marks: (0..scenario.workers.max(1))
-                .map(|_| shared(Marks::new(window)))
+                .map(|_| shared(IdempotencyKeys::new(window)))
                 .collect(),
             wallet,
             incarnations: vec![1; scenario.workers],
@@ -129,7 +129,7 @@
         })
     }
     /// Workers of one group know each other's marks.
-    fn marks_of(&self, n: usize) -> Shared<Marks> {
+    fn marks_of(&self, n: usize) -> Shared<IdempotencyKeys> {
         let groups: Vec<&str> = self
             .scenario
             .calls
@@ -168,11 +168,11 @@
             self.marks_of(n),
         );
         let worker = match &self.truth {
-            Some(truth) => worker.seen_by(truth.clone()),
+            Some(truth) => worker.with_ground_truth(truth.clone()),
             None => worker,
         };
         let work = self.handshakes[n].clone();
-        let costs = work.borrow().takes > 0;
+        let costs = work.borrow().cost > 0;
         let worker = if costs {
             worker.with_handshakes(work.clone())
         } else {
@@ -195,7 +195,7 @@
         let layer = Layer::new(tapped, bounds(l)).with_doors(door);
         let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
         Ok(if costs {
-            Box::new(Slowed::new(layer, work, started, cold, from))
+            Box::new(HandshakeQueue::new(layer, work, started, cold, from))
         } else {
             Box::new(layer)
         })
@@ -276,8 +276,8 @@
         self.list_runs += 1;
         let (seed, run) = (self.scenario.seed ^ 0x115, self.list_runs);
         let rows = self.scenario.list_rows(&self.addresses.workers);
-        let service = ListService::new(self.scenario.list(), seed, run, self.list.clone());
-        Box::new(service.with_rows(now, &rows))
+        let service = DiscoveryService::new(self.scenario.list(), seed, run, self.list.clone());
+        Box::new(service.with_endpoints(now, &rows))
     }
     /// Callers, and how long they stay for an answer when their time is up.
     pub fn callers(&self, patience: Micros) -> Box<dyn Core> {
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -5,7 +5,7 @@
 use crate::tapped::Authority;
 use sanddrum::{Decisions, EventBatch, Micros, Router, WorkerId, WorkerState};
 use sanddrum_edge::{DecisionModule, Edge, Start, KEYS};
-use sanddrum_emulator::{ListService, ListSpec};
+use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
 use sanddrum_settings::LoadedSettings;
@@ -381,15 +381,17 @@
         }
     };
     let workers = in_thread(stop.clone(), move |driver| {
-        let spec = ListSpec {
-            notice: (0, 0),
-            silent_after: Micros::MAX / 4,
-            changes_kept: 16,
-            whole: 0,
-            change: 0,
-            most: 1024,
+        let spec = DiscoverySpec {
+            min_publish_delay: 0,
+            max_publish_delay: 0,
+            heartbeat_timeout: Micros::MAX / 4,
+            change_history: 16,
+            snapshot_cost: 0,
+            delta_cost: 0,
+            max_pending_calls: 1024,
         };
-        let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
+        let list = DiscoveryService::new(spec, 1, 1, Default::default())
+            .with_endpoints(driver.now(), &rows);
         driver.add(Box::new(list), vec![list_door], None)?;
         let Some(terms) = worker_terms else {
             return driver
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -345,7 +345,7 @@
         if let Who::Worker(n) = who {
             // Faults that are over as soon as they are there.
             let mut faults = self.fleet.workers[n].borrow_mut();
-            (faults.flush, faults.garbles) = (false, false);
+            (faults.invalidate_once, faults.garble_once) = (false, false);
         }
         if self.told_faults.get(&who) != Some(&text) {
             let (file, beside) = (self.file(who, "faults"), self.file(who, "beside"));
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::relay::Fault;
 use crate::schema::{kinds, SCENARIO};
-use sanddrum_emulator::{ListSpec, OnMiss, StoreSpec, WorkerSpec};
+use sanddrum_emulator::{DiscoverySpec, MachineConfig, OnMiss, StoreSpec, WorkerSpec};
 use sanddrum_net::{Micros, Rng};
 use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_wire::{EndpointRecord, Phase};
@@ -256,53 +256,53 @@
             zone: self.zones[self.zone_of(n)].clone(),
             cell: (n / l.size("fleet.cell-size").max(1)) as u32,
             kind: u32::from(slow),
-            cores: l.size("fleet.cores"),
-            speed: l.number(if slow {
-                "fleet.slow-speed"
-            } else {
-                "fleet.speed"
-            }),
-            queue: l.size("fleet.queue"),
-            memory_mb: l.number("fleet.memory-mb"),
-            loads_at_once: l.size("fleet.loads-at-once"),
-            keep_alive: l.span("copies.keep-alive-us"),
-            on_miss: if l.text("copies.on-miss") == "miss" {
-                OnMiss::Miss
-            } else {
-                OnMiss::Load
+            machine: MachineConfig {
+                cores: l.size("fleet.cores"),
+                speed: l.number(if slow {
+                    "fleet.slow-speed"
+                } else {
+                    "fleet.speed"
+                }),
+                queue_limit: l.size("fleet.queue"),
+                memory_mb: l.number("fleet.memory-mb"),
+                concurrent_loads: l.size("fleet.loads-at-once"),
+                keep_alive: l.span("copies.keep-alive-us"),
+                on_miss: if l.text("copies.on-miss") == "miss" {
+                    OnMiss::Miss
+                } else {
+                    OnMiss::Load
+                },
+                start_us_per_mb: l.number("fleet.start-per-mb-us"),
+                initial_capacity: l.number("rules.cold-from"),
+                warm_up: l.span("rules.cold-us"),
+                collapse_multiple: l.number("rules.fall-multiple"),
+                collapse_window: l.span("rules.fall-us"),
             },
-            start_us_per_mb: l.number("fleet.start-per-mb-us"),
-            cold_from: l.number("rules.cold-from"),
-            cold: l.span("rules.cold-us"),
-            fall_multiple: l.number("rules.fall-multiple"),
-            fall: l.span("rules.fall-us"),
-            tells_crowd: l.flag("fleet.tells-crowd"),
-            report_every: l.span("fleet.report-every-us"),
-            list: list.into(),
-            store: store.into(),
-            beat_every: l.span("fleet.beat-every-us").max(1000),
+            reports_function_in_flight: l.flag("fleet.tells-crowd"),
+            report_interval: l.span("fleet.report-every-us"),
+            discovery_address: list.into(),
+            store_address: store.into(),
+            heartbeat_interval: l.span("fleet.beat-every-us").max(1000),
         }
     }
     pub fn store(&self) -> StoreSpec {
         let l = &self.settings;
         StoreSpec {
-            at_once: l.size("store.at-once"),
-            most: l.size("store.most"),
+            full_speed_fetches: l.size("store.at-once"),
+            max_fetches: l.size("store.most"),
             us_per_mb: l.number("store.per-mb-us"),
         }
     }
-    pub fn list(&self) -> ListSpec {
+    pub fn list(&self) -> DiscoverySpec {
         let l = &self.settings;
-        ListSpec {
-            notice: (
-                l.span("list-service.notice-least-us"),
-                l.span("list-service.notice-most-us"),
-            ),
-            silent_after: l.span("list-service.silent-after-us"),
-            changes_kept: l.size("list-service.changes-kept"),
-            whole: l.span("list-service.whole-us"),
-            change: l.span("list-service.change-us"),
-            most: l.size("list-service.calls"),
+        DiscoverySpec {
+            min_publish_delay: l.span("list-service.notice-least-us"),
+            max_publish_delay: l.span("list-service.notice-most-us"),
+            heartbeat_timeout: l.span("list-service.silent-after-us"),
+            change_history: l.size("list-service.changes-kept"),
+            snapshot_cost: l.span("list-service.whole-us"),
+            delta_cost: l.span("list-service.change-us"),
+            max_pending_calls: l.size("list-service.calls"),
         }
     }
     /// The workers at these addresses, as the list service knows them from the start.
@@ -310,7 +310,7 @@
         let row = |(n, address): (usize, &String)| {
             let spec = self.worker(n, address, "", "");
             EndpointRecord {
-                size: spec.cores as f64 * spec.speed,
+                size: spec.size(),
                 phase: Phase::Ready,
                 incarnation: 1,
                 age_us: -1,
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -5,7 +5,7 @@
 use crate::relay::Fault;
 use crate::scenario::Scenario;
 use sanddrum_edge::{Edge, Start, KEYS};
-use sanddrum_emulator::{Shared, Truth};
+use sanddrum_emulator::{GroundTruth, Shared};
 use sanddrum_net::{Core, HostId, LinkFault, LinkModel, Micros, VirtualNet};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
@@ -79,7 +79,7 @@
         links: LinkModel,
         recording: &Recording,
         make_edge: MakeEdge,
-        truth: Option<Shared<Truth>>,
+        truth: Option<Shared<GroundTruth>>,
     ) -> io::Result<Self> {
         let address = |kind: usize, n: usize| format!("10.{kind}.{}.{}:1000", n / 250, n % 250 + 1);
         let addresses = Addresses {
--- a/crates/sanddrum-lab/src/storm.rs
+++ b/crates/sanddrum-lab/src/storm.rs
@@ -79,13 +79,13 @@
     let work = &stage.fleet().handshakes;
     let in_second = |second: i64| {
         work.iter()
-            .filter_map(move |w| w.borrow().seconds.get(&(begun + second)).copied())
+            .filter_map(move |w| w.borrow().per_second.get(&(begun + second)).copied())
     };
     Ok(figures(
         &outcome,
         (BACK..LENGTH).map(|s| in_second(s).collect()).collect(),
         work.iter()
-            .map(|w| w.borrow().seconds.values().sum::<u32>())
+            .map(|w| w.borrow().per_second.values().sum::<u32>())
             .sum(),
     ))
 }
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -1,7 +1,7 @@
 //! The list service's plays: hollow routers do what whole edges do, and counters that may not grow do not.
 
 use rstest::rstest;
-use sanddrum_emulator::ListSpec;
+use sanddrum_emulator::DiscoverySpec;
 use sanddrum_lab::capacity::{
     run, Followers, ListStage, ListStageSpec, Memory, Plan, Point, Said, Sink, Source, Stop,
 };
@@ -32,7 +32,13 @@
     Plan::read("story", &text, 1, memory)
 }
 
-fn stage(plan: &Plan, routers: usize, rows: usize, list: ListSpec, whole_edges: bool) -> ListStage {
+fn stage(
+    plan: &Plan,
+    routers: usize,
+    rows: usize,
+    list: DiscoverySpec,
+    whole_edges: bool,
+) -> ListStage {
     // Links without chance, so that what others send moves no draw.
     let links = LinkModel {
         jitter: 0.0,
@@ -54,20 +60,20 @@
     ListStage::new(spec, Stop::default(), Duration::from_secs(600)).unwrap()
 }
 
-fn list(whole: Micros, most: usize) -> ListSpec {
-    let (notice, silent_after) = ((200_000, SECOND), 3_600 * SECOND);
-    ListSpec {
-        notice,
-        silent_after,
-        changes_kept: 8,
-        whole,
-        change: whole / 10,
-        most,
+fn list(whole: Micros, most: usize) -> DiscoverySpec {
+    DiscoverySpec {
+        min_publish_delay: 200_000,
+        max_publish_delay: SECOND,
+        heartbeat_timeout: 3_600 * SECOND,
+        change_history: 8,
+        snapshot_cost: whole,
+        delta_cost: whole / 10,
+        max_pending_calls: most,
     }
 }
 
 /// Starts, changes, a service that is gone and comes back, and routers that come back with their lists and without.
-fn day(seed: u64, list: ListSpec, whole_edges: bool) -> Vec<(Micros, Said)> {
+fn day(seed: u64, list: DiscoverySpec, whole_edges: bool) -> Vec<(Micros, Said)> {
     let mut plan = plan("", "(list-check 3s) (list-retry-most 2s)");
     plan.seed = seed;
     let mut stage = stage(&plan, 5, 12, list, whole_edges);
@@ -103,7 +109,10 @@
 #[case::another(2, list(5_000, 64))]
 #[case::that_turns_callers_away(3, list(120_000, 2))]
 #[case::that_is_slower_than_it_is_waited_for(4, list(400_000, 64))]
-fn hollow_routers_ask_and_are_told_as_whole_edges_are(#[case] seed: u64, #[case] list: ListSpec) {
+fn hollow_routers_ask_and_are_told_as_whole_edges_are(
+    #[case] seed: u64,
+    #[case] list: DiscoverySpec,
+) {
     let (hollow, whole) = (day(seed, list.clone(), false), day(seed, list, true));
     let asked = hollow
         .iter()
