--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -5,7 +5,7 @@
 use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{CustomerId, Micros, RequestId};
 use sanddrum_net::{ConnectionId, Event, Io, Outbox};
-use sanddrum_upstream::{ClientConnectionId, OutdatedConnection};
+use sanddrum_upstream::{ClientConnectionId, OutdatedConnection, RotationRequest};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -222,10 +222,10 @@
             .clients
             .get(&conn)
             .map_or(0, |client| client.places.len());
-        self.links.news.outdated.push((
-            OutdatedConnection::Client(ClientConnectionId(conn.0)),
-            carries,
-        ));
+        self.links.news.outdated.push(RotationRequest {
+            connection: OutdatedConnection::Client(ClientConnectionId(conn.0)),
+            in_flight: carries,
+        });
     }
     pub(crate) fn retire_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(client) = self.clients.clients.get_mut(&conn) else {
--- a/crates/sanddrum-edge/src/metrics.rs
+++ b/crates/sanddrum-edge/src/metrics.rs
@@ -70,8 +70,9 @@
     pub fn connecting(&self, connections: &ConnectionPolicy) {
         self.handshakes_out
             .set(connections.handshakes_in_flight() as f64);
-        self.links_waiting.set(connections.waiting() as f64);
-        self.handshake_us.set(connections.costs().full() as f64);
+        self.links_waiting.set(connections.queued_requests() as f64);
+        self.handshake_us
+            .set(connections.handshake_costs().full() as f64);
     }
     /// A client's connection was closed from here.
     pub fn client_closed(&self, reason: &'static str) {
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -14,8 +14,9 @@
 };
 use sanddrum_net::{CloseCause, ConnectionId, Event, Io, Outbox};
 use sanddrum_upstream::{
-    ConnectionEvents, ConnectionRequest, ListedWorker, OutdatedConnection, Purpose, RejectReason,
-    WorkerConnectionId,
+    ConnectionEvents, ConnectionRequest, ConnectionUtilization, EstablishedConnection,
+    ListedWorker, OutdatedConnection, Purpose, RejectReason, RotationRequest, WorkerConnectionId,
+    WorkerLoad,
 };
 use sanddrum_wire::{self as wire, EndpointRecord, FromWorker, Hello, VERSION};
 use std::cmp::Reverse;
@@ -234,7 +235,10 @@
     /// What the worker told of itself.
     pub fn reported(&mut self, worker: WorkerId, report: &LoadReport) {
         if let (Some(held), Some(queued)) = (report.in_flight, report.queued) {
-            self.news.load_reports.push((worker, held + queued));
+            self.news.load_reports.push(WorkerLoad {
+                worker,
+                requests: held + queued,
+            });
         }
     }
     pub fn count(&self, worker: WorkerId) -> usize {
@@ -308,7 +312,10 @@
                 deadline: due,
             });
         }
-        news.utilization.push((worker, full));
+        news.utilization.push(ConnectionUtilization {
+            worker,
+            utilization: full,
+        });
         self.links.dirty.insert(id);
         Ok(id)
     }
@@ -445,11 +452,10 @@
         let carries = link.carries.len();
         match denied {
             true => self.links.news.revoked.push(OutdatedConnection::Worker(id)),
-            false => self
-                .links
-                .news
-                .outdated
-                .push((OutdatedConnection::Worker(id), carries)),
+            false => self.links.news.outdated.push(RotationRequest {
+                connection: OutdatedConnection::Worker(id),
+                in_flight: carries,
+            }),
         }
     }
 
@@ -465,7 +471,10 @@
                 if let Some(link) = self.links.links.get_mut(&id) {
                     (link.up, link.quiet_since) = (true, now);
                     let resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
-                    self.links.news.established.push((id, resumed));
+                    self.links.news.established.push(EstablishedConnection {
+                        connection: id,
+                        resumed,
+                    });
                     self.links.dirty.insert(id);
                 }
             }
--- a/crates/sanddrum-lab/src/capacity/hollow/links.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/links.rs
@@ -3,8 +3,8 @@
 use super::super::host::{Link, Mark};
 use super::*;
 use sanddrum_upstream::{
-    ConnectionRequest, Decisions, ListedWorker, OutdatedConnection, Purpose, RejectReason,
-    WorkerConnectionId,
+    ConnectionRequest, ConnectionUtilization, Decisions, EstablishedConnection, ListedWorker,
+    OutdatedConnection, Purpose, RejectReason, WorkerConnectionId,
 };
 use std::cmp::Reverse;
 
@@ -83,7 +83,10 @@
                 deadline: due,
             });
         }
-        host.news.utilization.push((worker, full));
+        host.news.utilization.push(ConnectionUtilization {
+            worker,
+            utilization: full,
+        });
         host.dirty.insert(id);
         Ok(id)
     }
@@ -222,7 +225,10 @@
         let (now, host) = (self.now, &mut self.hosts[router]);
         if let Some(link) = host.links.get_mut(&id) {
             (link.up, link.quiet_since) = (true, now);
-            host.news.established.push((id, false));
+            host.news.established.push(EstablishedConnection {
+                connection: id,
+                resumed: false,
+            });
             host.dirty.insert(id);
             self.touched_routers.insert(router);
         }
--- a/crates/sanddrum-lab/src/capacity/hollow/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow/routers.rs
@@ -1,6 +1,7 @@
 //! What hollow hosts do for their modules: decisions carried out, and what comes back.
 
 use super::*;
+use sanddrum_upstream::WorkerLoad;
 
 impl Fleet {
     pub(super) fn router_turn(&mut self, router: usize) {
@@ -357,6 +358,9 @@
         self.hosts[router]
             .news
             .load_reports
-            .extend(told.map(|load| (id, load)));
+            .extend(told.map(|requests| WorkerLoad {
+                worker: id,
+                requests,
+            }));
     }
 }
--- a/crates/sanddrum-upstream/src/backoff.rs
+++ b/crates/sanddrum-upstream/src/backoff.rs
@@ -1,39 +1,44 @@
-//! How long what fails is left alone.
+//! Exponential backoff with jitter.
 
 use sanddrum::Micros;
 
-/// A wait that doubles from failure to failure, by chance up to half of it less, so that many who failed together do
-/// not come back together.
+/// A delay that doubles with each failure in a row. Up to half of it is random, so that many who failed at the same time
+/// do not retry at the same time.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    least: Micros,
-    most: Micros,
-    wait: Micros,
+    min: Micros,
+    max: Micros,
+    /// The last delay before jitter; zero after a success.
+    delay: Micros,
     until: Micros,
 }
 
 impl Backoff {
-    pub fn new(least: Micros, most: Micros) -> Self {
+    /// A backoff without a failure; `max` is at least `min`.
+    pub fn new(min: Micros, max: Micros) -> Self {
         Backoff {
-            least,
-            most: most.max(least),
-            wait: 0,
+            min,
+            max: max.max(min),
+            delay: 0,
             until: Micros::MIN,
         }
     }
-    /// It failed after a while, which is the least that it is left alone for now. `part` is drawn, from nought to one.
-    pub fn record_failure(&mut self, now: Micros, after: Micros, part: f64) -> Micros {
-        self.wait = (self.wait * 2).max(after).clamp(self.least, self.most);
-        self.until = now + (self.wait as f64 * (1.0 - part / 2.0)) as Micros;
+    /// Records an attempt that failed after `elapsed`, which is the least delay within the bounds: what takes long to
+    /// fail would otherwise be retried all the time. `jitter` is a random number in `[0, 1)`. Returns when to retry.
+    pub fn record_failure(&mut self, now: Micros, elapsed: Micros, jitter: f64) -> Micros {
+        self.delay = (self.delay * 2).max(elapsed).clamp(self.min, self.max);
+        self.until = now + (self.delay as f64 * (1.0 - jitter / 2.0)) as Micros;
         self.until
     }
+    /// Records a success.
     pub fn reset(&mut self) {
-        (self.wait, self.until) = (0, Micros::MIN);
+        (self.delay, self.until) = (0, Micros::MIN);
     }
-    /// The last try failed.
+    /// Whether the last attempt failed.
     pub fn has_failed(&self) -> bool {
-        self.wait > 0
+        self.delay > 0
     }
+    /// Whether the next attempt has to wait.
     pub fn is_backing_off(&self, now: Micros) -> bool {
         now < self.until
     }
--- a/crates/sanddrum-upstream/src/idle_timeout.rs
+++ b/crates/sanddrum-upstream/src/idle_timeout.rs
@@ -1,47 +1,54 @@
-//! How long a connection may have carried nothing and still be trusted with a job. Guards against connections that
-//! something on the way has dropped while they were idle, which shows only in a reset under the next job.
+//! How long a connection may have been idle and still be used for a request.
+//!
+//! Guards against connections that a middlebox dropped while they were idle, which shows only as a reset under the next
+//! request.
 
 use sanddrum::Micros;
 
-/// What is left of the trusted rest after a reset at such a rest.
-const CUT: Micros = 2;
-/// The trusted rest doubles, to be tried again, once it has held for so many times itself.
-const HOLDS: Micros = 100;
-/// A rest shorter than this part of the time for a connection tells nothing, nor does a break later than that after a
-/// write: what broke then broke for another cause.
-const TELLS: Micros = 25;
+/// After a reset the limit is the idle time of that connection divided by this.
+const DECREASE: Micros = 2;
+/// The limit doubles each time it has held for this multiple of itself.
+const HOLD_MULTIPLE: Micros = 100;
+/// Idle times below the connect time-out divided by this say nothing, nor do resets later than that after a write: those
+/// have other causes.
+const SIGNIFICANT_DIVISOR: Micros = 25;
+/// After so many doublings there is no limit.
+const MAX_DOUBLINGS: Micros = 20;
 
+/// The estimated idle time after which connections may have been dropped.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleTimeoutEstimate {
-    least: Micros,
-    /// None: any rest is trusted.
-    trusted: Option<Micros>,
+    min_significant: Micros,
+    /// The limit as it was set at `since`; none: any idle time is trusted.
+    limit: Option<Micros>,
     since: Micros,
 }
 
 impl IdleTimeoutEstimate {
-    /// `time_out` is the time within which a connection is up or given up.
-    pub fn new(time_out: Micros) -> Self {
+    /// An estimate without a limit. `connect_timeout` is the time within which a connection is established or given up.
+    pub fn new(connect_timeout: Micros) -> Self {
         IdleTimeoutEstimate {
-            least: (time_out / TELLS).max(1),
-            trusted: None,
+            min_significant: (connect_timeout / SIGNIFICANT_DIVISOR).max(1),
+            limit: None,
             since: 0,
         }
     }
-    /// A connection broke under what it carried, unanswered, after such a rest and so long after it was written to. What
-    /// is dropped shows at once; a break later than that has another cause, such as a worker that died.
-    pub fn record_reset(&mut self, now: Micros, rested: Micros, written: Micros) {
-        if rested >= self.least && written <= self.least {
-            let now_trusted = self.trusted(now).unwrap_or(rested).min(rested);
-            (self.trusted, self.since) = (Some((now_trusted / CUT).max(self.least)), now);
+    /// Records that a connection was reset under an unanswered request, which was written `since_write` ago after the
+    /// connection had been idle for `idle`. A dropped connection shows at once; a later reset has another cause, such
+    /// as a worker that crashed.
+    pub fn record_reset(&mut self, now: Micros, idle: Micros, since_write: Micros) {
+        if idle >= self.min_significant && since_write <= self.min_significant {
+            let bound = self.current_limit(now).unwrap_or(idle).min(idle);
+            (self.limit, self.since) = (Some((bound / DECREASE).max(self.min_significant)), now);
         }
     }
-    fn trusted(&self, now: Micros) -> Option<Micros> {
-        let trusted = self.trusted?;
-        let doublings = (now - self.since) / (HOLDS * trusted);
-        (doublings < 20).then(|| trusted << doublings.max(0))
+    fn current_limit(&self, now: Micros) -> Option<Micros> {
+        let limit = self.limit?;
+        let doublings = (now - self.since) / (HOLD_MULTIPLE * limit);
+        (doublings < MAX_DOUBLINGS).then(|| limit << doublings.max(0))
     }
-    pub fn is_trusted(&self, now: Micros, rested: Micros) -> bool {
-        self.trusted(now).is_none_or(|trusted| rested <= trusted)
+    /// Whether a connection that has been idle for this long may be used.
+    pub fn is_trusted(&self, now: Micros, idle: Micros) -> bool {
+        self.current_limit(now).is_none_or(|limit| idle <= limit)
     }
 }
--- a/crates/sanddrum-upstream/src/rotation.rs
+++ b/crates/sanddrum-upstream/src/rotation.rs
@@ -1,111 +1,133 @@
-//! In which order and when connections made on past terms are replaced.
+//! The schedule by which outdated connections are replaced.
 
-use crate::OutdatedConnection;
+use crate::{OutdatedConnection, RotationRequest, WorkerConnectionId};
 use sanddrum::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(crate) struct Rotation {
-    within: Micros,
-    at_once: usize,
-    due: BTreeSet<(Micros, OutdatedConnection)>,
-    /// In use, with a successor under way; retired once it is up, and then at the latest.
-    followed: BTreeMap<OutdatedConnection, (WorkerId, Micros)>,
-    up: BTreeSet<WorkerId>,
-    denied: Vec<OutdatedConnection>,
+/// A successor is awaited for at most the rotation period divided by this.
+const SUCCESSOR_DIVISOR: Micros = 10;
+
+/// A connection that is retired once a new one to the same worker is established.
+struct AwaitedSuccessor {
+    worker: WorkerId,
+    /// It is retired without a successor then.
+    deadline: Micros,
 }
 
-/// A successor is waited for no longer than this part of the stated time.
-const SUCCESSOR_PART: Micros = 10;
+/// The outdated connections that are still to be retired.
+pub(crate) struct Rotation {
+    period: Micros,
+    batch: usize,
+    scheduled: BTreeSet<(Micros, OutdatedConnection)>,
+    awaiting_successor: BTreeMap<OutdatedConnection, AwaitedSuccessor>,
+    /// Workers with a connection established since successors were last matched.
+    newly_established: BTreeSet<WorkerId>,
+    revoked: Vec<OutdatedConnection>,
+}
 
 impl Rotation {
-    pub fn new(within: Micros, at_once: f64) -> Self {
-        let at_once = (at_once as usize).max(1);
-        let (due, followed, up) = (BTreeSet::new(), BTreeMap::new(), BTreeSet::new());
+    /// Connections are replaced within `period`, `batch` at a time (at least one).
+    pub fn new(period: Micros, batch: f64) -> Self {
         Rotation {
-            within,
-            at_once,
-            due,
-            followed,
-            up,
-            denied: Vec::new(),
+            period,
+            batch: (batch as usize).max(1),
+            scheduled: BTreeSet::new(),
+            awaiting_successor: BTreeMap::new(),
+            newly_established: BTreeSet::new(),
+            revoked: Vec::new(),
         }
     }
-    /// Spreads those told of over the stated time, a few at a time: first what carries nothing, then what carries the
-    /// least. Successors have their part of the time at its end.
-    pub fn add(&mut self, now: Micros, old: &[(OutdatedConnection, usize)]) {
-        if old.is_empty() {
+    /// Spreads these over the period, a batch at a time: idle connections first, then those with the fewest requests in
+    /// flight. The end of the period is left for awaiting successors.
+    pub fn schedule(&mut self, now: Micros, requests: &[RotationRequest]) {
+        if requests.is_empty() {
             return;
         }
-        let mut told: Vec<(usize, OutdatedConnection)> =
-            old.iter().map(|(old, carries)| (*carries, *old)).collect();
-        told.sort_unstable();
-        // Those that have a time already keep their order before these.
-        let pending = std::mem::take(&mut self.due)
+        let mut added: Vec<(usize, OutdatedConnection)> = requests
+            .iter()
+            .map(|request| (request.in_flight, request.connection))
+            .collect();
+        added.sort_unstable();
+        // Those that are scheduled already keep their order before these.
+        let before = std::mem::take(&mut self.scheduled);
+        let connections: Vec<OutdatedConnection> = before
             .into_iter()
-            .map(|(_, old)| old);
-        let all: Vec<OutdatedConnection> = pending
-            .chain(told.into_iter().map(|(_, old)| old))
+            .map(|(_, connection)| connection)
+            .chain(added.into_iter().map(|(_, connection)| connection))
             .collect();
-        let steps = all.len().div_ceil(self.at_once) as Micros;
-        let within = self.within - self.within / SUCCESSOR_PART;
-        for (n, old) in all.into_iter().enumerate() {
-            let step = (n / self.at_once) as Micros;
-            self.due.insert((now + within * step / steps.max(1), old));
+        let batches = connections.len().div_ceil(self.batch) as Micros;
+        let period = self.period - self.period / SUCCESSOR_DIVISOR;
+        for (index, connection) in connections.into_iter().enumerate() {
+            let batch = (index / self.batch) as Micros;
+            let at = now + period * batch / batches.max(1);
+            self.scheduled.insert((at, connection));
         }
     }
-    /// These have no time left, and no successor with the same somebody.
-    pub fn at_once(&mut self, old: &[OutdatedConnection]) {
-        old.iter().for_each(|old| self.ended(*old));
-        self.denied.extend(old);
+    /// These are retired at once and without a successor.
+    pub fn revoke(&mut self, connections: &[OutdatedConnection]) {
+        for connection in connections {
+            self.remove(*connection);
+        }
+        self.revoked.extend(connections);
     }
-    pub fn take_denied(&mut self) -> Vec<OutdatedConnection> {
-        std::mem::take(&mut self.denied)
+    /// Takes the connections that were revoked.
+    pub fn take_revoked(&mut self) -> Vec<OutdatedConnection> {
+        std::mem::take(&mut self.revoked)
     }
-    pub fn ended(&mut self, old: OutdatedConnection) {
-        self.due.retain(|(_, other)| *other != old);
-        self.followed.remove(&old);
+    /// The connection has ended.
+    pub fn remove(&mut self, connection: OutdatedConnection) {
+        self.scheduled.retain(|(_, other)| *other != connection);
+        self.awaiting_successor.remove(&connection);
     }
-    /// Those whose time has come.
-    pub fn due(&mut self, now: Micros) -> Vec<OutdatedConnection> {
-        let later = self.due.split_off(&(
-            now + 1,
-            OutdatedConnection::Worker(crate::WorkerConnectionId(0)),
-        ));
-        std::mem::replace(&mut self.due, later)
+    /// Takes the connections that are due.
+    pub fn take_due(&mut self, now: Micros) -> Vec<OutdatedConnection> {
+        let first_later = (now + 1, OutdatedConnection::Worker(WorkerConnectionId(0)));
+        let later = self.scheduled.split_off(&first_later);
+        std::mem::replace(&mut self.scheduled, later)
             .into_iter()
-            .map(|(_, old)| old)
+            .map(|(_, connection)| connection)
             .collect()
     }
-    /// Waits for a successor, which is to be begun.
-    pub fn waits_for(&mut self, old: OutdatedConnection, worker: WorkerId, now: Micros) {
-        self.up.remove(&worker);
-        self.followed
-            .insert(old, (worker, now + self.within / SUCCESSOR_PART));
+    /// Retires this connection once its successor, which is to be opened now, is established.
+    pub fn await_successor(
+        &mut self,
+        connection: OutdatedConnection,
+        worker: WorkerId,
+        now: Micros,
+    ) {
+        self.newly_established.remove(&worker);
+        let deadline = now + self.period / SUCCESSOR_DIVISOR;
+        self.awaiting_successor
+            .insert(connection, AwaitedSuccessor { worker, deadline });
     }
-    /// A new connection to this worker is up.
-    pub fn replaced(&mut self, worker: WorkerId) {
-        self.up.insert(worker);
+    /// A connection to this worker was established.
+    pub fn record_established(&mut self, worker: WorkerId) {
+        self.newly_established.insert(worker);
     }
-    /// Those with a successor by now, or that have waited for it long enough.
-    pub fn succeeded(&mut self, now: Micros) -> Vec<OutdatedConnection> {
-        let up = std::mem::take(&mut self.up);
-        let over = |(worker, at): &(WorkerId, Micros)| up.contains(worker) || *at <= now;
-        let done: Vec<OutdatedConnection> = self
-            .followed
+    /// Takes the connections whose successor is established or has not been in time.
+    pub fn take_succeeded(&mut self, now: Micros) -> Vec<OutdatedConnection> {
+        let established = std::mem::take(&mut self.newly_established);
+        let is_over = |awaited: &AwaitedSuccessor| {
+            established.contains(&awaited.worker) || awaited.deadline <= now
+        };
+        let succeeded: Vec<OutdatedConnection> = self
+            .awaiting_successor
             .iter()
-            .filter(|(_, of)| over(of))
-            .map(|(old, _)| *old)
+            .filter(|(_, awaited)| is_over(awaited))
+            .map(|(connection, _)| *connection)
             .collect();
-        self.followed.retain(|old, _| !done.contains(old));
-        done
+        self.awaiting_successor
+            .retain(|connection, _| !succeeded.contains(connection));
+        succeeded
     }
-    pub fn next(&self) -> Option<Micros> {
-        let followed = self.followed.values().map(|(_, at)| *at).min();
-        self.due
-            .first()
-            .map(|(at, _)| *at)
-            .into_iter()
-            .chain(followed)
-            .min()
+    /// When something is next due.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let successor = self
+            .awaiting_successor
+            .values()
+            .map(|awaited| awaited.deadline)
+            .min();
+        let scheduled = self.scheduled.first().map(|(at, _)| *at);
+        scheduled.into_iter().chain(successor).min()
     }
 }
--- a/crates/sanddrum-upstream/src/worker.rs
+++ b/crates/sanddrum-upstream/src/worker.rs
@@ -1,44 +1,67 @@
+//! What the policy knows about one worker.
+
 use crate::backoff::Backoff;
 use sanddrum::Micros;
 
-/// What is known of a worker's connections.
+/// What is known about a worker and the connections to it.
 pub(crate) struct Worker {
     pub size: f64,
-    pub started: Micros,
-    pub ready: bool,
-    pub under_way: usize,
-    pub open: usize,
+    pub started_at: Micros,
+    pub is_ready: bool,
+    /// Handshakes in flight.
+    pub handshakes: usize,
+    /// Established connections.
+    pub established: usize,
+    /// Requests that it executes or has queued, by its last report.
     pub load: f64,
     pub backoff: Backoff,
-    /// While it is spared: when it may have its next handshake from here.
-    pub next: Option<Micros>,
-    pub spared_until: Micros,
+    /// While handshakes are throttled: the earliest instant of the next one from this edge.
+    pub next_handshake_at: Option<Micros>,
+    /// Handshakes are throttled until then, as they queued there.
+    pub throttled_until: Micros,
+    /// Uses at `last_used_at`, each weighted by its age.
     uses: f64,
-    used_at: Micros,
+    last_used_at: Micros,
 }
 
 impl Worker {
-    pub fn new((least, most): (Micros, Micros)) -> Self {
+    pub fn new(backoff: Backoff) -> Self {
         Worker {
             size: 1.0,
-            started: 0,
-            ready: true,
-            under_way: 0,
-            open: 0,
+            started_at: 0,
+            is_ready: true,
+            handshakes: 0,
+            established: 0,
             load: 0.0,
-            backoff: Backoff::new(least, most),
-            next: None,
-            spared_until: Micros::MIN,
+            backoff,
+            next_handshake_at: None,
+            throttled_until: Micros::MIN,
             uses: 0.0,
-            used_at: 0,
+            last_used_at: 0,
         }
     }
-    /// Uses of late: each counts less as time passes, and next to nothing after the span.
-    pub fn use_now(&self, now: Micros, span: Micros) -> f64 {
-        self.uses * (1.0 - (now - self.used_at).max(0) as f64 / span.max(1) as f64).max(0.0)
+    /// The process was restarted: failures of the one before say nothing about it.
+    pub fn reset(&mut self) {
+        self.backoff.reset();
+        self.next_handshake_at = None;
+        self.throttled_until = Micros::MIN;
+    }
+    /// Recent uses: the weight of each falls linearly to zero over `window`.
+    pub fn recent_uses(&self, now: Micros, window: Micros) -> f64 {
+        let idle = (now - self.last_used_at).max(0) as f64;
+        self.uses * (1.0 - idle / window.max(1) as f64).max(0.0)
+    }
+    /// Records that something was sent to it.
+    pub fn record_use(&mut self, now: Micros, window: Micros) {
+        self.uses = self.recent_uses(now, window) + 1.0;
+        self.last_used_at = now;
+    }
+    /// Whether its load is at its capacity.
+    pub fn is_overloaded(&self) -> bool {
+        self.load >= self.size
     }
-    pub fn used(&mut self, now: Micros, span: Micros) {
-        self.uses = self.use_now(now, span) + 1.0;
-        self.used_at = now;
+    /// Whether a connection may be opened ahead of need.
+    pub fn accepts_prewarm(&self) -> bool {
+        self.is_ready && !self.backoff.has_failed() && self.load < self.size && self.handshakes == 0
     }
 }
