--- a/crates/sanddrum-bootstrap/src/lib.rs
+++ b/crates/sanddrum-bootstrap/src/lib.rs
@@ -206,7 +206,7 @@
                 }
                 Err(wait) => {
                     self.line = Line::Down {
-                        again: now + wait.min(self.most),
+                        again: now + wait.retry_after.min(self.most),
                     }
                 }
             },
@@ -229,7 +229,7 @@
                 }
                 Err(wait) => {
                     self.line = Line::Missing {
-                        at: now + wait.min(self.most),
+                        at: now + wait.retry_after.min(self.most),
                     }
                 }
             },
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -4,7 +4,8 @@
 use crate::Inner;
 use sanddrum::{Micros, RequestId};
 use sanddrum_limits::{
-    Admission as Decisions, AdmissionEvents, QuotaPolicy, RejectReason, RetryBudget, RetryEvents,
+    Admission as Decisions, AdmissionEvents, AdmissionRequest, ClientRequest, QuotaPolicy,
+    RejectReason, Rejection, RetryBudget, RetryEvents,
 };
 use sanddrum_settings::LoadedSettings;
 use std::collections::BTreeMap;
@@ -19,14 +20,14 @@
 
 /// What was decided for each, in order.
 #[derive(Default)]
-struct Ruled(Vec<(RequestId, Option<(RejectReason, Micros)>)>);
+struct Ruled(Vec<(RequestId, Option<Rejection>)>);
 
 impl Decisions for Ruled {
     fn admit(&mut self, job: RequestId) {
         self.0.push((job, None));
     }
-    fn reject(&mut self, job: RequestId, why: RejectReason, wait: Micros) {
-        self.0.push((job, Some((why, wait))));
+    fn reject(&mut self, job: RequestId, rejection: Rejection) {
+        self.0.push((job, Some(rejection)));
     }
 }
 
@@ -70,17 +71,16 @@
             .asking
             .values()
             .filter(stays)
-            .map(|job| (job.id, job.is_retry));
+            .map(|job| ClientRequest {
+                request: job.id,
+                is_retry: job.is_retry,
+            });
         let asked = RetryEvents {
             requests: asking.collect(),
             rejected: self.admission.news.rejected,
         };
         let mut ruled = Ruled::default();
-        self.admission
-            .repeats
-            .handle(now, &asked, &mut |job, judged| {
-                ruled.0.push((job, judged.err()))
-            });
+        self.admission.repeats.handle(now, &asked, &mut ruled);
         let limits = self.admission.sharing.is_active();
         let mut news = std::mem::take(&mut self.admission.news);
         for (id, over) in std::mem::take(&mut ruled.0) {
@@ -88,7 +88,10 @@
                 continue;
             };
             match over {
-                None if limits => news.requests.push((id, job.customer)),
+                None if limits => news.requests.push(AdmissionRequest {
+                    request: id,
+                    customer: job.customer,
+                }),
                 over => ruled.0.push((id, over)),
             }
         }
@@ -99,7 +102,11 @@
             let Some(job) = self.admission.asking.remove(&id) else {
                 continue;
             };
-            let Some((why, wait)) = over else {
+            let Some(Rejection {
+                reason,
+                retry_after,
+            }) = over
+            else {
                 self.jobs
                     .jobs
                     .entry(id)
@@ -107,16 +114,16 @@
                 self.round.requests.push(job);
                 continue;
             };
-            let detail = match why {
+            let detail = match reason {
                 RejectReason::RetryBudget => "the fleet is pressed and repeats wait; the job has not run, come back after the stated time",
                 _ => "this customer has what it may have for now; the job has not run, come back after the stated time",
             };
             let refusal = Refusal {
                 status: 503,
                 end: "pushed-back",
-                reason: why.reason(),
+                reason: reason.reason(),
                 detail,
-                retry_after: Some(wait),
+                retry_after: Some(retry_after),
                 job: Some(id),
             };
             self.refuse(now, id, &refusal);
--- a/crates/sanddrum-edge/src/dispatch.rs
+++ b/crates/sanddrum-edge/src/dispatch.rs
@@ -5,6 +5,7 @@
 use crate::worker_connections::{Mark, Piece};
 use crate::{Due, Inner};
 use sanddrum::{Decisions, FunctionId, Micros, Outcome, PeerId, RequestId, Warmth, WorkerId};
+use sanddrum_limits::Dispatch;
 use sanddrum_upstream::WorkerConnectionId;
 use sanddrum_wire as wire;
 
@@ -91,7 +92,11 @@
         );
         match sent {
             Ok(_) => {
-                inner.admission.news.dispatched.push((customer, worker));
+                inner
+                    .admission
+                    .news
+                    .dispatched
+                    .push(Dispatch { customer, worker });
                 inner.due.insert((due, Due::Execution(execution)));
             }
             Err(end) => inner.execution_ended(now, execution, end, Warmth::Unknown, None, None),
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -6,6 +6,7 @@
     AttemptResult, CustomerId, FunctionId, LoadReport, Outcome, RequestId, Warmth, WorkerId,
     WorkloadId,
 };
+use sanddrum_limits::ReportedRates;
 use sanddrum_net::{ConnectionId, Micros};
 use sanddrum_upstream::WorkerConnectionId;
 use sanddrum_wire::{self as wire, http, Done, ExecutionStatus, InstanceState};
@@ -264,10 +265,11 @@
             done.total_rate,
         ) {
             if let Some(job) = self.jobs.jobs.get(&e.job) {
-                self.admission
-                    .news
-                    .reported_rates
-                    .push((job.customer_id, of, all));
+                self.admission.news.reported_rates.push(ReportedRates {
+                    customer: job.customer_id,
+                    of_customer: of,
+                    of_all: all,
+                });
             }
         }
         if end == Outcome::Finished {
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -3,7 +3,8 @@
 
 use sanddrum::{CustomerId, Micros, RequestId, Settings, Value, WorkerId};
 use sanddrum_limits::{
-    Admission, AdmissionEvents, QuotaPolicy, RateMeter, RejectReason, TokenBucket,
+    Admission, AdmissionEvents, AdmissionRequest, Dispatch, QuotaPolicy, RateMeter, Rejection,
+    ReportedRates, TokenBucket,
 };
 use sanddrum_net::Rng;
 use std::collections::BTreeMap;
@@ -53,7 +54,7 @@
     fn admit(&mut self, job: RequestId) {
         self.taken.push(job);
     }
-    fn reject(&mut self, _: RequestId, _: RejectReason, _: Micros) {}
+    fn reject(&mut self, _: RequestId, _: Rejection) {}
 }
 
 impl Size {
@@ -111,9 +112,10 @@
                         .unwrap_or_else(|| self.chance.index(self.edges.len()));
                     whose.insert(RequestId(self.next), stream.customer);
                     done.entry(stream.customer).or_default().0 += 1.0;
-                    self.news[edge]
-                        .requests
-                        .push((RequestId(self.next), CustomerId(stream.customer)));
+                    self.news[edge].requests.push(AdmissionRequest {
+                        request: RequestId(self.next),
+                        customer: CustomerId(stream.customer),
+                    });
                 }
             }
             self.room =
@@ -125,14 +127,14 @@
                 match self.policy {
                     Policy::Seen => self.edges[n].handle(self.now, &news, &mut ruled),
                     Policy::None => {
-                        ruled.taken = news.requests.iter().map(|(job, _)| *job).collect()
+                        ruled.taken = news.requests.iter().map(|asked| asked.request).collect()
                     }
                     Policy::Even => {
                         let fit = news
                             .requests
                             .iter()
-                            .filter(|(_, c)| self.even_part_has_room(n, c.0));
-                        ruled.taken = fit.map(|(job, _)| *job).collect();
+                            .filter(|asked| self.even_part_has_room(n, asked.customer.0));
+                        ruled.taken = fit.map(|asked| asked.request).collect();
                     }
                 }
                 taken.extend(ruled.taken.into_iter().map(|job| (n, job)));
@@ -149,18 +151,20 @@
                 news.rejected += u32::from(!finished);
                 if finished {
                     done.entry(customer).or_default().1 += 1.0;
-                    news.dispatched
-                        .push((CustomerId(customer), WorkerId(worker)));
+                    news.dispatched.push(Dispatch {
+                        customer: CustomerId(customer),
+                        worker: WorkerId(worker),
+                    });
                     let pace = self.workers.entry((worker, customer)).or_default();
                     pace.record(self.now, S);
                     let of = pace.per_second(self.now, S);
                     let all = self.workers.entry((worker, ALL)).or_default();
                     all.record(self.now, S);
-                    news.reported_rates.push((
-                        CustomerId(customer),
-                        of,
-                        all.per_second(self.now, S),
-                    ));
+                    news.reported_rates.push(ReportedRates {
+                        customer: CustomerId(customer),
+                        of_customer: of,
+                        of_all: all.per_second(self.now, S),
+                    });
                 }
             }
         }
--- a/crates/sanddrum-limits/src/fleet_rate_estimate.rs
+++ b/crates/sanddrum-limits/src/fleet_rate_estimate.rs
@@ -1,65 +1,69 @@
-use crate::TOLD_HOLDS;
+//! An estimate of one customer's request rate over the whole fleet.
+
+use crate::quota_policy::REPORTS_EXPIRE_AFTER_WINDOWS;
 use sanddrum::{Micros, WorkerId};
 use std::collections::VecDeque;
 
-/// Sends that are remembered to tell over how many workers a customer's jobs go.
-const SENDS: usize = 64;
+/// The number of recent dispatches from which the number of workers is estimated.
+const MAX_DISPATCHES: usize = 64;
 
-/// What an edge sees of one customer's pace over the whole fleet, from what workers tell with the answers to its own
-/// few jobs.
+/// One customer's request rate over the whole fleet, estimated by an edge from what workers report with the answers to
+/// its own requests, however few those are.
 ///
-/// A worker tells the pace there. The whole is that pace times the number of workers that the jobs go over, and those
-/// are found as one finds the size of a crowd from how often one meets the same face twice: by how often two of the own
-/// jobs went to one worker. That needs no job of one's own at each worker, so it holds at edges with little traffic.
+/// A worker reports the rate there. The fleet's rate is the mean of these times the number of workers that the
+/// customer's requests are spread over. That number is estimated as in capture-recapture: by how often two of the
+/// edge's own requests went to the same worker. An edge with little traffic need not have sent a request to each.
 #[derive(Clone, Debug, Default)]
 pub struct FleetRateEstimate {
-    sends: VecDeque<WorkerId>,
-    /// Means of what was told, and how much they rest on.
+    dispatches: VecDeque<WorkerId>,
+    /// Means of the reported rates, in requests a second.
     of_customer: f64,
     of_all: f64,
+    /// The number of reports that the means are of, each weighted by its age.
     weight: f64,
-    at: Micros,
+    reported_at: Micros,
 }
 
 impl FleetRateEstimate {
+    /// Records that a request of this customer was dispatched to a worker.
     pub fn record_dispatch(&mut self, worker: WorkerId) {
-        if self.sends.len() == SENDS {
-            self.sends.pop_front();
+        if self.dispatches.len() == MAX_DISPATCHES {
+            self.dispatches.pop_front();
         }
-        self.sends.push_back(worker);
+        self.dispatches.push_back(worker);
     }
-    /// A job's answer told the paces at its worker. The job itself is left out: seen from one's own jobs, one always
-    /// seems to send more than one does.
+    /// Records the rates at a worker, in requests a second, that were reported with an answer. The answered request
+    /// itself is subtracted: the report is only seen because of it, so that the rate would be overestimated.
     pub fn record_report(&mut self, now: Micros, window: Micros, of_customer: f64, of_all: f64) {
-        let one = 1e6 / window as f64;
-        let faded = (-((now - self.at).max(0) as f64) / window as f64).exp();
-        let weight = self.weight * faded + 1.0;
-        let mean = |mean: f64, new: f64| mean + (new - mean) / weight;
-        self.of_customer = mean(self.of_customer, (of_customer - one).max(0.0));
-        self.of_all = mean(self.of_all, (of_all - one).max(0.0));
-        (self.weight, self.at) = (weight, now);
+        let one_per_window = 1e6 / window as f64;
+        let decay = (-((now - self.reported_at).max(0) as f64) / window as f64).exp();
+        let weight = self.weight * decay + 1.0;
+        let updated = |mean: f64, sample: f64| mean + (sample - mean) / weight;
+        self.of_customer = updated(self.of_customer, (of_customer - one_per_window).max(0.0));
+        self.of_all = updated(self.of_all, (of_all - one_per_window).max(0.0));
+        (self.weight, self.reported_at) = (weight, now);
     }
     fn is_fresh(&self, now: Micros, window: Micros) -> bool {
-        self.weight > 0.0 && now < self.at + TOLD_HOLDS * window
+        self.weight > 0.0 && now < self.reported_at + REPORTS_EXPIRE_AFTER_WINDOWS * window
     }
-    /// RejectReason how many workers the jobs go.
+    /// The estimated number of workers that the customer's requests are spread over.
     pub fn workers(&self) -> f64 {
-        let mut sends: Vec<WorkerId> = self.sends.iter().copied().collect();
-        sends.sort_unstable();
-        let n = sends.len() as f64;
-        let same = sends
+        let mut workers: Vec<WorkerId> = self.dispatches.iter().copied().collect();
+        workers.sort_unstable();
+        let dispatches = workers.len() as f64;
+        let coinciding_pairs: f64 = workers
             .chunk_by(|a, b| a == b)
-            .map(|run| run.len() as f64 * (run.len() as f64 - 1.0));
-        let met: f64 = same.sum();
-        // Where no two ever met, there are at least about as many as pairs were tried.
-        n * (n - 1.0).max(1.0) / met.max(2.0)
+            .map(|run| run.len() as f64 * (run.len() as f64 - 1.0))
+            .sum();
+        // Where no two coincide there are at least about as many workers as there are pairs.
+        dispatches * (dispatches - 1.0).max(1.0) / coinciding_pairs.max(2.0)
     }
-    /// The customer's jobs a second over the whole fleet, if anything was told of late.
+    /// The customer's requests a second over the whole fleet, if any were reported recently.
     pub fn fleet_rate(&self, now: Micros, window: Micros) -> Option<f64> {
         self.is_fresh(now, window)
             .then(|| self.of_customer * self.workers())
     }
-    /// The customer's part of all jobs, where its jobs go.
+    /// The customer's fraction of all requests at the workers that it uses, if any were reported recently.
     pub fn fleet_share(&self, now: Micros, window: Micros) -> Option<f64> {
         (self.is_fresh(now, window) && self.of_all > 0.0).then(|| self.of_customer / self.of_all)
     }
--- a/crates/sanddrum-limits/src/rate.rs
+++ b/crates/sanddrum-limits/src/rate.rs
@@ -1,59 +1,75 @@
+//! Measuring and limiting of rates.
+
 use sanddrum::Micros;
 
-/// How often something happens a second, of late: what happened counts ever less, by half in about seven tenths of
-/// the window.
+/// An exponentially decaying average of how often something happens: after a time of one window an event counts for
+/// 1/e.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateMeter {
-    per_window: f64,
-    at: Micros,
+    events_per_window: f64,
+    recorded_at: Micros,
 }
 
 impl RateMeter {
+    /// Records one event.
     pub fn record(&mut self, now: Micros, window: Micros) {
-        self.per_window = self.faded(now, window) + 1.0;
-        self.at = now;
+        self.events_per_window = self.decayed(now, window) + 1.0;
+        self.recorded_at = now;
     }
-    fn faded(&self, now: Micros, window: Micros) -> f64 {
-        self.per_window * (-((now - self.at).max(0) as f64) / window as f64).exp()
+    fn decayed(&self, now: Micros, window: Micros) -> f64 {
+        let elapsed = (now - self.recorded_at).max(0) as f64;
+        self.events_per_window * (-elapsed / window as f64).exp()
     }
-    /// A second.
+    /// Events a second.
     pub fn per_second(&self, now: Micros, window: Micros) -> f64 {
-        self.faded(now, window) * 1e6 / window as f64
-    }
-    pub fn last_event(&self) -> Micros {
-        self.at
+        self.decayed(now, window) * 1e6 / window as f64
     }
 }
 
-/// Permits that come at a rate and are saved up to a bound; one may always be saved, however low the rate.
+/// A token bucket whose rate and burst may differ from call to call. It starts full.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
-    saved: f64,
-    at: Option<Micros>,
+    tokens: f64,
+    refilled_at: Option<Micros>,
+}
+
+/// The bucket holds no token.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no token; retry after {retry_after} us")]
+pub struct NoToken {
+    /// How long until there is one at the present rate, one hour at most.
+    pub retry_after: Micros,
 }
 
-/// A rate so low that nothing is to be waited for.
-const NEVER_US: f64 = 3.6e9;
+/// One hour: the bound on [`NoToken::retry_after`].
+const MAX_RETRY_AFTER_US: f64 = 3.6e9;
 
 impl TokenBucket {
-    /// Takes a permit.
+    /// Takes a token. Tokens are added at `per_second` up to `burst`, which is at least one.
     ///
     /// # Errors
-    /// There is none; how long until there is one.
-    pub fn take(&mut self, now: Micros, per_s: f64, most: f64) -> Result<(), Micros> {
-        let most = most.max(1.0);
-        let passed = self
-            .at
-            .map_or(most * 1e6 / per_s.max(1e-9), |at| (now - at).max(0) as f64);
-        self.saved = (self.saved + passed * per_s / 1e6).min(most);
-        self.at = Some(now);
-        if per_s <= 0.0 {
-            return Err(NEVER_US as Micros);
+    /// [`NoToken`] if there is none.
+    pub fn take(&mut self, now: Micros, per_second: f64, burst: f64) -> Result<(), NoToken> {
+        let burst = burst.max(1.0);
+        let elapsed = self
+            .refilled_at
+            .map_or(burst * 1e6 / per_second.max(1e-9), |at| {
+                (now - at).max(0) as f64
+            });
+        self.tokens = (self.tokens + elapsed * per_second / 1e6).min(burst);
+        self.refilled_at = Some(now);
+        if per_second <= 0.0 {
+            return Err(NoToken {
+                retry_after: MAX_RETRY_AFTER_US as Micros,
+            });
         }
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
-        Err(((1.0 - self.saved) * 1e6 / per_s).min(NEVER_US).ceil() as Micros)
+        let wait = (1.0 - self.tokens) * 1e6 / per_second;
+        Err(NoToken {
+            retry_after: wait.min(MAX_RETRY_AFTER_US).ceil() as Micros,
+        })
     }
 }
--- a/crates/sanddrum-limits/src/retry_budget.rs
+++ b/crates/sanddrum-limits/src/retry_budget.rs
@@ -1,100 +1,118 @@
-//! How many of clients' repeats are taken while the fleet is pressed.
+//! The budget for clients' retries while the fleet is overloaded.
 //!
-//! Under overload every job that is pushed back comes again, and again: at three times what the fleet can do most of
-//! what asks are repeats, each with less time left than a first try has and most of its start target gone, and what is
-//! done for them is done too late. So while the decision module pushes back much, repeats get a budget that first tries earn;
-//! the rest is pushed back before it costs anything. While little is pushed back there is no budget: after a crash or a
-//! lost zone repeats are what has to be served.
+//! Under overload every rejected request is retried, again and again: at three times the fleet's capacity most requests
+//! are retries. Each has less time left than a first attempt and has missed most of its latency objective, so that work
+//! on it is mostly wasted. While the decision module rejects many requests, retries therefore get a budget that is
+//! proportional to first attempts, and the rest is rejected before it costs anything. While few are rejected there is
+//! no budget: after a crash or the loss of a zone, retries are what has to be served.
 
-use crate::{RateMeter, RejectReason, TokenBucket};
+use crate::{Admission, RateMeter, RejectReason, Rejection, TokenBucket};
 use sanddrum::{Micros, RequestId, Settings};
 
-/// What came in since the last round.
+/// A client's request, as the budget counts it.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientRequest {
+    /// Which request this is.
+    pub request: RequestId,
+    /// Whether the client has sent it before.
+    pub is_retry: bool,
+}
+
+/// The events since the last call of [`RetryBudget::handle`].
 #[derive(Clone, Debug, Default)]
 pub struct RetryEvents {
-    /// Jobs that ask to be taken, and whether each is a client's repeat.
-    pub requests: Vec<(RequestId, bool)>,
-    /// Jobs that the decision module pushed back.
+    /// Requests that ask to be admitted.
+    pub requests: Vec<ClientRequest>,
+    /// Requests that the decision module rejected.
     pub rejected: u32,
 }
 
-/// Each first try earns this part of a repeat, unless set otherwise.
-const PART: f64 = 0.1;
-/// The fleet is pressed while the decision module pushes back more than this for each job let in. Less is the trouble of
-/// a crash or a flush, which repeats are the way out of.
-const PRESSED: f64 = 0.5;
-/// Permits are saved up for no more than this part of a window.
-const BURST: f64 = 0.3;
+/// Retries per first attempt, unless configured otherwise.
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
+/// The fleet is overloaded while the decision module rejects more than this for each admitted request. Less is due to a
+/// crash or a flush, which retries recover from.
+const OVERLOAD_REJECT_RATIO: f64 = 0.5;
+/// The burst of the budget, in windows.
+const BURST_WINDOWS: f64 = 0.3;
 
+/// The budget for clients' retries at one edge.
 pub struct RetryBudget {
-    part: f64,
+    /// Retries per first attempt; one or more: any.
+    retry_ratio: f64,
     window: Micros,
-    longest: Micros,
-    firsts: RateMeter,
-    repeats: RateMeter,
-    let_in: RateMeter,
-    pushed: RateMeter,
-    permits: TokenBucket,
+    max_retry_after: Micros,
+    first_attempts: RateMeter,
+    retries: RateMeter,
+    admitted: RateMeter,
+    rejected: RateMeter,
+    bucket: TokenBucket,
 }
 
 impl RetryBudget {
+    /// A budget that has seen no request.
     pub fn new(settings: &Settings) -> Self {
-        let number = |name: &str, otherwise: f64| settings.number(name).unwrap_or(otherwise);
+        let number = |name: &str, default: f64| settings.number(name).unwrap_or(default);
         RetryBudget {
-            part: number("limits.repeats", PART),
+            retry_ratio: number("limits.repeats", DEFAULT_RETRY_RATIO),
             window: (number("sharing.window-us", 1e6) as Micros).max(1),
-            longest: number("limits.max-retry-after-us", 2e6) as Micros,
-            firsts: RateMeter::default(),
-            repeats: RateMeter::default(),
-            let_in: RateMeter::default(),
-            pushed: RateMeter::default(),
-            permits: TokenBucket::default(),
+            max_retry_after: number("limits.max-retry-after-us", 2e6) as Micros,
+            first_attempts: RateMeter::default(),
+            retries: RateMeter::default(),
+            admitted: RateMeter::default(),
+            rejected: RateMeter::default(),
+            bucket: TokenBucket::default(),
         }
     }
 
-    /// Says of each job, in order, whether it goes on, or why not and when to come back.
-    pub fn handle(
-        &mut self,
-        now: Micros,
-        asked: &RetryEvents,
-        out: &mut impl FnMut(RequestId, Result<(), (RejectReason, Micros)>),
-    ) {
-        let window = self.window;
-        (0..asked.rejected).for_each(|_| self.pushed.record(now, window));
-        for (_, repeat) in &asked.requests {
-            if *repeat {
-                &mut self.repeats
+    /// Records the events, then admits or rejects each request, in order.
+    pub fn handle(&mut self, now: Micros, events: &RetryEvents, admission: &mut impl Admission) {
+        self.record(now, events);
+        let is_overloaded = self.is_overloaded(now);
+        for client_request in &events.requests {
+            let verdict = if is_overloaded && client_request.is_retry {
+                self.judge_retry(now)
             } else {
-                &mut self.firsts
+                Ok(())
+            };
+            match verdict {
+                Ok(()) => {
+                    self.admitted.record(now, self.window);
+                    admission.admit(client_request.request);
+                }
+                Err(rejection) => admission.reject(client_request.request, rejection),
             }
-            .record(now, window);
         }
-        // A part of all is a budget without bound.
-        let pressed = self.part < 1.0
-            && self.pushed.per_second(now, window) > PRESSED * self.let_in.per_second(now, window);
-        for (id, repeat) in &asked.requests {
-            let judged = if pressed && *repeat {
-                self.judge(now)
+    }
+    fn record(&mut self, now: Micros, events: &RetryEvents) {
+        for _ in 0..events.rejected {
+            self.rejected.record(now, self.window);
+        }
+        for client_request in &events.requests {
+            let meter = if client_request.is_retry {
+                &mut self.retries
             } else {
-                Ok(())
+                &mut self.first_attempts
             };
-            if judged.is_ok() {
-                self.let_in.record(now, window);
-            }
-            out(*id, judged);
+            meter.record(now, self.window);
         }
     }
-    fn judge(&mut self, now: Micros) -> Result<(), (RejectReason, Micros)> {
-        let rate = self.firsts.per_second(now, self.window) * self.part;
-        let burst = rate * self.window as f64 / 1e6 * BURST;
-        self.permits.take(now, rate, burst).map_err(|wait| {
-            // All that asked in the last window are ahead of it, as far as can be told.
-            let queue = self.repeats.per_second(now, self.window) * self.window as f64 / 1e6;
-            let wait = (wait as f64).max(queue * 1e6 / rate.max(1e-6));
-            (
-                RejectReason::RetryBudget,
-                (wait as Micros).min(self.longest),
-            )
+    fn is_overloaded(&self, now: Micros) -> bool {
+        let is_bounded = self.retry_ratio < 1.0;
+        let rejected = self.rejected.per_second(now, self.window);
+        let admitted = self.admitted.per_second(now, self.window);
+        is_bounded && rejected > OVERLOAD_REJECT_RATIO * admitted
+    }
+    fn judge_retry(&mut self, now: Micros) -> Result<(), Rejection> {
+        let rate = self.first_attempts.per_second(now, self.window) * self.retry_ratio;
+        let burst = rate * self.window as f64 / 1e6 * BURST_WINDOWS;
+        self.bucket.take(now, rate, burst).map_err(|no_token| {
+            // As far as is known here, all retries of the last window are ahead of this one.
+            let queue = self.retries.per_second(now, self.window) * self.window as f64 / 1e6;
+            let wait = (no_token.retry_after as f64).max(queue * 1e6 / rate.max(1e-6));
+            Rejection {
+                reason: RejectReason::RetryBudget,
+                retry_after: (wait as Micros).min(self.max_retry_after),
+            }
         })
     }
 }
