--- a/crates/sanddrum-cli/src/config.rs
+++ b/crates/sanddrum-cli/src/config.rs
@@ -48,7 +48,10 @@
             .origins
             .get(name)
             .map_or_else(|| "counted".to_string(), ToString::to_string);
-        println!("{name:36} {value:20} ; {origin}; {}", loaded.about(name));
+        println!(
+            "{name:36} {value:20} ; {origin}; {}",
+            loaded.description(name)
+        );
     }
     println!(
         "; what is not named here is as the decision module has it by itself (docs/settings.md)"
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -170,12 +170,12 @@
 /// What an edge starts on; it does not start on papers that are not good.
 fn side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
-        match l.has(key) {
+        match l.contains(key) {
             true => std::fs::read(l.text(key)).map_err(|e| format!("{} ({key}): {e}", l.text(key))),
             false => Ok(Vec::new()),
         }
     };
-    let own = match l.has(keys[2]) {
+    let own = match l.contains(keys[2]) {
         true => Some((read(keys[1])?, read(keys[2])?)),
         false => None,
     };
@@ -227,7 +227,7 @@
         return Ok(Box::new(edge));
     }
     let mut layer = Layer::new(edge, sanddrum_lab::tls_bounds(l));
-    let sessions = l.size("tls.sessions");
+    let sessions = l.integer("tls.sessions");
     if workers {
         let rules = Rules {
             sessions,
@@ -270,7 +270,7 @@
         .install_recorder()
         .map_err(|e| e.to_string())?;
     let state_file = settings
-        .has("edge.state-file")
+        .contains("edge.state-file")
         .then(|| PathBuf::from(settings.text("edge.state-file")));
     let begun = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -292,10 +292,10 @@
         platform: None,
     };
     let keys_file = settings
-        .has("identity.keys-file")
+        .contains("identity.keys-file")
         .then(|| PathBuf::from(settings.text("identity.keys-file")));
     let audit_file = settings
-        .has("identity.audit-file")
+        .contains("identity.audit-file")
         .then(|| PathBuf::from(settings.text("identity.audit-file")));
     if keys_file.is_some() && state_file.is_none() {
         tracing::warn!(
@@ -318,23 +318,28 @@
         .into_iter()
         .zip(CALL_KEYS)
         .chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
-    for (name, key) in files.filter(|(_, key)| settings.has(key)) {
+    for (name, key) in files.filter(|(_, key)| settings.contains(key)) {
         driver.watch(
             host,
             name,
             PathBuf::from(settings.text(key)),
-            settings.span("tls.watch-every-us"),
+            settings.duration_us("tls.watch-every-us"),
         );
     }
     if let Some(file) = audit_file {
         driver.audit_to(
             host,
             file,
-            settings.size("identity.audit-most-bytes") as u64,
+            settings.integer("identity.audit-most-bytes") as u64,
         );
     }
     if let Some(file) = keys_file {
-        driver.watch(host, KEYS, file, settings.span("identity.watch-every-us"));
+        driver.watch(
+            host,
+            KEYS,
+            file,
+            settings.duration_us("identity.watch-every-us"),
+        );
     }
     if let Some(file) = &args.address_file {
         crate::fleet::tell_address(file, &at).map_err(|e| format!("{}: {e}", file.display()))?;
--- a/crates/sanddrum-cli/tests/hunt.rs
+++ b/crates/sanddrum-cli/tests/hunt.rs
@@ -3,7 +3,9 @@
 mod steered;
 
 use rstest::rstest;
-use sanddrum_fastcgi::{begin, header, params, stream, Kind};
+use sanddrum_fastcgi::{
+    encode_header, encode_params, write_begin_request, write_stream, RecordType,
+};
 use sanddrum_lab::faults::{FaultControl, Word};
 use sanddrum_platform::frames;
 use serde_json::{json, Value};
@@ -38,19 +40,19 @@
             ("HTTP_X_ENTITY", "7f3a9c21e0b4d655"),
             ("HTTP_X_INFO", "memory_mb:100;lanes:40;load_ms:300"),
         ];
-        begin(&mut out, id, true);
-        stream(&mut out, Kind::Params, id, &params(&pairs));
+        write_begin_request(&mut out, id, true);
+        write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
         web.says(&out);
     }
     // A record of each body in turn, so that none is whole before all nearly are.
     for id in requests.clone() {
-        let mut out = header(Kind::Stdin, id, body.len()).to_vec();
+        let mut out = encode_header(RecordType::Stdin, id, body.len()).to_vec();
         out.extend_from_slice(&body);
         web.says(&out);
     }
     requests
         .clone()
-        .for_each(|id| web.says(&header(Kind::Stdin, id, 0)));
+        .for_each(|id| web.says(&encode_header(RecordType::Stdin, id, 0)));
     for _ in requests {
         let next = worker.request();
         assert_eq!(next.1.body.len(), LARGEST_BODY);
@@ -162,7 +164,7 @@
     std::thread::sleep(Duration::from_millis(50));
     worker.says(
         out.0,
-        &frames::answer(97, out.1.id, "remark=hot", &out.1.body),
+        &frames::response(97, out.1.id, "remark=hot", &out.1.body),
     );
     worker.serve(&also);
     assert_eq!(web.answer().unwrap().status(), "200");
--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -2,7 +2,7 @@
 //! configuration again, and ending.
 
 use rstest::rstest;
-use sanddrum_fastcgi::{begin, params, stream, Kind, Record};
+use sanddrum_fastcgi::{encode_params, write_begin_request, write_stream, Record, RecordType};
 use sanddrum_platform::frames;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -28,8 +28,8 @@
         let mut rest = vec![0; fields + body + 4];
         conn.read_exact(&mut rest).unwrap();
         let answer = match head[1] {
-            65 => frames::answer(97, id, "remark=hot", &rest[fields..fields + body]),
-            69 => frames::answer(97, id, "copies=1", b""),
+            65 => frames::response(97, id, "remark=hot", &rest[fields..fields + body]),
+            69 => frames::response(97, id, "copies=1", b""),
             _ => continue,
         };
         conn.write_all(&answer).unwrap();
@@ -115,9 +115,9 @@
 fn asked(at: &str, pairs: &[(&str, &str)], body: &[u8]) -> String {
     let mut conn = TcpStream::connect(at).unwrap();
     let mut out = Vec::new();
-    begin(&mut out, 1, true);
-    stream(&mut out, Kind::Params, 1, &params(pairs));
-    stream(&mut out, Kind::Stdin, 1, body);
+    write_begin_request(&mut out, 1, true);
+    write_stream(&mut out, RecordType::Params, 1, &encode_params(pairs));
+    write_stream(&mut out, RecordType::Stdin, 1, body);
     conn.write_all(&out).unwrap();
     let (mut bytes, mut text, mut piece) = (Vec::new(), String::new(), [0; 4096]);
     loop {
@@ -126,7 +126,7 @@
         bytes.extend_from_slice(&piece[..n]);
         while let Some((record, took)) = Record::read(&bytes).unwrap() {
             match record.kind {
-                Kind::End => return text,
+                RecordType::EndRequest => return text,
                 _ => text.push_str(&String::from_utf8_lossy(record.content)),
             }
             bytes.drain(..took);
--- a/crates/sanddrum-cli/tests/races.rs
+++ b/crates/sanddrum-cli/tests/races.rs
@@ -93,7 +93,7 @@
     (1..=6).for_each(|id| web.says(&asks(id, &format!("{id:016x}"), 11_000, b"in")));
     for served in 0..6 {
         let (n, request) = worker.request();
-        worker.says(n, &frames::answer(97, request.id, "remark=hot", &body));
+        worker.says(n, &frames::response(97, request.id, "remark=hot", &body));
         if served == 0 {
             router.signal("TERM");
         }
@@ -323,7 +323,7 @@
     let mut web = Web::connects(&router.at);
     web.calls(1, A);
     let (first, request) = worker.request();
-    let full = frames::answer(100, request.id, "", b"");
+    let full = frames::response(100, request.id, "", b"");
     worker.says(first, &full);
     // Its next attempt is on another connection: on this one its id is spent.
     let again = worker.request();
@@ -332,7 +332,7 @@
     worker.says(first, &full);
     worker.says(
         first,
-        &frames::answer(97, request.id, "remark=hot", b"the wrong one's"),
+        &frames::response(97, request.id, "remark=hot", b"the wrong one's"),
     );
     worker.serve(&again);
     let answer = web.answer().unwrap();
@@ -359,7 +359,7 @@
     if ran {
         worker.ends(request.0, true);
     } else {
-        worker.says(request.0, &frames::answer(100, request.1.id, "", b""));
+        worker.says(request.0, &frames::response(100, request.1.id, "", b""));
         let again = worker.request();
         worker.serve(&again);
     }
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -2,7 +2,9 @@
 //! step: each waits for what it is to see, and fails where that does not come.
 #![allow(dead_code)]
 
-use sanddrum_fastcgi::{begin, header, params, stream, Kind, Record};
+use sanddrum_fastcgi::{
+    encode_header, encode_params, write_begin_request, write_stream, Record, RecordType,
+};
 use sanddrum_lab::faults::FaultControl;
 use sanddrum_platform::frames;
 use serde_json::{json, Value};
@@ -164,10 +166,10 @@
             match self.next_frame()? {
                 (n, frame) if frame.code == 65 => return Some((n, frame)),
                 (n, frame) if frame.code == 69 => {
-                    self.says(n, &frames::answer(97, frame.id, "copies=1", b""))
+                    self.says(n, &frames::response(97, frame.id, "copies=1", b""))
                 }
                 (n, frame) if frame.code == 67 => {
-                    self.says(n, &frames::answer(103, frame.id, "", b""))
+                    self.says(n, &frames::response(103, frame.id, "", b""))
                 }
                 _ => {}
             }
@@ -190,7 +192,7 @@
     pub fn serve(&mut self, (n, request): &(usize, Frame)) {
         self.says(
             *n,
-            &frames::answer(97, request.id, "remark=hot", &request.body),
+            &frames::response(97, request.id, "remark=hot", &request.body),
         );
     }
     /// Ends a connection in order, or as a dead process does.
@@ -261,9 +263,9 @@
         ("HTTP_X_INFO", "memory_mb:100;lanes:40;load_ms:300"),
     ];
     let mut out = Vec::new();
-    begin(&mut out, id, true);
-    stream(&mut out, Kind::Params, id, &params(&pairs));
-    stream(&mut out, Kind::Stdin, id, body);
+    write_begin_request(&mut out, id, true);
+    write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
+    write_stream(&mut out, RecordType::Stdin, id, body);
     out
 }
 
@@ -299,7 +301,7 @@
         self.says(&asks(id, call, 4000, call.as_bytes()));
     }
     pub fn withdraws(&mut self, id: u16) {
-        self.says(&header(Kind::Abort, id, 0));
+        self.says(&encode_header(RecordType::AbortRequest, id, 0));
     }
     /// The next answer, or none where the connection has ended in order. A reset fails the story.
     pub fn answer(&mut self) -> Option<Answered> {
@@ -309,7 +311,7 @@
                 let (kind, id, content) = (record.kind, record.id, record.content.to_vec());
                 self.bytes.drain(..took);
                 match kind {
-                    Kind::End => {
+                    RecordType::EndRequest => {
                         let text = self.texts.remove(&id).unwrap_or_default();
                         return Some(Answered {
                             id,
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -5,7 +5,7 @@
 use sanddrum::{EndpointListKind, Micros};
 use sanddrum_net::{ConnectionId, Event, Io};
 use sanddrum_platform::control_feed::{self, FeedEvents};
-use sanddrum_platform::starts::{ClockReading, StartTimes};
+use sanddrum_platform::start_times::{ClockReading, StartTimes};
 use sanddrum_wire::http;
 
 pub(crate) struct Feed {
@@ -65,8 +65,10 @@
             let (Some(list), Some(feed)) = (change.members, &mut self.feed) else {
                 continue;
             };
-            let rows = feed.starts.endpoints(now, list.members, list.complete);
-            let kind = if list.complete {
+            let rows = feed
+                .starts
+                .endpoints(now, list.members, list.is_full_snapshot);
+            let kind = if list.is_full_snapshot {
                 EndpointListKind::Full
             } else {
                 EndpointListKind::Delta
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -11,8 +11,8 @@
 use sanddrum_settings::LoadedSettings;
 use sanddrum_upstream::Backoff;
 use sanddrum_wire::{
-    frame::frame, id_of, EndpointRecord, EndpointUpdate, FrameDecoder, FromDiscovery, Hello, Phase,
-    ToDiscovery, VERSION,
+    frame::encode_frame, stable_id, EndpointRecord, EndpointUpdate, FrameDecoder, FromDiscovery,
+    Hello, Phase, ToDiscovery, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
 
 impl List {
     pub fn of(l: &LoadedSettings) -> Self {
-        let span = |name: &str| l.span(&format!("limits.list-retry-{name}-us"));
+        let span = |name: &str| l.duration_us(&format!("limits.list-retry-{name}-us"));
         List {
             zones: l.names("zones"),
             conn: None,
@@ -159,8 +159,10 @@
         rows: &[EndpointRecord],
     ) {
         if kind != EndpointListKind::Delta {
-            let listed: BTreeSet<WorkerId> =
-                rows.iter().map(|row| WorkerId(id_of(&row.name))).collect();
+            let listed: BTreeSet<WorkerId> = rows
+                .iter()
+                .map(|row| WorkerId(stable_id(&row.name)))
+                .collect();
             self.list.rows.retain(|worker, _| listed.contains(worker));
             self.only_these_stand(now, &listed);
         }
@@ -169,7 +171,7 @@
             endpoints: Vec::new(),
         };
         for row in rows {
-            let worker = WorkerId(id_of(&row.name));
+            let worker = WorkerId(stable_id(&row.name));
             let (incarnation, started) = self.list.started(worker, row, now);
             let listed = self.list.worker_row(worker, row, started);
             self.look_at_addresses(now, worker, row, incarnation);
@@ -264,7 +266,7 @@
         if wanted.asks {
             let watch = self.list.known.watch();
             if let Some(out) = &mut self.list.out {
-                let _ = out.push((), &frame(&ToDiscovery::Watch(watch)));
+                let _ = out.push((), &encode_frame(&ToDiscovery::Watch(watch)));
             }
             self.list
                 .conn
@@ -290,8 +292,11 @@
             incarnation: self.incarnation,
             age_us: None,
         };
-        let _ = out.push((), &frame(&ToDiscovery::Hello(hello)));
-        let _ = out.push((), &frame(&ToDiscovery::Watch(self.list.known.watch())));
+        let _ = out.push((), &encode_frame(&ToDiscovery::Hello(hello)));
+        let _ = out.push(
+            (),
+            &encode_frame(&ToDiscovery::Watch(self.list.known.watch())),
+        );
         self.list.conn = Some(conn);
         self.list.out = Some(out);
         self.list.up = false;
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -7,7 +7,8 @@
 use crate::{arrival_time, Due, Inner, Owner};
 use sanddrum::{Micros, RequestId, WorkloadId};
 use sanddrum_fastcgi::{
-    self as fastcgi, RejectReason, Request, Responder, ResponderEvent, ResponderLimits, Status,
+    self as fastcgi, ProtocolStatus, RejectReason, Request, Responder, ResponderEvent,
+    ResponderLimits,
 };
 use sanddrum_net::{ConnectionId, Event, Io, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
@@ -198,14 +199,21 @@
                     if let Some(job) = front.jobs.remove(&id) {
                         self.give_job_up(now, job);
                     }
-                    self.write_front(conn, &fastcgi::end_all(id, Status::RequestComplete));
+                    self.write_front(
+                        conn,
+                        &fastcgi::encode_end_request(id, ProtocolStatus::RequestComplete),
+                    );
                 }
                 ResponderEvent::Reject { id, reason: why } => {
                     self.refuse_unread(now, conn, id, why, io)
                 }
                 // Its connection ends with what it has open; a request given up there is still heard of.
                 ResponderEvent::Request { id, .. } if front.ends.is_some() => {
-                    self.end_front_request(conn, id, &fastcgi::end_all(id, Status::Overloaded));
+                    self.end_front_request(
+                        conn,
+                        id,
+                        &fastcgi::encode_end_request(id, ProtocolStatus::Overloaded),
+                    );
                 }
                 ResponderEvent::Request { id, request } => {
                     front.spoke = true;
@@ -230,7 +238,10 @@
         self.figures.limit_hit("held-bodies");
         self.fronts.partial -= std::mem::take(&mut front.partial);
         for id in front.requests.drop_partial() {
-            self.write_front(conn, &fastcgi::end_all(id, Status::Overloaded));
+            self.write_front(
+                conn,
+                &fastcgi::encode_end_request(id, ProtocolStatus::Overloaded),
+            );
         }
     }
 
@@ -245,10 +256,16 @@
         let (status, reason, reads_on) = match why {
             RejectReason::TooManyOpen => {
                 self.figures.limit_hit("pipelined");
-                return self.write_front(conn, &fastcgi::end_all(id, Status::Overloaded));
+                return self.write_front(
+                    conn,
+                    &fastcgi::encode_end_request(id, ProtocolStatus::Overloaded),
+                );
             }
             RejectReason::Role => {
-                return self.write_front(conn, &fastcgi::end_all(id, Status::UnknownRole))
+                return self.write_front(
+                    conn,
+                    &fastcgi::encode_end_request(id, ProtocolStatus::UnknownRole),
+                )
             }
             RejectReason::Params => (400, "malformed-request", true),
             RejectReason::ParamsTooLong => (431, "head-too-large", false),
@@ -292,7 +309,7 @@
                 let ready = !self.list.is_empty() || now >= self.began + READY_WITHOUT_LIST;
                 let status = if ready { 200 } else { 503 };
                 let text: &[u8] = if ready { b"ok\n" } else { b"no list yet\n" };
-                Some(fastcgi::answer(
+                Some(fastcgi::encode_response(
                     id,
                     &[head(status, &[], text.len()).as_bytes(), text],
                 ))
@@ -363,7 +380,9 @@
         let number_of = id(request, "HTTP_X_CALL_ID")?;
         let name = request.param("HTTP_X_ENTITY").unwrap_or_default();
         id(request, "HTTP_X_ENTITY")?;
-        let whole = self.settings.span(&format!("workloads.{n}.time-limit-us"));
+        let whole = self
+            .settings
+            .duration_us(&format!("workloads.{n}.time-limit-us"));
         // Callers round, and count from before the request was on its way: a little beyond what is set is still sense.
         let beyond = self.limits.figures_beyond;
         let patience = number(
@@ -461,7 +480,7 @@
         }
         let bytes = match answer {
             Answer::Finished { body, .. } => {
-                fastcgi::answer(id, &[head(200, &[], body.len()).as_bytes(), body])
+                fastcgi::encode_response(id, &[head(200, &[], body.len()).as_bytes(), body])
             }
             Answer::Refused(refusal) => refused(id, refusal),
         };
@@ -615,7 +634,7 @@
 }
 fn no_answer(id: u16, no: &NoJob, wait: Option<Micros>) -> Vec<u8> {
     let text = format!("{}: {}\n", no.reason, no.detail);
-    fastcgi::answer(
+    fastcgi::encode_response(
         id,
         &[
             head(no.status, &come_back(wait), text.len()).as_bytes(),
@@ -626,7 +645,7 @@
 fn refused(id: u16, refusal: &Refusal<'_>) -> Vec<u8> {
     let text = format!("{}: {}\n", refusal.reason, refusal.detail);
     let fields = come_back(refusal.retry_after);
-    fastcgi::answer(
+    fastcgi::encode_response(
         id,
         &[
             head(refusal.status, &fields, text.len()).as_bytes(),
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -2,7 +2,7 @@
 
 use sanddrum::{FunctionId, Micros, WorkloadId};
 use sanddrum_settings::LoadedSettings;
-use sanddrum_wire::id_of;
+use sanddrum_wire::stable_id;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -64,13 +64,15 @@
                     workload: l.text(&at("workload")).to_string(),
                     memory_mb: l.number(&at("memory-mb")),
                     lanes: l.number(&at("lanes")) as u32,
-                    load: l.has(&at("load-us")).then(|| l.span(&at("load-us"))),
+                    load: l
+                        .contains(&at("load-us"))
+                        .then(|| l.duration_us(&at("load-us"))),
                 }
             })
             .collect();
         patterns.sort_by_key(|p| (p.any_end, std::cmp::Reverse(p.name.len())));
         // The module forgets one well before, so that none of its decisions names one that is unknown here.
-        let kept_for = KEEPS * l.span("copies.keep-alive-us");
+        let kept_for = KEEPS * l.duration_us("copies.keep-alive-us");
         let workloads = l.names("workloads");
         let effect = |n: usize| l.text(&format!("workloads.{n}.effect"));
         let run_once = (0..workloads.len())
@@ -104,7 +106,7 @@
             self.known
                 .retain(|_, function| now < function.last + kept_for);
         }
-        let id = FunctionId(id_of(name));
+        let id = FunctionId(stable_id(name));
         if !self.known.contains_key(&id) && self.known.len() >= most {
             return None;
         }
@@ -135,7 +137,7 @@
         most: usize,
     ) -> Result<(FunctionId, &Function), Unknown> {
         let name = format!("{workload}/{function}");
-        let id = FunctionId(id_of(&name));
+        let id = FunctionId(stable_id(&name));
         if !self.known.contains_key(&id) {
             let n = self
                 .workloads
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -268,7 +268,7 @@
                     }
                     return;
                 }
-                Ok(Parsed::Whole(request, took)) => {
+                Ok(Parsed::Complete(request, took)) => {
                     client.bytes.drain(..took);
                     client.told_to_go_on = false;
                     client.began = None;
@@ -468,7 +468,7 @@
             (known.workload, known.memory_mb, known.lanes, known.load);
         let whole = self
             .settings
-            .span(&format!("workloads.{}.time-limit-us", of.0));
+            .duration_us(&format!("workloads.{}.time-limit-us", of.0));
         let waited = self
             .clients
             .clients
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -131,17 +131,17 @@
 
 impl Identity {
     pub fn of(l: &LoadedSettings) -> Self {
-        let seconds = |name: &str| l.span(name) / 1_000_000;
+        let seconds = |name: &str| l.duration_us(name) / 1_000_000;
         let terms = Terms {
             audience: l.text("identity.audience").to_string(),
             leeway: seconds("identity.leeway-us"),
             longest: seconds("identity.longest-token-us"),
-            longest_bytes: l.size("identity.largest-token-bytes"),
+            longest_bytes: l.integer("identity.largest-token-bytes"),
         };
         let limits = GateLimits {
             checks_per_s: l.number("identity.token-checks"),
-            remembered: l.size("identity.token-memory"),
-            bad_tokens: l.size("identity.bad-tokens") as u32,
+            remembered: l.integer("identity.token-memory"),
+            bad_tokens: l.integer("identity.bad-tokens") as u32,
         };
         let per_s = l.number("identity.audit-rate");
         Identity {
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -42,7 +42,7 @@
 use sanddrum_bootstrap::DiscoveryEvent;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_platform::control_feed::FeedEvents;
-use sanddrum_platform::starts::ClockReading;
+use sanddrum_platform::start_times::ClockReading;
 use sanddrum_settings::LoadedSettings;
 use sanddrum_upstream::{ConnectionPolicy, IdleTimeoutEstimate, WorkerConnectionId};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -47,11 +47,11 @@
 
 impl Limits {
     pub fn of(l: &LoadedSettings) -> Self {
-        let span = |name: &str| l.span(&format!("limits.{name}-us"));
-        let bytes = |name: &str| l.size(&format!("limits.{name}-bytes"));
-        let count = |name: &str| l.size(&format!("limits.{name}"));
-        let longest =
-            (0..l.count("workloads")).map(|n| l.span(&format!("workloads.{n}.time-limit-us")));
+        let span = |name: &str| l.duration_us(&format!("limits.{name}-us"));
+        let bytes = |name: &str| l.integer(&format!("limits.{name}-bytes"));
+        let count = |name: &str| l.integer(&format!("limits.{name}"));
+        let longest = (0..l.count("workloads"))
+            .map(|n| l.duration_us(&format!("workloads.{n}.time-limit-us")));
         Limits {
             answer_ahead: span("answer-ahead"),
             max_open: count("max-open"),
@@ -68,7 +68,7 @@
             largest_frame: bytes("largest-frame"),
             largest_list: bytes("largest-list"),
             streams: count("streams"),
-            streams_wanted: if l.has("limits.streams-wanted") {
+            streams_wanted: if l.contains("limits.streams-wanted") {
                 count("streams-wanted")
             } else {
                 count("streams")
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -116,7 +116,7 @@
     }
     /// Whether a worker is called elsewhere than this row says.
     pub fn has_moved(&self, row: &EndpointRecord) -> bool {
-        let target = self.targets.get(&WorkerId(wire::id_of(&row.name)));
+        let target = self.targets.get(&WorkerId(wire::stable_id(&row.name)));
         target.is_some_and(|target| target.address != row.address)
     }
     /// Other workers called at this address.
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -2,7 +2,7 @@
 
 use crate::worker_connections::Mark;
 use sanddrum_platform::frames;
-use sanddrum_wire::frame::frame;
+use sanddrum_wire::frame::encode_frame;
 use sanddrum_wire::{
     self as wire, Done, Execute, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
     Load, LoadDone, ToWorker,
@@ -39,11 +39,11 @@
         }
     }
     pub fn hello(self, hello: Hello) -> Option<Vec<u8>> {
-        (self == Speech::Ours).then(|| frame(&ToWorker::Hello(hello)))
+        (self == Speech::Ours).then(|| encode_frame(&ToWorker::Hello(hello)))
     }
     pub fn execute(self, execute: Execute, call: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Execute(execute)),
+            Speech::Ours => encode_frame(&ToWorker::Execute(execute)),
             Speech::Platform => {
                 let Execute {
                     workload,
@@ -53,25 +53,32 @@
                     idempotency_key: mark,
                     ..
                 } = execute;
-                frames::keyed_request(call, &workload, &function, limit_us, mark.as_deref(), &body)
+                frames::request_with_key(
+                    call,
+                    &workload,
+                    &function,
+                    limit_us,
+                    mark.as_deref(),
+                    &body,
+                )
             }
         }
     }
     pub fn cancel(self, execution: u64, call: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Cancel(wire::Cancel { id: execution })),
+            Speech::Ours => encode_frame(&ToWorker::Cancel(wire::Cancel { id: execution })),
             Speech::Platform => frames::cancel(call),
         }
     }
     pub fn hold(self, hold: Load) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Load(hold)),
+            Speech::Ours => encode_frame(&ToWorker::Load(hold)),
             Speech::Platform => frames::load(hold.id, &hold.function, hold.instances),
         }
     }
     pub fn unload(self, function: String) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Unload(wire::Unload { function })),
+            Speech::Ours => encode_frame(&ToWorker::Unload(wire::Unload { function })),
             Speech::Platform => {
                 frames::unload(u64::from_str_radix(&function, 16).unwrap_or_default())
             }
@@ -79,7 +86,7 @@
     }
     pub fn probe(self, id: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::HealthCheck(wire::HealthCheck { id })),
+            Speech::Ours => encode_frame(&ToWorker::HealthCheck(wire::HealthCheck { id })),
             Speech::Platform => frames::ping(id),
         }
     }
@@ -100,15 +107,15 @@
         match self {
             Reader::Ours(frames) => frames.next_message().map_err(|e| e.to_string()),
             Reader::Platform(frames) => {
-                let answer = frames.next_answer().map_err(|e| e.to_string())?;
+                let answer = frames.next_response().map_err(|e| e.to_string())?;
                 Ok(answer.map(|answer| meant(answer, ids)))
             }
         }
     }
 }
 
-fn meant(answer: frames::Answer, ids: &BTreeMap<u64, Mark>) -> FromWorker {
-    let frames::Answer {
+fn meant(answer: frames::Response, ids: &BTreeMap<u64, Mark>) -> FromWorker {
+    let frames::Response {
         id,
         status: ended,
         instance: copy,
--- a/crates/sanddrum-edge/tests/host/mod.rs
+++ b/crates/sanddrum-edge/tests/host/mod.rs
@@ -6,8 +6,8 @@
 use sanddrum::*;
 use sanddrum_edge::{DecisionModule, Edge, Platform, Start};
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, ListenerId, PeerIdentity};
-use sanddrum_platform::control_feed::{FeedEvent, FeedEvents, Member, Members};
-use sanddrum_wire::frame::frame;
+use sanddrum_platform::control_feed::{FeedEvent, FeedEvents, Member, MembershipUpdate};
+use sanddrum_wire::frame::encode_frame;
 use sanddrum_wire::{
     http, Done, EndpointRecord, EndpointUpdate, ExecutionStatus, FrameDecoder, FromDiscovery,
     FromWorker, Hello, Phase, ToWorker,
@@ -43,7 +43,7 @@
 pub struct Puppet(Rc<RefCell<Strings>>);
 
 pub fn worker_id() -> WorkerId {
-    WorkerId(sanddrum_wire::id_of("w"))
+    WorkerId(sanddrum_wire::stable_id("w"))
 }
 
 impl DecisionModule for Puppet {
@@ -57,13 +57,15 @@
         strings.lists.extend(round.endpoint_lists.iter().cloned());
         // The function of the newest job, whatever door it came by.
         let named = strings.jobs.last().map(|job| job.function);
-        let function = named.unwrap_or(FunctionId(sanddrum_wire::id_of("job/f1")));
+        let function = named.unwrap_or(FunctionId(sanddrum_wire::stable_id("job/f1")));
         for deed in std::mem::take(&mut strings.deeds) {
             match deed {
                 Do::Execute(job, limit) => out.dispatch(RequestId(job), worker_id(), limit),
-                Do::ExecuteAt(job, limit, name) => {
-                    out.dispatch(RequestId(job), WorkerId(sanddrum_wire::id_of(name)), limit)
-                }
+                Do::ExecuteAt(job, limit, name) => out.dispatch(
+                    RequestId(job),
+                    WorkerId(sanddrum_wire::stable_id(name)),
+                    limit,
+                ),
                 Do::Cancel(job, n) => out.cancel(RequestId(job), n),
                 Do::PushBack(job) => out.reject(RequestId(job), 300_000),
                 Do::Kill(job) => out.fail(RequestId(job)),
@@ -159,8 +161,8 @@
             endpoint: row("w", 0, Phase::Ready),
             up_since_ms: 0,
         }];
-        let members = Some(Members {
-            complete: true,
+        let members = Some(MembershipUpdate {
+            is_full_snapshot: true,
             members,
         });
         let known = FeedEvents {
@@ -346,7 +348,7 @@
         self.read_by(conn).into_iter().filter_map(each).collect()
     }
     pub fn worker_says(&mut self, conn: ConnectionId, message: &FromWorker) {
-        self.says(conn, &frame(message));
+        self.says(conn, &encode_frame(message));
     }
     pub fn done(&mut self, conn: ConnectionId, id: u64, ended: ExecutionStatus) {
         let done = Done {
@@ -395,7 +397,10 @@
         }
     }
     pub fn list_says(&mut self, rows: &EndpointUpdate) {
-        self.says(self.list, &frame(&FromDiscovery::Endpoints(rows.clone())));
+        self.says(
+            self.list,
+            &encode_frame(&FromDiscovery::Endpoints(rows.clone())),
+        );
     }
 }
 
--- a/crates/sanddrum-edge/tests/host/platform.rs
+++ b/crates/sanddrum-edge/tests/host/platform.rs
@@ -1,7 +1,7 @@
 //! What web servers, workers and the control feed of the platform say to the edge of a story.
 
 use super::{Do, Host};
-use sanddrum_fastcgi::{begin, params, stream, Kind, Record};
+use sanddrum_fastcgi::{encode_params, write_begin_request, write_stream, Record, RecordType};
 use sanddrum_net::ConnectionId;
 use serde_json::json;
 
@@ -24,9 +24,9 @@
         .map(|(name, value)| (*name, value.as_str()))
         .collect();
     let mut out = Vec::new();
-    begin(&mut out, id, true);
-    stream(&mut out, Kind::Params, id, &params(&pairs));
-    stream(&mut out, Kind::Stdin, id, body);
+    write_begin_request(&mut out, id, true);
+    write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
+    write_stream(&mut out, RecordType::Stdin, id, body);
     out
 }
 pub fn asks(host: &mut Host, front: ConnectionId, id: u16, call: &str) {
@@ -42,11 +42,11 @@
     );
     while let Some((record, took)) = Record::read(&bytes[at..]).unwrap() {
         match record.kind {
-            Kind::Stdout => texts
+            RecordType::Stdout => texts
                 .entry(record.id)
                 .or_default()
                 .push_str(&String::from_utf8_lossy(record.content)),
-            Kind::End => whole.push((
+            RecordType::EndRequest => whole.push((
                 record.id,
                 texts.remove(&record.id).unwrap_or_default(),
                 record.content[4],
--- a/crates/sanddrum-edge/tests/platform.rs
+++ b/crates/sanddrum-edge/tests/platform.rs
@@ -6,7 +6,7 @@
 use host::*;
 use rstest::rstest;
 use sanddrum::{Outcome, Warmth, WorkerState};
-use sanddrum_fastcgi::{header, Kind, HEADER};
+use sanddrum_fastcgi::{encode_header, RecordType, HEADER_BYTES};
 use sanddrum_net::{CloseCause, Core, Event};
 use sanddrum_platform::frames;
 use serde_json::json;
@@ -19,7 +19,7 @@
     assert_eq!(host.io.wrote[&worker], sent);
     host.says(
         worker,
-        &frames::answer(97, call_number(), "remark=started,report=rif:3", b"\x00out"),
+        &frames::response(97, call_number(), "remark=started,report=rif:3", b"\x00out"),
     );
     let (id, text, status) = answers(&host, front).remove(0);
     assert_eq!((id, status), (1, 0));
@@ -114,7 +114,7 @@
     let second = host.client();
     host.says(second, &request(1, &usual(CALL), b"another body"));
     assert_eq!(statuses(&host, second), [(1, "Status: 409".to_string())]);
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
 }
 
@@ -132,7 +132,7 @@
 
 #[rstest]
 #[case::silent(vec![])]
-#[case::half_a_request(header(Kind::Begin, 1, 8).to_vec())]
+#[case::half_a_request(encode_header(RecordType::BeginRequest, 1, 8).to_vec())]
 fn a_connection_that_says_nothing_whole_ends_well_before_three_seconds(#[case] bytes: Vec<u8>) {
     let mut host = Host::on_platform(&[("limits.head-time-out", "2 s")]);
     let front = host.client();
@@ -179,16 +179,16 @@
 fn a_withdrawn_job_is_owed_no_answer_and_a_late_one_changes_nothing() {
     let mut host = Host::on_platform(&[]);
     let (front, worker) = job_out(&mut host);
-    host.says(front, &header(Kind::Abort, 1, 0));
+    host.says(front, &encode_header(RecordType::AbortRequest, 1, 0));
     assert_eq!(host.strings.borrow().left.len(), 1);
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(answers(&host, front), [(1, String::new(), 0)]);
 }
 
 #[rstest]
 #[case::noise(b"noise".to_vec())]
-#[case::a_check_that_does_not_fit({ let mut f = frames::answer(97, call_number(), "", b"out"); f[17] ^= 1; f })]
-#[case::three_gigabytes({ let mut f = frames::answer(97, call_number(), "", b"out"); f[4] = 0xc0; f })]
+#[case::a_check_that_does_not_fit({ let mut f = frames::response(97, call_number(), "", b"out"); f[17] ^= 1; f })]
+#[case::three_gigabytes({ let mut f = frames::response(97, call_number(), "", b"out"); f[4] = 0xc0; f })]
 fn a_spoilt_answer_ends_the_connection_and_nothing_of_it_is_passed_on(#[case] bytes: Vec<u8>) {
     let mut host = Host::on_platform(&[]);
     let (front, worker) = job_out(&mut host);
@@ -202,8 +202,8 @@
 fn answers_that_bring_more_than_belongs_to_them_change_nothing_more() {
     let mut host = Host::on_platform(&[]);
     let (front, worker) = job_out(&mut host);
-    host.says(worker, &frames::answer(97, 77, "", b"for nobody"));
-    let out = frames::answer(97, call_number(), "", b"out");
+    host.says(worker, &frames::response(97, 77, "", b"for nobody"));
+    let out = frames::response(97, call_number(), "", b"out");
     host.says(worker, &[out.clone(), out].concat());
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
     assert_eq!(host.ends(), [Outcome::Finished]);
@@ -223,9 +223,9 @@
     assert_ne!(first, second);
     host.up(second);
     // The first one's answer comes late: it is not taken for the second one's.
-    host.says(first, &frames::answer(99, call_number(), "", b""));
+    host.says(first, &frames::response(99, call_number(), "", b""));
     assert_eq!(host.ends(), [Outcome::Cancelled]);
-    host.says(second, &frames::answer(97, call_number(), "", b"out"));
+    host.says(second, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(host.ends(), [Outcome::Cancelled, Outcome::Finished]);
 }
 
@@ -271,7 +271,7 @@
     told(&mut host, 2, member("w", "in_service"));
     let order = frames::load(1, FUNCTION, 2);
     assert!(host.io.wrote[&worker].ends_with(&order));
-    host.says(worker, &frames::answer(97, 1, "copies=2", b""));
+    host.says(worker, &frames::response(97, 1, "copies=2", b""));
     let end = host.strings.borrow().orders[0];
     assert_eq!((end.outcome, end.instances), (Outcome::Finished, 2));
 }
@@ -366,7 +366,7 @@
     let (front, worker) = job_out(&mut host);
     host.wait(S / 2);
     assert!(!host.edge.is_done(), "a job is open");
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
     assert!(host.edge.is_done());
 }
@@ -414,11 +414,11 @@
         .collect();
     host.event(Event::Bytes {
         conn: front,
-        bytes: &bytes[..HEADER / 2],
+        bytes: &bytes[..HEADER_BYTES / 2],
     });
     host.event(Event::Bytes {
         conn: front,
-        bytes: &bytes[HEADER / 2..],
+        bytes: &bytes[HEADER_BYTES / 2..],
     });
     assert_eq!(host.strings.borrow().jobs.len(), 32);
     assert_eq!(
@@ -449,7 +449,7 @@
     let second = worker(&host);
     assert_ne!(first, second);
     host.up(second);
-    host.says(second, &frames::answer(97, call_number(), "", b"out"));
+    host.says(second, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
     assert_eq!(host.ends(), [Outcome::Reset, Outcome::Finished]);
 }
@@ -463,8 +463,8 @@
     let (first, second) = (host.client(), host.client());
     let whole = |id, call| request(id, &usual(call), &[b'x'; 16 * 1024]);
     let (one, other) = (whole(1, CALL), whole(1, OTHER));
-    host.says(first, &one[..one.len() - HEADER]);
-    host.says(second, &other[..other.len() - HEADER]);
+    host.says(first, &one[..one.len() - HEADER_BYTES]);
+    host.says(second, &other[..other.len() - HEADER_BYTES]);
     // The one that brought too much is refused, as never taken up; the other comes whole and is asked.
     assert_eq!(
         answers(&host, second)
@@ -473,8 +473,8 @@
             .collect::<Vec<_>>(),
         [(1, 2)]
     );
-    host.says(second, &other[other.len() - HEADER..]);
-    host.says(first, &one[one.len() - HEADER..]);
+    host.says(second, &other[other.len() - HEADER_BYTES..]);
+    host.says(first, &one[one.len() - HEADER_BYTES..]);
     assert_eq!(host.strings.borrow().jobs.len(), 1);
     // Its place is free again for the next.
     let again = request(2, &usual(OTHER), b"in");
--- a/crates/sanddrum-edge/tests/platform_net.rs
+++ b/crates/sanddrum-edge/tests/platform_net.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use sanddrum_edge::{Edge, Platform, Start};
-use sanddrum_fastcgi::{begin, params, stream, Kind, Record};
+use sanddrum_fastcgi::{encode_params, write_begin_request, write_stream, Record, RecordType};
 use sanddrum_net::{
     ConnectionId, Core, Event, HostId, Io, LinkModel, Micros, NullObserver, VirtualNet,
 };
@@ -74,15 +74,15 @@
                 self.later(
                     now + takes,
                     conn,
-                    frames::answer(97, id, &format!("copies={told}"), b""),
+                    frames::response(97, id, &format!("copies={told}"), b""),
                 );
             }
             65 if !self.loaded.contains(&function) => {
-                self.later(now, conn, frames::answer(99, id, "", b""))
+                self.later(now, conn, frames::response(99, id, "", b""))
             }
             65 => {
                 *self.truth.borrow_mut().executions.entry(id).or_default() += 1;
-                let mut out = frames::answer(97, id, "remark=hot,report=q:0;rif:1", body);
+                let mut out = frames::response(97, id, "remark=hot,report=q:0;rif:1", body);
                 if self.spoils > 0 && self.count.is_multiple_of(self.spoils) {
                     let last = out.len() - 1;
                     out[last] ^= 1;
@@ -162,11 +162,11 @@
                 self.bytes.extend_from_slice(bytes);
                 while let Some((record, took)) = Record::read(&self.bytes).unwrap() {
                     match record.kind {
-                        Kind::Stdout => {
+                        RecordType::Stdout => {
                             let text = String::from_utf8_lossy(record.content).into_owned();
                             self.open.get_mut(&record.id).unwrap().1.push_str(&text);
                         }
-                        Kind::End => {
+                        RecordType::EndRequest => {
                             let (call, text) = self.open.remove(&record.id).unwrap();
                             self.truth
                                 .borrow_mut()
@@ -208,9 +208,9 @@
                 ("HTTP_X_INFO", "memory_mb:100;lanes:4;load_ms:300"),
             ];
             let mut out = Vec::new();
-            begin(&mut out, id, true);
-            stream(&mut out, Kind::Params, id, &params(&pairs));
-            stream(&mut out, Kind::Stdin, id, number.as_bytes());
+            write_begin_request(&mut out, id, true);
+            write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
+            write_stream(&mut out, RecordType::Stdin, id, number.as_bytes());
             io.write(self.conn.unwrap(), &out);
             self.open.insert(id, (call, String::new()));
             self.truth.borrow_mut().asked.insert(call, now);
--- a/crates/sanddrum-edge/tests/races.rs
+++ b/crates/sanddrum-edge/tests/races.rs
@@ -7,7 +7,7 @@
 use host::*;
 use rstest::rstest;
 use sanddrum::{Outcome, WorkerState};
-use sanddrum_fastcgi::{header, Kind, HEADER};
+use sanddrum_fastcgi::{encode_header, RecordType, HEADER_BYTES};
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event};
 use sanddrum_platform::frames;
 use sanddrum_wire::Phase;
@@ -35,7 +35,7 @@
 }
 fn leaves(host: &mut Host, front: ConnectionId, withdraws: bool) {
     if withdraws {
-        host.says(front, &header(Kind::Abort, 1, 0));
+        host.says(front, &encode_header(RecordType::AbortRequest, 1, 0));
     } else {
         host.event(Event::Closed {
             conn: front,
@@ -88,7 +88,7 @@
 fn a_further_attempt_is_not_begun_for_a_client_that_left_before_it() {
     let mut host = Host::on_platform(&[]);
     let (front, first) = job_out(&mut host);
-    host.says(first, &frames::answer(100, call_number(), "", b""));
+    host.says(first, &frames::response(100, call_number(), "", b""));
     leaves(&mut host, front, true);
     let wrote = host.io.wrote[&first].len();
     decide(&mut host, 2, &[Do::Execute(0, 1_000_000)]);
@@ -146,7 +146,7 @@
     let second = worker(&host);
     assert_ne!(first, second);
     host.up(second);
-    host.says(second, &frames::answer(97, call_number(), "", b"out"));
+    host.says(second, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
 }
 
@@ -203,7 +203,7 @@
 fn a_second_copy_of_an_answer_is_not_taken_for_the_answer_to_the_next_attempt() {
     let mut host = Host::on_platform(&[]);
     let (front, first) = job_out(&mut host);
-    let full = frames::answer(100, call_number(), "", b"");
+    let full = frames::response(100, call_number(), "", b"");
     host.says(first, &full);
     decide(&mut host, 2, &[Do::Execute(0, 1_000_000)]);
     let second = worker(&host);
@@ -211,7 +211,7 @@
     host.up(second);
     host.says(first, &full);
     assert_eq!(host.ends(), [Outcome::Rejected], "the second attempt runs");
-    host.says(second, &frames::answer(97, call_number(), "", b"out"));
+    host.says(second, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
 }
 
@@ -222,7 +222,7 @@
     leaves(&mut host, front, true);
     host.says(
         first,
-        &frames::answer(97, call_number(), "", b"the first one's"),
+        &frames::response(97, call_number(), "", b"the first one's"),
     );
     let other = host.client();
     host.strings
@@ -235,10 +235,10 @@
     host.up(second);
     host.says(
         first,
-        &frames::answer(97, call_number(), "", b"the first one's"),
+        &frames::response(97, call_number(), "", b"the first one's"),
     );
     assert!(answers(&host, other).is_empty());
-    host.says(second, &frames::answer(97, call_number(), "", b"its own"));
+    host.says(second, &frames::response(97, call_number(), "", b"its own"));
     assert!(answers(&host, other)[0].1.ends_with("its own"));
 }
 
@@ -249,7 +249,7 @@
         ("limits.client-idle", "1000 s"),
     ]);
     let (_, first) = job_out(&mut host);
-    host.says(first, &frames::answer(97, call_number(), "", b"out"));
+    host.says(first, &frames::response(97, call_number(), "", b"out"));
     // The time limit is 10 s.
     host.wait(21 * S);
     let front = host.client();
@@ -261,7 +261,7 @@
     let before = host.io.connects.len();
     host.says(
         first,
-        &frames::answer(97, u64::from_str_radix(OTHER, 16).unwrap(), "", b"out"),
+        &frames::response(97, u64::from_str_radix(OTHER, 16).unwrap(), "", b"out"),
     );
     host.strings
         .borrow_mut()
@@ -291,7 +291,7 @@
     let mut host = Host::on_platform(&[]);
     let (front, worker) = job_out(&mut host);
     host.now += 1_400_000;
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
     assert_eq!(host.ends(), [Outcome::Finished]);
 }
@@ -300,7 +300,7 @@
 fn a_request_sent_as_its_connection_closes_may_have_run_and_is_told_so_once() {
     let mut host = Host::on_platform(&[]);
     let (front, worker) = job_out(&mut host);
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     host.strings
         .borrow_mut()
         .deeds
@@ -522,15 +522,15 @@
     let (id, key) = (call_number(), Some("order-17"));
     assert_eq!(
         host.io.wrote[&first],
-        frames::keyed_request(id, "job", FUNCTION, 1_400_000, key, b"in")
+        frames::request_with_key(id, "job", FUNCTION, 1_400_000, key, b"in")
     );
-    host.says(first, &frames::answer(100, id, "", b""));
+    host.says(first, &frames::response(100, id, "", b""));
     decide(&mut host, 2, &[Do::Execute(0, 1_000_000)]);
     let second = worker(&host);
     host.up(second);
     assert_eq!(
         host.io.wrote[&second],
-        frames::keyed_request(id, "job", FUNCTION, 1_000_000, key, b"in")
+        frames::request_with_key(id, "job", FUNCTION, 1_000_000, key, b"in")
     );
 }
 
@@ -541,7 +541,7 @@
     host.says(front, &request(2, &usual(OTHER), &vec![7; 40_000]));
     host.wait(S);
     assert_eq!(statuses(&host, front), [(2, "Status: 413".to_string())]);
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(
         statuses(&host, front).last().unwrap(),
         &(1, "Status: 200".to_string())
@@ -556,7 +556,7 @@
     host.says(front, &request(2, &usual(OTHER), b"in")[..40]);
     host.wait(S);
     assert!(!host.io.closed.iter().any(|(conn, _)| *conn == front));
-    host.says(worker, &frames::answer(97, call_number(), "", b"out"));
+    host.says(worker, &frames::response(97, call_number(), "", b"out"));
     assert_eq!(statuses(&host, front), [(1, "Status: 200".to_string())]);
     assert!(
         host.io.closed.contains(&(front, Some(CloseCause::Orderly))),
@@ -571,7 +571,7 @@
     // The second is the last on its connection, and is answered first.
     asks(&mut host, front, 1, CALL);
     let mut last = request(2, &usual(OTHER), b"in");
-    last[HEADER + 2] = 0;
+    last[HEADER_BYTES + 2] = 0;
     host.strings.borrow_mut().deeds.push(Do::PushBack(1));
     host.says(front, &last);
     assert_eq!(statuses(&host, front), [(2, "Status: 503".to_string())]);
--- a/crates/sanddrum-emulator/src/list_service.rs
+++ b/crates/sanddrum-emulator/src/list_service.rs
@@ -4,7 +4,8 @@
 use crate::peers::Peers;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_wire::{
-    frame::frame, EndpointRecord, EndpointUpdate, FromDiscovery, Hello, Phase, ToDiscovery, VERSION,
+    frame::encode_frame, EndpointRecord, EndpointUpdate, FromDiscovery, Hello, Phase, ToDiscovery,
+    VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -115,7 +116,7 @@
                 };
             self.watchers.insert(conn);
             self.peers
-                .send(conn, &frame(&FromDiscovery::Endpoints(rows)));
+                .send(conn, &encode_frame(&FromDiscovery::Endpoints(rows)));
         }
     }
     fn rows_for(&self, now: Micros, run: u64, version: u64) -> EndpointUpdate {
@@ -173,7 +174,7 @@
         }
         let rows = vec![Self::aged(&row, started, now)];
         let (version, run) = (self.version, self.run);
-        let change = frame(&FromDiscovery::Endpoints(EndpointUpdate {
+        let change = encode_frame(&FromDiscovery::Endpoints(EndpointUpdate {
             version,
             service_incarnation: run,
             is_full_snapshot: false,
@@ -193,7 +194,8 @@
                     incarnation: self.run,
                     age_us: None,
                 };
-                self.peers.send(conn, &frame(&FromDiscovery::Hello(hello)));
+                self.peers
+                    .send(conn, &encode_frame(&FromDiscovery::Hello(hello)));
             }
             ToDiscovery::Watch(_) if self.calls.len() >= self.spec.most => {
                 self.forget(conn);
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -210,7 +210,7 @@
         let mut functions: BTreeMap<u64, TrueFunction> = BTreeMap::new();
         for copy in self.copies.values().filter(|c| !c.void) {
             let of = functions
-                .entry(sanddrum_wire::id_of(&copy.function))
+                .entry(sanddrum_wire::stable_id(&copy.function))
                 .or_default();
             match copy.stage {
                 Stage::Stands { .. } => of.lanes += copy.lanes,
@@ -224,7 +224,7 @@
             .chain(self.waiting.iter().map(|w| &w.task));
         for task in tasks {
             functions
-                .entry(sanddrum_wire::id_of(&task.function))
+                .entry(sanddrum_wire::stable_id(&task.function))
                 .or_default()
                 .held += 1;
         }
--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -3,7 +3,7 @@
 use crate::faults::{Shared, StoreFaults};
 use crate::peers::Peers;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
-use sanddrum_wire::{frame::frame, Fetched, FromStore, ToStore};
+use sanddrum_wire::{frame::encode_frame, Fetched, FromStore, ToStore};
 use std::collections::VecDeque;
 
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
         for f in ended {
             self.peers.send(
                 f.conn,
-                &frame(&FromStore::Fetched(Fetched {
+                &encode_frame(&FromStore::Fetched(Fetched {
                     id: f.id,
                     is_complete: true,
                 })),
@@ -98,7 +98,8 @@
                                     id: f.id,
                                     is_complete: false,
                                 };
-                                self.peers.send(conn, &frame(&FromStore::Fetched(refused)));
+                                self.peers
+                                    .send(conn, &encode_frame(&FromStore::Fetched(refused)));
                             } else {
                                 let left = (f.size_mb * self.spec.us_per_mb).max(1.0);
                                 self.in_hand.push_back(Fetching {
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -8,7 +8,7 @@
 use sanddrum_limits::RateMeter;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
 use sanddrum_wire::{
-    frame::frame, Done, EndpointRecord, ExecutionStatus, Fetch, FrameDecoder, FromStore,
+    frame::encode_frame, Done, EndpointRecord, ExecutionStatus, Fetch, FrameDecoder, FromStore,
     FromWorker, HealthStatus, Heartbeat, Hello, LoadDone, LoadReport, Phase, ToDiscovery, ToStore,
     ToWorker, VERSION,
 };
@@ -193,7 +193,10 @@
             incarnation: self.incarnation,
             age_us: self.age(now),
         };
-        let _ = self.list.out.push((), &frame(&ToDiscovery::Register(row)));
+        let _ = self
+            .list
+            .out
+            .push((), &encode_frame(&ToDiscovery::Register(row)));
     }
     fn current_report(&mut self, now: Micros) -> LoadReport {
         if now >= self.report.0 + self.spec.report_every {
@@ -213,7 +216,8 @@
                     incarnation: self.incarnation,
                     age_us,
                 };
-                self.peers.send(conn, &frame(&FromWorker::Hello(hello)));
+                self.peers
+                    .send(conn, &encode_frame(&FromWorker::Hello(hello)));
             }
             ToWorker::Execute(e) => {
                 let ticket = Ticket(conn.0, e.id);
@@ -268,7 +272,7 @@
                     let report = Some(self.current_report(now));
                     self.peers.send(
                         conn,
-                        &frame(&FromWorker::HealthStatus(HealthStatus { id: p.id, report })),
+                        &encode_frame(&FromWorker::HealthStatus(HealthStatus { id: p.id, report })),
                     );
                 }
             }
@@ -292,7 +296,7 @@
                             size_mb,
                         });
                         if self.store.conn.is_none()
-                            || self.store.out.push((), &frame(&fetch)).is_err()
+                            || self.store.out.push((), &encode_frame(&fetch)).is_err()
                         {
                             self.fetches.remove(&load);
                             self.machine.fetched(now, load, false);
@@ -332,8 +336,10 @@
                             customer_rate: customer_pace,
                             total_rate: all_pace,
                         };
-                        self.peers
-                            .send(ConnectionId(ticket.0), &frame(&FromWorker::Done(done)));
+                        self.peers.send(
+                            ConnectionId(ticket.0),
+                            &encode_frame(&FromWorker::Done(done)),
+                        );
                     }
                     Effect::Held {
                         ticket,
@@ -346,7 +352,8 @@
                                 status: ended,
                                 instances: copies,
                             });
-                            self.peers.send(ConnectionId(ticket.0), &frame(&held));
+                            self.peers
+                                .send(ConnectionId(ticket.0), &encode_frame(&held));
                         }
                     }
                     Effect::Fell => {
@@ -466,7 +473,7 @@
             if !self.fell {
                 let _ = self.list.out.push(
                     (),
-                    &frame(&ToDiscovery::Heartbeat(Heartbeat {
+                    &encode_frame(&ToDiscovery::Heartbeat(Heartbeat {
                         incarnation: self.incarnation,
                     })),
                 );
@@ -476,7 +483,7 @@
         self.carry_out(now, io);
         if let Some(truth) = &self.truth {
             let serves = !(self.fell || self.drains || self.faults.borrow().hangs);
-            let id = sanddrum_wire::id_of(&self.spec.name);
+            let id = sanddrum_wire::stable_id(&self.spec.name);
             truth
                 .borrow_mut()
                 .0
--- a/crates/sanddrum-fastcgi/src/lib.rs
+++ b/crates/sanddrum-fastcgi/src/lib.rs
@@ -8,7 +8,8 @@
 mod responder;
 
 pub use record::{
-    answer, begin, end, end_all, header, params, stream, Kind, Record, HEADER, LONGEST,
+    encode_end_request, encode_header, encode_params, encode_response, write_begin_request,
+    write_end_request, write_stream, Record, RecordType, HEADER_BYTES, MAX_CONTENT_BYTES,
 };
 pub use responder::{
     ProtocolError, RejectReason, Request, Responder, ResponderEvent, ResponderLimits,
@@ -16,7 +17,7 @@
 
 /// How the application ended a request (section 5.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum ProtocolStatus {
     RequestComplete = 0,
     CantMultiplex = 1,
     Overloaded = 2,
--- a/crates/sanddrum-fastcgi/src/record.rs
+++ b/crates/sanddrum-fastcgi/src/record.rs
@@ -1,19 +1,19 @@
 //! Records (section 3.3) and name-value pairs (section 3.4), written and read.
 
-use crate::Status;
+use crate::ProtocolStatus;
 
 /// Bytes of a record's header.
-pub const HEADER: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// The longest content of a record.
-pub const LONGEST: usize = 0xffff;
+pub const MAX_CONTENT_BYTES: usize = 0xffff;
 const VERSION: u8 = 1;
 
 /// The record types of section 8, as far as they are spoken here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    Begin,
-    Abort,
-    End,
+pub enum RecordType {
+    BeginRequest,
+    AbortRequest,
+    EndRequest,
     Params,
     Stdin,
     Stdout,
@@ -25,30 +25,30 @@
     Other(u8),
 }
 
-impl Kind {
-    const KNOWN: [Kind; 11] = [
-        Kind::Begin,
-        Kind::Abort,
-        Kind::End,
-        Kind::Params,
-        Kind::Stdin,
-        Kind::Stdout,
-        Kind::Stderr,
-        Kind::Data,
-        Kind::GetValues,
-        Kind::GetValuesResult,
-        Kind::UnknownType,
+impl RecordType {
+    const KNOWN: [RecordType; 11] = [
+        RecordType::BeginRequest,
+        RecordType::AbortRequest,
+        RecordType::EndRequest,
+        RecordType::Params,
+        RecordType::Stdin,
+        RecordType::Stdout,
+        RecordType::Stderr,
+        RecordType::Data,
+        RecordType::GetValues,
+        RecordType::GetValuesResult,
+        RecordType::UnknownType,
     ];
-    pub fn of(number: u8) -> Kind {
+    pub fn from_code(number: u8) -> RecordType {
         let known = usize::from(number)
             .checked_sub(1)
-            .and_then(|n| Kind::KNOWN.get(n));
-        known.copied().unwrap_or(Kind::Other(number))
+            .and_then(|n| RecordType::KNOWN.get(n));
+        known.copied().unwrap_or(RecordType::Other(number))
     }
-    pub fn number(self) -> u8 {
+    pub fn code(self) -> u8 {
         match self {
-            Kind::Other(number) => number,
-            known => Kind::KNOWN
+            RecordType::Other(number) => number,
+            known => RecordType::KNOWN
                 .iter()
                 .position(|k| *k == known)
                 .map_or(0, |n| n as u8 + 1),
@@ -59,7 +59,7 @@
 /// One record, as it lies in the bytes that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    pub kind: Kind,
+    pub kind: RecordType,
     pub id: u16,
     pub content: &'a [u8],
 }
@@ -74,7 +74,7 @@
             Some(version) if *version != VERSION => return Err(*version),
             _ => {}
         }
-        let Some((head, rest)) = bytes.split_first_chunk::<HEADER>() else {
+        let Some((head, rest)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
         let [_, kind, id1, id0, length1, length0, padding, _] = *head;
@@ -86,67 +86,78 @@
             return Ok(None);
         }
         let record = Record {
-            kind: Kind::of(kind),
+            kind: RecordType::from_code(kind),
             id: u16::from_be_bytes([id1, id0]),
             content,
         };
-        Ok(Some((record, HEADER + length + usize::from(padding))))
+        Ok(Some((record, HEADER_BYTES + length + usize::from(padding))))
     }
 }
 
-pub fn header(kind: Kind, id: u16, length: usize) -> [u8; HEADER] {
+pub fn encode_header(kind: RecordType, id: u16, length: usize) -> [u8; HEADER_BYTES] {
     let [id1, id0] = id.to_be_bytes();
-    let [length1, length0] = (length.min(LONGEST) as u16).to_be_bytes();
-    [VERSION, kind.number(), id1, id0, length1, length0, 0, 0]
+    let [length1, length0] = (length.min(MAX_CONTENT_BYTES) as u16).to_be_bytes();
+    [VERSION, kind.code(), id1, id0, length1, length0, 0, 0]
 }
 
-fn push(out: &mut Vec<u8>, kind: Kind, id: u16, content: &[u8]) {
-    out.extend_from_slice(&header(kind, id, content.len()));
+fn write_record(out: &mut Vec<u8>, kind: RecordType, id: u16, content: &[u8]) {
+    out.extend_from_slice(&encode_header(kind, id, content.len()));
     out.extend_from_slice(content);
 }
 
 /// A stream's content in as many records as it takes, and the empty one that ends it.
-pub fn stream(out: &mut Vec<u8>, kind: Kind, id: u16, content: &[u8]) {
-    for piece in content.chunks(LONGEST) {
-        push(out, kind, id, piece);
+pub fn write_stream(out: &mut Vec<u8>, kind: RecordType, id: u16, content: &[u8]) {
+    for piece in content.chunks(MAX_CONTENT_BYTES) {
+        write_record(out, kind, id, piece);
     }
-    push(out, kind, id, &[]);
+    write_record(out, kind, id, &[]);
 }
 
 /// A request's end: the last of it.
-pub fn end(out: &mut Vec<u8>, id: u16, status: Status) {
-    push(out, Kind::End, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
+pub fn write_end_request(out: &mut Vec<u8>, id: u16, status: ProtocolStatus) {
+    write_record(
+        out,
+        RecordType::EndRequest,
+        id,
+        &[0, 0, 0, 0, status as u8, 0, 0, 0],
+    );
 }
 
 /// A whole answer: its CGI response and the request's end.
-pub fn answer(id: u16, response: &[&[u8]]) -> Vec<u8> {
+pub fn encode_response(id: u16, response: &[&[u8]]) -> Vec<u8> {
     let length: usize = response.iter().map(|part| part.len()).sum();
-    let mut out = Vec::with_capacity(length + 4 * HEADER + length / LONGEST * HEADER);
-    if length <= LONGEST {
-        out.extend_from_slice(&header(Kind::Stdout, id, length));
+    let mut out =
+        Vec::with_capacity(length + 4 * HEADER_BYTES + length / MAX_CONTENT_BYTES * HEADER_BYTES);
+    if length <= MAX_CONTENT_BYTES {
+        out.extend_from_slice(&encode_header(RecordType::Stdout, id, length));
         response.iter().for_each(|part| out.extend_from_slice(part));
-        push(&mut out, Kind::Stdout, id, &[]);
+        write_record(&mut out, RecordType::Stdout, id, &[]);
     } else {
-        stream(&mut out, Kind::Stdout, id, &response.concat());
+        write_stream(&mut out, RecordType::Stdout, id, &response.concat());
     }
-    end(&mut out, id, Status::RequestComplete);
+    write_end_request(&mut out, id, ProtocolStatus::RequestComplete);
     out
 }
 
 /// An end with nothing before it.
-pub fn end_all(id: u16, status: Status) -> Vec<u8> {
-    let mut out = Vec::with_capacity(2 * HEADER);
-    end(&mut out, id, status);
+pub fn encode_end_request(id: u16, status: ProtocolStatus) -> Vec<u8> {
+    let mut out = Vec::with_capacity(2 * HEADER_BYTES);
+    write_end_request(&mut out, id, status);
     out
 }
 
 /// A Responder's request begins, as a web server writes it.
-pub fn begin(out: &mut Vec<u8>, id: u16, keep: bool) {
-    push(out, Kind::Begin, id, &[0, 1, u8::from(keep), 0, 0, 0, 0, 0]);
+pub fn write_begin_request(out: &mut Vec<u8>, id: u16, keep: bool) {
+    write_record(
+        out,
+        RecordType::BeginRequest,
+        id,
+        &[0, 1, u8::from(keep), 0, 0, 0, 0, 0],
+    );
 }
 
 /// Name-value pairs, as they are sent in a stream.
-pub fn params(pairs: &[(&str, &str)]) -> Vec<u8> {
+pub fn encode_params(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
     for (name, value) in pairs {
         for length in [name.len(), value.len()] {
@@ -162,7 +173,7 @@
 }
 
 /// Reads name-value pairs; `None` where a length does not fit what is there.
-pub(crate) fn read_params(mut bytes: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
+pub(crate) fn decode_params(mut bytes: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
     fn length(bytes: &mut &[u8]) -> Option<usize> {
         let (first, rest) = bytes.split_first()?;
         if first & 0x80 == 0 {
--- a/crates/sanddrum-fastcgi/src/responder.rs
+++ b/crates/sanddrum-fastcgi/src/responder.rs
@@ -1,6 +1,6 @@
 //! One connection from a web server: bytes in, whole requests out.
 
-use crate::record::{self, header, read_params, Kind, Record};
+use crate::record::{self, decode_params, encode_header, Record, RecordType};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -23,7 +23,7 @@
     /// Not FastCGI 1.0.
     Version(u8),
     /// A request begins under a number that is open: an answer under it would be for either of the two.
-    NumberInUse(u16),
+    RequestIdInUse(u16),
     /// A request that begins with less than its body, or without a number.
     Malformed,
     /// More of unfinished requests than is held.
@@ -34,7 +34,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ProtocolError::Version(version) => write!(f, "version {version} is not FastCGI 1.0"),
-            ProtocolError::NumberInUse(id) => {
+            ProtocolError::RequestIdInUse(id) => {
                 write!(f, "request number {id} begins while it is open")
             }
             ProtocolError::Malformed => write!(f, "a request's beginning can't be read"),
@@ -191,16 +191,18 @@
         let Record { kind, id, content } = record;
         if id == 0 {
             return Ok(Some(ResponderEvent::Reply(match kind {
-                Kind::GetValues => self.values(content),
+                RecordType::GetValues => self.values(content),
                 other => unknown(other),
             })));
         }
         match kind {
-            Kind::Begin => self.begin(id, content),
+            RecordType::BeginRequest => self.begin(id, content),
             // Records under a number that is not open are ignored (section 3.3).
-            Kind::Abort => Ok(self.drop_open(id).map(|_| ResponderEvent::Abort { id })),
-            Kind::Params => self.more_params(id, content),
-            Kind::Stdin => self.more_body(id, content),
+            RecordType::AbortRequest => {
+                Ok(self.drop_open(id).map(|_| ResponderEvent::Abort { id }))
+            }
+            RecordType::Params => self.more_params(id, content),
+            RecordType::Stdin => self.more_body(id, content),
             _ => Ok(None),
         }
     }
@@ -213,7 +215,7 @@
             return Err(ProtocolError::Malformed);
         }
         if self.open.contains_key(&id) {
-            return Err(ProtocolError::NumberInUse(id));
+            return Err(ProtocolError::RequestIdInUse(id));
         }
         if u16::from_be_bytes([role1, role0]) != 1 {
             return Ok(Some(ResponderEvent::Reject {
@@ -294,7 +296,7 @@
             self.hold(content.len())?;
             return Ok(None);
         }
-        let texts = read_params(&open.params).filter(|_| open.params_done);
+        let texts = decode_params(&open.params).filter(|_| open.params_done);
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok();
         let params = texts.and_then(|pairs| {
             pairs
@@ -323,20 +325,20 @@
             ("FCGI_MAX_REQS", open.as_str()),
             ("FCGI_MPXS_CONNS", "1"),
         ];
-        let asked = read_params(content).unwrap_or_default();
+        let asked = decode_params(content).unwrap_or_default();
         let told = known
             .iter()
             .filter(|(name, _)| asked.iter().any(|(n, _)| *n == name.as_bytes()));
-        let content = record::params(&told.copied().collect::<Vec<_>>());
-        let mut out = header(Kind::GetValuesResult, 0, content.len()).to_vec();
+        let content = record::encode_params(&told.copied().collect::<Vec<_>>());
+        let mut out = encode_header(RecordType::GetValuesResult, 0, content.len()).to_vec();
         out.extend_from_slice(&content);
         out
     }
 }
 
 /// Section 4.2.
-fn unknown(kind: Kind) -> Vec<u8> {
-    let mut out = header(Kind::UnknownType, 0, 8).to_vec();
-    out.extend_from_slice(&[kind.number(), 0, 0, 0, 0, 0, 0, 0]);
+fn unknown(kind: RecordType) -> Vec<u8> {
+    let mut out = encode_header(RecordType::UnknownType, 0, 8).to_vec();
+    out.extend_from_slice(&[kind.code(), 0, 0, 0, 0, 0, 0, 0]);
     out
 }
--- a/crates/sanddrum-fastcgi/tests/records.rs
+++ b/crates/sanddrum-fastcgi/tests/records.rs
@@ -13,9 +13,9 @@
 
 fn asked(id: u16, pairs: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    begin(&mut out, id, true);
-    stream(&mut out, Kind::Params, id, &params(pairs));
-    stream(&mut out, Kind::Stdin, id, body);
+    write_begin_request(&mut out, id, true);
+    write_stream(&mut out, RecordType::Params, id, &encode_params(pairs));
+    write_stream(&mut out, RecordType::Stdin, id, body);
     out
 }
 
@@ -36,7 +36,7 @@
         asked(2, &[("A", "2")], b"second"),
     );
     // The second one is whole before the first one's last record.
-    let (most, last) = one.split_at(one.len() - HEADER);
+    let (most, last) = one.split_at(one.len() - HEADER_BYTES);
     let said = heard(&mut responder, &[most, &two, last].concat()).unwrap();
     let whole: Vec<_> = said
         .iter()
@@ -57,9 +57,9 @@
 #[case::parameters_too_long(asked(1, &[("A", &"x".repeat(1001))], &[]), RejectReason::ParamsTooLong)]
 #[case::parameters_that_lie_about_their_length({
     let mut out = Vec::new();
-    begin(&mut out, 1, true);
-    stream(&mut out, Kind::Params, 1, &[200, 200, 1]);
-    stream(&mut out, Kind::Stdin, 1, &[]);
+    write_begin_request(&mut out, 1, true);
+    write_stream(&mut out, RecordType::Params, 1, &[200, 200, 1]);
+    write_stream(&mut out, RecordType::Stdin, 1, &[]);
     out
 }, RejectReason::Params)]
 fn a_request_out_of_bounds_is_refused_once_and_its_number_is_free(
@@ -99,7 +99,7 @@
     heard(&mut responder, &asked(1, &[], b"")).unwrap();
     assert_eq!(
         heard(&mut responder, &asked(1, &[], b"")),
-        Err(ProtocolError::NumberInUse(1))
+        Err(ProtocolError::RequestIdInUse(1))
     );
 }
 
@@ -107,7 +107,7 @@
 fn a_withdrawn_request_is_told_once() {
     let mut responder = Responder::new(BOUNDS);
     heard(&mut responder, &asked(1, &[], b"")).unwrap();
-    let abort = header(Kind::Abort, 1, 0);
+    let abort = encode_header(RecordType::AbortRequest, 1, 0);
     assert_eq!(
         heard(&mut responder, &abort).unwrap(),
         [ResponderEvent::Abort { id: 1 }]
@@ -118,10 +118,10 @@
 #[rstest]
 fn management_records_are_answered_by_the_specification() {
     let mut responder = Responder::new(BOUNDS);
-    let asks = params(&[("FCGI_MPXS_CONNS", ""), ("OTHER", "")]);
-    let mut bytes = header(Kind::GetValues, 0, asks.len()).to_vec();
+    let asks = encode_params(&[("FCGI_MPXS_CONNS", ""), ("OTHER", "")]);
+    let mut bytes = encode_header(RecordType::GetValues, 0, asks.len()).to_vec();
     bytes.extend_from_slice(&asks);
-    bytes.extend_from_slice(&header(Kind::Other(77), 0, 0));
+    bytes.extend_from_slice(&encode_header(RecordType::Other(77), 0, 0));
     let said = heard(&mut responder, &bytes).unwrap();
     let replies: Vec<_> = said
         .iter()
@@ -130,23 +130,26 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(replies[0].kind, Kind::GetValuesResult);
-    assert_eq!(replies[0].content, params(&[("FCGI_MPXS_CONNS", "1")]));
+    assert_eq!(replies[0].kind, RecordType::GetValuesResult);
+    assert_eq!(
+        replies[0].content,
+        encode_params(&[("FCGI_MPXS_CONNS", "1")])
+    );
     assert_eq!(
         (replies[1].kind, replies[1].content[0]),
-        (Kind::UnknownType, 77)
+        (RecordType::UnknownType, 77)
     );
 }
 
 #[rstest]
 fn a_long_answer_is_cut_into_records_and_put_together_again() {
-    let body = vec![3u8; 3 * LONGEST + 17];
-    let bytes = answer(9, &[b"Status: 200\r\n\r\n", &body]);
+    let body = vec![3u8; 3 * MAX_CONTENT_BYTES + 17];
+    let bytes = encode_response(9, &[b"Status: 200\r\n\r\n", &body]);
     let (mut at, mut out, mut ends) = (0, Vec::new(), 0);
     while let Some((record, took)) = Record::read(&bytes[at..]).unwrap() {
         match record.kind {
-            Kind::Stdout => out.extend_from_slice(record.content),
-            Kind::End => ends += 1,
+            RecordType::Stdout => out.extend_from_slice(record.content),
+            RecordType::EndRequest => ends += 1,
             other => panic!("{other:?}"),
         }
         at += took;
@@ -182,7 +185,7 @@
     {
         let mut responder = Responder::new(BOUNDS);
         for (kind, id, content, raw) in pieces {
-            let mut bytes = header(Kind::of(kind % 12), id, content.len()).to_vec();
+            let mut bytes = encode_header(RecordType::from_code(kind % 12), id, content.len()).to_vec();
             bytes.extend_from_slice(&content);
             if heard(&mut responder, if raw { &content } else { &bytes }).is_err() { break }
             prop_assert!(responder.open_requests() <= BOUNDS.max_open_requests);
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -112,8 +112,8 @@
                 self.least(two.into_iter().map(|n| all[n]))
             }
             Choice::BoundedHash => {
-                let ring = |worker: &WorkerId| sanddrum_wire::id_of(&format!("{}", worker.0));
-                let at = sanddrum_wire::id_of(&format!("f{}", job.function.0));
+                let ring = |worker: &WorkerId| sanddrum_wire::stable_id(&format!("{}", worker.0));
+                let at = sanddrum_wire::stable_id(&format!("f{}", job.function.0));
                 let mut order: Vec<WorkerId> = all.clone();
                 order.sort_by_key(|worker| ring(worker).wrapping_sub(at));
                 let sum: u32 = self.in_flight.values().sum();
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -89,7 +89,7 @@
         let l = &scenario.settings;
         let zipf = l.number("traffic.zipf");
         let mut sum = 0.0;
-        let popularity = (1..=l.size("traffic.functions")).map(|rank| {
+        let popularity = (1..=l.integer("traffic.functions")).map(|rank| {
             sum += (rank as f64).powf(-zipf);
             sum
         });
@@ -284,7 +284,7 @@
             let heeds = self
                 .chance
                 .happens(self.scenario.settings.number("traffic.heeds"));
-            let usual = self.scenario.settings.span("traffic.retry-wait-us");
+            let usual = self.scenario.settings.duration_us("traffic.retry-wait-us");
             let wait = wait
                 .filter(|_| heeds)
                 .map_or(usual, |ms| (ms * 1000).max(usual));
@@ -294,14 +294,14 @@
     }
     /// Tries again after a while, if there is a try and time left.
     fn again(&mut self, now: Micros, id: u64, wait: Micros) {
-        let retries = self.scenario.settings.size("traffic.retries");
+        let retries = self.scenario.settings.integer("traffic.retries");
         let Some((call, at)) = self.calls.get_mut(&id) else {
             return;
         };
         *at = None;
         // No answer could be back in time: nobody asks for one.
         let last = self.scenario.calls[call.of].time_limit
-            - self.scenario.settings.span("limits.answer-ahead-us");
+            - self.scenario.settings.duration_us("limits.answer-ahead-us");
         if call.tries > retries || now + wait >= call.began + last {
             return self.over(id);
         }
@@ -328,7 +328,7 @@
         let unsent = how == CloseCause::Refused || !line.up || line.out.holds(&());
         let restartable = self.scenario.calls[call.of].effect == "restartable";
         if unsent || restartable {
-            let wait = self.scenario.settings.span("traffic.retry-wait-us");
+            let wait = self.scenario.settings.duration_us("traffic.retry-wait-us");
             return self.again(now, id, wait);
         }
         self.over(id);
--- a/crates/sanddrum-lab/src/capacity/beside.rs
+++ b/crates/sanddrum-lab/src/capacity/beside.rs
@@ -25,19 +25,19 @@
 (traffic (length {}us) (rate {}) (functions 2000) (zipf {}) (retries 0))
 (calls "call" (work {}us))"#,
         zones.join(" "),
-        l.span("workloads.0.start-target-us"),
-        l.span("workloads.0.time-limit-us"),
+        l.duration_us("workloads.0.start-target-us"),
+        l.duration_us("workloads.0.time-limit-us"),
         l.number("functions.0.memory-mb"),
-        l.size("functions.0.lanes"),
-        l.span("copies.keep-alive-us"),
+        l.integer("functions.0.lanes"),
+        l.duration_us("copies.keep-alive-us"),
         l.text("copies.on-miss"),
-        l.size("model.cores"),
+        l.integer("model.cores"),
         l.number("model.memory-mb"),
-        l.size("model.queue"),
-        l.span("router-plays.length-us"),
+        l.integer("model.queue"),
+        l.duration_us("router-plays.length-us"),
         l.number("capacity.calls") / l.number("capacity.routers"),
         l.number("model.zipf"),
-        l.span("model.work-us"),
+        l.duration_us("model.work-us"),
     );
     Scenario::read("beside.sx", &text, plan.seed).map_err(|e| e.to_string())
 }
@@ -59,8 +59,9 @@
         let mut fleet = hollow(&scenario, &seen)?;
         fleet.log = Some(Vec::new());
         let until = seen.decisions.last().map_or(0, |(at, _)| *at);
-        let limit =
-            Duration::from_micros(plan.settings.span("capacity.time-a-point-us").max(0) as u64);
+        let limit = Duration::from_micros(
+            plan.settings.duration_us("capacity.time-a-point-us").max(0) as u64,
+        );
         let played = fleet.run_until(until, Instant::now() + limit, stop);
         let log = fleet.log.take().unwrap_or_default();
         let same = |(one, other): &(&(i64, usize, Decision), &(i64, Decision))| {
--- a/crates/sanddrum-lab/src/capacity/configuration.rs
+++ b/crates/sanddrum-lab/src/capacity/configuration.rs
@@ -2,16 +2,15 @@
 //! carries one to all routers today; what exists is told.
 
 use super::{Plan, Play, Point, Role, Sink, Source, Stop};
-use sanddrum_settings::{Section, SettingsError};
+use sanddrum_settings::{Occurrence, Section, SettingsError};
 
 pub const PLAY: Play = Play {
     name: "configuration",
     section: Section {
         name: "configuration-plays",
         dotted: "configuration-plays",
-        named: false,
-        repeats: false,
-        about: "nothing is to be set: no mechanism carries the configuration to routers",
+        occurrence: Occurrence::Once,
+        description: "nothing is to be set: no mechanism carries the configuration to routers",
         keys: &[],
     },
     check,
@@ -62,7 +61,12 @@
     )?;
     for (what, every) in WATCHED {
         let play = format!("a file that is already on every router's machine: {what}");
-        tell(&play, "looked at every", "s", l.span(every) as f64 / 1e6)?;
+        tell(
+            &play,
+            "looked at every",
+            "s",
+            l.duration_us(every) as f64 / 1e6,
+        )?;
     }
     let play = "a file that is already on every router's machine: the start configuration on the platform, of which only \
                 the feed's address is taken up";
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -119,7 +119,7 @@
     );
     let (file, address) = (folder.join("edge.sx"), folder.join("address"));
     std::fs::write(&file, settings).map_err(text)?;
-    let routers = plan.settings.size("capacity.routers").to_string();
+    let routers = plan.settings.integer("capacity.routers").to_string();
     let mut command = Command::new(program);
     command
         .arg("edge")
@@ -162,7 +162,10 @@
         let until = driver.now() + span;
         driver.run_until(until).map_err(text)
     };
-    let looked_at = plan.settings.span("router-plays.stands-by-us").max(1);
+    let looked_at = plan
+        .settings
+        .duration_us("router-plays.stands-by-us")
+        .max(1);
     wait(looked_at / 2)?;
     let before = ticks(&standing.child)?;
     wait(looked_at)?;
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -6,7 +6,8 @@
 use sanddrum_edge::Known;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{
-    frame::frame, EndpointUpdateHead, FrameDecoder, FromDiscoveryHead, Hello, ToDiscovery, VERSION,
+    frame::encode_frame, EndpointUpdateHead, FrameDecoder, FromDiscoveryHead, Hello, ToDiscovery,
+    VERSION,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -112,7 +113,7 @@
         if wanted.asks {
             let _ = self
                 .out
-                .push((), &frame(&ToDiscovery::Watch(self.known.watch())));
+                .push((), &encode_frame(&ToDiscovery::Watch(self.known.watch())));
             self.flush(io);
         }
         self.next = wanted.wake.max(now + 1);
@@ -129,10 +130,10 @@
             incarnation,
             age_us: None,
         };
-        let _ = self.out.push((), &frame(&ToDiscovery::Hello(hello)));
+        let _ = self.out.push((), &encode_frame(&ToDiscovery::Hello(hello)));
         let _ = self
             .out
-            .push((), &frame(&ToDiscovery::Watch(self.known.watch())));
+            .push((), &encode_frame(&ToDiscovery::Watch(self.known.watch())));
         self.followers.borrow_mut().calls += 1;
     }
     fn leave(&mut self, io: &mut dyn Io) {
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -7,7 +7,7 @@
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{ListFaults, ListService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
-use sanddrum_wire::{frame::frame, EndpointRecord, Hello, ToDiscovery, Watch, VERSION};
+use sanddrum_wire::{frame::encode_frame, EndpointRecord, Hello, ToDiscovery, Watch, VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -63,7 +63,7 @@
 impl Alone {
     fn new(plan: &Plan, rows: u64) -> Self {
         let (spec, now) = (list_spec(plan), 1_000_000_000);
-        let zones = plan.settings.size("capacity.zones");
+        let zones = plan.settings.integer("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
         let (whole, notice) = (spec.whole, spec.notice.1);
         let service = ListService::new(
@@ -101,7 +101,7 @@
         });
         let event = Event::Bytes {
             conn: WORKER,
-            bytes: &frame(&register),
+            bytes: &encode_frame(&register),
         };
         self.service.on_event(self.now, event, &mut self.io);
         self.now += self.notice + 1;
@@ -119,7 +119,11 @@
             incarnation: 1,
             age_us: None,
         });
-        let bytes = [frame(&hello), frame(&ToDiscovery::Watch(Watch::default()))].concat();
+        let bytes = [
+            encode_frame(&hello),
+            encode_frame(&ToDiscovery::Watch(Watch::default())),
+        ]
+        .concat();
         self.service.on_event(
             self.now,
             Event::Accepted {
--- a/crates/sanddrum-lab/src/capacity/list_plays.rs
+++ b/crates/sanddrum-lab/src/capacity/list_plays.rs
@@ -129,7 +129,11 @@
 
 impl Played<'_> {
     pub fn allow(&mut self) {
-        let takes = self.plan.settings.span("capacity.time-a-point-us").max(0) as u64;
+        let takes = self
+            .plan
+            .settings
+            .duration_us("capacity.time-a-point-us")
+            .max(0) as u64;
         self.stage.allow(Duration::from_micros(takes) * POINTS);
     }
     /// Routers start at once; they have their lists once each was told one since.
@@ -179,7 +183,10 @@
     }
     fn quiet(&mut self) -> Result<Option<Traffic>, String> {
         self.allow();
-        let span = self.plan.settings.span("list-service-plays.quiet-us");
+        let span = self
+            .plan
+            .settings
+            .duration_us("list-service-plays.quiet-us");
         let begun = self
             .stage
             .run_for(SETTLES)
@@ -315,7 +322,10 @@
     }
     /// Whatever has changed by now is told, and has reached every router.
     fn all_told(&mut self) -> Result<(), Cut> {
-        let notice = self.plan.settings.span("list-service-plays.notice-most-us");
+        let notice = self
+            .plan
+            .settings
+            .duration_us("list-service-plays.notice-most-us");
         self.stage.run_for(notice + SECOND)?;
         self.stage.run_until_true(NEVER, |f| {
             let newest = f.routers.iter().map(|router| router.known.version).max();
@@ -346,7 +356,7 @@
         self.stage.stop_list();
         let gone = self
             .stage
-            .run_for(self.plan.settings.span("list-service-plays.gone-us"));
+            .run_for(self.plan.settings.duration_us("list-service-plays.gone-us"));
         let vain = self.stage.followers.borrow().calls - before;
         let a_second = vain as f64 / seconds(self.stage.now() - from).max(1.0);
         let back = self.stage.now();
@@ -433,8 +443,8 @@
 pub(super) fn play_all(played: &mut Played<'_>) -> Result<(), String> {
     let l = &played.plan.settings;
     let (zones, regions) = (
-        l.size("capacity.zones").max(1),
-        l.size("capacity.regions").max(1),
+        l.integer("capacity.zones").max(1),
+        l.integer("capacity.regions").max(1),
     );
     let routers = played.stage.spec().routers;
     let workers = played.stage.spec().rows.div_ceil(zones);
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -8,7 +8,7 @@
 use super::{Plan, Play, Sink, Stop};
 use sanddrum_emulator::ListSpec;
 use sanddrum_net::{LinkModel, Micros};
-use sanddrum_settings::{key, Kind, Section, SettingsError};
+use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::time::Duration;
 
 pub const PLAY: Play = Play {
@@ -16,91 +16,90 @@
     section: Section {
         name: "list-service-plays",
         dotted: "list-service-plays",
-        named: false,
-        repeats: false,
-        about: "sizes at which the list service is measured, and the stand-in that it is",
+        occurrence: Occurrence::Once,
+        description: "sizes at which the list service is measured, and the stand-in that it is",
         keys: &[
             key(
                 "routers",
-                Kind::Wholes(1.0, 1e5),
+                ValueType::Integers(1.0, 1e5),
                 Some("10 100 1000"),
                 "with the most rows",
             ),
             key(
                 "rows",
-                Kind::Wholes(1.0, 1e5),
+                ValueType::Integers(1.0, 1e5),
                 Some("100 1000 10000"),
                 "with so many routers:",
             ),
             key(
                 "rows-routers",
-                Kind::Whole(1.0, 1e5),
+                ValueType::Integer(1.0, 1e5),
                 Some("1000"),
                 "while rows or changes grow",
             ),
             key(
                 "changes",
-                Kind::Wholes(1.0, 1e5),
+                ValueType::Integers(1.0, 1e5),
                 Some("1 10 100"),
                 "a second, with the most rows",
             ),
             key(
                 "beating",
-                Kind::Wholes(1.0, 1e5),
+                ValueType::Integers(1.0, 1e5),
                 Some("100 1000 10000"),
                 "workers that all tell that they run",
             ),
             key(
                 "quiet",
-                Kind::Span,
+                ValueType::Duration,
                 Some("60s"),
                 "how long a quiet time is looked at",
             ),
             key(
                 "gone",
-                Kind::Span,
+                ValueType::Duration,
                 Some("60s"),
                 "how long the service is gone",
             ),
             key(
                 "notice-least",
-                Kind::Span,
+                ValueType::Duration,
                 Some("200ms"),
                 "changes are told after",
             ),
             key(
                 "notice-most",
-                Kind::Span,
+                ValueType::Duration,
                 Some("1s"),
                 "and at the latest after",
             ),
             key(
                 "whole",
-                Kind::Span,
+                ValueType::Duration,
                 Some("5ms"),
                 "what a whole list takes it on its one core, as the stand-in has it",
             ),
             key(
                 "change",
-                Kind::Span,
+                ValueType::Duration,
                 Some("200us"),
                 "what an answer of changes takes it",
             ),
             key(
                 "calls",
-                Kind::Whole(1.0, 1e6),
+                ValueType::Integer(1.0, 1e6),
                 Some("64"),
                 "calls in hand; whoever calls beyond that is closed",
             ),
             key(
                 "changes-kept",
-                Kind::Whole(1.0, 1e6),
+                ValueType::Integer(1.0, 1e6),
                 Some("256"),
                 "for routers that come back",
             ),
             key(
                 "beat-every",
-                Kind::Span,
+                ValueType::Duration,
                 Some("200ms"),
                 "how often a worker tells that it runs",
             ),
@@ -126,7 +125,7 @@
     let l = &plan.settings;
     let most = |name: &str| plan.sizes(&key_of(name)).map(|sizes| most_of(&sizes));
     let (routers, rows) = (most("routers")?, most("rows")?);
-    let base = l.size("list-service-plays.rows-routers") as u64;
+    let base = l.integer("list-service-plays.rows-routers") as u64;
     most("changes")?;
     most("beating")?;
     let bytes = routers.max(base) * rows * ROW_BYTES * COPIES;
@@ -136,12 +135,12 @@
         bytes,
     )?;
     let (least, last) = (
-        l.span("list-service-plays.notice-least-us"),
-        l.span("list-service-plays.notice-most-us"),
+        l.duration_us("list-service-plays.notice-least-us"),
+        l.duration_us("list-service-plays.notice-most-us"),
     );
     if least > last {
         let what = "list-service-plays.notice-least is above notice-most";
-        return Err(l.problem_at(&key_of("notice-least-us"), what, "as 200ms and 1s"));
+        return Err(l.error_at(&key_of("notice-least-us"), what, "as 200ms and 1s"));
     }
     Ok(())
 }
@@ -153,14 +152,14 @@
 /// The stand-in as the plan has it.
 pub(crate) fn list_spec(plan: &Plan) -> ListSpec {
     let l = &plan.settings;
-    let span = |name: &str| l.span(&format!("list-service-plays.{name}-us"));
+    let span = |name: &str| l.duration_us(&format!("list-service-plays.{name}-us"));
     ListSpec {
         notice: (span("notice-least"), span("notice-most")),
         silent_after: NEVER_SILENT,
-        changes_kept: l.size("list-service-plays.changes-kept"),
+        changes_kept: l.integer("list-service-plays.changes-kept"),
         whole: span("whole"),
         change: span("change"),
-        most: l.size("list-service-plays.calls"),
+        most: l.integer("list-service-plays.calls"),
     }
 }
 
@@ -173,10 +172,10 @@
         rows: rows as usize,
         links: LinkModel::default(),
         whole_edges: false,
-        zones: plan.settings.size("capacity.zones"),
+        zones: plan.settings.integer("capacity.zones"),
         beat_every: plan
             .settings
-            .span("list-service-plays.beat-every-us")
+            .duration_us("list-service-plays.beat-every-us")
             .max(1000),
     };
     ListStage::new(spec, stop.clone(), Duration::MAX / 4).map_err(|e| e.to_string())
@@ -185,7 +184,7 @@
 fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let sizes = |name: &str| plan.sizes(&key_of(name)).map_err(|e| e.to_string());
     let (routers, rows) = (sizes("routers")?, sizes("rows")?);
-    let base = plan.settings.size("list-service-plays.rows-routers") as u64;
+    let base = plan.settings.integer("list-service-plays.rows-routers") as u64;
     let most_rows = most_of(&rows);
     alone(plan, &routers, &rows, sink, stop)?;
     for at in sizes("beating")? {
@@ -241,7 +240,8 @@
         let all = |f: &Followers| f.routers.iter().all(|router| router.told.is_some());
         played.allow();
         if played.stage.run_until_true(NEVER, all).is_ok() {
-            let zone = (most_rows as usize).div_ceil(plan.settings.size("capacity.zones").max(1));
+            let zone =
+                (most_rows as usize).div_ceil(plan.settings.integer("capacity.zones").max(1));
             played.changes(at, zone)?;
         }
     }
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -226,7 +226,7 @@
             incarnation: self.starts,
             seed,
             kept: known.filter(|known| keep && *known != Known::default()),
-            largest_frame: self.spec.settings.size("limits.largest-frame-bytes"),
+            largest_frame: self.spec.settings.integer("limits.largest-frame-bytes"),
         };
         Box::new(HollowRouter::new(
             spec,
--- a/crates/sanddrum-lab/src/capacity/memory.rs
+++ b/crates/sanddrum-lab/src/capacity/memory.rs
@@ -80,11 +80,11 @@
     stop: &Stop,
 ) -> Result<Option<ListCosts>, String> {
     let l = &plan.settings;
-    let until = super::hollow::BEGIN + l.span("copies.keep-alive-us");
+    let until = super::hollow::BEGIN + l.duration_us("copies.keep-alive-us");
     let settings = module_settings(plan, 0, size.routers, true)?;
     let mut fleet = alone(plan, size, settings.clone(), true, until);
     fleet.rounds = Some(Vec::new());
-    let limit = Duration::from_micros(l.span("capacity.time-a-point-us").max(0) as u64);
+    let limit = Duration::from_micros(l.duration_us("capacity.time-a-point-us").max(0) as u64);
     let deadline = Instant::now() + limit;
     fleet.run_until(until, deadline, stop);
     let rounds = fleet.rounds.take().unwrap_or_default();
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -6,88 +6,102 @@
 use sanddrum_emulator::machine::{Machine, Size};
 use sanddrum_emulator::OnMiss;
 use sanddrum_net::Rng;
-use sanddrum_settings::{key, Kind, LoadedSettings, Section, SettingsError};
-use sanddrum_wire::{id_of, LoadReport};
+use sanddrum_settings::{key, LoadedSettings, Occurrence, Section, SettingsError, ValueType};
+use sanddrum_wire::{stable_id, LoadReport};
 
 pub const SECTION: Section = Section {
     name: "model",
     dotted: "model",
-    named: false,
-    repeats: false,
-    about: "hollow workers, their store and the calls",
+    occurrence: Occurrence::Once,
+    description: "hollow workers, their store and the calls",
     keys: &[
-        key("cores", Kind::Whole(1.0, 1e3), Some("8"), "of a worker"),
+        key(
+            "cores",
+            ValueType::Integer(1.0, 1e3),
+            Some("8"),
+            "of a worker",
+        ),
         key(
             "queue",
-            Kind::Whole(0.0, 1e5),
+            ValueType::Integer(0.0, 1e5),
             Some("64"),
             "jobs that wait at a worker; more are full",
         ),
         key(
             "memory",
-            Kind::Memory,
+            ValueType::Memory,
             Some("12GB"),
             "of a worker, for copies",
         ),
         key(
             "loads-at-once",
-            Kind::Whole(1.0, 1e3),
+            ValueType::Integer(1.0, 1e3),
             Some("4"),
             "at a worker; twice as many wait",
         ),
-        key("load", Kind::Span, Some("600ms"), "a load, in the middle"),
+        key(
+            "load",
+            ValueType::Duration,
+            Some("600ms"),
+            "a load, in the middle",
+        ),
         key(
             "load-spread",
-            Kind::Number(0.0, 2.0),
+            ValueType::Number(0.0, 2.0),
             Some("0.3"),
             "the deviation of its logarithm",
         ),
         key(
             "work",
-            Kind::Span,
+            ValueType::Duration,
             Some("20ms"),
             "of a call, in the mean; drawn exponentially",
         ),
         key(
             "report-every",
-            Kind::Span,
+            ValueType::Duration,
             Some("250ms"),
             "how old a load report may be",
         ),
         key(
             "same-zone",
-            Kind::Span,
+            ValueType::Duration,
             Some("200us"),
             "a message's way within a zone",
         ),
-        key("cross-zone", Kind::Span, Some("600us"), "and between two"),
+        key(
+            "cross-zone",
+            ValueType::Duration,
+            Some("600us"),
+            "and between two",
+        ),
         key(
             "notice-least",
-            Kind::Span,
+            ValueType::Duration,
             Some("200ms"),
             "changes of the list reach a router after",
         ),
         key(
             "notice-most",
-            Kind::Span,
+            ValueType::Duration,
             Some("1s"),
             "and at the latest after",
         ),
         key(
             "silent-after",
-            Kind::Span,
+            ValueType::Duration,
             Some("4s"),
             "a worker unheard for so long counts as gone",
         ),
         key(
             "zipf",
-            Kind::Number(0.0, 5.0),
+            ValueType::Number(0.0, 5.0),
             Some("1.1"),
             "how uneven the popularity of functions is",
         ),
         key(
             "rare-part",
-            Kind::Number(0.0, 0.99),
+            ValueType::Number(0.0, 0.99),
             Some("90%"),
             "functions called less than once a minute",
         ),
@@ -99,7 +113,7 @@
     let l = &plan.settings;
     if l.count("functions") == 0 {
         let remedy = "add (function \"f-*\" (workload \"...\"))";
-        return Err(l.problem_at(
+        return Err(l.error_at(
             "",
             "no function is set, and nothing would be called",
             remedy,
@@ -110,7 +124,7 @@
         let what = format!(
             "functions.0.workload: calls are of the first function, which is of {called:?}"
         );
-        return Err(l.problem_at(
+        return Err(l.error_at(
             "functions.0.workload",
             what,
             format!("put workload {called:?} before {first:?}"),
@@ -123,12 +137,12 @@
                 "a copy takes {} MB, which is more than model.memory holds",
                 l.number(&name)
             );
-            return Err(l.problem_at(&name, what, "set it smaller, or model.memory larger"));
+            return Err(l.error_at(&name, what, "set it smaller, or model.memory larger"));
         }
     }
-    if l.span("model.notice-least-us") > l.span("model.notice-most-us") {
+    if l.duration_us("model.notice-least-us") > l.duration_us("model.notice-most-us") {
         let what = "model.notice-least is above model.notice-most";
-        return Err(l.problem_at("model.notice-least-us", what, "as 200ms and 1s"));
+        return Err(l.error_at("model.notice-least-us", what, "as 200ms and 1s"));
     }
     Ok(())
 }
@@ -158,15 +172,15 @@
 
 impl Model {
     pub fn of(l: &LoadedSettings) -> Self {
-        let span = |name: &str| l.span(&format!("model.{name}-us"));
+        let span = |name: &str| l.duration_us(&format!("model.{name}-us"));
         Model {
             size: Size {
-                cores: l.size("model.cores"),
+                cores: l.integer("model.cores"),
                 speed: 1.0,
-                queue: l.size("model.queue"),
+                queue: l.integer("model.queue"),
                 memory_mb: l.number("model.memory-mb"),
-                loads_at_once: l.size("model.loads-at-once"),
-                keep_alive: l.span("copies.keep-alive-us"),
+                loads_at_once: l.integer("model.loads-at-once"),
+                keep_alive: l.duration_us("copies.keep-alive-us"),
                 on_miss: if l.text("copies.on-miss") == "miss" {
                     OnMiss::Miss
                 } else {
@@ -175,9 +189,9 @@
                 // The whole of a load is drawn.
                 start_us_per_mb: 0.0,
                 cold_from: l.number("rules.cold-from"),
-                cold: l.span("rules.cold-us"),
+                cold: l.duration_us("rules.cold-us"),
                 fall_multiple: l.number("rules.fall-multiple"),
-                fall: l.span("rules.fall-us"),
+                fall: l.duration_us("rules.fall-us"),
             },
             load: span("load"),
             load_spread: l.number("model.load-spread"),
@@ -187,14 +201,15 @@
             cross_zone: span("cross-zone"),
             notice: (span("notice-least"), span("notice-most")),
             silent_after: span("silent-after"),
-            connect_time_out: l.span("limits.connect-time-out-us"),
-            idle_close: l.span("limits.idle-close-us"),
-            streams: l.size("limits.streams"),
-            connections: l.size("limits.connections"),
-            order_time_out: l.span("limits.order-time-out-us"),
-            probe_time_out: l.span("limits.probe-time-out-us"),
-            time_limit: l.span("workloads.0.time-limit-us") - l.span("limits.answer-ahead-us"),
-            drain_grace: l.span("rules.drain-grace-us"),
+            connect_time_out: l.duration_us("limits.connect-time-out-us"),
+            idle_close: l.duration_us("limits.idle-close-us"),
+            streams: l.integer("limits.streams"),
+            connections: l.integer("limits.connections"),
+            order_time_out: l.duration_us("limits.order-time-out-us"),
+            probe_time_out: l.duration_us("limits.probe-time-out-us"),
+            time_limit: l.duration_us("workloads.0.time-limit-us")
+                - l.duration_us("limits.answer-ahead-us"),
+            drain_grace: l.duration_us("rules.drain-grace-us"),
         }
     }
     /// What a load takes, drawn about the middle one.
@@ -248,11 +263,11 @@
         let workload = l.text("functions.0.workload").to_string();
         let (memory_mb, lanes) = (
             l.number("functions.0.memory-mb"),
-            l.size("functions.0.lanes") as u32,
+            l.integer("functions.0.lanes") as u32,
         );
         let load = l
-            .has("functions.0.load-us")
-            .then(|| l.span("functions.0.load-us"));
+            .contains("functions.0.load-us")
+            .then(|| l.duration_us("functions.0.load-us"));
         let mut chance = Rng::new(seed ^ 0xf0);
         let (zipf, frequent, calls) = match shape {
             Shape::Zipf(zipf) => (zipf, count, 1.0),
@@ -280,7 +295,7 @@
         let function = |n: usize| {
             let name = format!("{workload}/{prefix}{n}");
             Function {
-                id: FunctionId(id_of(&name)),
+                id: FunctionId(stable_id(&name)),
                 name,
                 memory_mb,
                 lanes,
@@ -386,7 +401,7 @@
 impl HollowWorker {
     /// One that has run for long.
     pub fn new(n: usize, zones: usize, size: &Size, seed: u64) -> Self {
-        let id = WorkerId(id_of(&crate::Scenario::worker_name(n)));
+        let id = WorkerId(stable_id(&crate::Scenario::worker_name(n)));
         let seed = seed.wrapping_mul(31).wrapping_add(n as u64);
         let machine = Machine::new(size.clone(), seed, 0);
         let zone = n % zones.max(1);
--- a/crates/sanddrum-lab/src/capacity/plan.rs
+++ b/crates/sanddrum-lab/src/capacity/plan.rs
@@ -1,7 +1,7 @@
 //! What is to be measured, at which sizes: a deployment, and what each play says beside it.
 
 use super::{model, PLAYS};
-use sanddrum_settings::{key, Kind, LoadedSettings, Section, SettingsError};
+use sanddrum_settings::{key, LoadedSettings, Occurrence, Section, SettingsError, ValueType};
 use std::path::PathBuf;
 
 /// The operators' sizes; a fifth to a third of an hour.
@@ -12,80 +12,84 @@
 const DEPLOYMENT: Section = Section {
     name: "capacity",
     dotted: "capacity",
-    named: false,
-    repeats: false,
-    about: "what the operators expect to run",
+    occurrence: Occurrence::Once,
+    description: "what the operators expect to run",
     keys: &[
         key(
             "routers",
-            Kind::Whole(1.0, 1e6),
+            ValueType::Integer(1.0, 1e6),
             Some("4200"),
             "of all zones together",
         ),
         key(
             "workers",
-            Kind::Whole(1.0, 1e6),
+            ValueType::Integer(1.0, 1e6),
             Some("10000"),
             "of all zones together",
         ),
         key(
             "functions",
-            Kind::Whole(1.0, 1e8),
+            ValueType::Integer(1.0, 1e8),
             Some("200000"),
             "that are called at all",
         ),
         key(
             "calls",
-            Kind::Number(0.1, 1e9),
+            ValueType::Number(0.1, 1e9),
             Some("670000"),
             "a second, at all routers together",
         ),
         key(
             "changes",
-            Kind::Number(0.0, 1e9),
+            ValueType::Number(0.0, 1e9),
             Some("12000"),
             "of the configuration a day",
         ),
         key(
             "failed",
-            Kind::Number(0.0, 1e6),
+            ValueType::Number(0.0, 1e6),
             Some("23"),
             "workers that fail on a day",
         ),
         key(
             "replaced",
-            Kind::Number(0.0, 1e6),
+            ValueType::Number(0.0, 1e6),
             Some("340"),
             "workers restarted or replaced on a day",
         ),
-        key("zones", Kind::Whole(1.0, 1e4), Some("19"), "in all regions"),
+        key(
+            "zones",
+            ValueType::Integer(1.0, 1e4),
+            Some("19"),
+            "in all regions",
+        ),
         key(
             "regions",
-            Kind::Whole(1.0, 1e3),
+            ValueType::Integer(1.0, 1e3),
             Some("5"),
             "that may lose each other",
         ),
         key(
             "start-within",
-            Kind::Span,
+            ValueType::Duration,
             Some("1800ms"),
             "a cold start takes no longer for nearly all",
         ),
         key(
             "start-part",
-            Kind::Number(0.0, 1.0),
+            ValueType::Number(0.0, 1.0),
             Some("99%"),
             "nearly all",
         ),
         key(
             "in-force-within",
-            Kind::Span,
+            ValueType::Duration,
             Some("15s"),
             "a change of configuration is in force everywhere",
         ),
         key(
             "time-a-point",
-            Kind::Span,
+            ValueType::Duration,
             Some("60s"),
             "real time after which a point counts as not finished",
         ),
@@ -177,12 +181,12 @@
         remedy: impl Into<String>,
     ) -> SettingsError {
         let counted = format!("{key}.count");
-        let at = if self.settings.has(&counted) {
+        let at = if self.settings.contains(&counted) {
             &counted
         } else {
             key
         };
-        self.settings.problem_at(at, what, remedy)
+        self.settings.error_at(at, what, remedy)
     }
     /// A list of sizes; an empty one is refused.
     ///
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -167,7 +167,7 @@
     };
     let edge = alone.edge(0, address, address).map_err(|e| e.to_string())?;
     let (l, links) = (&scenario.settings, even_links());
-    let count = l.size("traffic.functions");
+    let count = l.integer("traffic.functions");
     let functions = Functions::new(l, count, Shape::Zipf(1.0), scenario.seed);
     let worker = scenario.worker(0, address, address, address);
     let mut model = Model::of(l);
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -6,7 +6,7 @@
 use super::model::{Functions, Model, Others, Shape};
 use super::{beside, edge_process, memory, workers, Plan, Play, Point, Role, Sink, Source, Stop};
 use sanddrum::{Micros, Settings, Value};
-use sanddrum_settings::{key, Kind, Section, SettingsError};
+use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -15,74 +15,78 @@
     section: Section {
         name: "router-plays",
         dotted: "router-plays",
-        named: false,
-        repeats: false,
-        about: "one router as one of many",
+        occurrence: Occurrence::Once,
+        description: "one router as one of many",
         keys: &[
             key(
                 "workers",
-                Kind::Wholes(1.0, 1e6),
+                ValueType::Integers(1.0, 1e6),
                 Some("100 1000 10000"),
                 "sizes along the workers",
             ),
             key(
                 "functions",
-                Kind::Wholes(1.0, 1e8),
+                ValueType::Integers(1.0, 1e8),
                 Some("2000 20000 200000 2000000"),
                 "along the functions",
             ),
             key(
                 "calls",
-                Kind::Wholes(1.0, 1e6),
+                ValueType::Integers(1.0, 1e6),
                 Some("16 160 1600"),
                 "a second at the router",
             ),
             key(
                 "routers",
-                Kind::Wholes(1.0, 1e6),
+                ValueType::Integers(1.0, 1e6),
                 Some("42 420 4200"),
                 "along the count of routers",
             ),
             key(
                 "changes",
-                Kind::Wholes(1.0, 1e9),
+                ValueType::Integers(1.0, 1e9),
                 Some("1200 12000 120000"),
                 "of the worker list a day",
             ),
             key(
                 "real-workers",
-                Kind::Wholes(1.0, 1e4),
+                ValueType::Integers(1.0, 1e4),
                 Some("10 100 1000"),
                 "beside a real edge, as long as length",
             ),
             key(
                 "at-workers",
-                Kind::Whole(1.0, 1e6),
+                ValueType::Integer(1.0, 1e6),
                 Some("10000"),
                 "workers along the other axes",
             ),
             key(
                 "warm-up",
-                Kind::Span,
+                ValueType::Duration,
                 Some("16s"),
                 "before anything is counted",
             ),
-            key("length", Kind::Span, Some("32s"), "for so long it is"),
+            key(
+                "length",
+                ValueType::Duration,
+                Some("32s"),
+                "for so long it is",
+            ),
             key(
                 "weigh",
-                Kind::Span,
+                ValueType::Duration,
                 Some("30s"),
                 "real time in which a module's memory is told, or isn't",
             ),
             key(
                 "stands-by",
-                Kind::Span,
+                ValueType::Duration,
                 Some("5s"),
                 "real time for which an edge process without calls is looked at",
             ),
             key(
                 "list-changes",
-                Kind::Whole(0.0, 1e6),
+                ValueType::Integer(0.0, 1e6),
                 Some("300"),
                 "of the list, to tell what one costs",
             ),
@@ -118,16 +122,16 @@
         let most = sizes.into_iter().max().unwrap_or(0);
         plan.fits(&key, &format!("{most} {name}"), most.saturating_mul(each))?;
     }
-    let most = l.size("router-plays.at-workers") as u64;
+    let most = l.integer("router-plays.at-workers") as u64;
     let each = BYTES_A_WORKER + BYTES_A_KNOWN_WORKER;
     plan.fits(
         "router-plays.at-workers",
         &format!("{most} workers"),
         most.saturating_mul(each),
     )?;
-    if l.span("router-plays.length-us") == 0 {
+    if l.duration_us("router-plays.length-us") == 0 {
         let key = "router-plays.length-us";
-        return Err(l.problem_at(
+        return Err(l.error_at(
             key,
             "router-plays.length: nothing would be counted",
             "set it above 0s",
@@ -177,10 +181,10 @@
 impl Size {
     fn usual(plan: &Plan) -> Self {
         let l = &plan.settings;
-        let routers = l.size("capacity.routers");
+        let routers = l.integer("capacity.routers");
         Size {
-            workers: l.size("router-plays.at-workers"),
-            functions: l.size("capacity.functions"),
+            workers: l.integer("router-plays.at-workers"),
+            functions: l.integer("capacity.functions"),
             calls: l.number("capacity.calls") / routers as f64,
             routers,
         }
@@ -291,12 +295,12 @@
     stop: &Stop,
 ) -> Measured {
     let l = &plan.settings;
-    let warm = BEGIN + l.span("router-plays.warm-up-us");
-    let until = warm + l.span("router-plays.length-us");
+    let warm = BEGIN + l.duration_us("router-plays.warm-up-us");
+    let until = warm + l.duration_us("router-plays.length-us");
     let mut fleet = alone(plan, size, settings.clone(), others, until);
     fleet.rounds = Some(Vec::new());
-    let deadline =
-        Instant::now() + Duration::from_micros(l.span("capacity.time-a-point-us").max(0) as u64);
+    let deadline = Instant::now()
+        + Duration::from_micros(l.duration_us("capacity.time-a-point-us").max(0) as u64);
     let mut played = fleet.run_until(warm, deadline, stop);
     let mut before = fleet.counts();
     if played == Played::Done {
@@ -456,7 +460,7 @@
     }
     if measured.played == Played::Done {
         let limit =
-            Duration::from_micros(plan.settings.span("router-plays.weigh-us").max(0) as u64);
+            Duration::from_micros(plan.settings.duration_us("router-plays.weigh-us").max(0) as u64);
         if let Some(bytes) = memory::of_module(
             &settings,
             module_seed(plan, 0),
@@ -477,7 +481,7 @@
 
 /// What a change of the list and a whole list cost a router that has its usual calls.
 fn list_changes(plan: &Plan, sink: &mut Sink, stop: &Stop, size: &Size) -> Result<(), String> {
-    let changes = plan.settings.size("router-plays.list-changes");
+    let changes = plan.settings.integer("router-plays.list-changes");
     if stop.is_set() || changes == 0 {
         return Ok(());
     }
@@ -510,7 +514,7 @@
             Source::Played,
         )?;
     }
-    if size.workers != plan.settings.size("router-plays.at-workers") {
+    if size.workers != plan.settings.integer("router-plays.at-workers") {
         return Ok(());
     }
     for changes in plan.settings.integers("router-plays.changes") {
--- a/crates/sanddrum-lab/src/capacity/sizes.rs
+++ b/crates/sanddrum-lab/src/capacity/sizes.rs
@@ -2,7 +2,7 @@
 
 use super::model::Functions;
 use sanddrum_wire::{
-    frame::frame, Cancel, ExecutionStatus, FromDiscovery, FromWorker, Hello, Load, LoadDone,
+    frame::encode_frame, Cancel, ExecutionStatus, FromDiscovery, FromWorker, Hello, Load, LoadDone,
     LoadReport, Phase,
 };
 use sanddrum_wire::{
@@ -75,10 +75,10 @@
                 base_version: NUMBER,
                 endpoints: rows,
             };
-            frame(&FromDiscovery::Endpoints(rows)).len() as u64
+            encode_frame(&FromDiscovery::Endpoints(rows)).len() as u64
         };
-        let to = |message: &ToWorker| frame(message).len() as u64;
-        let from = |message: &FromWorker| frame(message).len() as u64;
+        let to = |message: &ToWorker| encode_frame(message).len() as u64;
+        let from = |message: &FromWorker| encode_frame(message).len() as u64;
         Bytes {
             hold: to(&ToWorker::Load(hold)) + from(&FromWorker::LoadDone(held)),
             probe: to(&ToWorker::HealthCheck(HealthCheck { id: NUMBER }))
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -8,7 +8,7 @@
 use super::starts::{Begun, Starts};
 use super::{Plan, Play, Point, Role, Sink, Source, Stop};
 use sanddrum::Micros;
-use sanddrum_settings::{key, Kind, Section, SettingsError};
+use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,44 +20,48 @@
     section: Section {
         name: "start-target-plays",
         dotted: "start-target-plays",
-        named: false,
-        repeats: false,
-        about: "many routers together; the n-th of each list makes a size",
+        occurrence: Occurrence::Once,
+        description: "many routers together; the n-th of each list makes a size",
         keys: &[
             key(
                 "routers",
-                Kind::Wholes(1.0, 1e5),
+                ValueType::Integers(1.0, 1e5),
                 Some("4 42 420"),
                 "modules that are played",
             ),
             key(
                 "workers",
-                Kind::Wholes(1.0, 1e6),
+                ValueType::Integers(1.0, 1e6),
                 Some("10 100 1000"),
                 "of each size",
             ),
             key(
                 "functions",
-                Kind::Wholes(1.0, 1e7),
+                ValueType::Integers(1.0, 1e7),
                 Some("200 2000 20000"),
                 "of each size",
             ),
-            key("warm-up", Kind::Span, Some("20s"), "before calls count"),
+            key(
+                "warm-up",
+                ValueType::Duration,
+                Some("20s"),
+                "before calls count",
+            ),
             key(
                 "length",
-                Kind::Span,
+                ValueType::Duration,
                 Some("40s"),
                 "calls that come in this time count",
             ),
             key(
                 "time-a-point",
-                Kind::Span,
+                ValueType::Duration,
                 Some("300s"),
                 "real time after which a run counts as not finished",
             ),
             key(
                 "threads",
-                Kind::Whole(1.0, 64.0),
+                ValueType::Integer(1.0, 64.0),
                 Some("2"),
                 "runs at a time",
             ),
@@ -109,7 +113,7 @@
 fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     let calls = l.number("capacity.calls") / l.number("capacity.routers");
-    let limit = l.span("workloads.0.time-limit-us") as f64 / 1e6;
+    let limit = l.duration_us("workloads.0.time-limit-us") as f64 / 1e6;
     for size in sizes(plan)? {
         let (routers, workers) = (size.routers as u64, size.workers as u64);
         let bytes = workers * BYTES_A_WORKER
@@ -117,7 +121,7 @@
                 .saturating_mul(workers)
                 .saturating_mul(BYTES_A_KNOWN_WORKER)
             + (calls * limit * routers as f64) as u64 * BYTES_A_CALL;
-        let runs = l.size("start-target-plays.threads") as u64;
+        let runs = l.integer("start-target-plays.threads") as u64;
         let what = format!("{routers} routers and {workers} workers, {runs} runs at a time,");
         plan.fits(
             "start-target-plays.routers",
@@ -139,10 +143,10 @@
             return Err(plan.problem("start-target-plays.workers", what, remedy));
         }
     }
-    match l.span("start-target-plays.length-us") {
+    match l.duration_us("start-target-plays.length-us") {
         0 => {
             let what = "start-target-plays.length: no call would count";
-            Err(l.problem_at("start-target-plays.length-us", what, "set it above 0s"))
+            Err(l.error_at("start-target-plays.length-us", what, "set it above 0s"))
         }
         _ => Ok(()),
     }
@@ -179,7 +183,7 @@
 
 fn run(plan: &Plan, size: &Size, day: Day, stop: &Stop) -> Result<Run, String> {
     let l = &plan.settings;
-    let span = |name: &str| l.span(&format!("start-target-plays.{name}-us"));
+    let span = |name: &str| l.duration_us(&format!("start-target-plays.{name}-us"));
     let calls = l.number("capacity.calls") / l.number("capacity.routers");
     let shape = Shape::Rare {
         zipf: l.number("model.zipf"),
@@ -210,7 +214,7 @@
         others: None,
         seed: plan.seed,
     });
-    fleet.starts = Starts::new(warm, until, l.span("capacity.start-within-us"));
+    fleet.starts = Starts::new(warm, until, l.duration_us("capacity.start-within-us"));
     match day {
         Day::Calm => {}
         Day::Failures => failures(plan, &mut fleet, size, warm, until),
@@ -230,7 +234,11 @@
     let seconds = ((fleet.now() - warm) as f64 / 1e6).max(1e-6);
     if played == Played::Done {
         // Calls that came in time and have no answer yet get theirs.
-        played = fleet.run_until(until + l.span("workloads.0.time-limit-us"), deadline, stop);
+        played = fleet.run_until(
+            until + l.duration_us("workloads.0.time-limit-us"),
+            deadline,
+            stop,
+        );
     }
     Ok(Run {
         starts: fleet.starts,
@@ -276,7 +284,7 @@
     let next = AtomicUsize::new(0);
     let (tell, told) = mpsc::channel();
     std::thread::scope(|scope| {
-        for _ in 0..plan.settings.size("start-target-plays.threads").max(1) {
+        for _ in 0..plan.settings.integer("start-target-plays.threads").max(1) {
             let (tell, next, runs) = (tell.clone(), &next, &runs);
             scope.spawn(move || {
                 while let Some((size, day)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -120,7 +120,7 @@
         };
         // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
         let waited = |ours, from, to| ours * of(OURS, from, to) + of(&t.edge, from, to);
-        let ahead = self.scenario.settings.span("limits.answer-ahead-us");
+        let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
         let reading = waited(1, t.sent, t.sent + ahead);
         let reading = waited(1, t.sent, t.sent + reading.max(ahead));
         self.slack - self.log.holds_up + reading + waited(2, t.sent + t.limit - ahead, came)
@@ -344,7 +344,7 @@
     fn group(&self, calls: &Calls, worker: usize) -> usize {
         match calls.group.as_str() {
             "zone" => self.scenario.zone_of(worker),
-            "cell" => worker / self.scenario.settings.size("fleet.cell-size").max(1),
+            "cell" => worker / self.scenario.settings.integer("fleet.cell-size").max(1),
             _ => 0,
         }
     }
@@ -402,8 +402,11 @@
     /// Rule 4: what reached a cold worker from all edges, against what it bears.
     fn cold(&mut self) {
         let l = &self.scenario.settings;
-        let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
-        let (multiple, fall) = (l.number("rules.fall-multiple"), l.span("rules.fall-us"));
+        let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
+        let (multiple, fall) = (
+            l.number("rules.fall-multiple"),
+            l.duration_us("rules.fall-us"),
+        );
         let mut broken = Vec::new();
         for (worker, started) in &self.log.starts {
             let spec = self.scenario.worker(*worker, "", "", "");
@@ -473,7 +476,7 @@
     /// and begins anew.
     fn ration(&mut self) {
         let l = &self.scenario.settings;
-        let window = l.span("copies.load-window-us");
+        let window = l.duration_us("copies.load-window-us");
         if window == 0 {
             return;
         }
--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -29,8 +29,11 @@
 /// The worst window of each start of a worker, in the order of the starts.
 pub fn windows(log: &Log, scenario: &Scenario) -> Vec<Window> {
     let l = &scenario.settings;
-    let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
-    let (multiple, fall) = (l.number("rules.fall-multiple"), l.span("rules.fall-us"));
+    let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
+    let (multiple, fall) = (
+        l.number("rules.fall-multiple"),
+        l.duration_us("rules.fall-us"),
+    );
     let shares: f64 = scenario.calls.iter().map(|c| c.share).sum();
     let mean = scenario
         .calls
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -95,7 +95,7 @@
             let remedy = "add (variant \"as built\") and (variant \"another\" (set \"limits.repeats=100%\"))";
             return Err(told("an experiment needs two variants".into(), remedy));
         }
-        let seeds = seeds.unwrap_or(l.size("experiment.seeds") as u64);
+        let seeds = seeds.unwrap_or(l.integer("experiment.seeds") as u64);
         let experiment = Experiment {
             file: file.into(),
             text: text.into(),
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -79,8 +79,8 @@
         let l = &scenario.settings;
         let wallet = (l.text("identity.tokens") != "off").then(|| {
             let (lasts, renewed) = (
-                l.span("gateways.token-lasts-us"),
-                l.span("gateways.renewed-every-us"),
+                l.duration_us("gateways.token-lasts-us"),
+                l.duration_us("gateways.renewed-every-us"),
             );
             shared(Wallet::new(
                 l.text("identity.audience"),
@@ -103,7 +103,7 @@
             truth: None,
             handshakes: (0..scenario.workers)
                 .map(|_| {
-                    let takes = l.span("fleet.handshake-us");
+                    let takes = l.duration_us("fleet.handshake-us");
                     shared(HandshakeWork {
                         takes,
                         ..HandshakeWork::default()
@@ -137,7 +137,7 @@
             .map(|c| c.group.as_str())
             .collect();
         let group = if groups.contains(&"cell") {
-            n / self.scenario.settings.size("fleet.cell-size").max(1)
+            n / self.scenario.settings.integer("fleet.cell-size").max(1)
         } else if groups.contains(&"zone") {
             self.scenario.zone_of(n)
         } else {
@@ -187,13 +187,13 @@
         let host = HostId(usize::MAX - n);
         self.recording.0.borrow_mut().role(host, Role::Worker(n));
         let rules = Rules {
-            sessions: l.size("tls.sessions"),
+            sessions: l.integer("tls.sessions"),
             ..Rules::default()
         };
         let door = Side::new(papers, rules).map_err(std::io::Error::other)?;
         let tapped = Tapped::new(worker, host, self.recording.clone());
         let layer = Layer::new(tapped, bounds(l)).with_doors(door);
-        let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
+        let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
         Ok(if costs {
             Box::new(Slowed::new(layer, work, started, cold, from))
         } else {
@@ -263,7 +263,7 @@
             ..Papers::default()
         };
         let rules = Rules {
-            sessions: l.size("tls.sessions"),
+            sessions: l.integer("tls.sessions"),
             ..Rules::default()
         };
         let calls = Side::new(papers, rules).map_err(std::io::Error::other)?;
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -10,7 +10,7 @@
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Layer, Rules, Side};
-use sanddrum_wire::frame::frame;
+use sanddrum_wire::frame::encode_frame;
 use sanddrum_wire::{
     Done, EndpointRecord, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
     InstanceState, LoadDone, LoadReport, Phase, ToWorker, VERSION,
@@ -96,7 +96,7 @@
                         }
                         ToWorker::Cancel(_) | ToWorker::Unload(_) => continue,
                     };
-                    out.extend_from_slice(&frame(&answer));
+                    out.extend_from_slice(&encode_frame(&answer));
                 }
                 self.dirty.insert(conn);
             }
--- a/crates/sanddrum-lab/src/player.rs
+++ b/crates/sanddrum-lab/src/player.rs
@@ -299,8 +299,15 @@
                 "key-rotate" => wallet.rotate(now, t.length),
                 _ => wallet.revoke(now),
             }
-            let reach = self.scenario.settings.span("gateways.keys-reach-edges-us");
-            let bound = reach + self.scenario.settings.span("identity.watch-every-us");
+            let reach = self
+                .scenario
+                .settings
+                .duration_us("gateways.keys-reach-edges-us");
+            let bound = reach
+                + self
+                    .scenario
+                    .settings
+                    .duration_us("identity.watch-every-us");
             let revoked = wallet
                 .revoked
                 .iter()
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -193,7 +193,7 @@
         out: &mut Vec<u8>,
         open: &mut Option<usize>,
     ) {
-        while let Ok(Parsed::Whole(request, took)) = http::parse_request(out, MOST, MOST) {
+        while let Ok(Parsed::Complete(request, took)) = http::parse_request(out, MOST, MOST) {
             out.drain(..took);
             let trace = request.field("sanddrum-trace").unwrap_or_default();
             let Some((call, number, since)) = read_trace(trace) else {
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -160,15 +160,15 @@
             };
             calls.push(Calls {
                 share: l.number(&at("share")),
-                work: l.span(&at("work-us")),
+                work: l.duration_us(&at("work-us")),
                 hints: l.flag(&at("hints")),
                 exact: false,
-                start_target: l.span(&of("start-target-us")),
-                time_limit: l.span(&of("time-limit-us")),
+                start_target: l.duration_us(&of("start-target-us")),
+                time_limit: l.duration_us(&of("time-limit-us")),
                 importance: l.number(&of("importance")),
                 effect: l.text(&of("effect")).to_string(),
                 group: l.text(&of("group")).to_string(),
-                repeat_window: l.span(&of("repeat-window-us")),
+                repeat_window: l.duration_us(&of("repeat-window-us")),
                 prefix: l
                     .text(&format!("functions.{function}.name"))
                     .trim_end_matches('*')
@@ -190,7 +190,9 @@
                 let remedy = format!("known are {}", kinds().join(", "));
                 return Err(problem(format!("{kind:?} is no kind of trouble"), &remedy));
             }
-            let zone = l.has(&at("zone")).then(|| l.text(&at("zone")).to_string());
+            let zone = l
+                .contains(&at("zone"))
+                .then(|| l.text(&at("zone")).to_string());
             if zone.as_ref().is_some_and(|z| !l.names("zones").contains(z))
                 || (kind == "zone-loss" && zone.is_none())
             {
@@ -200,16 +202,16 @@
                 ));
             }
             troubles.push(Trouble {
-                at: l.span(&at("at-us")),
-                length: l.span(&at("length-us")),
-                part: l.has(&at("part")).then(|| l.number(&at("part"))),
-                count: l.has(&at("count")).then(|| l.size(&at("count"))),
+                at: l.duration_us(&at("at-us")),
+                length: l.duration_us(&at("length-us")),
+                part: l.contains(&at("part")).then(|| l.number(&at("part"))),
+                count: l.contains(&at("count")).then(|| l.integer(&at("count"))),
                 link: (
                     l.text(&at("from")).to_string(),
                     l.text(&at("to")).to_string(),
                 ),
                 to_zone: l
-                    .has(&at("to-zone"))
+                    .contains(&at("to-zone"))
                     .then(|| l.text(&at("to-zone")).to_string()),
                 fault: fault(l.text(&at("fault")), l.number(&at("size"))),
                 size: l.number(&at("size")),
@@ -220,9 +222,9 @@
         Ok(Scenario {
             seed,
             zones: l.names("zones"),
-            workers: l.size("fleet.workers"),
-            edges: l.size("fleet.edges"),
-            length: l.span("traffic.length-us"),
+            workers: l.integer("fleet.workers"),
+            edges: l.integer("fleet.edges"),
+            length: l.duration_us("traffic.length-us"),
             calls,
             troubles,
             text: text.to_string(),
@@ -237,7 +239,7 @@
         n % self.zones.len().max(1)
     }
     pub fn grace(&self) -> Micros {
-        self.settings.span("rules.drain-grace-us")
+        self.settings.duration_us("rules.drain-grace-us")
     }
     pub fn worker_name(n: usize) -> String {
         format!("worker-{n}")
@@ -254,18 +256,18 @@
             name: Self::worker_name(n),
             address: address.into(),
             zone: self.zones[self.zone_of(n)].clone(),
-            cell: (n / l.size("fleet.cell-size").max(1)) as u32,
+            cell: (n / l.integer("fleet.cell-size").max(1)) as u32,
             kind: u32::from(slow),
-            cores: l.size("fleet.cores"),
+            cores: l.integer("fleet.cores"),
             speed: l.number(if slow {
                 "fleet.slow-speed"
             } else {
                 "fleet.speed"
             }),
-            queue: l.size("fleet.queue"),
+            queue: l.integer("fleet.queue"),
             memory_mb: l.number("fleet.memory-mb"),
-            loads_at_once: l.size("fleet.loads-at-once"),
-            keep_alive: l.span("copies.keep-alive-us"),
+            loads_at_once: l.integer("fleet.loads-at-once"),
+            keep_alive: l.duration_us("copies.keep-alive-us"),
             on_miss: if l.text("copies.on-miss") == "miss" {
                 OnMiss::Miss
             } else {
@@ -273,21 +275,21 @@
             },
             start_us_per_mb: l.number("fleet.start-per-mb-us"),
             cold_from: l.number("rules.cold-from"),
-            cold: l.span("rules.cold-us"),
+            cold: l.duration_us("rules.cold-us"),
             fall_multiple: l.number("rules.fall-multiple"),
-            fall: l.span("rules.fall-us"),
+            fall: l.duration_us("rules.fall-us"),
             tells_crowd: l.flag("fleet.tells-crowd"),
-            report_every: l.span("fleet.report-every-us"),
+            report_every: l.duration_us("fleet.report-every-us"),
             list: list.into(),
             store: store.into(),
-            beat_every: l.span("fleet.beat-every-us").max(1000),
+            beat_every: l.duration_us("fleet.beat-every-us").max(1000),
         }
     }
     pub fn store(&self) -> StoreSpec {
         let l = &self.settings;
         StoreSpec {
-            at_once: l.size("store.at-once"),
-            most: l.size("store.most"),
+            at_once: l.integer("store.at-once"),
+            most: l.integer("store.most"),
             us_per_mb: l.number("store.per-mb-us"),
         }
     }
@@ -295,14 +297,14 @@
         let l = &self.settings;
         ListSpec {
             notice: (
-                l.span("list-service.notice-least-us"),
-                l.span("list-service.notice-most-us"),
+                l.duration_us("list-service.notice-least-us"),
+                l.duration_us("list-service.notice-most-us"),
             ),
-            silent_after: l.span("list-service.silent-after-us"),
-            changes_kept: l.size("list-service.changes-kept"),
-            whole: l.span("list-service.whole-us"),
-            change: l.span("list-service.change-us"),
-            most: l.size("list-service.calls"),
+            silent_after: l.duration_us("list-service.silent-after-us"),
+            changes_kept: l.integer("list-service.changes-kept"),
+            whole: l.duration_us("list-service.whole-us"),
+            change: l.duration_us("list-service.change-us"),
+            most: l.integer("list-service.calls"),
         }
     }
     /// The workers at these addresses, as the list service knows them from the start.
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -3,7 +3,9 @@
 
 use super::ledger::{body_of, Answer, CallId, Effect, Leaving, Request, RouterId, Shared};
 use super::settings::{Fleet, Terms};
-use sanddrum_fastcgi::{begin, header, params, stream, Kind, Record};
+use sanddrum_fastcgi::{
+    encode_header, encode_params, write_begin_request, write_stream, Record, RecordType,
+};
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Rng};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -301,14 +303,14 @@
         };
         connection.health = true;
         let mut out = Vec::new();
-        begin(&mut out, 1, false);
-        stream(
+        write_begin_request(&mut out, 1, false);
+        write_stream(
             &mut out,
-            Kind::Params,
+            RecordType::Params,
             1,
-            &params(&[("SCRIPT_NAME", "/health")]),
+            &encode_params(&[("SCRIPT_NAME", "/health")]),
         );
-        stream(&mut out, Kind::Stdin, 1, b"");
+        write_stream(&mut out, RecordType::Stdin, 1, b"");
         connection.out.push_back((now, out, None));
         connection.then = Some((now + 1_000_000, Then::Close));
     }
@@ -367,7 +369,7 @@
                     return;
                 }
                 if let Some(call) = connection.open.get(&id).copied() {
-                    io.write(conn, &header(Kind::Abort, id, 0));
+                    io.write(conn, &encode_header(RecordType::AbortRequest, id, 0));
                     self.ledger.borrow_mut().aborts_by_clients += 1;
                     self.mark_left(now, &[call], Leaving::Aborted);
                 }
@@ -435,12 +437,12 @@
             };
             connection.bytes.drain(..took);
             match kind {
-                Kind::Stdout => connection
+                RecordType::Stdout => connection
                     .texts
                     .entry(id)
                     .or_default()
                     .extend_from_slice(&content),
-                Kind::End => self.take_answer(now, conn, id),
+                RecordType::EndRequest => self.take_answer(now, conn, id),
                 _ => {}
             }
         }
@@ -527,9 +529,9 @@
         ("HTTP_X_INFO", "memory_mb:100;lanes:4;load_ms:200"),
     ];
     let mut out = Vec::new();
-    begin(&mut out, id, true);
-    stream(&mut out, Kind::Params, id, &params(&pairs));
-    stream(&mut out, Kind::Stdin, id, &body_of(call));
+    write_begin_request(&mut out, id, true);
+    write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
+    write_stream(&mut out, RecordType::Stdin, id, &body_of(call));
     out
 }
 
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -190,7 +190,7 @@
         fields: &str,
         body: &[u8],
     ) {
-        let bytes = frames::answer(code, id, fields, body);
+        let bytes = frames::response(code, id, fields, body);
         self.later(
             at,
             Answering {
@@ -277,8 +277,8 @@
         let fails = self.mood() == Mood::Failing && self.chance.happens(0.5);
         let fields = format!("remark={remark},{}", self.load_report());
         let bytes = match fails {
-            true => frames::answer(CODE_ERROR, frame.id, &fields, b""),
-            false => frames::answer(CODE_OK, frame.id, &fields, &made_of(call, &frame.body)),
+            true => frames::response(CODE_ERROR, frame.id, &fields, b""),
+            false => frames::response(CODE_OK, frame.id, &fields, &made_of(call, &frame.body)),
         };
         self.later(
             ends,
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -158,7 +158,11 @@
         if self.fleet.authority.is_none() {
             return;
         }
-        let every = self.fleet.scenario.settings.span("tls.watch-every-us");
+        let every = self
+            .fleet
+            .scenario
+            .settings
+            .duration_us("tls.watch-every-us");
         match who {
             // An impostor shows what it came with.
             Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
@@ -189,7 +193,11 @@
     }
     fn watch_keys(&mut self, who: Who, host: HostId) {
         if self.fleet.wallet.is_some() && matches!(who, Who::Edge(_)) {
-            let every = self.fleet.scenario.settings.span("identity.watch-every-us");
+            let every = self
+                .fleet
+                .scenario
+                .settings
+                .duration_us("identity.watch-every-us");
             self.driver.watch(host, KEYS, self.keys_file(), every);
         }
     }
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -196,7 +196,7 @@
             truth
                 .borrow_mut()
                 .0
-                .remove(&sanddrum_wire::id_of(&Scenario::worker_name(n)));
+                .remove(&sanddrum_wire::stable_id(&Scenario::worker_name(n)));
         }
         if let Some(host) = self.hosts.get(&who) {
             self.net.kill(*host);
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/tapped.rs
@@ -247,9 +247,9 @@
 
 pub fn bounds(l: &LoadedSettings) -> Bounds {
     Bounds {
-        handshake_time_out: l.span("tls.handshake-time-out-us"),
-        handshakes: l.size("tls.handshakes"),
-        waiting: l.size("tls.waiting-bytes"),
-        warn_ahead: l.span("tls.warn-ahead-us"),
+        handshake_time_out: l.duration_us("tls.handshake-time-out-us"),
+        handshakes: l.integer("tls.handshakes"),
+        waiting: l.integer("tls.waiting-bytes"),
+        warn_ahead: l.duration_us("tls.warn-ahead-us"),
     }
 }
--- a/crates/sanddrum-platform-config/src/lib.rs
+++ b/crates/sanddrum-platform-config/src/lib.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::too_many_lines)] // unfinished: docs/ROADMAP.md
 
-pub use sanddrum_wire::id_of;
+pub use sanddrum_wire::stable_id;
 
 use sanddrum::{LoadReport, Settings, Value};
 use serde_json::Value as Json;
@@ -190,7 +190,7 @@
 /// # Errors
 /// A value that can't be used, by the name of its key: a code that none of the known ones is, or a value of
 /// another kind. Guards against an unknown effect or answer to a miss being taken for another.
-pub fn settings(info: &Json) -> Result<Settings, String> {
+pub fn decision_settings(info: &Json) -> Result<Settings, String> {
     let some = |list: &Json| list.as_array().is_some_and(|list| !list.is_empty());
     if info.get("classes").is_some_and(|list| !some(list)) {
         return Err("classes: a list with at least one entry is wanted".into());
@@ -201,14 +201,14 @@
 }
 
 /// The names of a list in the settings, as the platform writes them: `classes`, `kinds`, `azs`.
-pub fn names(info: &Json, list: &str) -> Vec<String> {
+pub fn list_names(info: &Json, list: &str) -> Vec<String> {
     let each = info[list].as_array().into_iter().flatten();
     each.filter_map(|v| v.as_str().or(v["name"].as_str()).map(String::from))
         .collect()
 }
 
 /// What each value of a load report is called, in the order of the reports.
-pub fn report_fields(info: &Json) -> Vec<String> {
+pub fn load_report_fields(info: &Json) -> Vec<String> {
     let fields = info["stats"]["fields"].as_array();
     fields
         .into_iter()
@@ -218,7 +218,7 @@
 }
 
 /// A load report; values of other names are skipped.
-pub fn report<'a>(values: impl Iterator<Item = (&'a str, Option<f64>)>) -> LoadReport {
+pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, Option<f64>)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in values {
         let place = match name {
--- a/crates/sanddrum-platform-config/tests/words.rs
+++ b/crates/sanddrum-platform-config/tests/words.rs
@@ -11,7 +11,7 @@
         "family-info": {"if-cold": "miss", "placement-calls": true, "new-key": null},
         "balancers": 3,
     });
-    let map = sanddrum_platform_config::settings(&info).unwrap();
+    let map = sanddrum_platform_config::decision_settings(&info).unwrap();
     assert_eq!(map.number("workloads.count"), Some(2.0));
     assert_eq!(map.number("workloads.0.start-target-us"), Some(700_000.0));
     assert_eq!(map.text("workloads.0.effect"), Some("run-once"));
@@ -38,7 +38,7 @@
 ) {
     let mut info = json!({"classes": [{"name": "job", "effect": "once"}]});
     info[key] = value;
-    let why = sanddrum_platform_config::settings(&info).unwrap_err();
+    let why = sanddrum_platform_config::decision_settings(&info).unwrap_err();
     assert!(why.starts_with(&format!("{named}: ")), "{why}");
 }
 
@@ -48,7 +48,7 @@
         "classes": [{"name": "once", "effect": "repeatable"}], "azs": ["az"], "tenants": [{"name": "worth"}],
         "prices": {"membership-mode": 0.1}, "new-key": {"deeper": "by_key"},
     });
-    let map = sanddrum_platform_config::settings(&info).unwrap();
+    let map = sanddrum_platform_config::decision_settings(&info).unwrap();
     assert_eq!(map.text("workloads.0.name"), Some("once"));
     assert_eq!(
         (map.text("zones.0"), map.text("customers.0.name")),
@@ -60,7 +60,7 @@
 
 #[rstest]
 fn reports_are_read_by_either_name_and_new_values_skipped() {
-    let report = sanddrum_platform_config::report(
+    let report = sanddrum_platform_config::load_report(
         [
             ("inflight", Some(7.0)),
             ("q", Some(2.0)),
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -15,9 +15,9 @@
 
 /// What an event says of the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Members {
+pub struct MembershipUpdate {
     /// The whole list, or only what has changed.
-    pub complete: bool,
+    pub is_full_snapshot: bool,
     pub members: Vec<Member>,
 }
 
@@ -26,7 +26,7 @@
 pub struct FeedEvent {
     pub number: u64,
     /// None where the event is about something else than the list.
-    pub members: Option<Members>,
+    pub members: Option<MembershipUpdate>,
 }
 
 /// What the feed has told: the last number, and the events up to it.
@@ -86,7 +86,10 @@
         .collect::<Result<_, _>>()?;
     Ok(FeedEvent {
         number: n,
-        members: Some(Members { complete, members }),
+        members: Some(MembershipUpdate {
+            is_full_snapshot: complete,
+            members,
+        }),
     })
 }
 
--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -31,10 +31,10 @@
 
 /// A job, which runs on if it can be begun within `limit`.
 pub fn request(id: u64, workload: &str, function: &str, limit: Micros, body: &[u8]) -> Vec<u8> {
-    keyed_request(id, workload, function, limit, None, body)
+    request_with_key(id, workload, function, limit, None, body)
 }
 /// The same with the idempotency key that its client gave it, by which workers drop its repeats.
-pub fn keyed_request(
+pub fn request_with_key(
     id: u64,
     workload: &str,
     function: &str,
@@ -71,13 +71,13 @@
     frame(FROM_ROUTER, UNLOAD, function, "", &[])
 }
 /// An answer, as a worker writes it.
-pub fn answer(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+pub fn response(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
     frame(FROM_WORKER, code, id, fields, body)
 }
 
 /// How an answer ends what it answers.
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Answer {
+pub struct Response {
     pub id: u64,
     /// None where it tells only that the connection works.
     pub status: Option<ExecutionStatus>,
@@ -127,12 +127,12 @@
     })
 }
 
-fn read(code: u8, id: u64, fields: &[u8], body: &[u8]) -> Result<Answer, FrameError> {
-    let mut answer = Answer {
+fn read(code: u8, id: u64, fields: &[u8], body: &[u8]) -> Result<Response, FrameError> {
+    let mut answer = Response {
         id,
         status: ended(code)?,
         body: body.to_vec(),
-        ..Answer::default()
+        ..Response::default()
     };
     let fields = std::str::from_utf8(fields).map_err(|_| FrameError::Fields)?;
     for field in fields.split(',').filter(|field| !field.is_empty()) {
@@ -151,7 +151,7 @@
                 let each = value.split(';').filter_map(|one| one.split_once(':'));
                 let number = |text: &str| text.parse::<f64>().ok().filter(|n| n.is_finite());
                 let values = each.map(|(name, text)| (name, number(text)));
-                let told = sanddrum_platform_config::report(values);
+                let told = sanddrum_platform_config::load_report(values);
                 answer.report = Some(LoadReport {
                     in_flight: told.in_flight,
                     queued: told.queued,
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     /// What comes is no frame of a worker's; nothing after it can be read.
-    pub fn next_answer(&mut self) -> Result<Option<Answer>, FrameError> {
+    pub fn next_response(&mut self) -> Result<Option<Response>, FrameError> {
         let rest = &self.bytes[self.read..];
         match rest.first() {
             None => {
--- a/crates/sanddrum-platform/src/start.rs
+++ b/crates/sanddrum-platform/src/startup_config.rs
@@ -65,7 +65,7 @@
         if !json["settings"].is_object() {
             return Err("settings: an object is wanted".into());
         }
-        let module = sanddrum_platform_config::settings(&json["settings"])
+        let module = sanddrum_platform_config::decision_settings(&json["settings"])
             .map_err(|why| format!("settings.{why}"))?;
         let read = StartupConfig {
             name: text("name")?,
@@ -89,7 +89,7 @@
         feed::parse(&self.known, &self.worker_kinds())
     }
     pub fn worker_kinds(&self) -> Vec<String> {
-        sanddrum_platform_config::names(&self.settings, "kinds")
+        sanddrum_platform_config::list_names(&self.settings, "kinds")
     }
     /// The decision module's map.
     pub fn decision_settings(&self) -> Settings {
@@ -109,13 +109,13 @@
         let span =
             |name: &str, otherwise: f64| format!("{}us", number(name, otherwise).max(0.0) as i64);
         let mut out = String::new();
-        let zones = sanddrum_platform_config::names(&self.settings, "azs");
+        let zones = sanddrum_platform_config::list_names(&self.settings, "azs");
         if !zones.is_empty() {
             let zones: Vec<String> = zones.iter().map(|zone| format!("{zone:?}")).collect();
             let _ = writeln!(out, "(deployment (zones {}))", zones.join(" "));
         }
         let mut longest = 0.0f64;
-        for (n, name) in sanddrum_platform_config::names(&self.settings, "classes")
+        for (n, name) in sanddrum_platform_config::list_names(&self.settings, "classes")
             .iter()
             .enumerate()
         {
--- a/crates/sanddrum-platform/tests/protocol.rs
+++ b/crates/sanddrum-platform/tests/protocol.rs
@@ -2,16 +2,16 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_platform::control_feed::Members;
-use sanddrum_platform::starts::{ClockReading, StartTimes};
+use sanddrum_platform::control_feed::MembershipUpdate;
+use sanddrum_platform::start_times::{ClockReading, StartTimes};
 use sanddrum_platform::{control_feed, frames, FrameDecoder, FrameError, StartupConfig};
 use sanddrum_wire::{ExecutionStatus, InstanceState, Phase};
 use serde_json::json;
 
-fn read(bytes: &[u8]) -> Result<Option<frames::Answer>, FrameError> {
+fn read(bytes: &[u8]) -> Result<Option<frames::Response>, FrameError> {
     let mut frames = FrameDecoder::new(4096);
     frames.push_bytes(bytes);
-    frames.next_answer()
+    frames.next_response()
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
     #[case] ended: Option<ExecutionStatus>,
 ) {
     let fields = "remark=started,report=rif:7;q:2;x0:0.25;x1:1;new:3,copies=2";
-    let answer = read(&frames::answer(code, 5, fields, b"out"))
+    let answer = read(&frames::response(code, 5, fields, b"out"))
         .unwrap()
         .unwrap();
     assert_eq!(
@@ -66,18 +66,18 @@
 
 #[rstest]
 #[case::noise(b"GET / HTTP/1.1".to_vec(), FrameError::Mark(b'G'))]
-#[case::a_router_answers({ let mut f = frames::answer(97, 1, "", b""); f[0] = 76; f }, FrameError::Mark(76))]
-#[case::no_such_answer(frames::answer(98, 1, "", b""), FrameError::Code(98))]
-#[case::three_gigabytes({ let mut f = frames::answer(97, 1, "", b""); f[4] = 0xc0; f }, FrameError::TooLong(0xc000_0000))]
-#[case::a_bit_turned({ let mut f = frames::answer(97, 1, "", b"out"); f[17] ^= 1; f }, FrameError::Check)]
-#[case::fields_without_values(frames::answer(97, 1, "remark", b""), FrameError::Fields)]
+#[case::a_router_answers({ let mut f = frames::response(97, 1, "", b""); f[0] = 76; f }, FrameError::Mark(76))]
+#[case::no_such_answer(frames::response(98, 1, "", b""), FrameError::Code(98))]
+#[case::three_gigabytes({ let mut f = frames::response(97, 1, "", b""); f[4] = 0xc0; f }, FrameError::TooLong(0xc000_0000))]
+#[case::a_bit_turned({ let mut f = frames::response(97, 1, "", b"out"); f[17] ^= 1; f }, FrameError::Check)]
+#[case::fields_without_values(frames::response(97, 1, "remark", b""), FrameError::Fields)]
 fn what_can_not_be_read_ends_the_connection(#[case] bytes: Vec<u8>, #[case] why: FrameError) {
     assert_eq!(read(&bytes), Err(why));
 }
 
 #[rstest]
 fn an_answer_that_stops_short_is_not_passed_on() {
-    let bytes = frames::answer(97, 1, "remark=hot", b"out");
+    let bytes = frames::response(97, 1, "remark=hot", b"out");
     for end in 0..bytes.len() {
         assert_eq!(read(&bytes[..end]), Ok(None));
     }
@@ -90,12 +90,12 @@
         cuts in prop::collection::vec(1usize..90, 1..30),
     ) {
         let bytes: Vec<u8> = bodies.iter().enumerate()
-            .flat_map(|(n, body)| frames::answer(97, n as u64, "remark=hot", body)).collect();
+            .flat_map(|(n, body)| frames::response(97, n as u64, "remark=hot", body)).collect();
         let (mut frames, mut rest, mut came) = (FrameDecoder::new(4096), bytes.as_slice(), Vec::new());
         for cut in cuts.iter().cycle() {
             let (piece, left) = rest.split_at((*cut).min(rest.len()));
             frames.push_bytes(piece);
-            while let Some(answer) = frames.next_answer().unwrap() { came.push(answer.body) }
+            while let Some(answer) = frames.next_response().unwrap() { came.push(answer.body) }
             rest = left;
             if rest.is_empty() { break }
         }
@@ -108,7 +108,7 @@
         if let (true, [mark, code, ..]) = (marked, &mut bytes[..]) { (*mark, *code) = (108, 97) }
         let mut frames = FrameDecoder::new(4096);
         frames.push_bytes(&bytes);
-        while let Ok(Some(_)) = frames.next_answer() {}
+        while let Ok(Some(_)) = frames.next_response() {}
     }
 }
 
@@ -132,8 +132,11 @@
         ),
         (9, 8, 9)
     );
-    let Members { complete, members } = told.events[1].members.clone().unwrap();
-    assert!(!complete && told.events[0].members.as_ref().unwrap().complete);
+    let MembershipUpdate {
+        is_full_snapshot: complete,
+        members,
+    } = told.events[1].members.clone().unwrap();
+    assert!(!complete && told.events[0].members.as_ref().unwrap().is_full_snapshot);
     let phases: Vec<Phase> = members.iter().map(|member| member.endpoint.phase).collect();
     assert_eq!(phases, [Phase::Draining, Phase::Ready, Phase::Gone]);
     let mut starts = StartTimes::default();
@@ -171,20 +174,20 @@
     let loaded = read.deployment_settings().unwrap();
     assert_eq!(loaded.names("workloads"), ["job"]);
     assert_eq!(loaded.text("workloads.0.effect"), "run-once");
-    assert_eq!(loaded.span("workloads.0.time-limit-us"), 2_000_000);
+    assert_eq!(loaded.duration_us("workloads.0.time-limit-us"), 2_000_000);
     assert_eq!(
         (
-            loaded.size("limits.max-open"),
-            loaded.size("limits.max-clients")
+            loaded.integer("limits.max-open"),
+            loaded.integer("limits.max-clients")
         ),
         (500, 100)
     );
-    assert_eq!(loaded.span("limits.idle-close-us"), 24_000_000);
+    assert_eq!(loaded.duration_us("limits.idle-close-us"), 24_000_000);
     assert_eq!(
         (loaded.text("edge.listen"), loaded.text("edge.list")),
         ("127.0.0.1:8080", "127.0.0.1:2379")
     );
-    assert_eq!((loaded.size("me"), loaded.size("routers")), (1, 3));
+    assert_eq!((loaded.integer("me"), loaded.integer("routers")), (1, 3));
 }
 
 #[rstest]
@@ -200,7 +203,7 @@
         .unwrap()
         .deployment_settings()
         .unwrap();
-    assert_eq!(loaded.span("limits.stop-within-us"), by);
+    assert_eq!(loaded.duration_us("limits.stop-within-us"), by);
 }
 
 #[rstest]
--- a/crates/sanddrum-platform/tests/starts.rs
+++ b/crates/sanddrum-platform/tests/start_times.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sanddrum_platform::control_feed::Member;
-use sanddrum_platform::starts::{ClockReading, StartTimes};
+use sanddrum_platform::start_times::{ClockReading, StartTimes};
 use sanddrum_wire::{EndpointRecord, Phase};
 
 const S: i64 = 1_000_000;
--- a/crates/sanddrum-settings/src/lib.rs
+++ b/crates/sanddrum-settings/src/lib.rs
@@ -9,7 +9,7 @@
 mod values;
 
 pub use forms::SettingsError;
-pub use schema::{key, Key, Kind, Section, DEPLOYMENT};
+pub use schema::{key, Key, Occurrence, Section, ValueType, DEPLOYMENT};
 pub use values::{LoadedSettings, Origin};
 
 use std::path::Path;
--- a/crates/sanddrum-settings/src/values.rs
+++ b/crates/sanddrum-settings/src/values.rs
@@ -1,7 +1,7 @@
 //! From forms to dotted names with plain values, each with where it came from.
 
 use crate::forms::{self, problem, Form, Part, Place, SettingsError};
-use crate::schema::{Key, Kind, Section};
+use crate::schema::{Key, Occurrence, Section, ValueType};
 use sanddrum::{Micros, Settings, Value};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -38,10 +38,10 @@
     pub fn number(&self, name: &str) -> f64 {
         self.values.number(name).unwrap_or_default()
     }
-    pub fn span(&self, name: &str) -> Micros {
+    pub fn duration_us(&self, name: &str) -> Micros {
         self.number(name) as Micros
     }
-    pub fn size(&self, name: &str) -> usize {
+    pub fn integer(&self, name: &str) -> usize {
         self.number(name) as usize
     }
     pub fn text(&self, name: &str) -> &str {
@@ -50,12 +50,12 @@
     pub fn flag(&self, name: &str) -> bool {
         self.values.flag(name).unwrap_or_default()
     }
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.values.0.contains_key(name)
     }
     /// How many of a repeated section, or of a list of names, there are.
     pub fn count(&self, name: &str) -> usize {
-        self.size(&format!("{name}.count"))
+        self.integer(&format!("{name}.count"))
     }
     /// A list of whole numbers.
     pub fn integers(&self, name: &str) -> Vec<u64> {
@@ -88,7 +88,7 @@
         let schema = self.schema.clone();
         let known = schema
             .iter()
-            .filter(|s| !s.named)
+            .filter(|s| !s.occurrence.is_named())
             .flat_map(|s| s.keys.iter().map(move |k| (s, k)));
         let found = known
             .clone()
@@ -105,8 +105,8 @@
                 remedy,
             ));
         };
-        let text = match key.kind {
-            Kind::Text | Kind::Address => format!("({} {value:?})", key.name),
+        let text = match key.value_type {
+            ValueType::Text | ValueType::Address => format!("({} {value:?})", key.name),
             _ => format!("({} {value})", key.name),
         };
         let form = forms::forms(by, &text)?.remove(0);
@@ -128,7 +128,7 @@
         values
     }
     /// A problem that concerns a setting, with its place in the file.
-    pub fn problem_at(
+    pub fn error_at(
         &self,
         name: &str,
         what: impl Into<String>,
@@ -144,7 +144,7 @@
         problem(&self.file, place, what, remedy)
     }
     /// What each key is for, for a listing.
-    pub fn about(&self, dotted: &str) -> &'static str {
+    pub fn description(&self, dotted: &str) -> &'static str {
         let fits = |s: &Section, k: &Key| {
             let last = dotted.rsplit('.').next().unwrap_or_default();
             let (begins, named) = (dotted.starts_with(s.dotted), full_name(k).as_str() == last);
@@ -154,7 +154,8 @@
             .schema
             .iter()
             .flat_map(|s| s.keys.iter().map(move |k| (s, k)));
-        keys.find(|(s, k)| fits(s, k)).map_or("", |(_, k)| k.about)
+        keys.find(|(s, k)| fits(s, k))
+            .map_or("", |(_, k)| k.description)
     }
 }
 
@@ -182,7 +183,7 @@
         };
         let n = counts.entry(section.name).or_default();
         *n += 1;
-        if !section.named && *n > 1 {
+        if !section.occurrence.is_named() && *n > 1 {
             let remedy = "put all of it into one form";
             return Err(problem(
                 file,
@@ -195,7 +196,7 @@
     }
     for section in schema {
         let n = counts.get(section.name).copied().unwrap_or_default();
-        if section.named {
+        if section.occurrence.is_named() {
             loaded
                 .values
                 .0
@@ -216,12 +217,14 @@
     let file = loaded.file.clone();
     let mut parts = form.parts.as_slice();
     let mut at = section.dotted.to_string();
-    if section.named {
+    if section.occurrence.is_named() {
         let Some(((Part::Word(name), place), rest)) = parts.split_first() else {
             let remedy = format!("write ({} \"a-name\" ...)", section.name);
             return Err(problem(&file, form.place, "a name is wanted", remedy));
         };
-        if !section.repeats && loaded.names_so_far(section, n).contains(name) {
+        if section.occurrence == Occurrence::UniqueNames
+            && loaded.names_so_far(section, n).contains(name)
+        {
             let remedy = "names of one kind differ";
             return Err(problem(
                 &file,
@@ -255,7 +258,7 @@
             line: inner.place.line,
             column: inner.place.column,
         };
-        if key.kind.is_list() {
+        if key.value_type.is_list() {
             list(loaded, key, inner, &at, &origin)?;
             continue;
         }
@@ -292,17 +295,19 @@
         .dotted
         .map_or_else(|| format!("{at}.{}", key.name), String::from);
     for (n, (part, place)) in form.parts.iter().enumerate() {
-        let value = match (key.kind, part) {
-            (Kind::Names, Part::Word(word)) => Ok(Value::Text(word.clone())),
-            (Kind::Names, _) => Err((
+        let value = match (key.value_type, part) {
+            (ValueType::Names, Part::Word(word)) => Ok(Value::Text(word.clone())),
+            (ValueType::Names, _) => Err((
                 "a name is wanted".into(),
                 "write names one after the other".into(),
             )),
-            (Kind::Wholes(least, most), part) => value_of(Kind::Whole(least, most), &[part]),
+            (ValueType::Integers(least, most), part) => {
+                value_of(ValueType::Integer(least, most), &[part])
+            }
             (kind, part) => value_of(kind, &[part]),
         };
         let value = value.map_err(|(what, remedy)| {
-            let named = if key.kind == Kind::Names {
+            let named = if key.value_type == ValueType::Names {
                 what
             } else {
                 format!("{}: {what}", key.name)
@@ -327,12 +332,12 @@
 fn defaults(loaded: &mut LoadedSettings, section: &Section, at: &str) -> Result<(), SettingsError> {
     for key in section.keys {
         let Some(default) = key.default else { continue };
-        let text = match key.kind {
-            Kind::Text | Kind::Address => format!("({} {default:?})", key.name),
+        let text = match key.value_type {
+            ValueType::Text | ValueType::Address => format!("({} {default:?})", key.name),
             _ => format!("({} {default})", key.name),
         };
         let form = forms::forms("defaults", &text)?.remove(0);
-        if key.kind.is_list() {
+        if key.value_type.is_list() {
             let dotted = key
                 .dotted
                 .map_or_else(|| format!("{at}.{}", key.name), String::from);
@@ -351,10 +356,10 @@
 }
 
 fn full_name(key: &Key) -> String {
-    let ending = match key.kind {
-        Kind::Span => "-us",
-        Kind::Memory => "-mb",
-        Kind::Bytes => "-bytes",
+    let ending = match key.value_type {
+        ValueType::Duration => "-us",
+        ValueType::Memory => "-mb",
+        ValueType::Bytes => "-bytes",
         _ => "",
     };
     format!("{}{ending}", key.name)
@@ -367,16 +372,16 @@
         .map_or_else(|| format!("{at}.{}", full_name(key)), String::from);
     let place = form.parts.first().map_or(form.place, |(_, place)| *place);
     let parts: Vec<&Part> = form.parts.iter().map(|(part, _)| part).collect();
-    let value = value_of(key.kind, &parts)
+    let value = value_of(key.value_type, &parts)
         .map_err(|(what, remedy)| problem(file, place, format!("{}: {what}", key.name), remedy))?;
     Ok((dotted, value))
 }
 
 /// A setting's plain value, or what is wrong with it and what to do.
-fn value_of(kind: Kind, parts: &[&Part]) -> Result<Value, (String, String)> {
+fn value_of(kind: ValueType, parts: &[&Part]) -> Result<Value, (String, String)> {
     let wrong = |what: &str, remedy: &str| Err((what.to_string(), remedy.to_string()));
     match (kind, parts) {
-        (Kind::Span, [Part::Number(n), Part::Word(unit)]) => {
+        (ValueType::Duration, [Part::Number(n), Part::Word(unit)]) => {
             let unit = match unit.as_str() {
                 "us" => 1.0,
                 "ms" => 1e3,
@@ -396,11 +401,11 @@
                 .then_some(Value::Number(span))
                 .ok_or(("a span from 0 on is wanted".into(), String::new()))
         }
-        (Kind::Span, _) => wrong(
+        (ValueType::Duration, _) => wrong(
             "a span of time is wanted",
             "write a number and its unit, as 250ms",
         ),
-        (Kind::Memory | Kind::Bytes, [Part::Number(n), Part::Word(unit)]) => {
+        (ValueType::Memory | ValueType::Bytes, [Part::Number(n), Part::Word(unit)]) => {
             let unit = match unit.as_str() {
                 "B" => 1.0,
                 "KB" => 1024.0,
@@ -417,46 +422,50 @@
             if !(1.0..=1e18).contains(&bytes) {
                 return wrong("more than 0 is wanted", "");
             }
-            Ok(Value::Number(if kind == Kind::Bytes {
+            Ok(Value::Number(if kind == ValueType::Bytes {
                 bytes.round()
             } else {
                 bytes / 1024.0 / 1024.0
             }))
         }
-        (Kind::Memory | Kind::Bytes, _) => wrong(
+        (ValueType::Memory | ValueType::Bytes, _) => wrong(
             "an amount of memory is wanted",
             "write a number and its unit, as 300MB",
         ),
-        (Kind::Number(least, most), [Part::Number(n)]) => bounded(*n, least, most),
-        (Kind::Number(least, most), [Part::Number(n), Part::Word(sign)]) if sign == "%" => {
+        (ValueType::Number(least, most), [Part::Number(n)]) => bounded(*n, least, most),
+        (ValueType::Number(least, most), [Part::Number(n), Part::Word(sign)]) if sign == "%" => {
             bounded(n / 100.0, least, most)
         }
-        (Kind::Number(..), _) => wrong("a number is wanted", "as 0.2 or 20%"),
-        (Kind::Whole(least, most), [Part::Number(n)]) if n.fract() == 0.0 => {
+        (ValueType::Number(..), _) => wrong("a number is wanted", "as 0.2 or 20%"),
+        (ValueType::Integer(least, most), [Part::Number(n)]) if n.fract() == 0.0 => {
             bounded(*n, least, most)
         }
-        (Kind::Whole(..), _) => wrong("a whole number is wanted", ""),
-        (Kind::Flag, [Part::Word(word)]) if word == "yes" || word == "no" => {
+        (ValueType::Integer(..), _) => wrong("a whole number is wanted", ""),
+        (ValueType::Flag, [Part::Word(word)]) if word == "yes" || word == "no" => {
             Ok(Value::Flag(word == "yes"))
         }
-        (Kind::Flag, _) => wrong("yes or no is wanted", "write yes or no"),
-        (Kind::Choice(words), [Part::Word(word)]) if words.contains(&word.as_str()) => {
+        (ValueType::Flag, _) => wrong("yes or no is wanted", "write yes or no"),
+        (ValueType::Choice(words), [Part::Word(word)]) if words.contains(&word.as_str()) => {
             Ok(Value::Text(word.clone()))
         }
-        (Kind::Choice(words), [Part::Word(word)]) => {
+        (ValueType::Choice(words), [Part::Word(word)]) => {
             let what = format!("{word:?} is not one of {}", words.join(", "));
             wrong(&what, &meant(word, words.iter().copied()))
         }
-        (Kind::Choice(words), _) => {
+        (ValueType::Choice(words), _) => {
             wrong("a word is wanted", &format!("one of {}", words.join(", ")))
         }
-        (Kind::Address, [Part::Word(word)]) if word.parse::<std::net::SocketAddr>().is_err() => {
+        (ValueType::Address, [Part::Word(word)])
+            if word.parse::<std::net::SocketAddr>().is_err() =>
+        {
             let remedy = "an IP address and a port, as \"127.0.0.1:8080\"; names are not looked up";
             wrong(&format!("{word:?} is not an address"), remedy)
         }
-        (Kind::Text | Kind::Address, [Part::Word(word)]) => Ok(Value::Text(word.clone())),
-        (Kind::Wholes(..), _) => wrong("whole numbers are wanted", "as 10 100 1000"),
-        (Kind::Text | Kind::Address | Kind::Names, _) => wrong("one text is wanted", "in quotes"),
+        (ValueType::Text | ValueType::Address, [Part::Word(word)]) => Ok(Value::Text(word.clone())),
+        (ValueType::Integers(..), _) => wrong("whole numbers are wanted", "as 10 100 1000"),
+        (ValueType::Text | ValueType::Address | ValueType::Names, _) => {
+            wrong("one text is wanted", "in quotes")
+        }
     }
 }
 
--- a/crates/sanddrum-settings/tests/stories.rs
+++ b/crates/sanddrum-settings/tests/stories.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_settings::{key, read, read_with, Kind, Origin, Section};
+use sanddrum_settings::{key, read, read_with, Occurrence, Origin, Section, ValueType};
 
 const GOOD: &str = r#"
 (deployment (name "demo") (zones "bat-a" "bat-b"))
@@ -29,7 +29,7 @@
     );
     assert_eq!(l.origins["limits.streams"], Origin::Default);
     assert!(
-        !l.has("copies.load-window-us"),
+        !l.contains("copies.load-window-us"),
         "what only the module knows a default for stays unsaid"
     );
 }
@@ -91,10 +91,14 @@
 const SIZES: &[Section] = &[Section {
     name: "sizes",
     dotted: "sizes",
-    named: false,
-    repeats: false,
-    about: "",
-    keys: &[key("workers", Kind::Wholes(1.0, 1e4), Some("10 100"), "")],
+    occurrence: Occurrence::Once,
+    description: "",
+    keys: &[key(
+        "workers",
+        ValueType::Integers(1.0, 1e4),
+        Some("10 100"),
+        "",
+    )],
 }];
 
 #[rstest]
--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::{Host, Instance, Names};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use sanddrum::*;
-use sanddrum_platform_config::{self as dialect, id_of};
+use sanddrum_platform_config::{self as dialect, stable_id};
 use serde_json::Value as Json;
 
 type Read<T> = Result<T, String>;
@@ -61,7 +61,7 @@
 
 fn report_of(names: &[String], gauge: &Json) -> Option<LoadReport> {
     let values = gauge.as_array()?.iter().map(Json::as_f64);
-    Some(dialect::report(
+    Some(dialect::load_report(
         names.iter().map(String::as_str).zip(values),
     ))
 }
@@ -86,7 +86,7 @@
     };
     let server = f.text(5, "server")?;
     let row = Endpoint {
-        worker: WorkerId(id_of(server)),
+        worker: WorkerId(stable_id(server)),
         zone: ZoneId(f.or_nought(6, "locality")? as usize),
         cell: CellId(f.or_nought(3, "cohort")? as usize),
         kind: KindId(f.or_nought(0, "hw")? as usize),
@@ -105,7 +105,7 @@
     }
     Ok((
         info,
-        dialect::settings(info).map_err(|why| format!("boot-info: {why}"))?,
+        dialect::decision_settings(info).map_err(|why| format!("boot-info: {why}"))?,
     ))
 }
 
@@ -117,7 +117,7 @@
     Ok(Instance {
         router: Router::new(seed, &map),
         round: EventBatch::default(),
-        fields: dialect::report_fields(info),
+        fields: dialect::load_report_fields(info),
         tells_crowd: info["family-info"]["tells-crowd"].as_bool() == Some(true),
         names: Names::default(),
     })
@@ -203,11 +203,11 @@
             let opts = f.or_nought(9, "opts")? as u64;
             names
                 .functions
-                .entry(id_of(function))
+                .entry(stable_id(function))
                 .or_insert_with(|| function.to_string());
             round.requests.push(Request {
                 id: names.take(rid),
-                function: FunctionId(id_of(function)),
+                function: FunctionId(stable_id(function)),
                 workload: WorkloadId(f.or_nought(6, "qos")? as usize),
                 customer: CustomerId(f.or_nought(7, "team")? as usize),
                 deadline: f.number(3, "due-us")? as Micros,
@@ -237,7 +237,7 @@
             round.attempt_results.push(AttemptResult {
                 request: RequestId(id),
                 attempt: f.number(3, "attempt")? as usize,
-                worker: WorkerId(id_of(f.text(4, "server")?)),
+                worker: WorkerId(stable_id(f.text(4, "server")?)),
                 outcome: end_of(f.text(5, "state-code")?)?,
                 latency: f.or_nought(6, "latency-us")? as Micros,
                 is_final: settled,
@@ -263,14 +263,14 @@
             round.cancelled.push(RequestId(id));
         }
         "loaded" => round.load_results.push(LoadResult {
-            worker: WorkerId(id_of(f.text(2, "server")?)),
-            function: FunctionId(id_of(f.text(3, "function")?)),
+            worker: WorkerId(stable_id(f.text(2, "server")?)),
+            function: FunctionId(stable_id(f.text(3, "function")?)),
             outcome: end_of(f.text(4, "state-code")?)?,
             latency: f.or_nought(5, "latency-us")? as Micros,
             instances: f.or_nought(6, "count")? as u32,
         }),
         "sampled" => round.health_check_results.push(HealthCheckResult {
-            worker: WorkerId(id_of(f.text(2, "server")?)),
+            worker: WorkerId(stable_id(f.text(2, "server")?)),
             outcome: end_of(f.text(3, "state-code")?)?,
             latency: f.or_nought(4, "latency-us")? as Micros,
             report: report_of(&instance.fields, f.get(5)),
--- a/crates/sanddrum-wire/src/frame.rs
+++ b/crates/sanddrum-wire/src/frame.rs
@@ -3,27 +3,27 @@
 use minicbor::{Decode, Encode};
 use std::fmt;
 
-pub const PREFIX: usize = 4;
+pub const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Why a stream of frames can't be read on. The connection has no meaning any more and is to be ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// Longer than this side takes.
-    TooLarge { length: usize, most: usize },
+    TooLarge { length: usize, max: usize },
     /// Not a message of the protocol.
-    Garbled(String),
+    Malformed(String),
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::TooLarge { length, most } => {
+            FrameError::TooLarge { length, max: most } => {
                 write!(
                     f,
                     "a frame of {length} bytes; at most {most} are taken (limits largest-frame)"
                 )
             }
-            FrameError::Garbled(why) => write!(f, "not a message of this protocol: {why}"),
+            FrameError::Malformed(why) => write!(f, "not a message of this protocol: {why}"),
         }
     }
 }
@@ -57,20 +57,20 @@
     /// The next whole frame's content; `None` until more bytes have come.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let rest = &self.bytes[self.read..];
-        let Some((prefix, content)) = rest.split_first_chunk::<PREFIX>() else {
+        let Some((prefix, content)) = rest.split_first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*prefix) as usize;
         if length > self.most {
             return Err(FrameError::TooLarge {
                 length,
-                most: self.most,
+                max: self.most,
             });
         }
         if content.len() < length {
             return Ok(None);
         }
-        let start = self.read + PREFIX;
+        let start = self.read + LENGTH_PREFIX_BYTES;
         self.read = start + length;
         Ok(Some(&self.bytes[start..self.read]))
     }
@@ -80,7 +80,7 @@
             match minicbor::decode(frame) {
                 Ok(message) => return Ok(Some(message)),
                 Err(e) if e.is_unknown_variant() => {}
-                Err(e) => return Err(FrameError::Garbled(e.to_string())),
+                Err(e) => return Err(FrameError::Malformed(e.to_string())),
             }
         }
         Ok(None)
@@ -88,12 +88,12 @@
 }
 
 /// One message as a frame.
-pub fn frame<T: Encode<()>>(message: &T) -> Vec<u8> {
-    let mut out = vec![0; PREFIX];
+pub fn encode_frame<T: Encode<()>>(message: &T) -> Vec<u8> {
+    let mut out = vec![0; LENGTH_PREFIX_BYTES];
     // Writing to a Vec cannot fail, and the derived encoders have no errors of their own.
     let written = minicbor::encode(message, &mut out);
     debug_assert!(written.is_ok());
-    let length = (out.len() - PREFIX) as u32;
-    out[..PREFIX].copy_from_slice(&length.to_be_bytes());
+    let length = (out.len() - LENGTH_PREFIX_BYTES) as u32;
+    out[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
     out
 }
--- a/crates/sanddrum-wire/src/http.rs
+++ b/crates/sanddrum-wire/src/http.rs
@@ -60,7 +60,7 @@
     /// More bytes are needed; the client may wait to be told to send its body (RFC 9110, section 10.1.1).
     Partial { expects_continue: bool },
     /// A request, and how many bytes it took.
-    Whole(Request, usize),
+    Complete(Request, usize),
 }
 
 /// Reads a request from the front of `bytes`.
@@ -123,7 +123,7 @@
         body: body.to_vec(),
         keep_alive,
     };
-    Ok(Parsed::Whole(request, at + length))
+    Ok(Parsed::Complete(request, at + length))
 }
 
 fn values<'a>(
--- a/crates/sanddrum-wire/src/lib.rs
+++ b/crates/sanddrum-wire/src/lib.rs
@@ -13,7 +13,7 @@
 use std::hash::{DefaultHasher, Hasher};
 
 /// A stable id of a text: the same in every program, so that edges agree by hashing without a word between them.
-pub fn id_of(text: &str) -> u64 {
+pub fn stable_id(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write(text.as_bytes());
     hasher.finish()
--- a/crates/sanddrum-wire/tests/codecs.rs
+++ b/crates/sanddrum-wire/tests/codecs.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sanddrum_wire::frame::{frame, FrameDecoder, FrameError};
+use sanddrum_wire::frame::{encode_frame, FrameDecoder, FrameError};
 use sanddrum_wire::http::{self, HttpError, Parsed};
 use sanddrum_wire::*;
 
@@ -43,7 +43,7 @@
 proptest! {
     #[test]
     fn messages_survive_any_cut_of_the_stream(messages in proptest::collection::vec(execute(), 1..6), cut in 1usize..50) {
-        let bytes: Vec<u8> = messages.iter().flat_map(frame).collect();
+        let bytes: Vec<u8> = messages.iter().flat_map(encode_frame).collect();
         let mut frames = FrameDecoder::new(1 << 16);
         let mut read = Vec::new();
         for piece in bytes.chunks(cut) {
@@ -77,7 +77,7 @@
             let partial = matches!(http::parse_request(&bytes[..at], 1 << 12, 1 << 12), Ok(Parsed::Partial { .. }));
             prop_assert!(partial);
         }
-        let Ok(Parsed::Whole(request, took)) = http::parse_request(&bytes, 1 << 12, 1 << 12) else {
+        let Ok(Parsed::Complete(request, took)) = http::parse_request(&bytes, 1 << 12, 1 << 12) else {
             return Err(TestCaseError::fail("not read"));
         };
         prop_assert_eq!((request.body, took), (body, bytes.len()));
@@ -92,7 +92,7 @@
         frames.next_frame(),
         Err(FrameError::TooLarge {
             length: 1001,
-            most: 1000
+            max: 1000
         })
     );
 }
@@ -156,12 +156,12 @@
         age_us: None,
     };
     let sent = [
-        ("hello", frame(&ToWorker::Hello(hello))),
-        ("execute", frame(&ToWorker::Execute(execute))),
-        ("cancel", frame(&ToWorker::Cancel(Cancel { id: 7 }))),
+        ("hello", encode_frame(&ToWorker::Hello(hello))),
+        ("execute", encode_frame(&ToWorker::Execute(execute))),
+        ("cancel", encode_frame(&ToWorker::Cancel(Cancel { id: 7 }))),
         (
             "hold",
-            frame(&ToWorker::Load(Load {
+            encode_frame(&ToWorker::Load(Load {
                 id: 8,
                 function: "pick-1".into(),
                 instances: 1,
@@ -171,12 +171,12 @@
         ),
         (
             "probe",
-            frame(&ToWorker::HealthCheck(HealthCheck { id: 9 })),
+            encode_frame(&ToWorker::HealthCheck(HealthCheck { id: 9 })),
         ),
-        ("done", frame(&FromWorker::Done(done))),
+        ("done", encode_frame(&FromWorker::Done(done))),
         (
             "held",
-            frame(&FromWorker::LoadDone(LoadDone {
+            encode_frame(&FromWorker::LoadDone(LoadDone {
                 id: 8,
                 status: ExecutionStatus::Rejected,
                 instances: 0,
@@ -252,7 +252,7 @@
         ..rows.clone()
     };
     for rows in [&rows, &changes] {
-        frames.push_bytes(&frame(&FromDiscovery::Endpoints(rows.clone())));
+        frames.push_bytes(&encode_frame(&FromDiscovery::Endpoints(rows.clone())));
     }
     for rows in [&rows, &changes] {
         assert_eq!(
