--- a/crates/sanddrum-emulator/src/discovery_service.rs
+++ b/crates/sanddrum-emulator/src/discovery_service.rs
@@ -4,7 +4,7 @@
 use crate::peers::Peers;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_wire::{
-    frame::frame, EndpointRecord, EndpointUpdate, FromDiscovery, Heartbeat, Hello, Phase,
+    frame::encode_frame, EndpointRecord, EndpointUpdate, FromDiscovery, Heartbeat, Hello, Phase,
     ToDiscovery, Watch, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -188,7 +188,7 @@
             self.busy_until = now + cost;
             self.watchers.insert(call.connection);
             let message = FromDiscovery::Endpoints(update);
-            self.peers.send(call.connection, &frame(&message));
+            self.peers.send(call.connection, &encode_frame(&message));
         }
     }
 
@@ -239,7 +239,7 @@
         if self.changes.len() > self.spec.change_history {
             self.changes.pop_front();
         }
-        let message = frame(&FromDiscovery::Endpoints(EndpointUpdate {
+        let message = encode_frame(&FromDiscovery::Endpoints(EndpointUpdate {
             version: self.version,
             service_incarnation: self.incarnation,
             is_full_snapshot: false,
@@ -274,7 +274,7 @@
             age_us: None,
         };
         self.peers
-            .send(connection, &frame(&FromDiscovery::Hello(hello)));
+            .send(connection, &encode_frame(&FromDiscovery::Hello(hello)));
     }
 
     fn watch(&mut self, connection: ConnectionId, watch: &Watch, io: &mut dyn Io) {
--- a/crates/sanddrum-emulator/src/machine/reporting.rs
+++ b/crates/sanddrum-emulator/src/machine/reporting.rs
@@ -70,7 +70,7 @@
         let instances = self.instances.values();
         for instance in instances.filter(|instance| !instance.is_obsolete) {
             let function = functions
-                .entry(sanddrum_wire::id_of(&instance.function))
+                .entry(sanddrum_wire::stable_id(&instance.function))
                 .or_default();
             if instance.is_loaded() {
                 function.concurrency += instance.concurrency;
@@ -82,7 +82,7 @@
         let queued = self.queue.iter().map(|queued| &queued.task);
         for task in running.chain(queued) {
             functions
-                .entry(sanddrum_wire::id_of(&task.function))
+                .entry(sanddrum_wire::stable_id(&task.function))
                 .or_default()
                 .in_flight += 1;
         }
--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -3,7 +3,7 @@
 use crate::faults::{Shared, StoreFaults};
 use crate::peers::Peers;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
-use sanddrum_wire::{frame::frame, Fetch, Fetched, FromStore, ToStore};
+use sanddrum_wire::{frame::encode_frame, Fetch, Fetched, FromStore, ToStore};
 use std::collections::VecDeque;
 
 /// A fetch with less left than this, in microseconds, is complete: sums of fractions are not exact.
@@ -79,7 +79,7 @@
 
     fn answer(&mut self, connection: ConnectionId, id: u64, is_complete: bool) {
         let message = FromStore::Fetched(Fetched { id, is_complete });
-        self.peers.send(connection, &frame(&message));
+        self.peers.send(connection, &encode_frame(&message));
     }
 
     fn fetch(&mut self, connection: ConnectionId, fetch: &Fetch) {
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -9,9 +9,9 @@
 use sanddrum_limits::RateMeter;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_wire::{
-    frame::frame, Done, EndpointRecord, Execute, ExecutionStatus, Fetch, FromStore, FromWorker,
-    HealthStatus, Heartbeat, Hello, InstanceState, LoadDone, LoadReport, Phase, ToDiscovery,
-    ToStore, ToWorker, VERSION,
+    frame::encode_frame, Done, EndpointRecord, Execute, ExecutionStatus, Fetch, FromStore,
+    FromWorker, HealthStatus, Heartbeat, Hello, InstanceState, LoadDone, LoadReport, Phase,
+    ToDiscovery, ToStore, ToWorker, VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -156,7 +156,7 @@
             incarnation: self.incarnation,
             age_us: self.age(now),
         };
-        let message = frame(&ToDiscovery::Register(endpoint));
+        let message = encode_frame(&ToDiscovery::Register(endpoint));
         // A full outbox loses it; the next heartbeat or connection brings the discovery service up to date.
         let _ = self.discovery.outbox.push((), &message);
     }
@@ -191,7 +191,7 @@
                         report,
                     };
                     let message = FromWorker::HealthStatus(status);
-                    self.peers.send(connection, &frame(&message));
+                    self.peers.send(connection, &encode_frame(&message));
                 }
             }
         }
@@ -205,7 +205,7 @@
             age_us: Some(self.age(now)).filter(|age| *age >= 0),
         };
         self.peers
-            .send(connection, &frame(&FromWorker::Hello(hello)));
+            .send(connection, &encode_frame(&FromWorker::Hello(hello)));
     }
 
     fn execute(&mut self, now: Micros, ticket: Ticket, request: Execute) {
@@ -275,7 +275,7 @@
                 let report = Some(self.current_report(now));
                 let message = FromWorker::Done(Done { report, ..done });
                 self.peers
-                    .send(ConnectionId(ticket.connection), &frame(&message));
+                    .send(ConnectionId(ticket.connection), &encode_frame(&message));
             }
             Effect::LoadDone {
                 ticket,
@@ -289,7 +289,7 @@
                         instances,
                     });
                     self.peers
-                        .send(ConnectionId(ticket.connection), &frame(&message));
+                        .send(ConnectionId(ticket.connection), &encode_frame(&message));
                 }
             }
             Effect::Collapsed => self.collapse(io),
@@ -302,8 +302,8 @@
             function,
             size_mb,
         });
-        let is_sent =
-            self.store.connection.is_some() && self.store.outbox.push((), &frame(&message)).is_ok();
+        let is_sent = self.store.connection.is_some()
+            && self.store.outbox.push((), &encode_frame(&message)).is_ok();
         if is_sent {
             self.fetches.insert(load);
         } else {
@@ -445,7 +445,7 @@
                 incarnation: self.incarnation,
             });
             // A full outbox loses it; the next one follows.
-            let _ = self.discovery.outbox.push((), &frame(&message));
+            let _ = self.discovery.outbox.push((), &encode_frame(&message));
         }
     }
 
@@ -455,7 +455,7 @@
         };
         let is_hung = self.faults.borrow().is_hung;
         let is_serving = !(self.has_collapsed || self.is_draining || is_hung);
-        let id = sanddrum_wire::id_of(&self.spec.name);
+        let id = sanddrum_wire::stable_id(&self.spec.name);
         let worker = self.machine.ground_truth(now, is_serving);
         truth.borrow_mut().0.insert(id, worker);
     }
