--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use sanddrum::Router;
-use sanddrum_edge::{endpoint_cache, Edge, Start, KEYS};
+use sanddrum_edge::{endpoint_cache, Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, NullObserver, Shutdown};
 use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_tls::{Asks, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
@@ -283,8 +283,8 @@
         seed,
         "an edge begins"
     );
-    let start = Start {
-        kept: state_file.as_deref().and_then(kept),
+    let start = EdgeOptions {
+        cached_state: state_file.as_deref().and_then(kept),
         seed,
         incarnation: begun,
         metrics_page: Some(Box::new(move || recorder.render())),
@@ -334,7 +334,12 @@
         );
     }
     if let Some(file) = keys_file {
-        driver.watch(host, KEYS, file, settings.span("identity.watch-every-us"));
+        driver.watch(
+            host,
+            KEYS_FILE,
+            file,
+            settings.span("identity.watch-every-us"),
+        );
     }
     if let Some(file) = &args.address_file {
         crate::fleet::tell_address(file, &at).map_err(|e| format!("{}: {e}", file.display()))?;
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -3,7 +3,7 @@
 use crate::{exit, fail};
 use clap::{Args, Subcommand};
 use ring::rand::{SecureRandom, SystemRandom};
-use sanddrum_edge::rights_of;
+use sanddrum_edge::access_rights;
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::{Claims, KeySet, KeyState, Seconds, SecretKey};
 use std::fs::{self, OpenOptions};
@@ -289,7 +289,7 @@
             format!("{function:?}: write workload/function"),
         );
     };
-    let ruling = rights_of(&loaded).rule(customer, workload, function);
+    let ruling = access_rights(&loaded).rule(customer, workload, function);
     println!("{customer} running {workload}/{function}: {ruling}");
     ExitCode::from(if ruling.allowed {
         exit::GOOD
--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -3,7 +3,7 @@
 
 use crate::retry::until_it_works;
 use crate::{exit, fail};
-use sanddrum_edge::{Edge, Platform, Start, CONFIGURATION};
+use sanddrum_edge::{Edge, EdgeOptions, Platform, CONFIGURATION_FILE};
 use sanddrum_net::{EventLoop, Shutdown};
 use sanddrum_platform::StartupConfig;
 use std::path::PathBuf;
@@ -50,8 +50,8 @@
     let settings = read.deployment_settings()?;
     let now = driver.now();
     let platform = Platform {
-        known: read.feed_events()?,
-        kinds: read.worker_kinds(),
+        initial_events: read.feed_events()?,
+        machine_kinds: read.worker_kinds(),
     };
     let door = until_it_works(|| EventLoop::bind(&read.listen));
     let (door, at) = door.map_err(|e| format!("{}: {e}", read.listen))?;
@@ -60,10 +60,10 @@
         feed = read.feed,
         "a router of the platform begins"
     );
-    let start = Start {
+    let start = EdgeOptions {
         settings,
         seed: read.seed,
-        kept: None,
+        cached_state: None,
         incarnation: now as u64,
         metrics_page: None,
         platform: Some(platform),
@@ -72,7 +72,7 @@
     let host = driver
         .add(Box::new(edge), vec![door], None)
         .map_err(|e| e.to_string())?;
-    driver.watch(host, CONFIGURATION, file, LOOK_EVERY);
+    driver.watch(host, CONFIGURATION_FILE, file, LOOK_EVERY);
     driver.end_in_order_only();
     driver.run().map_err(|e| e.to_string())
 }
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -1,7 +1,7 @@
 //! Between the door and the decision module: customers' limits. What they are is decided in `sanddrum-limits`.
 
-use crate::requests::{Job, Refusal};
-use crate::Inner;
+use crate::requests::{ErrorResponse, PendingRequest};
+use crate::EdgeState;
 use sanddrum::{Micros, RequestId};
 use sanddrum_limits::{
     Admission as Decisions, AdmissionEvents, QuotaPolicy, RejectReason, RetryBudget, RetryEvents,
@@ -10,117 +10,121 @@
 use std::collections::BTreeMap;
 
 pub(crate) struct Admission {
-    sharing: QuotaPolicy,
-    repeats: RetryBudget,
-    pub news: AdmissionEvents,
+    quotas: QuotaPolicy,
+    retry_budget: RetryBudget,
+    pub events: AdmissionEvents,
     /// Jobs that ask to be taken, as the decision module will have them.
-    asking: BTreeMap<RequestId, sanddrum::Request>,
+    pending: BTreeMap<RequestId, sanddrum::Request>,
 }
 
 /// What was decided for each, in order.
 #[derive(Default)]
-struct Ruled(Vec<(RequestId, Option<(RejectReason, Micros)>)>);
+struct AdmissionDecisions(Vec<(RequestId, Option<(RejectReason, Micros)>)>);
 
-impl Decisions for Ruled {
-    fn admit(&mut self, job: RequestId) {
-        self.0.push((job, None));
+impl Decisions for AdmissionDecisions {
+    fn admit(&mut self, request: RequestId) {
+        self.0.push((request, None));
     }
-    fn reject(&mut self, job: RequestId, why: RejectReason, wait: Micros) {
-        self.0.push((job, Some((why, wait))));
+    fn reject(&mut self, request: RequestId, why: RejectReason, wait: Micros) {
+        self.0.push((request, Some((why, wait))));
     }
 }
 
 impl Admission {
-    pub fn of(l: &LoadedSettings) -> Self {
-        let settings = l.values_for_module();
-        let (sharing, repeats) = (QuotaPolicy::new(&settings), RetryBudget::new(&settings));
-        let news = AdmissionEvents::default();
+    pub fn from_settings(settings: &LoadedSettings) -> Self {
+        let settings = settings.values_for_module();
+        let (quotas, retry_budget) = (QuotaPolicy::new(&settings), RetryBudget::new(&settings));
+        let events = AdmissionEvents::default();
         Admission {
-            sharing,
-            repeats,
-            news,
-            asking: BTreeMap::new(),
+            quotas,
+            retry_budget,
+            events,
+            pending: BTreeMap::new(),
         }
     }
     pub fn is_waiting(&self) -> bool {
-        !self.asking.is_empty()
+        !self.pending.is_empty()
     }
     /// A job has its final answer, or its client left.
-    pub fn ended(&mut self, job: &Job) {
-        if job.admitted {
-            self.news.finished.push(job.customer_id);
+    pub fn ended(&mut self, request: &PendingRequest) {
+        if request.is_admitted {
+            self.events.finished.push(request.customer_id);
         }
     }
 }
 
-impl Inner {
+impl EdgeState {
     /// A job at the door.
-    pub(crate) fn ask(&mut self, job: sanddrum::Request) {
-        self.admission.asking.insert(job.id, job);
+    pub(crate) fn submit(&mut self, request: sanddrum::Request) {
+        self.admission.pending.insert(request.id, request);
     }
 
     /// Lets through what the limits allow, and pushes the rest back with an honest time to return: repeats first, as
     /// what is refused there must not count for its customer.
-    pub(crate) fn admit(&mut self, now: Micros) {
+    pub(crate) fn run_admission(&mut self, now: Micros) {
         // Who has left meanwhile asks for nothing.
-        let jobs = &self.jobs.jobs;
-        let stays = |job: &&sanddrum::Request| jobs.get(&job.id).is_some_and(|job| !job.closed);
-        let asking = self
+        let requests = &self.requests.requests;
+        let stays = |request: &&sanddrum::Request| {
+            requests
+                .get(&request.id)
+                .is_some_and(|request| !request.is_closed)
+        };
+        let pending = self
             .admission
-            .asking
+            .pending
             .values()
             .filter(stays)
-            .map(|job| (job.id, job.is_retry));
+            .map(|request| (request.id, request.is_retry));
         let asked = RetryEvents {
-            requests: asking.collect(),
-            rejected: self.admission.news.rejected,
+            requests: pending.collect(),
+            rejected: self.admission.events.rejected,
         };
-        let mut ruled = Ruled::default();
+        let mut ruled = AdmissionDecisions::default();
         self.admission
-            .repeats
-            .handle(now, &asked, &mut |job, judged| {
-                ruled.0.push((job, judged.err()))
+            .retry_budget
+            .handle(now, &asked, &mut |request, judged| {
+                ruled.0.push((request, judged.err()))
             });
-        let limits = self.admission.sharing.is_active();
-        let mut news = std::mem::take(&mut self.admission.news);
+        let limits = self.admission.quotas.is_active();
+        let mut events = std::mem::take(&mut self.admission.events);
         for (id, over) in std::mem::take(&mut ruled.0) {
-            let Some(job) = self.admission.asking.get(&id) else {
+            let Some(request) = self.admission.pending.get(&id) else {
                 continue;
             };
             match over {
-                None if limits => news.requests.push((id, job.customer)),
+                None if limits => events.requests.push((id, request.customer)),
                 over => ruled.0.push((id, over)),
             }
         }
         if limits {
-            self.admission.sharing.handle(now, &news, &mut ruled);
+            self.admission.quotas.handle(now, &events, &mut ruled);
         }
         for (id, over) in ruled.0 {
-            let Some(job) = self.admission.asking.remove(&id) else {
+            let Some(request) = self.admission.pending.remove(&id) else {
                 continue;
             };
             let Some((why, wait)) = over else {
-                self.jobs
-                    .jobs
+                self.requests
+                    .requests
                     .entry(id)
-                    .and_modify(|job| job.admitted = limits);
-                self.round.requests.push(job);
+                    .and_modify(|request| request.is_admitted = limits);
+                self.batch.requests.push(request);
                 continue;
             };
             let detail = match why {
                 RejectReason::RetryBudget => "the fleet is pressed and repeats wait; the job has not run, come back after the stated time",
                 _ => "this customer has what it may have for now; the job has not run, come back after the stated time",
             };
-            let refusal = Refusal {
+            let refusal = ErrorResponse {
                 status: 503,
                 end: "pushed-back",
                 reason: why.reason(),
                 detail,
                 retry_after: Some(wait),
-                job: Some(id),
+                request: Some(id),
             };
-            self.refuse(now, id, &refusal);
+            self.reject_request(now, id, &refusal);
         }
-        self.admission.asking.clear();
+        self.admission.pending.clear();
     }
 }
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Following the list service: whole lists and changes by version, called again after a growing wait.
 
-use crate::discovery_version::Known;
-use crate::endpoint_cache::{self, Kept};
-use crate::{Due, Inner, Owner};
+use crate::discovery_version::DiscoveryVersion;
+use crate::endpoint_cache::{self, CachedState};
+use crate::{EdgeState, Owner, Timer};
 use sanddrum::{
     CellId, Endpoint, EndpointList, EndpointListKind, KindId, Micros, WorkerId, WorkerState, ZoneId,
 };
@@ -16,50 +16,53 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(crate) struct List {
+pub(crate) struct Discovery {
     zones: Vec<String>,
     pub conn: Option<ConnectionId>,
-    pub up: bool,
+    pub is_connected: bool,
     frames: FrameDecoder,
     out: Option<Outbox<()>>,
-    known: Known,
+    known: DiscoveryVersion,
     /// The list as it stands, and when each worker's process started (nought: long ago).
-    rows: BTreeMap<WorkerId, (EndpointRecord, Micros)>,
+    endpoints: BTreeMap<WorkerId, (EndpointRecord, Micros)>,
     pub backoff: Backoff,
     /// When to look whether it is up, or to call again; what fell due before is of an earlier call.
     pub next: Micros,
-    saving: bool,
+    save_scheduled: bool,
 }
 
-impl List {
-    pub fn of(l: &LoadedSettings) -> Self {
-        let span = |name: &str| l.span(&format!("limits.list-retry-{name}-us"));
-        List {
-            zones: l.names("zones"),
+impl Discovery {
+    pub fn from_settings(settings: &LoadedSettings) -> Self {
+        let span = |name: &str| settings.span(&format!("limits.list-retry-{name}-us"));
+        Discovery {
+            zones: settings.names("zones"),
             conn: None,
-            up: false,
+            is_connected: false,
             frames: FrameDecoder::default(),
             out: None,
-            known: Known::default(),
-            rows: BTreeMap::new(),
+            known: DiscoveryVersion::default(),
+            endpoints: BTreeMap::new(),
             backoff: Backoff::new(span("least"), span("most")),
             next: 0,
-            saving: false,
+            save_scheduled: false,
         }
     }
     pub fn count(&self) -> usize {
-        self.rows.len()
+        self.endpoints.len()
     }
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.endpoints.is_empty()
     }
     /// What a worker was last listed as.
     pub fn phase(&self, worker: WorkerId) -> Option<Phase> {
-        self.rows.get(&worker).map(|(row, _)| row.phase)
+        self.endpoints
+            .get(&worker)
+            .map(|(endpoint, _)| endpoint.phase)
     }
     /// Workers that have gone are not remembered where none comes back under its name.
-    pub fn forget_gone(&mut self) {
-        self.rows.retain(|_, (row, _)| row.phase != Phase::Gone);
+    pub fn remove_gone(&mut self) {
+        self.endpoints
+            .retain(|_, (endpoint, _)| endpoint.phase != Phase::Gone);
     }
     /// Zones that the settings do not name count as further ones.
     fn zone(&self, name: &str) -> ZoneId {
@@ -72,23 +75,28 @@
     }
     /// When a worker's process started. The same start stays the same instant, however often it is told, as a
     /// later one would mean a restart; an older incarnation is stale news.
-    fn started(&self, worker: WorkerId, row: &EndpointRecord, now: Micros) -> (u64, Micros) {
-        match self.rows.get(&worker) {
-            Some((known, started)) if known.incarnation >= row.incarnation => {
+    fn started(&self, worker: WorkerId, endpoint: &EndpointRecord, now: Micros) -> (u64, Micros) {
+        match self.endpoints.get(&worker) {
+            Some((known, started)) if known.incarnation >= endpoint.incarnation => {
                 (known.incarnation, *started)
             }
-            _ if row.age_us < 0 => (row.incarnation, 0),
-            _ => (row.incarnation, (now - row.age_us).max(1)),
+            _ if endpoint.age_us < 0 => (endpoint.incarnation, 0),
+            _ => (endpoint.incarnation, (now - endpoint.age_us).max(1)),
         }
     }
-    fn worker_row(&self, worker: WorkerId, row: &EndpointRecord, started: Micros) -> Endpoint {
+    fn endpoint_of(
+        &self,
+        worker: WorkerId,
+        endpoint: &EndpointRecord,
+        started: Micros,
+    ) -> Endpoint {
         Endpoint {
             worker,
-            zone: self.zone(&row.zone),
-            cell: CellId(row.cell as usize),
-            kind: KindId(row.kind as usize),
-            size: row.size,
-            state: match row.phase {
+            zone: self.zone(&endpoint.zone),
+            cell: CellId(endpoint.cell as usize),
+            kind: KindId(endpoint.kind as usize),
+            size: endpoint.size,
+            state: match endpoint.phase {
                 Phase::Ready => WorkerState::Ready,
                 Phase::Draining => WorkerState::Draining,
                 Phase::Gone => WorkerState::Gone,
@@ -100,49 +108,49 @@
 
 /// What is to be done about the list service.
 #[derive(Default)]
-struct Wanted {
-    calls: bool,
-    asks: bool,
-    hangs_up: bool,
+struct DiscoveryActions {
+    connect: bool,
+    poll: bool,
+    disconnect: bool,
     wake: Micros,
 }
 
-impl Decisions for Wanted {
+impl Decisions for DiscoveryActions {
     fn connect(&mut self) {
-        self.calls = true;
+        self.connect = true;
     }
     fn poll(&mut self) {
-        self.asks = true;
+        self.poll = true;
     }
     fn disconnect(&mut self) {
-        self.hangs_up = true;
+        self.disconnect = true;
     }
     fn wake_at(&mut self, at: Micros) {
         self.wake = at;
     }
 }
 
-impl Inner {
+impl EdgeState {
     /// What is kept over a restart: the list, and what must never be forgotten of the keys.
-    pub(crate) fn take_up_kept_list(&mut self, now: Micros) {
-        let Some(bytes) = self.kept.take() else {
+    pub(crate) fn restore_cached_state(&mut self, now: Micros) {
+        let Some(bytes) = self.cached_state.take() else {
             return;
         };
         match endpoint_cache::read(&bytes) {
             Ok(kept) => {
-                self.list.known = Known {
-                    run: kept.run,
+                self.discovery.known = DiscoveryVersion {
+                    service_incarnation: kept.service_incarnation,
                     version: kept.version,
                 };
-                self.identity.remember_floor(&kept);
+                self.identity.restore_floor(&kept);
                 // No time is added that has passed since: nothing tells it but a wall clock, which may have been stepped.
-                let rows = &kept.rows;
+                let rows = &kept.endpoints;
                 tracing::info!(
                     workers = rows.len(),
                     version = kept.version,
                     "the kept worker list is taken up"
                 );
-                self.take_rows(now, EndpointListKind::Cached, rows);
+                self.apply_endpoints(now, EndpointListKind::Cached, rows);
             }
             Err(why) => tracing::warn!(
                 reason = "kept-list",
@@ -152,136 +160,148 @@
         }
     }
 
-    pub(crate) fn take_rows(
+    pub(crate) fn apply_endpoints(
         &mut self,
         now: Micros,
         kind: EndpointListKind,
         rows: &[EndpointRecord],
     ) {
         if kind != EndpointListKind::Delta {
-            let listed: BTreeSet<WorkerId> =
-                rows.iter().map(|row| WorkerId(id_of(&row.name))).collect();
-            self.list.rows.retain(|worker, _| listed.contains(worker));
-            self.only_these_stand(now, &listed);
+            let listed: BTreeSet<WorkerId> = rows
+                .iter()
+                .map(|endpoint| WorkerId(id_of(&endpoint.name)))
+                .collect();
+            self.discovery
+                .endpoints
+                .retain(|worker, _| listed.contains(worker));
+            self.remove_unlisted_workers(now, &listed);
         }
         let mut told = EndpointList {
             kind,
             endpoints: Vec::new(),
         };
-        for row in rows {
-            let worker = WorkerId(id_of(&row.name));
-            let (incarnation, started) = self.list.started(worker, row, now);
-            let listed = self.list.worker_row(worker, row, started);
-            self.look_at_addresses(now, worker, row, incarnation);
-            self.links.set_target(&listed, &row.name, &row.address);
-            match row.phase {
+        for endpoint in rows {
+            let worker = WorkerId(id_of(&endpoint.name));
+            let (incarnation, started) = self.discovery.started(worker, endpoint, now);
+            let listed = self.discovery.endpoint_of(worker, endpoint, started);
+            self.handle_address_changes(now, worker, endpoint, incarnation);
+            self.worker_connections
+                .update_endpoint(&listed, &endpoint.name, &endpoint.address);
+            match endpoint.phase {
                 Phase::Ready => {}
-                Phase::Draining => self.recall_from(now, worker),
-                Phase::Gone => self.worker_gone(now, worker),
+                Phase::Draining => self.retract_unsent(now, worker),
+                Phase::Gone => self.remove_worker(now, worker),
             }
             told.endpoints.push(listed);
-            self.list.rows.insert(
+            self.discovery.endpoints.insert(
                 worker,
                 (
                     EndpointRecord {
                         incarnation,
-                        ..row.clone()
+                        ..endpoint.clone()
                     },
                     started,
                 ),
             );
         }
-        self.figures.workers_listed.set(self.list.rows.len() as f64);
-        self.round.endpoint_lists.push(told);
+        self.metrics
+            .workers_listed
+            .set(self.discovery.endpoints.len() as f64);
+        self.batch.endpoint_lists.push(told);
     }
 
     /// A worker that has moved is called at its new address only, and one whose address a later start has taken over is
     /// called no more. Guards against work for a worker long warm that comes to a cold one in its place.
-    fn look_at_addresses(
+    fn handle_address_changes(
         &mut self,
         now: Micros,
         worker: WorkerId,
-        row: &EndpointRecord,
+        endpoint: &EndpointRecord,
         incarnation: u64,
     ) {
-        if self.links.has_moved(row) {
-            self.leave_worker(now, worker);
+        if self.worker_connections.address_changed(endpoint) {
+            self.retire_worker(now, worker);
         }
-        if row.phase != Phase::Ready {
+        if endpoint.phase != Phase::Ready {
             return;
         }
-        for other in self.links.called_at(row) {
+        for other in self.worker_connections.others_at_address(endpoint) {
             let before = self
-                .list
-                .rows
+                .discovery
+                .endpoints
                 .get(&other)
-                .is_none_or(|(row, _)| row.incarnation < incarnation);
+                .is_none_or(|(endpoint, _)| endpoint.incarnation < incarnation);
             if before {
-                self.worker_gone(now, other);
+                self.remove_worker(now, other);
             }
         }
     }
 
     /// A worker's greeting tells of a start that the list has not told yet: its copies are gone and it is cold.
-    pub(crate) fn worker_started(
+    pub(crate) fn on_worker_restart(
         &mut self,
         now: Micros,
         worker: WorkerId,
         incarnation: u64,
         age: Option<Micros>,
     ) {
-        let Some((row, _)) = self.list.rows.get(&worker) else {
+        let Some((endpoint, _)) = self.discovery.endpoints.get(&worker) else {
             return;
         };
-        if incarnation <= row.incarnation {
+        if incarnation <= endpoint.incarnation {
             return;
         }
         let Some(age) = age else { return };
-        let row = EndpointRecord {
+        let endpoint = EndpointRecord {
             incarnation,
             age_us: age,
-            ..row.clone()
+            ..endpoint.clone()
         };
         tracing::info!(
-            worker = row.name,
+            worker = endpoint.name,
             age_us = age,
             "a worker greets after a restart"
         );
-        self.take_rows(now, EndpointListKind::Delta, &[row]);
+        self.apply_endpoints(now, EndpointListKind::Delta, &[endpoint]);
     }
 
     /// Has the module for starts decide on what came in, and carries it out.
-    pub(crate) fn follow_list(&mut self, now: Micros, news: &[DiscoveryEvent], io: &mut dyn Io) {
-        let mut wanted = Wanted::default();
-        let before = self.start.readiness();
-        self.start.handle(now, news, &mut wanted);
-        if wanted.hangs_up {
-            self.leave_list(io);
+    pub(crate) fn run_bootstrap(
+        &mut self,
+        now: Micros,
+        events: &[DiscoveryEvent],
+        io: &mut dyn Io,
+    ) {
+        let mut wanted = DiscoveryActions::default();
+        let before = self.bootstrap.readiness();
+        self.bootstrap.handle(now, events, &mut wanted);
+        if wanted.disconnect {
+            self.disconnect_discovery(io);
         }
-        if wanted.calls {
-            self.call_list(now, io);
+        if wanted.connect {
+            self.connect_discovery(now, io);
         }
-        if wanted.asks {
-            let watch = self.list.known.watch();
-            if let Some(out) = &mut self.list.out {
+        if wanted.poll {
+            let watch = self.discovery.known.watch();
+            if let Some(out) = &mut self.discovery.out {
                 let _ = out.push((), &frame(&ToDiscovery::Watch(watch)));
             }
-            self.list
+            self.discovery
                 .conn
                 .into_iter()
-                .for_each(|conn| self.flush_list(conn, io));
+                .for_each(|conn| self.flush_discovery(conn, io));
         }
-        let step = self.start.readiness();
-        if step != before || self.list.next == 0 {
+        let step = self.bootstrap.readiness();
+        if step != before || self.discovery.next == 0 {
             tracing::info!(step = step.name(), "the edge's start");
-            self.figures.start_step.set(f64::from(step as u8));
+            self.metrics.readiness_step.set(f64::from(step as u8));
         }
-        self.look_at_list_at(wanted.wake.max(now + 1));
+        self.schedule_discovery_check(wanted.wake.max(now + 1));
     }
-    fn call_list(&mut self, now: Micros, io: &mut dyn Io) {
-        self.leave_list(io);
+    fn connect_discovery(&mut self, now: Micros, io: &mut dyn Io) {
+        self.disconnect_discovery(io);
         let conn = io.connect(self.settings.text("edge.list"));
-        self.owners.insert(conn, Owner::List);
+        self.connection_owners.insert(conn, Owner::Discovery);
         let name = self.settings.text("edge.name").to_string();
         let mut out = Outbox::new(self.limits.largest_frame);
         let hello = Hello {
@@ -291,95 +311,103 @@
             age_us: None,
         };
         let _ = out.push((), &frame(&ToDiscovery::Hello(hello)));
-        let _ = out.push((), &frame(&ToDiscovery::Watch(self.list.known.watch())));
-        self.list.conn = Some(conn);
-        self.list.out = Some(out);
-        self.list.up = false;
-        self.list.frames = FrameDecoder::new(self.limits.largest_frame);
+        let _ = out.push(
+            (),
+            &frame(&ToDiscovery::Watch(self.discovery.known.watch())),
+        );
+        self.discovery.conn = Some(conn);
+        self.discovery.out = Some(out);
+        self.discovery.is_connected = false;
+        self.discovery.frames = FrameDecoder::new(self.limits.largest_frame);
         tracing::debug!(at = now, "the list service is called");
     }
     /// The list service's time: a call, a check or a question may be due.
-    pub(crate) fn look_at_list(&mut self, now: Micros, io: &mut dyn Io) {
-        if now >= self.list.next {
-            self.follow_list(now, &[], io);
+    pub(crate) fn check_discovery(&mut self, now: Micros, io: &mut dyn Io) {
+        if now >= self.discovery.next {
+            self.run_bootstrap(now, &[], io);
         }
     }
-    pub(crate) fn look_at_list_at(&mut self, at: Micros) {
-        self.list.next = at;
-        self.due.insert((at, Due::List));
+    pub(crate) fn schedule_discovery_check(&mut self, at: Micros) {
+        self.discovery.next = at;
+        self.timers.insert((at, Timer::Discovery));
     }
 
-    fn leave_list(&mut self, io: &mut dyn Io) {
-        if let Some(conn) = self.list.conn.take() {
-            self.owners.remove(&conn);
+    fn disconnect_discovery(&mut self, io: &mut dyn Io) {
+        if let Some(conn) = self.discovery.conn.take() {
+            self.connection_owners.remove(&conn);
             io.reset(conn);
-            self.list_is_away();
+            self.on_discovery_lost();
         }
     }
-    fn list_is_away(&mut self) {
-        self.list.up = false;
+    fn on_discovery_lost(&mut self) {
+        self.discovery.is_connected = false;
         tracing::info!(
             reason = "list-away",
             "the list service does not answer; the last list holds"
         );
-        self.figures.list_losses.increment(1);
+        self.metrics.discovery_losses.increment(1);
     }
-    pub(crate) fn list_event(
+    pub(crate) fn on_discovery_event(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         event: Event<'_>,
         io: &mut dyn Io,
     ) {
-        if self.list.conn != Some(conn) {
+        if self.discovery.conn != Some(conn) {
             return;
         }
         match event {
             Event::Connected { .. } => {
-                self.list.up = true;
-                self.flush_list(conn, io);
+                self.discovery.is_connected = true;
+                self.flush_discovery(conn, io);
             }
             Event::Writable { .. } => {
-                self.list.out.iter_mut().for_each(Outbox::unblock);
-                self.flush_list(conn, io);
+                self.discovery.out.iter_mut().for_each(Outbox::unblock);
+                self.flush_discovery(conn, io);
             }
             Event::Bytes { bytes, .. } => {
-                self.list.frames.push_bytes(bytes);
+                self.discovery.frames.push_bytes(bytes);
                 loop {
-                    match self.list.frames.next_message::<FromDiscovery>() {
+                    match self.discovery.frames.next_message::<FromDiscovery>() {
                         Ok(None) => break,
-                        Ok(Some(FromDiscovery::Endpoints(rows))) => self.list_rows(now, &rows, io),
+                        Ok(Some(FromDiscovery::Endpoints(rows))) => {
+                            self.on_endpoint_update(now, &rows, io)
+                        }
                         Ok(Some(FromDiscovery::Hello(_))) => {}
                         Err(e) => {
                             tracing::warn!(reason = "garbled-list", problem = %e, "the list service is called anew");
-                            self.leave_list(io);
-                            return self.follow_list(now, &[DiscoveryEvent::Disconnected], io);
+                            self.disconnect_discovery(io);
+                            return self.run_bootstrap(now, &[DiscoveryEvent::Disconnected], io);
                         }
                     }
                 }
             }
             Event::Closed { .. } => {
-                self.list.conn = None;
-                self.list_is_away();
-                self.follow_list(now, &[DiscoveryEvent::Disconnected], io);
+                self.discovery.conn = None;
+                self.on_discovery_lost();
+                self.run_bootstrap(now, &[DiscoveryEvent::Disconnected], io);
             }
             Event::Accepted { .. } => {}
         }
     }
-    fn flush_list(&mut self, conn: ConnectionId, io: &mut dyn Io) {
-        self.list.out.iter_mut().for_each(|out| out.flush(conn, io));
+    fn flush_discovery(&mut self, conn: ConnectionId, io: &mut dyn Io) {
+        self.discovery
+            .out
+            .iter_mut()
+            .for_each(|out| out.flush(conn, io));
     }
 
-    fn list_rows(&mut self, now: Micros, rows: &EndpointUpdate, io: &mut dyn Io) {
+    fn on_endpoint_update(&mut self, now: Micros, rows: &EndpointUpdate, io: &mut dyn Io) {
         let head = rows.head();
-        if !self.list.known.is_followed_by(head) {
+        if !self.discovery.known.is_followed_by(head) {
             // A change was missed: the service tells what follows on the version that is known, or the whole list. What
             // this one says is true all the same, and a drain that waited for the rest would be found out too late.
-            self.take_rows(now, EndpointListKind::Delta, &rows.endpoints);
-            return self.follow_list(now, &[DiscoveryEvent::Gap], io);
+            self.apply_endpoints(now, EndpointListKind::Delta, &rows.endpoints);
+            return self.run_bootstrap(now, &[DiscoveryEvent::Gap], io);
         }
-        self.follow_list(now, &[DiscoveryEvent::Answered], io);
-        if !self.list.known.take(head) {
+        self.run_bootstrap(now, &[DiscoveryEvent::Answered], io);
+        if !self.discovery.known.advance(head) {
             return;
         }
         let kind = if rows.is_full_snapshot {
@@ -387,38 +415,42 @@
         } else {
             EndpointListKind::Delta
         };
-        self.take_rows(now, kind, &rows.endpoints);
-        if !self.list.saving {
-            self.list.saving = true;
-            self.due.insert((now + self.limits.save_least, Due::Save));
+        self.apply_endpoints(now, kind, &rows.endpoints);
+        if !self.discovery.save_scheduled {
+            self.discovery.save_scheduled = true;
+            self.timers
+                .insert((now + self.limits.save_least, Timer::SaveState));
         }
     }
 
-    pub(crate) fn save_list(&mut self, now: Micros, io: &mut dyn Io) {
-        self.list.saving = false;
+    pub(crate) fn save_state_now(&mut self, now: Micros, io: &mut dyn Io) {
+        self.discovery.save_scheduled = false;
         self.save_state(now, io);
     }
     pub(crate) fn save_state(&self, now: Micros, io: &mut dyn Io) {
-        let stands = self
-            .list
-            .rows
+        let live = self
+            .discovery
+            .endpoints
             .values()
-            .filter(|(row, _)| row.phase != Phase::Gone);
-        let aged = |(row, started): &(EndpointRecord, Micros)| {
+            .filter(|(endpoint, _)| endpoint.phase != Phase::Gone);
+        let aged = |(endpoint, started): &(EndpointRecord, Micros)| {
             let age_us = if *started > 0 { now - started } else { -1 };
             EndpointRecord {
                 age_us,
-                ..row.clone()
+                ..endpoint.clone()
             }
         };
-        let rows = stands.map(aged).collect();
-        let Known { run, version } = self.list.known;
+        let rows = live.map(aged).collect();
+        let DiscoveryVersion {
+            service_incarnation,
+            version,
+        } = self.discovery.known;
         let (keys_version, keys_revoked) = self.identity.floor();
-        io.save_state(&endpoint_cache::write(&Kept {
-            at: now,
-            run,
+        io.save_state(&endpoint_cache::write(&CachedState {
+            saved_at: now,
+            service_incarnation,
             version,
-            rows,
+            endpoints: rows,
             keys_version,
             keys_revoked,
         }));
--- a/crates/sanddrum-edge/src/discovery_version.rs
+++ b/crates/sanddrum-edge/src/discovery_version.rs
@@ -5,33 +5,34 @@
 
 /// The run of the list service and the version of its list that are known; nought for none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
-    pub run: u64,
+pub struct DiscoveryVersion {
+    pub service_incarnation: u64,
     pub version: u64,
 }
 
-impl Known {
+impl DiscoveryVersion {
     /// Asks for all that follows on it.
     pub fn watch(self) -> Watch {
         Watch {
             version: self.version,
-            service_incarnation: self.run,
+            service_incarnation: self.service_incarnation,
         }
     }
     /// Whether nothing is missing between what is known and these rows.
     pub fn is_followed_by(self, rows: EndpointUpdateHead) -> bool {
         rows.is_full_snapshot
-            || (rows.service_incarnation == self.run && rows.base_version == self.version)
+            || (rows.service_incarnation == self.service_incarnation
+                && rows.base_version == self.version)
     }
     /// Takes the version of rows that follow; false for a list that is older than what is known, which changes nothing.
-    pub fn take(&mut self, rows: EndpointUpdateHead) -> bool {
+    pub fn advance(&mut self, rows: EndpointUpdateHead) -> bool {
         if rows.is_full_snapshot
-            && rows.service_incarnation == self.run
+            && rows.service_incarnation == self.service_incarnation
             && rows.version < self.version
         {
             return false;
         }
-        (self.run, self.version) = (rows.service_incarnation, rows.version);
+        (self.service_incarnation, self.version) = (rows.service_incarnation, rows.version);
         true
     }
 }
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -1,10 +1,10 @@
 //! The client door for web servers: FastCGI 1.0 as Responder, many requests open on a connection, answers in any order.
 //! Nothing is held of a client beyond named bounds, and a request that makes no sense is answered at once.
 
-use crate::http_listener::{missed, no_job, NoJob};
+use crate::http_listener::{eviction_rank, rejected_call, RejectedCall};
 use crate::invariants::{may_close, CloseReason};
-use crate::requests::{Answer, Call, Refusal};
-use crate::{arrival_time, Due, Inner, Owner};
+use crate::requests::{Call, ErrorResponse, FinalResponse};
+use crate::{arrival_time, EdgeState, Owner, Timer};
 use sanddrum::{Micros, RequestId, WorkloadId};
 use sanddrum_fastcgi::{
     self as fastcgi, RejectReason, Request, Responder, ResponderEvent, ResponderLimits, Status,
@@ -16,66 +16,82 @@
 /// seconds within which nine in ten have to be: it answers, if only that clients are to come back.
 const READY_WITHOUT_LIST: Micros = 5_000_000;
 
-struct Front {
-    requests: Responder,
+struct FastCgiConnection {
+    responder: Responder,
     out: Outbox<()>,
     /// Jobs by the number of their request.
-    jobs: BTreeMap<u16, RequestId>,
-    came: Micros,
-    active: Micros,
+    open_requests: BTreeMap<u16, RequestId>,
+    accepted_at: Micros,
+    last_active: Micros,
     /// It has asked something that could be read.
-    spoke: bool,
+    has_sent_request: bool,
     /// Since when something is begun and not whole.
-    began: Option<Micros>,
+    partial_since: Option<Micros>,
     /// Bytes held of what is not whole.
     partial: usize,
     /// Nothing more is read; it ends once what is owed is written, and then at the latest.
-    ends: Option<Micros>,
+    closes_at: Option<Micros>,
 }
 
 #[derive(Default)]
-pub(crate) struct Fronts {
-    fronts: BTreeMap<ConnectionId, Front>,
+pub(crate) struct FastCgiListener {
+    connections: BTreeMap<ConnectionId, FastCgiConnection>,
     dirty: BTreeSet<ConnectionId>,
     /// Bytes held of requests that are not whole, on all connections.
     partial: usize,
 }
 
-impl Fronts {
+impl FastCgiListener {
     pub fn count(&self) -> usize {
-        self.fronts.len()
+        self.connections.len()
     }
-    pub fn nothing_to_write(&self) -> bool {
-        self.fronts
+    pub fn is_flushed(&self) -> bool {
+        self.connections
             .values()
-            .all(|front| front.jobs.is_empty() && front.out.waiting() == 0)
+            .all(|connection| connection.open_requests.is_empty() && connection.out.waiting() == 0)
     }
     /// Whether a request has come in part.
-    pub fn reads_one(&self) -> bool {
-        self.fronts.values().any(|front| front.began.is_some())
+    pub fn has_partial_request(&self) -> bool {
+        self.connections
+            .values()
+            .any(|connection| connection.partial_since.is_some())
     }
     /// Who goes where there is no room for one more: first who has had time to speak and has not, then who has asked
     /// nothing for longest, last who has only just come and may have its request on its way; never one that has a
     /// request open. Guards against clients that connect by the hundred and say nothing, or ask once and stay.
-    fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
-        let idle = self
-            .fronts
-            .iter()
-            .filter(|(_, front)| front.jobs.is_empty() && front.out.waiting() == 0);
-        let rank = |front: &Front| missed(front.spoke, now - front.came >= time_to_speak);
-        idle.min_by_key(|(conn, front)| (rank(front), front.active, **conn))
+    fn eviction_candidate(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
+        let idle = self.connections.iter().filter(|(_, connection)| {
+            connection.open_requests.is_empty() && connection.out.waiting() == 0
+        });
+        let rank = |connection: &FastCgiConnection| {
+            eviction_rank(
+                connection.has_sent_request,
+                now - connection.accepted_at >= time_to_speak,
+            )
+        };
+        idle.min_by_key(|(conn, connection)| (rank(connection), connection.last_active, **conn))
             .map(|(conn, _)| *conn)
     }
 }
 
 /// A parameter with a number in it: a whole one from `least` to `most`.
-fn number(request: &Request, name: &'static str, least: f64, most: f64) -> Result<f64, NoJob> {
+fn number(
+    request: &Request,
+    name: &'static str,
+    least: f64,
+    most: f64,
+) -> Result<f64, RejectedCall> {
     within(request.param(name), name, least, most)
 }
-fn within(text: Option<&str>, name: &'static str, least: f64, most: f64) -> Result<f64, NoJob> {
+fn within(
+    text: Option<&str>,
+    name: &'static str,
+    least: f64,
+    most: f64,
+) -> Result<f64, RejectedCall> {
     let read = text.and_then(|text| text.trim().parse::<f64>().ok());
     read.filter(|n| (least..=most).contains(n)).ok_or_else(|| {
-        no_job(
+        rejected_call(
             400,
             "bad-field",
             format!("{name}: {text:?} is not a number from {least} to {most}"),
@@ -84,13 +100,13 @@
 }
 
 /// 16 hex digits.
-fn id(request: &Request, name: &'static str) -> Result<u64, NoJob> {
+fn id(request: &Request, name: &'static str) -> Result<u64, RejectedCall> {
     let text = request
         .param(name)
         .filter(|t| t.len() == 16 && t.bytes().all(|b| b.is_ascii_hexdigit()));
     text.and_then(|text| u64::from_str_radix(text, 16).ok())
         .ok_or_else(|| {
-            no_job(
+            rejected_call(
                 400,
                 "bad-field",
                 format!("{name}: 16 hex digits are wanted"),
@@ -98,12 +114,15 @@
         })
 }
 
-impl Inner {
-    pub(crate) fn front_came(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        if self.fronts.fronts.len() >= self.limits.max_clients {
-            self.figures.limit_hit("max-clients");
-            match self.fronts.least_missed(now, self.limits.time_to_speak) {
-                Some(other) => self.drop_front(now, other, io, CloseReason::MakesRoom),
+impl EdgeState {
+    pub(crate) fn accept_fastcgi(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
+        if self.fastcgi.connections.len() >= self.limits.max_clients {
+            self.metrics.record_limit_hit("max-clients");
+            match self
+                .fastcgi
+                .eviction_candidate(now, self.limits.time_to_speak)
+            {
+                Some(other) => self.close_fastcgi(now, other, io, CloseReason::MakesRoom),
                 None => return io.reset(conn),
             }
         }
@@ -115,25 +134,27 @@
             max_buffered_bytes: self.limits.pipelined
                 * (self.limits.largest_head + self.limits.largest_body),
         };
-        let front = Front {
-            requests: Responder::new(bounds),
+        let connection = FastCgiConnection {
+            responder: Responder::new(bounds),
             out: Outbox::new(self.limits.waiting_per_client),
-            jobs: BTreeMap::new(),
-            came: now,
-            active: now,
-            spoke: false,
-            began: None,
+            open_requests: BTreeMap::new(),
+            accepted_at: now,
+            last_active: now,
+            has_sent_request: false,
+            partial_since: None,
             partial: 0,
-            ends: None,
+            closes_at: None,
         };
-        self.owners.insert(conn, Owner::Client);
-        self.fronts.fronts.insert(conn, front);
-        self.figures.clients_open.increment(1.0);
-        self.due
-            .insert((now + self.limits.head_time_out, Due::Client(conn)));
+        self.connection_owners.insert(conn, Owner::Client);
+        self.fastcgi.connections.insert(conn, connection);
+        self.metrics.client_connections_open.increment(1.0);
+        self.timers.insert((
+            now + self.limits.head_time_out,
+            Timer::ClientConnection(conn),
+        ));
     }
 
-    pub(crate) fn front_event(
+    pub(crate) fn on_fastcgi_event(
         &mut self,
         now: Micros,
         conn: ConnectionId,
@@ -142,74 +163,86 @@
     ) {
         match event {
             Event::Bytes { bytes, .. } => {
-                let Some(front) = self.fronts.fronts.get_mut(&conn) else {
+                let Some(connection) = self.fastcgi.connections.get_mut(&conn) else {
                     return;
                 };
-                front.active = now;
-                front.requests.push_bytes(bytes);
+                connection.last_active = now;
+                connection.responder.push_bytes(bytes);
                 let from = arrival_time::counts_from(now, io.earliest_arrival(now));
-                self.read_front(now, from, conn, io);
-                self.bound_partial(conn);
+                self.read_fastcgi_requests(now, from, conn, io);
+                self.limit_partial(conn);
             }
             Event::Writable { .. } => {
-                if let Some(front) = self.fronts.fronts.get_mut(&conn) {
-                    front.out.unblock();
-                    front.active = now;
-                    self.fronts.dirty.insert(conn);
+                if let Some(connection) = self.fastcgi.connections.get_mut(&conn) {
+                    connection.out.unblock();
+                    connection.last_active = now;
+                    self.fastcgi.dirty.insert(conn);
                 }
             }
-            Event::Closed { .. } => self.front_left(now, conn),
+            Event::Closed { .. } => self.fastcgi_connection_closed(now, conn),
             Event::Accepted { .. } | Event::Connected { .. } => {}
         }
     }
 
     /// Takes up what has come whole; its clients' time counts from `from` on.
-    fn read_front(&mut self, now: Micros, from: Micros, conn: ConnectionId, io: &mut dyn Io) {
+    fn read_fastcgi_requests(
+        &mut self,
+        now: Micros,
+        from: Micros,
+        conn: ConnectionId,
+        io: &mut dyn Io,
+    ) {
         loop {
-            let Some(front) = self.fronts.fronts.get_mut(&conn) else {
+            let Some(connection) = self.fastcgi.connections.get_mut(&conn) else {
                 return;
             };
-            let said = match front.requests.next_event() {
+            let said = match connection.responder.next_event() {
                 Ok(Some(said)) => said,
                 Ok(None) => {
-                    let in_part = front.requests.has_partial_request();
-                    let in_part = in_part && front.ends.is_none();
-                    let newly = in_part && front.began.is_none();
-                    front.began = if in_part {
-                        front.began.or(Some(now))
+                    let in_part = connection.responder.has_partial_request();
+                    let in_part = in_part && connection.closes_at.is_none();
+                    let newly = in_part && connection.partial_since.is_none();
+                    connection.partial_since = if in_part {
+                        connection.partial_since.or(Some(now))
                     } else {
                         None
                     };
                     if newly {
-                        self.due
-                            .insert((now + self.limits.head_time_out, Due::Client(conn)));
+                        self.timers.insert((
+                            now + self.limits.head_time_out,
+                            Timer::ClientConnection(conn),
+                        ));
                     }
                     return;
                 }
                 Err(broken) => {
-                    self.figures.refused("refused", "unreadable");
+                    self.metrics.refused("refused", "unreadable");
                     tracing::debug!(conn = conn.0, reason = "unreadable", problem = %broken, "a client can't be read");
-                    return self.drop_front(now, conn, io, CloseReason::Unreadable);
+                    return self.close_fastcgi(now, conn, io, CloseReason::Unreadable);
                 }
             };
             match said {
-                ResponderEvent::Reply(bytes) => self.write_front(conn, &bytes),
+                ResponderEvent::Reply(bytes) => self.write_fastcgi(conn, &bytes),
                 ResponderEvent::Abort { id } => {
-                    if let Some(job) = front.jobs.remove(&id) {
-                        self.give_job_up(now, job);
+                    if let Some(request) = connection.open_requests.remove(&id) {
+                        self.abandon_request(now, request);
                     }
-                    self.write_front(conn, &fastcgi::end_all(id, Status::RequestComplete));
+                    self.write_fastcgi(conn, &fastcgi::end_all(id, Status::RequestComplete));
                 }
                 ResponderEvent::Reject { id, reason: why } => {
-                    self.refuse_unread(now, conn, id, why, io)
+                    self.reject_unread(now, conn, id, why, io)
                 }
                 // Its connection ends with what it has open; a request given up there is still heard of.
-                ResponderEvent::Request { id, .. } if front.ends.is_some() => {
-                    self.end_front_request(conn, id, &fastcgi::end_all(id, Status::Overloaded));
+                ResponderEvent::Request { id, .. } if connection.closes_at.is_some() => {
+                    self.finish_fastcgi_request(
+                        conn,
+                        id,
+                        &fastcgi::end_all(id, Status::Overloaded),
+                    );
                 }
                 ResponderEvent::Request { id, request } => {
-                    front.spoke = true;
-                    self.take_front_request(now, from, conn, id, request);
+                    connection.has_sent_request = true;
+                    self.handle_fastcgi_request(now, from, conn, id, request);
                 }
             }
         }
@@ -217,24 +250,24 @@
 
     /// Keeps what is held of requests that are not whole, on all connections together, within what bodies may take: those
     /// of this connection, which has just brought more, are refused where it is too much. They were never taken up.
-    fn bound_partial(&mut self, conn: ConnectionId) {
-        let Some(front) = self.fronts.fronts.get_mut(&conn) else {
+    fn limit_partial(&mut self, conn: ConnectionId) {
+        let Some(connection) = self.fastcgi.connections.get_mut(&conn) else {
             return;
         };
-        let held = front.requests.buffered_bytes();
-        self.fronts.partial =
-            self.fronts.partial + held - std::mem::replace(&mut front.partial, held);
-        if self.fronts.partial <= self.limits.held_bodies {
+        let held = connection.responder.buffered_bytes();
+        self.fastcgi.partial =
+            self.fastcgi.partial + held - std::mem::replace(&mut connection.partial, held);
+        if self.fastcgi.partial <= self.limits.held_bodies {
             return;
         }
-        self.figures.limit_hit("held-bodies");
-        self.fronts.partial -= std::mem::take(&mut front.partial);
-        for id in front.requests.drop_partial() {
-            self.write_front(conn, &fastcgi::end_all(id, Status::Overloaded));
+        self.metrics.record_limit_hit("held-bodies");
+        self.fastcgi.partial -= std::mem::take(&mut connection.partial);
+        for id in connection.responder.drop_partial() {
+            self.write_fastcgi(conn, &fastcgi::end_all(id, Status::Overloaded));
         }
     }
 
-    fn refuse_unread(
+    fn reject_unread(
         &mut self,
         now: Micros,
         conn: ConnectionId,
@@ -244,42 +277,42 @@
     ) {
         let (status, reason, reads_on) = match why {
             RejectReason::TooManyOpen => {
-                self.figures.limit_hit("pipelined");
-                return self.write_front(conn, &fastcgi::end_all(id, Status::Overloaded));
+                self.metrics.record_limit_hit("pipelined");
+                return self.write_fastcgi(conn, &fastcgi::end_all(id, Status::Overloaded));
             }
             RejectReason::Role => {
-                return self.write_front(conn, &fastcgi::end_all(id, Status::UnknownRole))
+                return self.write_fastcgi(conn, &fastcgi::end_all(id, Status::UnknownRole))
             }
             RejectReason::Params => (400, "malformed-request", true),
             RejectReason::ParamsTooLong => (431, "head-too-large", false),
             RejectReason::BodyTooLong => (413, "body-too-large", false),
         };
-        let no = no_job(
+        let no = rejected_call(
             status,
             reason,
             "the request can't be read; see the client door's page",
         );
-        self.write_front(conn, &no_answer(id, &no, None));
+        self.write_fastcgi(conn, &rejected_response(id, &no, None));
         if reads_on {
             return;
         }
-        self.figures.refused("refused", reason);
+        self.metrics.refused("refused", reason);
         // What is still to come of it may be endless and is not read, unless others have requests open beside it: it is
         // skipped then. Guards against one that sends too much and ends them all.
-        if let Some(front) = self
-            .fronts
-            .fronts
+        if let Some(connection) = self
+            .fastcgi
+            .connections
             .get_mut(&conn)
-            .filter(|front| front.jobs.is_empty())
+            .filter(|connection| connection.open_requests.is_empty())
         {
-            front.ends = Some(now + self.limits.linger);
-            self.due
-                .insert((now + self.limits.linger, Due::Client(conn)));
+            connection.closes_at = Some(now + self.limits.linger);
+            self.timers
+                .insert((now + self.limits.linger, Timer::ClientConnection(conn)));
             io.pause(conn, true);
         }
     }
 
-    fn take_front_request(
+    fn handle_fastcgi_request(
         &mut self,
         now: Micros,
         from: Micros,
@@ -289,7 +322,8 @@
     ) {
         let answer = match request.param("SCRIPT_NAME") {
             Some("/health") => {
-                let ready = !self.list.is_empty() || now >= self.began + READY_WITHOUT_LIST;
+                let ready =
+                    !self.discovery.is_empty() || now >= self.started_at + READY_WITHOUT_LIST;
                 let status = if ready { 200 } else { 503 };
                 let text: &[u8] = if ready { b"ok\n" } else { b"no list yet\n" };
                 Some(fastcgi::answer(
@@ -297,19 +331,19 @@
                     &[head(status, &[], text.len()).as_bytes(), text],
                 ))
             }
-            _ => match self.front_call(now, &request) {
+            _ => match self.parse_fastcgi_call(now, &request) {
                 Ok(mut call) => {
                     call.body = request.body;
                     call.limit = (call.limit - (now - from)).max(1);
-                    let job = self.take_job(now, conn, u64::from(id), call);
-                    if let Some(front) = self.fronts.fronts.get_mut(&conn) {
-                        front.jobs.insert(id, job);
+                    let request = self.accept_request(now, conn, u64::from(id), call);
+                    if let Some(connection) = self.fastcgi.connections.get_mut(&conn) {
+                        connection.open_requests.insert(id, request);
                     }
                     None
                 }
                 Err(no) => {
                     let pushed_back = no.status == 503;
-                    self.figures.refused(
+                    self.metrics.refused(
                         if pushed_back {
                             "pushed-back"
                         } else {
@@ -323,7 +357,7 @@
                         detail = no.detail,
                         "not taken"
                     );
-                    Some(no_answer(
+                    Some(rejected_response(
                         id,
                         &no,
                         pushed_back.then_some(self.limits.max_retry_after),
@@ -332,19 +366,19 @@
             },
         };
         if let Some(answer) = answer {
-            self.end_front_request(conn, id, &answer);
+            self.finish_fastcgi_request(conn, id, &answer);
         }
     }
 
     /// The call that a request makes, all but its body.
-    fn front_call(&mut self, now: Micros, request: &Request) -> Result<Call, NoJob> {
+    fn parse_fastcgi_call(&mut self, now: Micros, request: &Request) -> Result<Call, RejectedCall> {
         let class = request
             .param("SCRIPT_NAME")
             .and_then(|path| path.strip_prefix("/rpc/"));
         let found =
             class.and_then(|class| self.functions.workloads.iter().position(|w| w == class));
         let Some(n) = found else {
-            return Err(no_job(
+            return Err(rejected_call(
                 404,
                 "no-such-workload",
                 "jobs go to /rpc/ and a workload that is set",
@@ -354,7 +388,7 @@
             .param("CONTENT_LENGTH")
             .filter(|text| !text.is_empty());
         if length.is_some_and(|text| text.parse().ok() != Some(request.body.len())) {
-            return Err(no_job(
+            return Err(rejected_call(
                 400,
                 "bad-length",
                 "CONTENT_LENGTH is not the body's",
@@ -384,7 +418,7 @@
                 .map(|(_, value)| *value)
         };
         let memory_mb = within(info("memory_mb"), "memory_mb", 0.0, 1e9)?;
-        let lanes = within(info("lanes"), "lanes", 1.0, 1e4)?;
+        let concurrency = within(info("lanes"), "lanes", 1.0, 1e4)?;
         let longest = beyond * self.limits.order_time_out as f64 / 1000.0;
         let load = match info("load_ms") {
             None => None,
@@ -399,38 +433,42 @@
             key.chars()
                 .any(|c| matches!(c, ',' | '=') || c.is_control())
         }) {
-            return Err(no_job(
+            return Err(rejected_call(
                 400,
                 "bad-field",
                 "HTTP_X_DEDUPE_KEY: a key without commas and equals signs",
             ));
         }
-        if self.jobs.is_open(number_of) {
-            return Err(no_job(409, "call-open", "a call of this id is open"));
+        if self.requests.is_open(number_of) {
+            return Err(rejected_call(409, "call-open", "a call of this id is open"));
         }
-        if self.jobs.open() >= self.limits.max_open {
-            self.figures.limit_hit("max-open");
-            return Err(no_job(
+        if self.requests.open() >= self.limits.max_open {
+            self.metrics.record_limit_hit("max-open");
+            return Err(rejected_call(
                 503,
                 "max-open",
                 "this edge holds as many jobs as it may; nothing was done",
             ));
         }
-        if self.jobs.bodies() + request.body.len() > self.limits.held_bodies {
-            self.figures.limit_hit("held-bodies");
-            return Err(no_job(
+        if self.requests.body_bytes() + request.body.len() > self.limits.held_bodies {
+            self.metrics.record_limit_hit("held-bodies");
+            return Err(rejected_call(
                 503,
                 "held-bodies",
                 "this edge holds as much as it may; nothing was done",
             ));
         }
         let (workload, most) = (WorkloadId(n), self.limits.max_functions);
-        let taken =
-            self.functions
-                .take_up(now, name, workload, (memory_mb, lanes as u32, load), most);
+        let taken = self.functions.observe(
+            now,
+            name,
+            workload,
+            (memory_mb, concurrency as u32, load),
+            most,
+        );
         let Some(function) = taken else {
-            self.figures.limit_hit("max-functions");
-            return Err(no_job(
+            self.metrics.record_limit_hit("max-functions");
+            return Err(rejected_call(
                 503,
                 "max-functions",
                 "this edge knows as many functions as it may",
@@ -442,81 +480,86 @@
             workload,
             function,
             memory_mb,
-            lanes,
+            concurrency,
             load,
             limit,
-            mark,
+            idempotency_key: mark,
             ..Call::default()
         })
     }
 
     /// The final answer to a job of a web server's.
-    pub(crate) fn answer_front(&mut self, conn: ConnectionId, place: u64, answer: &Answer<'_>) {
-        let id = place as u16;
-        let Some(front) = self.fronts.fronts.get_mut(&conn) else {
+    pub(crate) fn respond_fastcgi(
+        &mut self,
+        conn: ConnectionId,
+        slot: u64,
+        answer: &FinalResponse<'_>,
+    ) {
+        let id = slot as u16;
+        let Some(connection) = self.fastcgi.connections.get_mut(&conn) else {
             return;
         };
-        if front.jobs.remove(&id).is_none() {
+        if connection.open_requests.remove(&id).is_none() {
             return;
         }
         let bytes = match answer {
-            Answer::Finished { body, .. } => {
+            FinalResponse::Finished { body, .. } => {
                 fastcgi::answer(id, &[head(200, &[], body.len()).as_bytes(), body])
             }
-            Answer::Refused(refusal) => refused(id, refusal),
+            FinalResponse::Error(refusal) => refused(id, refusal),
         };
-        self.end_front_request(conn, id, &bytes);
+        self.finish_fastcgi_request(conn, id, &bytes);
     }
 
-    fn end_front_request(&mut self, conn: ConnectionId, id: u16, answer: &[u8]) {
-        self.write_front(conn, answer);
-        if let Some(front) = self.fronts.fronts.get_mut(&conn) {
-            if front.requests.finish(id) && front.ends.is_none() {
-                front.ends = Some(Micros::MAX);
+    fn finish_fastcgi_request(&mut self, conn: ConnectionId, id: u16, answer: &[u8]) {
+        self.write_fastcgi(conn, answer);
+        if let Some(connection) = self.fastcgi.connections.get_mut(&conn) {
+            if connection.responder.finish(id) && connection.closes_at.is_none() {
+                connection.closes_at = Some(Micros::MAX);
             }
         }
     }
 
-    fn write_front(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        if let Some(front) = self.fronts.fronts.get_mut(&conn) {
-            if front.out.push((), bytes).is_err() {
+    fn write_fastcgi(&mut self, conn: ConnectionId, bytes: &[u8]) {
+        if let Some(connection) = self.fastcgi.connections.get_mut(&conn) {
+            if connection.out.push((), bytes).is_err() {
                 // It reads nothing: it is closed with all that it has open.
-                self.figures.limit_hit("waiting-per-client");
-                front.ends = Some(0);
+                self.metrics.record_limit_hit("waiting-per-client");
+                connection.closes_at = Some(0);
             }
-            self.fronts.dirty.insert(conn);
+            self.fastcgi.dirty.insert(conn);
         }
     }
 
-    pub(crate) fn flush_fronts(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some(conn) = self.fronts.dirty.pop_first() {
-            let Some(front) = self.fronts.fronts.get_mut(&conn) else {
+    pub(crate) fn flush_fastcgi(&mut self, now: Micros, io: &mut dyn Io) {
+        while let Some(conn) = self.fastcgi.dirty.pop_first() {
+            let Some(connection) = self.fastcgi.connections.get_mut(&conn) else {
                 continue;
             };
-            let before = front.out.waiting();
-            front.out.flush(conn, io);
-            if front.out.waiting() < before {
-                front.active = now;
+            let before = connection.out.waiting();
+            connection.out.flush(conn, io);
+            if connection.out.waiting() < before {
+                connection.last_active = now;
             }
-            let written = front.out.waiting() == 0 && front.jobs.is_empty();
-            match front.ends {
-                Some(0) => self.drop_front(now, conn, io, CloseReason::ReadsNothing),
-                Some(_) if written => self.drop_front(now, conn, io, CloseReason::Answered),
+            let written = connection.out.waiting() == 0 && connection.open_requests.is_empty();
+            match connection.closes_at {
+                Some(0) => self.close_fastcgi(now, conn, io, CloseReason::ReadsNothing),
+                Some(_) if written => self.close_fastcgi(now, conn, io, CloseReason::Answered),
                 _ => {}
             }
         }
     }
 
     /// Closes a web server's connection: in order, unless it could not read what is left.
-    fn drop_front(
+    fn close_fastcgi(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         io: &mut dyn Io,
         reason: CloseReason,
     ) {
-        if let Some(front) = self.fronts.fronts.get(&conn) {
-            let (open, unwritten) = (front.jobs.len(), front.out.waiting());
+        if let Some(connection) = self.fastcgi.connections.get(&conn) {
+            let (open, unwritten) = (connection.open_requests.len(), connection.out.waiting());
             tracing::debug!(
                 conn = conn.0,
                 reason = reason.name(),
@@ -525,62 +568,68 @@
                 "a client's connection is closed"
             );
             if let Err(rule) = may_close(reason, open, unwritten) {
-                self.violated(rule, reason.name());
+                self.report_violation(rule, reason.name());
             }
         }
-        self.figures.client_closed(reason.name());
-        self.owners.remove(&conn);
+        self.metrics.record_client_close(reason.name());
+        self.connection_owners.remove(&conn);
         match reason {
             CloseReason::Unreadable | CloseReason::ReadsNothing => io.reset(conn),
             _ => io.close(conn),
         }
-        self.front_left(now, conn);
+        self.fastcgi_connection_closed(now, conn);
     }
 
     /// A web server that closes gives up all that it has open there.
-    fn front_left(&mut self, now: Micros, conn: ConnectionId) {
-        let Some(front) = self.fronts.fronts.remove(&conn) else {
+    fn fastcgi_connection_closed(&mut self, now: Micros, conn: ConnectionId) {
+        let Some(connection) = self.fastcgi.connections.remove(&conn) else {
             return;
         };
-        self.fronts.dirty.remove(&conn);
-        self.fronts.partial -= front.partial;
-        self.figures.clients_open.decrement(1.0);
-        front
-            .jobs
+        self.fastcgi.dirty.remove(&conn);
+        self.fastcgi.partial -= connection.partial;
+        self.metrics.client_connections_open.decrement(1.0);
+        connection
+            .open_requests
             .into_values()
-            .for_each(|job| self.give_job_up(now, job));
+            .for_each(|request| self.abandon_request(now, request));
     }
 
     /// Looks whether a connection has said nothing sensible, is slow with a request, asks nothing or does not read.
-    pub(crate) fn look_at_front(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let Some(front) = self.fronts.fronts.get(&conn) else {
+    pub(crate) fn check_fastcgi_connection(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        io: &mut dyn Io,
+    ) {
+        let Some(connection) = self.fastcgi.connections.get(&conn) else {
             return;
         };
-        let (open, unwritten) = (front.jobs.len(), front.out.waiting());
-        if front.ends.is_some_and(|at| at <= now) {
+        let (open, unwritten) = (connection.open_requests.len(), connection.out.waiting());
+        if connection.closes_at.is_some_and(|at| at <= now) {
             let reason = if open == 0 && unwritten == 0 {
                 CloseReason::Answered
             } else {
                 CloseReason::ReadsNothing
             };
-            return self.drop_front(now, conn, io, reason);
+            return self.close_fastcgi(now, conn, io, reason);
         }
         let patience = self.limits.head_time_out;
-        let silent = (!front.spoke).then_some(front.came + patience);
-        let slow = front
-            .began
-            .filter(|_| front.ends.is_none())
+        let silent = (!connection.has_sent_request).then_some(connection.accepted_at + patience);
+        let slow = connection
+            .partial_since
+            .filter(|_| connection.closes_at.is_none())
             .map(|at| at + patience);
-        let quiet = front.jobs.is_empty() || front.out.waiting() > 0;
-        let idle = quiet.then_some(front.active + self.limits.client_idle);
-        if slow.is_some_and(|at| at <= now) && !front.jobs.is_empty() {
+        let quiet = connection.open_requests.is_empty() || connection.out.waiting() > 0;
+        let idle = quiet.then_some(connection.last_active + self.limits.client_idle);
+        if slow.is_some_and(|at| at <= now) && !connection.open_requests.is_empty() {
             // Guards against a request that never comes whole and takes with it all that are open beside it: its
             // connection ends behind their answers.
-            let front = self.fronts.fronts.get_mut(&conn);
-            front
-                .into_iter()
-                .for_each(|front| (front.ends, front.began) = (Some(Micros::MAX), None));
-            self.due.insert((now + patience, Due::Client(conn)));
+            let connection = self.fastcgi.connections.get_mut(&conn);
+            connection.into_iter().for_each(|connection| {
+                (connection.closes_at, connection.partial_since) = (Some(Micros::MAX), None)
+            });
+            self.timers
+                .insert((now + patience, Timer::ClientConnection(conn)));
             return;
         }
         let next = silent.into_iter().chain(slow).chain(idle).min();
@@ -590,11 +639,11 @@
                 () if silent.or(slow).is_some_and(|at| at <= now) => CloseReason::TimeToSpeakOver,
                 () => CloseReason::Idle,
             };
-            return self.drop_front(now, conn, io, reason);
+            return self.close_fastcgi(now, conn, io, reason);
         }
-        self.due.insert((
+        self.timers.insert((
             next.unwrap_or(now + self.limits.client_idle).max(now + 1),
-            Due::Client(conn),
+            Timer::ClientConnection(conn),
         ));
     }
 }
@@ -608,24 +657,24 @@
     head.push_str(&format!("Content-Length: {length}\r\n\r\n"));
     head
 }
-fn come_back(wait: Option<Micros>) -> Vec<(&'static str, String)> {
+fn retry_after_header(wait: Option<Micros>) -> Vec<(&'static str, String)> {
     wait.map(|wait| ("X-Come-Back-Ms", (wait / 1000).to_string()))
         .into_iter()
         .collect()
 }
-fn no_answer(id: u16, no: &NoJob, wait: Option<Micros>) -> Vec<u8> {
+fn rejected_response(id: u16, no: &RejectedCall, wait: Option<Micros>) -> Vec<u8> {
     let text = format!("{}: {}\n", no.reason, no.detail);
     fastcgi::answer(
         id,
         &[
-            head(no.status, &come_back(wait), text.len()).as_bytes(),
+            head(no.status, &retry_after_header(wait), text.len()).as_bytes(),
             text.as_bytes(),
         ],
     )
 }
-fn refused(id: u16, refusal: &Refusal<'_>) -> Vec<u8> {
+fn refused(id: u16, refusal: &ErrorResponse<'_>) -> Vec<u8> {
     let text = format!("{}: {}\n", refusal.reason, refusal.detail);
-    let fields = come_back(refusal.retry_after);
+    let fields = retry_after_header(refusal.retry_after);
     fastcgi::answer(
         id,
         &[
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -11,7 +11,7 @@
     pub name: String,
     pub workload: WorkloadId,
     pub memory_mb: f64,
-    pub lanes: u32,
+    pub concurrency: u32,
     pub load: Option<Micros>,
     /// When a job last named it.
     pub last: Micros,
@@ -23,7 +23,7 @@
     any_end: bool,
     workload: String,
     memory_mb: f64,
-    lanes: u32,
+    concurrency: u32,
     load: Option<Micros>,
 }
 
@@ -36,16 +36,16 @@
     run_once: Vec<bool>,
     known: BTreeMap<FunctionId, Function>,
     /// How long one that no job names is known, and when to look for such.
-    kept_for: Micros,
+    retention: Micros,
     look: Micros,
 }
 
 /// A function that only its jobs tell of is known for so many keep-alives after the last one.
-const KEEPS: Micros = 8;
+const KEEP_ALIVES_RETAINED: Micros = 8;
 
 /// Why a call names nothing that can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unknown {
+pub(crate) enum FunctionLookupError {
     Workload,
     Function,
     /// The bound on known functions is reached.
@@ -53,26 +53,28 @@
 }
 
 impl Functions {
-    pub fn of(l: &LoadedSettings) -> Self {
-        let mut patterns: Vec<Pattern> = (0..l.count("functions"))
+    pub fn from_settings(settings: &LoadedSettings) -> Self {
+        let mut patterns: Vec<Pattern> = (0..settings.count("functions"))
             .map(|n| {
                 let at = |key: &str| format!("functions.{n}.{key}");
-                let name = l.text(&at("name"));
+                let name = settings.text(&at("name"));
                 Pattern {
                     name: name.trim_end_matches('*').to_string(),
                     any_end: name.ends_with('*'),
-                    workload: l.text(&at("workload")).to_string(),
-                    memory_mb: l.number(&at("memory-mb")),
-                    lanes: l.number(&at("lanes")) as u32,
-                    load: l.has(&at("load-us")).then(|| l.span(&at("load-us"))),
+                    workload: settings.text(&at("workload")).to_string(),
+                    memory_mb: settings.number(&at("memory-mb")),
+                    concurrency: settings.number(&at("lanes")) as u32,
+                    load: settings
+                        .has(&at("load-us"))
+                        .then(|| settings.span(&at("load-us"))),
                 }
             })
             .collect();
         patterns.sort_by_key(|p| (p.any_end, std::cmp::Reverse(p.name.len())));
         // The module forgets one well before, so that none of its decisions names one that is unknown here.
-        let kept_for = KEEPS * l.span("copies.keep-alive-us");
-        let workloads = l.names("workloads");
-        let effect = |n: usize| l.text(&format!("workloads.{n}.effect"));
+        let retention = KEEP_ALIVES_RETAINED * settings.span("copies.keep-alive-us");
+        let workloads = settings.names("workloads");
+        let effect = |n: usize| settings.text(&format!("workloads.{n}.effect"));
         let run_once = (0..workloads.len())
             .map(|n| effect(n) == "run-once")
             .collect();
@@ -81,28 +83,28 @@
             workloads,
             run_once,
             known: BTreeMap::new(),
-            kept_for,
+            retention,
             look: 0,
         }
     }
     /// Whether jobs of a workload may run once only; so may those of one that is not set.
-    pub fn runs_once(&self, workload: WorkloadId) -> bool {
+    pub fn runs_once_only(&self, workload: WorkloadId) -> bool {
         self.run_once.get(workload.0).copied().unwrap_or(true)
     }
     /// A function that its jobs tell of; none where the bound on known functions is reached.
-    pub fn take_up(
+    pub fn observe(
         &mut self,
         now: Micros,
         name: &str,
         workload: WorkloadId,
-        (memory_mb, lanes, load): (f64, u32, Option<Micros>),
+        (memory_mb, concurrency, load): (f64, u32, Option<Micros>),
         most: usize,
     ) -> Option<FunctionId> {
         if now >= self.look {
-            self.look = now + self.kept_for / KEEPS;
-            let kept_for = self.kept_for;
+            self.look = now + self.retention / KEEP_ALIVES_RETAINED;
+            let retention = self.retention;
             self.known
-                .retain(|_, function| now < function.last + kept_for);
+                .retain(|_, function| now < function.last + retention);
         }
         let id = FunctionId(id_of(name));
         if !self.known.contains_key(&id) && self.known.len() >= most {
@@ -114,12 +116,13 @@
                 name,
                 workload,
                 memory_mb,
-                lanes,
+                concurrency,
                 load,
                 last: now,
             }
         });
-        (known.memory_mb, known.lanes, known.load, known.last) = (memory_mb, lanes, load, now);
+        (known.memory_mb, known.concurrency, known.load, known.last) =
+            (memory_mb, concurrency, load, now);
         Some(id)
     }
     pub fn count(&self) -> usize {
@@ -133,7 +136,7 @@
         workload: &str,
         function: &str,
         most: usize,
-    ) -> Result<(FunctionId, &Function), Unknown> {
+    ) -> Result<(FunctionId, &Function), FunctionLookupError> {
         let name = format!("{workload}/{function}");
         let id = FunctionId(id_of(&name));
         if !self.known.contains_key(&id) {
@@ -141,7 +144,7 @@
                 .workloads
                 .iter()
                 .position(|w| w == workload)
-                .ok_or(Unknown::Workload)?;
+                .ok_or(FunctionLookupError::Workload)?;
             let fits = |p: &&Pattern| {
                 let named = if p.any_end {
                     function.starts_with(&p.name)
@@ -150,18 +153,23 @@
                 };
                 named && p.workload == workload
             };
-            let pattern = self.patterns.iter().find(fits).ok_or(Unknown::Function)?;
+            let pattern = self
+                .patterns
+                .iter()
+                .find(fits)
+                .ok_or(FunctionLookupError::Function)?;
             if self.known.len() >= most {
-                return Err(Unknown::TooMany);
+                return Err(FunctionLookupError::TooMany);
             }
-            let (memory_mb, lanes, load) = (pattern.memory_mb, pattern.lanes, pattern.load);
+            let (memory_mb, concurrency, load) =
+                (pattern.memory_mb, pattern.concurrency, pattern.load);
             self.known.insert(
                 id,
                 Function {
                     name,
                     workload: WorkloadId(n),
                     memory_mb,
-                    lanes,
+                    concurrency,
                     load,
                     last: 0,
                 },
@@ -170,6 +178,6 @@
         self.known
             .get(&id)
             .map(|f| (id, f))
-            .ok_or(Unknown::Function)
+            .ok_or(FunctionLookupError::Function)
     }
 }
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -1,79 +1,85 @@
 //! The client door: HTTP/1.1 with keep-alive and bounded pipelining. Answers go out in the order of the requests.
 
-use crate::functions::Unknown;
-use crate::requests::{Answer, Call, Refusal};
-use crate::{arrival_time, Due, Inner, Owner};
+use crate::functions::FunctionLookupError;
+use crate::requests::{Call, ErrorResponse, FinalResponse};
+use crate::{arrival_time, EdgeState, Owner, Timer};
 use sanddrum::{CustomerId, Micros, RequestId};
 use sanddrum_net::{ConnectionId, Event, Io, Outbox};
 use sanddrum_upstream::{ClientConnectionId, OutdatedConnection};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-enum Place {
-    Open { job: RequestId, keep: bool },
+enum ResponseSlot {
+    Open { request: RequestId, keep: bool },
     Ready { answer: Vec<u8>, keep: bool },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum CloseState {
     No,
     /// Once all that is owed is written.
-    WhenWritten,
+    AfterFlush,
     /// Read out until then, so that an early answer is not lost to unread bytes (RFC 9112, section 9.6).
-    Lingers(Micros),
+    Lingering(Micros),
 }
 
-struct Client {
+struct HttpConnection {
     bytes: Vec<u8>,
     out: Outbox<()>,
-    places: VecDeque<Place>,
-    /// The number of the first place.
-    first: u64,
+    slots: VecDeque<ResponseSlot>,
+    /// The number of the first slot.
+    first_slot: u64,
     /// Since when a request is begun and not whole.
-    began: Option<Micros>,
-    came: Micros,
-    active: Micros,
+    partial_since: Option<Micros>,
+    accepted_at: Micros,
+    last_active: Micros,
     /// From when on the time of what has come last counts.
     from: Micros,
-    ending: Ending,
+    ending: CloseState,
     paused: bool,
-    told_to_go_on: bool,
+    continue_sent: bool,
     /// It ends with its next answer, or at once where it asks nothing.
-    retired: bool,
+    is_retired: bool,
 }
 
 #[derive(Default)]
-pub(crate) struct Clients {
-    clients: BTreeMap<ConnectionId, Client>,
+pub(crate) struct HttpListener {
+    connections: BTreeMap<ConnectionId, HttpConnection>,
     dirty: BTreeSet<ConnectionId>,
 }
 
-impl Clients {
+impl HttpListener {
     pub fn count(&self) -> usize {
-        self.clients.len()
+        self.connections.len()
     }
-    pub fn nothing_to_write(&self) -> bool {
-        self.clients
+    pub fn is_flushed(&self) -> bool {
+        self.connections
             .values()
-            .all(|c| c.places.is_empty() && c.out.waiting() == 0)
+            .all(|c| c.slots.is_empty() && c.out.waiting() == 0)
     }
     /// Whether a request has come in part.
-    pub fn reads_one(&self) -> bool {
-        self.clients.values().any(|c| c.began.is_some())
+    pub fn has_partial_request(&self) -> bool {
+        self.connections.values().any(|c| c.partial_since.is_some())
     }
     /// Who goes where there is no room for one more, as for web servers: the silent first, never one with a request.
-    fn least_missed(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
-        let quiet = |c: &Client| c.places.is_empty() && c.out.waiting() == 0 && c.bytes.is_empty();
-        let idle = self.clients.iter().filter(|(_, client)| quiet(client));
-        let rank = |client: &Client| missed(client.first > 0, now - client.came >= time_to_speak);
-        idle.min_by_key(|(conn, client)| (rank(client), client.active, **conn))
+    fn eviction_candidate(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
+        let quiet =
+            |c: &HttpConnection| c.slots.is_empty() && c.out.waiting() == 0 && c.bytes.is_empty();
+        let idle = self.connections.iter().filter(|(_, client)| quiet(client));
+        let rank = |client: &HttpConnection| {
+            eviction_rank(
+                client.first_slot > 0,
+                now - client.accepted_at >= time_to_speak,
+            )
+        };
+        idle.min_by_key(|(conn, client)| (rank(client), client.last_active, **conn))
             .map(|(conn, _)| *conn)
     }
 }
 
 /// Who goes first where there is no room for one more.
-pub(crate) fn missed(spoke: bool, had_time_to_speak: bool) -> u8 {
-    match (spoke, had_time_to_speak) {
+pub(crate) fn eviction_rank(has_sent_request: bool, had_time_to_speak: bool) -> u8 {
+    match (has_sent_request, had_time_to_speak) {
         (false, true) => 0,
         (true, _) => 1,
         (false, false) => 2,
@@ -81,14 +87,18 @@
 }
 
 /// Why a request became no job.
-pub(crate) struct NoJob {
+pub(crate) struct RejectedCall {
     pub status: u16,
     pub reason: &'static str,
     pub detail: String,
 }
 
-pub(crate) fn no_job(status: u16, reason: &'static str, detail: impl Into<String>) -> NoJob {
-    NoJob {
+pub(crate) fn rejected_call(
+    status: u16,
+    reason: &'static str,
+    detail: impl Into<String>,
+) -> RejectedCall {
+    RejectedCall {
         status,
         reason,
         detail: detail.into(),
@@ -96,7 +106,7 @@
 }
 
 /// A field with a number in it, if it is there.
-fn number(request: &Request, name: &'static str) -> Result<Option<i64>, NoJob> {
+fn number(request: &Request, name: &'static str) -> Result<Option<i64>, RejectedCall> {
     let Some(text) = request.field(name) else {
         return Ok(None);
     };
@@ -106,7 +116,7 @@
         .ok()
         .filter(|n| (0..=1_000_000_000_000).contains(n));
     read.map(Some).ok_or_else(|| {
-        no_job(
+        rejected_call(
             400,
             "bad-field",
             format!("{name}: a whole number from 0 on is wanted"),
@@ -114,43 +124,43 @@
     })
 }
 
-impl Inner {
-    pub(crate) fn client_came(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        if self.clients.clients.len() >= self.limits.max_clients {
-            self.figures.limit_hit("max-clients");
-            match self.clients.least_missed(now, self.limits.time_to_speak) {
-                Some(other) => self.drop_client(now, other, io, true),
+impl EdgeState {
+    pub(crate) fn accept_http(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
+        if self.http.connections.len() >= self.limits.max_clients {
+            self.metrics.record_limit_hit("max-clients");
+            match self.http.eviction_candidate(now, self.limits.time_to_speak) {
+                Some(other) => self.close_http(now, other, io, true),
                 None => {
                     tracing::warn!(reason = "max-clients", "a client is closed at once");
                     return io.reset(conn);
                 }
             }
         }
-        self.owners.insert(conn, Owner::Client);
-        self.identity.client_came(conn, io);
-        let client = Client {
+        self.connection_owners.insert(conn, Owner::Client);
+        self.identity.accept_http(conn, io);
+        let client = HttpConnection {
             bytes: Vec::new(),
             out: Outbox::new(self.limits.waiting_per_client),
-            places: VecDeque::new(),
-            first: 0,
-            began: None,
-            came: now,
-            active: now,
+            slots: VecDeque::new(),
+            first_slot: 0,
+            partial_since: None,
+            accepted_at: now,
+            last_active: now,
             from: now,
-            ending: Ending::No,
+            ending: CloseState::No,
             paused: false,
-            told_to_go_on: false,
-            retired: false,
+            continue_sent: false,
+            is_retired: false,
         };
-        self.clients.clients.insert(conn, client);
-        self.figures.clients_open.increment(1.0);
-        self.due.insert((
+        self.http.connections.insert(conn, client);
+        self.metrics.client_connections_open.increment(1.0);
+        self.timers.insert((
             now + self.limits.head_time_out.min(self.limits.client_idle),
-            Due::Client(conn),
+            Timer::ClientConnection(conn),
         ));
     }
 
-    pub(crate) fn client_event(
+    pub(crate) fn on_http_event(
         &mut self,
         now: Micros,
         conn: ConnectionId,
@@ -159,49 +169,49 @@
     ) {
         match event {
             Event::Bytes { bytes, .. } => {
-                let Some(client) = self.clients.clients.get_mut(&conn) else {
+                let Some(client) = self.http.connections.get_mut(&conn) else {
                     return;
                 };
-                client.active = now;
-                if client.ending != Ending::No {
+                client.last_active = now;
+                if client.ending != CloseState::No {
                     return;
                 }
                 if client.bytes.is_empty() {
-                    client.began = Some(now);
+                    client.partial_since = Some(now);
                 }
                 client.bytes.extend_from_slice(bytes);
                 client.from = arrival_time::counts_from(now, io.earliest_arrival(now));
-                self.read_requests(now, conn, io);
+                self.read_http_requests(now, conn, io);
             }
             Event::Writable { .. } => {
-                if let Some(client) = self.clients.clients.get_mut(&conn) {
+                if let Some(client) = self.http.connections.get_mut(&conn) {
                     client.out.unblock();
-                    client.active = now;
-                    self.clients.dirty.insert(conn);
+                    client.last_active = now;
+                    self.http.dirty.insert(conn);
                 }
             }
-            Event::Closed { .. } => self.client_left(now, conn),
+            Event::Closed { .. } => self.http_connection_closed(now, conn),
             Event::Accepted { .. } | Event::Connected { .. } => {}
         }
     }
 
     /// A client that closes has left; what it had asked for needs no answer any more.
-    fn client_left(&mut self, now: Micros, conn: ConnectionId) {
-        let Some(client) = self.clients.clients.remove(&conn) else {
+    fn http_connection_closed(&mut self, now: Micros, conn: ConnectionId) {
+        let Some(client) = self.http.connections.remove(&conn) else {
             return;
         };
-        self.clients.dirty.remove(&conn);
-        self.figures.clients_open.decrement(1.0);
+        self.http.dirty.remove(&conn);
+        self.metrics.client_connections_open.decrement(1.0);
         self.identity.client_gone(conn);
-        for place in client.places {
-            if let Place::Open { job, .. } = place {
-                self.give_job_up(now, job);
+        for slot in client.slots {
+            if let ResponseSlot::Open { request, .. } = slot {
+                self.abandon_request(now, request);
             }
         }
     }
 
     /// A client's connection was made on terms that are past.
-    pub(crate) fn client_is_old(
+    pub(crate) fn client_credentials_changed(
         &mut self,
         now: Micros,
         conn: ConnectionId,
@@ -209,44 +219,49 @@
         io: &mut dyn Io,
     ) {
         if denied {
-            self.client_doubted(now, conn, io);
+            self.client_denied_by(now, conn, io);
             return self
-                .links
-                .news
+                .worker_connections
+                .events
                 .revoked
                 .push(OutdatedConnection::Client(ClientConnectionId(conn.0)));
         }
-        let carries = self
-            .clients
-            .clients
+        let in_flight = self
+            .http
+            .connections
             .get(&conn)
-            .map_or(0, |client| client.places.len());
-        self.links.news.outdated.push((
+            .map_or(0, |client| client.slots.len());
+        self.worker_connections.events.outdated.push((
             OutdatedConnection::Client(ClientConnectionId(conn.0)),
-            carries,
+            in_flight,
         ));
     }
-    pub(crate) fn retire_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let Some(client) = self.clients.clients.get_mut(&conn) else {
+    pub(crate) fn retire_http_connection(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        io: &mut dyn Io,
+    ) {
+        let Some(client) = self.http.connections.get_mut(&conn) else {
             return;
         };
-        client.retired = true;
-        if client.places.is_empty() && client.bytes.is_empty() && client.out.waiting() == 0 {
-            self.drop_client(now, conn, io, true);
+        client.is_retired = true;
+        if client.slots.is_empty() && client.bytes.is_empty() && client.out.waiting() == 0 {
+            self.close_http(now, conn, io, true);
         }
     }
 
-    fn read_requests(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
+    fn read_http_requests(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         loop {
-            let Some(client) = self.clients.clients.get_mut(&conn) else {
+            let Some(client) = self.http.connections.get_mut(&conn) else {
                 return;
             };
-            if client.bytes.is_empty() || client.ending != Ending::No {
-                client.began = None;
+            if client.bytes.is_empty() || client.ending != CloseState::No {
+                client.partial_since = None;
                 return;
             }
-            if client.places.len() >= self.limits.pipelined {
-                client.began = None;
+            if client.slots.len() >= self.limits.pipelined {
+                client.partial_since = None;
                 // Read on within a bound. Guards against a client that leaves unheard, for which what it had asked
                 // would still be sent: of a connection that is not read its end is not told.
                 if client.bytes.len() > self.limits.largest_head + self.limits.largest_body {
@@ -261,22 +276,22 @@
                 self.limits.largest_body,
             ) {
                 Ok(Parsed::Partial { expects_continue }) => {
-                    client.began = client.began.or(Some(now));
-                    if expects_continue && !client.told_to_go_on && client.places.is_empty() {
-                        client.told_to_go_on = client.out.push((), http::CONTINUE).is_ok();
-                        self.clients.dirty.insert(conn);
+                    client.partial_since = client.partial_since.or(Some(now));
+                    if expects_continue && !client.continue_sent && client.slots.is_empty() {
+                        client.continue_sent = client.out.push((), http::CONTINUE).is_ok();
+                        self.http.dirty.insert(conn);
                     }
                     return;
                 }
                 Ok(Parsed::Whole(request, took)) => {
                     client.bytes.drain(..took);
-                    client.told_to_go_on = false;
-                    client.began = None;
-                    self.take_request(now, conn, request, io);
+                    client.continue_sent = false;
+                    client.partial_since = None;
+                    self.handle_http_request(now, conn, request, io);
                 }
                 Err(bad) => {
                     let detail = "the request can't be read; see the client door's page";
-                    self.turn_away(now, conn, bad.status(), bad.reason(), detail, None);
+                    self.reject_unreadable(now, conn, bad.status(), bad.reason(), detail, None);
                     return;
                 }
             }
@@ -284,7 +299,7 @@
     }
 
     /// Answers a request that can't be read on, and ends its connection.
-    fn turn_away(
+    fn reject_unreadable(
         &mut self,
         now: Micros,
         conn: ConnectionId,
@@ -293,38 +308,44 @@
         detail: &str,
         retry_after: Option<Micros>,
     ) {
-        self.figures.refused("refused", reason);
+        self.metrics.refused("refused", reason);
         tracing::info!(status, reason, "a client is turned away");
-        let refusal = Refusal {
+        let refusal = ErrorResponse {
             status,
             end: "refused",
             reason,
             detail,
             retry_after,
-            job: None,
+            request: None,
         };
-        let Some(client) = self.clients.clients.get_mut(&conn) else {
+        let Some(client) = self.http.connections.get_mut(&conn) else {
             return;
         };
-        client.places.push_back(Place::Ready {
+        client.slots.push_back(ResponseSlot::Ready {
             answer: refusal.response(false),
             keep: false,
         });
         client.bytes = Vec::new();
-        client.began = None;
-        client.ending = Ending::Lingers(now + self.limits.linger);
-        self.due
-            .insert((now + self.limits.linger, Due::Client(conn)));
-        self.clients.dirty.insert(conn);
+        client.partial_since = None;
+        client.ending = CloseState::Lingering(now + self.limits.linger);
+        self.timers
+            .insert((now + self.limits.linger, Timer::ClientConnection(conn)));
+        self.http.dirty.insert(conn);
     }
 
-    fn take_request(&mut self, now: Micros, conn: ConnectionId, request: Request, io: &mut dyn Io) {
-        let retired = self
-            .clients
-            .clients
+    fn handle_http_request(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        request: Request,
+        io: &mut dyn Io,
+    ) {
+        let is_retired = self
+            .http
+            .connections
             .get(&conn)
-            .is_some_and(|client| client.retired);
-        let mut keep = request.keep_alive && self.stop_at.is_none() && !retired;
+            .is_some_and(|client| client.is_retired);
+        let mut keep = request.keep_alive && self.shutdown_deadline.is_none() && !is_retired;
         let path = request
             .path
             .split('?')
@@ -347,11 +368,11 @@
             }
             ("GET", "/health") => {
                 // An edge that knows no worker can only push back: clients are better served elsewhere.
-                let (status, text) = match self.start.is_healthy() {
+                let (status, text) = match self.bootstrap.is_healthy() {
                     true => (200, "ok\n".to_string()),
                     false => (
                         503,
-                        format!("starting: {}\n", self.start.readiness().name()),
+                        format!("starting: {}\n", self.bootstrap.readiness().name()),
                     ),
                 };
                 Ok(http::encode_response(
@@ -361,13 +382,13 @@
                     keep,
                 ))
             }
-            _ => Err(self.take_call(now, conn, request, &path, io)),
+            _ => Err(self.accept_http_call(now, conn, request, &path, io)),
         };
         let answer = match answer {
             Ok(answer) => answer,
-            Err(Ok(job)) => {
-                if let Some(client) = self.clients.clients.get_mut(&conn) {
-                    client.places.push_back(Place::Open { job, keep });
+            Err(Ok(request)) => {
+                if let Some(client) = self.http.connections.get_mut(&conn) {
+                    client.slots.push_back(ResponseSlot::Open { request, keep });
                 }
                 return;
             }
@@ -380,98 +401,103 @@
                     "refused"
                 };
                 if no.status == 503 {
-                    self.figures.limit_hit(no.reason);
+                    self.metrics.record_limit_hit(no.reason);
                 }
-                self.figures.refused(end, no.reason);
+                self.metrics.refused(end, no.reason);
                 tracing::info!(status = no.status, reason = no.reason, "not taken");
                 let retry_after = (no.status == 503).then_some(self.limits.max_retry_after);
-                keep &= !self.identity.is_out(conn);
-                Refusal {
+                keep &= !self.identity.is_ejected(conn);
+                ErrorResponse {
                     status: no.status,
                     end,
                     reason: no.reason,
                     detail: &no.detail,
                     retry_after,
-                    job: None,
+                    request: None,
                 }
                 .response(keep)
             }
         };
-        if let Some(client) = self.clients.clients.get_mut(&conn) {
-            client.places.push_back(Place::Ready { answer, keep });
-            self.clients.dirty.insert(conn);
+        if let Some(client) = self.http.connections.get_mut(&conn) {
+            client.slots.push_back(ResponseSlot::Ready { answer, keep });
+            self.http.dirty.insert(conn);
         }
     }
 
-    fn take_call(
+    fn accept_http_call(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: Request,
         path: &str,
         io: &mut dyn Io,
-    ) -> Result<RequestId, NoJob> {
+    ) -> Result<RequestId, RejectedCall> {
         let names = path
             .strip_prefix("/v1/calls/")
             .and_then(|rest| rest.split_once('/'));
         let Some((workload, function)) = names.filter(|(_, f)| !f.is_empty() && !f.contains('/'))
         else {
-            return Err(no_job(
+            return Err(rejected_call(
                 404,
                 "no-such-path",
                 "calls go to POST /v1/calls/{workload}/{function}",
             ));
         };
         if request.method != "POST" {
-            return Err(no_job(405, "method", "calls are made with POST"));
+            return Err(rejected_call(405, "method", "calls are made with POST"));
         }
-        if self.stop_at.is_some() {
-            return Err(no_job(
+        if self.shutdown_deadline.is_some() {
+            return Err(rejected_call(
                 503,
                 "stopping",
                 "this edge ends; nothing was done, ask another one",
             ));
         }
-        if self.jobs.open() >= self.limits.max_open {
-            return Err(no_job(
+        if self.requests.open() >= self.limits.max_open {
+            return Err(rejected_call(
                 503,
                 "max-open",
                 "this edge holds as many jobs as it may; nothing was done",
             ));
         }
-        let customer = self.may_call(now, conn, &request, (workload, function), io);
-        let customer = customer.map_err(|why| no_job(why.status(), why.reason(), why.detail()))?;
+        let customer = self.authorize_call(now, conn, &request, (workload, function), io);
+        let customer =
+            customer.map_err(|why| rejected_call(why.status(), why.reason(), why.detail()))?;
         let limit = number(&request, "sanddrum-time-limit-ms")?.map(|ms| ms * 1000);
-        let work = number(&request, "sanddrum-work-us")?;
-        let repeat = number(&request, "sanddrum-repeat")?.is_some_and(|n| n > 0);
+        let expected_work = number(&request, "sanddrum-work-us")?;
+        let is_retry = number(&request, "sanddrum-repeat")?.is_some_and(|n| n > 0);
         let found = self
             .functions
             .find(workload, function, self.limits.max_functions);
         let (id, known) = found.map_err(|unknown| match unknown {
-            Unknown::Workload => no_job(
+            FunctionLookupError::Workload => rejected_call(
                 404,
                 "no-such-workload",
                 format!("no workload {workload:?} is set here"),
             ),
-            Unknown::Function => no_job(
+            FunctionLookupError::Function => rejected_call(
                 404,
                 "no-such-function",
                 format!("no function {function:?} is set for it"),
             ),
-            Unknown::TooMany => no_job(
+            FunctionLookupError::TooMany => rejected_call(
                 503,
                 "max-functions",
                 "this edge knows as many functions as it may",
             ),
         })?;
-        let (of, memory_mb, lanes, load) =
-            (known.workload, known.memory_mb, known.lanes, known.load);
+        let (of, memory_mb, concurrency, load) = (
+            known.workload,
+            known.memory_mb,
+            known.concurrency,
+            known.load,
+        );
         let whole = self
             .settings
             .span(&format!("workloads.{}.time-limit-us", of.0));
         let waited = self
-            .clients
-            .clients
+            .http
+            .connections
             .get(&conn)
             .map_or(0, |client| (now - client.from).max(0));
         let limit = limit.map_or(whole, |told| told.min(whole)) - self.limits.answer_ahead - waited;
@@ -480,125 +506,132 @@
         let number = (0..customers).find(|n| {
             customer.as_deref() == self.settings.values.text(&format!("customers.{n}.name"))
         });
-        let Some(client) = self.clients.clients.get(&conn) else {
-            return Err(no_job(400, "client-left", "its client has left"));
+        let Some(client) = self.http.connections.get(&conn) else {
+            return Err(rejected_call(400, "client-left", "its client has left"));
         };
-        let place = client.first + client.places.len() as u64;
+        let slot = client.first_slot + client.slots.len() as u64;
         let call = Call {
             number: 0,
             workload: of,
             function: id,
             memory_mb,
-            lanes: f64::from(lanes),
+            concurrency: f64::from(concurrency),
             load,
             limit,
-            work,
-            repeat,
-            mark: field("idempotency-key"),
+            expected_work,
+            is_retry,
+            idempotency_key: field("idempotency-key"),
             trace: field("sanddrum-trace"),
             customer,
             customer_id: CustomerId(number.unwrap_or(customers)),
             body: request.body,
         };
-        Ok(self.take_job(now, conn, place, call))
+        Ok(self.accept_request(now, conn, slot, call))
     }
 
     /// The final answer to one request of a client, written in its turn.
-    pub(crate) fn answer(&mut self, conn: ConnectionId, place: u64, answer: &Answer<'_>) {
+    pub(crate) fn respond(&mut self, conn: ConnectionId, slot: u64, answer: &FinalResponse<'_>) {
         if self.on_platform {
-            return self.answer_front(conn, place, answer);
+            return self.respond_fastcgi(conn, slot, answer);
         }
-        let Some(client) = self.clients.clients.get_mut(&conn) else {
+        let Some(client) = self.http.connections.get_mut(&conn) else {
             return;
         };
-        let n = place.checked_sub(client.first).map(|n| n as usize);
-        let Some(place) = n.and_then(|n| client.places.get_mut(n)) else {
+        let n = slot.checked_sub(client.first_slot).map(|n| n as usize);
+        let Some(slot) = n.and_then(|n| client.slots.get_mut(n)) else {
             return;
         };
-        if let Place::Open { keep, .. } = *place {
-            let keep = keep && !client.retired;
-            *place = Place::Ready {
+        if let ResponseSlot::Open { keep, .. } = *slot {
+            let keep = keep && !client.is_retired;
+            *slot = ResponseSlot::Ready {
                 answer: answer.http(keep),
                 keep,
             };
-            self.clients.dirty.insert(conn);
+            self.http.dirty.insert(conn);
         }
     }
 
-    pub(crate) fn flush_clients(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some(conn) = self.clients.dirty.pop_first() {
-            let Some(client) = self.clients.clients.get_mut(&conn) else {
+    pub(crate) fn flush_http(&mut self, now: Micros, io: &mut dyn Io) {
+        while let Some(conn) = self.http.dirty.pop_first() {
+            let Some(client) = self.http.connections.get_mut(&conn) else {
                 continue;
             };
             let mut slow = false;
-            while let Some(Place::Ready { answer, keep }) = client.places.front() {
+            while let Some(ResponseSlot::Ready { answer, keep }) = client.slots.front() {
                 slow = client.out.push((), answer).is_err();
                 if slow {
                     break;
                 }
-                if !keep && client.ending == Ending::No {
-                    client.ending = Ending::WhenWritten;
+                if !keep && client.ending == CloseState::No {
+                    client.ending = CloseState::AfterFlush;
                 }
-                client.places.pop_front();
-                client.first += 1;
+                client.slots.pop_front();
+                client.first_slot += 1;
             }
             let before = client.out.waiting();
             client.out.flush(conn, io);
             if client.out.waiting() < before {
-                client.active = now;
+                client.last_active = now;
             }
             if slow {
-                self.figures.limit_hit("waiting-per-client");
+                self.metrics.record_limit_hit("waiting-per-client");
                 tracing::warn!(
                     reason = "waiting-per-client",
                     "a client that reads too slowly is closed"
                 );
-                self.drop_client(now, conn, io, false);
-            } else if client.ending == Ending::WhenWritten && client.out.waiting() == 0 {
-                self.drop_client(now, conn, io, true);
-            } else if !client.bytes.is_empty() && client.places.len() < self.limits.pipelined {
+                self.close_http(now, conn, io, false);
+            } else if client.ending == CloseState::AfterFlush && client.out.waiting() == 0 {
+                self.close_http(now, conn, io, true);
+            } else if !client.bytes.is_empty() && client.slots.len() < self.limits.pipelined {
                 if std::mem::take(&mut client.paused) {
                     io.pause(conn, false);
                 }
-                self.read_requests(now, conn, io);
+                self.read_http_requests(now, conn, io);
             }
         }
     }
 
-    fn drop_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io, in_order: bool) {
-        self.owners.remove(&conn);
-        if in_order {
+    fn close_http(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io, orderly: bool) {
+        self.connection_owners.remove(&conn);
+        if orderly {
             io.close(conn);
         } else {
             io.reset(conn);
         }
-        self.client_left(now, conn);
+        self.http_connection_closed(now, conn);
     }
 
     /// Looks whether a client lingers, is slow with its request, asks nothing or does not read.
-    pub(crate) fn look_at_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let Some(client) = self.clients.clients.get(&conn) else {
+    pub(crate) fn check_http_connection(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        io: &mut dyn Io,
+    ) {
+        let Some(client) = self.http.connections.get(&conn) else {
             return;
         };
-        let head = client.began.map(|at| at + self.limits.head_time_out);
-        let quiet = client.places.is_empty() || client.out.waiting() > 0;
-        let idle = client.active + self.limits.client_idle;
+        let head = client
+            .partial_since
+            .map(|at| at + self.limits.head_time_out);
+        let quiet = client.slots.is_empty() || client.out.waiting() > 0;
+        let idle = client.last_active + self.limits.client_idle;
         match client.ending {
             // Guards against a request that can't be read and takes those before it on its connection with it.
-            Ending::Lingers(until) if until <= now && client.places.is_empty() => {
-                return self.drop_client(now, conn, io, client.out.waiting() == 0)
+            CloseState::Lingering(until) if until <= now && client.slots.is_empty() => {
+                return self.close_http(now, conn, io, client.out.waiting() == 0)
             }
-            Ending::Lingers(until) => {
-                self.due.insert((
+            CloseState::Lingering(until) => {
+                self.timers.insert((
                     until.max(now + self.limits.linger.max(1)),
-                    Due::Client(conn),
+                    Timer::ClientConnection(conn),
                 ));
                 return;
             }
             _ => {}
         }
         if head.is_some_and(|at| at <= now) {
-            return self.turn_away(
+            return self.reject_unreadable(
                 now,
                 conn,
                 408,
@@ -608,7 +641,7 @@
             );
         }
         if quiet && idle <= now {
-            return self.drop_client(now, conn, io, client.out.waiting() == 0);
+            return self.close_http(now, conn, io, client.out.waiting() == 0);
         }
         let idle = if quiet {
             idle
@@ -620,6 +653,7 @@
             .chain([idle, now + self.limits.head_time_out])
             .min()
             .unwrap_or(idle);
-        self.due.insert((next.max(now + 1), Due::Client(conn)));
+        self.timers
+            .insert((next.max(now + 1), Timer::ClientConnection(conn)));
     }
 }
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -1,7 +1,7 @@
 //! Who calls: tokens, the key set in force, rights, and the audit of all that was refused or changed.
 
-use crate::endpoint_cache::Kept;
-use crate::Inner;
+use crate::endpoint_cache::CachedState;
+use crate::EdgeState;
 use sanddrum_identity::authenticator::Standing;
 use sanddrum_identity::authorization::{Line, Pattern};
 use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
@@ -14,25 +14,25 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Tokens {
+enum TokenPolicy {
     Off,
     Optional,
     Required,
 }
 
 pub(crate) struct Identity {
-    tokens: Tokens,
+    tokens: TokenPolicy,
     gate: Gate,
     keys: Option<KeySet>,
     floor: Floor,
     rights: Rights,
     /// How each client's connection stands with its tokens.
     standings: BTreeMap<ConnectionId, Standing>,
-    owners: Owners,
+    connection_owners: Owners,
     asks_certificates: bool,
     needs_certificates: bool,
     /// What each client's connection has proved.
-    shown: BTreeMap<ConnectionId, Shown>,
+    presented: BTreeMap<ConnectionId, Shown>,
     audit: AuditRate,
 }
 
@@ -46,7 +46,7 @@
 
 /// Why a call is not taken, as the client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NotTaken {
+pub(crate) enum AuthError {
     Token(Refused),
     /// No key set has ever been in force here.
     NoKeys,
@@ -56,44 +56,44 @@
     Rights,
 }
 
-impl NotTaken {
+impl AuthError {
     pub fn status(self) -> u16 {
         match self {
-            NotTaken::Token(Refused::Busy) | NotTaken::NoKeys => 503,
-            NotTaken::Token(_) | NotTaken::Certificate(Doubt::Missing | Doubt::Denied) => 401,
-            NotTaken::Certificate(_) | NotTaken::Rights => 403,
+            AuthError::Token(Refused::Busy) | AuthError::NoKeys => 503,
+            AuthError::Token(_) | AuthError::Certificate(Doubt::Missing | Doubt::Denied) => 401,
+            AuthError::Certificate(_) | AuthError::Rights => 403,
         }
     }
     pub fn reason(self) -> &'static str {
         match self {
-            NotTaken::Token(refused) => refused.reason(),
-            NotTaken::NoKeys => "keys-missing",
-            NotTaken::Certificate(doubt) => doubt.reason(),
-            NotTaken::Rights => "not-allowed",
+            AuthError::Token(refused) => refused.reason(),
+            AuthError::NoKeys => "keys-missing",
+            AuthError::Certificate(doubt) => doubt.reason(),
+            AuthError::Rights => "not-allowed",
         }
     }
     pub fn detail(self) -> &'static str {
         match self {
-            NotTaken::Token(refused) => refused.detail(),
-            NotTaken::NoKeys => "this edge has no keys to check tokens with yet; ask another one",
-            NotTaken::Certificate(doubt) => doubt.detail(),
-            NotTaken::Rights => "this customer may not run this function",
+            AuthError::Token(refused) => refused.detail(),
+            AuthError::NoKeys => "this edge has no keys to check tokens with yet; ask another one",
+            AuthError::Certificate(doubt) => doubt.detail(),
+            AuthError::Rights => "this customer may not run this function",
         }
     }
 }
 
 /// Rights as the settings state them.
-pub fn rights_of(l: &LoadedSettings) -> Rights {
+pub fn access_rights(settings: &LoadedSettings) -> Rights {
     let mut lines = Vec::new();
     for (kind, allows) in [("deny", false), ("allow", true)] {
-        for (n, customer) in l.names(kind).iter().enumerate() {
+        for (n, customer) in settings.names(kind).iter().enumerate() {
             let patterns = |names: &[String]| {
                 names
                     .iter()
                     .filter_map(|name| Pattern::new(name).ok())
                     .collect()
             };
-            let place = match l.origins.get(&format!("{kind}.{n}.name")) {
+            let place = match settings.origins.get(&format!("{kind}.{n}.name")) {
                 Some(Origin::File { line, .. }) => {
                     format!("({kind} {customer:?} ...) in line {line}")
                 }
@@ -102,23 +102,25 @@
             lines.push(Line {
                 allows,
                 customers: patterns(std::slice::from_ref(customer)),
-                workloads: patterns(&l.names(&format!("{kind}.{n}.workloads"))),
-                functions: patterns(&l.names(&format!("{kind}.{n}.functions"))),
+                workloads: patterns(&settings.names(&format!("{kind}.{n}.workloads"))),
+                functions: patterns(&settings.names(&format!("{kind}.{n}.functions"))),
                 place,
             });
         }
     }
     Rights {
         lines,
-        allows_by_default: l.text("rights.default") != "deny",
+        allows_by_default: settings.text("rights.default") != "deny",
     }
 }
 
 /// The names in certificates, and whose they are.
-fn owners_of(l: &LoadedSettings) -> Owners {
-    let customers = l.names("customers").into_iter().enumerate();
+fn owners_of(settings: &LoadedSettings) -> Owners {
+    let customers = settings.names("customers").into_iter().enumerate();
     Owners::new(customers.flat_map(|(n, customer)| {
-        let names = l.names(&format!("customers.{n}.certificates")).into_iter();
+        let names = settings
+            .names(&format!("customers.{n}.certificates"))
+            .into_iter();
         let of = move |name: String| {
             Some((
                 Pattern::new(&name.to_ascii_lowercase()).ok()?,
@@ -130,35 +132,35 @@
 }
 
 impl Identity {
-    pub fn of(l: &LoadedSettings) -> Self {
-        let seconds = |name: &str| l.span(name) / 1_000_000;
+    pub fn from_settings(settings: &LoadedSettings) -> Self {
+        let seconds = |name: &str| settings.span(name) / 1_000_000;
         let terms = Terms {
-            audience: l.text("identity.audience").to_string(),
+            audience: settings.text("identity.audience").to_string(),
             leeway: seconds("identity.leeway-us"),
             longest: seconds("identity.longest-token-us"),
-            longest_bytes: l.size("identity.largest-token-bytes"),
+            longest_bytes: settings.size("identity.largest-token-bytes"),
         };
         let limits = GateLimits {
-            checks_per_s: l.number("identity.token-checks"),
-            remembered: l.size("identity.token-memory"),
-            bad_tokens: l.size("identity.bad-tokens") as u32,
+            checks_per_s: settings.number("identity.token-checks"),
+            remembered: settings.size("identity.token-memory"),
+            bad_tokens: settings.size("identity.bad-tokens") as u32,
         };
-        let per_s = l.number("identity.audit-rate");
+        let per_s = settings.number("identity.audit-rate");
         Identity {
-            tokens: match l.text("identity.tokens") {
-                "required" => Tokens::Required,
-                "optional" => Tokens::Optional,
-                _ => Tokens::Off,
+            tokens: match settings.text("identity.tokens") {
+                "required" => TokenPolicy::Required,
+                "optional" => TokenPolicy::Optional,
+                _ => TokenPolicy::Off,
             },
             gate: Gate::new(limits, terms),
             keys: None,
             floor: Floor::default(),
-            rights: rights_of(l),
+            rights: access_rights(settings),
             standings: BTreeMap::new(),
-            owners: owners_of(l),
-            asks_certificates: l.text("door.certificates") != "off",
-            needs_certificates: l.text("door.certificates") == "required",
-            shown: BTreeMap::new(),
+            connection_owners: owners_of(settings),
+            asks_certificates: settings.text("door.certificates") != "off",
+            needs_certificates: settings.text("door.certificates") == "required",
+            presented: BTreeMap::new(),
             audit: AuditRate {
                 per_s,
                 left: per_s,
@@ -167,7 +169,7 @@
             },
         }
     }
-    pub fn remember_floor(&mut self, kept: &Kept) {
+    pub fn restore_floor(&mut self, kept: &CachedState) {
         self.floor = Floor {
             version: kept.keys_version,
             revoked: kept.keys_revoked.iter().cloned().collect(),
@@ -179,12 +181,12 @@
             self.floor.revoked.iter().cloned().collect(),
         )
     }
-    pub fn client_came(&mut self, conn: ConnectionId, io: &dyn Io) {
+    pub fn accept_http(&mut self, conn: ConnectionId, io: &dyn Io) {
         if !self.asks_certificates {
             return;
         }
         if let Some(peer) = io.peer(conn) {
-            self.shown.insert(
+            self.presented.insert(
                 conn,
                 Shown {
                     names: peer.names,
@@ -196,15 +198,17 @@
     }
     /// What a connection has proved is not believed any more.
     pub fn client_denied(&mut self, conn: ConnectionId) {
-        self.shown.entry(conn).or_default().denied = true;
+        self.presented.entry(conn).or_default().denied = true;
     }
     pub fn client_gone(&mut self, conn: ConnectionId) {
         self.standings.remove(&conn);
-        self.shown.remove(&conn);
+        self.presented.remove(&conn);
     }
     /// Whether a connection has sent so many bad tokens, or has become so doubtful, that it is closed.
-    pub fn is_out(&self, conn: ConnectionId) -> bool {
-        self.shown.get(&conn).is_some_and(|shown| shown.denied)
+    pub fn is_ejected(&self, conn: ConnectionId) -> bool {
+        self.presented
+            .get(&conn)
+            .is_some_and(|presented| presented.denied)
             || self
                 .standings
                 .get(&conn)
@@ -212,37 +216,40 @@
     }
 
     /// The customer that calls, if any is known.
-    fn who(
+    fn authenticate(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: &Request,
-    ) -> Result<Option<String>, NotTaken> {
+    ) -> Result<Option<String>, AuthError> {
         let named = request.field("sanddrum-customer");
-        let shown = self.shown.get(&conn).cloned().unwrap_or_default();
-        let certificate = self.owners.who(&shown).map_err(NotTaken::Certificate)?;
+        let presented = self.presented.get(&conn).cloned().unwrap_or_default();
+        let certificate = self
+            .connection_owners
+            .who(&presented)
+            .map_err(AuthError::Certificate)?;
         if certificate.is_none() && self.needs_certificates {
-            return Err(NotTaken::Certificate(Doubt::Missing));
+            return Err(AuthError::Certificate(Doubt::Missing));
         }
-        let token = match bearer(request).filter(|_| self.tokens != Tokens::Off) {
+        let token = match bearer(request).filter(|_| self.tokens != TokenPolicy::Off) {
             Some(token) => {
-                let keys = self.keys.as_ref().ok_or(NotTaken::NoKeys)?;
+                let keys = self.keys.as_ref().ok_or(AuthError::NoKeys)?;
                 let standing = self.standings.entry(conn).or_default();
                 let (claims, _) = self
                     .gate
                     .judge(now, token, keys, standing)
-                    .map_err(NotTaken::Token)?;
+                    .map_err(AuthError::Token)?;
                 Some(claims.sub)
             }
-            None if self.tokens == Tokens::Required => {
-                return Err(NotTaken::Token(Refused::Missing))
+            None if self.tokens == TokenPolicy::Required => {
+                return Err(AuthError::Token(Refused::Missing))
             }
             None => None,
         };
         // A name that nothing proves counts only where nothing is ever to be proved.
-        let names_count = self.tokens == Tokens::Off && !self.asks_certificates;
+        let names_count = self.tokens == TokenPolicy::Off && !self.asks_certificates;
         certificates::agreed(named, token.as_deref(), certificate.as_deref(), names_count)
-            .map_err(NotTaken::Certificate)
+            .map_err(AuthError::Certificate)
     }
 }
 
@@ -252,17 +259,17 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
 }
 
-impl Inner {
+impl EdgeState {
     /// The customer of a call that may run, or why it may not. What is refused is told to the audit.
-    pub(crate) fn may_call(
+    pub(crate) fn authorize_call(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: &Request,
         (workload, function): (&str, &str),
         io: &mut dyn Io,
-    ) -> Result<Option<String>, NotTaken> {
-        let who = self.identity.who(now, conn, request);
+    ) -> Result<Option<String>, AuthError> {
+        let who = self.identity.authenticate(now, conn, request);
         let judged = who.and_then(|who| {
             let ruling =
                 self.identity
@@ -271,7 +278,7 @@
             if ruling.allowed {
                 Ok(who)
             } else {
-                Err(NotTaken::Rights)
+                Err(AuthError::Rights)
             }
         });
         if let Err(why) = judged {
@@ -280,12 +287,12 @@
             let claimed = claimed.or_else(|| request.field("sanddrum-customer").map(token::tame));
             let call = format!("{}/{}", token::tame(workload), token::tame(function));
             let key = bearer(request).and_then(token::named_key);
-            let shown = self
+            let presented = self
                 .identity
-                .shown
+                .presented
                 .get(&conn)
-                .filter(|shown| !shown.key.is_empty());
-            let certificate = shown.map(|shown| shown.key.clone());
+                .filter(|presented| !presented.key.is_empty());
+            let certificate = presented.map(|presented| presented.key.clone());
             tracing::info!(
                 reason = why.reason(),
                 claimed,
@@ -304,17 +311,22 @@
     }
 
     /// A client's connection was made on terms that are past; denied, nothing new is taken on it.
-    pub(crate) fn client_doubted(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let shown = self.identity.shown.get(&conn).cloned().unwrap_or_default();
+    pub(crate) fn client_denied_by(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
+        let presented = self
+            .identity
+            .presented
+            .get(&conn)
+            .cloned()
+            .unwrap_or_default();
         self.identity.client_denied(conn);
         tracing::warn!(
             reason = "certificate-denied",
-            key = shown.key,
+            key = presented.key,
             "a client is not believed any more"
         );
         self.audit(
             now,
-            &json!({"what": "certificate-denied", "certificate": shown.key, "names": shown.names}),
+            &json!({"what": "certificate-denied", "certificate": presented.key, "names": presented.names}),
             io,
         );
     }
@@ -339,7 +351,12 @@
     }
 
     /// The key file is there, has changed, or can't be read. What is not good leaves the last good set in force.
-    pub(crate) fn keys_came(&mut self, now: Micros, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    pub(crate) fn on_keys_changed(
+        &mut self,
+        now: Micros,
+        content: Result<&[u8], &str>,
+        io: &mut dyn Io,
+    ) {
         let read = content
             .map_err(String::from)
             .and_then(|bytes| KeySet::read(bytes).map_err(|e| e.to_string()));
@@ -350,7 +367,7 @@
                     &self.identity.floor,
                     now / 1_000_000,
                 ) {
-                    Ok(()) => return self.take_keys(now, set, io),
+                    Ok(()) => return self.install_keys(now, set, io),
                     Err(refused) => (refused.reason(), refused.to_string()),
                 }
             }
@@ -370,7 +387,7 @@
             io,
         );
     }
-    fn take_keys(&mut self, now: Micros, set: KeySet, io: &mut dyn Io) {
+    fn install_keys(&mut self, now: Micros, set: KeySet, io: &mut dyn Io) {
         if self.identity.keys.as_ref() == Some(&set) {
             return;
         }
--- a/crates/sanddrum-edge/src/invariants.rs
+++ b/crates/sanddrum-edge/src/invariants.rs
@@ -8,7 +8,7 @@
 
 /// A rule of which a violation was kept from happening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum Invariant {
     /// Nothing is sent for a client that has left or has its final answer.
     ClientWaits,
     /// Nothing is sent once the time for the answer is up.
@@ -23,16 +23,16 @@
     AnsweredFirst,
 }
 
-impl Rule {
+impl Invariant {
     /// As logs and metrics name it.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::ClientWaits => "client-waits",
-            Rule::TimeLeft => "time-left",
-            Rule::EndpointListed => "endpoint-listed",
-            Rule::EffectOnce => "effect-once",
-            Rule::NotEnded => "not-ended",
-            Rule::AnsweredFirst => "answered-first",
+            Invariant::ClientWaits => "client-waits",
+            Invariant::TimeLeft => "time-left",
+            Invariant::EndpointListed => "endpoint-listed",
+            Invariant::EffectOnce => "effect-once",
+            Invariant::NotEnded => "not-ended",
+            Invariant::AnsweredFirst => "answered-first",
         }
     }
 }
@@ -44,7 +44,7 @@
     pub time_left: Micros,
     /// The endpoint's phase, where it is listed.
     pub endpoint: Option<Phase>,
-    pub runs_once: bool,
+    pub runs_once_only: bool,
     /// Another attempt of the request has run or may run still.
     pub other_may_run: bool,
     /// The bound on ending is reached and all was answered.
@@ -53,17 +53,23 @@
 
 /// # Errors
 /// The first rule against it.
-pub(crate) fn may_send(facts: &AttemptFacts) -> Result<(), Rule> {
+pub(crate) fn may_send(facts: &AttemptFacts) -> Result<(), Invariant> {
     let rules = [
-        (facts.client_waits, Rule::ClientWaits),
-        (facts.time_left > 0, Rule::TimeLeft),
-        (facts.endpoint == Some(Phase::Ready), Rule::EndpointListed),
-        (!(facts.runs_once && facts.other_may_run), Rule::EffectOnce),
-        (!facts.ended, Rule::NotEnded),
+        (facts.client_waits, Invariant::ClientWaits),
+        (facts.time_left > 0, Invariant::TimeLeft),
+        (
+            facts.endpoint == Some(Phase::Ready),
+            Invariant::EndpointListed,
+        ),
+        (
+            !(facts.runs_once_only && facts.other_may_run),
+            Invariant::EffectOnce,
+        ),
+        (!facts.ended, Invariant::NotEnded),
     ];
     rules
         .into_iter()
-        .find(|(holds, _)| !holds)
+        .find(|(has_unwritten, _)| !has_unwritten)
         .map_or(Ok(()), |(_, rule)| Err(rule))
 }
 
@@ -104,19 +110,23 @@
 
 /// # Errors
 /// Requests on the connection wait for their answers, or answers are not written yet.
-pub(crate) fn may_close(reason: CloseReason, open: usize, unwritten: usize) -> Result<(), Rule> {
+pub(crate) fn may_close(
+    reason: CloseReason,
+    open: usize,
+    unwritten: usize,
+) -> Result<(), Invariant> {
     match reason.is_the_clients_doing() || (open == 0 && unwritten == 0) {
         true => Ok(()),
-        false => Err(Rule::AnsweredFirst),
+        false => Err(Invariant::AnsweredFirst),
     }
 }
 
 /// Violations so far, by rule.
 #[derive(Debug, Default)]
-pub(crate) struct Violations(BTreeMap<Rule, u64>);
+pub(crate) struct Violations(BTreeMap<Invariant, u64>);
 
 impl Violations {
-    pub fn count(&mut self, rule: Rule) {
+    pub fn count(&mut self, rule: Invariant) {
         *self.0.entry(rule).or_default() += 1;
         metrics::counter!("sanddrum_violations_total", "rule" => rule.name()).increment(1);
     }
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -23,21 +23,21 @@
 mod worker_connections;
 mod worker_protocol;
 
-pub use discovery_version::Known;
-pub use identity::rights_of;
-pub use invariants::Rule;
-pub use metrics::Figures;
+pub use discovery_version::DiscoveryVersion;
+pub use identity::access_rights;
+pub use invariants::Invariant;
+pub use metrics::EdgeMetrics;
 
 use admission::Admission;
-use control_feed::Feed;
-use discovery::List;
-use fastcgi_listener::Fronts;
+use control_feed::ControlFeed;
+use discovery::Discovery;
+use fastcgi_listener::FastCgiListener;
 use functions::Functions;
-use http_listener::Clients;
+use http_listener::HttpListener;
 use identity::Identity;
 use invariants::Violations;
 use limits::Limits;
-use requests::Jobs;
+use requests::Requests;
 use sanddrum::{Decisions, EventBatch, Router, Settings};
 use sanddrum_bootstrap::DiscoveryEvent;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
@@ -46,66 +46,66 @@
 use sanddrum_settings::LoadedSettings;
 use sanddrum_upstream::{ConnectionPolicy, IdleTimeoutEstimate, WorkerConnectionId};
 use std::collections::{BTreeMap, BTreeSet};
-use worker_connections::Links;
-use worker_protocol::Speech;
+use worker_connections::WorkerConnections;
+use worker_protocol::WorkerProtocol;
 
 /// What decides: the decision module, or another in its place to compare it with.
 pub trait DecisionModule {
-    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions);
+    fn handle(&mut self, now: Micros, batch: &EventBatch, out: &mut impl Decisions);
 }
 
 impl DecisionModule for Router {
-    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
-        Router::handle(self, now, round, out);
+    fn handle(&mut self, now: Micros, batch: &EventBatch, out: &mut impl Decisions) {
+        Router::handle(self, now, batch, out);
     }
 }
 
 /// What may fall due, besides the module's own wake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Execution(u64),
-    Order(u64),
-    Probe(u64),
-    Link(WorkerConnectionId),
+enum Timer {
+    AttemptTimeout(u64),
+    LoadTimeout(u64),
+    HealthCheckTimeout(u64),
+    WorkerConnection(WorkerConnectionId),
     /// An execution that nobody waits for is not written to its end yet.
-    Unwritten(WorkerConnectionId, u64),
-    Client(ConnectionId),
-    List,
-    Save,
+    UnwrittenAttempt(WorkerConnectionId, u64),
+    ClientConnection(ConnectionId),
+    Discovery,
+    SaveState,
     /// Nothing that was on its way when this edge was asked to end can still come.
-    Arrivals,
-    Stop,
+    LateArrivals,
+    ShutdownDeadline,
 }
 
 /// Whose connection it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Owner {
     Client,
-    Link(WorkerConnectionId),
-    List,
+    Worker(WorkerConnectionId),
+    Discovery,
 }
 
 /// The name of the watched file that holds the key set.
-pub const KEYS: &str = "keys";
+pub const KEYS_FILE: &str = "keys";
 
 /// The name of the watched file that holds the platform's start configuration.
-pub const CONFIGURATION: &str = "configuration";
+pub const CONFIGURATION_FILE: &str = "configuration";
 
 /// An edge on the users' platform: FastCGI at the door, the platform's frames toward workers, its control feed for the
 /// list.
 pub struct Platform {
     /// The list as the start configuration told it.
-    pub known: FeedEvents,
+    pub initial_events: FeedEvents,
     /// Kinds of machine, in the settings' order.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
 }
 
 /// What an edge starts with.
-pub struct Start {
+pub struct EdgeOptions {
     pub settings: LoadedSettings,
     pub seed: u64,
     /// What it last had kept, if anything; see [`state`].
-    pub kept: Option<Vec<u8>>,
+    pub cached_state: Option<Vec<u8>>,
     /// Larger at each start.
     pub incarnation: u64,
     /// Gives the text of the metrics page.
@@ -117,57 +117,57 @@
 pub struct Edge<M> {
     module: M,
     connections: ConnectionPolicy,
-    inner: Inner,
+    inner: EdgeState,
 }
 
 /// All but the module, so that the module can be called with a writer on it.
-struct Inner {
+struct EdgeState {
     settings: LoadedSettings,
     limits: Limits,
-    chance: Rng,
+    rng: Rng,
     incarnation: u64,
     metrics_page: Option<Box<dyn Fn() -> String>>,
-    figures: Figures,
-    round: EventBatch,
-    owners: BTreeMap<ConnectionId, Owner>,
-    clients: Clients,
-    fronts: Fronts,
+    metrics: EdgeMetrics,
+    batch: EventBatch,
+    connection_owners: BTreeMap<ConnectionId, Owner>,
+    http: HttpListener,
+    fastcgi: FastCgiListener,
     /// The three seams: what is spoken at the door and with workers, and where the list comes from.
     on_platform: bool,
-    speech: Speech,
-    feed: Option<Feed>,
-    known: Option<FeedEvents>,
-    jobs: Jobs,
+    protocol: WorkerProtocol,
+    control_feed: Option<ControlFeed>,
+    initial_events: Option<FeedEvents>,
+    requests: Requests,
     functions: Functions,
     identity: Identity,
     admission: Admission,
-    links: Links,
-    rests: IdleTimeoutEstimate,
-    connect_wake: Option<Micros>,
-    list: List,
-    start: sanddrum_bootstrap::Bootstrap,
-    began: Micros,
-    due: BTreeSet<(Micros, Due)>,
-    module_wake: Option<Micros>,
+    worker_connections: WorkerConnections,
+    idle_timeout: IdleTimeoutEstimate,
+    connection_wakeup: Option<Micros>,
+    discovery: Discovery,
+    bootstrap: sanddrum_bootstrap::Bootstrap,
+    started_at: Micros,
+    timers: BTreeSet<(Micros, Timer)>,
+    module_wakeup: Option<Micros>,
     /// Asked to end: whatever it holds has its final answer by then.
-    stop_at: Option<Micros>,
+    shutdown_deadline: Option<Micros>,
     /// That bound is reached: a request that has come in part is not waited for any more.
-    ended: bool,
+    shutdown_complete: bool,
     /// What there is to write waits for the next turn, as the process was held up in this one.
-    writes_put_off: bool,
+    writes_deferred: bool,
     violations: Violations,
-    violations_pass: bool,
-    kept: Option<Vec<u8>>,
+    allow_violations: bool,
+    cached_state: Option<Vec<u8>>,
 }
 
 impl Edge<Router> {
     /// An edge that hosts the decision module.
-    pub fn new(start: Start) -> Self {
+    pub fn new(start: EdgeOptions) -> Self {
         let module = Router::new(start.seed, &start.settings.values_for_module());
         Edge::with_module(start, module)
     }
     /// The same with settings of its own for the module, where another program is to give it equal ones.
-    pub fn with_settings(start: Start, settings: &Settings) -> Self {
+    pub fn with_settings(start: EdgeOptions, settings: &Settings) -> Self {
         let module = Router::new(start.seed, settings);
         Edge::with_module(start, module)
     }
@@ -175,84 +175,84 @@
 
 /// How much an edge remembers of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
-    pub jobs: usize,
-    pub clients: usize,
-    pub links: usize,
+pub struct ResourceCounts {
+    pub requests: usize,
+    pub client_connections: usize,
+    pub worker_connections: usize,
     pub workers: usize,
     pub functions: usize,
-    pub due: usize,
+    pub timers: usize,
 }
 
 impl<M: DecisionModule> Edge<M> {
-    pub fn held(&self) -> Held {
+    pub fn resource_counts(&self) -> ResourceCounts {
         let inner = &self.inner;
-        Held {
-            jobs: inner.jobs.jobs.len(),
-            clients: inner.fronts.count() + inner.clients.count(),
-            links: inner.links.all(),
-            workers: inner.list.count(),
+        ResourceCounts {
+            requests: inner.requests.requests.len(),
+            client_connections: inner.fastcgi.count() + inner.http.count(),
+            worker_connections: inner.worker_connections.all(),
+            workers: inner.discovery.count(),
             functions: inner.functions.count(),
-            due: inner.due.len(),
+            timers: inner.timers.len(),
         }
     }
-    pub fn with_module(start: Start, module: M) -> Self {
-        let limits = Limits::of(&start.settings);
-        let functions = Functions::of(&start.settings);
-        let list = List::of(&start.settings);
-        let identity = Identity::of(&start.settings);
-        let admission = Admission::of(&start.settings);
+    pub fn with_module(start: EdgeOptions, module: M) -> Self {
+        let limits = Limits::from_settings(&start.settings);
+        let functions = Functions::from_settings(&start.settings);
+        let discovery = Discovery::from_settings(&start.settings);
+        let identity = Identity::from_settings(&start.settings);
+        let admission = Admission::from_settings(&start.settings);
         // A seed of its own, so that one module's draws do not move the other's.
         let connections = ConnectionPolicy::new(start.seed ^ 0xc0, &start.settings.values);
         let on_platform = start.platform.is_some();
         let platform = start.platform.map(|platform| {
             (
-                Feed::new(start.settings.text("edge.list"), platform.kinds),
-                platform.known,
+                ControlFeed::new(start.settings.text("edge.list"), platform.machine_kinds),
+                platform.initial_events,
             )
         });
-        let (feed, known) = platform.unzip();
-        let rests = IdleTimeoutEstimate::new(limits.connect_time_out);
-        let inner = Inner {
-            fronts: Fronts::default(),
+        let (control_feed, initial_events) = platform.unzip();
+        let idle_timeout = IdleTimeoutEstimate::new(limits.connect_time_out);
+        let inner = EdgeState {
+            fastcgi: FastCgiListener::default(),
             on_platform,
-            speech: if on_platform {
-                Speech::Platform
+            protocol: if on_platform {
+                WorkerProtocol::Platform
             } else {
-                Speech::Ours
+                WorkerProtocol::Native
             },
-            feed,
-            known,
+            control_feed,
+            initial_events,
             limits,
-            chance: Rng::new(start.seed),
+            rng: Rng::new(start.seed),
             incarnation: start.incarnation,
             metrics_page: start.metrics_page,
-            figures: Figures::default(),
-            round: EventBatch::default(),
-            owners: BTreeMap::new(),
-            clients: Clients::default(),
-            jobs: Jobs::default(),
+            metrics: EdgeMetrics::default(),
+            batch: EventBatch::default(),
+            connection_owners: BTreeMap::new(),
+            http: HttpListener::default(),
+            requests: Requests::default(),
             functions,
             identity,
             admission,
-            links: Links::default(),
-            rests,
-            connect_wake: None,
-            list,
+            worker_connections: WorkerConnections::default(),
+            idle_timeout,
+            connection_wakeup: None,
+            discovery,
             // A seed of its own, as for the connections.
-            start: sanddrum_bootstrap::Bootstrap::new(
+            bootstrap: sanddrum_bootstrap::Bootstrap::new(
                 start.seed ^ 0x57,
                 &start.settings.values_for_module(),
             ),
-            began: 0,
-            due: BTreeSet::new(),
-            module_wake: None,
-            stop_at: None,
-            ended: false,
-            writes_put_off: false,
+            started_at: 0,
+            timers: BTreeSet::new(),
+            module_wakeup: None,
+            shutdown_deadline: None,
+            shutdown_complete: false,
+            writes_deferred: false,
             violations: Violations::default(),
-            violations_pass: false,
-            kept: start.kept,
+            allow_violations: false,
+            cached_state: start.cached_state,
             settings: start.settings,
         };
         Edge {
@@ -264,46 +264,46 @@
 
     /// The same edge, in which violations of the rules of [`Rule`] are counted and let pass: a checker that judges from
     /// the traffic has to see them.
-    pub fn letting_violations_pass(mut self) -> Self {
-        self.inner.violations_pass = true;
+    pub fn allowing_violations(mut self) -> Self {
+        self.inner.allow_violations = true;
         self
     }
 
-    fn connect(&mut self, now: Micros, io: &mut dyn Io) {
-        let due = self.inner.connect_wake.is_some_and(|at| at <= now);
-        if !due && self.inner.links.news.is_empty() {
+    fn apply_connection_policy(&mut self, now: Micros, io: &mut dyn Io) {
+        let due = self.inner.connection_wakeup.is_some_and(|at| at <= now);
+        if !due && self.inner.worker_connections.events.is_empty() {
             return;
         }
-        self.inner.connect_wake = None;
-        let news = std::mem::take(&mut self.inner.links.news);
+        self.inner.connection_wakeup = None;
+        let events = std::mem::take(&mut self.inner.worker_connections.events);
         self.connections.handle(
             now,
-            &news,
-            &mut connection_manager::Connect {
+            &events,
+            &mut connection_manager::ConnectionExecutor {
                 inner: &mut self.inner,
                 io,
                 now,
             },
         );
-        self.inner.figures.connecting(&self.connections);
+        self.inner.metrics.record_connections(&self.connections);
     }
 
-    fn rounds(&mut self, now: Micros) {
+    fn run_decision_module(&mut self, now: Micros) {
         // What carrying out a decision brings at once (a full connection, an ended job) is news of its own.
         for _ in 0..limits::ROUNDS_A_TURN {
-            let due = self.inner.module_wake.is_some_and(|at| at <= now);
+            let due = self.inner.module_wakeup.is_some_and(|at| at <= now);
             if !due && !self.inner.has_news() {
                 break;
             }
-            let mut round = std::mem::take(&mut self.inner.round);
+            let mut batch = std::mem::take(&mut self.inner.batch);
             if due {
-                round.timer = true;
-                self.inner.module_wake = None;
+                batch.timer = true;
+                self.inner.module_wakeup = None;
             }
             self.module.handle(
                 now,
-                &round,
-                &mut dispatch::Carry {
+                &batch,
+                &mut dispatch::Dispatcher {
                     inner: &mut self.inner,
                     now,
                 },
@@ -312,18 +312,23 @@
     }
 }
 
-impl Inner {
-    fn call_for_list(&mut self, now: Micros, io: &mut dyn Io) {
+impl EdgeState {
+    fn poll_discovery(&mut self, now: Micros, io: &mut dyn Io) {
         match self.on_platform {
-            true => self.call_feed(now, io),
-            false => self.look_at_list(now, io),
+            true => self.connect_feed(now, io),
+            false => self.check_discovery(now, io),
         }
     }
     /// The platform has replaced the start configuration: the feed may have moved, the rest holds from the next start.
-    fn configuration_came(&mut self, now: Micros, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_configuration_changed(
+        &mut self,
+        now: Micros,
+        content: Result<&[u8], &str>,
+        io: &mut dyn Io,
+    ) {
         let text = content.map_err(String::from).map(String::from_utf8_lossy);
         match text.and_then(|text| sanddrum_platform::StartupConfig::read(&text)) {
-            Ok(configuration) => self.feed_moved(now, &configuration.feed, io),
+            Ok(configuration) => self.change_feed_address(now, &configuration.feed, io),
             Err(why) => {
                 tracing::error!(
                     reason = "configuration",
@@ -334,7 +339,7 @@
         }
     }
     fn has_news(&self) -> bool {
-        let r = &self.round;
+        let r = &self.batch;
         !(r.endpoint_lists.is_empty()
             && r.requests.is_empty()
             && r.attempt_results.is_empty()
@@ -345,21 +350,27 @@
             && !r.shutting_down
             && !self.admission.is_waiting())
     }
-    fn fall_due(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some((at, due)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, due));
+    fn fire_timers(&mut self, now: Micros, io: &mut dyn Io) {
+        while let Some((at, due)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
+            self.timers.remove(&(at, due));
             match due {
-                Due::Execution(id) => self.execution_is_late(now, id),
-                Due::Order(id) => self.order_is_late(now, id),
-                Due::Probe(id) => self.probe_is_late(now, id),
-                Due::Link(link) => self.look_at_link(now, link, io),
-                Due::Unwritten(link, execution) => self.still_unwritten(now, link, execution, io),
-                Due::Client(conn) if self.on_platform => self.look_at_front(now, conn, io),
-                Due::Client(conn) => self.look_at_client(now, conn, io),
-                Due::List => self.call_for_list(now, io),
-                Due::Save => self.save_list(now, io),
-                Due::Arrivals => {}
-                Due::Stop => self.round.shutting_down = true,
+                Timer::AttemptTimeout(id) => self.attempt_timed_out(now, id),
+                Timer::LoadTimeout(id) => self.load_timed_out(now, id),
+                Timer::HealthCheckTimeout(id) => self.health_check_timed_out(now, id),
+                Timer::WorkerConnection(connection) => {
+                    self.check_worker_connection(now, connection, io)
+                }
+                Timer::UnwrittenAttempt(connection, attempt) => {
+                    self.partial_write_timed_out(now, connection, attempt, io)
+                }
+                Timer::ClientConnection(conn) if self.on_platform => {
+                    self.check_fastcgi_connection(now, conn, io)
+                }
+                Timer::ClientConnection(conn) => self.check_http_connection(now, conn, io),
+                Timer::Discovery => self.poll_discovery(now, io),
+                Timer::SaveState => self.save_state_now(now, io),
+                Timer::LateArrivals => {}
+                Timer::ShutdownDeadline => self.batch.shutting_down = true,
             }
         }
     }
@@ -367,10 +378,10 @@
 
 impl<M: DecisionModule> Core for Edge<M> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
-        self.inner.began = now;
-        self.inner.take_up_kept_list(now);
-        if let Some(known) = self.inner.known.take() {
-            self.inner.take_told(
+        self.inner.started_at = now;
+        self.inner.restore_cached_state(now);
+        if let Some(known) = self.inner.initial_events.take() {
+            self.inner.apply_feed_events(
                 ClockReading {
                     now,
                     wall: io.wall_clock(now),
@@ -379,76 +390,78 @@
             );
         }
         if self.inner.on_platform {
-            return self.inner.call_for_list(now, io);
+            return self.inner.poll_discovery(now, io);
         }
-        let kept = !self.inner.list.is_empty();
+        let kept = !self.inner.discovery.is_empty();
         self.inner
-            .follow_list(now, &[DiscoveryEvent::Started { has_cache: kept }], io);
+            .run_bootstrap(now, &[DiscoveryEvent::Started { has_cache: kept }], io);
     }
 
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let inner = &mut self.inner;
         let conn = match event {
             Event::Accepted { conn, .. } if inner.on_platform => {
-                return inner.front_came(now, conn, io)
+                return inner.accept_fastcgi(now, conn, io)
             }
-            Event::Accepted { conn, .. } => return inner.client_came(now, conn, io),
+            Event::Accepted { conn, .. } => return inner.accept_http(now, conn, io),
             Event::Connected { conn }
             | Event::Bytes { conn, .. }
             | Event::Writable { conn }
             | Event::Closed { conn, .. } => conn,
         };
-        let Some(owner) = inner.owners.get(&conn).copied() else {
+        let Some(owner) = inner.connection_owners.get(&conn).copied() else {
             return;
         };
         if matches!(event, Event::Closed { .. }) {
-            inner.owners.remove(&conn);
+            inner.connection_owners.remove(&conn);
         }
         match owner {
-            Owner::Client if inner.on_platform => inner.front_event(now, conn, event, io),
-            Owner::Client => inner.client_event(now, conn, event, io),
-            Owner::Link(link) => inner.link_event(now, link, event, io),
-            Owner::List if inner.on_platform => inner.feed_event(now, conn, event, io),
-            Owner::List => inner.list_event(now, conn, event, io),
+            Owner::Client if inner.on_platform => inner.on_fastcgi_event(now, conn, event, io),
+            Owner::Client => inner.on_http_event(now, conn, event, io),
+            Owner::Worker(connection) => inner.on_worker_event(now, connection, event, io),
+            Owner::Discovery if inner.on_platform => inner.on_feed_event(now, conn, event, io),
+            Owner::Discovery => inner.on_discovery_event(now, conn, event, io),
         }
     }
 
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        self.inner.fall_due(now, io);
-        self.inner.admit(now);
-        self.rounds(now);
-        if self.inner.stop_at.is_some_and(|at| at <= now) {
-            self.inner.end_all(now);
-            self.inner.ended = true;
+        self.inner.fire_timers(now, io);
+        self.inner.run_admission(now);
+        self.run_decision_module(now);
+        if self.inner.shutdown_deadline.is_some_and(|at| at <= now) {
+            self.inner.fail_open_requests(now);
+            self.inner.shutdown_complete = true;
         }
-        self.connect(now, io);
+        self.apply_connection_policy(now, io);
         // Once in a row: a process that is short of its processor would never write. Guards against an attempt that
         // begins for a client whose end has come since the turn began.
-        self.inner.writes_put_off = !self.inner.writes_put_off && io.is_delayed();
-        if self.inner.writes_put_off {
+        self.inner.writes_deferred = !self.inner.writes_deferred && io.is_delayed();
+        if self.inner.writes_deferred {
             return;
         }
-        self.inner.flush_links(now, io);
-        self.inner.flush_clients(now, io);
-        self.inner.flush_fronts(now, io);
+        self.inner.flush_worker_connections(now, io);
+        self.inner.flush_http(now, io);
+        self.inner.flush_fastcgi(now, io);
     }
 
     fn next_wakeup(&self) -> Option<Micros> {
         let inner = &self.inner;
-        let is_due = inner.has_news() || !inner.links.news.is_empty() || inner.writes_put_off;
-        let news = is_due.then_some(0);
-        let due = self.inner.due.first().map(|(at, _)| *at);
+        let is_due = inner.has_news()
+            || !inner.worker_connections.events.is_empty()
+            || inner.writes_deferred;
+        let events = is_due.then_some(0);
+        let due = self.inner.timers.first().map(|(at, _)| *at);
         due.into_iter()
-            .chain(self.inner.module_wake)
-            .chain(self.inner.connect_wake)
-            .chain(news)
+            .chain(self.inner.module_wakeup)
+            .chain(self.inner.connection_wakeup)
+            .chain(events)
             .min()
     }
 
     fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
         match name {
-            KEYS => self.inner.keys_came(now, content, io),
-            CONFIGURATION => self.inner.configuration_came(now, content, io),
+            KEYS_FILE => self.inner.on_keys_changed(now, content, io),
+            CONFIGURATION_FILE => self.inner.on_configuration_changed(now, content, io),
             _ => {}
         }
     }
@@ -460,31 +473,35 @@
         denied: bool,
         io: &mut dyn Io,
     ) {
-        match self.inner.owners.get(&conn) {
-            Some(Owner::Client) => self.inner.client_is_old(now, conn, denied, io),
-            Some(Owner::Link(link)) => self.inner.link_is_old(*link, denied),
+        match self.inner.connection_owners.get(&conn) {
+            Some(Owner::Client) => self.inner.client_credentials_changed(now, conn, denied, io),
+            Some(Owner::Worker(connection)) => {
+                self.inner.worker_credentials_changed(*connection, denied)
+            }
             _ => {}
         }
     }
 
     fn shut_down(&mut self, now: Micros, _: &mut dyn Io) {
-        if self.inner.stop_at.is_none() {
-            tracing::info!(open = self.inner.jobs.open(), "asked to end");
-            let stop_at = now + self.inner.limits.stop_within;
-            self.inner.stop_at = Some(stop_at);
+        if self.inner.shutdown_deadline.is_none() {
+            tracing::info!(open = self.inner.requests.open(), "asked to end");
+            let shutdown_deadline = now + self.inner.limits.stop_within;
+            self.inner.shutdown_deadline = Some(shutdown_deadline);
+            self.inner
+                .timers
+                .insert((now + self.inner.limits.late_arrivals, Timer::LateArrivals));
             self.inner
-                .due
-                .insert((now + self.inner.limits.late_arrivals, Due::Arrivals));
-            self.inner.due.insert((stop_at, Due::Stop));
+                .timers
+                .insert((shutdown_deadline, Timer::ShutdownDeadline));
         }
     }
 
     fn log_status(&mut self, _: Micros) {
-        let held = self.held();
-        let (open, violations) = (self.inner.jobs.open(), self.inner.violations.text());
-        let Held {
-            clients,
-            links,
+        let held = self.resource_counts();
+        let (open, violations) = (self.inner.requests.open(), self.inner.violations.text());
+        let ResourceCounts {
+            client_connections,
+            worker_connections,
             workers,
             functions,
             ..
@@ -492,8 +509,8 @@
         match self.inner.violations.all() {
             0 => tracing::info!(
                 open,
-                clients,
-                links,
+                client_connections,
+                worker_connections,
                 workers,
                 functions,
                 violations,
@@ -501,8 +518,8 @@
             ),
             _ => tracing::error!(
                 open,
-                clients,
-                links,
+                client_connections,
+                worker_connections,
                 workers,
                 functions,
                 violations,
@@ -512,16 +529,20 @@
     }
 
     fn accepts_while_draining(&self) -> bool {
-        self.inner.stop_at.is_some() && self.inner.limits.late_arrivals > 0
+        self.inner.shutdown_deadline.is_some() && self.inner.limits.late_arrivals > 0
     }
 
     fn is_done(&self) -> bool {
         let inner = &self.inner;
-        inner.stop_at.is_some()
-            && !inner.due.iter().any(|(_, due)| *due == Due::Arrivals)
-            && (inner.ended || !(inner.clients.reads_one() || inner.fronts.reads_one()))
-            && inner.jobs.open() == 0
-            && inner.clients.nothing_to_write()
-            && inner.fronts.nothing_to_write()
+        inner.shutdown_deadline.is_some()
+            && !inner
+                .timers
+                .iter()
+                .any(|(_, due)| *due == Timer::LateArrivals)
+            && (inner.shutdown_complete
+                || !(inner.http.has_partial_request() || inner.fastcgi.has_partial_request()))
+            && inner.requests.open() == 0
+            && inner.http.is_flushed()
+            && inner.fastcgi.is_flushed()
     }
 }
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -46,12 +46,12 @@
 }
 
 impl Limits {
-    pub fn of(l: &LoadedSettings) -> Self {
-        let span = |name: &str| l.span(&format!("limits.{name}-us"));
-        let bytes = |name: &str| l.size(&format!("limits.{name}-bytes"));
-        let count = |name: &str| l.size(&format!("limits.{name}"));
-        let longest =
-            (0..l.count("workloads")).map(|n| l.span(&format!("workloads.{n}.time-limit-us")));
+    pub fn from_settings(settings: &LoadedSettings) -> Self {
+        let span = |name: &str| settings.span(&format!("limits.{name}-us"));
+        let bytes = |name: &str| settings.size(&format!("limits.{name}-bytes"));
+        let count = |name: &str| settings.size(&format!("limits.{name}"));
+        let longest = (0..settings.count("workloads"))
+            .map(|n| settings.span(&format!("workloads.{n}.time-limit-us")));
         Limits {
             answer_ahead: span("answer-ahead"),
             max_open: count("max-open"),
@@ -68,7 +68,7 @@
             largest_frame: bytes("largest-frame"),
             largest_list: bytes("largest-list"),
             streams: count("streams"),
-            streams_wanted: if l.has("limits.streams-wanted") {
+            streams_wanted: if settings.has("limits.streams-wanted") {
                 count("streams-wanted")
             } else {
                 count("streams")
@@ -84,7 +84,7 @@
             max_retry_after: span("max-retry-after"),
             max_functions: count("max-functions"),
             held_bodies: bytes("held-bodies"),
-            figures_beyond: l.number("limits.figures-beyond"),
+            figures_beyond: settings.number("limits.figures-beyond"),
             late_arrivals: span("late-arrivals"),
             feed_wait: span("feed-wait"),
             feed_silence: span("feed-silence"),
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -1,7 +1,7 @@
 //! The jobs that this edge holds, their executions, and which final answer each got. One answer, exactly.
 
-use crate::worker_connections::Mark;
-use crate::{Due, Inner};
+use crate::worker_connections::MessageKey;
+use crate::{EdgeState, Timer};
 use sanddrum::{
     AttemptResult, CustomerId, FunctionId, LoadReport, Outcome, RequestId, Warmth, WorkerId,
     WorkloadId,
@@ -12,29 +12,29 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-pub(crate) struct Job {
+pub(crate) struct PendingRequest {
     pub client: ConnectionId,
-    /// Its place among the client's requests.
-    pub place: u64,
+    /// Its slot among the client's requests.
+    pub slot: u64,
     pub workload: WorkloadId,
     pub function: FunctionId,
     pub due: Micros,
     pub body: Vec<u8>,
     /// The caller's own number for it, where it is seen on the wire.
     pub number: u64,
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
     pub trace: Option<String>,
     pub customer: Option<String>,
     pub customer_id: CustomerId,
     /// It was let through by the limits, and counts among them until it ends.
-    pub admitted: bool,
+    pub is_admitted: bool,
     /// Executions by number; those that are out still have their entry.
-    pub executions: Vec<u64>,
-    pub out: usize,
+    pub attempts: Vec<u64>,
+    pub in_flight: usize,
     /// An execution that has ended has run, or may have.
     pub may_have_run: bool,
     /// It has its final answer, or its client has left.
-    pub closed: bool,
+    pub is_closed: bool,
 }
 
 /// What a call asks for, whatever door it came by.
@@ -44,13 +44,13 @@
     pub workload: WorkloadId,
     pub function: FunctionId,
     pub memory_mb: f64,
-    pub lanes: f64,
+    pub concurrency: f64,
     pub load: Option<Micros>,
     /// The time that is left for its answer.
     pub limit: Micros,
-    pub work: Option<Micros>,
-    pub repeat: bool,
-    pub mark: Option<String>,
+    pub expected_work: Option<Micros>,
+    pub is_retry: bool,
+    pub idempotency_key: Option<String>,
     pub trace: Option<String>,
     pub customer: Option<String>,
     pub customer_id: CustomerId,
@@ -58,122 +58,125 @@
 }
 
 /// The final answer to a job, as any door words it.
-pub(crate) enum Answer<'a> {
+pub(crate) enum FinalResponse<'a> {
     Finished {
-        job: RequestId,
+        request: RequestId,
         worker: &'a str,
-        copy: &'a str,
+        instance: &'a str,
         body: &'a [u8],
     },
-    Refused(&'a Refusal<'a>),
+    Error(&'a ErrorResponse<'a>),
 }
 
-impl Answer<'_> {
+impl FinalResponse<'_> {
     pub fn http(&self, keep_alive: bool) -> Vec<u8> {
         match self {
-            Answer::Finished {
-                job,
+            FinalResponse::Finished {
+                request,
                 worker,
-                copy,
+                instance,
                 body,
             } => {
-                let number = job.0.to_string();
+                let number = request.0.to_string();
                 let fields = [
                     ("content-type", "application/octet-stream"),
                     ("sanddrum-end", "finished"),
                     ("sanddrum-job", number.as_str()),
                     ("sanddrum-worker", worker),
-                    ("sanddrum-copy", copy),
+                    ("sanddrum-copy", instance),
                 ];
                 http::encode_response(200, &fields, body, keep_alive)
             }
-            Answer::Refused(refusal) => refusal.response(keep_alive),
+            FinalResponse::Error(refusal) => refusal.response(keep_alive),
         }
     }
 }
 
-pub(crate) struct Execution {
-    pub job: RequestId,
+pub(crate) struct Attempt {
+    pub request: RequestId,
     pub number: usize,
     pub worker: WorkerId,
-    pub link: WorkerConnectionId,
+    pub connection: WorkerConnectionId,
     pub sent: Micros,
     /// When the deadline was worked out that its frame passes on.
-    pub stated: Micros,
+    pub deadline_encoded_at: Micros,
     pub due: Micros,
 }
 
 #[derive(Default)]
-pub(crate) struct Jobs {
-    pub jobs: BTreeMap<RequestId, Job>,
-    pub executions: BTreeMap<u64, Execution>,
-    next_job: u64,
-    next_execution: u64,
+pub(crate) struct Requests {
+    pub requests: BTreeMap<RequestId, PendingRequest>,
+    pub attempts: BTreeMap<u64, Attempt>,
+    next_request: u64,
+    next_attempt_id: u64,
     open: usize,
     /// Open jobs by their callers' numbers, and the bytes of their bodies.
-    numbers: BTreeMap<u64, RequestId>,
-    bodies: usize,
+    by_call_id: BTreeMap<u64, RequestId>,
+    body_bytes: usize,
 }
 
-impl Jobs {
+impl Requests {
     pub fn open(&self) -> usize {
         self.open
     }
     /// Whether a job of this caller's number is open.
     pub fn is_open(&self, number: u64) -> bool {
-        self.numbers.contains_key(&number)
+        self.by_call_id.contains_key(&number)
     }
     /// Bytes of the bodies of all open jobs.
-    pub fn bodies(&self) -> usize {
-        self.bodies
+    pub fn body_bytes(&self) -> usize {
+        self.body_bytes
     }
-    pub fn take(&mut self, job: Job) -> RequestId {
-        let id = RequestId(self.next_job);
-        self.next_job += 1;
+    pub fn take(&mut self, request: PendingRequest) -> RequestId {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         self.open += 1;
-        self.bodies += job.body.len();
-        self.numbers.insert(job.number, id);
-        self.jobs.insert(id, job);
+        self.body_bytes += request.body.len();
+        self.by_call_id.insert(request.number, id);
+        self.requests.insert(id, request);
         id
     }
-    pub fn next_execution(&mut self) -> u64 {
-        self.next_execution += 1;
-        self.next_execution
+    pub fn next_attempt_id(&mut self) -> u64 {
+        self.next_attempt_id += 1;
+        self.next_attempt_id
     }
     /// Closes a job; none is closed twice.
-    pub fn close(&mut self, id: RequestId) -> Option<&mut Job> {
-        let job = self.jobs.get_mut(&id).filter(|job| !job.closed)?;
-        job.closed = true;
+    pub fn close(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        let request = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| !request.is_closed)?;
+        request.is_closed = true;
         self.open -= 1;
         // Nothing is sent for it any more.
-        self.bodies -= std::mem::take(&mut job.body).len();
-        if self.numbers.get(&job.number) == Some(&id) {
-            self.numbers.remove(&job.number);
+        self.body_bytes -= std::mem::take(&mut request.body).len();
+        if self.by_call_id.get(&request.number) == Some(&id) {
+            self.by_call_id.remove(&request.number);
         }
-        Some(job)
+        Some(request)
     }
-    pub fn forget_if_done(&mut self, id: RequestId) {
+    pub fn remove_if_done(&mut self, id: RequestId) {
         if self
-            .jobs
+            .requests
             .get(&id)
-            .is_some_and(|job| job.closed && job.out == 0)
+            .is_some_and(|request| request.is_closed && request.in_flight == 0)
         {
-            self.jobs.remove(&id);
+            self.requests.remove(&id);
         }
     }
 }
 
 /// A final answer that is not *finished*, as the client sees it.
-pub(crate) struct Refusal<'a> {
+pub(crate) struct ErrorResponse<'a> {
     pub status: u16,
     pub end: &'static str,
     pub reason: &'a str,
     pub detail: &'a str,
     pub retry_after: Option<Micros>,
-    pub job: Option<RequestId>,
+    pub request: Option<RequestId>,
 }
 
-impl Refusal<'_> {
+impl ErrorResponse<'_> {
     /// Problem details (RFC 9457) with the time to come back (RFC 9110, section 10.2.3), in whole seconds for
     /// clients that know only these and in milliseconds for those that read ours.
     pub fn response(&self, keep_alive: bool) -> Vec<u8> {
@@ -201,8 +204,8 @@
             // RFC 6750, section 3.
             fields.push(("www-authenticate", "Bearer error=\"invalid_token\""));
         }
-        if let Some(job) = self.job {
-            body["job"] = json!(job.0);
+        if let Some(request) = self.request {
+            body["job"] = json!(request.0);
         }
         http::encode_response(
             self.status,
@@ -224,19 +227,24 @@
     }
 }
 
-impl Inner {
+impl EdgeState {
     /// A worker's answer to an execution.
-    pub(crate) fn execution_answered(&mut self, now: Micros, link: WorkerConnectionId, done: Done) {
+    pub(crate) fn attempt_answered(
+        &mut self,
+        now: Micros,
+        connection: WorkerConnectionId,
+        done: Done,
+    ) {
         let ours = self
-            .jobs
-            .executions
+            .requests
+            .attempts
             .get(&done.id)
-            .is_some_and(|e| e.link == link);
+            .is_some_and(|e| e.connection == connection);
         if !ours {
             // Answered after a time-out or a cancel, twice, or never asked for: it changes nothing any more.
-            self.figures.stray_answers.increment(1);
+            self.metrics.unmatched_responses.increment(1);
             tracing::debug!(
-                execution = done.id,
+                attempt = done.id,
                 reason = "stray-answer",
                 "an answer that nothing waits for"
             );
@@ -259,86 +267,94 @@
         };
         let report = done.report.as_ref().map(report_of);
         if let (Some(e), Some(of), Some(all)) = (
-            self.jobs.executions.get(&done.id),
+            self.requests.attempts.get(&done.id),
             done.customer_rate,
             done.total_rate,
         ) {
-            if let Some(job) = self.jobs.jobs.get(&e.job) {
+            if let Some(request) = self.requests.requests.get(&e.request) {
                 self.admission
-                    .news
+                    .events
                     .reported_rates
-                    .push((job.customer_id, of, all));
+                    .push((request.customer_id, of, all));
             }
         }
         if end == Outcome::Finished {
-            if let Some(job) = self.jobs.executions.get(&done.id).map(|e| e.job) {
-                self.finish(now, job, done.id, &done.body, warmth);
+            if let Some(request) = self.requests.attempts.get(&done.id).map(|e| e.request) {
+                self.complete_request(now, request, done.id, &done.body, warmth);
             }
         }
-        self.execution_ended(now, done.id, end, warmth, done.function_in_flight, report);
+        self.attempt_ended(now, done.id, end, warmth, done.function_in_flight, report);
     }
 
-    fn finish(&mut self, now: Micros, id: RequestId, execution: u64, body: &[u8], warmth: Warmth) {
-        let worker = self.jobs.executions.get(&execution).map(|e| e.worker);
+    fn complete_request(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: u64,
+        body: &[u8],
+        warmth: Warmth,
+    ) {
+        let worker = self.requests.attempts.get(&attempt).map(|e| e.worker);
         let worker = worker
-            .and_then(|w| self.links.name(w))
+            .and_then(|w| self.worker_connections.name(w))
             .unwrap_or_default()
             .to_string();
-        let Some(job) = self.jobs.close(id) else {
+        let Some(request) = self.requests.close(id) else {
             return;
         };
-        self.admission.ended(job);
-        let (client, place, due) = (job.client, job.place, job.due);
-        let copy = match warmth {
+        self.admission.ended(request);
+        let (client, slot, due) = (request.client, request.slot, request.due);
+        let instance = match warmth {
             Warmth::StartedLoad => "loaded",
             Warmth::WaitedForLoad => "waited",
             _ => "stood",
         };
-        tracing::debug!(job = id.0, worker, left_us = due - now, "finished");
-        self.figures.finished.increment(1);
-        self.answer(
+        tracing::debug!(request = id.0, worker, left_us = due - now, "finished");
+        self.metrics.finished.increment(1);
+        self.respond(
             client,
-            place,
-            &Answer::Finished {
-                job: id,
+            slot,
+            &FinalResponse::Finished {
+                request: id,
                 worker: &worker,
-                copy,
+                instance,
                 body,
             },
         );
-        self.recall(now, id);
+        self.retract_attempts(now, id);
     }
 
     /// A job has its final answer: what still waits to be written for it is not sent any more. Guards against a link
     /// whose connection takes long, which would carry it all once it is up.
-    pub(crate) fn recall(&mut self, now: Micros, id: RequestId) {
+    pub(crate) fn retract_attempts(&mut self, now: Micros, id: RequestId) {
         let all = self
-            .jobs
-            .jobs
+            .requests
+            .requests
             .get(&id)
-            .map(|job| job.executions.clone())
+            .map(|request| request.attempts.clone())
             .unwrap_or_default();
-        for execution in all {
-            let Some(link) = self.jobs.executions.get(&execution).map(|e| e.link) else {
+        for attempt in all {
+            let Some(connection) = self.requests.attempts.get(&attempt).map(|e| e.connection)
+            else {
                 continue;
             };
-            if self.links.take_back(link, execution) {
-                self.execution_ended(
+            if self.worker_connections.retract_attempt(connection, attempt) {
+                self.attempt_ended(
                     now,
-                    execution,
+                    attempt,
                     Outcome::CancelledBeforeStart,
                     Warmth::Unknown,
                     None,
                     None,
                 );
             } else {
-                self.finish_writing_soon(now, link, execution);
+                self.bound_partial_write(now, connection, attempt);
             }
         }
     }
 
     /// The end of an execution, whatever it was, told to the module once.
-    pub(crate) fn execution_ended(
+    pub(crate) fn attempt_ended(
         &mut self,
         now: Micros,
         id: u64,
@@ -347,34 +363,34 @@
         crowd: Option<u32>,
         report: Option<LoadReport>,
     ) {
-        let Some(e) = self.jobs.executions.remove(&id) else {
+        let Some(e) = self.requests.attempts.remove(&id) else {
             return;
         };
-        self.due.remove(&(e.due, Due::Execution(id)));
-        self.release(e.link, Mark::Execution(id), now);
+        self.timers.remove(&(e.due, Timer::AttemptTimeout(id)));
+        self.release_message(e.connection, MessageKey::Attempt(id), now);
         report
             .iter()
-            .for_each(|report| self.links.reported(e.worker, report));
-        self.figures.execution_ended(end);
-        let settled = match self.jobs.jobs.get_mut(&e.job) {
-            Some(job) => {
-                job.out = job.out.saturating_sub(1);
-                job.may_have_run |= !matches!(
+            .for_each(|report| self.worker_connections.record_load_report(e.worker, report));
+        self.metrics.attempt_ended(end);
+        let settled = match self.requests.requests.get_mut(&e.request) {
+            Some(request) => {
+                request.in_flight = request.in_flight.saturating_sub(1);
+                request.may_have_run |= !matches!(
                     end,
                     Outcome::Rejected
                         | Outcome::NoConnection
                         | Outcome::CancelledBeforeStart
                         | Outcome::ColdMiss
                 );
-                job.closed
+                request.is_closed
             }
             None => true,
         };
-        self.jobs.forget_if_done(e.job);
+        self.requests.remove_if_done(e.request);
         tracing::debug!(
-            job = e.job.0,
-            execution = e.number,
-            worker = self.links.name(e.worker),
+            request = e.request.0,
+            attempt = e.number,
+            worker = self.worker_connections.name(e.worker),
             ?end,
             ?warmth,
             latency_us = now - e.sent,
@@ -382,8 +398,8 @@
             queued = report.and_then(|r| r.queued),
             "ended"
         );
-        self.round.attempt_results.push(AttemptResult {
-            request: e.job,
+        self.batch.attempt_results.push(AttemptResult {
+            request: e.request,
             attempt: e.number,
             worker: e.worker,
             outcome: end,
@@ -396,147 +412,156 @@
     }
 
     /// No answer within its limit. What was never written has never run and is taken back.
-    pub(crate) fn execution_is_late(&mut self, now: Micros, id: u64) {
-        let Some(link) = self.jobs.executions.get(&id).map(|e| e.link) else {
+    pub(crate) fn attempt_timed_out(&mut self, now: Micros, id: u64) {
+        let Some(connection) = self.requests.attempts.get(&id).map(|e| e.connection) else {
             return;
         };
-        let taken_back = self.links.take_back(link, id);
+        let taken_back = self.worker_connections.retract_attempt(connection, id);
         if !taken_back && self.on_platform {
             // It is out until it is given up; our own workers are told the limit with it.
-            self.give_up_execution(link, id);
+            self.cancel_attempt(connection, id);
         }
         let end = if taken_back {
             Outcome::NoConnection
         } else {
             Outcome::TimedOut
         };
-        self.execution_ended(now, id, end, Warmth::Unknown, None, None);
+        self.attempt_ended(now, id, end, Warmth::Unknown, None, None);
     }
 
     /// Tells a worker that an execution is not waited for any more, behind all that was told it before.
-    pub(crate) fn give_up_execution(&mut self, link: WorkerConnectionId, id: u64) {
-        let Some(e) = self.jobs.executions.get(&id) else {
+    pub(crate) fn cancel_attempt(&mut self, connection: WorkerConnectionId, id: u64) {
+        let Some(e) = self.requests.attempts.get(&id) else {
             return;
         };
-        let Some(job) = self.jobs.jobs.get(&e.job) else {
+        let Some(request) = self.requests.requests.get(&e.request) else {
             return;
         };
-        let bytes = self.speech.cancel(id, job.number);
-        self.tell(link, &bytes);
+        let bytes = self.protocol.cancel(id, request.number);
+        self.send_cancel(connection, &bytes);
     }
 
     /// Its client has left, or asks for it no more; nothing is answered.
-    pub(crate) fn give_job_up(&mut self, now: Micros, id: RequestId) {
-        let Some(closed) = self.jobs.close(id) else {
+    pub(crate) fn abandon_request(&mut self, now: Micros, id: RequestId) {
+        let Some(closed) = self.requests.close(id) else {
             return;
         };
         self.admission.ended(closed);
-        tracing::debug!(job = id.0, reason = "client-left", "its client has left");
-        self.figures.left.increment(1);
-        self.round.cancelled.push(id);
-        self.recall(now, id);
-        self.jobs.forget_if_done(id);
+        tracing::debug!(
+            request = id.0,
+            reason = "client-left",
+            "its client has left"
+        );
+        self.metrics.left.increment(1);
+        self.batch.cancelled.push(id);
+        self.retract_attempts(now, id);
+        self.requests.remove_if_done(id);
     }
 
     /// Takes a call up as a job, whatever door it came by.
-    pub(crate) fn take_job(
+    pub(crate) fn accept_request(
         &mut self,
         now: Micros,
         client: ConnectionId,
-        place: u64,
+        slot: u64,
         call: Call,
     ) -> RequestId {
         // One that is taken while the edge ends has no longer than that.
-        let due = (now + call.limit.max(0)).min(self.stop_at.unwrap_or(Micros::MAX));
+        let due = (now + call.limit.max(0)).min(self.shutdown_deadline.unwrap_or(Micros::MAX));
         let Call {
             workload,
             function,
             memory_mb,
-            lanes,
+            concurrency,
             load,
-            work,
-            repeat,
+            expected_work,
+            is_retry,
             customer_id,
             ..
         } = call;
-        let job = self.jobs.take(Job {
+        let request = self.requests.take(PendingRequest {
             client,
-            place,
+            slot,
             workload,
             function,
             due,
             body: call.body,
             number: call.number,
-            mark: call.mark,
+            idempotency_key: call.idempotency_key,
             trace: call.trace,
             customer: call.customer,
             customer_id,
-            admitted: false,
-            executions: Vec::new(),
-            out: 0,
+            is_admitted: false,
+            attempts: Vec::new(),
+            in_flight: 0,
             may_have_run: false,
-            closed: false,
+            is_closed: false,
         });
-        self.figures.taken.increment(1);
+        self.metrics.taken.increment(1);
         let number = format_args!("{:016x}", call.number);
-        tracing::debug!(job = job.0, call = %number, workload = workload.0, limit_us = call.limit, "taken");
+        tracing::debug!(request = request.0, call = %number, workload = workload.0, limit_us = call.limit, "taken");
         let customer = customer_id;
-        let id = job;
-        self.ask(sanddrum::Request {
+        let id = request;
+        self.submit(sanddrum::Request {
             id,
             function,
             workload,
             customer,
             deadline: due,
             memory_mb,
-            concurrency: lanes,
+            concurrency,
             load_time: load,
-            expected_work: work,
-            is_retry: repeat,
+            expected_work,
+            is_retry,
         });
-        job
+        request
     }
 
     /// The final answer of a job that did not finish.
-    pub(crate) fn refuse(&mut self, now: Micros, id: RequestId, refusal: &Refusal<'_>) {
-        let Some(job) = self.jobs.close(id) else {
+    pub(crate) fn reject_request(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        refusal: &ErrorResponse<'_>,
+    ) {
+        let Some(request) = self.requests.close(id) else {
             return;
         };
-        self.admission.ended(job);
-        let (client, place) = (job.client, job.place);
+        self.admission.ended(request);
+        let (client, slot) = (request.client, request.slot);
         tracing::debug!(
-            job = id.0,
+            request = id.0,
             status = refusal.status,
             reason = refusal.reason,
             "{}",
             refusal.end
         );
-        self.figures.refused(refusal.end, refusal.reason);
-        self.answer(client, place, &Answer::Refused(refusal));
-        self.recall(now, id);
-        self.jobs.forget_if_done(id);
+        self.metrics.refused(refusal.end, refusal.reason);
+        self.respond(client, slot, &FinalResponse::Error(refusal));
+        self.retract_attempts(now, id);
+        self.requests.remove_if_done(id);
     }
 
     /// The bound on ending is reached, and the module has ended what it holds: nothing is left without its answer.
-    pub(crate) fn end_all(&mut self, now: Micros) {
+    pub(crate) fn fail_open_requests(&mut self, now: Micros) {
         let open: Vec<RequestId> = self
-            .jobs
-            .jobs
+            .requests
+            .requests
             .iter()
-            .filter(|(_, j)| !j.closed)
+            .filter(|(_, j)| !j.is_closed)
             .map(|(id, _)| *id)
             .collect();
         for id in open {
-            let refusal = Refusal {
+            let refusal = ErrorResponse {
                 status: 502,
                 end: "killed",
                 reason: "stopping",
                 detail: "the edge ends and could not wait for the answer; the job may have run",
                 retry_after: None,
-                job: Some(id),
+                request: Some(id),
             };
-            self.refuse(now, id, &refusal);
-            self.round.cancelled.push(id);
+            self.reject_request(now, id, &refusal);
+            self.batch.cancelled.push(id);
         }
     }
 }
