--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -1,14 +1,14 @@
 //! Connections to workers: opened as needed, capped, closed when idle; and how whatever was out on one ended.
 
-mod ends;
-mod errands;
-mod guard;
-mod recall;
-mod restate;
+mod closing;
+mod control_commands;
+mod deadline_refresh;
+mod retraction;
+mod send_checks;
 
 use crate::requests::report_of;
-use crate::worker_protocol::Reader;
-use crate::{Due, Inner, Owner};
+use crate::worker_protocol::MessageDecoder;
+use crate::{EdgeState, Owner, Timer};
 use sanddrum::{
     Endpoint, FunctionId, HealthCheckResult, LoadReport, Micros, Outcome, WorkerId, WorkerState,
 };
@@ -27,230 +27,254 @@
 
 /// A piece of what is written to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Mark {
-    Execution(u64),
-    Order(u64),
-    Probe(u64),
+pub(crate) enum MessageKey {
+    Attempt(u64),
+    Load(u64),
+    HealthCheck(u64),
     /// Gives an execution up. It is written at once or the connection ends, which gives up as well.
-    GiveUp,
-    Other,
+    Cancel,
+    Untracked,
 }
 
 /// Something to be written to a worker.
-pub(crate) struct Piece<'a> {
-    pub mark: Mark,
+pub(crate) struct OutboundMessage<'a> {
+    pub mark: MessageKey,
     /// Under which the worker answers it.
     pub id: u64,
     pub bytes: &'a [u8],
 }
 
-struct Link {
+struct WorkerConnection {
     worker: WorkerId,
     /// None while it waits to be begun.
     conn: Option<ConnectionId>,
-    out: Outbox<Mark>,
-    frames: Reader,
+    out: Outbox<MessageKey>,
+    frames: MessageDecoder,
     /// What is out on it and wants an answer.
-    carries: BTreeSet<Mark>,
+    in_flight: BTreeSet<MessageKey>,
     /// The same by the ids that answers name, where those are not our own.
-    ids: BTreeMap<u64, Mark>,
+    ids: BTreeMap<u64, MessageKey>,
     /// Ids that have had their end here, and until when an answer under them may still come. Guards against a second
     /// answer to one attempt, taken for the answer to a later one: what runs then would count as never run.
-    spent: BTreeMap<u64, Micros>,
-    up: bool,
+    retired_ids: BTreeMap<u64, Micros>,
+    is_connected: bool,
     /// It gets nothing new, and ends once it carries nothing.
-    retired: bool,
-    quiet_since: Micros,
+    is_retired: bool,
+    idle_since: Micros,
     /// How long it had carried nothing before what it carries now.
-    rested: Micros,
+    idle_before: Micros,
     /// Since when it carries something.
-    began: Micros,
+    busy_since: Micros,
 }
 
 /// A worker as the list last named it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Target {
+pub(crate) struct WorkerEndpoint {
     pub name: String,
     pub address: String,
-    links: BTreeSet<WorkerConnectionId>,
+    connections: BTreeSet<WorkerConnectionId>,
 }
 
-struct Asked {
+struct ControlCommand {
     worker: WorkerId,
     function: FunctionId,
-    link: WorkerConnectionId,
+    connection: WorkerConnectionId,
     sent: Micros,
     due: Micros,
 }
 
 #[derive(Default)]
-pub(crate) struct Links {
-    links: BTreeMap<WorkerConnectionId, Link>,
-    targets: BTreeMap<WorkerId, Target>,
-    orders: BTreeMap<u64, Asked>,
-    probes: BTreeMap<u64, Asked>,
-    asked: u64,
-    made: u64,
+pub(crate) struct WorkerConnections {
+    connections: BTreeMap<WorkerConnectionId, WorkerConnection>,
+    endpoints: BTreeMap<WorkerId, WorkerEndpoint>,
+    loads: BTreeMap<u64, ControlCommand>,
+    health_checks: BTreeMap<u64, ControlCommand>,
+    next_command: u64,
+    next_connection: u64,
     dirty: BTreeSet<WorkerConnectionId>,
     /// Those on which something is given up; they are written to first.
-    first: BTreeSet<WorkerConnectionId>,
+    cancels_first: BTreeSet<WorkerConnectionId>,
     /// What the connection module is to hear in its next round.
-    pub news: ConnectionEvents,
+    pub events: ConnectionEvents,
 }
 
-impl Links {
+impl WorkerConnections {
     pub fn all(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
     /// The connection that has carried nothing for longest and may end.
     fn longest_idle(&self) -> Option<WorkerConnectionId> {
         let idle = self
-            .links
+            .connections
             .iter()
-            .filter(|(_, l)| l.up && !l.retired && l.carries.is_empty());
-        idle.min_by_key(|(id, l)| (l.quiet_since, **id))
+            .filter(|(_, l)| l.is_connected && !l.is_retired && l.in_flight.is_empty());
+        idle.min_by_key(|(id, l)| (l.idle_since, **id))
             .map(|(id, _)| *id)
     }
     pub fn name(&self, worker: WorkerId) -> Option<&str> {
-        self.targets.get(&worker).map(|t| t.name.as_str())
+        self.endpoints.get(&worker).map(|t| t.name.as_str())
     }
     /// Whether a worker is called elsewhere than this row says.
-    pub fn has_moved(&self, row: &EndpointRecord) -> bool {
-        let target = self.targets.get(&WorkerId(wire::id_of(&row.name)));
-        target.is_some_and(|target| target.address != row.address)
+    pub fn address_changed(&self, record: &EndpointRecord) -> bool {
+        let endpoint = self.endpoints.get(&WorkerId(wire::id_of(&record.name)));
+        endpoint.is_some_and(|endpoint| endpoint.address != record.address)
     }
     /// Other workers called at this address.
-    pub fn called_at(&self, row: &EndpointRecord) -> Vec<WorkerId> {
+    pub fn others_at_address(&self, record: &EndpointRecord) -> Vec<WorkerId> {
         let others = self
-            .targets
+            .endpoints
             .iter()
-            .filter(|(_, t)| t.address == row.address && t.name != row.name);
+            .filter(|(_, t)| t.address == record.address && t.name != record.name);
         others.map(|(worker, _)| *worker).collect()
     }
     /// A worker as listed.
-    pub fn set_target(&mut self, row: &Endpoint, name: &str, address: &str) {
+    pub fn update_endpoint(&mut self, endpoint: &Endpoint, name: &str, address: &str) {
         let Endpoint {
             worker,
             size,
             state,
             started_at: started,
             ..
-        } = *row;
+        } = *endpoint;
         if state == WorkerState::Gone {
-            self.news.removed_workers.push(worker);
+            self.events.removed_workers.push(worker);
         }
-        self.news.listed_workers.push(ListedWorker {
+        self.events.listed_workers.push(ListedWorker {
             worker,
             size,
             started_at: started,
             is_ready: state != WorkerState::Gone,
         });
-        let target = self.targets.entry(worker).or_default();
-        (target.name, target.address) = (name.to_string(), address.to_string());
+        let endpoint = self.endpoints.entry(worker).or_default();
+        (endpoint.name, endpoint.address) = (name.to_string(), address.to_string());
     }
     /// Takes an execution back of which nothing was written.
-    pub fn take_back(&mut self, link: WorkerConnectionId, execution: u64) -> bool {
-        self.take_back_mark(link, &Mark::Execution(execution))
+    pub fn retract_attempt(&mut self, connection: WorkerConnectionId, attempt: u64) -> bool {
+        self.retract_message(connection, &MessageKey::Attempt(attempt))
     }
     /// Whether an execution is not written to its last byte.
-    fn holds(&self, link: WorkerConnectionId, execution: u64) -> bool {
-        self.links
-            .get(&link)
-            .is_some_and(|link| link.out.holds(&Mark::Execution(execution)))
+    fn has_unwritten(&self, connection: WorkerConnectionId, attempt: u64) -> bool {
+        self.connections
+            .get(&connection)
+            .is_some_and(|connection| connection.out.holds(&MessageKey::Attempt(attempt)))
     }
-    fn take_back_mark(&mut self, link: WorkerConnectionId, mark: &Mark) -> bool {
-        self.links
-            .get_mut(&link)
-            .is_some_and(|link| link.out.retract(mark))
+    fn retract_message(&mut self, connection: WorkerConnectionId, mark: &MessageKey) -> bool {
+        self.connections
+            .get_mut(&connection)
+            .is_some_and(|connection| connection.out.retract(mark))
     }
     /// What a link carried has ended, and its id is not used there again until then; `true` where a retired one has
     /// nothing more to wait for.
-    fn carried_ends(
+    fn finish_message(
         &mut self,
         id: WorkerConnectionId,
-        mark: Mark,
+        mark: MessageKey,
         now: Micros,
         until: Micros,
     ) -> bool {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        link.carries.remove(&mark);
-        link.spent.retain(|_, until| *until > now);
-        let ended = link
+        connection.in_flight.remove(&mark);
+        connection.retired_ids.retain(|_, until| *until > now);
+        let ended = connection
             .ids
             .iter()
             .find(|(_, of)| **of == mark)
             .map(|(id, _)| *id);
         if let Some(id) = ended {
-            link.ids.remove(&id);
-            link.spent.insert(id, until);
+            connection.ids.remove(&id);
+            connection.retired_ids.insert(id, until);
         }
-        (link.quiet_since, link.rested) = (now, 0);
-        link.retired && link.carries.is_empty()
+        (connection.idle_since, connection.idle_before) = (now, 0);
+        connection.is_retired && connection.in_flight.is_empty()
     }
     /// The connection to a worker that carries the least, if one has room.
-    fn roomy(
+    fn least_loaded(
         &self,
         worker: WorkerId,
         streams: usize,
-        piece: &Piece<'_>,
+        piece: &OutboundMessage<'_>,
         fresh: impl Fn(Micros) -> bool,
     ) -> Option<WorkerConnectionId> {
-        let links = self.targets.get(&worker)?.links.iter();
-        let links = links.filter_map(|id| self.links.get(id).map(|link| (id, link)));
+        let connections = self.endpoints.get(&worker)?.connections.iter();
+        let connections = connections
+            .filter_map(|id| self.connections.get(id).map(|connection| (id, connection)));
         // One id stands for one thing on a connection.
-        let used =
-            |link: &Link| link.ids.contains_key(&piece.id) || link.spent.contains_key(&piece.id);
-        let free = links.filter(|(_, link)| piece.mark == Mark::Other || !used(link));
-        let fresh = free
-            .filter(|(_, link)| !link.carries.is_empty() || !link.up || fresh(link.quiet_since));
+        let used = |connection: &WorkerConnection| {
+            connection.ids.contains_key(&piece.id) || connection.retired_ids.contains_key(&piece.id)
+        };
+        let free = connections
+            .filter(|(_, connection)| piece.mark == MessageKey::Untracked || !used(connection));
+        let fresh = free.filter(|(_, connection)| {
+            !connection.in_flight.is_empty()
+                || !connection.is_connected
+                || fresh(connection.idle_since)
+        });
         // Of those that carry nothing, the one that did last: the longest idle may be dead without a word.
-        let load = fresh.map(|(id, link)| (link.carries.len(), Reverse(link.quiet_since), *id));
+        let load = fresh.map(|(id, connection)| {
+            (
+                connection.in_flight.len(),
+                Reverse(connection.idle_since),
+                *id,
+            )
+        });
         load.min().filter(|(n, ..)| *n < streams).map(|(.., id)| id)
     }
     /// Connections to a worker that have carried nothing for too long.
     fn stale(&self, worker: WorkerId, fresh: impl Fn(Micros) -> bool) -> Vec<WorkerConnectionId> {
-        let links = self
-            .targets
+        let connections = self
+            .endpoints
             .get(&worker)
             .into_iter()
-            .flat_map(|target| target.links.iter().copied());
-        let stale = |link: &Link| link.up && link.carries.is_empty() && !fresh(link.quiet_since);
-        links
-            .filter(|id| self.links.get(id).is_some_and(stale))
+            .flat_map(|endpoint| endpoint.connections.iter().copied());
+        let stale = |connection: &WorkerConnection| {
+            connection.is_connected
+                && connection.in_flight.is_empty()
+                && !fresh(connection.idle_since)
+        };
+        connections
+            .filter(|id| self.connections.get(id).is_some_and(stale))
             .collect()
     }
-    fn has_one_to_come(&self, worker: WorkerId) -> bool {
-        let links = self
-            .targets
+    fn is_connecting(&self, worker: WorkerId) -> bool {
+        let connections = self
+            .endpoints
             .get(&worker)
             .into_iter()
-            .flat_map(|target| &target.links);
-        links
-            .filter_map(|id| self.links.get(id))
-            .any(|link| !link.up)
+            .flat_map(|endpoint| &endpoint.connections);
+        connections
+            .filter_map(|id| self.connections.get(id))
+            .any(|connection| !connection.is_connected)
     }
     /// What the worker told of itself.
-    pub fn reported(&mut self, worker: WorkerId, report: &LoadReport) {
+    pub fn record_load_report(&mut self, worker: WorkerId, report: &LoadReport) {
         if let (Some(held), Some(queued)) = (report.in_flight, report.queued) {
-            self.news.load_reports.push((worker, held + queued));
+            self.events.load_reports.push((worker, held + queued));
         }
     }
     pub fn count(&self, worker: WorkerId) -> usize {
-        self.targets
+        self.endpoints
             .get(&worker)
-            .map_or(0, |target| target.links.len())
+            .map_or(0, |endpoint| endpoint.connections.len())
     }
 }
 
-impl Inner {
-    pub(crate) fn release(&mut self, link: WorkerConnectionId, mark: Mark, now: Micros) {
-        if self
-            .links
-            .carried_ends(link, mark, now, now + self.limits.answers_late)
-        {
-            self.due.insert((now, Due::Link(link)));
+impl EdgeState {
+    pub(crate) fn release_message(
+        &mut self,
+        connection: WorkerConnectionId,
+        mark: MessageKey,
+        now: Micros,
+    ) {
+        if self.worker_connections.finish_message(
+            connection,
+            mark,
+            now,
+            now + self.limits.answers_late,
+        ) {
+            self.timers
+                .insert((now, Timer::WorkerConnection(connection)));
         }
     }
     /// Sends to a worker, or says how that ended: nothing was sent then.
@@ -258,80 +282,95 @@
         &mut self,
         now: Micros,
         worker: WorkerId,
-        piece: Piece<'_>,
+        piece: OutboundMessage<'_>,
         due: Micros,
     ) -> Result<WorkerConnectionId, Outcome> {
         let mark = piece.mark;
-        let rests = self.rests;
-        let fresh = |since: Micros| rests.is_trusted(now, now - since);
-        let id = match self.links.roomy(worker, self.limits.streams, &piece, fresh) {
-            Some(id) => id,
-            None => {
-                let stale = self.links.stale(worker, fresh);
-                stale.into_iter().for_each(|id| self.retire_link(now, id));
-                self.new_link(now, worker)?
-            }
-        };
-        let link = self.links.links.get_mut(&id).ok_or(Outcome::NoConnection)?;
-        if link.out.push(mark, piece.bytes).is_err() {
+        let idle_timeout = self.idle_timeout;
+        let fresh = |since: Micros| idle_timeout.is_trusted(now, now - since);
+        let id =
+            match self
+                .worker_connections
+                .least_loaded(worker, self.limits.streams, &piece, fresh)
+            {
+                Some(id) => id,
+                None => {
+                    let stale = self.worker_connections.stale(worker, fresh);
+                    stale
+                        .into_iter()
+                        .for_each(|id| self.retire_connection(now, id));
+                    self.create_connection(now, worker)?
+                }
+            };
+        let connection = self
+            .worker_connections
+            .connections
+            .get_mut(&id)
+            .ok_or(Outcome::NoConnection)?;
+        if connection.out.push(mark, piece.bytes).is_err() {
             // It does not read: as good as unreachable.
-            self.figures.limit_hit("waiting-per-worker");
+            self.metrics.record_limit_hit("waiting-per-worker");
             tracing::warn!(
-                worker = self.links.name(worker),
+                worker = self.worker_connections.name(worker),
                 reason = "waiting-per-worker",
                 "a worker reads too slowly"
             );
             return Err(Outcome::NoConnection);
         }
-        if mark != Mark::Other {
-            if link.carries.is_empty() {
-                (link.rested, link.began) = (now - link.quiet_since, now);
+        if mark != MessageKey::Untracked {
+            if connection.in_flight.is_empty() {
+                (connection.idle_before, connection.busy_since) =
+                    (now - connection.idle_since, now);
             }
-            link.carries.insert(mark);
-            if self.speech.carries_call_ids() {
-                link.ids.insert(piece.id, mark);
+            connection.in_flight.insert(mark);
+            if self.protocol.uses_call_ids() {
+                connection.ids.insert(piece.id, mark);
             }
         }
-        let need = if matches!(mark, Mark::Execution(_)) {
+        let need = if matches!(mark, MessageKey::Attempt(_)) {
             Purpose::Request
         } else {
             Purpose::Control
         };
-        let full = link.carries.len() as f64 / self.limits.streams_wanted as f64;
-        let waits = link.conn.is_none();
-        let news = &mut self.links.news;
+        let full = connection.in_flight.len() as f64 / self.limits.streams_wanted as f64;
+        let waits = connection.conn.is_none();
+        let events = &mut self.worker_connections.events;
         if waits {
-            news.requested.push(ConnectionRequest {
+            events.requested.push(ConnectionRequest {
                 connection: id,
                 worker,
                 purpose: need,
                 deadline: due,
             });
         }
-        news.utilization.push((worker, full));
-        self.links.dirty.insert(id);
+        events.utilization.push((worker, full));
+        self.worker_connections.dirty.insert(id);
         Ok(id)
     }
     /// Writes behind what is already on this connection, if it still stands.
-    pub(crate) fn tell(&mut self, id: WorkerConnectionId, bytes: &[u8]) {
-        if let Some(link) = self.links.links.get_mut(&id) {
-            if link.out.push(Mark::GiveUp, bytes).is_ok() {
-                self.links.dirty.insert(id);
-                self.links.first.insert(id);
+    pub(crate) fn send_cancel(&mut self, id: WorkerConnectionId, bytes: &[u8]) {
+        if let Some(connection) = self.worker_connections.connections.get_mut(&id) {
+            if connection.out.push(MessageKey::Cancel, bytes).is_ok() {
+                self.worker_connections.dirty.insert(id);
+                self.worker_connections.cancels_first.insert(id);
             }
         }
     }
     /// A connection that is to be; the connection module says when it is begun.
-    fn new_link(&mut self, now: Micros, worker: WorkerId) -> Result<WorkerConnectionId, Outcome> {
-        let target = self
-            .links
-            .targets
+    fn create_connection(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+    ) -> Result<WorkerConnectionId, Outcome> {
+        let endpoint = self
+            .worker_connections
+            .endpoints
             .get_mut(&worker)
             .ok_or(Outcome::NoConnection)?;
-        if target.links.len() >= self.limits.connections {
-            self.figures.limit_hit("connections");
+        if endpoint.connections.len() >= self.limits.connections {
+            self.metrics.record_limit_hit("connections");
             tracing::warn!(
-                worker = target.name,
+                worker = endpoint.name,
                 reason = "connections",
                 "all connections to a worker are full"
             );
@@ -339,15 +378,18 @@
         }
         // Guards against workers' connections that leave no descriptor for clients': their requests would lie
         // unaccepted until their time is up.
-        if self.links.all() >= self.limits.all_connections {
-            self.figures.limit_hit("all-connections");
-            let idle = self.links.longest_idle().ok_or(Outcome::NoConnection)?;
-            self.retire_link(now, idle);
+        if self.worker_connections.all() >= self.limits.all_connections {
+            self.metrics.record_limit_hit("all-connections");
+            let idle = self
+                .worker_connections
+                .longest_idle()
+                .ok_or(Outcome::NoConnection)?;
+            self.retire_connection(now, idle);
         }
-        self.links.made += 1;
-        let id = WorkerConnectionId(self.links.made);
-        if let Some(target) = self.links.targets.get_mut(&worker) {
-            target.links.insert(id);
+        self.worker_connections.next_connection += 1;
+        let id = WorkerConnectionId(self.worker_connections.next_connection);
+        if let Some(endpoint) = self.worker_connections.endpoints.get_mut(&worker) {
+            endpoint.connections.insert(id);
         }
         let mut out = Outbox::new(self.limits.waiting_per_worker);
         let name = self.settings.text("edge.name").to_string();
@@ -357,103 +399,117 @@
             incarnation: self.incarnation,
             age_us: None,
         };
-        if let Some(hello) = self.speech.hello(hello) {
-            let _ = out.push(Mark::Other, &hello);
+        if let Some(hello) = self.protocol.hello(hello) {
+            let _ = out.push(MessageKey::Untracked, &hello);
         }
-        let link = Link {
+        let connection = WorkerConnection {
             worker,
             conn: None,
             out,
-            frames: self.speech.reader(self.limits.largest_frame),
-            carries: BTreeSet::new(),
+            frames: self.protocol.decoder(self.limits.largest_frame),
+            in_flight: BTreeSet::new(),
             ids: BTreeMap::new(),
-            spent: BTreeMap::new(),
-            up: false,
-            retired: false,
-            quiet_since: now,
-            rested: 0,
-            began: now,
+            retired_ids: BTreeMap::new(),
+            is_connected: false,
+            is_retired: false,
+            idle_since: now,
+            idle_before: 0,
+            busy_since: now,
         };
-        self.links.links.insert(id, link);
-        self.figures.links_open.increment(1.0);
+        self.worker_connections.connections.insert(id, connection);
+        self.metrics.links_open.increment(1.0);
         Ok(id)
     }
     /// Begins a connection that has waited.
-    pub(crate) fn begin_link(&mut self, now: Micros, id: WorkerConnectionId, io: &mut dyn Io) {
-        let Some(link) = self
-            .links
-            .links
+    pub(crate) fn open_connection(&mut self, now: Micros, id: WorkerConnectionId, io: &mut dyn Io) {
+        let Some(connection) = self
+            .worker_connections
+            .connections
             .get_mut(&id)
-            .filter(|link| link.conn.is_none())
+            .filter(|connection| connection.conn.is_none())
         else {
             return;
         };
-        let Some(target) = self.links.targets.get(&link.worker) else {
+        let Some(endpoint) = self.worker_connections.endpoints.get(&connection.worker) else {
             return;
         };
-        let conn = io.connect_named(&target.address, &target.name);
-        link.conn = Some(conn);
-        self.owners.insert(conn, Owner::Link(id));
-        self.due
-            .insert((now + self.limits.connect_time_out, Due::Link(id)));
+        let conn = io.connect_named(&endpoint.address, &endpoint.name);
+        connection.conn = Some(conn);
+        self.connection_owners.insert(conn, Owner::Worker(id));
+        self.timers.insert((
+            now + self.limits.connect_time_out,
+            Timer::WorkerConnection(id),
+        ));
     }
     /// One that nothing waits for yet.
-    pub(crate) fn link_ahead(&mut self, now: Micros, worker: WorkerId) {
-        let all = self.links.all() >= self.limits.all_connections;
+    pub(crate) fn prewarm_connection(&mut self, now: Micros, worker: WorkerId) {
+        let all = self.worker_connections.all() >= self.limits.all_connections;
         if all
-            || self.links.has_one_to_come(worker)
-            || self.links.count(worker) >= self.limits.connections
+            || self.worker_connections.is_connecting(worker)
+            || self.worker_connections.count(worker) >= self.limits.connections
         {
             return;
         }
-        if let Ok(link) = self.new_link(now, worker) {
+        if let Ok(connection) = self.create_connection(now, worker) {
             let due = now + self.limits.connect_time_out;
-            self.links.news.requested.push(ConnectionRequest {
-                connection: link,
-                worker,
-                purpose: Purpose::Prewarm,
-                deadline: due,
-            });
+            self.worker_connections
+                .events
+                .requested
+                .push(ConnectionRequest {
+                    connection: connection,
+                    worker,
+                    purpose: Purpose::Prewarm,
+                    deadline: due,
+                });
         }
     }
     /// What waits for a connection is told that it does not come.
-    pub(crate) fn give_link_up(&mut self, now: Micros, id: WorkerConnectionId, why: RejectReason) {
-        self.figures.limit_hit(why.reason());
+    pub(crate) fn reject_connection(
+        &mut self,
+        now: Micros,
+        id: WorkerConnectionId,
+        why: RejectReason,
+    ) {
+        self.metrics.record_limit_hit(why.reason());
         let end = if why == RejectReason::HandshakeBudget {
             Outcome::Rejected
         } else {
             Outcome::NoConnection
         };
-        self.end_link(now, id, |_| end, false);
+        self.remove_connection(now, id, |_| end, false);
     }
-    pub(crate) fn retire_link(&mut self, now: Micros, id: WorkerConnectionId) {
-        let Some(link) = self.links.links.get_mut(&id) else {
+    pub(crate) fn retire_connection(&mut self, now: Micros, id: WorkerConnectionId) {
+        let Some(connection) = self.worker_connections.connections.get_mut(&id) else {
             return;
         };
-        link.retired = true;
-        let worker = link.worker;
-        if let Some(target) = self.links.targets.get_mut(&worker) {
-            target.links.remove(&id);
+        connection.is_retired = true;
+        let worker = connection.worker;
+        if let Some(endpoint) = self.worker_connections.endpoints.get_mut(&worker) {
+            endpoint.connections.remove(&id);
         }
-        self.due.insert((now, Due::Link(id)));
+        self.timers.insert((now, Timer::WorkerConnection(id)));
     }
     /// A connection was made on terms that are past.
-    pub(crate) fn link_is_old(&mut self, id: WorkerConnectionId, denied: bool) {
-        let Some(link) = self.links.links.get(&id) else {
+    pub(crate) fn worker_credentials_changed(&mut self, id: WorkerConnectionId, denied: bool) {
+        let Some(connection) = self.worker_connections.connections.get(&id) else {
             return;
         };
-        let carries = link.carries.len();
+        let in_flight = connection.in_flight.len();
         match denied {
-            true => self.links.news.revoked.push(OutdatedConnection::Worker(id)),
+            true => self
+                .worker_connections
+                .events
+                .revoked
+                .push(OutdatedConnection::Worker(id)),
             false => self
-                .links
-                .news
+                .worker_connections
+                .events
                 .outdated
-                .push((OutdatedConnection::Worker(id), carries)),
+                .push((OutdatedConnection::Worker(id), in_flight)),
         }
     }
 
-    pub(crate) fn link_event(
+    pub(crate) fn on_worker_event(
         &mut self,
         now: Micros,
         id: WorkerConnectionId,
@@ -462,77 +518,91 @@
     ) {
         match event {
             Event::Connected { conn } => {
-                if let Some(link) = self.links.links.get_mut(&id) {
-                    (link.up, link.quiet_since) = (true, now);
+                if let Some(connection) = self.worker_connections.connections.get_mut(&id) {
+                    (connection.is_connected, connection.idle_since) = (true, now);
                     let resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
-                    self.links.news.established.push((id, resumed));
-                    self.links.dirty.insert(id);
+                    self.worker_connections
+                        .events
+                        .established
+                        .push((id, resumed));
+                    self.worker_connections.dirty.insert(id);
                 }
             }
             Event::Writable { .. } => {
-                if let Some(link) = self.links.links.get_mut(&id) {
-                    link.out.unblock();
-                    self.links.dirty.insert(id);
+                if let Some(connection) = self.worker_connections.connections.get_mut(&id) {
+                    connection.out.unblock();
+                    self.worker_connections.dirty.insert(id);
                 }
             }
-            Event::Bytes { bytes, .. } => self.link_bytes(now, id, bytes, io),
-            Event::Closed { cause: how, .. } => self.link_ended(now, id, how, false),
+            Event::Bytes { bytes, .. } => self.on_worker_bytes(now, id, bytes, io),
+            Event::Closed { cause: how, .. } => self.connection_lost(now, id, how, false),
             Event::Accepted { .. } => {}
         }
     }
 
-    fn link_bytes(&mut self, now: Micros, id: WorkerConnectionId, bytes: &[u8], io: &mut dyn Io) {
-        let Some(link) = self.links.links.get_mut(&id) else {
+    fn on_worker_bytes(
+        &mut self,
+        now: Micros,
+        id: WorkerConnectionId,
+        bytes: &[u8],
+        io: &mut dyn Io,
+    ) {
+        let Some(connection) = self.worker_connections.connections.get_mut(&id) else {
             return;
         };
-        let worker = link.worker;
-        let mut frames = std::mem::take(&mut link.frames);
-        frames.take_in(bytes);
+        let worker = connection.worker;
+        let mut frames = std::mem::take(&mut connection.frames);
+        frames.push_bytes(bytes);
         loop {
-            let Some(link) = self.links.links.get(&id) else {
+            let Some(connection) = self.worker_connections.connections.get(&id) else {
                 return;
             };
-            let problem = match frames.next_message(&link.ids) {
+            let problem = match frames.next_message(&connection.ids) {
                 Ok(None) => break,
-                Ok(Some(message)) => match self.worker_says(now, id, worker, message) {
+                Ok(Some(message)) => match self.on_worker_message(now, id, worker, message) {
                     Ok(()) => continue,
                     Err(problem) => problem,
                 },
                 Err(problem) => problem,
             };
-            self.figures.garbled_links.increment(1);
-            let name = self.links.name(worker).unwrap_or_default();
+            self.metrics.malformed_worker_streams.increment(1);
+            let name = self.worker_connections.name(worker).unwrap_or_default();
             tracing::warn!(
                 worker = name,
                 reason = "garbled-worker",
                 problem,
                 "the connection is ended"
             );
-            self.reset_link(id, io);
-            return self.link_ended(now, id, CloseCause::Reset, true);
+            self.reset_connection(id, io);
+            return self.connection_lost(now, id, CloseCause::Reset, true);
         }
-        if let Some(link) = self.links.links.get_mut(&id) {
-            link.frames = frames;
+        if let Some(connection) = self.worker_connections.connections.get_mut(&id) {
+            connection.frames = frames;
         }
     }
-    fn reset_link(&mut self, id: WorkerConnectionId, io: &mut dyn Io) {
-        if let Some(conn) = self.links.links.get(&id).and_then(|link| link.conn) {
-            self.owners.remove(&conn);
+    fn reset_connection(&mut self, id: WorkerConnectionId, io: &mut dyn Io) {
+        if let Some(conn) = self
+            .worker_connections
+            .connections
+            .get(&id)
+            .and_then(|connection| connection.conn)
+        {
+            self.connection_owners.remove(&conn);
             io.reset(conn);
         }
     }
 
-    fn worker_says(
+    fn on_worker_message(
         &mut self,
         now: Micros,
-        link: WorkerConnectionId,
+        connection: WorkerConnectionId,
         worker: WorkerId,
         says: FromWorker,
     ) -> Result<(), String> {
         match says {
             FromWorker::Hello(hello) => {
                 // One that was told as gone meanwhile has no name to compare.
-                let Some(name) = self.links.name(worker) else {
+                let Some(name) = self.worker_connections.name(worker) else {
                     return Ok(());
                 };
                 if hello.name != name {
@@ -541,9 +611,9 @@
                 if hello.version == 0 {
                     return Err("version 0 of the protocol does not exist".into());
                 }
-                self.worker_started(now, worker, hello.incarnation, hello.age_us);
+                self.on_worker_restart(now, worker, hello.incarnation, hello.age_us);
             }
-            FromWorker::Done(done) => self.execution_answered(now, link, done),
+            FromWorker::Done(done) => self.attempt_answered(now, connection, done),
             FromWorker::LoadDone(held) => {
                 let end = match held.status {
                     wire::ExecutionStatus::Finished => Outcome::Finished,
@@ -554,16 +624,17 @@
                         Outcome::Rejected
                     }
                 };
-                self.order_ended(now, held.id, end, held.instances);
+                self.load_ended(now, held.id, end, held.instances);
             }
             FromWorker::HealthStatus(probed) => {
                 let report = probed.report.as_ref().map(report_of);
-                if let Some(asked) = self.probe_over(now, probed.id) {
-                    report
-                        .iter()
-                        .for_each(|report| self.links.reported(asked.worker, report));
+                if let Some(asked) = self.take_health_check(now, probed.id) {
+                    report.iter().for_each(|report| {
+                        self.worker_connections
+                            .record_load_report(asked.worker, report)
+                    });
                     let latency = now - asked.sent;
-                    self.round.health_check_results.push(HealthCheckResult {
+                    self.batch.health_check_results.push(HealthCheckResult {
                         worker: asked.worker,
                         outcome: Outcome::Finished,
                         latency,
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -1,6 +1,6 @@
 //! What is spoken with workers: our protocol or the platform's, chosen at the start. Both come out as the same messages.
 
-use crate::worker_connections::Mark;
+use crate::worker_connections::MessageKey;
 use sanddrum_platform::frames;
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
@@ -10,41 +10,43 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Speech {
-    Ours,
+pub(crate) enum WorkerProtocol {
+    Native,
     Platform,
 }
 
 /// Cuts what a worker writes into messages.
-pub(crate) enum Reader {
-    Ours(FrameDecoder),
+pub(crate) enum MessageDecoder {
+    Native(FrameDecoder),
     Platform(sanddrum_platform::FrameDecoder),
 }
 
-impl Default for Reader {
+impl Default for MessageDecoder {
     fn default() -> Self {
-        Reader::Ours(FrameDecoder::default())
+        MessageDecoder::Native(FrameDecoder::default())
     }
 }
 
-impl Speech {
+impl WorkerProtocol {
     /// The platform's ids are the callers', and are seen on the wire; ours are the executions' own.
-    pub fn carries_call_ids(self) -> bool {
-        self == Speech::Platform
+    pub fn uses_call_ids(self) -> bool {
+        self == WorkerProtocol::Platform
     }
-    pub fn reader(self, most: usize) -> Reader {
+    pub fn decoder(self, most: usize) -> MessageDecoder {
         match self {
-            Speech::Ours => Reader::Ours(FrameDecoder::new(most)),
-            Speech::Platform => Reader::Platform(sanddrum_platform::FrameDecoder::new(most)),
+            WorkerProtocol::Native => MessageDecoder::Native(FrameDecoder::new(most)),
+            WorkerProtocol::Platform => {
+                MessageDecoder::Platform(sanddrum_platform::FrameDecoder::new(most))
+            }
         }
     }
     pub fn hello(self, hello: Hello) -> Option<Vec<u8>> {
-        (self == Speech::Ours).then(|| frame(&ToWorker::Hello(hello)))
+        (self == WorkerProtocol::Native).then(|| frame(&ToWorker::Hello(hello)))
     }
     pub fn execute(self, execute: Execute, call: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Execute(execute)),
-            Speech::Platform => {
+            WorkerProtocol::Native => frame(&ToWorker::Execute(execute)),
+            WorkerProtocol::Platform => {
                 let Execute {
                     workload,
                     function,
@@ -57,70 +59,70 @@
             }
         }
     }
-    pub fn cancel(self, execution: u64, call: u64) -> Vec<u8> {
+    pub fn cancel(self, attempt: u64, call: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Cancel(wire::Cancel { id: execution })),
-            Speech::Platform => frames::cancel(call),
+            WorkerProtocol::Native => frame(&ToWorker::Cancel(wire::Cancel { id: attempt })),
+            WorkerProtocol::Platform => frames::cancel(call),
         }
     }
-    pub fn hold(self, hold: Load) -> Vec<u8> {
+    pub fn load(self, load: Load) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Load(hold)),
-            Speech::Platform => frames::load(hold.id, &hold.function, hold.instances),
+            WorkerProtocol::Native => frame(&ToWorker::Load(load)),
+            WorkerProtocol::Platform => frames::load(load.id, &load.function, load.instances),
         }
     }
     pub fn unload(self, function: String) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::Unload(wire::Unload { function })),
-            Speech::Platform => {
+            WorkerProtocol::Native => frame(&ToWorker::Unload(wire::Unload { function })),
+            WorkerProtocol::Platform => {
                 frames::unload(u64::from_str_radix(&function, 16).unwrap_or_default())
             }
         }
     }
-    pub fn probe(self, id: u64) -> Vec<u8> {
+    pub fn health_check(self, id: u64) -> Vec<u8> {
         match self {
-            Speech::Ours => frame(&ToWorker::HealthCheck(wire::HealthCheck { id })),
-            Speech::Platform => frames::ping(id),
+            WorkerProtocol::Native => frame(&ToWorker::HealthCheck(wire::HealthCheck { id })),
+            WorkerProtocol::Platform => frames::ping(id),
         }
     }
 }
 
-impl Reader {
-    pub fn take_in(&mut self, bytes: &[u8]) {
+impl MessageDecoder {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         match self {
-            Reader::Ours(frames) => frames.push_bytes(bytes),
-            Reader::Platform(frames) => frames.push_bytes(bytes),
+            MessageDecoder::Native(frames) => frames.push_bytes(bytes),
+            MessageDecoder::Platform(frames) => frames.push_bytes(bytes),
         }
     }
     /// The next message; `ids` says what is out under which id on this connection.
     pub fn next_message(
         &mut self,
-        ids: &BTreeMap<u64, Mark>,
+        ids: &BTreeMap<u64, MessageKey>,
     ) -> Result<Option<FromWorker>, String> {
         match self {
-            Reader::Ours(frames) => frames.next_message().map_err(|e| e.to_string()),
-            Reader::Platform(frames) => {
+            MessageDecoder::Native(frames) => frames.next_message().map_err(|e| e.to_string()),
+            MessageDecoder::Platform(frames) => {
                 let answer = frames.next_answer().map_err(|e| e.to_string())?;
-                Ok(answer.map(|answer| meant(answer, ids)))
+                Ok(answer.map(|answer| translate(answer, ids)))
             }
         }
     }
 }
 
-fn meant(answer: frames::Answer, ids: &BTreeMap<u64, Mark>) -> FromWorker {
+fn translate(answer: frames::Answer, ids: &BTreeMap<u64, MessageKey>) -> FromWorker {
     let frames::Answer {
         id,
         status: ended,
-        instance: copy,
+        instance,
         report,
-        instances: copies,
+        instances,
         body,
     } = answer;
     let done = |id, ended| {
         FromWorker::Done(Done {
             id,
             status: ended,
-            instance: copy,
+            instance,
             function_in_flight: None,
             report,
             body,
@@ -129,13 +131,15 @@
         })
     };
     match (ids.get(&id), ended) {
-        (Some(Mark::Execution(id)), Some(ended)) => done(*id, ended),
-        (Some(Mark::Order(id)), Some(ended)) => FromWorker::LoadDone(LoadDone {
+        (Some(MessageKey::Attempt(id)), Some(ended)) => done(*id, ended),
+        (Some(MessageKey::Load(id)), Some(ended)) => FromWorker::LoadDone(LoadDone {
             id: *id,
             status: ended,
-            instances: copies.unwrap_or(0),
+            instances: instances.unwrap_or(0),
         }),
-        (Some(Mark::Probe(id)), None) => FromWorker::HealthStatus(HealthStatus { id: *id, report }),
+        (Some(MessageKey::HealthCheck(id)), None) => {
+            FromWorker::HealthStatus(HealthStatus { id: *id, report })
+        }
         // No execution has this number: it is counted as an answer that nothing waits for.
         _ => done(0, ExecutionStatus::Dropped),
     }
--- a/crates/sanddrum-edge/tests/host/mod.rs
+++ b/crates/sanddrum-edge/tests/host/mod.rs
@@ -4,7 +4,7 @@
 pub mod platform;
 
 use sanddrum::*;
-use sanddrum_edge::{DecisionModule, Edge, Platform, Start};
+use sanddrum_edge::{DecisionModule, Edge, EdgeOptions, Platform};
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, ListenerId, PeerIdentity};
 use sanddrum_platform::control_feed::{FeedEvent, FeedEvents, Member, Members};
 use sanddrum_wire::frame::frame;
@@ -172,8 +172,8 @@
             "",
             None,
             Some(Platform {
-                known,
-                kinds: vec![],
+                initial_events: known,
+                machine_kinds: vec![],
             }),
         )
     }
@@ -184,8 +184,8 @@
             "",
             None,
             Some(Platform {
-                known: FeedEvents::default(),
-                kinds: vec![],
+                initial_events: FeedEvents::default(),
+                machine_kinds: vec![],
             }),
         )
     }
@@ -213,10 +213,10 @@
         set.iter()
             .for_each(|(name, value)| settings.override_value(name, value, "story").unwrap());
         let strings = Rc::new(RefCell::new(Strings::default()));
-        let start = Start {
+        let start = EdgeOptions {
             settings,
             seed: 1,
-            kept,
+            cached_state: kept,
             incarnation: 7,
             metrics_page: None,
             platform,
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -4,7 +4,7 @@
 
 use host::{Do, Host, S};
 use rstest::rstest;
-use sanddrum_edge::KEYS;
+use sanddrum_edge::KEYS_FILE;
 use sanddrum_identity::token;
 use sanddrum_identity::{Claims, KeySet, SecretKey};
 use sanddrum_net::{CloseCause, ConnectionId, Core, PeerIdentity};
@@ -46,7 +46,7 @@
     h
 }
 fn gives(h: &mut Host, content: Result<&[u8], &str>) {
-    h.edge.on_file(h.now, KEYS, content, &mut h.io);
+    h.edge.on_file(h.now, KEYS_FILE, content, &mut h.io);
     h.turn();
 }
 fn calls(h: &mut Host, conn: ConnectionId, token: &str) -> Option<u16> {
--- a/crates/sanddrum-edge/tests/platform.rs
+++ b/crates/sanddrum-edge/tests/platform.rs
@@ -336,14 +336,18 @@
 fn a_new_configuration_moves_the_feed_and_one_that_is_no_good_changes_nothing() {
     let mut host = Host::on_platform(&[]);
     let (now, before) = (host.now, host.io.connects.len());
-    host.edge
-        .on_file(now, sanddrum_edge::CONFIGURATION, Ok(b"{"), &mut host.io);
+    host.edge.on_file(
+        now,
+        sanddrum_edge::CONFIGURATION_FILE,
+        Ok(b"{"),
+        &mut host.io,
+    );
     assert_eq!(host.io.connects.len(), before);
     let json = json!({"name": "n", "listen": "127.0.0.1:1", "feed": "127.0.0.9:2380", "seed": "1", "settings": {},
                       "limits": {"sockets": 100, "memory_mb": 10}, "known": {"n": 0, "events": []}});
     host.edge.on_file(
         now,
-        sanddrum_edge::CONFIGURATION,
+        sanddrum_edge::CONFIGURATION_FILE,
         Ok(json.to_string().as_bytes()),
         &mut host.io,
     );
@@ -396,13 +400,16 @@
         });
         host.wait(S / 100);
     }
-    let held = host.edge.held();
+    let counts = host.edge.resource_counts();
     assert!(
-        held.jobs == 0 && held.clients == 0 && held.links <= 1 && held.workers <= 2,
-        "{held:?}"
+        counts.requests == 0
+            && counts.client_connections == 0
+            && counts.worker_connections <= 1
+            && counts.workers <= 2,
+        "{counts:?}"
     );
-    assert!(held.functions < 1_000, "{held:?}");
-    assert!(held.due < 50, "{held:?}");
+    assert!(counts.functions < 1_000, "{counts:?}");
+    assert!(counts.timers < 50, "{counts:?}");
 }
 
 #[rstest]
--- a/crates/sanddrum-edge/tests/platform_net.rs
+++ b/crates/sanddrum-edge/tests/platform_net.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::too_many_lines)] // unfinished: docs/ROADMAP.md
 
 use rstest::rstest;
-use sanddrum_edge::{Edge, Platform, Start};
+use sanddrum_edge::{Edge, EdgeOptions, Platform};
 use sanddrum_fastcgi::{begin, params, stream, Kind, Record};
 use sanddrum_net::{
     ConnectionId, Core, Event, HostId, Io, LinkModel, Micros, NullObserver, VirtualNet,
@@ -347,15 +347,15 @@
         },
     });
     let read = sanddrum_platform::StartupConfig::read(&config.to_string()).unwrap();
-    let start = Start {
+    let start = EdgeOptions {
         settings: read.deployment_settings().unwrap(),
         seed: read.seed,
-        kept: None,
+        cached_state: None,
         incarnation: 1,
         metrics_page: None,
         platform: Some(Platform {
-            known: read.feed_events().unwrap(),
-            kinds: read.worker_kinds(),
+            initial_events: read.feed_events().unwrap(),
+            machine_kinds: read.worker_kinds(),
         }),
     };
     net.add(
--- a/crates/sanddrum-edge/tests/workers.rs
+++ b/crates/sanddrum-edge/tests/workers.rs
@@ -515,17 +515,17 @@
 fn a_worker_that_was_young_as_the_list_was_kept_is_no_older_for_a_step_of_the_clock(
     #[case] kept_at: i64,
 ) {
-    use sanddrum_edge::endpoint_cache::{write, Kept};
+    use sanddrum_edge::endpoint_cache::{write, CachedState};
     let young = sanddrum_wire::EndpointRecord {
         age_us: 500_000,
         ..row("w", 1, Phase::Ready)
     };
-    let kept = Kept {
-        at: 1000 * S + kept_at,
-        run: 1,
+    let kept = CachedState {
+        saved_at: 1000 * S + kept_at,
+        service_incarnation: 1,
         version: 1,
-        rows: vec![young],
-        ..Kept::default()
+        endpoints: vec![young],
+        ..CachedState::default()
     };
     let h = Host::bare(&[], Some(write(&kept)));
     assert_eq!(
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/hollow_router.rs
@@ -3,7 +3,7 @@
 
 use sanddrum::Settings;
 use sanddrum_bootstrap::{Bootstrap, Decisions, DiscoveryEvent};
-use sanddrum_edge::Known;
+use sanddrum_edge::DiscoveryVersion;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{
     frame::frame, EndpointUpdateHead, FrameDecoder, FromDiscoveryHead, Hello, ToDiscovery, VERSION,
@@ -14,7 +14,7 @@
 /// What one router has been told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Follower {
-    pub known: Known,
+    pub known: DiscoveryVersion,
     /// When its present start was told the list first.
     pub told: Option<Micros>,
     /// When the version that it knows was last moved on.
@@ -41,7 +41,7 @@
     pub incarnation: u64,
     pub seed: u64,
     /// What it had kept over its restart.
-    pub kept: Option<Known>,
+    pub kept: Option<DiscoveryVersion>,
     /// The largest frame that it takes, in bytes.
     pub largest_frame: usize,
 }
@@ -49,7 +49,7 @@
 pub struct HollowRouter {
     spec: HollowRouterSpec,
     start: Bootstrap,
-    known: Known,
+    known: DiscoveryVersion,
     conn: Option<ConnectionId>,
     out: Outbox<()>,
     frames: FrameDecoder,
@@ -153,7 +153,7 @@
         }
         self.follow(now, &[DiscoveryEvent::Answered], io);
         let before = self.known;
-        let taken = self.known.take(rows);
+        let taken = self.known.advance(rows);
         let mut followers = self.followers.borrow_mut();
         followers.whole_lists += u64::from(rows.is_full_snapshot);
         if let Some(follower) = followers
--- a/crates/sanddrum-lab/src/capacity/list_plays.rs
+++ b/crates/sanddrum-lab/src/capacity/list_plays.rs
@@ -354,7 +354,9 @@
         let run = self.stage.list_run();
         let all_told = gone.and_then(|()| {
             self.stage.run_until_true(NEVER, |f| {
-                f.routers.iter().all(|router| router.known.run == run)
+                f.routers
+                    .iter()
+                    .all(|router| router.known.service_incarnation == run)
             })
         });
         let source = source_of(&all_told);
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/list_stage.rs
@@ -6,7 +6,7 @@
 use super::Stop;
 use crate::scenario::Scenario;
 use sanddrum::Settings;
-use sanddrum_edge::{Edge, Known, Start};
+use sanddrum_edge::{DiscoveryVersion, Edge, EdgeOptions};
 use sanddrum_emulator::{
     ListFaults, ListService, ListSpec, Marks, OnMiss, Worker, WorkerFaults, WorkerSpec,
 };
@@ -202,10 +202,10 @@
             .and_then(|host| self.net.kept(*host))
             .filter(|_| keep);
         let incarnation = self.starts;
-        let start = Start {
+        let start = EdgeOptions {
             settings,
             seed,
-            kept,
+            cached_state: kept,
             incarnation,
             metrics_page: None,
             platform: None,
@@ -225,7 +225,7 @@
             list: LIST.into(),
             incarnation: self.starts,
             seed,
-            kept: known.filter(|known| keep && *known != Known::default()),
+            kept: known.filter(|known| keep && *known != DiscoveryVersion::default()),
             largest_frame: self.spec.settings.size("limits.largest-frame-bytes"),
         };
         Box::new(HollowRouter::new(
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -7,7 +7,7 @@
 use super::model::{Functions, Model, Shape};
 use crate::{play, Recording, Scenario, VirtualStage};
 use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
-use sanddrum_edge::{DecisionModule, Edge, Start};
+use sanddrum_edge::{DecisionModule, Edge, EdgeOptions};
 use sanddrum_net::{ConnectionId, Core, Event, Io, LinkModel};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -131,7 +131,7 @@
         .for_each(|calls| calls.exact = true);
     let seen: Shared = Rc::new(RefCell::new(Seen::default()));
     let (recording, shared) = (Recording::default(), seen.clone());
-    let make_edge = move |start: Start| -> Box<dyn Core> {
+    let make_edge = move |start: EdgeOptions| -> Box<dyn Core> {
         shared.borrow_mut().seed = start.seed;
         let module = Router::new(start.seed, &start.settings.values_for_module());
         let module = Watched {
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -4,7 +4,7 @@
 use crate::hammer::{Hammer, HammerSpec, Hammered};
 use crate::tapped::Authority;
 use sanddrum::{Decisions, EventBatch, Micros, Router, WorkerId, WorkerState};
-use sanddrum_edge::{DecisionModule, Edge, Start, KEYS};
+use sanddrum_edge::{DecisionModule, Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_emulator::{ListService, ListSpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
@@ -285,7 +285,7 @@
 impl Core for Keyed {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
-        self.core.on_file(now, KEYS, Ok(&self.keys), io);
+        self.core.on_file(now, KEYS_FILE, Ok(&self.keys), io);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         self.core.on_event(now, event, io);
@@ -445,10 +445,10 @@
         .name(format!("edge-{decides:?}"))
         .spawn(move || -> io::Result<()> {
             let mut driver = EventLoop::new(Box::new(NullObserver))?;
-            let start = Start {
+            let start = EdgeOptions {
                 settings,
                 seed: 1,
-                kept: None,
+                cached_state: None,
                 incarnation: 1,
                 metrics_page: None,
                 platform: None,
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -6,7 +6,7 @@
 use crate::scenario::Scenario;
 use crate::stage::{MakeEdge, Stage};
 use rustix::process::{kill_process, Pid, Signal};
-use sanddrum_edge::{Edge, Start, KEYS};
+use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, HostId, Micros};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
@@ -190,7 +190,7 @@
     fn watch_keys(&mut self, who: Who, host: HostId) {
         if self.fleet.wallet.is_some() && matches!(who, Who::Edge(_)) {
             let every = self.fleet.scenario.settings.span("identity.watch-every-us");
-            self.driver.watch(host, KEYS, self.keys_file(), every);
+            self.driver.watch(host, KEYS_FILE, self.keys_file(), every);
         }
     }
     fn state_file(&self, who: Who) -> Option<PathBuf> {
@@ -238,10 +238,10 @@
                 let kept = self
                     .state_file(who)
                     .and_then(|file| std::fs::read(file).ok());
-                let start = Start {
+                let start = EdgeOptions {
                     settings,
                     seed,
-                    kept,
+                    cached_state: kept,
                     incarnation,
                     metrics_page: None,
                     platform: None,
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -4,7 +4,7 @@
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
-use sanddrum_edge::{Edge, Start, KEYS};
+use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_emulator::{Shared, Truth};
 use sanddrum_net::{Core, HostId, LinkFault, LinkModel, Micros, VirtualNet};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
@@ -43,7 +43,7 @@
 }
 
 /// Makes the edge that a scenario is played with.
-pub type MakeEdge = Box<dyn Fn(Start) -> Box<dyn Core>>;
+pub type MakeEdge = Box<dyn Fn(EdgeOptions) -> Box<dyn Core>>;
 
 /// The product's edge.
 pub fn product_edge() -> MakeEdge {
@@ -123,10 +123,10 @@
             Who::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
                 let kept = self.hosts.get(&who).and_then(|host| self.net.kept(*host));
-                let start = Start {
+                let start = EdgeOptions {
                     settings,
                     seed,
-                    kept,
+                    cached_state: kept,
                     incarnation,
                     metrics_page: None,
                     platform: None,
@@ -171,7 +171,7 @@
         if let (Who::Edge(_), Some(host), Some(keys)) =
             (who, self.hosts.get(&who), self.fleet.keys())
         {
-            self.net.give_file(*host, KEYS, Ok(&keys));
+            self.net.give_file(*host, KEYS_FILE, Ok(&keys));
         }
     }
     /// Events carried out so far.
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -106,7 +106,7 @@
             how,
         };
         // The edge itself keeps some of the rules whatever its module decides; the checker has to see them broken.
-        Box::new(Edge::with_module(start, module).letting_violations_pass())
+        Box::new(Edge::with_module(start, module).allowing_violations())
     })
 }
 
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -357,7 +357,9 @@
     let (from, run) = (stage.now(), stage.list_run());
     stage
         .run_until_true(2 * within, |f| {
-            f.routers.iter().all(|router| router.known.run == run)
+            f.routers
+                .iter()
+                .all(|router| router.known.service_incarnation == run)
         })
         .unwrap();
     let worst = stage
