--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -129,7 +129,7 @@
         let until = self
             .discovery
             .backoff
-            .record_failure(now, 0, self.rng.unit());
+            .record_failure(now, 0, self.rng.next_f64());
         tracing::info!(
             reason = "feed-away",
             why,
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -46,9 +46,9 @@
         self.connections.len()
     }
     pub fn is_flushed(&self) -> bool {
-        self.connections
-            .values()
-            .all(|connection| connection.open_requests.is_empty() && connection.out.waiting() == 0)
+        self.connections.values().all(|connection| {
+            connection.open_requests.is_empty() && connection.out.pending_bytes() == 0
+        })
     }
     /// Whether a request has come in part.
     pub fn has_partial_request(&self) -> bool {
@@ -61,7 +61,7 @@
     /// request open. Guards against clients that connect by the hundred and say nothing, or ask once and stay.
     fn eviction_candidate(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
         let idle = self.connections.iter().filter(|(_, connection)| {
-            connection.open_requests.is_empty() && connection.out.waiting() == 0
+            connection.open_requests.is_empty() && connection.out.pending_bytes() == 0
         });
         let rank = |connection: &FastCgiConnection| {
             eviction_rank(
@@ -536,12 +536,13 @@
             let Some(connection) = self.fastcgi.connections.get_mut(&conn) else {
                 continue;
             };
-            let before = connection.out.waiting();
+            let before = connection.out.pending_bytes();
             connection.out.flush(conn, io);
-            if connection.out.waiting() < before {
+            if connection.out.pending_bytes() < before {
                 connection.last_active = now;
             }
-            let written = connection.out.waiting() == 0 && connection.open_requests.is_empty();
+            let written =
+                connection.out.pending_bytes() == 0 && connection.open_requests.is_empty();
             match connection.closes_at {
                 Some(0) => self.close_fastcgi(now, conn, io, CloseReason::ReadsNothing),
                 Some(_) if written => self.close_fastcgi(now, conn, io, CloseReason::Answered),
@@ -559,7 +560,10 @@
         reason: CloseReason,
     ) {
         if let Some(connection) = self.fastcgi.connections.get(&conn) {
-            let (open, unwritten) = (connection.open_requests.len(), connection.out.waiting());
+            let (open, unwritten) = (
+                connection.open_requests.len(),
+                connection.out.pending_bytes(),
+            );
             tracing::debug!(
                 conn = conn.0,
                 reason = reason.name(),
@@ -604,7 +608,10 @@
         let Some(connection) = self.fastcgi.connections.get(&conn) else {
             return;
         };
-        let (open, unwritten) = (connection.open_requests.len(), connection.out.waiting());
+        let (open, unwritten) = (
+            connection.open_requests.len(),
+            connection.out.pending_bytes(),
+        );
         if connection.closes_at.is_some_and(|at| at <= now) {
             let reason = if open == 0 && unwritten == 0 {
                 CloseReason::Answered
@@ -619,7 +626,7 @@
             .partial_since
             .filter(|_| connection.closes_at.is_none())
             .map(|at| at + patience);
-        let quiet = connection.open_requests.is_empty() || connection.out.waiting() > 0;
+        let quiet = connection.open_requests.is_empty() || connection.out.pending_bytes() > 0;
         let idle = quiet.then_some(connection.last_active + self.limits.client_idle);
         if slow.is_some_and(|at| at <= now) && !connection.open_requests.is_empty() {
             // Guards against a request that never comes whole and takes with it all that are open beside it: its
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -55,7 +55,7 @@
     pub fn is_flushed(&self) -> bool {
         self.connections
             .values()
-            .all(|c| c.slots.is_empty() && c.out.waiting() == 0)
+            .all(|c| c.slots.is_empty() && c.out.pending_bytes() == 0)
     }
     /// Whether a request has come in part.
     pub fn has_partial_request(&self) -> bool {
@@ -63,8 +63,9 @@
     }
     /// Who goes where there is no room for one more, as for web servers: the silent first, never one with a request.
     fn eviction_candidate(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
-        let quiet =
-            |c: &HttpConnection| c.slots.is_empty() && c.out.waiting() == 0 && c.bytes.is_empty();
+        let quiet = |c: &HttpConnection| {
+            c.slots.is_empty() && c.out.pending_bytes() == 0 && c.bytes.is_empty()
+        };
         let idle = self.connections.iter().filter(|(_, client)| quiet(client));
         let rank = |client: &HttpConnection| {
             eviction_rank(
@@ -246,7 +247,7 @@
             return;
         };
         client.is_retired = true;
-        if client.slots.is_empty() && client.bytes.is_empty() && client.out.waiting() == 0 {
+        if client.slots.is_empty() && client.bytes.is_empty() && client.out.pending_bytes() == 0 {
             self.close_http(now, conn, io, true);
         }
     }
@@ -568,9 +569,9 @@
                 client.slots.pop_front();
                 client.first_slot += 1;
             }
-            let before = client.out.waiting();
+            let before = client.out.pending_bytes();
             client.out.flush(conn, io);
-            if client.out.waiting() < before {
+            if client.out.pending_bytes() < before {
                 client.last_active = now;
             }
             if slow {
@@ -580,7 +581,7 @@
                     "a client that reads too slowly is closed"
                 );
                 self.close_http(now, conn, io, false);
-            } else if client.ending == CloseState::AfterFlush && client.out.waiting() == 0 {
+            } else if client.ending == CloseState::AfterFlush && client.out.pending_bytes() == 0 {
                 self.close_http(now, conn, io, true);
             } else if !client.bytes.is_empty() && client.slots.len() < self.limits.pipelined {
                 if std::mem::take(&mut client.paused) {
@@ -614,12 +615,12 @@
         let head = client
             .partial_since
             .map(|at| at + self.limits.head_time_out);
-        let quiet = client.slots.is_empty() || client.out.waiting() > 0;
+        let quiet = client.slots.is_empty() || client.out.pending_bytes() > 0;
         let idle = client.last_active + self.limits.client_idle;
         match client.ending {
             // Guards against a request that can't be read and takes those before it on its connection with it.
             CloseState::Lingering(until) if until <= now && client.slots.is_empty() => {
-                return self.close_http(now, conn, io, client.out.waiting() == 0)
+                return self.close_http(now, conn, io, client.out.pending_bytes() == 0)
             }
             CloseState::Lingering(until) => {
                 self.timers.insert((
@@ -641,7 +642,7 @@
             );
         }
         if quiet && idle <= now {
-            return self.close_http(now, conn, io, client.out.waiting() == 0);
+            return self.close_http(now, conn, io, client.out.pending_bytes() == 0);
         }
         let idle = if quiet {
             idle
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -156,12 +156,12 @@
     fn has_unwritten(&self, connection: WorkerConnectionId, attempt: u64) -> bool {
         self.connections
             .get(&connection)
-            .is_some_and(|connection| connection.out.holds(&MessageKey::Attempt(attempt)))
+            .is_some_and(|connection| connection.out.is_pending(&MessageKey::Attempt(attempt)))
     }
     fn retract_message(&mut self, connection: WorkerConnectionId, mark: &MessageKey) -> bool {
         self.connections
             .get_mut(&connection)
-            .is_some_and(|connection| connection.out.retract(mark))
+            .is_some_and(|connection| connection.out.remove_unwritten(mark))
     }
     /// What a link carried has ended, and its id is not used there again until then; `true` where a retired one has
     /// nothing more to wait for.
@@ -456,7 +456,7 @@
                 .events
                 .requested
                 .push(ConnectionRequest {
-                    connection: connection,
+                    connection,
                     worker,
                     purpose: Purpose::Prewarm,
                     deadline: due,
--- a/crates/sanddrum-edge/src/worker_connections/closing.rs
+++ b/crates/sanddrum-edge/src/worker_connections/closing.rs
@@ -42,7 +42,9 @@
             );
         }
         let unread = |connection: &WorkerConnection, mark: &MessageKey| {
-            !connection.is_connected || how == CloseCause::Refused || connection.out.holds(mark)
+            !connection.is_connected
+                || how == CloseCause::Refused
+                || connection.out.is_pending(mark)
         };
         let each: BTreeMap<MessageKey, bool> = connection
             .in_flight
@@ -112,7 +114,7 @@
             return;
         };
         let idle = connection.idle_since + self.limits.idle_close;
-        let empty = connection.in_flight.is_empty() && connection.out.waiting() == 0;
+        let empty = connection.in_flight.is_empty() && connection.out.pending_bytes() == 0;
         if !connection.is_connected && connection.conn.is_some() && !connection.is_retired {
             self.reset_connection(id, io);
             return self.connection_lost(now, id, CloseCause::Refused, false);
@@ -153,7 +155,7 @@
             if let Some(conn) = connection.conn {
                 connection.out.flush_through(&MessageKey::Cancel, conn, io);
             }
-            if self.on_platform && connection.out.holds(&MessageKey::Cancel) {
+            if self.on_platform && connection.out.is_pending(&MessageKey::Cancel) {
                 // It reads nothing, so that what is given up there would be out twice at a time.
                 self.reset_connection(id, io);
                 self.connection_lost(now, id, CloseCause::Reset, false);
--- a/crates/sanddrum-edge/src/worker_connections/deadline_refresh.rs
+++ b/crates/sanddrum-edge/src/worker_connections/deadline_refresh.rs
@@ -21,7 +21,7 @@
         else {
             return;
         };
-        let attempts = connection.out.unbegun().filter_map(|mark| match mark {
+        let attempts = connection.out.unwritten().filter_map(|mark| match mark {
             MessageKey::Attempt(attempt) => Some(*attempt),
             _ => None,
         });
@@ -55,7 +55,7 @@
         if let Some(connection) = self.worker_connections.connections.get_mut(&id) {
             connection
                 .out
-                .replace(&MessageKey::Attempt(attempt), &bytes);
+                .replace_unwritten(&MessageKey::Attempt(attempt), &bytes);
         }
     }
 }
--- a/crates/sanddrum-edge/src/worker_connections/retraction.rs
+++ b/crates/sanddrum-edge/src/worker_connections/retraction.rs
@@ -21,7 +21,7 @@
             let back: Vec<MessageKey> = connection
                 .in_flight
                 .iter()
-                .filter(|mark| connection.out.holds(mark))
+                .filter(|mark| connection.out.is_pending(mark))
                 .copied()
                 .collect();
             for mark in back {
--- a/crates/sanddrum-edge/src/worker_connections/send_checks.rs
+++ b/crates/sanddrum-edge/src/worker_connections/send_checks.rs
@@ -18,7 +18,7 @@
         else {
             return;
         };
-        let attempts = connection.out.unbegun().filter_map(|mark| match mark {
+        let attempts = connection.out.unwritten().filter_map(|mark| match mark {
             MessageKey::Attempt(attempt) => Some(*attempt),
             _ => None,
         });
