--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -5,8 +5,8 @@
 use clap::{Args, ValueEnum};
 use sanddrum_emulator::{DiscoveryService, IdempotencyKeys, Shared, Store, Worker};
 use sanddrum_lab::{
-    play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who,
-    FAULTS, FLEET_DAY, LATE, OURS,
+    play, MakeProcess, Outcome, ProcessEnvironment, ProcessStart, Recording, Scenario, Steered,
+    Who, FAULTS, FLEET_DAY, LATE, OURS,
 };
 use sanddrum_net::{Core, EventLoop, NullObserver};
 use serde::de::DeserializeOwned;
@@ -161,11 +161,11 @@
     let recording = Recording::default();
     let seconds = scenario.length / 1_000_000;
     let make = processes(set)?;
-    let mut stage = ProcessStage::new(scenario, &recording, folder.0.clone(), make)
+    let mut stage = ProcessEnvironment::new(scenario, &recording, folder.0.clone(), make)
         .map_err(|e| e.to_string())?;
     stage.catch_signals().map_err(|e| e.to_string())?;
     stage.call(&recording).map_err(|e| e.to_string())?;
-    let begun = sanddrum_lab::Stage::now(&stage);
+    let begun = sanddrum_lab::Environment::now(&stage);
     stage.progress = Some(Box::new(move |now| {
         eprint!("\r{} of {seconds} s ", (now - begun) / 1_000_000)
     }));
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    hunt::Day, play, play_virtually, product_edge, report, EdgesAs, Experiment, Outcome, Recording,
-    Scenario, SocketStage, Stage, BAD_DAY,
+    hunt::Day, play, play_virtually, product_edge, report, EdgesAs, Environment, Experiment,
+    Outcome, Recording, Scenario, SocketEnvironment, BAD_DAY,
 };
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Stdio};
@@ -201,7 +201,8 @@
         let file = folder.0.join("scenario.sx");
         std::fs::write(&file, &text).map_err(|e| e.to_string())?;
         let door = [args.listen.as_str()];
-        let stage = SocketStage::standing(scenario, &recording, edges, folder.0.clone(), &door);
+        let stage =
+            SocketEnvironment::standing(scenario, &recording, edges, folder.0.clone(), &door);
         let mut stage = stage.map_err(|e| format!("{}: {e}", args.listen))?;
         stage.catch_signals().map_err(|e| e.to_string())?;
         println!(
@@ -260,7 +261,7 @@
     std::fs::write(&settings, &scenario.text).map_err(|e| e.to_string())?;
     let edges = processes(&folder, set)?;
     let recording = Recording::default();
-    let stage = SocketStage::new(scenario, &recording, edges, folder.0.clone());
+    let stage = SocketEnvironment::new(scenario, &recording, edges, folder.0.clone());
     let mut stage = stage.map_err(|e| e.to_string())?;
     stage.catch_signals().map_err(|e| e.to_string())?;
     let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    limits_at, lines, measure, storm, AtSize, Decides, Hammer, HammerSpec, Hammered, Line,
-    MeasureSpec, Measured, Policy, Speaks, Storm, StormSpec,
+    limits_at, lines, measure, storm, AtSize, Decides, Line, LoadGenerator, LoadGeneratorSpec,
+    LoadMeasurement, MeasureSpec, Measured, Policy, ReconnectLoad, ReconnectLoadSpec, Speaks,
 };
 use sanddrum_net::{EventLoop, NullObserver};
 use serde_json::{json, Value};
@@ -36,7 +36,7 @@
 }
 
 pub fn load(args: &LoadArgs) -> ExitCode {
-    let spec = HammerSpec {
+    let spec = LoadGeneratorSpec {
         edge: args.edge.clone(),
         workload: args.workload.clone(),
         function: args.function.clone(),
@@ -68,22 +68,22 @@
     }
 }
 
-fn hammer(spec: HammerSpec) -> std::io::Result<Hammered> {
+fn hammer(spec: LoadGeneratorSpec) -> std::io::Result<LoadMeasurement> {
     let mut driver = EventLoop::new(Box::new(NullObserver))?;
     driver.catch_signals()?;
     let until = driver.now() + spec.length + 5_000_000;
-    let hammer = Hammer::new(spec);
+    let hammer = LoadGenerator::new(spec);
     let seen = hammer.seen.clone();
     let host = driver.add(Box::new(hammer), vec![], None)?;
     while !driver.is_core_done(host) && driver.now() < until && !driver.shutdown_requested() {
         let next = driver.now() + 50_000;
         driver.run_until(next)?;
     }
-    let seen = std::mem::replace(&mut *seen.borrow_mut(), Hammered::empty());
+    let seen = std::mem::replace(&mut *seen.borrow_mut(), LoadMeasurement::empty());
     Ok(seen)
 }
 
-fn line(h: &Hammered) -> String {
+fn line(h: &LoadMeasurement) -> String {
     let q = |q| h.quantile_us(q) as f64 / 1000.0;
     let (p50, p99, p999) = (q(0.5), q(0.99), q(0.999));
     let others: Vec<String> = h
@@ -100,7 +100,7 @@
     format!("{rate:.0} calls/s finished; {p50:.3} ms (p50), {p99:.3} (p99), {p999:.3} (p999); others: {others}; dropped {}", h.dropped)
 }
 
-fn figures(h: &Hammered) -> Value {
+fn figures(h: &LoadMeasurement) -> Value {
     let others: Vec<Value> = h
         .others
         .iter()
@@ -639,7 +639,7 @@
     for edges in args.edges.iter().copied() {
         let mut plotted = Vec::new();
         for on_demand in [false, true] {
-            let spec = StormSpec {
+            let spec = ReconnectLoadSpec {
                 edges,
                 workers: args.storm_workers,
                 rate: args.storm_rate,
@@ -647,12 +647,12 @@
                 on_demand,
                 seed: 0,
             };
-            let specs = (1..=args.runs as u64).map(|seed| StormSpec { seed, ..spec });
+            let specs = (1..=args.runs as u64).map(|seed| ReconnectLoadSpec { seed, ..spec });
             // Each in a thread of its own, as many as there are processors.
             let threads: Vec<_> = specs
                 .map(|spec| std::thread::spawn(move || storm(&spec)))
                 .collect();
-            let mut runs: Vec<Storm> = Vec::new();
+            let mut runs: Vec<ReconnectLoad> = Vec::new();
             for thread in threads {
                 runs.push(
                     thread
@@ -661,8 +661,9 @@
                         .map_err(|e| e.to_string())?,
                 );
             }
-            let of =
-                |figure: &dyn Fn(&Storm) -> f64| told(spread(runs.iter().map(figure).collect()));
+            let of = |figure: &dyn Fn(&ReconnectLoad) -> f64| {
+                told(spread(runs.iter().map(figure).collect()))
+            };
             let name = if on_demand { "on demand" } else { "as decided" };
             println!(
                 "  {edges:3} edges, {name:10}: service {}, calm after {} s, worst worker {} handshakes a second, all {}, p99 {} ms, rules broken {}",
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -21,7 +21,7 @@
 /// What does not come within this does not come.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Waits until it is so; a story that would wait for ever fails.
+/// SchedulingDelays until it is so; a story that would wait for ever fails.
 pub fn until(so: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
@@ -438,7 +438,7 @@
             reader: Some(reader),
         }
     }
-    /// Waits until it listens, and learns where.
+    /// SchedulingDelays until it listens, and learns where.
     pub fn begins(mut self) -> Router {
         let begun = std::time::Instant::now();
         while self.at.is_empty() {
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -2,7 +2,7 @@
 //! time limit, tried again where that is harmless.
 
 use crate::scenario::Scenario;
-use crate::wallet::Wallet;
+use crate::token_issuer::TokenIssuer;
 use sanddrum_emulator::Shared;
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Outbox, Rng};
 use sanddrum_wire::http;
@@ -61,7 +61,7 @@
     scenario: Scenario,
     edges: Vec<String>,
     mood: Shared<Mood>,
-    wallet: Option<Shared<Wallet>>,
+    wallet: Option<Shared<TokenIssuer>>,
     chance: Rng,
     ends: Micros,
     popularity: Vec<f64>,
@@ -83,7 +83,7 @@
         scenario: &Scenario,
         edges: Vec<String>,
         mood: Shared<Mood>,
-        wallet: Option<Shared<Wallet>>,
+        wallet: Option<Shared<TokenIssuer>>,
         seed: u64,
     ) -> Self {
         let l = &scenario.settings;
--- a/crates/sanddrum-lab/src/capacity.rs
+++ b/crates/sanddrum-lab/src/capacity.rs
@@ -5,15 +5,13 @@
 mod beside;
 mod clock;
 mod configuration;
+pub mod decision_host;
+mod discovery_alone;
+mod discovery_environment;
+mod discovery_load;
+mod discovery_scenarios;
 mod edge_process;
 mod fit;
-pub mod hollow;
-mod hollow_router;
-pub mod host;
-mod list_alone;
-mod list_plays;
-mod list_service;
-mod list_stage;
 mod memory;
 mod metered;
 pub mod model;
@@ -22,22 +20,24 @@
 mod plan;
 mod point;
 pub mod real;
+mod result_sink;
 pub mod router;
-mod sink;
+pub mod simulated;
+mod simulated_router;
 mod sizes;
 mod start_target;
 pub mod starts;
 mod workers;
 
+pub use discovery_environment::{Cut, DiscoveryEnvironment, DiscoveryEnvironmentSpec};
 pub use fit::{fit, Fit, Form};
-pub use hollow_router::{Follower, Followers, HollowRouter, HollowRouterSpec};
-pub use list_stage::{Cut, ListStage, ListStageSpec};
 pub use metered::{ListSecond, Metered, Said, Tally};
 pub use output::{Output, Summary};
 pub use pictures::draw;
 pub use plan::{Memory, Plan, DEFAULT_PLAN, SHORT_PLAN};
 pub use point::{slopes, Point, Role, Slope, Source};
-pub use sink::{Sink, Stop};
+pub use result_sink::{Sink, Stop};
+pub use simulated_router::{Follower, Followers, HollowRouterSpec, SimulatedRouter};
 
 use sanddrum_settings::{Section, SettingsError};
 
@@ -56,7 +56,7 @@
 pub const PLAYS: &[Play] = &[
     router::PLAY,
     start_target::PLAY,
-    list_service::PLAY,
+    discovery_load::PLAY,
     configuration::PLAY,
 ];
 
--- a/crates/sanddrum-lab/src/capacity/beside.rs
+++ b/crates/sanddrum-lab/src/capacity/beside.rs
@@ -1,8 +1,8 @@
 //! A real edge's core beside a hollow router with the same calls, where both fit.
 
-use super::hollow::Played;
-use super::host::Decision;
+use super::decision_host::Decision;
 use super::real::{hollow, real};
+use super::simulated::Played;
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use crate::Scenario;
 use std::time::{Duration, Instant};
--- a/crates/sanddrum-lab/src/capacity/host.rs
+++ b/crates/sanddrum-lab/src/capacity/decision_host.rs
@@ -1,7 +1,7 @@
 //! A hollow router: its decision module, and the jobs, executions and connections that an edge keeps for it. It decides
 //! nothing by itself.
 
-use super::hollow::Message;
+use super::simulated::Message;
 use sanddrum::{
     AttemptResult, Decisions, EventBatch, FunctionId, HealthCheckResult, LoadReport, LoadResult,
     Micros, Outcome, PeerId, RequestId, Router, Settings, Warmth, WorkerId,
--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_alone.rs
@@ -2,8 +2,8 @@
 //! that is written at once.
 
 use super::clock::Clock;
-use super::list_service::{list_spec, most_of};
-use super::list_stage::row;
+use super::discovery_environment::row;
+use super::discovery_load::{list_spec, most_of};
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{DiscoveryFaults, DiscoveryService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
--- a/crates/sanddrum-lab/src/capacity/list_stage.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -1,8 +1,8 @@
 //! The list service with hollow routers and the workers of one zone, in virtual time; what is done to them, one thing
 //! after the other.
 
-use super::hollow_router::{Followers, HollowRouter, HollowRouterSpec};
 use super::metered::{Metered, Tally};
+use super::simulated_router::{Followers, HollowRouterSpec, SimulatedRouter};
 use super::Stop;
 use crate::scenario::Scenario;
 use sanddrum::Settings;
@@ -39,7 +39,7 @@
 
 /// Who plays.
 #[derive(Clone, Debug)]
-pub struct ListStageSpec {
+pub struct DiscoveryEnvironmentSpec {
     pub settings: LoadedSettings,
     pub list: DiscoverySpec,
     pub seed: u64,
@@ -54,8 +54,8 @@
     pub whole_edges: bool,
 }
 
-pub struct ListStage {
-    spec: ListStageSpec,
+pub struct DiscoveryEnvironment {
+    spec: DiscoveryEnvironmentSpec,
     net: VirtualNet,
     module: Settings,
     list: HostId,
@@ -101,18 +101,22 @@
     }
 }
 
-impl ListStage {
+impl DiscoveryEnvironment {
     /// Nothing has started yet but the list service, which knows its rows.
     ///
     /// # Errors
     /// The settings take no such number of routers.
-    pub fn new(spec: ListStageSpec, stop: Stop, takes: Duration) -> Result<Self, SettingsError> {
+    pub fn new(
+        spec: DiscoveryEnvironmentSpec,
+        stop: Stop,
+        takes: Duration,
+    ) -> Result<Self, SettingsError> {
         let mut settings = spec.settings.clone();
         settings.override_value("edge.edges", &spec.routers.max(1).to_string(), "capacity")?;
         let mut net = VirtualNet::new(spec.seed, BEGIN, spec.links.clone(), Box::new(NullObserver));
         net.add(0, &[STORE], Box::new(Deaf));
         let list = net.add(0, &[LIST], Box::new(Deaf));
-        let mut stage = ListStage {
+        let mut stage = DiscoveryEnvironment {
             net,
             module: settings.values_for_module(),
             list,
@@ -229,7 +233,7 @@
             kept: known.filter(|known| keep && *known != DiscoveryVersion::default()),
             largest_frame: self.spec.settings.integer("limits.largest-frame-bytes"),
         };
-        Box::new(HollowRouter::new(
+        Box::new(SimulatedRouter::new(
             spec,
             &self.module,
             self.followers.clone(),
@@ -307,7 +311,7 @@
     pub fn workers(&self) -> usize {
         self.workers.len()
     }
-    pub fn spec(&self) -> &ListStageSpec {
+    pub fn spec(&self) -> &DiscoveryEnvironmentSpec {
         &self.spec
     }
     /// Events carried out so far.
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_load.rs
@@ -1,10 +1,10 @@
 //! What the list service bears: its own core, with routers that decide by the product's modules when to call it, over
 //! numbers of routers, of rows and of changes; its worst seconds; and its memory.
 
-use super::hollow_router::Followers;
-use super::list_alone::alone;
-use super::list_plays::{play_all, seconds, source_of, Played, Told, NEVER};
-use super::list_stage::{ListStage, ListStageSpec, SECOND};
+use super::discovery_alone::alone;
+use super::discovery_environment::{DiscoveryEnvironment, DiscoveryEnvironmentSpec, SECOND};
+use super::discovery_scenarios::{play_all, seconds, source_of, Played, Told, NEVER};
+use super::simulated_router::Followers;
 use super::{Plan, Play, Sink, Stop};
 use sanddrum_emulator::DiscoverySpec;
 use sanddrum_net::{LinkModel, Micros};
@@ -164,8 +164,13 @@
     }
 }
 
-fn stage_of(plan: &Plan, routers: u64, rows: u64, stop: &Stop) -> Result<ListStage, String> {
-    let spec = ListStageSpec {
+fn stage_of(
+    plan: &Plan,
+    routers: u64,
+    rows: u64,
+    stop: &Stop,
+) -> Result<DiscoveryEnvironment, String> {
+    let spec = DiscoveryEnvironmentSpec {
         settings: plan.settings.clone(),
         list: list_spec(plan),
         seed: plan.seed,
@@ -179,7 +184,7 @@
             .duration_us("list-service-plays.beat-every-us")
             .max(1000),
     };
-    ListStage::new(spec, stop.clone(), Duration::MAX / 4).map_err(|e| e.to_string())
+    DiscoveryEnvironment::new(spec, stop.clone(), Duration::MAX / 4).map_err(|e| e.to_string())
 }
 
 fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
--- a/crates/sanddrum-lab/src/capacity/list_plays.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
@@ -1,6 +1,6 @@
 //! What is played with one size of the list service's fleet, one thing after the other, and what is told of it.
 
-use super::list_stage::{Cut, ListStage, SECOND};
+use super::discovery_environment::{Cut, DiscoveryEnvironment, SECOND};
 use super::metered::ListSecond;
 use super::{Plan, Point, Role, Sink, Source};
 use sanddrum_net::Micros;
@@ -56,7 +56,7 @@
     fn worst(
         &mut self,
         play: &str,
-        stage: &ListStage,
+        stage: &DiscoveryEnvironment,
         from: Micros,
         source: Source,
     ) -> Result<(), String> {
@@ -80,7 +80,7 @@
     fn seconds(
         &mut self,
         play: &str,
-        stage: &ListStage,
+        stage: &DiscoveryEnvironment,
         from: Micros,
         source: Source,
     ) -> Result<(), String> {
@@ -124,7 +124,7 @@
 pub(super) struct Played<'a> {
     pub plan: &'a Plan,
     pub told: Told<'a>,
-    pub stage: ListStage,
+    pub stage: DiscoveryEnvironment,
 }
 
 impl Played<'_> {
--- a/crates/sanddrum-lab/src/capacity/memory.rs
+++ b/crates/sanddrum-lab/src/capacity/memory.rs
@@ -1,7 +1,7 @@
 //! Memory and list costs of a decision module, from rounds that were played before.
 
 use super::clock::Clock;
-use super::host::Written;
+use super::decision_host::Written;
 use super::router::{alone, module_settings, Size};
 use super::{Plan, Stop};
 use sanddrum::{EndpointList, EndpointListKind, EventBatch, Micros, Router, Settings, WorkerState};
@@ -80,7 +80,7 @@
     stop: &Stop,
 ) -> Result<Option<ListCosts>, String> {
     let l = &plan.settings;
-    let until = super::hollow::BEGIN + l.duration_us("copies.keep-alive-us");
+    let until = super::simulated::BEGIN + l.duration_us("copies.keep-alive-us");
     let settings = module_settings(plan, 0, size.routers, true)?;
     let mut fleet = alone(plan, size, settings.clone(), true, until);
     fleet.rounds = Some(Vec::new());
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -347,7 +347,7 @@
     fn stands(
         &self,
         now: Micros,
-        at: &HollowWorker,
+        at: &SimulatedWorker,
         functions: &Functions,
         n: usize,
         workers: usize,
@@ -365,7 +365,7 @@
     fn in_report(
         &self,
         now: Micros,
-        at: &HollowWorker,
+        at: &SimulatedWorker,
         report: LoadReport,
         jobs: f64,
     ) -> LoadReport {
@@ -385,7 +385,7 @@
 }
 
 /// A worker without connections.
-pub struct HollowWorker {
+pub struct SimulatedWorker {
     pub id: WorkerId,
     pub zone: usize,
     pub machine: Machine,
@@ -398,14 +398,14 @@
     report: Option<(Micros, LoadReport)>,
 }
 
-impl HollowWorker {
+impl SimulatedWorker {
     /// One that has run for long.
     pub fn new(n: usize, zones: usize, size: &MachineConfig, seed: u64) -> Self {
         let id = WorkerId(stable_id(&crate::Scenario::worker_name(n)));
         let seed = seed.wrapping_mul(31).wrapping_add(n as u64);
         let machine = Machine::new(size.clone(), seed, 0);
         let zone = n % zones.max(1);
-        HollowWorker {
+        SimulatedWorker {
             id,
             zone,
             machine,
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -2,10 +2,10 @@
 //! network, and the same calls and lists given to a hollow router.
 
 use super::clock::Clock;
-use super::hollow::{Call, Calls, Fleet, Lists, Loads, Spec};
-use super::host::{Decision, Written};
+use super::decision_host::{Decision, Written};
 use super::model::{Functions, Model, Shape};
-use crate::{play, Recording, Scenario, VirtualStage};
+use super::simulated::{Call, Calls, Fleet, Lists, Loads, Spec};
+use crate::{play, Recording, Scenario, VirtualEnvironment};
 use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
 use sanddrum_edge::{DecisionModule, Edge, EdgeOptions};
 use sanddrum_net::{ConnectionId, Core, Event, Io, LinkModel};
@@ -146,7 +146,7 @@
             clock: Clock::new(),
         })
     };
-    let stage = VirtualStage::new(scenario, even_links(), &recording, Box::new(make_edge));
+    let stage = VirtualEnvironment::new(scenario, even_links(), &recording, Box::new(make_edge));
     let mut stage = stage.map_err(|e| e.to_string())?;
     let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
     let mut seen = seen.take();
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -1,9 +1,9 @@
 //! What one router costs: its decision module as one of many, over workers, functions, calls a second and the count of
 //! routers; and what a change of the worker list costs it.
 
-use super::hollow::{Calls, Fleet, Lists, Loads, Played, Spec, BEGIN};
-use super::host::Counts;
+use super::decision_host::Counts;
 use super::model::{Functions, Model, Others, Shape};
+use super::simulated::{Calls, Fleet, Lists, Loads, Played, Spec, BEGIN};
 use super::{beside, edge_process, memory, workers, Plan, Play, Point, Role, Sink, Source, Stop};
 use sanddrum::{Micros, Settings, Value};
 use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
--- a/crates/sanddrum-lab/src/capacity/hollow.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated.rs
@@ -1,11 +1,11 @@
 //! The hollow fleet: decision modules as they are, with hollow hosts, workers and callers, in virtual time. One queue
 //! of events in one order; equal seeds give equal plays.
 
-use super::host::{
+use super::decision_host::{
     end_of, order_end_of, report_of, warmth_of, Asked, Counts, Decision, Host, HostedJob,
 };
-use super::host::{Mark, Out, Written};
-use super::model::{Functions, HollowWorker, Model, Others};
+use super::decision_host::{Mark, Out, Written};
+use super::model::{Functions, Model, Others, SimulatedWorker};
 use super::sizes::Bytes;
 use super::starts::Starts;
 use super::{clock::Clock, Stop};
@@ -224,7 +224,7 @@
     queue: BTreeMap<(Micros, u64), Event>,
     posted: u64,
     pub hosts: Vec<Host>,
-    pub workers: Vec<HollowWorker>,
+    pub workers: Vec<SimulatedWorker>,
     by_id: BTreeMap<WorkerId, usize>,
     by_function: BTreeMap<FunctionId, usize>,
     functions: Rc<Functions>,
@@ -262,8 +262,8 @@
             others,
             seed,
         } = spec;
-        let hollow = (0..workers).map(|n| HollowWorker::new(n, zones, &model.size, seed));
-        let workers: Vec<HollowWorker> = hollow.collect();
+        let hollow = (0..workers).map(|n| SimulatedWorker::new(n, zones, &model.size, seed));
+        let workers: Vec<SimulatedWorker> = hollow.collect();
         let host = |(n, (seed, settings)): (usize, &(u64, Settings))| {
             Host::new(*seed, settings, n % zones.max(1))
         };
--- a/crates/sanddrum-lab/src/capacity/hollow/links.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/links.rs
@@ -1,6 +1,6 @@
 //! Connections of hollow routers to hollow workers: the connection module as it is decides on them.
 
-use super::super::host::{Link, Mark};
+use super::super::decision_host::{Link, Mark};
 use super::*;
 use sanddrum_upstream::{
     ConnectionRequest, ConnectionUtilization, Decisions, EstablishedConnection, ListedWorker,
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated_router.rs
@@ -47,7 +47,7 @@
     pub largest_frame: usize,
 }
 
-pub struct HollowRouter {
+pub struct SimulatedRouter {
     spec: HollowRouterSpec,
     start: Bootstrap,
     known: DiscoveryVersion,
@@ -82,14 +82,14 @@
     }
 }
 
-impl HollowRouter {
+impl SimulatedRouter {
     /// `settings` are those that the edge gives its module for starts.
     pub fn new(
         spec: HollowRouterSpec,
         settings: &Settings,
         followers: Rc<RefCell<Followers>>,
     ) -> Self {
-        HollowRouter {
+        SimulatedRouter {
             // The edge's own seed for it.
             start: Bootstrap::new(spec.seed ^ 0x57, settings),
             known: spec.kept.unwrap_or_default(),
@@ -184,7 +184,7 @@
     }
 }
 
-impl Core for HollowRouter {
+impl Core for SimulatedRouter {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         let kept = self.spec.kept.is_some();
         if let Some(follower) = self
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -1,10 +1,10 @@
 //! The part of calls begun in time where most functions are called less than once a minute: many modules together, on a
 //! calm day, with a day's failed and replaced workers, and through the loss of a zone.
 
-use super::hollow::{Act, Calls, Fleet, Lists, Loads, Played, Spec, BEGIN};
-use super::host::Counts;
+use super::decision_host::Counts;
 use super::model::{Functions, Model, Shape};
 use super::router::{module_seed, module_settings};
+use super::simulated::{Act, Calls, Fleet, Lists, Loads, Played, Spec, BEGIN};
 use super::starts::{Begun, Starts};
 use super::{Plan, Play, Point, Role, Sink, Source, Stop};
 use sanddrum::Micros;
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -2,7 +2,7 @@
 
 use crate::recorder::{Log, Run, Try};
 use crate::scenario::{Calls, Scenario};
-use crate::waits::{Waits, OURS};
+use crate::scheduling_delay::{SchedulingDelays, OURS};
 use hdrhistogram::Histogram;
 use sanddrum_net::Micros;
 use sanddrum_wire::{ExecutionStatus, Phase};
@@ -116,7 +116,7 @@
             self.log
                 .waits
                 .get(name)
-                .map_or(0, |w: &Waits| w.between(from, to))
+                .map_or(0, |w: &SchedulingDelays| w.between(from, to))
         };
         // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
         let waited = |ours, from, to| ours * of(OURS, from, to) + of(&t.edge, from, to);
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-pub trait Stage {
+pub trait Environment {
     fn now(&self) -> Micros;
     fn fleet(&mut self) -> &mut Fleet;
     fn run_until(&mut self, at: Micros) -> io::Result<()>;
@@ -50,7 +50,7 @@
     Box::new(|start| Box::new(Edge::new(start)))
 }
 
-pub struct VirtualStage {
+pub struct VirtualEnvironment {
     net: VirtualNet,
     fleet: Fleet,
     hosts: BTreeMap<Who, HostId>,
@@ -61,7 +61,7 @@
 /// Virtual time starts here, well after nought, which stands for long ago.
 const BEGIN: Micros = 1_000_000_000;
 
-impl VirtualStage {
+impl VirtualEnvironment {
     pub fn new(
         scenario: Scenario,
         links: LinkModel,
@@ -93,7 +93,7 @@
         let net = VirtualNet::new(seed, BEGIN, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
         fleet.truth = truth;
-        let mut stage = VirtualStage {
+        let mut stage = VirtualEnvironment {
             net,
             fleet,
             hosts: BTreeMap::new(),
@@ -183,7 +183,7 @@
     }
 }
 
-impl Stage for VirtualStage {
+impl Environment for VirtualEnvironment {
     fn now(&self) -> Micros {
         self.net.now()
     }
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -1,9 +1,9 @@
 //! Variants of one scenario on the same seeds, and what their differences are worth.
 
 use crate::baselines::{Baseline, Choice};
+use crate::environment::{product_edge, MakeEdge, VirtualEnvironment};
 use crate::recorder::Recording;
 use crate::scenario::Scenario;
-use crate::stage::{product_edge, MakeEdge, VirtualStage};
 use crate::{play, Outcome};
 use sanddrum_edge::Edge;
 use sanddrum_emulator::GroundTruth;
@@ -133,7 +133,7 @@
         let recording = Recording::default();
         let truth = sees_all.then_some(truth);
         let mut stage =
-            VirtualStage::seen_by(scenario, LinkModel::default(), &recording, make, truth)?;
+            VirtualEnvironment::seen_by(scenario, LinkModel::default(), &recording, make, truth)?;
         Ok(Figures::of(&play(&mut stage, &recording)?))
     }
     /// Runs every variant on every seed, on as many threads as are given; `told` hears how many are done. The figures by
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -1,10 +1,10 @@
 //! The cores of a scenario, made as they are needed, with the handles through which it scripts their faults.
 
 use crate::callers::{Callers, Mood};
+use crate::plaintext_capture::{bounds, Authority, PlaintextCapture};
 use crate::recorder::{Recording, Role};
 use crate::scenario::Scenario;
-use crate::tapped::{bounds, Authority, Tapped};
-use crate::wallet::Wallet;
+use crate::token_issuer::TokenIssuer;
 use sanddrum_emulator::{
     DiscoveryFaults, DiscoveryService, GroundTruth, HandshakeQueue, HandshakeWork, IdempotencyKeys,
     Shared, Store, StoreFaults, Worker, WorkerFaults,
@@ -42,7 +42,7 @@
     pub list: Shared<DiscoveryFaults>,
     pub mood: Shared<Mood>,
     /// Where callers show tokens.
-    pub wallet: Option<Shared<Wallet>>,
+    pub wallet: Option<Shared<TokenIssuer>>,
     /// Where workers are spoken to over TLS: who signs for them, and who did before while both are believed.
     pub authority: Option<Authority>,
     former: Option<Authority>,
@@ -82,7 +82,7 @@
                 l.duration_us("gateways.token-lasts-us"),
                 l.duration_us("gateways.renewed-every-us"),
             );
-            shared(Wallet::new(
+            shared(TokenIssuer::new(
                 l.text("identity.audience"),
                 lasts,
                 renewed,
@@ -191,7 +191,7 @@
             ..Rules::default()
         };
         let door = Side::new(papers, rules).map_err(std::io::Error::other)?;
-        let tapped = Tapped::new(worker, host, self.recording.clone());
+        let tapped = PlaintextCapture::new(worker, host, self.recording.clone());
         let layer = Layer::new(tapped, bounds(l)).with_doors(door);
         let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
         Ok(if costs {
--- a/crates/sanddrum-lab/src/whole.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -84,7 +84,7 @@
 }
 
 /// The part of its calls, by their first try, that the worst and the best edge answered in time.
-pub fn edges(log: &Log, scenario: &Scenario) -> (f64, f64) {
+pub fn edge_service_range(log: &Log, scenario: &Scenario) -> (f64, f64) {
     let mut firsts: BTreeMap<u64, (&str, bool)> = BTreeMap::new();
     for t in &log.tries {
         let target = scenario
@@ -111,7 +111,7 @@
 /// All of it, as the summary's last line has it.
 pub fn of(log: &Log, scenario: &Scenario) -> Value {
     let round = |part: f64| (part * 1e4).round() / 1e4;
-    let (worst, best) = edges(log, scenario);
+    let (worst, best) = edge_service_range(log, scenario);
     let cold: Vec<f64> = cold::windows(log, scenario)
         .iter()
         .map(|window| round(window.part()))
@@ -123,7 +123,3 @@
         "edges": { "worst": round(worst), "best": round(best) },
     })
 }
-
-#[cfg(test)]
-#[path = "whole_tests.rs"]
-mod tests;
--- a/crates/sanddrum-lab/src/hammer.rs
+++ b/crates/sanddrum-lab/src/load_generator.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
-pub struct HammerSpec {
+pub struct LoadGeneratorSpec {
     pub edge: String,
     pub workload: String,
     /// The functions called are this and a number, all equally often.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug)]
-pub struct Hammered {
+pub struct LoadMeasurement {
     pub finished: u64,
     /// By status; nought stands for a broken connection.
     pub others: BTreeMap<u16, u64>,
@@ -44,12 +44,12 @@
     pub counted: Micros,
 }
 
-impl Hammered {
+impl LoadMeasurement {
     pub fn empty() -> Self {
         let latency = Histogram::new_with_bounds(1, 600_000_000, 3);
         let latency = latency
             .unwrap_or_else(|_| unreachable!("ten minutes in three digits are within bounds"));
-        Hammered {
+        LoadMeasurement {
             finished: 0,
             others: BTreeMap::new(),
             latency,
@@ -73,8 +73,8 @@
     bytes: Vec<u8>,
 }
 
-pub struct Hammer {
-    spec: HammerSpec,
+pub struct LoadGenerator {
+    spec: LoadGeneratorSpec,
     requests: Vec<Vec<u8>>,
     turn: usize,
     chance: Rng,
@@ -85,14 +85,14 @@
     free: Vec<ConnectionId>,
     behind: VecDeque<Micros>,
     out: usize,
-    pub seen: Rc<RefCell<Hammered>>,
+    pub seen: Rc<RefCell<LoadMeasurement>>,
 }
 
 /// Calls that wait for a free connection; more are dropped and counted.
 const BEHIND: usize = 1_000_000;
 
-impl Hammer {
-    pub fn new(spec: HammerSpec) -> Self {
+impl LoadGenerator {
+    pub fn new(spec: LoadGeneratorSpec) -> Self {
         let request = |n: usize, token: Option<&String>| {
             let path = format!(
                 "/v1/calls/{}/{}{}",
@@ -110,7 +110,7 @@
             spec.functions.max(1).max(spec.tokens.len()),
             spec.tokens.len().max(1),
         );
-        Hammer {
+        LoadGenerator {
             requests: (0..count)
                 .map(|n| request(n, spec.tokens.get(n % tokens)))
                 .collect(),
@@ -123,7 +123,7 @@
             free: Vec::new(),
             behind: VecDeque::new(),
             out: 0,
-            seen: Rc::new(RefCell::new(Hammered::empty())),
+            seen: Rc::new(RefCell::new(LoadMeasurement::empty())),
             spec,
         }
     }
@@ -194,7 +194,7 @@
     }
 }
 
-impl Core for Hammer {
+impl Core for LoadGenerator {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         (self.begun, self.ends, self.next) = (now, now + self.spec.length, now);
         self.seen.borrow_mut().counted = self.spec.length - self.spec.warm_up;
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -1,8 +1,8 @@
 //! What the edge costs on this machine: itself beside a bare forwarder on the same loop and codecs, with workers that
 //! answer at once, so that what is left is the edge.
 
-use crate::hammer::{Hammer, HammerSpec, Hammered};
-use crate::tapped::Authority;
+use crate::load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
+use crate::plaintext_capture::Authority;
 use sanddrum::{Decisions, EventBatch, Micros, Router, WorkerId, WorkerState};
 use sanddrum_edge::{DecisionModule, Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
@@ -186,7 +186,7 @@
 }
 
 pub struct Measured {
-    pub load: Hammered,
+    pub load: LoadMeasurement,
     /// Processor time of the edge's thread for each call that it answered.
     pub cpu_us_per_call: f64,
 }
@@ -497,7 +497,7 @@
         wait(&mut driver, 200_000 + spec.idle_clients as Micros * 100)?;
     }
     wait(&mut driver, 300_000)?;
-    let spec_of = |tokens: Vec<String>| HammerSpec {
+    let spec_of = |tokens: Vec<String>| LoadGeneratorSpec {
         edge: edge_at.clone(),
         workload: "job".into(),
         function: "f".into(),
@@ -520,17 +520,17 @@
             .take(1)
             .map(|token| format!("{token}AAAA"))
             .collect();
-        let spec = HammerSpec {
+        let spec = LoadGeneratorSpec {
             connections: spec.flood,
             rate: 0.0,
             reopens: true,
             ..spec_of(bad)
         };
         driver
-            .add(Box::new(Hammer::new(spec)), vec![], None)
+            .add(Box::new(LoadGenerator::new(spec)), vec![], None)
             .map_err(text)?;
     }
-    let hammer = Hammer::new(spec_of(tokens));
+    let hammer = LoadGenerator::new(spec_of(tokens));
     let seen = hammer.seen.clone();
     let host = match client_side {
         Some(side) => driver.add(
@@ -558,7 +558,7 @@
             .map_err(|_| "a thread panicked".to_string())?
             .map_err(text)?;
     }
-    let load = std::mem::replace(&mut *seen.borrow_mut(), Hammered::empty());
+    let load = std::mem::replace(&mut *seen.borrow_mut(), LoadMeasurement::empty());
     let cpu_us_per_call = (after - before) / load.finished.max(1) as f64;
     Ok(Measured {
         load,
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -8,16 +8,16 @@
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Papers, Rules, Side};
 
-pub struct Tapped<C> {
+pub struct PlaintextCapture<C> {
     core: C,
     host: HostId,
     recording: Recording,
 }
 
-impl<C: Core> Tapped<C> {
+impl<C: Core> PlaintextCapture<C> {
     /// Recorded under a host of its own, which the recorder knows the role of.
     pub fn new(core: C, host: HostId, recording: Recording) -> Self {
-        Tapped {
+        PlaintextCapture {
             core,
             host,
             recording,
@@ -73,7 +73,7 @@
     }
 }
 
-impl<C: Core> Core for Tapped<C> {
+impl<C: Core> Core for PlaintextCapture<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
         self.core.start(
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -2,14 +2,14 @@
 //! link between two of them through a relay. Here they are started, killed, stopped, continued and ended; the callers
 //! and the relays run in this process, and what crosses them is what is judged.
 
+use crate::environment::Environment;
 use crate::fleet::{Addresses, Fleet, Who};
+use crate::port_reservation::{descriptors, is_short_of_files, make_room, Port};
 use crate::recorder::{Recording, Role};
 use crate::relay::{Fault, Greets, Relay, Steering};
-use crate::room::{descriptors, is_short_of_files, make_room, Port};
 use crate::scenario::Scenario;
+use crate::scheduling_delay::{self, Watch, OURS};
 use crate::sockets::send;
-use crate::stage::Stage;
-use crate::waits::{self, Watch, OURS};
 use rustix::process::Signal;
 use sanddrum_emulator::{Shared, WorkerFaults};
 use sanddrum_net::{Core, EventLoop, HostId, Micros};
@@ -56,7 +56,7 @@
 /// Late by this much, this process itself was held up: the machine was the limit.
 pub const LATE: Micros = 50_000;
 
-pub struct ProcessStage {
+pub struct ProcessEnvironment {
     driver: EventLoop,
     fleet: Fleet,
     folder: PathBuf,
@@ -94,7 +94,7 @@
     }
 }
 
-impl ProcessStage {
+impl ProcessEnvironment {
     /// Starts everything and waits until all of it listens.
     ///
     /// # Errors
@@ -160,7 +160,7 @@
                 .edge(address, &Scenario::edge_name(n));
         }
         let fleet = Fleet::new(scenario, addresses, recording)?;
-        let mut stage = ProcessStage {
+        let mut stage = ProcessEnvironment {
             driver,
             fleet,
             folder,
@@ -330,7 +330,7 @@
     fn watch_processes(&mut self, late: Micros) {
         let (now, log) = (self.driver.now(), &mut self.recording.0.borrow_mut().log);
         log.waits.entry(OURS.into()).or_default().add(now, late);
-        if now < self.watched_at + waits::every(self.children.len()) {
+        if now < self.watched_at + scheduling_delay::every(self.children.len()) {
             return;
         }
         self.watched_at = now;
@@ -388,7 +388,7 @@
     }
 }
 
-impl Drop for ProcessStage {
+impl Drop for ProcessEnvironment {
     fn drop(&mut self) {
         self.children
             .values_mut()
@@ -399,7 +399,7 @@
     }
 }
 
-impl Stage for ProcessStage {
+impl Environment for ProcessEnvironment {
     fn now(&self) -> Micros {
         self.driver.now()
     }
--- a/crates/sanddrum-lab/src/storm.rs
+++ b/crates/sanddrum-lab/src/reconnect_load.rs
@@ -1,15 +1,15 @@
 //! A zone is lost and back cold, and every edge reconnects over TLS, in virtual time with real handshakes that take
 //! their time at the workers: once as the connection module decides, once with connections opened on demand.
 
+use crate::environment::{product_edge, Environment, VirtualEnvironment};
 use crate::recorder::Recording;
 use crate::scenario::Scenario;
-use crate::stage::{product_edge, Stage, VirtualStage};
 use crate::{play, Outcome};
 use sanddrum_net::LinkModel;
 use std::io;
 
 #[derive(Clone, Copy, Debug)]
-pub struct StormSpec {
+pub struct ReconnectLoadSpec {
     pub edges: usize,
     pub workers: usize,
     pub rate: usize,
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Storm {
+pub struct ReconnectLoad {
     pub service: f64,
     /// The part of the calls of each second that were answered in time.
     pub seconds: Vec<f64>,
@@ -38,10 +38,10 @@
 const BACK: i64 = 9;
 const LENGTH: i64 = 24;
 
-fn scenario(spec: &StormSpec) -> String {
+fn scenario(spec: &ReconnectLoadSpec) -> String {
     let on_demand = "(handshakes-out 100000) (handshakes-per-worker 10000) (connections-ahead 0)
         (connect-again 100000) (left-alone-least 1ms) (left-alone-most 1ms) (handshake-part 0)";
-    let StormSpec {
+    let ReconnectLoadSpec {
         edges,
         workers,
         rate,
@@ -70,10 +70,11 @@
 ///
 /// # Errors
 /// The scenario can't be set up.
-pub fn storm(spec: &StormSpec) -> io::Result<Storm> {
+pub fn storm(spec: &ReconnectLoadSpec) -> io::Result<ReconnectLoad> {
     let scenario = Scenario::read("storm", &scenario(spec), spec.seed).map_err(io::Error::other)?;
     let recording = Recording::default();
-    let mut stage = VirtualStage::new(scenario, LinkModel::default(), &recording, product_edge())?;
+    let mut stage =
+        VirtualEnvironment::new(scenario, LinkModel::default(), &recording, product_edge())?;
     let begun = stage.now() / 1_000_000;
     let outcome = play(&mut stage, &recording)?;
     let work = &stage.fleet().handshakes;
@@ -90,7 +91,7 @@
     ))
 }
 
-fn figures(outcome: &Outcome, after: Vec<Vec<u32>>, handshakes: u32) -> Storm {
+fn figures(outcome: &Outcome, after: Vec<Vec<u32>>, handshakes: u32) -> ReconnectLoad {
     let part = |(begun, in_time): &(u32, u32)| f64::from(*in_time) / f64::from((*begun).max(1));
     let seconds: Vec<f64> = outcome.verdict.seconds.iter().map(part).collect();
     let of = |from: i64, to: i64| {
@@ -104,7 +105,7 @@
         .iter()
         .take(LENGTH as usize)
         .rposition(|part| *part < before - 0.05);
-    Storm {
+    ReconnectLoad {
         service: outcome.verdict.service,
         calm: last_low.map_or(0.0, |n| (n as i64 + 1 - BACK).max(0) as f64),
         worst: after.iter().flatten().copied().max().unwrap_or(0),
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -1,7 +1,7 @@
 //! What crossed the sockets at clients, workers and the list service, read with the codecs and kept as a log. The
 //! edges' own state and logs are never looked at.
 
-use crate::waits::Waits;
+use crate::scheduling_delay::SchedulingDelays;
 use sanddrum_net::{ConnectionId, HostId, Micros, Side, TrafficObserver};
 use sanddrum_wire::http::{self, Parsed};
 use sanddrum_wire::{
@@ -88,7 +88,7 @@
     /// The machine may hold a process up for so long.
     pub holds_up: Micros,
     /// How long it did, edges by their names; empty where nobody looked.
-    pub waits: BTreeMap<String, Waits>,
+    pub waits: BTreeMap<String, SchedulingDelays>,
     /// Keys that were revoked, and from when on no edge takes a call under them.
     pub revoked: BTreeMap<String, Micros>,
     pub bytes: u64,
--- a/crates/sanddrum-lab/src/player.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -1,11 +1,11 @@
 //! Plays a scenario's troubles on a stage, in their order, and has the traffic judged.
 
 use crate::checker::{judge, Verdict};
+use crate::environment::Environment;
 use crate::fleet::Who;
 use crate::recorder::{Log, Recording};
 use crate::relay::Fault;
 use crate::scenario::{Scenario, Trouble};
-use crate::stage::Stage;
 use sanddrum_net::{Micros, Rng};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
 }
 
 struct Player<'a> {
-    stage: &'a mut dyn Stage,
+    stage: &'a mut dyn Environment,
     recording: &'a Recording,
     scenario: Scenario,
     start: Micros,
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// The stage could not go on, as when a port was lost.
-pub fn play(stage: &mut dyn Stage, recording: &Recording) -> io::Result<Outcome> {
+pub fn play(stage: &mut dyn Environment, recording: &Recording) -> io::Result<Outcome> {
     let scenario = stage.fleet().scenario.clone();
     let start = stage.now();
     // What a message takes on its way, over links that are made late as well.
@@ -104,7 +104,7 @@
     let (runs, orders) = (recorder.log.runs.len(), recorder.log.orders.len());
     let (harm, whole) = (
         harm(&recorder.log),
-        crate::whole::of(&recorder.log, &scenario),
+        crate::fleet_summary::of(&recorder.log, &scenario),
     );
     Ok(Outcome {
         verdict,
--- a/crates/sanddrum-lab/src/waits.rs
+++ b/crates/sanddrum-lab/src/scheduling_delay.rs
@@ -14,9 +14,9 @@
 
 /// The waits of one process, summed up from its start and looked at now and then.
 #[derive(Clone, Debug, Default)]
-pub struct Waits(Vec<(Micros, Micros)>);
+pub struct SchedulingDelays(Vec<(Micros, Micros)>);
 
-impl Waits {
+impl SchedulingDelays {
     /// It has waited for so long more by now.
     pub fn add(&mut self, now: Micros, by: Micros) {
         let sum = self.0.last().map_or(0, |(_, sum)| *sum);
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -1,10 +1,10 @@
 //! One scenario with ever more edges, on the same seeds: what comes of it, and what falls on the list service and the
 //! workers in their worst seconds.
 
-use crate::player::Outcome;
+use crate::environment::product_edge;
 use crate::plots::{lines, Line};
 use crate::scenario::Scenario;
-use crate::stage::product_edge;
+use crate::scenario_runner::Outcome;
 use std::io;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -1,10 +1,10 @@
 //! A scenario's fleet on loopback sockets: stand-ins and callers on one loop, edges beside them or as processes.
 
+use crate::environment::{Environment, MakeEdge};
 use crate::fleet::{Addresses, Fleet, Who};
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
-use crate::stage::{MakeEdge, Stage};
 use rustix::process::{kill_process, Pid, Signal};
 use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, HostId, Micros};
@@ -33,7 +33,7 @@
     }
 }
 
-pub struct SocketStage {
+pub struct SocketEnvironment {
     driver: EventLoop,
     fleet: Fleet,
     hosts: BTreeMap<Who, HostId>,
@@ -47,7 +47,7 @@
 /// A port that was taken in between is waited for so long.
 const PORT_WAIT: Micros = 2_000_000;
 
-impl SocketStage {
+impl SocketEnvironment {
     /// Sets everything up on loopback ports that the system chooses; `folder` takes the edges' state files.
     pub fn new(
         scenario: Scenario,
@@ -94,7 +94,7 @@
             store: bind(Who::Store)?,
         };
         let fleet = Fleet::new(scenario, addresses, recording)?;
-        let mut stage = SocketStage {
+        let mut stage = SocketEnvironment {
             driver,
             fleet,
             hosts: BTreeMap::new(),
@@ -311,7 +311,7 @@
     }
 }
 
-impl Drop for SocketStage {
+impl Drop for SocketEnvironment {
     fn drop(&mut self) {
         for child in self.children.values_mut() {
             let _ = child.kill();
@@ -320,7 +320,7 @@
     }
 }
 
-impl Stage for SocketStage {
+impl Environment for SocketEnvironment {
     fn now(&self) -> Micros {
         self.driver.now()
     }
--- a/crates/sanddrum-lab/src/wallet.rs
+++ b/crates/sanddrum-lab/src/token_issuer.rs
@@ -6,7 +6,7 @@
 use sanddrum_net::Micros;
 use std::collections::BTreeMap;
 
-pub struct Wallet {
+pub struct TokenIssuer {
     pub set: KeySet,
     secrets: BTreeMap<String, SecretKey>,
     held: BTreeMap<String, (Micros, String)>,
@@ -19,9 +19,9 @@
     pub revoked: BTreeMap<String, Micros>,
 }
 
-impl Wallet {
+impl TokenIssuer {
     pub fn new(audience: &str, lasts: Micros, renewed: Micros, seed: u64) -> Self {
-        let mut wallet = Wallet {
+        let mut wallet = TokenIssuer {
             set: KeySet::default(),
             secrets: BTreeMap::new(),
             held: BTreeMap::new(),
--- a/crates/sanddrum-lab/tests/capacity.rs
+++ b/crates/sanddrum-lab/tests/capacity.rs
@@ -1,10 +1,10 @@
 //! The capacity plays: slopes, files, and plans that can't be.
 
 use rstest::rstest;
-use sanddrum_lab::capacity::hollow::{Act, Played, BEGIN};
-use sanddrum_lab::capacity::host::Counts;
+use sanddrum_lab::capacity::decision_host::Counts;
 use sanddrum_lab::capacity::model::{Functions, Shape};
 use sanddrum_lab::capacity::router::{alone, measure, module_settings, Size};
+use sanddrum_lab::capacity::simulated::{Act, Played, BEGIN};
 use sanddrum_lab::capacity::{
     fit, run, slopes, Memory, Output, Plan, Point, Role, Sink, Source, Stop, Summary,
 };
--- a/crates/sanddrum-lab/tests/capacity_counts.rs
+++ b/crates/sanddrum-lab/tests/capacity_counts.rs
@@ -1,8 +1,8 @@
 //! Counters of one router that the capacity page says don't grow with the fleet: counts, not times.
 
 use rstest::rstest;
-use sanddrum_lab::capacity::hollow::Played;
 use sanddrum_lab::capacity::router::{measure, module_settings, Size};
+use sanddrum_lab::capacity::simulated::Played;
 use sanddrum_lab::capacity::{Memory, Plan, Stop};
 
 const PLAN: &str = r#"(deployment (name "counts") (zones "a" "b" "c"))
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -3,7 +3,8 @@
 use rstest::rstest;
 use sanddrum_emulator::DiscoverySpec;
 use sanddrum_lab::capacity::{
-    run, Followers, ListStage, ListStageSpec, Memory, Plan, Point, Said, Sink, Source, Stop,
+    run, DiscoveryEnvironment, DiscoveryEnvironmentSpec, Followers, Memory, Plan, Point, Said,
+    Sink, Source, Stop,
 };
 use sanddrum_net::{LinkModel, Micros};
 use std::time::Duration;
@@ -38,7 +39,7 @@
     rows: usize,
     list: DiscoverySpec,
     whole_edges: bool,
-) -> ListStage {
+) -> DiscoveryEnvironment {
     // Links without chance, so that what others send moves no draw.
     let links = LinkModel {
         jitter: 0.0,
@@ -46,7 +47,7 @@
         split_probability: 0.0,
         ..LinkModel::default()
     };
-    let spec = ListStageSpec {
+    let spec = DiscoveryEnvironmentSpec {
         settings: plan.settings.clone(),
         list,
         seed: plan.seed,
@@ -57,7 +58,7 @@
         links,
         whole_edges,
     };
-    ListStage::new(spec, Stop::default(), Duration::from_secs(600)).unwrap()
+    DiscoveryEnvironment::new(spec, Stop::default(), Duration::from_secs(600)).unwrap()
 }
 
 fn list(whole: Micros, most: usize) -> DiscoverySpec {
--- a/crates/sanddrum-lab/tests/capacity_real.rs
+++ b/crates/sanddrum-lab/tests/capacity_real.rs
@@ -1,9 +1,9 @@
 //! One scenario played by a real edge and by a hollow router: nothing hollow decides otherwise.
 
 use rstest::rstest;
-use sanddrum_lab::capacity::hollow::Played;
-use sanddrum_lab::capacity::host::Decision;
+use sanddrum_lab::capacity::decision_host::Decision;
 use sanddrum_lab::capacity::real::{hollow, real};
+use sanddrum_lab::capacity::simulated::Played;
 use sanddrum_lab::capacity::Stop;
 use sanddrum_lab::Scenario;
 use std::time::{Duration, Instant};
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -4,7 +4,7 @@
 use sanddrum_lab::checker::judge;
 use sanddrum_lab::cold;
 use sanddrum_lab::recorder::{Log, Order, Run, Try};
-use sanddrum_lab::{Scenario, Waits, OURS};
+use sanddrum_lab::{Scenario, SchedulingDelays, OURS};
 use std::collections::BTreeMap;
 
 const RATION: &str = r#"
@@ -97,7 +97,7 @@
     #[case] waited: &[(&str, i64, i64)],
     #[case] broken: usize,
 ) {
-    let mut waits: BTreeMap<String, Waits> = BTreeMap::new();
+    let mut waits: BTreeMap<String, SchedulingDelays> = BTreeMap::new();
     for at in (1..=100).map(|n| n * 50_000) {
         for name in ["edge-0", "edge-1", OURS] {
             let by = waited
@@ -144,7 +144,7 @@
 ) {
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let stopped = vec![(edge.clone(), from, until)];
-    let waits = [(OURS.to_string(), Waits::default())].into();
+    let waits = [(OURS.to_string(), SchedulingDelays::default())].into();
     let (began, limit, answers) = (sent, 3_000_000, vec![(7_100_000, 504)]);
     let tries = vec![Try {
         edge,
--- a/crates/sanddrum-lab/src/whole_tests.rs
+++ b/crates/sanddrum-lab/tests/fleet_summary.rs
@@ -1,7 +1,10 @@
-//! How edges behaved as one: its figures, from logs written by hand.
+//! The fleet summary, from traffic logs written by hand.
 
-use super::*;
 use rstest::rstest;
+use sanddrum_lab::fleet_summary::{amplification, edge_service_range, inversions};
+use sanddrum_lab::recorder::{Log, Try};
+use sanddrum_lab::Scenario;
+use sanddrum_net::Micros;
 
 fn scenario() -> Scenario {
     let text = r#"(deployment (name "w") (zones "a"))
@@ -31,7 +34,7 @@
 #[case::in_another_second(&[("dear", 1, 503, 5), ("cheap", 2, 200, 9)], 0.0)]
 #[case::as_much_as_fits(&[("dear", 1, 503, 5), ("cheap", 1, 200, 4)], 0.4)]
 #[case::all_of_it(&[("dear", 1, 503, 5), ("cheap", 1, 200, 40)], 1.0)]
-fn what_is_turned_away_for_less_dear_work_is_told(
+fn priority_inversions_are_the_rejected_value_that_cheaper_work_displaced(
     #[case] seen: &[(&str, Micros, u16, u64)],
     #[case] part: f64,
 ) {
@@ -46,7 +49,7 @@
 }
 
 #[rstest]
-fn edges_that_serve_apart_are_told() {
+fn the_range_of_service_over_edges_is_reported() {
     let mut all = tries("dear", 1, 200, 200);
     all.iter_mut()
         .filter(|t| t.edge == "edge-1")
@@ -56,6 +59,6 @@
         tries: all,
         ..Log::default()
     };
-    assert_eq!(edges(&log, &scenario()), (0.75, 1.0));
+    assert_eq!(edge_service_range(&log, &scenario()), (0.75, 1.0));
     assert_eq!(amplification(&log)["executions"], 0.0);
 }
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use sanddrum_lab::{
-    play, play_virtually, product_edge, EdgesAs, Recording, Scenario, SocketStage, Stage,
-    VirtualStage, BAD_DAY,
+    play, play_virtually, product_edge, EdgesAs, Environment, Recording, Scenario,
+    SocketEnvironment, VirtualEnvironment, BAD_DAY,
 };
 use sanddrum_net::LinkModel;
 
@@ -42,7 +42,7 @@
     let scenario = Scenario::read("short.sx", text, 5).unwrap();
     let recording = Recording::default();
     let edges = EdgesAs::Cores(product_edge());
-    let mut stage = SocketStage::new(scenario, &recording, edges, folder.clone()).unwrap();
+    let mut stage = SocketEnvironment::new(scenario, &recording, edges, folder.clone()).unwrap();
     let outcome = play(&mut stage, &recording).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(outcome.is_good(), "{}", outcome.text());
@@ -89,7 +89,8 @@
     let scenario = Scenario::read("certificates.sx", CERTIFICATES, seed).unwrap();
     let recording = Recording::default();
     let mut stage =
-        VirtualStage::new(scenario, LinkModel::default(), &recording, product_edge()).unwrap();
+        VirtualEnvironment::new(scenario, LinkModel::default(), &recording, product_edge())
+            .unwrap();
     let start = stage.now();
     let outcome = play(&mut stage, &recording).unwrap();
     assert!(
