--- a/crates/sanddrum-lab/src/capacity/list_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/list_alone.rs
@@ -5,9 +5,9 @@
 use super::list_service::{list_spec, most_of};
 use super::list_stage::row;
 use super::{Plan, Point, Role, Sink, Source, Stop};
-use sanddrum_emulator::{ListFaults, ListService};
+use sanddrum_emulator::{DiscoveryFaults, DiscoveryService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
-use sanddrum_wire::{frame::frame, EndpointRecord, Hello, ToDiscovery, Watch, VERSION};
+use sanddrum_wire::{frame::encode_frame, EndpointRecord, Hello, ToDiscovery, Watch, VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -47,7 +47,7 @@
 
 /// The service's core with callers that come one after the other, each once the one before has its answer.
 struct Alone {
-    service: ListService,
+    service: DiscoveryService,
     io: Takes,
     now: Micros,
     whole: Micros,
@@ -63,16 +63,16 @@
 impl Alone {
     fn new(plan: &Plan, rows: u64) -> Self {
         let (spec, now) = (list_spec(plan), 1_000_000_000);
-        let zones = plan.settings.size("capacity.zones");
+        let zones = plan.settings.integer("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
-        let (whole, notice) = (spec.whole, spec.notice.1);
-        let service = ListService::new(
+        let (whole, notice) = (spec.snapshot_cost, spec.max_publish_delay);
+        let service = DiscoveryService::new(
             spec,
             plan.seed,
             1,
-            Rc::new(RefCell::new(ListFaults::default())),
+            Rc::new(RefCell::new(DiscoveryFaults::default())),
         );
-        let service = service.with_rows(now, &rows);
+        let service = service.with_endpoints(now, &rows);
         let mut alone = Alone {
             service,
             io: Takes::default(),
@@ -101,7 +101,7 @@
         });
         let event = Event::Bytes {
             conn: WORKER,
-            bytes: &frame(&register),
+            bytes: &encode_frame(&register),
         };
         self.service.on_event(self.now, event, &mut self.io);
         self.now += self.notice + 1;
@@ -119,7 +119,11 @@
             incarnation: 1,
             age_us: None,
         });
-        let bytes = [frame(&hello), frame(&ToDiscovery::Watch(Watch::default()))].concat();
+        let bytes = [
+            encode_frame(&hello),
+            encode_frame(&ToDiscovery::Watch(Watch::default())),
+        ]
+        .concat();
         self.service.on_event(
             self.now,
             Event::Accepted {
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -7,7 +7,7 @@
 use super::model::{Functions, Model, Shape};
 use crate::{play, Recording, Scenario, VirtualStage};
 use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
-use sanddrum_edge::{DecisionModule, Edge, Start};
+use sanddrum_edge::{DecisionModule, Edge, EdgeOptions};
 use sanddrum_net::{ConnectionId, Core, Event, Io, LinkModel};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -131,7 +131,7 @@
         .for_each(|calls| calls.exact = true);
     let seen: Shared = Rc::new(RefCell::new(Seen::default()));
     let (recording, shared) = (Recording::default(), seen.clone());
-    let make_edge = move |start: Start| -> Box<dyn Core> {
+    let make_edge = move |start: EdgeOptions| -> Box<dyn Core> {
         shared.borrow_mut().seed = start.seed;
         let module = Router::new(start.seed, &start.settings.values_for_module());
         let module = Watched {
@@ -167,17 +167,17 @@
     };
     let edge = alone.edge(0, address, address).map_err(|e| e.to_string())?;
     let (l, links) = (&scenario.settings, even_links());
-    let count = l.size("traffic.functions");
+    let count = l.integer("traffic.functions");
     let functions = Functions::new(l, count, Shape::Zipf(1.0), scenario.seed);
     let worker = scenario.worker(0, address, address, address);
     let mut model = Model::of(l);
-    model.size.cores = worker.cores;
-    model.size.speed = worker.speed;
-    model.size.queue = worker.queue;
-    model.size.memory_mb = worker.memory_mb;
-    model.size.loads_at_once = worker.loads_at_once;
-    model.size.start_us_per_mb = worker.start_us_per_mb;
-    model.report_every = worker.report_every;
+    model.size.cores = worker.machine.cores;
+    model.size.speed = worker.machine.speed;
+    model.size.queue_limit = worker.machine.queue_limit;
+    model.size.memory_mb = worker.machine.memory_mb;
+    model.size.concurrent_loads = worker.machine.concurrent_loads;
+    model.size.start_us_per_mb = worker.machine.start_us_per_mb;
+    model.report_every = worker.report_interval;
     (model.same_zone, model.cross_zone) = (links.same_zone_latency, links.cross_zone_latency);
     let numbered = |(at, job): &(Micros, Request)| {
         let function = functions.all.iter().position(|f| f.id == job.function);
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -4,8 +4,8 @@
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
-use sanddrum_edge::{Edge, Start, KEYS};
-use sanddrum_emulator::{Shared, Truth};
+use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
+use sanddrum_emulator::{GroundTruth, Shared};
 use sanddrum_net::{Core, HostId, LinkFault, LinkModel, Micros, VirtualNet};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
 }
 
 /// Makes the edge that a scenario is played with.
-pub type MakeEdge = Box<dyn Fn(Start) -> Box<dyn Core>>;
+pub type MakeEdge = Box<dyn Fn(EdgeOptions) -> Box<dyn Core>>;
 
 /// The product's edge.
 pub fn product_edge() -> MakeEdge {
@@ -79,7 +79,7 @@
         links: LinkModel,
         recording: &Recording,
         make_edge: MakeEdge,
-        truth: Option<Shared<Truth>>,
+        truth: Option<Shared<GroundTruth>>,
     ) -> io::Result<Self> {
         let address = |kind: usize, n: usize| format!("10.{kind}.{}.{}:1000", n / 250, n % 250 + 1);
         let addresses = Addresses {
@@ -126,10 +126,10 @@
                     .hosts
                     .get(&who)
                     .and_then(|host| self.net.saved_state(*host));
-                let start = Start {
+                let start = EdgeOptions {
                     settings,
                     seed,
-                    kept,
+                    cached_state: kept,
                     incarnation,
                     metrics_page: None,
                     platform: None,
@@ -174,7 +174,7 @@
         if let (Who::Edge(_), Some(host), Some(keys)) =
             (who, self.hosts.get(&who), self.fleet.keys())
         {
-            self.net.deliver_file(*host, KEYS, Ok(&keys));
+            self.net.deliver_file(*host, KEYS_FILE, Ok(&keys));
         }
     }
     /// Events carried out so far.
@@ -199,7 +199,7 @@
             truth
                 .borrow_mut()
                 .0
-                .remove(&sanddrum_wire::id_of(&Scenario::worker_name(n)));
+                .remove(&sanddrum_wire::stable_id(&Scenario::worker_name(n)));
         }
         if let Some(host) = self.hosts.get(&who) {
             self.net.kill(*host);
