--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -7,7 +7,7 @@
 use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
-use sanddrum_net::{ConnectionId, Io, Micros};
+use sanddrum_net::{ConnectionId, FileError, Io, Micros};
 use sanddrum_settings::{LoadedSettings, Origin};
 use sanddrum_wire::http::Request;
 use serde_json::json;
@@ -354,11 +354,11 @@
     pub(crate) fn on_keys_changed(
         &mut self,
         now: Micros,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
         let read = content
-            .map_err(String::from)
+            .map_err(ToString::to_string)
             .and_then(|bytes| KeySet::read(bytes).map_err(|e| e.to_string()));
         let (reason, why) = match read {
             Ok(set) => {
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -40,7 +40,7 @@
 use requests::Requests;
 use sanddrum::{Decisions, EventBatch, Router, Settings};
 use sanddrum_bootstrap::DiscoveryEvent;
-use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Rng};
+use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, Micros, Rng};
 use sanddrum_platform::control_feed::FeedEvents;
 use sanddrum_platform::start_times::ClockReading;
 use sanddrum_settings::LoadedSettings;
@@ -323,10 +323,12 @@
     fn on_configuration_changed(
         &mut self,
         now: Micros,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
-        let text = content.map_err(String::from).map(String::from_utf8_lossy);
+        let text = content
+            .map_err(ToString::to_string)
+            .map(String::from_utf8_lossy);
         match text.and_then(|text| sanddrum_platform::StartupConfig::read(&text)) {
             Ok(configuration) => self.change_feed_address(now, &configuration.feed, io),
             Err(why) => {
@@ -458,7 +460,13 @@
             .min()
     }
 
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         match name {
             KEYS_FILE => self.inner.on_keys_changed(now, content, io),
             CONFIGURATION_FILE => self.inner.on_configuration_changed(now, content, io),
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -7,7 +7,7 @@
 use sanddrum_edge::KEYS_FILE;
 use sanddrum_identity::token;
 use sanddrum_identity::{Claims, KeySet, SecretKey};
-use sanddrum_net::{CloseCause, ConnectionId, Core, PeerIdentity};
+use sanddrum_net::{CloseCause, ConnectionId, Core, FileError, PeerIdentity};
 use sanddrum_wire::{http, ExecutionStatus};
 
 fn key(kid: &str) -> SecretKey {
@@ -46,7 +46,12 @@
     h
 }
 fn gives(h: &mut Host, content: Result<&[u8], &str>) {
-    h.edge.on_file(h.now, KEYS_FILE, content, &mut h.io);
+    let content = content.map_err(|reason| FileError::Unreadable {
+        path: KEYS_FILE.into(),
+        source: std::io::Error::other(reason.to_owned()),
+    });
+    h.edge
+        .on_file(h.now, KEYS_FILE, content.as_ref().copied(), &mut h.io);
     h.turn();
 }
 fn calls(h: &mut Host, conn: ConnectionId, token: &str) -> Option<u16> {
--- a/crates/sanddrum-emulator/src/handshakes.rs
+++ b/crates/sanddrum-emulator/src/handshakes.rs
@@ -2,7 +2,7 @@
 //! worker warms up; until it is through, nothing that arrives on its connection is processed.
 
 use crate::faults::Shared;
-use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
@@ -124,7 +124,13 @@
             .min()
     }
 
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         self.core.on_file(now, name, content, io);
     }
 
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -8,7 +8,7 @@
 use crate::{play, Recording, Scenario, VirtualStage};
 use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
 use sanddrum_edge::{DecisionModule, Edge, EdgeOptions};
-use sanddrum_net::{ConnectionId, Core, Event, Io, LinkModel};
+use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, LinkModel};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -86,7 +86,13 @@
     fn next_wakeup(&self) -> Option<Micros> {
         self.core.next_wakeup()
     }
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         self.time(|core| core.on_file(now, name, content, io));
     }
     fn on_credentials_changed(
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -12,7 +12,7 @@
 use crate::waits::{self, Watch, OURS};
 use rustix::process::Signal;
 use sanddrum_emulator::{Shared, WorkerFaults};
-use sanddrum_net::{Core, EventLoop, HostId, Micros};
+use sanddrum_net::{Core, EventLoop, FileError, HostId, Micros};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -533,7 +533,7 @@
         &mut self,
         _: Micros,
         _: &str,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         _: &mut dyn sanddrum_net::Io,
     ) {
         if let Ok(text) = content.map(String::from_utf8_lossy) {
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/stage.rs
@@ -255,7 +255,7 @@
             }
             Some(Fault::SilentTo) => (
                 Some(LinkFault {
-                    drops_data: true,
+                    holds_data: true,
                     ..LinkFault::default()
                 }),
                 None,
@@ -263,13 +263,13 @@
             Some(Fault::SilentFrom) => (
                 None,
                 Some(LinkFault {
-                    drops_data: true,
+                    holds_data: true,
                     ..LinkFault::default()
                 }),
             ),
             Some(Fault::Unanswered) => {
                 let bend = Some(LinkFault {
-                    drops_data: true,
+                    holds_data: true,
                     ..LinkFault::default()
                 });
                 (bend, bend)
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/tapped.rs
@@ -3,7 +3,8 @@
 use crate::recorder::Recording;
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use sanddrum_net::{
-    ConnectionId, Core, Event, HostId, Io, Micros, PeerIdentity, Side as TapSide, TrafficObserver,
+    ConnectionId, Core, Event, FileError, HostId, Io, Micros, PeerIdentity, Side as TapSide,
+    TrafficObserver,
 };
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Papers, Rules, Side};
@@ -142,7 +143,13 @@
             },
         );
     }
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         let (host, recording) = (self.host, &mut self.recording);
         self.core.on_file(
             now,
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -7,7 +7,7 @@
 use sanddrum_lab::checker::judge;
 use sanddrum_lab::recorder::{Log, Run, Try};
 use sanddrum_lab::{play_virtually, product_edge, MakeEdge, Scenario};
-use sanddrum_net::{Core, Event, Io};
+use sanddrum_net::{Core, Event, FileError, Io};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum How {
@@ -222,7 +222,13 @@
     fn next_wakeup(&self) -> Option<Micros> {
         self.core.next_wakeup()
     }
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         if !std::mem::replace(&mut self.heard, true) {
             self.core.on_file(now, name, content, io);
         }
--- /dev/null
+++ b/crates/sanddrum-net/src/core.rs
@@ -0,0 +1,91 @@
+//! The interface of a state machine without I/O.
+
+use crate::{ConnectionId, Event, FileError, Io, Micros};
+
+/// A state machine without I/O that a driver runs. `now` is an instant of the driver's clock.
+pub trait Core {
+    /// The driver has added the core.
+    fn start(&mut self, now: Micros, io: &mut dyn Io);
+    /// Something happened on a connection.
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io);
+    /// All input of this instant has been given, or the requested wake-up is due.
+    fn process(&mut self, now: Micros, io: &mut dyn Io);
+    /// When to call `process` again, if not before.
+    fn next_wakeup(&self) -> Option<Micros>;
+    /// A file that the driver watches for this core was read, has changed, or cannot be read.
+    fn on_file(
+        &mut self,
+        _now: Micros,
+        _name: &str,
+        _content: Result<&[u8], &FileError>,
+        _io: &mut dyn Io,
+    ) {
+    }
+    /// An established connection was made with credentials that are no longer current. It is to be replaced when that
+    /// does no harm, or at once where the peer's credentials were `revoked`.
+    fn on_credentials_changed(
+        &mut self,
+        _now: Micros,
+        _conn: ConnectionId,
+        _revoked: bool,
+        _io: &mut dyn Io,
+    ) {
+    }
+    /// A graceful shutdown begins: the core takes nothing new, and is done once nothing is in flight.
+    fn shut_down(&mut self, _now: Micros, _io: &mut dyn Io) {}
+    /// Logs the core's status, on SIGUSR1 and at the end.
+    fn log_status(&mut self, _now: Micros) {}
+    /// Whether the listeners stay open during a graceful shutdown.
+    fn accepts_while_draining(&self) -> bool {
+        false
+    }
+    /// Whether a graceful shutdown is complete.
+    fn is_done(&self) -> bool {
+        false
+    }
+}
+
+impl<C: Core + ?Sized> Core for Box<C> {
+    fn start(&mut self, now: Micros, io: &mut dyn Io) {
+        (**self).start(now, io);
+    }
+    fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+        (**self).on_event(now, event, io);
+    }
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        (**self).process(now, io);
+    }
+    fn next_wakeup(&self) -> Option<Micros> {
+        (**self).next_wakeup()
+    }
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
+        (**self).on_file(now, name, content, io);
+    }
+    fn on_credentials_changed(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        revoked: bool,
+        io: &mut dyn Io,
+    ) {
+        (**self).on_credentials_changed(now, conn, revoked, io);
+    }
+    fn shut_down(&mut self, now: Micros, io: &mut dyn Io) {
+        (**self).shut_down(now, io);
+    }
+    fn log_status(&mut self, now: Micros) {
+        (**self).log_status(now);
+    }
+    fn accepts_while_draining(&self) -> bool {
+        (**self).accepts_while_draining()
+    }
+    fn is_done(&self) -> bool {
+        (**self).is_done()
+    }
+}
--- /dev/null
+++ b/crates/sanddrum-net/src/event_loop/poll.rs
@@ -0,0 +1,137 @@
+//! Waiting for input, and handing it to the cores.
+
+use super::{EventLoop, HostConnection, Source};
+use crate::{CloseCause, Event, HostId, Micros};
+use polling::Event as PollEvent;
+use std::io::{self, ErrorKind};
+use std::time::Duration;
+
+/// The loop polls at least this often, so that the arrival of input is known to within this.
+const MAX_POLL_TIMEOUT: Micros = 25_000;
+/// A poll that returns later than this after its time-out shows that the process was held up in it.
+const POLL_SLACK: Micros = 5_000;
+/// The delay after a failed poll.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// Failed polls in a row before the loop gives up: after five seconds.
+const MAX_FAILED_POLLS: u32 = 5_000;
+
+/// When the loop polled: input that was not there at the previous poll has arrived since.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PollTimes {
+    pub last: Micros,
+    pub previous: Micros,
+}
+
+impl EventLoop {
+    /// How long to wait for input: until this instant, the next timer or the longest time-out.
+    pub(super) fn poll_timeout(&self, until: Option<Micros>) -> Duration {
+        if !(self.refused.is_empty() && self.broken.is_empty()) {
+            return Duration::ZERO;
+        }
+        let hosts = || self.hosts.iter().flatten();
+        let wakeups = hosts()
+            .filter(|host| !host.frozen)
+            .filter_map(|host| host.core.next_wakeup());
+        let file_checks = hosts().flat_map(|host| &host.watched_files);
+        let lingering = self.lingering.first().map(|(at, _)| *at);
+        let next = wakeups
+            .chain(file_checks.map(|file| file.next_check))
+            .chain(until)
+            .chain(self.retry_accept_at)
+            .chain(lingering)
+            .min();
+        let timeout = next.map_or(MAX_POLL_TIMEOUT, |at| {
+            (at - self.now()).clamp(0, MAX_POLL_TIMEOUT)
+        });
+        Duration::from_micros(timeout as u64)
+    }
+    /// Waits for input and hands it to the cores. Returns the number of events; none where the wait was interrupted or
+    /// failed.
+    pub(super) fn poll(&mut self, timeout: Duration) -> io::Result<Option<usize>> {
+        let began = self.now();
+        let Some(mut events) = self.wait_for_events(timeout)? else {
+            return Ok(None);
+        };
+        self.record_poll(began, timeout);
+        let count = events.len();
+        // Listeners come last. Guards against a new connection that displaces one whose input has arrived.
+        events
+            .sort_by_key(|event| matches!(self.sources.get(event.key), Some(Source::Listener(_))));
+        for event in events {
+            self.dispatch(event);
+        }
+        self.handle_signal_flags();
+        self.end_refused_and_broken();
+        Ok(Some(count))
+    }
+    fn wait_for_events(&mut self, timeout: Duration) -> io::Result<Option<Vec<PollEvent>>> {
+        let mut events = Vec::new();
+        match self.poller.wait(&mut events, Some(timeout)) {
+            Ok(_) => {
+                self.failed_polls = 0;
+                Ok(Some(events))
+            }
+            // Guards against acting on timers before input that came meanwhile is read: a process that was stopped and
+            // continued would take all peers for silent.
+            Err(error) if error.kind() == ErrorKind::Interrupted => Ok(None),
+            // Guards against a transient error, such as a kernel out of memory, that would end all connections.
+            Err(error) if self.failed_polls < MAX_FAILED_POLLS => {
+                self.failed_polls += 1;
+                tracing::warn!(reason = "poller", %error, "polling for input failed and is retried");
+                std::thread::sleep(POLL_RETRY_DELAY);
+                Ok(None)
+            }
+            Err(error) => Err(error),
+        }
+    }
+    /// Where the process was held up within the wait, it is unknown whether the kernel collected the events at its begin
+    /// or at its end: a process that is stopped while it is being woken has polled before the stop.
+    fn record_poll(&mut self, began: Micros, timeout: Duration) {
+        let ended = self.now();
+        let was_held_up = ended - began > timeout.as_micros() as Micros + POLL_SLACK;
+        self.polls = PollTimes {
+            last: if was_held_up { began } else { ended },
+            previous: self.polls.last,
+        };
+    }
+    fn dispatch(&mut self, event: PollEvent) {
+        match self.sources.get(event.key) {
+            Some(Source::Listener(_)) => self.accept(event.key),
+            Some(Source::Stream(_)) => self.on_stream_ready(event),
+            Some(Source::Lingering(_)) => self.drain(event.key),
+            Some(Source::ShutdownSignals(_)) => self.read_shutdown_signals(event.key),
+            Some(Source::ReloadSignal(_)) => self.read_reload_signal(event.key),
+            None => {}
+        }
+    }
+    fn end_refused_and_broken(&mut self) {
+        for HostConnection { host, conn } in std::mem::take(&mut self.refused) {
+            let cause = CloseCause::Refused;
+            self.call_with_event(host, Event::Closed { conn, cause });
+        }
+        for HostConnection { host, conn } in std::mem::take(&mut self.broken) {
+            self.end_connection(host, conn, CloseCause::Reset);
+        }
+    }
+    /// Runs the loop's own timers, and lets cores process what they were given or what is due.
+    pub(super) fn run_due(&mut self) {
+        if self.retry_accept_at.is_some_and(|at| at <= self.now()) {
+            self.resume_accepting();
+        }
+        let now = self.now();
+        while let Some((_, key)) = self.lingering.first().copied().filter(|(at, _)| *at <= now) {
+            self.remove_source(key);
+        }
+        for id in (0..self.hosts.len()).map(HostId) {
+            self.check_due_files(id, now);
+            let Some(host) = self.host_mut(id) else {
+                continue;
+            };
+            let is_due = host.core.next_wakeup().is_some_and(|at| at <= now);
+            if (host.is_pending || is_due) && !host.frozen {
+                host.is_pending = false;
+                self.call(id, |core, now, io| core.process(now, io));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/sanddrum-net/src/event_loop/shutdown.rs
@@ -0,0 +1,58 @@
+//! The end of the loop.
+
+use super::{EventLoop, SourceKey};
+use crate::{ConnectionId, HostId, Side};
+use std::io::{self, ErrorKind};
+use std::time::Duration;
+
+impl EventLoop {
+    /// Closes all listeners, and in order all connections that were accepted; returns once their peers have closed them
+    /// too, or have not in time.
+    pub(super) fn close_everything(&mut self) -> io::Result<()> {
+        self.log_status();
+        for id in (0..self.hosts.len()).map(HostId) {
+            self.close_host(id);
+        }
+        while let Some((last, _)) = self
+            .lingering
+            .last()
+            .copied()
+            .filter(|(at, _)| *at > self.now())
+        {
+            let mut events = Vec::new();
+            let timeout = Duration::from_micros((last - self.now()).max(0) as u64);
+            match self.poller.wait(&mut events, Some(timeout)) {
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                result => {
+                    result?;
+                }
+            }
+            for event in events {
+                self.drain(event.key);
+            }
+        }
+        Ok(())
+    }
+    fn close_host(&mut self, id: HostId) {
+        let Some(host) = self.host_mut(id) else {
+            return;
+        };
+        let listeners = std::mem::take(&mut host.listeners);
+        let connections: Vec<(ConnectionId, SourceKey)> = host
+            .connections
+            .iter()
+            .map(|(conn, key)| (*conn, *key))
+            .collect();
+        for key in listeners {
+            self.remove_source(key);
+        }
+        for (conn, key) in connections {
+            let side = self.sources.stream(key).map(|stream| stream.side);
+            if side == Some(Side::Accepted) {
+                self.close(id, conn, usize::MAX);
+            } else {
+                self.remove_connection(id, conn);
+            }
+        }
+    }
+}
--- a/crates/sanddrum-net/src/event_loop/signals.rs
+++ b/crates/sanddrum-net/src/event_loop/signals.rs
@@ -1,130 +1,114 @@
-//! Signals and watched files: what asks the cores to end, to report, or to read a file again.
+//! Signals: those that ask the cores to shut down, to log their status, or to reload watched files.
 
-use super::{EventLoop, Source};
-use crate::files::Watched;
-use crate::{HostId, Micros};
-use polling::{Event as Ready, PollMode};
+use super::{EventLoop, Source, SourceKey};
+use crate::HostId;
+use polling::{Event as PollEvent, PollMode};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
-use std::path::PathBuf;
 use std::sync::atomic::Ordering;
 
 impl EventLoop {
-    /// SIGTERM and SIGINT ask the cores to end; a second one ends the loop at once. SIGHUP has watched files looked at,
-    /// SIGUSR1 has the cores report.
+    /// Handles signals from now on. SIGTERM and SIGINT begin a graceful shutdown, and a second one ends the loop at once.
+    /// SIGHUP reloads watched files, and SIGUSR1 has the cores log their status.
+    ///
+    /// # Errors
+    /// A signal handler or its pipe cannot be installed.
     pub fn catch_signals(&mut self) -> io::Result<()> {
-        let (ours, theirs) = UnixStream::pair()?;
-        ours.set_nonblocking(true)?;
-        signal_hook::low_level::pipe::register(SIGTERM, theirs.try_clone()?)?;
-        signal_hook::low_level::pipe::register(SIGINT, theirs)?;
+        let (shutdown_reader, shutdown_writer) = UnixStream::pair()?;
+        shutdown_reader.set_nonblocking(true)?;
+        signal_hook::low_level::pipe::register(SIGTERM, shutdown_writer.try_clone()?)?;
+        signal_hook::low_level::pipe::register(SIGINT, shutdown_writer)?;
         for signal in [SIGTERM, SIGINT] {
-            signal_hook::flag::register(signal, self.asked_to_end.clone())?;
+            signal_hook::flag::register(signal, self.signal_flags.shutdown.clone())?;
         }
-        let (reload, asks) = UnixStream::pair()?;
-        reload.set_nonblocking(true)?;
-        signal_hook::low_level::pipe::register(SIGHUP, asks)?;
-        signal_hook::flag::register(SIGHUP, self.asked_to_reload.clone())?;
-        signal_hook::flag::register(SIGUSR1, self.asked_to_report.clone())?;
-        for source in [Source::Signals(ours), Source::Reload(reload)] {
-            let key = self.sources.insert(source);
-            if let Some(Source::Signals(pipe) | Source::Reload(pipe)) = self.sources.get(key) {
-                self.poller
-                    .add_with_mode(pipe, Ready::readable(key), PollMode::Level)?;
-            }
+        let (reload_reader, reload_writer) = UnixStream::pair()?;
+        reload_reader.set_nonblocking(true)?;
+        signal_hook::low_level::pipe::register(SIGHUP, reload_writer)?;
+        signal_hook::flag::register(SIGHUP, self.signal_flags.reload.clone())?;
+        signal_hook::flag::register(SIGUSR1, self.signal_flags.status.clone())?;
+        self.add_signal_pipe(Source::ShutdownSignals(shutdown_reader))?;
+        self.add_signal_pipe(Source::ReloadSignal(reload_reader))
+    }
+    fn add_signal_pipe(&mut self, source: Source) -> io::Result<()> {
+        let key = self.sources.insert(source);
+        if let Some(Source::ShutdownSignals(pipe) | Source::ReloadSignal(pipe)) =
+            self.sources.get(key)
+        {
+            let interest = PollEvent::readable(key);
+            self.poller.add_with_mode(pipe, interest, PollMode::Level)?;
         }
         Ok(())
     }
-    /// From now on a second signal to end changes nothing, as whoever repeats it would take what is open with it: there is
-    /// SIGKILL for who can't wait.
+    /// From now on a second signal for shutdown changes nothing: an immediate end would break the connections that are
+    /// still open. SIGKILL remains for those who cannot wait.
     pub fn ignore_repeated_signals(&mut self) {
-        self.ends_in_order_only = true;
+        self.ignores_repeated_signals = true;
     }
-    /// Tells this core of a file now, whenever it changes (looked at every so often), and on SIGHUP.
-    pub fn watch_file(&mut self, host: HostId, name: &str, file: PathBuf, every: Micros) {
-        if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
-            hosted.watched.push(Watched::new(name, file, every));
+    /// Handles the signals whose handlers have set a flag, even if they could not write to their pipe.
+    pub(super) fn handle_signal_flags(&mut self) {
+        if self.signal_flags.shutdown.swap(false, Ordering::Relaxed) {
+            self.handle_shutdown_flag();
         }
-        self.look_at_files(host, true);
-    }
-    pub(super) fn look_at_files(&mut self, host: HostId, anyway: bool) {
-        let now = self.now();
-        let Some(Some(hosted)) = self.hosts.get_mut(host.0) else {
-            return;
-        };
-        let mut watched = std::mem::take(&mut hosted.watched);
-        for file in &mut watched {
-            if let Some(content) = file.look(now, anyway) {
-                let content = content.as_deref().map_err(String::as_str);
-                self.call(host, |core, now, io| {
-                    core.on_file(now, &file.name, content, io)
-                });
-            }
+        if self.signal_flags.status.swap(false, Ordering::Relaxed) {
+            self.log_status();
         }
-        if let Some(Some(hosted)) = self.hosts.get_mut(host.0) {
-            hosted.watched = watched;
+        if self.signal_flags.reload.swap(false, Ordering::Relaxed) {
+            for id in (0..self.hosts.len()).map(HostId) {
+                self.check_files(id, true);
+            }
         }
     }
-    /// Hears signals whose handlers could not write to their pipes.
-    pub(super) fn heed_flags(&mut self) {
-        if self.asked_to_end.swap(false, Ordering::Relaxed) {
-            // The pipe is read first, or what lies in it would count as a second signal.
-            let is_pipe = |source: &Source| matches!(source, Source::Signals(_));
-            let pipe = self
-                .sources
-                .all
-                .iter()
-                .find(|(_, source)| is_pipe(source))
-                .map(|(key, _)| *key);
-            pipe.into_iter().for_each(|key| self.signal(key));
-            self.signals = self.signals.max(1);
-            self.ask_to_end();
-        }
-        if self.asked_to_report.swap(false, Ordering::Relaxed) {
-            self.report();
-        }
-        if self.asked_to_reload.swap(false, Ordering::Relaxed) {
-            (0..self.hosts.len()).for_each(|n| self.look_at_files(HostId(n), true));
+    fn handle_shutdown_flag(&mut self) {
+        // The pipe is read first: what is in it would count as a second signal.
+        let pipe = self
+            .sources
+            .iter()
+            .find(|(_, source)| matches!(source, Source::ShutdownSignals(_)))
+            .map(|(key, _)| key);
+        if let Some(key) = pipe {
+            self.read_shutdown_signals(key);
         }
+        self.shutdown_signals = self.shutdown_signals.max(1);
+        self.shut_down_cores();
     }
-    pub(super) fn report(&mut self) {
-        for n in 0..self.hosts.len() {
-            self.call(HostId(n), |core, now, _| core.log_status(now));
+    pub(super) fn log_status(&mut self) {
+        for id in (0..self.hosts.len()).map(HostId) {
+            self.call(id, |core, now, _| core.log_status(now));
         }
     }
-    pub(super) fn signal(&mut self, key: usize) {
-        let Some(Source::Signals(pipe)) = self.sources.get_mut(key) else {
+    pub(super) fn read_shutdown_signals(&mut self, key: SourceKey) {
+        let Some(Source::ShutdownSignals(pipe)) = self.sources.get_mut(key) else {
             return;
         };
+        // Each signal writes one byte.
         let mut bytes = [0; 16];
-        self.signals += pipe.read(&mut bytes).unwrap_or(0) as u32;
-        self.ask_to_end();
+        self.shutdown_signals += pipe.read(&mut bytes).unwrap_or(0) as u32;
+        self.shut_down_cores();
     }
-    fn ask_to_end(&mut self) {
-        for n in 0..self.hosts.len() {
-            if let Some(hosted) = self.hosts[n].as_mut().filter(|h| !h.stopping) {
-                hosted.stopping = true;
-                self.call(HostId(n), |core, now, io| core.shut_down(now, io));
-                let closes = self.hosts[n]
-                    .as_mut()
-                    .filter(|h| !h.core.accepts_while_draining());
-                for key in closes
-                    .map(|h| std::mem::take(&mut h.doors))
-                    .unwrap_or_default()
-                {
-                    // Who has connected and was not accepted yet would be reset when the door closes.
-                    self.accept(key);
-                    self.remove(key);
-                }
+    fn shut_down_cores(&mut self) {
+        for id in (0..self.hosts.len()).map(HostId) {
+            let Some(host) = self.host_mut(id).filter(|host| !host.is_shutting_down) else {
+                continue;
+            };
+            host.is_shutting_down = true;
+            self.call(id, |core, now, io| core.shut_down(now, io));
+            let closed = self
+                .host_mut(id)
+                .filter(|host| !host.core.accepts_while_draining())
+                .map(|host| std::mem::take(&mut host.listeners));
+            for key in closed.into_iter().flatten() {
+                // Connections that wait to be accepted would be reset when the listener closes.
+                self.accept(key);
+                self.remove_source(key);
             }
         }
     }
-
-    pub(super) fn reload(&mut self, key: usize) {
-        let Some(Source::Reload(pipe)) = self.sources.get_mut(key) else {
+    pub(super) fn read_reload_signal(&mut self, key: SourceKey) {
+        let Some(Source::ReloadSignal(pipe)) = self.sources.get_mut(key) else {
             return;
         };
         let _ = pipe.read(&mut [0; 16]);
-        self.asked_to_reload.store(true, Ordering::Relaxed);
+        self.signal_flags.reload.store(true, Ordering::Relaxed);
     }
 }
--- /dev/null
+++ b/crates/sanddrum-net/src/event_loop/sources.rs
@@ -0,0 +1,107 @@
+//! What the loop polls.
+
+use crate::{ConnectionId, HostId, ListenerId, Micros, Side};
+use std::collections::BTreeMap;
+use std::net::{TcpListener, TcpStream};
+use std::os::unix::net::UnixStream;
+
+/// The key of a source in the poller; never reused.
+pub(super) type SourceKey = usize;
+
+/// Something that the loop polls.
+pub(super) enum Source {
+    Listener(Listener),
+    Stream(Stream),
+    /// A connection that was closed here and whose input is drained: closing a socket with unread input resets the
+    /// connection, which can destroy the data that was written last.
+    Lingering(TcpStream),
+    /// The signals that ask for the end.
+    ShutdownSignals(UnixStream),
+    /// The signal that asks for a reload of watched files.
+    ReloadSignal(UnixStream),
+}
+
+/// A listener of a host.
+pub(super) struct Listener {
+    pub host: HostId,
+    pub id: ListenerId,
+    pub socket: TcpListener,
+    /// Connections may have waited here since then; none if there were none when it was last accepted from.
+    pub unread_since: Option<Micros>,
+}
+
+/// A connection of a host.
+pub(super) struct Stream {
+    pub host: HostId,
+    pub conn: ConnectionId,
+    pub socket: TcpStream,
+    pub side: Side,
+    /// Whether the connection is not established yet.
+    pub connecting: bool,
+    pub paused: bool,
+    pub wants_write: bool,
+    /// Input may have waited here since then; none if there was none when it was last read.
+    pub unread_since: Option<Micros>,
+    /// Not registered with the poller. The peer hung up while the core is not to be given that, and the poller would
+    /// report it for ever; or the poller could not register it.
+    pub is_unregistered: bool,
+}
+
+/// All sources, by keys that are never reused.
+///
+/// Guards against an event of a connection that ended earlier in the same poll, taken for an event of another connection
+/// in its place: a connection that is being opened would count as refused.
+#[derive(Default)]
+pub(super) struct Sources {
+    by_key: BTreeMap<SourceKey, Source>,
+    next_key: SourceKey,
+}
+
+impl Sources {
+    pub fn insert(&mut self, source: Source) -> SourceKey {
+        let key = self.next_key;
+        self.next_key += 1;
+        self.by_key.insert(key, source);
+        key
+    }
+    /// Puts another source in the place of one that was removed.
+    pub fn reinsert(&mut self, key: SourceKey, source: Source) {
+        self.by_key.insert(key, source);
+    }
+    pub fn remove(&mut self, key: SourceKey) -> Option<Source> {
+        self.by_key.remove(&key)
+    }
+    pub fn iter(&self) -> impl Iterator<Item = (SourceKey, &Source)> {
+        self.by_key.iter().map(|(key, source)| (*key, source))
+    }
+    pub fn get(&self, key: SourceKey) -> Option<&Source> {
+        self.by_key.get(&key)
+    }
+    pub fn get_mut(&mut self, key: SourceKey) -> Option<&mut Source> {
+        self.by_key.get_mut(&key)
+    }
+    pub fn listener(&self, key: SourceKey) -> Option<&Listener> {
+        match self.get(key) {
+            Some(Source::Listener(listener)) => Some(listener),
+            _ => None,
+        }
+    }
+    pub fn listener_mut(&mut self, key: SourceKey) -> Option<&mut Listener> {
+        match self.get_mut(key) {
+            Some(Source::Listener(listener)) => Some(listener),
+            _ => None,
+        }
+    }
+    pub fn stream(&self, key: SourceKey) -> Option<&Stream> {
+        match self.get(key) {
+            Some(Source::Stream(stream)) => Some(stream),
+            _ => None,
+        }
+    }
+    pub fn stream_mut(&mut self, key: SourceKey) -> Option<&mut Stream> {
+        match self.get_mut(key) {
+            Some(Source::Stream(stream)) => Some(stream),
+            _ => None,
+        }
+    }
+}
--- a/crates/sanddrum-net/src/link_model.rs
+++ b/crates/sanddrum-net/src/link_model.rs
@@ -2,20 +2,22 @@
 
 use crate::Micros;
 
-/// How the virtual links behave.
+/// The properties of all virtual links.
 #[derive(Clone, Debug)]
 pub struct LinkModel {
-    /// One way, between hosts of one zone and of two.
+    /// The one-way latency between hosts of the same zone.
     pub same_zone_latency: Micros,
+    /// The one-way latency between hosts of different zones.
     pub cross_zone_latency: Micros,
-    /// The part of the latency that chance may add.
+    /// The largest random addition to the latency, as a fraction of it.
     pub jitter: f64,
-    /// The part of pieces that are lost and come again after `retransmit_after`.
+    /// The probability that a message is lost and sent again after `retransmit_after`.
     pub loss_probability: f64,
+    /// The delay of a lost message.
     pub retransmit_after: Micros,
-    /// The part of pieces that arrive in two halves.
+    /// The probability that written bytes arrive in two parts.
     pub split_probability: f64,
-    /// Bytes that may be under way on a connection, one way.
+    /// Bytes that may be in flight on a connection, in each direction.
     pub window_bytes: usize,
 }
 
@@ -33,15 +35,15 @@
     }
 }
 
-/// What is wrong with the way from one host to another.
+/// What is wrong with the link from one host to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// Everything takes so much longer.
+    /// Added to the latency.
     pub delay: Micros,
-    /// No more than so many bytes a second pass on each connection; nought: any.
+    /// The bandwidth of each connection; zero: unlimited.
     pub bytes_per_second: f64,
-    /// Connections are made, and what is sent on them does not arrive until the way is mended.
-    pub drops_data: bool,
+    /// Connections are established, but what is sent on them is held until the fault is removed.
+    pub holds_data: bool,
     /// Connections are refused.
     pub refuses_connections: bool,
 }
--- a/crates/sanddrum-net/tests/both_drivers.rs
+++ b/crates/sanddrum-net/tests/both_drivers.rs
@@ -1,102 +1,114 @@
-//! The same stories on sockets and on the virtual network: what one driver would do differently is a bug.
+//! The same test cases on sockets and on the virtual network: a difference between the drivers is a bug.
 
 use rstest::rstest;
-use sanddrum_net::*;
+use sanddrum_net::{
+    CloseCause, ConnectionId, Core, Event, EventLoop, HostId, Io, LinkFault, LinkModel, Micros,
+    NullObserver, Side, TrafficObserver, VirtualNet,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What a core saw, shared with the story.
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+
+type Shared<T> = Rc<RefCell<T>>;
+
+/// What a core has seen.
 #[derive(Default)]
-struct Seen {
-    came: Vec<u8>,
-    wrote: usize,
+struct Recorded {
+    received: Vec<u8>,
+    written: usize,
     connected: u32,
     accepted: u32,
     closed: Vec<CloseCause>,
 }
-type Shared<T> = Rc<RefCell<T>>;
 
-/// Sends what it is given as the socket takes it, and keeps what comes.
-struct Talker {
-    to: Option<String>,
-    sends: Vec<u8>,
-    /// Reads nothing until told.
-    deaf: Shared<bool>,
-    was_deaf: bool,
+/// Writes its data as the connection takes it, and records what it receives.
+struct Sender {
+    address: Option<String>,
+    data: Vec<u8>,
+    /// Set by the test: reading is to be paused.
+    pause_requested: Shared<bool>,
+    is_paused: bool,
     conn: Option<ConnectionId>,
-    up: bool,
-    seen: Shared<Seen>,
+    is_established: bool,
+    recorded: Shared<Recorded>,
     closes_when_sent: bool,
-    turned: Micros,
+    last_processed: Micros,
 }
 
-impl Talker {
-    fn new(to: Option<&str>, sends: &[u8]) -> (Box<Talker>, Shared<Seen>, Shared<bool>) {
-        let (seen, deaf) = (Shared::<Seen>::default(), Shared::<bool>::default());
-        let (to, sends) = (to.map(String::from), sends.to_vec());
-        let (s, d) = (seen.clone(), deaf.clone());
-        let (was_deaf, up, closes_when_sent, turned) = (false, false, false, 0);
-        let talker = Talker {
-            to,
-            sends,
-            deaf,
-            was_deaf,
+impl Sender {
+    /// A core that connects to the address, or accepts if there is none.
+    fn new(address: Option<&str>, data: &[u8]) -> (Box<Sender>, Shared<Recorded>) {
+        let recorded = Shared::<Recorded>::default();
+        let sender = Sender {
+            address: address.map(String::from),
+            data: data.to_vec(),
+            pause_requested: Shared::default(),
+            is_paused: false,
             conn: None,
-            up,
-            seen,
-            closes_when_sent,
-            turned,
+            is_established: false,
+            recorded: recorded.clone(),
+            closes_when_sent: false,
+            last_processed: 0,
         };
-        (Box::new(talker), s, d)
+        (Box::new(sender), recorded)
+    }
+    /// A core that accepts and sends nothing.
+    fn receiver() -> (Box<Sender>, Shared<Recorded>) {
+        Sender::new(None, b"")
     }
     fn write(&mut self, io: &mut dyn Io) {
-        let Some(conn) = self.conn.filter(|_| self.up) else {
+        let Some(conn) = self.conn.filter(|_| self.is_established) else {
             return;
         };
-        let mut seen = self.seen.borrow_mut();
-        seen.wrote += io.write(conn, &self.sends[seen.wrote..]);
-        if self.closes_when_sent && seen.wrote == self.sends.len() {
+        let mut recorded = self.recorded.borrow_mut();
+        recorded.written += io.write(conn, &self.data[recorded.written..]);
+        if self.closes_when_sent && recorded.written == self.data.len() {
             self.conn = None;
             io.close(conn);
         }
     }
 }
 
-impl Core for Talker {
+impl Core for Sender {
     fn start(&mut self, _: Micros, io: &mut dyn Io) {
-        self.conn = self.to.as_ref().map(|to| io.connect(to));
+        self.conn = self.address.as_ref().map(|address| io.connect(address));
     }
     fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => {
-                (self.conn, self.up) = (Some(conn), true);
-                self.seen.borrow_mut().accepted += 1;
+                (self.conn, self.is_established) = (Some(conn), true);
+                self.recorded.borrow_mut().accepted += 1;
             }
             Event::Connected { .. } => {
-                self.up = true;
-                self.seen.borrow_mut().connected += 1;
+                self.is_established = true;
+                self.recorded.borrow_mut().connected += 1;
+            }
+            Event::Bytes { bytes, .. } => {
+                self.recorded.borrow_mut().received.extend_from_slice(bytes);
             }
-            Event::Bytes { bytes, .. } => self.seen.borrow_mut().came.extend_from_slice(bytes),
             Event::Writable { .. } => {}
-            Event::Closed { cause: how, .. } => {
-                (self.conn, self.up) = (None, false);
-                self.seen.borrow_mut().closed.push(how);
+            Event::Closed { cause, .. } => {
+                (self.conn, self.is_established) = (None, false);
+                self.recorded.borrow_mut().closed.push(cause);
             }
         }
         self.write(io);
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        self.turned = now;
-        let deaf = *self.deaf.borrow();
-        if let Some(conn) = self.conn.filter(|_| deaf != self.was_deaf) {
-            self.was_deaf = deaf;
-            io.pause(conn, deaf);
+        self.last_processed = now;
+        let pause = *self.pause_requested.borrow();
+        if let Some(conn) = self.conn.filter(|_| pause != self.is_paused) {
+            self.is_paused = pause;
+            io.pause(conn, pause);
         }
         self.write(io);
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        // Looks at its strings now and then.
-        self.up.then_some(self.turned + 1000)
+        // Checks every millisecond whether the test has requested a pause.
+        self.is_established
+            .then_some(self.last_processed + MILLISECOND)
     }
 }
 
@@ -112,244 +124,280 @@
             split_probability: 0.5,
             ..LinkModel::default()
         };
-        match on_sockets {
-            true => Driver::Sockets(Box::new(EventLoop::new(Box::new(NullObserver)).unwrap())),
-            false => Driver::Virtual(Box::new(VirtualNet::new(
-                seed,
-                1_000_000,
-                links,
-                Box::new(NullObserver),
-            ))),
+        let observer = Box::new(NullObserver);
+        if on_sockets {
+            Driver::Sockets(Box::new(EventLoop::new(observer).unwrap()))
+        } else {
+            Driver::Virtual(Box::new(VirtualNet::new(seed, SECOND, links, observer)))
         }
     }
-    /// A core with a door; gives the door's address.
-    fn listens(&mut self, core: Box<dyn Core>) -> (HostId, String) {
+    /// Adds a core with a listener; returns the listener's address, too.
+    fn add_listening(&mut self, core: Box<dyn Core>) -> (HostId, String) {
         match self {
-            Driver::Sockets(driver) => {
-                let (listener, at) = EventLoop::bind("127.0.0.1:0").unwrap();
-                (driver.add(core, vec![listener], None).unwrap(), at)
+            Driver::Sockets(event_loop) => {
+                let (listener, address) = EventLoop::bind("127.0.0.1:0").unwrap();
+                let host = event_loop.add(core, vec![listener], None).unwrap();
+                (host, address)
             }
             Driver::Virtual(net) => (net.add(0, &["a:1"], core), "a:1".into()),
         }
     }
-    fn adds(&mut self, core: Box<dyn Core>) -> HostId {
+    fn add(&mut self, core: Box<dyn Core>) -> HostId {
         match self {
-            Driver::Sockets(driver) => driver.add(core, vec![], None).unwrap(),
+            Driver::Sockets(event_loop) => event_loop.add(core, vec![], None).unwrap(),
             Driver::Virtual(net) => net.add(0, &[], core),
         }
     }
-    /// Until it is so; a story that would wait for ever fails.
-    fn until(&mut self, so: impl Fn() -> bool) {
+    /// An address at which nothing listens.
+    fn unused_address(&self) -> String {
+        match self {
+            Driver::Sockets(_) => EventLoop::bind("127.0.0.1:0").unwrap().1,
+            Driver::Virtual(_) => "nowhere:1".to_string(),
+        }
+    }
+    /// Runs until the condition holds; panics if it does not within about five seconds.
+    fn run_until(&mut self, condition: impl Fn() -> bool) {
         for _ in 0..5000 {
-            if so() {
+            if condition() {
                 return;
             }
             self.step();
         }
-        panic!("it never came about");
+        panic!("the condition never held");
     }
+    /// Runs for a millisecond.
     fn step(&mut self) {
         match self {
-            Driver::Sockets(driver) => {
-                let at = driver.now() + 1000;
-                driver.run_until(at).unwrap();
+            Driver::Sockets(event_loop) => {
+                let at = event_loop.now() + MILLISECOND;
+                event_loop.run_until(at).unwrap();
             }
             Driver::Virtual(net) => {
-                let at = net.now() + 1000;
+                let at = net.now() + MILLISECOND;
                 net.run_until(at);
             }
         }
     }
     fn kill(&mut self, host: HostId) {
         match self {
-            Driver::Sockets(driver) => driver.kill(host),
+            Driver::Sockets(event_loop) => event_loop.kill(host),
             Driver::Virtual(net) => net.kill(host),
         }
     }
     fn freeze(&mut self, host: HostId, frozen: bool) {
         match self {
-            Driver::Sockets(driver) => driver.freeze(host, frozen),
+            Driver::Sockets(event_loop) => event_loop.freeze(host, frozen),
             Driver::Virtual(net) => net.freeze(host, frozen),
         }
     }
-    fn tear(&mut self, host: HostId) {
+    fn reset_on_next_write(&mut self, host: HostId) {
         match self {
-            Driver::Sockets(driver) => driver.reset_on_next_write(host),
+            Driver::Sockets(event_loop) => event_loop.reset_on_next_write(host),
             Driver::Virtual(net) => net.reset_on_next_write(host),
         }
     }
 }
 
-fn much(len: usize) -> Vec<u8> {
+/// Bytes that differ from position to position.
+fn test_data(len: usize) -> Vec<u8> {
     (0..len).map(|n| (n * 7 + n / 251) as u8).collect()
 }
 
 #[rstest]
-fn bytes_arrive_whole_and_in_order_then_the_end(#[values(true, false)] sockets: bool) {
-    let mut d = Driver::new(sockets, 1);
-    let (server, got, _) = Talker::new(None, b"");
-    let (_, at) = d.listens(server);
-    let sends = much(300_000);
-    let (mut client, _, _) = Talker::new(Some(&at), &sends);
+fn bytes_arrive_completely_and_in_order_before_the_close(#[values(true, false)] sockets: bool) {
+    let mut driver = Driver::new(sockets, 1);
+    let (server, server_recorded) = Sender::receiver();
+    let (_, address) = driver.add_listening(server);
+    let data = test_data(300_000);
+    let (mut client, _) = Sender::new(Some(&address), &data);
     client.closes_when_sent = true;
-    d.adds(client);
-    d.until(|| !got.borrow().closed.is_empty());
-    assert_eq!(got.borrow().closed, [CloseCause::Orderly]);
-    assert!(got.borrow().came == sends);
+    driver.add(client);
+    driver.run_until(|| !server_recorded.borrow().closed.is_empty());
+    assert_eq!(server_recorded.borrow().closed, [CloseCause::Orderly]);
+    assert!(server_recorded.borrow().received == data);
 }
 
 #[rstest]
-fn nobody_there_is_refused(#[values(true, false)] sockets: bool) {
-    let mut d = Driver::new(sockets, 2);
-    let (_, at) = match &mut d {
-        Driver::Sockets(..) => (0, EventLoop::bind("127.0.0.1:0").unwrap().1),
-        Driver::Virtual(_) => (0, "nowhere:1".to_string()),
-    };
-    let (client, seen, _) = Talker::new(Some(&at), b"x");
-    d.adds(client);
-    d.until(|| !seen.borrow().closed.is_empty());
+fn connecting_to_an_unused_address_is_refused(#[values(true, false)] sockets: bool) {
+    let mut driver = Driver::new(sockets, 2);
+    let address = driver.unused_address();
+    let (client, recorded) = Sender::new(Some(&address), b"x");
+    driver.add(client);
+    driver.run_until(|| !recorded.borrow().closed.is_empty());
     assert_eq!(
-        (seen.borrow().closed.as_slice(), seen.borrow().connected),
+        (
+            recorded.borrow().closed.as_slice(),
+            recorded.borrow().connected
+        ),
         (&[CloseCause::Refused][..], 0)
     );
 }
 
 #[rstest]
-fn a_killed_core_breaks_its_connections(#[values(true, false)] sockets: bool) {
-    let mut d = Driver::new(sockets, 3);
-    let (server, got, _) = Talker::new(None, b"hello");
-    let (host, at) = d.listens(server);
-    let (client, seen, _) = Talker::new(Some(&at), b"x");
-    d.adds(client);
-    d.until(|| !seen.borrow().came.is_empty() && !got.borrow().came.is_empty());
-    d.kill(host);
-    d.until(|| !seen.borrow().closed.is_empty());
-    assert_eq!(seen.borrow().closed.len(), 1);
+fn killing_a_core_breaks_its_connections(#[values(true, false)] sockets: bool) {
+    let mut driver = Driver::new(sockets, 3);
+    let (server, server_recorded) = Sender::new(None, b"hello");
+    let (host, address) = driver.add_listening(server);
+    let (client, client_recorded) = Sender::new(Some(&address), b"x");
+    driver.add(client);
+    driver.run_until(|| {
+        !client_recorded.borrow().received.is_empty()
+            && !server_recorded.borrow().received.is_empty()
+    });
+    driver.kill(host);
+    driver.run_until(|| !client_recorded.borrow().closed.is_empty());
+    assert_eq!(client_recorded.borrow().closed.len(), 1);
 }
 
 #[rstest]
-fn a_paused_core_slows_the_other_side_down_and_loses_nothing(#[values(true, false)] sockets: bool) {
-    let mut d = Driver::new(sockets, 4);
-    let (server, got, deaf) = Talker::new(None, b"");
-    *deaf.borrow_mut() = true;
-    let (_, at) = d.listens(server);
-    let sends = much(40_000_000);
-    let (client, seen, _) = Talker::new(Some(&at), &sends);
-    d.adds(client);
-    d.until(|| got.borrow().accepted == 1);
-    (0..200).for_each(|_| d.step());
-    let stuck = seen.borrow().wrote;
-    assert!(stuck < sends.len(), "what is under way is bounded");
-    *deaf.borrow_mut() = false;
-    d.until(|| got.borrow().came.len() > stuck);
-    let n = got.borrow().came.len();
-    assert!(got.borrow().came == sends[..n]);
+fn a_paused_core_slows_its_peer_down_and_loses_nothing(#[values(true, false)] sockets: bool) {
+    let mut driver = Driver::new(sockets, 4);
+    let (server, server_recorded) = Sender::receiver();
+    let pause_requested = server.pause_requested.clone();
+    *pause_requested.borrow_mut() = true;
+    let (_, address) = driver.add_listening(server);
+    let data = test_data(40_000_000);
+    let (client, client_recorded) = Sender::new(Some(&address), &data);
+    driver.add(client);
+    driver.run_until(|| server_recorded.borrow().accepted == 1);
+    for _ in 0..200 {
+        driver.step();
+    }
+    let written_while_paused = client_recorded.borrow().written;
+    assert!(
+        written_while_paused < data.len(),
+        "bytes in flight are bounded"
+    );
+    *pause_requested.borrow_mut() = false;
+    driver.run_until(|| server_recorded.borrow().received.len() > written_while_paused);
+    let received = &server_recorded.borrow().received;
+    assert!(*received == data[..received.len()]);
 }
 
 #[rstest]
-fn a_silent_machine_answers_nothing_and_is_heard_again_later(#[values(true, false)] sockets: bool) {
-    let mut d = Driver::new(sockets, 5);
-    let (server, got, _) = Talker::new(None, b"");
-    let (host, at) = d.listens(server);
-    let (client, seen, _) = Talker::new(Some(&at), b"before");
-    d.adds(client);
-    d.until(|| got.borrow().came == b"before");
-    d.freeze(host, true);
-    let (second, other, _) = Talker::new(Some(&at), b"while silent");
-    d.adds(second);
-    (0..100).for_each(|_| d.step());
-    assert_eq!(got.borrow().accepted, 1);
-    assert!(seen.borrow().closed.is_empty() && other.borrow().closed.is_empty());
-    d.freeze(host, false);
-    d.until(|| got.borrow().came == b"beforewhile silent");
+fn a_frozen_host_answers_nothing_until_it_is_thawed(#[values(true, false)] sockets: bool) {
+    let mut driver = Driver::new(sockets, 5);
+    let (server, server_recorded) = Sender::receiver();
+    let (host, address) = driver.add_listening(server);
+    let (first, first_recorded) = Sender::new(Some(&address), b"before");
+    driver.add(first);
+    driver.run_until(|| server_recorded.borrow().received == b"before");
+    driver.freeze(host, true);
+    let (second, second_recorded) = Sender::new(Some(&address), b"while frozen");
+    driver.add(second);
+    for _ in 0..100 {
+        driver.step();
+    }
+    assert_eq!(server_recorded.borrow().accepted, 1);
+    assert!(
+        first_recorded.borrow().closed.is_empty() && second_recorded.borrow().closed.is_empty()
+    );
+    driver.freeze(host, false);
+    driver.run_until(|| server_recorded.borrow().received == b"beforewhile frozen");
 }
 
 #[rstest]
-fn a_torn_connection_breaks_in_the_middle_of_what_is_written(#[values(true, false)] sockets: bool) {
-    let mut d = Driver::new(sockets, 6);
-    let (server, got, _) = Talker::new(None, b"");
-    let (_, at) = d.listens(server);
-    let (client, seen, _) = Talker::new(Some(&at), &much(1000));
-    let host = d.adds(client);
-    d.tear(host);
-    d.until(|| !got.borrow().closed.is_empty() && !seen.borrow().closed.is_empty());
-    assert!(got.borrow().came.len() < 1000);
-    assert_eq!(seen.borrow().closed, [CloseCause::Reset]);
+fn reset_on_next_write_breaks_the_connection_in_the_middle_of_the_data(
+    #[values(true, false)] sockets: bool,
+) {
+    let mut driver = Driver::new(sockets, 6);
+    let (server, server_recorded) = Sender::receiver();
+    let (_, address) = driver.add_listening(server);
+    let (client, client_recorded) = Sender::new(Some(&address), &test_data(1000));
+    let host = driver.add(client);
+    driver.reset_on_next_write(host);
+    driver.run_until(|| {
+        !server_recorded.borrow().closed.is_empty() && !client_recorded.borrow().closed.is_empty()
+    });
+    assert!(server_recorded.borrow().received.len() < 1000);
+    assert_eq!(client_recorded.borrow().closed, [CloseCause::Reset]);
 }
 
-#[rstest]
-fn equal_seeds_give_equal_timelines_and_others_do_not() {
-    #[derive(Clone, Default)]
-    struct Times(Rc<RefCell<Vec<(Micros, usize)>>>);
-    impl TrafficObserver for Times {
-        fn opened(&mut self, _: Micros, _: HostId, _: ConnectionId, _: Side, _: &str) {}
-        fn received(&mut self, now: Micros, _: HostId, _: ConnectionId, bytes: &[u8]) {
-            self.0.borrow_mut().push((now, bytes.len()));
-        }
-        fn sent(&mut self, _: Micros, _: HostId, _: ConnectionId, _: &[u8]) {}
-        fn closed(&mut self, _: Micros, _: HostId, _: ConnectionId) {}
+/// Records when how many bytes were received.
+#[derive(Clone, Default)]
+struct ArrivalTimes(Shared<Vec<(Micros, usize)>>);
+
+impl TrafficObserver for ArrivalTimes {
+    fn opened(&mut self, _: Micros, _: HostId, _: ConnectionId, _: Side, _: &str) {}
+    fn received(&mut self, now: Micros, _: HostId, _: ConnectionId, bytes: &[u8]) {
+        self.0.borrow_mut().push((now, bytes.len()));
     }
-    let play = |seed| {
-        let times = Times::default();
+    fn sent(&mut self, _: Micros, _: HostId, _: ConnectionId, _: &[u8]) {}
+    fn closed(&mut self, _: Micros, _: HostId, _: ConnectionId) {}
+}
+
+#[rstest]
+fn equal_seeds_give_equal_timelines_and_different_seeds_do_not() {
+    let timeline = |seed| {
+        let times = ArrivalTimes::default();
         let links = LinkModel {
             loss_probability: 0.1,
             ..LinkModel::default()
         };
         let mut net = VirtualNet::new(seed, 0, links, Box::new(times.clone()));
-        net.add(0, &["a:1"], Talker::new(None, b"").0);
-        net.add(1, &[], Talker::new(Some("a:1"), &much(2_000_000)).0);
-        net.run_until(20_000_000);
-        let times = times.0.borrow().clone();
-        times
+        net.add(0, &["a:1"], Sender::receiver().0);
+        let data = test_data(2_000_000);
+        net.add(1, &[], Sender::new(Some("a:1"), &data).0);
+        net.run_until(20 * SECOND);
+        times.0.take()
     };
-    let first = play(1);
-    assert_eq!(first.iter().map(|(_, n)| n).sum::<usize>(), 2_000_000);
-    assert_eq!(first, play(1));
-    assert_ne!(first, play(2));
+    let first = timeline(1);
+    let received: usize = first.iter().map(|(_, bytes)| bytes).sum();
+    assert_eq!(received, 2_000_000);
+    assert_eq!(first, timeline(1));
+    assert_ne!(first, timeline(2));
 }
 
-#[rstest]
-fn a_way_that_delays_delays_each_piece_once() {
-    let (listens, came, _) = Talker::new(None, b"");
-    /// Says a byte every ten milliseconds.
-    struct Drips(Option<ConnectionId>, Micros, u32);
-    impl Core for Drips {
-        fn start(&mut self, now: Micros, io: &mut dyn Io) {
-            (self.0, self.1) = (Some(io.connect("a:1")), now + 500_000);
-        }
-        fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
-        fn process(&mut self, now: Micros, io: &mut dyn Io) {
-            if let Some(conn) = self.0.filter(|_| now >= self.1 && self.2 < 20) {
-                io.write(conn, b"x");
-                (self.1, self.2) = (now + 10_000, self.2 + 1);
-            }
-        }
-        fn next_wakeup(&self) -> Option<Micros> {
-            (self.2 < 20).then_some(self.1)
+/// Half a second after its start, writes twenty bytes, one every ten milliseconds.
+#[derive(Default)]
+struct SlowWriter {
+    conn: Option<ConnectionId>,
+    next_write: Micros,
+    written: u32,
+}
+
+impl SlowWriter {
+    const BYTES: u32 = 20;
+}
+
+impl Core for SlowWriter {
+    fn start(&mut self, now: Micros, io: &mut dyn Io) {
+        self.conn = Some(io.connect("a:1"));
+        self.next_write = now + 500 * MILLISECOND;
+    }
+    fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
+    fn process(&mut self, now: Micros, io: &mut dyn Io) {
+        let is_due = now >= self.next_write && self.written < SlowWriter::BYTES;
+        if let Some(conn) = self.conn.filter(|_| is_due) {
+            io.write(conn, b"x");
+            self.next_write = now + 10 * MILLISECOND;
+            self.written += 1;
         }
     }
-    let mut net = VirtualNet::new(
-        1,
-        1_000_000,
-        LinkModel {
-            split_probability: 0.0,
-            ..LinkModel::default()
-        },
-        Box::new(NullObserver),
-    );
-    let to = net.add(0, &["a:1"], listens);
-    let from = net.add(0, &[], Box::new(Drips(None, 0, 0)));
-    net.set_link_fault(
-        from,
-        to,
-        Some(LinkFault {
-            delay: 250_000,
-            ..LinkFault::default()
-        }),
-    );
-    // The last of them is said after 700 ms, and is there a quarter of a second later.
-    net.run_until(1_000_000 + 690_000);
-    assert!(came.borrow().came.len() < 20);
-    net.run_until(1_000_000 + 950_000);
-    assert_eq!(came.borrow().came.len(), 20);
+    fn next_wakeup(&self) -> Option<Micros> {
+        (self.written < SlowWriter::BYTES).then_some(self.next_write)
+    }
+}
+
+#[rstest]
+fn a_delay_of_a_link_is_added_to_each_message_once() {
+    let start = SECOND;
+    let links = LinkModel {
+        split_probability: 0.0,
+        ..LinkModel::default()
+    };
+    let mut net = VirtualNet::new(1, start, links, Box::new(NullObserver));
+    let (server, recorded) = Sender::receiver();
+    let to = net.add(0, &["a:1"], server);
+    let from = net.add(0, &[], Box::new(SlowWriter::default()));
+    let fault = LinkFault {
+        delay: 250 * MILLISECOND,
+        ..LinkFault::default()
+    };
+    net.set_link_fault(from, to, Some(fault));
+    // The last byte is written after 690 ms and arrives a quarter of a second later.
+    net.run_until(start + 690 * MILLISECOND);
+    assert!(recorded.borrow().received.len() < 20);
+    net.run_until(start + 950 * MILLISECOND);
+    assert_eq!(recorded.borrow().received.len(), 20);
 }
--- a/crates/sanddrum-net/tests/outbox.rs
+++ b/crates/sanddrum-net/tests/outbox.rs
@@ -1,21 +1,36 @@
-//! What waits to be written to one connection.
+//! The write buffer of a connection.
 
 use rstest::rstest;
 use sanddrum_net::{ConnectionId, Io, Outbox, OutboxFull};
 
-struct Narrow {
-    room: usize,
-    wrote: Vec<u8>,
+const CONNECTION: ConnectionId = ConnectionId(0);
+/// The bound of the outboxes here, unless the bound is what is tested.
+const MAX_PENDING_BYTES: usize = 100;
+
+/// A connection that takes a limited number of bytes.
+struct LimitedConnection {
+    capacity: usize,
+    written: Vec<u8>,
+}
+
+impl LimitedConnection {
+    fn new(capacity: usize) -> Self {
+        LimitedConnection {
+            capacity,
+            written: Vec::new(),
+        }
+    }
 }
-impl Io for Narrow {
+
+impl Io for LimitedConnection {
     fn connect(&mut self, _: &str) -> ConnectionId {
-        ConnectionId(0)
+        CONNECTION
     }
     fn write(&mut self, _: ConnectionId, bytes: &[u8]) -> usize {
-        let n = bytes.len().min(self.room);
-        self.room -= n;
-        self.wrote.extend_from_slice(&bytes[..n]);
-        n
+        let taken = bytes.len().min(self.capacity);
+        self.capacity -= taken;
+        self.written.extend_from_slice(&bytes[..taken]);
+        taken
     }
     fn close(&mut self, _: ConnectionId) {}
     fn reset(&mut self, _: ConnectionId) {}
@@ -23,136 +38,109 @@
     fn save_state(&mut self, _: &[u8]) {}
 }
 
+/// An outbox with these messages.
+fn outbox(messages: &[(u32, &str)]) -> Outbox<u32> {
+    let mut outbox = Outbox::new(MAX_PENDING_BYTES);
+    for (tag, message) in messages {
+        outbox.push(*tag, message.as_bytes()).unwrap();
+    }
+    outbox
+}
+
 #[rstest]
-fn a_piece_written_in_part_is_still_held_and_cannot_be_taken_back() {
-    let (mut out, mut io) = (
-        Outbox::new(100),
-        Narrow {
-            room: 7,
-            wrote: vec![],
-        },
+fn a_partly_written_message_is_pending_and_cannot_be_removed() {
+    let mut outbox = outbox(&[(1, "aaaa"), (2, "bbbbbb"), (3, "cc")]);
+    let mut io = LimitedConnection::new(7);
+    outbox.flush(CONNECTION, &mut io);
+    assert!(!outbox.is_pending(&1) && outbox.is_pending(&2) && outbox.is_pending(&3));
+    assert!(
+        !outbox.remove_unwritten(&2),
+        "three of its bytes are written"
     );
-    out.push(1, b"aaaa").unwrap();
-    out.push(2, b"bbbbbb").unwrap();
-    out.push(3, b"cc").unwrap();
-    out.flush(ConnectionId(0), &mut io);
-    assert!(!out.is_pending(&1) && out.is_pending(&2) && out.is_pending(&3));
-    assert!(!out.remove_unwritten(&2), "three of its bytes are out");
-    assert!(out.remove_unwritten(&3));
-    out.push(4, b"dd").unwrap();
-    io.room = 100;
-    out.flush(ConnectionId(0), &mut io);
+    assert!(outbox.remove_unwritten(&3));
+    outbox.push(4, b"dd").unwrap();
+    io.capacity = 100;
+    outbox.flush(CONNECTION, &mut io);
     assert!(
-        out.pending_bytes() > 0,
-        "not before the socket says that there is room"
+        outbox.pending_bytes() > 0,
+        "nothing is written until the connection is writable"
     );
-    out.unblock();
-    out.flush(ConnectionId(0), &mut io);
-    assert_eq!(io.wrote, b"aaaabbbbbbdd");
+    outbox.unblock();
+    outbox.flush(CONNECTION, &mut io);
+    assert_eq!(io.written, b"aaaabbbbbbdd");
 }
 
 #[rstest]
-fn an_unwritten_piece_in_the_middle_is_taken_back_whole() {
-    let (mut out, mut io) = (
-        Outbox::new(100),
-        Narrow {
-            room: 0,
-            wrote: vec![],
-        },
-    );
-    for (mark, piece) in [(1, &b"one"[..]), (2, b"two"), (3, b"three")] {
-        out.push(mark, piece).unwrap();
-    }
-    assert!(out.remove_unwritten(&2) && !out.remove_unwritten(&2));
-    io.room = 50;
-    out.flush(ConnectionId(0), &mut io);
-    assert_eq!(io.wrote, b"onethree");
-    assert!(!out.is_pending(&3));
+fn an_unwritten_message_in_the_middle_is_removed_completely() {
+    let mut outbox = outbox(&[(1, "one"), (2, "two"), (3, "three")]);
+    let mut io = LimitedConnection::new(0);
+    assert!(outbox.remove_unwritten(&2) && !outbox.remove_unwritten(&2));
+    io.capacity = 50;
+    outbox.flush(CONNECTION, &mut io);
+    assert_eq!(io.written, b"onethree");
+    assert!(!outbox.is_pending(&3));
 }
 
 #[rstest]
-fn what_waits_is_bounded_but_one_piece_always_fits() {
-    let mut out = Outbox::new(4);
-    assert_eq!(out.push(1, b"much too long"), Ok(()));
-    assert_eq!(out.push(2, b"x"), Err(OutboxFull));
+fn pending_bytes_are_bounded_but_a_single_message_always_fits() {
+    let mut outbox = Outbox::new(4);
+    assert_eq!(outbox.push(1, b"much too long"), Ok(()));
+    assert_eq!(outbox.push(2, b"x"), Err(OutboxFull));
 }
 
 #[rstest]
-fn up_to_a_mark_nothing_behind_it_is_written() {
-    let (mut out, mut io) = (
-        Outbox::new(100),
-        Narrow {
-            room: 100,
-            wrote: vec![],
-        },
-    );
-    for (mark, piece) in [
-        (1, &b"one"[..]),
-        (7, b"seven"),
-        (2, b"two"),
-        (7, b"again"),
-        (3, b"three"),
-    ] {
-        out.push(mark, piece).unwrap();
-    }
-    out.flush_through(&8, ConnectionId(0), &mut io);
-    assert_eq!(io.wrote, b"", "no piece has this mark");
-    out.flush_through(&7, ConnectionId(0), &mut io);
-    assert_eq!(io.wrote, b"oneseventwoagain");
-    assert!(out.is_pending(&3) && !out.is_pending(&7) && out.remove_unwritten(&3));
-    out.push(4, b"four").unwrap();
-    out.flush(ConnectionId(0), &mut io);
-    assert_eq!(io.wrote, b"oneseventwoagainfour");
+fn flush_through_a_tag_writes_nothing_after_it() {
+    let mut outbox = outbox(&[
+        (1, "one"),
+        (7, "seven"),
+        (2, "two"),
+        (7, "again"),
+        (3, "three"),
+    ]);
+    let mut io = LimitedConnection::new(100);
+    outbox.flush_through(&8, CONNECTION, &mut io);
+    assert_eq!(io.written, b"", "no message has this tag");
+    outbox.flush_through(&7, CONNECTION, &mut io);
+    assert_eq!(io.written, b"oneseventwoagain");
+    assert!(outbox.is_pending(&3) && !outbox.is_pending(&7) && outbox.remove_unwritten(&3));
+    outbox.push(4, b"four").unwrap();
+    outbox.flush(CONNECTION, &mut io);
+    assert_eq!(io.written, b"oneseventwoagainfour");
 }
 
 #[rstest]
-fn a_short_write_up_to_a_mark_waits_for_room_as_any() {
-    let (mut out, mut io) = (
-        Outbox::new(100),
-        Narrow {
-            room: 4,
-            wrote: vec![],
-        },
-    );
-    out.push(1, b"aaa").unwrap();
-    out.push(2, b"bbb").unwrap();
-    out.flush_through(&2, ConnectionId(0), &mut io);
-    assert!(out.is_pending(&2));
-    io.room = 10;
-    out.flush(ConnectionId(0), &mut io);
+fn a_short_flush_through_a_tag_blocks_until_the_connection_is_writable() {
+    let mut outbox = outbox(&[(1, "aaa"), (2, "bbb")]);
+    let mut io = LimitedConnection::new(4);
+    outbox.flush_through(&2, CONNECTION, &mut io);
+    assert!(outbox.is_pending(&2));
+    io.capacity = 10;
+    outbox.flush(CONNECTION, &mut io);
     assert_eq!(
-        io.wrote, b"aaab",
-        "not before the socket says that there is room"
+        io.written, b"aaab",
+        "nothing is written until the connection is writable"
     );
-    out.unblock();
-    out.flush(ConnectionId(0), &mut io);
-    assert_eq!(io.wrote, b"aaabbb");
+    outbox.unblock();
+    outbox.flush(CONNECTION, &mut io);
+    assert_eq!(io.written, b"aaabbb");
 }
 
 #[rstest]
-fn a_piece_that_is_not_begun_is_replaced_in_its_place_and_a_begun_one_is_not() {
-    let (mut out, mut io) = (
-        Outbox::new(100),
-        Narrow {
-            room: 2,
-            wrote: vec![],
-        },
-    );
-    for (mark, piece) in [(1, &b"aaaa"[..]), (2, b"bbbbbb"), (3, b"cc")] {
-        out.push(mark, piece).unwrap();
-    }
-    out.flush(ConnectionId(1), &mut io);
-    assert_eq!(out.unwritten().collect::<Vec<_>>(), [&2, &3]);
+fn an_unwritten_message_is_replaced_in_place_and_a_partly_written_one_is_not() {
+    let mut outbox = outbox(&[(1, "aaaa"), (2, "bbbbbb"), (3, "cc")]);
+    let mut io = LimitedConnection::new(2);
+    outbox.flush(CONNECTION, &mut io);
+    assert_eq!(outbox.unwritten().collect::<Vec<_>>(), [&2, &3]);
     assert!(
-        !out.replace_unwritten(&1, b"x")
-            && out.replace_unwritten(&2, b"B")
-            && out.replace_unwritten(&3, b"CCCC")
+        !outbox.replace_unwritten(&1, b"x")
+            && outbox.replace_unwritten(&2, b"B")
+            && outbox.replace_unwritten(&3, b"CCCC")
     );
-    out.unblock();
-    io.room = 100;
-    out.flush(ConnectionId(1), &mut io);
+    outbox.unblock();
+    io.capacity = 100;
+    outbox.flush(CONNECTION, &mut io);
     assert_eq!(
-        (io.wrote.as_slice(), out.pending_bytes()),
+        (io.written.as_slice(), outbox.pending_bytes()),
         (&b"aaaaBCCCC"[..], 0)
     );
 }
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -20,7 +20,7 @@
 use session::{End, Step};
 pub use verify::Limited;
 
-use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros, PeerIdentity};
+use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, ListenerId, Micros, PeerIdentity};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bounds on handshakes and on what waits for a socket.
@@ -95,7 +95,7 @@
     }
 
     /// A watched file came. What is not good leaves the last good terms in force; the next file may make it whole.
-    fn take_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>) -> bool {
+    fn take_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &FileError>) -> bool {
         let inner = &mut self.inner;
         let place = |names: [&str; 5]| names.iter().position(|n| *n == name);
         let (side, file, accepted) = match (place(CALL_FILES), place(DOOR_FILES)) {
@@ -374,7 +374,13 @@
             .chain([self.inner.look_at_ends])
             .min()
     }
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         if self.take_file(now, name, content) {
             return;
         }
--- a/crates/sanddrum-tls/src/role.rs
+++ b/crates/sanddrum-tls/src/role.rs
@@ -2,7 +2,7 @@
 
 use crate::certificates::{self, Papers, TermsError};
 use crate::config::{Rules, Terms};
-use sanddrum_net::Micros;
+use sanddrum_net::{FileError, Micros};
 
 /// The files that a driver may watch for a layer, by the names under which they are told: PEM texts of the trusted
 /// authorities, of the chain that is shown, of its key, revocation lists, and denied keys.
@@ -63,7 +63,7 @@
         &mut self,
         now: Micros,
         file: usize,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
     ) -> Result<Took, TermsError> {
         let content = content.map_err(certificates::error)?;
         let text = content.to_vec();
--- a/crates/sanddrum-tls/tests/stories.rs
+++ b/crates/sanddrum-tls/tests/stories.rs
@@ -405,7 +405,11 @@
         b"two",
         "the last good one, as the new one is torn"
     );
-    net.deliver_file(host, DOOR_FILES[1], Err("unreadable"));
+    let unreadable = FileError::Unreadable {
+        path: DOOR_FILES[1].into(),
+        source: std::io::Error::other("unreadable"),
+    };
+    net.deliver_file(host, DOOR_FILES[1], Err(&unreadable));
     assert_eq!(late(&mut net, &old), b"two");
     net.deliver_file(host, DOOR_FILES[1], Ok(&chain));
     assert_eq!(
@@ -565,7 +569,7 @@
             Event::Accepted { .. } | Event::Writable { .. } => {}
         }
     }
-    fn on_file(&mut self, _: Micros, _: &str, _: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(&mut self, _: Micros, _: &str, _: Result<&[u8], &FileError>, io: &mut dyn Io) {
         self.left += 1;
         io.connect_named(&self.to, NAME);
     }
