--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -3,10 +3,10 @@
 use crate::lab::{read_scenario, tell, Folder, Shipped, DEMO};
 use crate::{exit, fail};
 use clap::{Args, ValueEnum};
-use sanddrum_emulator::{ListService, Marks, Shared, Store, Worker};
+use sanddrum_emulator::{DiscoveryService, IdempotencyKeys, Shared, Store, Worker};
 use sanddrum_lab::{
-    play, MakeProcess, Outcome, ProcessStage, ProcessStart, Recording, Scenario, Steered, Who,
-    FAULTS, FLEET_DAY, LATE, OURS,
+    play, MakeProcess, Outcome, ProcessEnvironment, ProcessStart, Recording, Scenario, Steered,
+    Who, FAULTS, FLEET_DAY, LATE, OURS,
 };
 use sanddrum_net::{Core, EventLoop, NullObserver};
 use serde::de::DeserializeOwned;
@@ -161,11 +161,11 @@
     let recording = Recording::default();
     let seconds = scenario.length / 1_000_000;
     let make = processes(set)?;
-    let mut stage = ProcessStage::new(scenario, &recording, folder.0.clone(), make)
+    let mut stage = ProcessEnvironment::new(scenario, &recording, folder.0.clone(), make)
         .map_err(|e| e.to_string())?;
     stage.catch_signals().map_err(|e| e.to_string())?;
     stage.call(&recording).map_err(|e| e.to_string())?;
-    let begun = sanddrum_lab::Stage::now(&stage);
+    let begun = sanddrum_lab::Environment::now(&stage);
     stage.progress = Some(Box::new(move |now| {
         eprint!("\r{} of {seconds} s ", (now - begun) / 1_000_000)
     }));
@@ -342,7 +342,7 @@
             let known_as = args.known_as.as_deref().unwrap_or(&at);
             let spec = scenario.worker(args.number, known_as, &args.list, &args.store);
             let seed = args.seed.wrapping_mul(31).wrapping_add(args.number as u64);
-            let (faults, marks) = (shared(), Rc::new(RefCell::new(Marks::new(0))));
+            let (faults, marks) = (shared(), Rc::new(RefCell::new(IdempotencyKeys::new(0))));
             let started = if args.cold { now } else { 0 };
             steered(
                 Worker::new(spec, seed, started, args.incarnation, faults.clone(), marks),
@@ -358,13 +358,16 @@
             let workers =
                 std::fs::read_to_string(args.file.with_file_name("workers")).unwrap_or_default();
             let workers: Vec<String> = workers.lines().map(String::from).collect();
-            let list = ListService::new(
+            let list = DiscoveryService::new(
                 scenario.list(),
                 args.seed ^ 0x115,
                 args.incarnation,
                 faults.clone(),
             );
-            steered(list.with_rows(now, &scenario.list_rows(&workers)), faults)
+            steered(
+                list.with_endpoints(now, &scenario.list_rows(&workers)),
+                faults,
+            )
         }
     };
     let host = driver
--- a/crates/sanddrum-lab/src/capacity/hollow_router.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated_router.rs
@@ -3,10 +3,11 @@
 
 use sanddrum::Settings;
 use sanddrum_bootstrap::{Bootstrap, Decisions, DiscoveryEvent};
-use sanddrum_edge::Known;
+use sanddrum_edge::DiscoveryVersion;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{
-    frame::frame, EndpointUpdateHead, FrameDecoder, FromDiscoveryHead, Hello, ToDiscovery, VERSION,
+    frame::encode_frame, EndpointUpdateHead, FrameDecoder, FromDiscoveryHead, Hello, ToDiscovery,
+    VERSION,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,7 +15,7 @@
 /// What one router has been told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Follower {
-    pub known: Known,
+    pub known: DiscoveryVersion,
     /// When its present start was told the list first.
     pub told: Option<Micros>,
     /// When the version that it knows was last moved on.
@@ -41,15 +42,15 @@
     pub incarnation: u64,
     pub seed: u64,
     /// What it had kept over its restart.
-    pub kept: Option<Known>,
+    pub kept: Option<DiscoveryVersion>,
     /// The largest frame that it takes, in bytes.
     pub largest_frame: usize,
 }
 
-pub struct HollowRouter {
+pub struct SimulatedRouter {
     spec: HollowRouterSpec,
     start: Bootstrap,
-    known: Known,
+    known: DiscoveryVersion,
     conn: Option<ConnectionId>,
     out: Outbox<()>,
     frames: FrameDecoder,
@@ -81,14 +82,14 @@
     }
 }
 
-impl HollowRouter {
+impl SimulatedRouter {
     /// `settings` are those that the edge gives its module for starts.
     pub fn new(
         spec: HollowRouterSpec,
         settings: &Settings,
         followers: Rc<RefCell<Followers>>,
     ) -> Self {
-        HollowRouter {
+        SimulatedRouter {
             // The edge's own seed for it.
             start: Bootstrap::new(spec.seed ^ 0x57, settings),
             known: spec.kept.unwrap_or_default(),
@@ -112,7 +113,7 @@
         if wanted.asks {
             let _ = self
                 .out
-                .push((), &frame(&ToDiscovery::Watch(self.known.watch())));
+                .push((), &encode_frame(&ToDiscovery::Watch(self.known.watch())));
             self.flush(io);
         }
         self.next = wanted.wake.max(now + 1);
@@ -129,10 +130,10 @@
             incarnation,
             age_us: None,
         };
-        let _ = self.out.push((), &frame(&ToDiscovery::Hello(hello)));
+        let _ = self.out.push((), &encode_frame(&ToDiscovery::Hello(hello)));
         let _ = self
             .out
-            .push((), &frame(&ToDiscovery::Watch(self.known.watch())));
+            .push((), &encode_frame(&ToDiscovery::Watch(self.known.watch())));
         self.followers.borrow_mut().calls += 1;
     }
     fn leave(&mut self, io: &mut dyn Io) {
@@ -153,7 +154,7 @@
         }
         self.follow(now, &[DiscoveryEvent::Answered], io);
         let before = self.known;
-        let taken = self.known.take(rows);
+        let taken = self.known.advance(rows);
         let mut followers = self.followers.borrow_mut();
         followers.whole_lists += u64::from(rows.is_full_snapshot);
         if let Some(follower) = followers
@@ -183,7 +184,7 @@
     }
 }
 
-impl Core for HollowRouter {
+impl Core for SimulatedRouter {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         let kept = self.spec.kept.is_some();
         if let Some(follower) = self
--- a/crates/sanddrum-lab/src/stage.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -4,14 +4,14 @@
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
-use sanddrum_edge::{Edge, Start, KEYS};
-use sanddrum_emulator::{Shared, Truth};
+use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
+use sanddrum_emulator::{GroundTruth, Shared};
 use sanddrum_net::{Core, HostId, LinkFault, LinkModel, Micros, VirtualNet};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
 use std::io;
 
-pub trait Stage {
+pub trait Environment {
     fn now(&self) -> Micros;
     fn fleet(&mut self) -> &mut Fleet;
     fn run_until(&mut self, at: Micros) -> io::Result<()>;
@@ -43,14 +43,14 @@
 }
 
 /// Makes the edge that a scenario is played with.
-pub type MakeEdge = Box<dyn Fn(Start) -> Box<dyn Core>>;
+pub type MakeEdge = Box<dyn Fn(EdgeOptions) -> Box<dyn Core>>;
 
 /// The product's edge.
 pub fn product_edge() -> MakeEdge {
     Box::new(|start| Box::new(Edge::new(start)))
 }
 
-pub struct VirtualStage {
+pub struct VirtualEnvironment {
     net: VirtualNet,
     fleet: Fleet,
     hosts: BTreeMap<Who, HostId>,
@@ -61,7 +61,7 @@
 /// Virtual time starts here, well after nought, which stands for long ago.
 const BEGIN: Micros = 1_000_000_000;
 
-impl VirtualStage {
+impl VirtualEnvironment {
     pub fn new(
         scenario: Scenario,
         links: LinkModel,
@@ -79,7 +79,7 @@
         links: LinkModel,
         recording: &Recording,
         make_edge: MakeEdge,
-        truth: Option<Shared<Truth>>,
+        truth: Option<Shared<GroundTruth>>,
     ) -> io::Result<Self> {
         let address = |kind: usize, n: usize| format!("10.{kind}.{}.{}:1000", n / 250, n % 250 + 1);
         let addresses = Addresses {
@@ -93,7 +93,7 @@
         let net = VirtualNet::new(seed, BEGIN, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
         fleet.truth = truth;
-        let mut stage = VirtualStage {
+        let mut stage = VirtualEnvironment {
             net,
             fleet,
             hosts: BTreeMap::new(),
@@ -126,10 +126,10 @@
                     .hosts
                     .get(&who)
                     .and_then(|host| self.net.saved_state(*host));
-                let start = Start {
+                let start = EdgeOptions {
                     settings,
                     seed,
-                    kept,
+                    cached_state: kept,
                     incarnation,
                     metrics_page: None,
                     platform: None,
@@ -174,7 +174,7 @@
         if let (Who::Edge(_), Some(host), Some(keys)) =
             (who, self.hosts.get(&who), self.fleet.keys())
         {
-            self.net.deliver_file(*host, KEYS, Ok(&keys));
+            self.net.deliver_file(*host, KEYS_FILE, Ok(&keys));
         }
     }
     /// Events carried out so far.
@@ -183,7 +183,7 @@
     }
 }
 
-impl Stage for VirtualStage {
+impl Environment for VirtualEnvironment {
     fn now(&self) -> Micros {
         self.net.now()
     }
@@ -199,7 +199,7 @@
             truth
                 .borrow_mut()
                 .0
-                .remove(&sanddrum_wire::id_of(&Scenario::worker_name(n)));
+                .remove(&sanddrum_wire::stable_id(&Scenario::worker_name(n)));
         }
         if let Some(host) = self.hosts.get(&who) {
             self.net.kill(*host);
@@ -255,7 +255,7 @@
             }
             Some(Fault::SilentTo) => (
                 Some(LinkFault {
-                    drops_data: true,
+                    holds_data: true,
                     ..LinkFault::default()
                 }),
                 None,
@@ -263,13 +263,13 @@
             Some(Fault::SilentFrom) => (
                 None,
                 Some(LinkFault {
-                    drops_data: true,
+                    holds_data: true,
                     ..LinkFault::default()
                 }),
             ),
             Some(Fault::Unanswered) => {
                 let bend = Some(LinkFault {
-                    drops_data: true,
+                    holds_data: true,
                     ..LinkFault::default()
                 });
                 (bend, bend)
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -1,12 +1,12 @@
 //! Variants of one scenario on the same seeds, and what their differences are worth.
 
 use crate::baselines::{Baseline, Choice};
+use crate::environment::{product_edge, MakeEdge, VirtualEnvironment};
 use crate::recorder::Recording;
 use crate::scenario::Scenario;
-use crate::stage::{product_edge, MakeEdge, VirtualStage};
 use crate::{play, Outcome};
 use sanddrum_edge::Edge;
-use sanddrum_emulator::Truth;
+use sanddrum_emulator::GroundTruth;
 use sanddrum_net::{LinkModel, Rng};
 use sanddrum_settings::SettingsError;
 use std::cell::RefCell;
@@ -95,7 +95,7 @@
             let remedy = "add (variant \"as built\") and (variant \"another\" (set \"limits.repeats=100%\"))";
             return Err(told("an experiment needs two variants".into(), remedy));
         }
-        let seeds = seeds.unwrap_or(l.size("experiment.seeds") as u64);
+        let seeds = seeds.unwrap_or(l.integer("experiment.seeds") as u64);
         let experiment = Experiment {
             file: file.into(),
             text: text.into(),
@@ -118,7 +118,7 @@
             .calls
             .iter_mut()
             .for_each(|calls| calls.exact = sees_all);
-        let truth = Rc::new(RefCell::new(Truth::default()));
+        let truth = Rc::new(RefCell::new(GroundTruth::default()));
         let make: MakeEdge = match variant.decides {
             None => product_edge(),
             Some(choice) => {
@@ -133,7 +133,7 @@
         let recording = Recording::default();
         let truth = sees_all.then_some(truth);
         let mut stage =
-            VirtualStage::seen_by(scenario, LinkModel::default(), &recording, make, truth)?;
+            VirtualEnvironment::seen_by(scenario, LinkModel::default(), &recording, make, truth)?;
         Ok(Figures::of(&play(&mut stage, &recording)?))
     }
     /// Runs every variant on every seed, on as many threads as are given; `told` hears how many are done. The figures by
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -1,13 +1,13 @@
 //! The cores of a scenario, made as they are needed, with the handles through which it scripts their faults.
 
 use crate::callers::{Callers, Mood};
+use crate::plaintext_capture::{bounds, Authority, PlaintextCapture};
 use crate::recorder::{Recording, Role};
 use crate::scenario::Scenario;
-use crate::tapped::{bounds, Authority, Tapped};
-use crate::wallet::Wallet;
+use crate::token_issuer::TokenIssuer;
 use sanddrum_emulator::{
-    HandshakeWork, ListFaults, ListService, Marks, Shared, Slowed, Store, StoreFaults, Truth,
-    Worker, WorkerFaults,
+    DiscoveryFaults, DiscoveryService, GroundTruth, HandshakeQueue, HandshakeWork, IdempotencyKeys,
+    Shared, Store, StoreFaults, Worker, WorkerFaults,
 };
 use sanddrum_net::{Core, HostId, Micros};
 use sanddrum_settings::{LoadedSettings, SettingsError};
@@ -39,10 +39,10 @@
     pub addresses: Addresses,
     pub workers: Vec<Shared<WorkerFaults>>,
     pub store: Shared<StoreFaults>,
-    pub list: Shared<ListFaults>,
+    pub list: Shared<DiscoveryFaults>,
     pub mood: Shared<Mood>,
     /// Where callers show tokens.
-    pub wallet: Option<Shared<Wallet>>,
+    pub wallet: Option<Shared<TokenIssuer>>,
     /// Where workers are spoken to over TLS: who signs for them, and who did before while both are believed.
     pub authority: Option<Authority>,
     former: Option<Authority>,
@@ -52,9 +52,9 @@
     pub impostors: BTreeSet<usize>,
     pub handshakes: Vec<Shared<HandshakeWork>>,
     /// Where an oracle sees what is true of the workers.
-    pub truth: Option<Shared<Truth>>,
+    pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
-    marks: Vec<Shared<Marks>>,
+    marks: Vec<Shared<IdempotencyKeys>>,
     incarnations: Vec<u64>,
     edge_starts: Vec<u64>,
     list_runs: u64,
@@ -79,10 +79,10 @@
         let l = &scenario.settings;
         let wallet = (l.text("identity.tokens") != "off").then(|| {
             let (lasts, renewed) = (
-                l.span("gateways.token-lasts-us"),
-                l.span("gateways.renewed-every-us"),
+                l.duration_us("gateways.token-lasts-us"),
+                l.duration_us("gateways.renewed-every-us"),
             );
-            shared(Wallet::new(
+            shared(TokenIssuer::new(
                 l.text("identity.audience"),
                 lasts,
                 renewed,
@@ -103,9 +103,9 @@
             truth: None,
             handshakes: (0..scenario.workers)
                 .map(|_| {
-                    let takes = l.span("fleet.handshake-us");
+                    let takes = l.duration_us("fleet.handshake-us");
                     shared(HandshakeWork {
-                        takes,
+                        cost: takes,
                         ..HandshakeWork::default()
                     })
                 })
@@ -115,10 +115,10 @@
                 .map(|_| shared(WorkerFaults::default()))
                 .collect(),
             store: shared(StoreFaults::default()),
-            list: shared(ListFaults::default()),
+            list: shared(DiscoveryFaults::default()),
             mood: shared(Mood::default()),
             marks: (0..scenario.workers.max(1))
-                .map(|_| shared(Marks::new(window)))
+                .map(|_| shared(IdempotencyKeys::new(window)))
                 .collect(),
             wallet,
             incarnations: vec![1; scenario.workers],
@@ -129,7 +129,7 @@
         })
     }
     /// Workers of one group know each other's marks.
-    fn marks_of(&self, n: usize) -> Shared<Marks> {
+    fn marks_of(&self, n: usize) -> Shared<IdempotencyKeys> {
         let groups: Vec<&str> = self
             .scenario
             .calls
@@ -137,7 +137,7 @@
             .map(|c| c.group.as_str())
             .collect();
         let group = if groups.contains(&"cell") {
-            n / self.scenario.settings.size("fleet.cell-size").max(1)
+            n / self.scenario.settings.integer("fleet.cell-size").max(1)
         } else if groups.contains(&"zone") {
             self.scenario.zone_of(n)
         } else {
@@ -168,11 +168,11 @@
             self.marks_of(n),
         );
         let worker = match &self.truth {
-            Some(truth) => worker.seen_by(truth.clone()),
+            Some(truth) => worker.with_ground_truth(truth.clone()),
             None => worker,
         };
         let work = self.handshakes[n].clone();
-        let costs = work.borrow().takes > 0;
+        let costs = work.borrow().cost > 0;
         let worker = if costs {
             worker.with_handshakes(work.clone())
         } else {
@@ -187,15 +187,15 @@
         let host = HostId(usize::MAX - n);
         self.recording.0.borrow_mut().role(host, Role::Worker(n));
         let rules = Rules {
-            sessions: l.size("tls.sessions"),
+            sessions: l.integer("tls.sessions"),
             ..Rules::default()
         };
         let door = Side::new(papers, rules).map_err(std::io::Error::other)?;
-        let tapped = Tapped::new(worker, host, self.recording.clone());
+        let tapped = PlaintextCapture::new(worker, host, self.recording.clone());
         let layer = Layer::new(tapped, bounds(l)).with_doors(door);
-        let (cold, from) = (l.span("rules.cold-us"), l.number("rules.cold-from"));
+        let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
         Ok(if costs {
-            Box::new(Slowed::new(layer, work, started, cold, from))
+            Box::new(HandshakeQueue::new(layer, work, started, cold, from))
         } else {
             Box::new(layer)
         })
@@ -263,7 +263,7 @@
             ..Papers::default()
         };
         let rules = Rules {
-            sessions: l.size("tls.sessions"),
+            sessions: l.integer("tls.sessions"),
             ..Rules::default()
         };
         let calls = Side::new(papers, rules).map_err(std::io::Error::other)?;
@@ -276,8 +276,8 @@
         self.list_runs += 1;
         let (seed, run) = (self.scenario.seed ^ 0x115, self.list_runs);
         let rows = self.scenario.list_rows(&self.addresses.workers);
-        let service = ListService::new(self.scenario.list(), seed, run, self.list.clone());
-        Box::new(service.with_rows(now, &rows))
+        let service = DiscoveryService::new(self.scenario.list(), seed, run, self.list.clone());
+        Box::new(service.with_endpoints(now, &rows))
     }
     /// Callers, and how long they stay for an answer when their time is up.
     pub fn callers(&self, patience: Micros) -> Box<dyn Core> {
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -1,16 +1,16 @@
 //! What the edge costs on this machine: itself beside a bare forwarder on the same loop and codecs, with workers that
 //! answer at once, so that what is left is the edge.
 
-use crate::hammer::{Hammer, HammerSpec, Hammered};
-use crate::tapped::Authority;
+use crate::load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
+use crate::plaintext_capture::Authority;
 use sanddrum::{Decisions, EventBatch, Micros, Router, WorkerId, WorkerState};
-use sanddrum_edge::{DecisionModule, Edge, Start, KEYS};
-use sanddrum_emulator::{ListService, ListSpec};
+use sanddrum_edge::{DecisionModule, Edge, EdgeOptions, KEYS_FILE};
+use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Layer, Rules, Side};
-use sanddrum_wire::frame::frame;
+use sanddrum_wire::frame::encode_frame;
 use sanddrum_wire::{
     Done, EndpointRecord, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
     InstanceState, LoadDone, LoadReport, Phase, ToWorker, VERSION,
@@ -96,7 +96,7 @@
                         }
                         ToWorker::Cancel(_) | ToWorker::Unload(_) => continue,
                     };
-                    out.extend_from_slice(&frame(&answer));
+                    out.extend_from_slice(&encode_frame(&answer));
                 }
                 self.dirty.insert(conn);
             }
@@ -186,7 +186,7 @@
 }
 
 pub struct Measured {
-    pub load: Hammered,
+    pub load: LoadMeasurement,
     /// Processor time of the edge's thread for each call that it answered.
     pub cpu_us_per_call: f64,
 }
@@ -285,7 +285,7 @@
 impl Core for Keyed {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
-        self.core.on_file(now, KEYS, Ok(&self.keys), io);
+        self.core.on_file(now, KEYS_FILE, Ok(&self.keys), io);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         self.core.on_event(now, event, io);
@@ -381,15 +381,17 @@
         }
     };
     let workers = in_thread(stop.clone(), move |driver| {
-        let spec = ListSpec {
-            notice: (0, 0),
-            silent_after: Micros::MAX / 4,
-            changes_kept: 16,
-            whole: 0,
-            change: 0,
-            most: 1024,
+        let spec = DiscoverySpec {
+            min_publish_delay: 0,
+            max_publish_delay: 0,
+            heartbeat_timeout: Micros::MAX / 4,
+            change_history: 16,
+            snapshot_cost: 0,
+            delta_cost: 0,
+            max_pending_calls: 1024,
         };
-        let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
+        let list = DiscoveryService::new(spec, 1, 1, Default::default())
+            .with_endpoints(driver.now(), &rows);
         driver.add(Box::new(list), vec![list_door], None)?;
         let Some(terms) = worker_terms else {
             return driver
@@ -445,10 +447,10 @@
         .name(format!("edge-{decides:?}"))
         .spawn(move || -> io::Result<()> {
             let mut driver = EventLoop::new(Box::new(NullObserver))?;
-            let start = Start {
+            let start = EdgeOptions {
                 settings,
                 seed: 1,
-                kept: None,
+                cached_state: None,
                 incarnation: 1,
                 metrics_page: None,
                 platform: None,
@@ -495,7 +497,7 @@
         wait(&mut driver, 200_000 + spec.idle_clients as Micros * 100)?;
     }
     wait(&mut driver, 300_000)?;
-    let spec_of = |tokens: Vec<String>| HammerSpec {
+    let spec_of = |tokens: Vec<String>| LoadGeneratorSpec {
         edge: edge_at.clone(),
         workload: "job".into(),
         function: "f".into(),
@@ -518,17 +520,17 @@
             .take(1)
             .map(|token| format!("{token}AAAA"))
             .collect();
-        let spec = HammerSpec {
+        let spec = LoadGeneratorSpec {
             connections: spec.flood,
             rate: 0.0,
             reopens: true,
             ..spec_of(bad)
         };
         driver
-            .add(Box::new(Hammer::new(spec)), vec![], None)
+            .add(Box::new(LoadGenerator::new(spec)), vec![], None)
             .map_err(text)?;
     }
-    let hammer = Hammer::new(spec_of(tokens));
+    let hammer = LoadGenerator::new(spec_of(tokens));
     let seen = hammer.seen.clone();
     let host = match client_side {
         Some(side) => driver.add(
@@ -556,7 +558,7 @@
             .map_err(|_| "a thread panicked".to_string())?
             .map_err(text)?;
     }
-    let load = std::mem::replace(&mut *seen.borrow_mut(), Hammered::empty());
+    let load = std::mem::replace(&mut *seen.borrow_mut(), LoadMeasurement::empty());
     let cpu_us_per_call = (after - before) / load.finished.max(1) as f64;
     Ok(Measured {
         load,
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -1,12 +1,12 @@
 //! A scenario's fleet on loopback sockets: stand-ins and callers on one loop, edges beside them or as processes.
 
+use crate::environment::{Environment, MakeEdge};
 use crate::fleet::{Addresses, Fleet, Who};
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
-use crate::stage::{MakeEdge, Stage};
 use rustix::process::{kill_process, Pid, Signal};
-use sanddrum_edge::{Edge, Start, KEYS};
+use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, HostId, Micros};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
     }
 }
 
-pub struct SocketStage {
+pub struct SocketEnvironment {
     driver: EventLoop,
     fleet: Fleet,
     hosts: BTreeMap<Who, HostId>,
@@ -47,7 +47,7 @@
 /// A port that was taken in between is waited for so long.
 const PORT_WAIT: Micros = 2_000_000;
 
-impl SocketStage {
+impl SocketEnvironment {
     /// Sets everything up on loopback ports that the system chooses; `folder` takes the edges' state files.
     pub fn new(
         scenario: Scenario,
@@ -94,7 +94,7 @@
             store: bind(Who::Store)?,
         };
         let fleet = Fleet::new(scenario, addresses, recording)?;
-        let mut stage = SocketStage {
+        let mut stage = SocketEnvironment {
             driver,
             fleet,
             hosts: BTreeMap::new(),
@@ -158,7 +158,11 @@
         if self.fleet.authority.is_none() {
             return;
         }
-        let every = self.fleet.scenario.settings.span("tls.watch-every-us");
+        let every = self
+            .fleet
+            .scenario
+            .settings
+            .duration_us("tls.watch-every-us");
         match who {
             // An impostor shows what it came with.
             Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
@@ -189,8 +193,13 @@
     }
     fn watch_keys(&mut self, who: Who, host: HostId) {
         if self.fleet.wallet.is_some() && matches!(who, Who::Edge(_)) {
-            let every = self.fleet.scenario.settings.span("identity.watch-every-us");
-            self.driver.watch_file(host, KEYS, self.keys_file(), every);
+            let every = self
+                .fleet
+                .scenario
+                .settings
+                .duration_us("identity.watch-every-us");
+            self.driver
+                .watch_file(host, KEYS_FILE, self.keys_file(), every);
         }
     }
     fn state_file(&self, who: Who) -> Option<PathBuf> {
@@ -238,10 +247,10 @@
                 let kept = self
                     .state_file(who)
                     .and_then(|file| std::fs::read(file).ok());
-                let start = Start {
+                let start = EdgeOptions {
                     settings,
                     seed,
-                    kept,
+                    cached_state: kept,
                     incarnation,
                     metrics_page: None,
                     platform: None,
@@ -302,7 +311,7 @@
     }
 }
 
-impl Drop for SocketStage {
+impl Drop for SocketEnvironment {
     fn drop(&mut self) {
         for child in self.children.values_mut() {
             let _ = child.kill();
@@ -311,7 +320,7 @@
     }
 }
 
-impl Stage for SocketStage {
+impl Environment for SocketEnvironment {
     fn now(&self) -> Micros {
         self.driver.now()
     }
--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -10,7 +10,7 @@
     FunctionId, GossipMessage, HealthCheckResult, KindId, LoadReport, LoadResult, Micros, Outcome,
     PeerId, Request, Router, Settings, Warmth, WorkerId, WorkerState, WorkloadId, ZoneId,
 };
-use sanddrum_platform_config::{self as platform_config, id_of};
+use sanddrum_platform_config::{self as platform_config, stable_id};
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
@@ -168,7 +168,7 @@
     fn read_request(&mut self, fields: Fields) -> Result<(), DecodeError> {
         let name = fields.text(2, "rid")?;
         let function_name = fields.text(5, "function")?;
-        let function = FunctionId(id_of(function_name));
+        let function = FunctionId(stable_id(function_name));
         let options = fields.number_or_zero(9, "opts")? as u64;
         let has_hint = options & OPTION_WORK_HINT != 0;
         self.names.add_function(function, function_name);
@@ -203,7 +203,7 @@
         self.batch.attempt_results.push(AttemptResult {
             request,
             attempt: fields.number(3, "attempt")? as usize,
-            worker: WorkerId(id_of(fields.text(4, "server")?)),
+            worker: WorkerId(stable_id(fields.text(4, "server")?)),
             outcome: read_outcome(fields.text(5, "state-code")?)?,
             latency: fields.number_or_zero(6, "latency-us")? as Micros,
             is_final,
@@ -233,7 +233,7 @@
 
     fn read_health_check_result(&mut self, fields: Fields) -> Result<(), DecodeError> {
         self.batch.health_check_results.push(HealthCheckResult {
-            worker: WorkerId(id_of(fields.text(2, "server")?)),
+            worker: WorkerId(stable_id(fields.text(2, "server")?)),
             outcome: read_outcome(fields.text(3, "state-code")?)?,
             latency: fields.number_or_zero(4, "latency-us")? as Micros,
             report: read_report(&self.report_fields, fields.get(5)),
@@ -263,7 +263,8 @@
 }
 
 fn read_settings(info: &Json) -> Result<Settings, DecodeError> {
-    platform_config::settings(info).map_err(|error| DecodeError::Settings(error.to_string()))
+    platform_config::decision_settings(info)
+        .map_err(|error| DecodeError::Settings(error.to_string()))
 }
 
 fn read_start(fields: Fields) -> Result<Instance, DecodeError> {
@@ -275,7 +276,7 @@
     Ok(Instance {
         router: Router::new(seed, &settings),
         batch: EventBatch::default(),
-        report_fields: platform_config::report_fields(info),
+        report_fields: platform_config::load_report_fields(info),
         reports_function_in_flight: info["family-info"]["tells-crowd"].as_bool() == Some(true),
         names: Names::default(),
     })
@@ -291,7 +292,7 @@
     };
     let name = fields.text(5, "server")?;
     let endpoint = Endpoint {
-        worker: WorkerId(id_of(name)),
+        worker: WorkerId(stable_id(name)),
         zone: ZoneId(fields.number_or_zero(6, "locality")? as usize),
         cell: CellId(fields.number_or_zero(3, "cohort")? as usize),
         kind: KindId(fields.number_or_zero(0, "hw")? as usize),
@@ -307,8 +308,8 @@
 
 fn read_load_result(fields: Fields) -> Result<LoadResult, DecodeError> {
     Ok(LoadResult {
-        worker: WorkerId(id_of(fields.text(2, "server")?)),
-        function: FunctionId(id_of(fields.text(3, "function")?)),
+        worker: WorkerId(stable_id(fields.text(2, "server")?)),
+        function: FunctionId(stable_id(fields.text(3, "function")?)),
         outcome: read_outcome(fields.text(4, "state-code")?)?,
         latency: fields.number_or_zero(5, "latency-us")? as Micros,
         instances: fields.number_or_zero(6, "count")? as u32,
@@ -341,7 +342,7 @@
 fn read_report(names: &[String], values: &Json) -> Option<LoadReport> {
     let values = values.as_array()?.iter().map(Json::as_f64);
     let names = names.iter().map(String::as_str);
-    Some(platform_config::report(names.zip(values)))
+    Some(platform_config::load_report(names.zip(values)))
 }
 
 fn warmth_of(note: u32) -> Warmth {
