--- a/src/logic.rs
+++ b/src/logic.rs
@@ -30,12 +30,13 @@
 use crate::config::{Config, WorkloadConfig};
 use crate::rendezvous::RendezvousTree;
 use crate::state::{
-    FleetMedians, Functions, HintCalibration, PendingRequest, RunningMean, Timer, Worker,
+    FleetMedians, FleetView, Functions, HintCalibration, LoadBudget, LoadTimes, PendingRequest,
+    RunningMean, Timer, Worker,
 };
 use crate::statistics::hash_of;
-use crate::{Decisions, EventBatch, FunctionId, Micros, RequestId, Settings, WorkerId, WorkloadId};
+use crate::{Decisions, EventBatch, Micros, RequestId, Settings, WorkerId, WorkloadId};
 use constants::{EVICTION_KEEP_ALIVES, MIN_PREFERRED, SWEEPS_PER_OBJECTIVE};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// One router of the fleet: records events and decides where requests go.
 #[derive(Default)]
@@ -54,8 +55,8 @@
     /// Listed workers, by when they reported.
     by_report_time: BTreeSet<(Micros, WorkerId)>,
     ejected_workers: BTreeSet<WorkerId>,
-    /// Most workers look ejected, which is then not believed.
-    is_in_panic_mode: bool,
+    /// As of the last sweep: for each request it would cost too much.
+    fleet: FleetView,
 
     functions: Functions,
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -70,12 +71,6 @@
     /// The instant at which the host was last asked to call again.
     wake_at: Micros,
 
-    /// As of the last sweep: for each request they would cost too much.
-    medians: FleetMedians,
-    /// The share of requests that waits for a core at the median worker.
-    queued_fraction: f64,
-    /// Whether any report is recent enough to judge overload by.
-    has_recent_report: bool,
     /// The share of new requests that is admitted under overload.
     admitted_fraction: f64,
 
@@ -83,9 +78,7 @@
     retry_budget: f64,
     /// Queries for instances that may still be made.
     query_budget: f64,
-    /// New requests and load commands within the load budget's window.
-    budgeted_requests: VecDeque<Micros>,
-    budgeted_loads: VecDeque<Micros>,
+    load_budget: LoadBudget,
 
     /// Work that arrives, in microseconds a microsecond, and when that was last updated.
     work_rate: f64,
@@ -99,15 +92,7 @@
     workload_work: BTreeMap<WorkloadId, RunningMean>,
     hint_calibration: HintCalibration,
 
-    /// The time of a load, in microseconds; zero if none was observed.
-    load_us: f64,
-    /// The time of loads of late as a multiple of the usual, and when that was last updated.
-    load_speed_factor: f64,
-    load_speed_factor_at: Micros,
-    /// The function whose load failed last.
-    last_failed_load: Option<FunctionId>,
-    /// No load is commanded before this instant.
-    load_backoff_until: Micros,
+    load_times: LoadTimes,
 }
 
 impl Router {
@@ -117,12 +102,18 @@
         let mut router = Router {
             settings: settings.clone(),
             seed,
-            medians: FleetMedians {
+            fleet: FleetView {
+                medians: FleetMedians {
+                    speed_factor: 1.0,
+                    congestion: 1.0,
+                    ..FleetMedians::default()
+                },
+                ..FleetView::default()
+            },
+            load_times: LoadTimes {
                 speed_factor: 1.0,
-                congestion: 1.0,
-                ..FleetMedians::default()
+                ..LoadTimes::default()
             },
-            load_speed_factor: 1.0,
             admitted_fraction: 1.0,
             query_budget: MIN_PREFERRED as f64,
             config,
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -45,7 +45,7 @@
         let draw = unit_interval(hash_of((self.seed, placement.request.id)));
         let penalty = if placement.is_valuable { 0.0 } else { 1.0 };
         let admitted_fraction = 2.0 * self.admitted_fraction - penalty;
-        is_new && self.is_overloaded() && draw > admitted_fraction && self.has_recent_report
+        is_new && self.is_overloaded() && draw > admitted_fraction && self.fleet.has_recent_report
     }
 
     /// Guards against requests that try one full worker after the other, six times what is finished.
--- a/src/logic/candidates.rs
+++ b/src/logic/candidates.rs
@@ -199,7 +199,7 @@
     /// A random draw by which the least of several workers is each with a probability in proportion to its size over
     /// its requests in flight.
     pub(super) fn weighted_random(&self, draw: u64, worker: &Worker) -> f64 {
-        let in_flight = 1.0 + worker.in_flight_per_size(self.now, self.medians.in_flight);
+        let in_flight = 1.0 + worker.in_flight_per_size(self.now, self.fleet.medians.in_flight);
         let uniform = unit_interval(tie_break(FunctionId(draw), worker.endpoint.worker));
         -uniform.ln() / worker.positive_size() * in_flight
     }
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -77,7 +77,7 @@
             return;
         };
         let request = &pending.request;
-        let median_work_us = self.expected_work(request) * self.medians.speed_factor;
+        let median_work_us = self.expected_work(request) * self.fleet.medians.speed_factor;
         let expected = (median_work_us * IN_TIME_MARGIN) as Micros;
         let objective_at = pending.arrived_at + self.latency_objective(request.workload);
         if self.now + expected < objective_at {
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -65,9 +65,9 @@
     /// The time of loads of late as a multiple of the usual.
     pub(super) fn load_speed_factor_now(&self) -> f64 {
         decayed(
-            self.load_speed_factor,
+            self.load_times.speed_factor,
             1.0,
-            self.now - self.load_speed_factor_at,
+            self.now - self.load_times.speed_factor_at,
             SPEED_FACTOR_DECAY_US,
         )
     }
--- a/src/logic/load_budget.rs
+++ b/src/logic/load_budget.rs
@@ -19,31 +19,31 @@
         }
         let mut instance = self.functions.instance(id, worker);
         let is_cold = instance.instances == 0;
-        if instance.command.is_some() || (is_cold && self.now < self.load_backoff_until) {
+        if instance.command.is_some() || (is_cold && self.now < self.load_times.backoff_until) {
             return false;
         }
         instance.command = Some(InstanceCommand::Load);
         self.functions.set_instance(id, worker, instance);
-        self.budgeted_loads.push_back(self.now);
+        self.load_budget.commands.push_back(self.now);
         out.load(worker, id, instances);
         true
     }
 
     fn has_load_budget(&mut self) -> bool {
         let window = self.config.load_budget_window;
-        remove_until(&mut self.budgeted_requests, self.now - window);
-        remove_until(&mut self.budgeted_loads, self.now - window);
-        let requests = self.budgeted_requests.len() as f64;
+        remove_until(&mut self.load_budget.requests, self.now - window);
+        remove_until(&mut self.load_budget.commands, self.now - window);
+        let requests = self.load_budget.requests.len() as f64;
         let budget = self.config.load_budget_base + self.config.load_budget_per_request * requests;
-        window <= 0 || (self.budgeted_loads.len() + 1) as f64 <= budget
+        window <= 0 || (self.load_budget.commands.len() + 1) as f64 <= budget
     }
 
     /// Counts a new request, by which the load budget grows.
     pub(super) fn count_request_for_load_budget(&mut self) {
         let window = self.config.load_budget_window;
         if self.config.may_command_loads && window > 0 {
-            remove_until(&mut self.budgeted_requests, self.now - window);
-            self.budgeted_requests.push_back(self.now);
+            remove_until(&mut self.load_budget.requests, self.now - window);
+            self.load_budget.requests.push_back(self.now);
         }
     }
 }
--- a/src/logic/load_results.rs
+++ b/src/logic/load_results.rs
@@ -58,10 +58,10 @@
     /// Guards against a store that rejects loads: what failed for several functions is not commanded again at once by
     /// all routers. A single function that fails may itself be at fault.
     fn record_failed_load(&mut self, id: FunctionId, load_us: f64) {
-        let last_failed = self.last_failed_load.replace(id);
+        let last_failed = self.load_times.last_failed.replace(id);
         if last_failed.is_some_and(|other| other != id) {
             let jitter = 0.5 + unit_interval(self.random_draw());
-            self.load_backoff_until = self.now + (load_us * jitter) as Micros;
+            self.load_times.backoff_until = self.now + (load_us * jitter) as Micros;
         }
     }
 
@@ -72,12 +72,12 @@
             return;
         };
         let observed = (observed_us / function.load_us.max(1.0)).min(MAX_SPEED_FACTOR);
-        self.load_speed_factor = speed_factor + EWMA_WEIGHT * (observed - speed_factor);
-        self.load_speed_factor_at = self.now;
-        let usual_us = observed_us / self.load_speed_factor;
+        self.load_times.speed_factor = speed_factor + EWMA_WEIGHT * (observed - speed_factor);
+        self.load_times.speed_factor_at = self.now;
+        let usual_us = observed_us / self.load_times.speed_factor;
         function.load_us += EWMA_WEIGHT / 4.0 * (usual_us - function.load_us);
-        self.load_us += if self.load_us > 0.0 {
-            EWMA_WEIGHT / 4.0 * (usual_us - self.load_us)
+        self.load_times.usual_us += if self.load_times.usual_us > 0.0 {
+            EWMA_WEIGHT / 4.0 * (usual_us - self.load_times.usual_us)
         } else {
             usual_us
         };
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -47,8 +47,8 @@
         let now = self.now;
         let keep_alive_us = self.config.keep_alive as f64;
         let objective_us = self.latency_objective(request.workload) as f64;
-        let usual_load_us = if self.load_us > 0.0 {
-            self.load_us
+        let usual_load_us = if self.load_times.usual_us > 0.0 {
+            self.load_times.usual_us
         } else {
             objective_us
         };
--- a/src/logic/overload.rs
+++ b/src/logic/overload.rs
@@ -5,7 +5,7 @@
     REPORT_DECAY_US, SAMPLED_REPORTS, SLOW_FACTOR, UNEVEN_FACTOR,
 };
 use super::Router;
-use crate::state::{FleetMedians, Worker};
+use crate::state::{FleetMedians, FleetView, Worker};
 use crate::statistics::median;
 use crate::{Micros, WorkerState};
 
@@ -25,13 +25,13 @@
             .filter(|worker| worker.is_ready())
             .take(SAMPLED_REPORTS)
             .collect();
-        let medians = self.medians_of(&sample);
         let reports = self.recent_queue_reports(&sample);
-        let has_recent_report = self.has_recent_report(&reports);
-        let queued_fraction = self.median_queued_fraction(&reports, sample.len());
-        self.medians = medians;
-        self.has_recent_report = has_recent_report;
-        self.queued_fraction = queued_fraction;
+        let mut fleet = FleetView {
+            medians: self.medians_of(&sample),
+            queued_fraction: self.median_queued_fraction(&reports, sample.len()),
+            has_recent_report: self.has_recent_report(&reports),
+            is_in_panic_mode: false,
+        };
         let workers = &self.workers;
         self.ejected_workers.retain(|id| {
             workers
@@ -39,7 +39,8 @@
                 .is_some_and(|w| w.is_ejected && w.endpoint.state == WorkerState::Ready)
         });
         // Where most workers look ejected, this router's own view is the likelier cause; the rest would drown.
-        self.is_in_panic_mode = self.ejected_workers.len() * 2 > self.ready_workers.len();
+        fleet.is_in_panic_mode = self.ejected_workers.len() * 2 > self.ready_workers.len();
+        self.fleet = fleet;
     }
 
     fn medians_of(&self, sample: &[&Worker]) -> FleetMedians {
@@ -101,13 +102,14 @@
 
     /// Whether the median worker is overloaded.
     pub(super) fn is_overloaded(&self) -> bool {
-        self.medians.congestion > OVERLOAD_FACTOR || self.queued_fraction > QUEUED_FRACTION_LIMIT
+        self.fleet.medians.congestion > OVERLOAD_FACTOR
+            || self.fleet.queued_fraction > QUEUED_FRACTION_LIMIT
     }
 
     /// Whether loads take longer than announced or usual: the store or the load queues are congested.
     pub(super) fn are_loads_congested(&self) -> bool {
         self.load_speed_factor_now() > OVERLOAD_FACTOR
-            || self.medians.loads_in_progress > CONGESTED_LOADS
+            || self.fleet.medians.loads_in_progress > CONGESTED_LOADS
     }
 
     /// Guards against what this router cannot see, the others' requests: a worker reports far more in flight than the
@@ -117,10 +119,10 @@
             .attempts
             .iter()
             .any(|a| a.overdue_at <= self.now && worker.reported_at < a.overdue_at);
-        let median = self.medians.in_flight;
+        let median = self.fleet.medians.in_flight;
         let is_uneven = worker.in_flight_per_size(self.now, median) > UNEVEN_FACTOR * median;
         let slow = (CONGESTION_FACTOR * worker.baseline_speed_factor)
-            .min(SLOW_FACTOR * self.medians.speed_factor);
+            .min(SLOW_FACTOR * self.fleet.medians.speed_factor);
         is_overdue
             || is_uneven
             || worker.congested_until > self.now
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -90,7 +90,7 @@
             is_hedge: in_flight > 0,
             was_last_rejected: pending.was_last_rejected(),
             work_us,
-            median_work_us: work_us * self.medians.speed_factor,
+            median_work_us: work_us * self.fleet.medians.speed_factor,
             time_left,
             objective_left,
             time_budget: self.time_budget(time_left, objective_left),
--- a/src/logic/retry_policy.rs
+++ b/src/logic/retry_policy.rs
@@ -9,7 +9,7 @@
     /// Whether an attempt of the request may be dispatched to a worker: it is ready, not ejected, has no other attempt
     /// of the request in flight, and the request may run there again if it may have run before.
     pub(super) fn allows_attempt(&self, pending: &PendingRequest, to: &Worker) -> bool {
-        let is_healthy = !to.is_ejected || self.is_in_panic_mode;
+        let is_healthy = !to.is_ejected || self.fleet.is_in_panic_mode;
         let is_there = |a: &Attempt| a.is_in_flight() && a.worker == to.endpoint.worker;
         if to.endpoint.state != WorkerState::Ready
             || !is_healthy
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,7 +8,8 @@
 pub(crate) use request::{Attempt, AttemptStatus, PendingRequest};
 pub(crate) use worker::{InFlightAttempt, Worker};
 
-use crate::{FunctionId, RequestId, WorkerId};
+use crate::{FunctionId, Micros, RequestId, WorkerId};
+use std::collections::VecDeque;
 
 /// What is to be done at an instant. Timers of one instant fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,6 +37,43 @@
     pub in_flight: f64,
 }
 
+/// What is known of the fleet as a whole.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct FleetView {
+    /// Medians of the workers.
+    pub medians: FleetMedians,
+    /// The fraction of requests that waits for a core at the median worker.
+    pub queued_fraction: f64,
+    /// Whether any load report is recent enough to judge overload by.
+    pub has_recent_report: bool,
+    /// Most workers are ejected, which is then taken for a fault of this router's own view.
+    pub is_in_panic_mode: bool,
+}
+
+/// What counts towards the load budget: the instants within its window.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct LoadBudget {
+    /// New requests.
+    pub requests: VecDeque<Micros>,
+    /// Load commands.
+    pub commands: VecDeque<Micros>,
+}
+
+/// What is known of loads of any function at any worker.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct LoadTimes {
+    /// The usual time of a load, in microseconds; zero if none was observed.
+    pub usual_us: f64,
+    /// The time of loads of late as a multiple of the usual.
+    pub speed_factor: f64,
+    /// When a load was last observed.
+    pub speed_factor_at: Micros,
+    /// The function whose load failed last.
+    pub last_failed: Option<FunctionId>,
+    /// No load is commanded before this instant.
+    pub backoff_until: Micros,
+}
+
 /// An arithmetic mean that can be continued as an exponentially weighted one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
