--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -125,7 +125,7 @@
         assert!(n > 0, "closed before its end: {text}");
         bytes.extend_from_slice(&piece[..n]);
         while let Some((record, took)) = Record::read(&bytes).unwrap() {
-            match record.kind {
+            match record.record_type {
                 RecordType::EndRequest => return text,
                 _ => text.push_str(&String::from_utf8_lossy(record.content)),
             }
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -308,7 +308,7 @@
         let mut piece = [0; 4096];
         loop {
             while let Some((record, took)) = Record::read(&self.bytes).unwrap() {
-                let (kind, id, content) = (record.kind, record.id, record.content.to_vec());
+                let (kind, id, content) = (record.record_type, record.id, record.content.to_vec());
                 self.bytes.drain(..took);
                 match kind {
                     RecordType::EndRequest => {
--- a/crates/sanddrum-edge/tests/host/platform.rs
+++ b/crates/sanddrum-edge/tests/host/platform.rs
@@ -41,7 +41,7 @@
         Vec::new(),
     );
     while let Some((record, took)) = Record::read(&bytes[at..]).unwrap() {
-        match record.kind {
+        match record.record_type {
             RecordType::Stdout => texts
                 .entry(record.id)
                 .or_default()
--- a/crates/sanddrum-edge/tests/platform_net.rs
+++ b/crates/sanddrum-edge/tests/platform_net.rs
@@ -161,7 +161,7 @@
             Event::Bytes { bytes, .. } => {
                 self.bytes.extend_from_slice(bytes);
                 while let Some((record, took)) = Record::read(&self.bytes).unwrap() {
-                    match record.kind {
+                    match record.record_type {
                         RecordType::Stdout => {
                             let text = String::from_utf8_lossy(record.content).into_owned();
                             self.open.get_mut(&record.id).unwrap().1.push_str(&text);
--- a/crates/sanddrum-fastcgi/src/lib.rs
+++ b/crates/sanddrum-fastcgi/src/lib.rs
@@ -1,25 +1,21 @@
-//! FastCGI 1.0 (the specification of 29 April 1996), the Responder's side, without I/O. Bytes go into a [`Responder`],
-//! whole requests come out of it, many at a time on one connection; [`answer`] and [`end`] write what goes back. All that
-//! is held of what has not come whole is bounded by [`ResponderLimits`].
-
-#![allow(missing_docs)] // unfinished: docs/ROADMAP.md
+//! FastCGI 1.0 (the specification of 29 April 1996) in the Responder role, without I/O. Section numbers in this package
+//! are the specification's.
+//!
+//! Bytes received from a web server go into a [`Responder`], and complete requests come out of it, many at a time on one
+//! connection; [`encode_response`] and [`encode_end_request`] encode what is sent back. What is buffered of incomplete
+//! requests is bounded by [`ResponderLimits`]. The `write_*` functions are the web server's side, for tests and load
+//! generators.
 
+mod params;
 mod record;
+mod request;
 mod responder;
 
+pub use params::encode_params;
 pub use record::{
-    encode_end_request, encode_header, encode_params, encode_response, write_begin_request,
-    write_end_request, write_stream, Record, RecordType, HEADER_BYTES, MAX_CONTENT_BYTES,
-};
-pub use responder::{
-    ProtocolError, RejectReason, Request, Responder, ResponderEvent, ResponderLimits,
+    encode_end_request, encode_header, encode_response, write_begin_request, write_end_request,
+    write_stream, ProtocolStatus, Record, RecordType, UnsupportedVersion, HEADER_BYTES,
+    MAX_CONTENT_BYTES,
 };
-
-/// How the application ended a request (section 5.5).
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProtocolStatus {
-    RequestComplete = 0,
-    CantMultiplex = 1,
-    Overloaded = 2,
-    UnknownRole = 3,
-}
+pub use request::Request;
+pub use responder::{ProtocolError, RejectReason, Responder, ResponderEvent, ResponderLimits};
--- a/crates/sanddrum-fastcgi/src/record.rs
+++ b/crates/sanddrum-fastcgi/src/record.rs
@@ -1,31 +1,47 @@
-//! Records (section 3.3) and name-value pairs (section 3.4), written and read.
-
-use crate::ProtocolStatus;
+//! Records (section 3.3), decoded and encoded.
 
 /// Bytes of a record's header.
 pub const HEADER_BYTES: usize = 8;
-/// The longest content of a record.
+/// The longest content of a record in bytes.
 pub const MAX_CONTENT_BYTES: usize = 0xffff;
+/// The version of the protocol (FCGI_VERSION_1).
 const VERSION: u8 = 1;
+/// The Responder role in a begin-request record (FCGI_RESPONDER).
+pub(crate) const ROLE_RESPONDER: u16 = 1;
+/// The flag that keeps the connection open after the request (FCGI_KEEP_CONN).
+pub(crate) const FLAG_KEEP_CONNECTION: u8 = 1;
 
-/// The record types of section 8, as far as they are spoken here.
+/// The record types of section 8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordType {
+    /// FCGI_BEGIN_REQUEST (section 5.1).
     BeginRequest,
+    /// FCGI_ABORT_REQUEST (section 5.4).
     AbortRequest,
+    /// FCGI_END_REQUEST (section 5.5).
     EndRequest,
+    /// FCGI_PARAMS (section 5.2).
     Params,
+    /// FCGI_STDIN (section 5.3).
     Stdin,
+    /// FCGI_STDOUT (section 5.3).
     Stdout,
+    /// FCGI_STDERR (section 5.3).
     Stderr,
+    /// FCGI_DATA (section 5.3).
     Data,
+    /// FCGI_GET_VALUES (section 4.1).
     GetValues,
+    /// FCGI_GET_VALUES_RESULT (section 4.1).
     GetValuesResult,
+    /// FCGI_UNKNOWN_TYPE (section 4.2).
     UnknownType,
+    /// A type that the specification does not know, by its code.
     Other(u8),
 }
 
 impl RecordType {
+    /// The known types in the order of their codes, which begin at one.
     const KNOWN: [RecordType; 11] = [
         RecordType::BeginRequest,
         RecordType::AbortRequest,
@@ -39,98 +55,145 @@
         RecordType::GetValuesResult,
         RecordType::UnknownType,
     ];
-    pub fn from_code(number: u8) -> RecordType {
-        let known = usize::from(number)
+
+    /// The type with this code.
+    pub fn from_code(code: u8) -> RecordType {
+        let known = usize::from(code)
             .checked_sub(1)
-            .and_then(|n| RecordType::KNOWN.get(n));
-        known.copied().unwrap_or(RecordType::Other(number))
+            .and_then(|index| RecordType::KNOWN.get(index));
+        known.copied().unwrap_or(RecordType::Other(code))
     }
+
+    /// The type's code.
     pub fn code(self) -> u8 {
         match self {
-            RecordType::Other(number) => number,
+            RecordType::Other(code) => code,
             known => RecordType::KNOWN
                 .iter()
-                .position(|k| *k == known)
-                .map_or(0, |n| n as u8 + 1),
+                .position(|record_type| *record_type == known)
+                .map_or(0, |index| index as u8 + 1),
         }
     }
 }
 
-/// One record, as it lies in the bytes that came.
+/// How the application ended a request: protocolStatus in section 5.5.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProtocolStatus {
+    /// FCGI_REQUEST_COMPLETE: the request was processed.
+    RequestComplete = 0,
+    /// FCGI_CANT_MPX_CONN: rejected, as the application processes one request per connection.
+    CantMultiplex = 1,
+    /// FCGI_OVERLOADED: rejected, as the application is overloaded.
+    Overloaded = 2,
+    /// FCGI_UNKNOWN_ROLE: rejected, as the application does not know the role.
+    UnknownRole = 3,
+}
+
+/// A record of another version than FastCGI 1.0. What follows it can't be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("version {0} is not FastCGI 1.0")]
+pub struct UnsupportedVersion(
+    /// The version in the record's header.
+    pub u8,
+);
+
+/// One record, which borrows its content from the bytes received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    pub kind: RecordType,
+    /// The record's type.
+    pub record_type: RecordType,
+    /// The id of the request that it belongs to; zero for management records.
     pub id: u16,
+    /// Its content, without padding.
     pub content: &'a [u8],
 }
 
 impl<'a> Record<'a> {
-    /// The record at the front of `bytes` and how many bytes it took; `None` until more have come.
+    /// Decodes the record at the front of `bytes` and returns it with its length in bytes, header and padding included;
+    /// `None` until more bytes are received.
     ///
     /// # Errors
-    /// The version is not 1: what follows has no meaning.
-    pub fn read(bytes: &'a [u8]) -> Result<Option<(Record<'a>, usize)>, u8> {
+    /// [`UnsupportedVersion`], as soon as the first byte is received.
+    pub fn read(bytes: &'a [u8]) -> Result<Option<(Record<'a>, usize)>, UnsupportedVersion> {
         match bytes.first() {
-            Some(version) if *version != VERSION => return Err(*version),
+            Some(version) if *version != VERSION => return Err(UnsupportedVersion(*version)),
             _ => {}
         }
-        let Some((head, rest)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+        let Some((header, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
-        let [_, kind, id1, id0, length1, length0, padding, _] = *head;
-        let length = usize::from(u16::from_be_bytes([length1, length0]));
-        let Some(content) = rest.get(..length) else {
-            return Ok(None);
-        };
-        if rest.len() < length + usize::from(padding) {
+        let [_version, code, id1, id0, length1, length0, padding, _reserved] = *header;
+        let content_length = usize::from(u16::from_be_bytes([length1, length0]));
+        let body_length = content_length + usize::from(padding);
+        if body.len() < body_length {
             return Ok(None);
         }
         let record = Record {
-            kind: RecordType::from_code(kind),
+            record_type: RecordType::from_code(code),
             id: u16::from_be_bytes([id1, id0]),
-            content,
+            content: &body[..content_length],
         };
-        Ok(Some((record, HEADER_BYTES + length + usize::from(padding))))
+        Ok(Some((record, HEADER_BYTES + body_length)))
     }
 }
 
-pub fn encode_header(kind: RecordType, id: u16, length: usize) -> [u8; HEADER_BYTES] {
+/// Encodes the header of a record without padding whose content has `length` bytes, at most [`MAX_CONTENT_BYTES`].
+pub fn encode_header(record_type: RecordType, id: u16, length: usize) -> [u8; HEADER_BYTES] {
     let [id1, id0] = id.to_be_bytes();
     let [length1, length0] = (length.min(MAX_CONTENT_BYTES) as u16).to_be_bytes();
-    [VERSION, kind.code(), id1, id0, length1, length0, 0, 0]
+    [
+        VERSION,
+        record_type.code(),
+        id1,
+        id0,
+        length1,
+        length0,
+        0,
+        0,
+    ]
 }
 
-fn write_record(out: &mut Vec<u8>, kind: RecordType, id: u16, content: &[u8]) {
-    out.extend_from_slice(&encode_header(kind, id, content.len()));
+pub(crate) fn write_record(out: &mut Vec<u8>, record_type: RecordType, id: u16, content: &[u8]) {
+    out.extend_from_slice(&encode_header(record_type, id, content.len()));
     out.extend_from_slice(content);
 }
 
-/// A stream's content in as many records as it takes, and the empty one that ends it.
-pub fn write_stream(out: &mut Vec<u8>, kind: RecordType, id: u16, content: &[u8]) {
-    for piece in content.chunks(MAX_CONTENT_BYTES) {
-        write_record(out, kind, id, piece);
+/// Writes a stream: its content in as many records as needed, and the empty record that ends it.
+pub fn write_stream(out: &mut Vec<u8>, record_type: RecordType, id: u16, content: &[u8]) {
+    for chunk in content.chunks(MAX_CONTENT_BYTES) {
+        write_record(out, record_type, id, chunk);
     }
-    write_record(out, kind, id, &[]);
+    write_record(out, record_type, id, &[]);
 }
 
-/// A request's end: the last of it.
+/// Writes the begin-request record of a Responder's request, as a web server sends it.
+pub fn write_begin_request(out: &mut Vec<u8>, id: u16, keep_connection: bool) {
+    let [role1, role0] = ROLE_RESPONDER.to_be_bytes();
+    let flags = if keep_connection {
+        FLAG_KEEP_CONNECTION
+    } else {
+        0
+    };
+    let content = [role1, role0, flags, 0, 0, 0, 0, 0];
+    write_record(out, RecordType::BeginRequest, id, &content);
+}
+
+/// Writes the end-request record, the last one of a request.
 pub fn write_end_request(out: &mut Vec<u8>, id: u16, status: ProtocolStatus) {
-    write_record(
-        out,
-        RecordType::EndRequest,
-        id,
-        &[0, 0, 0, 0, status as u8, 0, 0, 0],
-    );
+    let content = [0, 0, 0, 0, status as u8, 0, 0, 0];
+    write_record(out, RecordType::EndRequest, id, &content);
 }
 
-/// A whole answer: its CGI response and the request's end.
+/// Encodes a complete response: the parts of its CGI response as one stream, and the end of the request.
 pub fn encode_response(id: u16, response: &[&[u8]]) -> Vec<u8> {
     let length: usize = response.iter().map(|part| part.len()).sum();
-    let mut out =
-        Vec::with_capacity(length + 4 * HEADER_BYTES + length / MAX_CONTENT_BYTES * HEADER_BYTES);
+    let header_count = 4 + length / MAX_CONTENT_BYTES;
+    let mut out = Vec::with_capacity(length + header_count * HEADER_BYTES);
     if length <= MAX_CONTENT_BYTES {
         out.extend_from_slice(&encode_header(RecordType::Stdout, id, length));
-        response.iter().for_each(|part| out.extend_from_slice(part));
+        for part in response {
+            out.extend_from_slice(part);
+        }
         write_record(&mut out, RecordType::Stdout, id, &[]);
     } else {
         write_stream(&mut out, RecordType::Stdout, id, &response.concat());
@@ -139,57 +202,9 @@
     out
 }
 
-/// An end with nothing before it.
+/// Encodes the end of a request without a response.
 pub fn encode_end_request(id: u16, status: ProtocolStatus) -> Vec<u8> {
     let mut out = Vec::with_capacity(2 * HEADER_BYTES);
     write_end_request(&mut out, id, status);
     out
 }
-
-/// A Responder's request begins, as a web server writes it.
-pub fn write_begin_request(out: &mut Vec<u8>, id: u16, keep: bool) {
-    write_record(
-        out,
-        RecordType::BeginRequest,
-        id,
-        &[0, 1, u8::from(keep), 0, 0, 0, 0, 0],
-    );
-}
-
-/// Name-value pairs, as they are sent in a stream.
-pub fn encode_params(pairs: &[(&str, &str)]) -> Vec<u8> {
-    let mut out = Vec::new();
-    for (name, value) in pairs {
-        for length in [name.len(), value.len()] {
-            match u8::try_from(length).ok().filter(|n| *n < 0x80) {
-                Some(short) => out.push(short),
-                None => out.extend_from_slice(&(length as u32 | 0x8000_0000).to_be_bytes()),
-            }
-        }
-        out.extend_from_slice(name.as_bytes());
-        out.extend_from_slice(value.as_bytes());
-    }
-    out
-}
-
-/// Reads name-value pairs; `None` where a length does not fit what is there.
-pub(crate) fn decode_params(mut bytes: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
-    fn length(bytes: &mut &[u8]) -> Option<usize> {
-        let (first, rest) = bytes.split_first()?;
-        if first & 0x80 == 0 {
-            *bytes = rest;
-            return Some(usize::from(*first));
-        }
-        let (long, rest) = bytes.split_first_chunk::<4>()?;
-        *bytes = rest;
-        Some((u32::from_be_bytes(*long) & 0x7fff_ffff) as usize)
-    }
-    let mut pairs = Vec::new();
-    while !bytes.is_empty() {
-        let (name, value) = (length(&mut bytes)?, length(&mut bytes)?);
-        let (pair, rest) = bytes.split_at_checked(name.checked_add(value)?)?;
-        pairs.push(pair.split_at(name));
-        bytes = rest;
-    }
-    Some(pairs)
-}
--- a/crates/sanddrum-fastcgi/src/responder.rs
+++ b/crates/sanddrum-fastcgi/src/responder.rs
@@ -1,344 +1,339 @@
-//! One connection from a web server: bytes in, whole requests out.
+//! One connection from a web server: bytes in, complete requests out.
 
-use crate::record::{self, decode_params, encode_header, Record, RecordType};
+use crate::params::{decode_params, encode_params};
+use crate::record::{
+    write_record, Record, RecordType, UnsupportedVersion, FLAG_KEEP_CONNECTION, HEADER_BYTES,
+    ROLE_RESPONDER,
+};
+use crate::request::{OpenRequest, Request};
+use sanddrum_wire::ReceiveBuffer;
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// What a connection may have the responder hold.
+/// Bytes of the content of begin-request and unknown-type records.
+const FIXED_CONTENT_BYTES: usize = 8;
+
+/// Bounds on what one connection may have buffered.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponderLimits {
-    /// Requests open at a time, whole or not.
+    /// Requests that are open at a time, complete or not.
     pub max_open_requests: usize,
-    /// Bytes of a request's parameters.
+    /// Bytes of one request's parameters.
     pub max_params_bytes: usize,
-    /// Bytes of a request's body.
+    /// Bytes of one request's body.
     pub max_body_bytes: usize,
-    /// Bytes of all requests that have not come whole.
+    /// Bytes of all incomplete requests together.
     pub max_buffered_bytes: usize,
 }
 
-/// RejectReason the connection can't be read on.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why the rest of a connection can't be decoded. The connection has to be closed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// Not FastCGI 1.0.
-    Version(u8),
-    /// A request begins under a number that is open: an answer under it would be for either of the two.
+    /// A record is not of FastCGI 1.0.
+    #[error(transparent)]
+    Version(#[from] UnsupportedVersion),
+    /// A request begins with the id of an open one, so that a response would be ambiguous.
+    #[error("request id {0} begins while it is open")]
     RequestIdInUse(u16),
-    /// A request that begins with less than its body, or without a number.
+    /// A begin-request record is too short.
+    #[error("a begin-request record is malformed")]
     Malformed,
-    /// More of unfinished requests than is held.
+    /// Incomplete requests exceed [`ResponderLimits::max_buffered_bytes`].
+    #[error("incomplete requests exceed the buffer")]
     BufferFull,
 }
 
-impl fmt::Display for ProtocolError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ProtocolError::Version(version) => write!(f, "version {version} is not FastCGI 1.0"),
-            ProtocolError::RequestIdInUse(id) => {
-                write!(f, "request number {id} begins while it is open")
-            }
-            ProtocolError::Malformed => write!(f, "a request's beginning can't be read"),
-            ProtocolError::BufferFull => write!(f, "too much of requests that are not whole"),
-        }
-    }
-}
-
-impl std::error::Error for ProtocolError {}
-
-/// RejectReason a request is not taken up, though its records can be read.
+/// Why a request is rejected although its records can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its parameters can't be read.
+    /// Its parameters can't be decoded.
     Params,
+    /// Its parameters exceed [`ResponderLimits::max_params_bytes`].
     ParamsTooLong,
+    /// Its body exceeds [`ResponderLimits::max_body_bytes`].
     BodyTooLong,
-    /// As many are open as may be.
+    /// [`ResponderLimits::max_open_requests`] are open.
     TooManyOpen,
-    /// Not the Responder's role.
+    /// Its role is not the Responder's.
     Role,
 }
 
-/// A request that has come whole.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Request {
-    pub params: BTreeMap<String, String>,
-    pub body: Vec<u8>,
-}
-
-impl Request {
-    pub fn param(&self, name: &str) -> Option<&str> {
-        self.params.get(name).map(String::as_str)
-    }
-}
-
+/// What records on a connection amount to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponderEvent {
-    /// It stays open until [`Responder::ended`].
-    Request { id: u16, request: Request },
-    /// It is not taken up, and its number is free again once it is ended; what still comes of it is skipped.
-    Reject { id: u16, reason: RejectReason },
-    /// The web server gives an open request up; it is closed.
-    Abort { id: u16 },
-    /// To be written back as it is: an answer to a management record.
+    /// A request is complete. It stays open until [`Responder::finish`].
+    Request {
+        /// The request's id on the connection.
+        id: u16,
+        /// The request.
+        request: Request,
+    },
+    /// A request is rejected and has to be ended. Its id is free again, and its further records are skipped.
+    Reject {
+        /// The request's id on the connection.
+        id: u16,
+        /// Why it is rejected.
+        reason: RejectReason,
+    },
+    /// The web server aborted an open request, which is closed by this (section 5.4).
+    Abort {
+        /// The request's id on the connection.
+        id: u16,
+    },
+    /// The reply to a management record (section 4), to be sent as it is.
     Reply(Vec<u8>),
 }
 
-struct Open {
-    keep: bool,
-    params: Vec<u8>,
-    params_done: bool,
-    body: Vec<u8>,
-    whole: bool,
+/// What came of decoding one record.
+enum Step {
+    /// More bytes are needed.
+    Incomplete,
+    /// A record was processed.
+    Processed(Option<ResponderEvent>),
 }
 
+/// The decoder of one connection.
 pub struct Responder {
-    bounds: ResponderLimits,
-    bytes: Vec<u8>,
-    read: usize,
-    open: BTreeMap<u16, Open>,
-    held: usize,
-    closes: bool,
+    limits: ResponderLimits,
+    buffer: ReceiveBuffer,
+    /// Requests that have begun and not ended, by id.
+    open: BTreeMap<u16, OpenRequest>,
+    /// Bytes buffered of incomplete requests.
+    buffered_bytes: usize,
+    /// A request has ended after which the web server expects the connection to be closed.
+    must_close: bool,
 }
 
 impl Responder {
-    pub fn new(bounds: ResponderLimits) -> Self {
+    /// The decoder of a new connection.
+    pub fn new(limits: ResponderLimits) -> Self {
         Responder {
-            bounds,
-            bytes: Vec::new(),
-            read: 0,
+            limits,
+            buffer: ReceiveBuffer::default(),
             open: BTreeMap::new(),
-            held: 0,
-            closes: false,
+            buffered_bytes: 0,
+            must_close: false,
         }
     }
-    /// Requests that are open, whole or not.
+
+    /// The number of open requests, complete or not.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
-    /// Bytes held of requests that have not come whole.
+
+    /// Bytes buffered of incomplete requests.
     pub fn buffered_bytes(&self) -> usize {
-        self.held
+        self.buffered_bytes
     }
-    /// Gives up all requests that have not come whole; what still comes of them is skipped. Their numbers are free.
+
+    /// Whether part of a record or of a request has been received.
+    pub fn has_partial_request(&self) -> bool {
+        !self.buffer.is_empty() || self.open.values().any(|open| !open.is_complete())
+    }
+
+    /// Drops all incomplete requests and returns their ids, which are free again. Their further records are skipped.
     pub fn drop_partial(&mut self) -> Vec<u16> {
-        let partial: Vec<u16> = self
+        let ids: Vec<u16> = self
             .open
             .iter()
-            .filter(|(_, open)| !open.whole)
+            .filter(|(_, open)| !open.is_complete())
             .map(|(id, _)| *id)
             .collect();
-        for id in &partial {
-            self.closes |= self.drop_open(*id).is_some_and(|open| !open.keep);
+        for id in &ids {
+            self.finish(*id);
         }
-        partial
+        ids
     }
-    /// Whether something has begun and is not whole.
-    pub fn has_partial_request(&self) -> bool {
-        self.bytes.len() > self.read || self.open.values().any(|open| !open.whole)
-    }
-    /// A request has had its end; true where the connection is to be closed after it (section 5.1, FCGI_KEEP_CONN).
+
+    /// Closes a request that has been answered. Returns whether the connection has to be closed after it (section 5.1,
+    /// FCGI_KEEP_CONN).
     pub fn finish(&mut self, id: u16) -> bool {
-        self.closes |= self.drop_open(id).is_some_and(|open| !open.keep);
-        self.closes
-    }
-    fn drop_open(&mut self, id: u16) -> Option<Open> {
-        let open = self.open.remove(&id)?;
-        if !open.whole {
-            self.held = self
-                .held
-                .saturating_sub(open.params.len() + open.body.len());
+        if let Some(open) = self.remove(id) {
+            self.must_close |= !open.keep_connection;
         }
-        Some(open)
+        self.must_close
     }
+
+    /// Appends bytes received from the web server.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
-        if self.read > 0 {
-            self.bytes.drain(..self.read);
-            self.read = 0;
-        }
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.push(bytes);
     }
-    /// What the next records say; `None` until more bytes have come.
+
+    /// The next event, or `None` until more bytes are received.
     ///
     /// # Errors
-    /// The connection can't be read on and is to be closed.
+    /// [`ProtocolError`]; the connection has to be closed.
     pub fn next_event(&mut self) -> Result<Option<ResponderEvent>, ProtocolError> {
         loop {
-            let bytes = std::mem::take(&mut self.bytes);
-            let read = Record::read(&bytes[self.read..]);
-            let said = match read {
-                Err(version) => Err(ProtocolError::Version(version)),
-                Ok(None) => Ok(None),
-                Ok(Some((record, took))) => {
-                    self.read += took;
-                    self.heed(record).map(Some)
-                }
-            };
-            self.bytes = bytes;
-            if self.read == self.bytes.len() {
-                // A burst's buffer is not kept for good.
-                self.bytes = Vec::new();
-                self.read = 0;
-            }
-            match said? {
-                None => return Ok(None),
-                Some(Some(said)) => return Ok(Some(said)),
-                Some(None) => {}
+            match self.process_next_record()? {
+                Step::Incomplete => return Ok(None),
+                Step::Processed(Some(event)) => return Ok(Some(event)),
+                Step::Processed(None) => {}
             }
         }
     }
 
-    fn heed(&mut self, record: Record<'_>) -> Result<Option<ResponderEvent>, ProtocolError> {
-        let Record { kind, id, content } = record;
+    fn process_next_record(&mut self) -> Result<Step, ProtocolError> {
+        // The record borrows from the buffer while it changes the rest of the responder.
+        let mut buffer = std::mem::take(&mut self.buffer);
+        let result = match Record::read(buffer.unread()) {
+            Ok(Some((record, length))) => {
+                let event = self.process(record);
+                buffer.consume(length);
+                event.map(Step::Processed)
+            }
+            Ok(None) => Ok(Step::Incomplete),
+            Err(error) => Err(error.into()),
+        };
+        buffer.release_if_empty();
+        self.buffer = buffer;
+        result
+    }
+
+    fn process(&mut self, record: Record<'_>) -> Result<Option<ResponderEvent>, ProtocolError> {
+        let Record {
+            record_type,
+            id,
+            content,
+        } = record;
         if id == 0 {
-            return Ok(Some(ResponderEvent::Reply(match kind {
-                RecordType::GetValues => self.values(content),
-                other => unknown(other),
-            })));
+            let reply = match record_type {
+                RecordType::GetValues => self.get_values_result(content),
+                other => unknown_type(other),
+            };
+            return Ok(Some(ResponderEvent::Reply(reply)));
         }
-        match kind {
+        match record_type {
             RecordType::BeginRequest => self.begin(id, content),
-            // Records under a number that is not open are ignored (section 3.3).
-            RecordType::AbortRequest => {
-                Ok(self.drop_open(id).map(|_| ResponderEvent::Abort { id }))
-            }
-            RecordType::Params => self.more_params(id, content),
-            RecordType::Stdin => self.more_body(id, content),
+            // Records of a request that is not open are ignored (section 3.3).
+            RecordType::AbortRequest => Ok(self.remove(id).map(|_| ResponderEvent::Abort { id })),
+            RecordType::Params => self.receive_params(id, content),
+            RecordType::Stdin => self.receive_body(id, content),
             _ => Ok(None),
         }
     }
 
+    /// Section 5.1.
     fn begin(&mut self, id: u16, content: &[u8]) -> Result<Option<ResponderEvent>, ProtocolError> {
         let [role1, role0, flags, ..] = *content else {
             return Err(ProtocolError::Malformed);
         };
-        if content.len() < 8 {
+        if content.len() < FIXED_CONTENT_BYTES {
             return Err(ProtocolError::Malformed);
         }
         if self.open.contains_key(&id) {
             return Err(ProtocolError::RequestIdInUse(id));
         }
-        if u16::from_be_bytes([role1, role0]) != 1 {
-            return Ok(Some(ResponderEvent::Reject {
-                id,
-                reason: RejectReason::Role,
-            }));
+        let reject = |reason| Ok(Some(ResponderEvent::Reject { id, reason }));
+        if u16::from_be_bytes([role1, role0]) != ROLE_RESPONDER {
+            return reject(RejectReason::Role);
         }
-        if self.open.len() >= self.bounds.max_open_requests {
-            return Ok(Some(ResponderEvent::Reject {
-                id,
-                reason: RejectReason::TooManyOpen,
-            }));
+        if self.open.len() >= self.limits.max_open_requests {
+            return reject(RejectReason::TooManyOpen);
         }
-        let keep = flags & 1 != 0;
-        let (params, body) = (Vec::new(), Vec::new());
-        self.open.insert(
-            id,
-            Open {
-                keep,
-                params,
-                params_done: false,
-                body,
-                whole: false,
-            },
-        );
+        let keep_connection = flags & FLAG_KEEP_CONNECTION != 0;
+        self.open.insert(id, OpenRequest::new(keep_connection));
         Ok(None)
     }
 
-    fn hold(&mut self, more: usize) -> Result<(), ProtocolError> {
-        self.held += more;
-        if self.held > self.bounds.max_buffered_bytes {
-            return Err(ProtocolError::BufferFull);
-        }
-        Ok(())
-    }
-
-    fn refuse(&mut self, id: u16, why: RejectReason) -> Option<ResponderEvent> {
-        let open = self.drop_open(id)?;
-        self.closes |= !open.keep;
-        Some(ResponderEvent::Reject { id, reason: why })
-    }
-
-    fn more_params(
+    /// Section 5.2.
+    fn receive_params(
         &mut self,
         id: u16,
         content: &[u8],
     ) -> Result<Option<ResponderEvent>, ProtocolError> {
-        let most = self.bounds.max_params_bytes;
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.params_done) else {
+        let Some(open) = self.open.get_mut(&id).filter(|open| open.awaits_params()) else {
             return Ok(None);
         };
         if content.is_empty() {
-            open.params_done = true;
+            open.end_params();
             return Ok(None);
         }
-        if open.params.len() + content.len() > most {
-            return Ok(self.refuse(id, RejectReason::ParamsTooLong));
+        if open.params_length() + content.len() > self.limits.max_params_bytes {
+            return Ok(self.reject(id, RejectReason::ParamsTooLong));
         }
-        open.params.extend_from_slice(content);
-        self.hold(content.len())?;
+        open.push_params(content);
+        self.count_buffered(content.len())?;
         Ok(None)
     }
 
-    fn more_body(
+    /// Section 5.3. The empty record that ends the body completes the request.
+    fn receive_body(
         &mut self,
         id: u16,
         content: &[u8],
     ) -> Result<Option<ResponderEvent>, ProtocolError> {
-        let most = self.bounds.max_body_bytes;
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.whole) else {
+        let Some(open) = self.open.get_mut(&id).filter(|open| !open.is_complete()) else {
             return Ok(None);
         };
-        if !content.is_empty() {
-            if open.body.len() + content.len() > most {
-                return Ok(self.refuse(id, RejectReason::BodyTooLong));
-            }
-            open.body.extend_from_slice(content);
-            self.hold(content.len())?;
-            return Ok(None);
+        if content.is_empty() {
+            return Ok(self.complete(id));
+        }
+        if open.body_length() + content.len() > self.limits.max_body_bytes {
+            return Ok(self.reject(id, RejectReason::BodyTooLong));
         }
-        let texts = decode_params(&open.params).filter(|_| open.params_done);
-        let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).ok();
-        let params = texts.and_then(|pairs| {
-            pairs
-                .into_iter()
-                .map(|(name, value)| Some((text(name)?, text(value)?)))
-                .collect::<Option<_>>()
-        });
-        let Some(params) = params else {
-            return Ok(self.refuse(id, RejectReason::Params));
+        open.push_body(content);
+        self.count_buffered(content.len())?;
+        Ok(None)
+    }
+
+    fn complete(&mut self, id: u16) -> Option<ResponderEvent> {
+        let open = self.open.get_mut(&id)?;
+        let buffered_bytes = open.buffered_bytes();
+        let Some(request) = open.complete() else {
+            return self.reject(id, RejectReason::Params);
         };
-        open.whole = true;
-        let body = std::mem::take(&mut open.body);
-        self.held = self.held.saturating_sub(open.params.len() + body.len());
-        open.params = Vec::new();
-        Ok(Some(ResponderEvent::Request {
-            id,
-            request: Request { params, body },
-        }))
+        self.buffered_bytes = self.buffered_bytes.saturating_sub(buffered_bytes);
+        Some(ResponderEvent::Request { id, request })
     }
 
-    /// Section 4.1.
-    fn values(&self, content: &[u8]) -> Vec<u8> {
-        let open = self.bounds.max_open_requests.to_string();
-        let known = [
-            ("FCGI_MAX_CONNS", open.as_str()),
-            ("FCGI_MAX_REQS", open.as_str()),
+    fn reject(&mut self, id: u16, reason: RejectReason) -> Option<ResponderEvent> {
+        let open = self.remove(id)?;
+        self.must_close |= !open.keep_connection;
+        Some(ResponderEvent::Reject { id, reason })
+    }
+
+    fn remove(&mut self, id: u16) -> Option<OpenRequest> {
+        let open = self.open.remove(&id)?;
+        self.buffered_bytes = self.buffered_bytes.saturating_sub(open.buffered_bytes());
+        Some(open)
+    }
+
+    fn count_buffered(&mut self, bytes: usize) -> Result<(), ProtocolError> {
+        self.buffered_bytes += bytes;
+        if self.buffered_bytes > self.limits.max_buffered_bytes {
+            return Err(ProtocolError::BufferFull);
+        }
+        Ok(())
+    }
+
+    /// The reply to a query of the application's limits (section 4.1).
+    fn get_values_result(&self, content: &[u8]) -> Vec<u8> {
+        let max_requests = self.limits.max_open_requests.to_string();
+        let values = [
+            ("FCGI_MAX_CONNS", max_requests.as_str()),
+            ("FCGI_MAX_REQS", max_requests.as_str()),
             ("FCGI_MPXS_CONNS", "1"),
         ];
-        let asked = decode_params(content).unwrap_or_default();
-        let told = known
-            .iter()
-            .filter(|(name, _)| asked.iter().any(|(n, _)| *n == name.as_bytes()));
-        let content = record::encode_params(&told.copied().collect::<Vec<_>>());
-        let mut out = encode_header(RecordType::GetValuesResult, 0, content.len()).to_vec();
-        out.extend_from_slice(&content);
-        out
+        let queried = decode_params(content).unwrap_or_default();
+        let is_queried = |name: &str| queried.iter().any(|(key, _)| *key == name.as_bytes());
+        let reported: Vec<_> = values
+            .into_iter()
+            .filter(|(name, _)| is_queried(name))
+            .collect();
+        encode_management(RecordType::GetValuesResult, &encode_params(&reported))
     }
 }
 
-/// Section 4.2.
-fn unknown(kind: RecordType) -> Vec<u8> {
-    let mut out = encode_header(RecordType::UnknownType, 0, 8).to_vec();
-    out.extend_from_slice(&[kind.code(), 0, 0, 0, 0, 0, 0, 0]);
+/// The reply to a management record of another type (section 4.2).
+fn unknown_type(record_type: RecordType) -> Vec<u8> {
+    let mut content = [0; FIXED_CONTENT_BYTES];
+    content[0] = record_type.code();
+    encode_management(RecordType::UnknownType, &content)
+}
+
+/// A management record, which has the request id zero.
+fn encode_management(record_type: RecordType, content: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_BYTES + content.len());
+    write_record(&mut out, record_type, 0, content);
     out
 }
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -420,7 +420,9 @@
                 return;
             };
             let (kind, id, content, took) = match Record::read(&connection.bytes) {
-                Ok(Some((record, took))) => (record.kind, record.id, record.content.to_vec(), took),
+                Ok(Some((record, took))) => {
+                    (record.record_type, record.id, record.content.to_vec(), took)
+                }
                 Ok(None) => return,
                 Err(_) => {
                     let calls: Vec<CallId> = connection.open.values().copied().collect();
--- a/crates/sanddrum-wire/src/frame.rs
+++ b/crates/sanddrum-wire/src/frame.rs
@@ -1,99 +1,98 @@
-//! FrameDecoder: four bytes of length, most significant first, then so many bytes of CBOR.
+//! Frames of the worker protocol: a length in four bytes, most significant byte first, then as many bytes of CBOR
+//! (RFC 8949).
 
+use crate::ReceiveBuffer;
 use minicbor::{Decode, Encode};
-use std::fmt;
 
+/// Bytes of the length that precedes a frame's content.
 pub const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a stream of frames can't be read on. The connection has no meaning any more and is to be ended.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why the rest of a stream of frames can't be decoded. The connection has to be closed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than this side takes.
-    TooLarge { length: usize, max: usize },
-    /// Not a message of the protocol.
+    /// A frame's content is longer than this side accepts.
+    #[error("a frame of {length} bytes; at most {max} are taken (limits largest-frame)")]
+    TooLarge {
+        /// The announced length in bytes.
+        length: usize,
+        /// The largest accepted length in bytes.
+        max: usize,
+    },
+    /// A frame's content is no message of the protocol. The CBOR decoder's error is kept as text, which compares equal.
+    #[error("not a message of this protocol: {0}")]
     Malformed(String),
 }
 
-impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameError::TooLarge { length, max: most } => {
-                write!(
-                    f,
-                    "a frame of {length} bytes; at most {most} are taken (limits largest-frame)"
-                )
-            }
-            FrameError::Malformed(why) => write!(f, "not a message of this protocol: {why}"),
-        }
-    }
-}
-
-impl std::error::Error for FrameError {}
-
-/// Cuts a stream into frames. Holds no more than one frame and what came with it.
+/// Cuts a stream into frames. It buffers at most one frame and what was received together with its end.
+///
+/// The default decoder accepts empty frames only.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
-    bytes: Vec<u8>,
-    read: usize,
-    most: usize,
+    buffer: ReceiveBuffer,
+    max_frame_bytes: usize,
 }
 
 impl FrameDecoder {
-    /// FrameDecoder of more than `most` bytes are refused as soon as their length is read.
-    pub fn new(most: usize) -> Self {
+    /// A decoder that rejects frames of more than `max_frame_bytes` bytes as soon as their length is received.
+    pub fn new(max_frame_bytes: usize) -> Self {
         FrameDecoder {
-            bytes: Vec::new(),
-            read: 0,
-            most,
+            buffer: ReceiveBuffer::default(),
+            max_frame_bytes,
         }
     }
+
+    /// Appends bytes that were received.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
-        if self.read > 0 {
-            self.bytes.drain(..self.read);
-            self.read = 0;
-        }
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.push(bytes);
     }
-    /// The next whole frame's content; `None` until more bytes have come.
+
+    /// The next complete frame's content, or `None` until more bytes are received.
+    ///
+    /// # Errors
+    /// [`FrameError::TooLarge`]; the decoder can't be used any further.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameError> {
-        let rest = &self.bytes[self.read..];
-        let Some((prefix, content)) = rest.split_first_chunk::<LENGTH_PREFIX_BYTES>() else {
+        let unread = self.buffer.unread();
+        let Some((prefix, content)) = unread.split_first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*prefix) as usize;
-        if length > self.most {
+        if length > self.max_frame_bytes {
             return Err(FrameError::TooLarge {
                 length,
-                max: self.most,
+                max: self.max_frame_bytes,
             });
         }
         if content.len() < length {
             return Ok(None);
         }
-        let start = self.read + LENGTH_PREFIX_BYTES;
-        self.read = start + length;
-        Ok(Some(&self.bytes[start..self.read]))
+        let frame = self.buffer.consume(LENGTH_PREFIX_BYTES + length);
+        Ok(Some(&frame[LENGTH_PREFIX_BYTES..]))
     }
-    /// The next message. Kinds of message that this version does not know are skipped.
+
+    /// The next message, or `None` until more bytes are received. Messages whose number this version does not know are
+    /// skipped.
+    ///
+    /// # Errors
+    /// [`FrameError`]; the decoder can't be used any further.
     pub fn next_message<T: for<'b> Decode<'b, ()>>(&mut self) -> Result<Option<T>, FrameError> {
         while let Some(frame) = self.next_frame()? {
             match minicbor::decode(frame) {
                 Ok(message) => return Ok(Some(message)),
-                Err(e) if e.is_unknown_variant() => {}
-                Err(e) => return Err(FrameError::Malformed(e.to_string())),
+                Err(error) if error.is_unknown_variant() => {}
+                Err(error) => return Err(FrameError::Malformed(error.to_string())),
             }
         }
         Ok(None)
     }
 }
 
-/// One message as a frame.
+/// Encodes one message as a frame.
 pub fn encode_frame<T: Encode<()>>(message: &T) -> Vec<u8> {
-    let mut out = vec![0; LENGTH_PREFIX_BYTES];
+    let mut frame = vec![0; LENGTH_PREFIX_BYTES];
     // Writing to a Vec cannot fail, and the derived encoders have no errors of their own.
-    let written = minicbor::encode(message, &mut out);
-    debug_assert!(written.is_ok());
-    let length = (out.len() - LENGTH_PREFIX_BYTES) as u32;
-    out[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
-    out
+    let encoded = minicbor::encode(message, &mut frame);
+    debug_assert!(encoded.is_ok());
+    let length = (frame.len() - LENGTH_PREFIX_BYTES) as u32;
+    frame[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
+    frame
 }
--- /dev/null
+++ b/crates/sanddrum-wire/src/messages/worker.rs
@@ -0,0 +1,252 @@
+//! Messages between an edge and a worker.
+
+use super::Hello;
+use minicbor::{Decode, Encode};
+
+/// From an edge to a worker.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+#[cbor(flat)]
+pub enum ToWorker {
+    /// Greets the worker.
+    #[n(0)]
+    Hello(#[n(0)] Hello),
+    /// Executes a request; a [`Done`] answers it.
+    #[n(1)]
+    Execute(#[n(0)] Execute),
+    /// Cancels an execution; nothing answers it.
+    #[n(2)]
+    Cancel(#[n(0)] Cancel),
+    /// Loads instances of a function; a [`LoadDone`] answers it.
+    #[n(3)]
+    Load(#[n(0)] Load),
+    /// Unloads idle instances of a function; nothing answers it.
+    #[n(4)]
+    Unload(#[n(0)] Unload),
+    /// Checks the worker's health; a [`HealthStatus`] answers it at once, beside the queue.
+    #[n(5)]
+    HealthCheck(#[n(0)] HealthCheck),
+}
+
+/// From a worker to an edge.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+#[cbor(flat)]
+pub enum FromWorker {
+    /// Greets the edge.
+    #[n(0)]
+    Hello(#[n(0)] Hello),
+    /// Answers an [`Execute`], exactly once.
+    #[n(1)]
+    Done(#[n(0)] Done),
+    /// Answers a [`Load`], exactly once.
+    #[n(2)]
+    LoadDone(#[n(0)] LoadDone),
+    /// Answers a [`HealthCheck`].
+    #[n(3)]
+    HealthStatus(#[n(0)] HealthStatus),
+}
+
+/// One attempt to execute a request.
+#[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
+#[cbor(map)]
+pub struct Execute {
+    /// Identifies this execution on its connection and is never reused there.
+    #[n(0)]
+    pub id: u64,
+    /// The name of the request's workload.
+    #[n(1)]
+    pub workload: String,
+    /// The name of the function to execute.
+    #[n(2)]
+    pub function: String,
+    /// Microseconds from its arrival within which an answer is of use. The worker drops what has not begun by then.
+    #[n(3)]
+    pub time_limit_us: i64,
+    /// Memory of one instance in MB (2^20 bytes).
+    #[n(4)]
+    pub memory_mb: f64,
+    /// Requests that one instance executes at a time.
+    #[n(5)]
+    pub concurrency: u32,
+    /// The idempotency key. A worker that knows of an execution with this key that finished answers
+    /// [`ExecutionStatus::Finished`] and runs nothing.
+    #[n(6)]
+    pub idempotency_key: Option<String>,
+    /// The client's trace id, passed through.
+    #[n(7)]
+    pub trace: Option<String>,
+    /// The request's body.
+    #[n(8)]
+    #[cbor(with = "minicbor::bytes", default)]
+    pub body: Vec<u8>,
+    /// The customer that the request is counted for.
+    #[n(9)]
+    pub customer: Option<String>,
+}
+
+/// The edge no longer waits for an execution. The worker drops it if it has not begun.
+#[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
+#[cbor(map)]
+pub struct Cancel {
+    /// The execution's id.
+    #[n(0)]
+    pub id: u64,
+}
+
+/// A load command: at least this many instances of a function are to be loaded. Instances that are loaded or loading
+/// count, and the idle time of idle ones begins anew.
+#[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
+#[cbor(map)]
+pub struct Load {
+    /// Identifies this load command on its connection.
+    #[n(0)]
+    pub id: u64,
+    /// The name of the function.
+    #[n(1)]
+    pub function: String,
+    /// The number of instances; zero only queries how many there are.
+    #[n(2)]
+    pub instances: u32,
+    /// Memory of one instance in MB (2^20 bytes).
+    #[n(3)]
+    pub memory_mb: f64,
+    /// Requests that one instance executes at a time.
+    #[n(4)]
+    pub concurrency: u32,
+}
+
+/// Unloads all idle instances of a function.
+#[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
+#[cbor(map)]
+pub struct Unload {
+    /// The name of the function.
+    #[n(0)]
+    pub function: String,
+}
+
+/// A health check.
+#[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
+#[cbor(map)]
+pub struct HealthCheck {
+    /// Identifies this health check on its connection.
+    #[n(0)]
+    pub id: u64,
+}
+
+/// How an execution or a load command ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
+#[cbor(index_only)]
+pub enum ExecutionStatus {
+    /// It succeeded.
+    #[n(0)]
+    Finished,
+    /// It failed, and it ran or may have run.
+    #[n(1)]
+    Error,
+    /// The worker rejected it: no capacity, or draining. It has not run.
+    #[n(2)]
+    Rejected,
+    /// The function is not loaded on this worker, or its load failed. It has not run.
+    #[n(3)]
+    ColdMiss,
+    /// Its deadline was exceeded, or it was cancelled, before it began. It has not run.
+    #[n(4)]
+    Dropped,
+}
+
+/// The state of the function's instance when an execution arrived.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
+#[cbor(index_only)]
+pub enum InstanceState {
+    /// An instance was loaded.
+    #[n(1)]
+    Warm,
+    /// This execution started a load.
+    #[n(2)]
+    StartedLoad,
+    /// This execution waited for a load that was already in progress.
+    #[n(3)]
+    WaitedForLoad,
+    /// The load failed.
+    #[n(4)]
+    LoadFailed,
+}
+
+/// The end of an execution. An edge ignores a second one for the same id.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+#[cbor(map)]
+pub struct Done {
+    /// The execution's id.
+    #[n(0)]
+    pub id: u64,
+    /// How it ended.
+    #[n(1)]
+    pub status: ExecutionStatus,
+    /// The instance's state when it arrived.
+    #[n(2)]
+    pub instance: Option<InstanceState>,
+    /// Requests for the same function that the worker held when it arrived.
+    #[n(3)]
+    pub function_in_flight: Option<u32>,
+    /// The worker's load report.
+    #[n(4)]
+    pub report: Option<LoadReport>,
+    /// The response's body.
+    #[n(5)]
+    #[cbor(with = "minicbor::bytes", default)]
+    pub body: Vec<u8>,
+    /// Requests per second of this request's customer on this worker, from all edges and with this request. Each
+    /// request counts one on arrival and decays exponentially with a time constant of one second.
+    #[n(6)]
+    pub customer_rate: Option<f64>,
+    /// The same rate for the requests of all customers.
+    #[n(7)]
+    pub total_rate: Option<f64>,
+}
+
+/// The end of a load command.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+#[cbor(map)]
+pub struct LoadDone {
+    /// The load command's id.
+    #[n(0)]
+    pub id: u64,
+    /// How it ended.
+    #[n(1)]
+    pub status: ExecutionStatus,
+    /// Instances of the function that are loaded now.
+    #[n(2)]
+    pub instances: u32,
+}
+
+/// The answer to a health check.
+#[derive(Clone, Debug, PartialEq, Encode, Decode)]
+#[cbor(map)]
+pub struct HealthStatus {
+    /// The health check's id.
+    #[n(0)]
+    pub id: u64,
+    /// The worker's load report.
+    #[n(1)]
+    pub report: Option<LoadReport>,
+}
+
+/// A worker's load, counting the requests of all edges.
+#[derive(Clone, Copy, Debug, PartialEq, Default, Encode, Decode)]
+#[cbor(map)]
+pub struct LoadReport {
+    /// Requests that it has accepted and not answered.
+    #[n(0)]
+    pub in_flight: Option<f64>,
+    /// Requests in flight that wait for a core or an instance.
+    #[n(1)]
+    pub queued: Option<f64>,
+    /// Share of its cores that is busy, 0 to 1.
+    #[n(2)]
+    pub busy: Option<f64>,
+    /// Share of its memory that can't be freed, 0 to 1.
+    #[n(3)]
+    pub memory_pinned: Option<f64>,
+    /// Loads in progress or waiting.
+    #[n(4)]
+    pub loads_in_progress: Option<f64>,
+}
