--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -47,10 +47,10 @@
 }
 
 fn serve(mut driver: EventLoop, file: PathBuf, read: &StartupConfig) -> Result<Shutdown, String> {
-    let settings = read.deployment_settings()?;
+    let settings = read.deployment_settings().map_err(|e| e.to_string())?;
     let now = driver.now();
     let platform = Platform {
-        known: read.feed_events()?,
+        known: read.feed_events().map_err(|e| e.to_string())?,
         kinds: read.worker_kinds(),
     };
     let door = until_it_works(|| EventLoop::bind(&read.listen));
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -165,7 +165,9 @@
                     }
                     Ok(Some((answer, _))) => serde_json::from_slice(&answer.body)
                         .map_err(|e| e.to_string())
-                        .and_then(|json| control_feed::parse(&json, &feed.kinds)),
+                        .and_then(|json| {
+                            control_feed::parse(&json, &feed.kinds).map_err(|e| e.to_string())
+                        }),
                     Err(bad) => Err(bad.reason().to_string()),
                 };
                 match told {
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -322,7 +322,9 @@
     /// The platform has replaced the start configuration: the feed may have moved, the rest holds from the next start.
     fn configuration_came(&mut self, now: Micros, content: Result<&[u8], &str>, io: &mut dyn Io) {
         let text = content.map_err(String::from).map(String::from_utf8_lossy);
-        match text.and_then(|text| sanddrum_platform::StartupConfig::read(&text)) {
+        match text.and_then(|text| {
+            sanddrum_platform::StartupConfig::read(&text).map_err(|e| e.to_string())
+        }) {
             Ok(configuration) => self.feed_moved(now, &configuration.feed, io),
             Err(why) => {
                 tracing::error!(
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -1,123 +1,163 @@
-//! The control feed: numbered events that change the list of model servers, asked for over HTTP/1.1.
+//! The control feed: numbered events that change the list of workers, polled over HTTP/1.1.
 
 use sanddrum::Micros;
 use sanddrum_wire::{EndpointRecord, Phase};
 use serde_json::Value as Json;
 
-/// A model server as the feed describes it.
+/// The age in microseconds of a process that started long ago, or at an unknown time.
+pub(crate) const UNKNOWN_AGE_US: Micros = -1;
+
+/// The capacity of a worker whose size the feed does not state, relative to other workers.
+const DEFAULT_SIZE: f64 = 1.0;
+
+/// A worker as the feed describes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
-    /// All but its start, which [`crate::starts`] works out from the date below.
+    /// The worker, without its incarnation and age, which [`StartTimes`](crate::start_times::StartTimes) derives.
     pub endpoint: EndpointRecord,
-    /// When its process started, in Unix milliseconds by the servers' wall clock; nought: long ago.
+    /// When its process started, in Unix milliseconds by the worker's wall clock; zero means long ago.
     pub up_since_ms: i64,
 }
 
-/// What an event says of the list.
+/// What an event changes in the list of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipUpdate {
-    /// The whole list, or only what has changed.
+    /// Whether `members` is the complete list; otherwise it holds only the changes.
     pub is_full_snapshot: bool,
+    /// The workers.
     pub members: Vec<Member>,
 }
 
 /// One event of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedEvent {
+    /// The event's number; numbers grow.
     pub number: u64,
-    /// None where the event is about something else than the list.
+    /// What it changes; none where the event does not concern the list of workers.
     pub members: Option<MembershipUpdate>,
 }
 
-/// What the feed has told: the last number, and the events up to it.
+/// A response of the feed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FeedEvents {
+    /// The number of the feed's last event.
     pub last_number: u64,
+    /// The events that follow the polled number.
     pub events: Vec<FeedEvent>,
 }
 
-/// The request for what follows event `n`; the answer comes by itself within `wait`.
-pub fn poll_request(address: &str, n: u64, wait: Micros) -> Vec<u8> {
-    let ms = wait / 1000;
+/// Why a response of the feed can't be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FeedError {
+    /// A value is missing or of another type.
+    #[error("{key}: {expected} is wanted")]
+    WrongType {
+        /// The value's key.
+        key: &'static str,
+        /// The type that the key has.
+        expected: &'static str,
+    },
+    /// A worker is in a phase that is not known, or in none.
+    #[error("members: phase: unknown {0:?}")]
+    UnknownPhase(Option<String>),
+}
+
+/// The request for the events that follow event `number`. The feed responds within `wait`, with no events if there are
+/// none by then.
+pub fn poll_request(address: &str, number: u64, wait: Micros) -> Vec<u8> {
+    let wait_ms = wait / 1000;
     format!(
-        "GET /v1/events?SUB={n}&wait={ms} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
+        "GET /v1/events?SUB={number}&wait={wait_ms} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n"
     )
     .into_bytes()
 }
 
-/// An answer of the feed, or the configuration's `known`. Kinds of machine count by their place in `kinds`.
+/// Reads a response of the feed, or the `known` events of the startup configuration. A worker's kind of machine is
+/// numbered by its position in `kinds`.
 ///
 /// # Errors
-/// What can't be read, by its name.
-pub fn parse(json: &Json, kinds: &[String]) -> Result<FeedEvents, String> {
-    let last = json["n"].as_u64().ok_or("n: a whole number is wanted")?;
+/// [`FeedError`], which names the key.
+pub fn parse(json: &Json, kinds: &[String]) -> Result<FeedEvents, FeedError> {
+    let last_number = json["n"].as_u64().ok_or(FeedError::WrongType {
+        key: "n",
+        expected: "a whole number",
+    })?;
     let events = match &json["events"] {
-        Json::Null => &[][..],
-        events => events.as_array().ok_or("events: a list is wanted")?,
+        Json::Null => &[],
+        events => list(events, "events")?,
     };
-    let changes = events
+    let events = events
         .iter()
-        .map(|event| change(event, kinds))
+        .map(|event| read_event(event, kinds))
         .collect::<Result<_, _>>()?;
     Ok(FeedEvents {
-        last_number: last,
-        events: changes,
+        last_number,
+        events,
     })
 }
 
-fn change(event: &Json, kinds: &[String]) -> Result<FeedEvent, String> {
-    let n = event["n"]
-        .as_u64()
-        .ok_or("events: n: a whole number is wanted")?;
-    let members = &event["members"];
-    if members.is_null() {
-        return Ok(FeedEvent {
-            number: n,
-            members: None,
-        });
-    }
-    let complete = members["complete"].as_bool().unwrap_or(false);
-    let list = members["members"]
-        .as_array()
-        .ok_or("members: a list is wanted")?;
-    let members = list
+fn list<'a>(json: &'a Json, key: &'static str) -> Result<&'a [Json], FeedError> {
+    let list = json.as_array().ok_or(FeedError::WrongType {
+        key,
+        expected: "a list",
+    })?;
+    Ok(list)
+}
+
+fn read_event(event: &Json, kinds: &[String]) -> Result<FeedEvent, FeedError> {
+    let number = event["n"].as_u64().ok_or(FeedError::WrongType {
+        key: "events: n",
+        expected: "a whole number",
+    })?;
+    let members = match &event["members"] {
+        Json::Null => None,
+        update => Some(read_update(update, kinds)?),
+    };
+    Ok(FeedEvent { number, members })
+}
+
+fn read_update(update: &Json, kinds: &[String]) -> Result<MembershipUpdate, FeedError> {
+    let members = list(&update["members"], "members")?
         .iter()
         .map(|member| read_member(member, kinds))
         .collect::<Result<_, _>>()?;
-    Ok(FeedEvent {
-        number: n,
-        members: Some(MembershipUpdate {
-            is_full_snapshot: complete,
-            members,
-        }),
+    Ok(MembershipUpdate {
+        is_full_snapshot: update["complete"].as_bool().unwrap_or(false),
+        members,
     })
 }
 
-fn read_member(member: &Json, kinds: &[String]) -> Result<Member, String> {
-    let text = |name: &str| member[name].as_str().map(String::from);
-    let name = text("id").ok_or("members: id: a text is wanted")?;
-    let phase = match member["phase"].as_str() {
-        Some("in_service") => Phase::Ready,
-        Some("terminating") => Phase::Draining,
-        Some("terminated") => Phase::Gone,
-        other => return Err(format!("members: phase: unknown {other:?}")),
-    };
+fn read_member(member: &Json, kinds: &[String]) -> Result<Member, FeedError> {
+    let text = |key: &str| member[key].as_str().map(String::from);
+    let name = text("id").ok_or(FeedError::WrongType {
+        key: "members: id",
+        expected: "a text",
+    })?;
     let kind = member["flavor"]
         .as_str()
         .and_then(|flavor| kinds.iter().position(|kind| kind == flavor));
-    let row = EndpointRecord {
+    let endpoint = EndpointRecord {
+        name,
         address: text("host_port").unwrap_or_default(),
         zone: text("locality").unwrap_or_default(),
         cell: member["cell"].as_u64().unwrap_or(0) as u32,
         kind: kind.unwrap_or(kinds.len()) as u32,
-        size: member["size"].as_f64().unwrap_or(1.0),
-        phase,
+        size: member["size"].as_f64().unwrap_or(DEFAULT_SIZE),
+        phase: read_phase(&member["phase"])?,
         incarnation: 0,
-        age_us: -1,
-        name,
+        age_us: UNKNOWN_AGE_US,
     };
     Ok(Member {
-        endpoint: row,
+        endpoint,
         up_since_ms: member["up_since_ms"].as_i64().unwrap_or(0).max(0),
     })
 }
+
+fn read_phase(phase: &Json) -> Result<Phase, FeedError> {
+    match phase.as_str() {
+        Some("in_service") => Ok(Phase::Ready),
+        Some("terminating") => Ok(Phase::Draining),
+        Some("terminated") => Ok(Phase::Gone),
+        other => Err(FeedError::UnknownPhase(other.map(String::from))),
+    }
+}
--- /dev/null
+++ b/crates/sanddrum-platform/src/deployment.rs
@@ -0,0 +1,198 @@
+//! Writes the edge's own settings from a startup configuration, as S-expressions. They are read and checked like those of
+//! a file. Values that the platform leaves out get its defaults, and values beyond the edge's bounds the nearest bound.
+
+use crate::StartupConfig;
+use sanddrum::Settings;
+
+/// Limits that the platform describes and has no settings for. docs/operating/platform.md gives the reason of each.
+const FIXED_LIMITS: &str = include_str!("limits.sx");
+
+/// Settings of the platform that the decision module has no names for.
+const STREAMS_PER_CONNECTION: &str = "limits.streams-per-conn";
+const KEEP_ALIVE_US: &str = "limits.keepalive-us";
+const CONNECT_TIMEOUT_US: &str = "limits.connect-timeout-us";
+
+/// Descriptors that are neither for clients nor for workers: the listener, the feed, the event loop's own, files, and
+/// connections that are about to close.
+const OWN_DESCRIPTORS: u64 = 32;
+/// The fewest connections of either side, where the descriptors would allow for fewer.
+const MIN_CONNECTIONS: u64 = 8;
+
+/// The platform kills a router this long after SIGTERM, beyond the longest time limit.
+const KILL_DELAY_US: f64 = 0.7e6;
+/// Time that is left for the last responses.
+const STOP_MARGIN_US: f64 = 0.1e6;
+/// The longest time limit that the platform waits for after SIGTERM.
+const MAX_STOP_TIME_LIMIT_US: f64 = 3e6;
+
+/// The share of the platform's keep-alive time after which an idle connection is closed: before the worker closes it, so
+/// that no request is sent on a connection that is closing.
+const IDLE_CLOSE_SHARE: f64 = 0.8;
+/// The share of the router's memory for request bodies. Each is held twice: in the request and on its way to a worker.
+const BODY_MEMORY_SHARE: f64 = 1.0 / 8.0;
+
+/// The deployment's settings as S-expressions, one section a line.
+pub(crate) fn write(config: &StartupConfig, settings: &Settings) -> String {
+    let source = Source { config, settings };
+    let sections = [
+        source.deployment(),
+        source.workloads(),
+        source.copies(),
+        source.rules(),
+        source.limits(),
+        source.edge(),
+    ];
+    sections.concat()
+}
+
+/// Where the values come from.
+struct Source<'a> {
+    config: &'a StartupConfig,
+    settings: &'a Settings,
+}
+
+impl Source<'_> {
+    fn number(&self, name: &str, default: f64) -> f64 {
+        self.settings.number(name).unwrap_or(default)
+    }
+
+    /// A duration in microseconds, zero or more.
+    fn duration(&self, name: &str, default_us: f64) -> String {
+        micros(self.number(name, default_us).max(0.0))
+    }
+
+    fn zones(&self) -> Vec<String> {
+        sanddrum_platform_config::list_names(&self.config.settings, "azs")
+    }
+
+    fn workload_names(&self) -> Vec<String> {
+        sanddrum_platform_config::list_names(&self.config.settings, "classes")
+    }
+
+    fn time_limit_us(&self, workload: usize) -> f64 {
+        self.number(&workload_key(workload, "time-limit-us"), 5e6)
+            .max(1.0)
+    }
+
+    fn deployment(&self) -> String {
+        let zones: Vec<String> = self
+            .zones()
+            .iter()
+            .map(|zone| format!("{zone:?}"))
+            .collect();
+        if zones.is_empty() {
+            return String::new();
+        }
+        format!("(deployment (zones {}))\n", zones.join(" "))
+    }
+
+    fn workloads(&self) -> String {
+        self.workload_names()
+            .iter()
+            .enumerate()
+            .map(|(index, name)| self.workload(index, name))
+            .collect()
+    }
+
+    fn workload(&self, index: usize, name: &str) -> String {
+        let key = |key: &str| workload_key(index, key);
+        let effect = self.settings.text(&key("effect")).unwrap_or("run-once");
+        let time_limit_us = self.time_limit_us(index);
+        // An objective beyond the time limit can't be met later than the time limit.
+        let start_target_us = self
+            .number(&key("start-target-us"), 1e6)
+            .clamp(1.0, time_limit_us);
+        let deduplication = if effect == "fingerprinted" {
+            let group = self.settings.text(&key("group")).unwrap_or("all");
+            let window_us = self.number(&key("repeat-window-us"), 0.0).max(1.0);
+            format!(" (group {group}) (repeat-window {})", micros(window_us))
+        } else {
+            String::new()
+        };
+        format!(
+            "(workload {name:?} (start-target {}) (time-limit {}) (effect {effect}){deduplication})\n",
+            micros(start_target_us),
+            micros(time_limit_us),
+        )
+    }
+
+    fn copies(&self) -> String {
+        let on_miss = self.settings.text("copies.on-miss").unwrap_or("load");
+        // The decision module reads by itself whether load commands are allowed. Here they always are where workers
+        // load nothing by themselves, as the check of the settings rejects a fleet that nothing could load functions in.
+        let allows_load_commands =
+            self.settings.flag("copies.orders") == Some(true) || on_miss == "miss";
+        let orders = if allows_load_commands { "yes" } else { "no" };
+        let keep_alive = micros(self.number("copies.keep-alive-us", 8e6).max(1.0));
+        format!("(copies (keep-alive {keep_alive}) (on-miss {on_miss}) (orders {orders}))\n")
+    }
+
+    fn rules(&self) -> String {
+        format!(
+            "(rules (drain-grace {}) (cold-from {}) (cold {}) (fall-multiple {}) (fall {}))\n",
+            self.duration("rules.drain-grace-us", 2e6),
+            self.number("rules.cold-from", 0.2).clamp(0.01, 1.0),
+            self.duration("rules.cold-us", 1e7),
+            self.number("rules.fall-multiple", 3.0).clamp(1.0, 100.0),
+            self.duration("rules.fall-us", 3e6),
+        )
+    }
+
+    fn limits(&self) -> String {
+        // Connections of web servers take at most a third of the descriptors, so that idle ones leave enough for workers.
+        let max_clients = (self.config.sockets / 3).max(MIN_CONNECTIONS);
+        let max_worker_connections = self
+            .config
+            .sockets
+            .saturating_sub(max_clients + OWN_DESCRIPTORS)
+            .max(MIN_CONNECTIONS);
+        let body_memory_mb = (self.config.memory_mb * BODY_MEMORY_SHARE).max(1.0);
+        let idle_close = micros(self.number(KEEP_ALIVE_US, 3e7) * IDLE_CLOSE_SHARE);
+        format!(
+            "(limits {FIXED_LIMITS} (streams {}) (connect-time-out {}) (idle-close {idle_close}) \
+             (order-time-out {}) (max-retry-after {}) (max-executions {}) (max-open {}) \
+             (max-clients {max_clients}) (all-connections {max_worker_connections}) \
+             (held-bodies {body_memory_mb}MB) (stop-within {}))\n",
+            self.number(STREAMS_PER_CONNECTION, 32.0).clamp(1.0, 1e5) as i64,
+            self.duration(CONNECT_TIMEOUT_US, 250e3),
+            self.duration("copies.order-time-out-us", 1e7),
+            self.duration("limits.max-retry-after-us", 2e6),
+            self.number("limits.max-executions", 5.0).clamp(1.0, 100.0) as i64,
+            self.number("limits.max-open", 20e3).clamp(1.0, 1e7) as i64,
+            micros(self.stop_within_us()),
+        )
+    }
+
+    /// The time that a router has for its graceful shutdown, in microseconds.
+    fn stop_within_us(&self) -> f64 {
+        let longest_time_limit_us = (0..self.workload_names().len())
+            .map(|workload| self.time_limit_us(workload))
+            .fold(0.0, f64::max);
+        longest_time_limit_us.min(MAX_STOP_TIME_LIMIT_US) + (KILL_DELAY_US - STOP_MARGIN_US)
+    }
+
+    fn edge(&self) -> String {
+        let zone_index = self.number("zone", 0.0) as usize;
+        let zone = match self.zones().get(zone_index) {
+            Some(zone) => format!("(zone {zone:?})"),
+            None => String::new(),
+        };
+        format!(
+            "(edge (name {:?}) (listen {:?}) (list {:?}) {zone} (number {}) (edges {}))\n",
+            self.config.name,
+            self.config.listen,
+            self.config.feed,
+            self.number("me", 0.0) as i64,
+            self.number("routers", 1.0).max(1.0) as i64,
+        )
+    }
+}
+
+fn workload_key(workload: usize, key: &str) -> String {
+    format!("workloads.{workload}.{key}")
+}
+
+/// A duration as settings have it, in whole microseconds.
+fn micros(micros: f64) -> String {
+    format!("{}us", micros as i64)
+}
--- a/crates/sanddrum-platform/src/start_times.rs
+++ b/crates/sanddrum-platform/src/start_times.rs
@@ -1,159 +1,149 @@
-//! When the processes of model servers started. The control feed dates a start by a wall clock, and wall clocks are stepped
-//! or wrong: theirs, and this machine's. A server that is taken for older than it is would be overloaded in its slow
-//! start, so that of all ages that a start may have the least is taken:
+//! When the processes of workers started. The control feed dates a start by a wall clock, and wall clocks are stepped or
+//! wrong: the workers' and this machine's. A worker that is taken for older than it is would be overloaded in its slow
+//! start, so the lowest of the ages that a start may have is used:
 //!
-//! - by this machine's wall clock as it stands, and as it stood before the last steps seen here;
-//! - by the feed: what an answer did not hold has started, or was told, after it.
+//! - by this machine's wall clock as it is now, and as it was before the last steps observed here;
+//! - by the feed: what a response did not contain started, or was reported, after that response.
 //!
-//! The same date is the same start, however often it is told, and another one a later start, whichever date is earlier.
+//! An equal date is the same start, however often it is reported. A different date is a later start, even if the date is
+//! earlier.
 
-use crate::control_feed::Member;
+use crate::control_feed::{Member, UNKNOWN_AGE_US};
 use sanddrum::Micros;
 use sanddrum_wire::{EndpointRecord, Phase};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An instant by both clocks.
+/// One instant by both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The driver's clock, which only goes forward.
+    /// The driver's monotonic clock, in microseconds.
     pub now: Micros,
-    /// The machine's wall clock.
+    /// The machine's wall clock, in microseconds since the Unix epoch.
     pub wall: Micros,
 }
 
-/// The wall clock's distance from the driver's clock is remembered as it was before so many steps.
-const STEPS_REMEMBERED: usize = 4;
-/// A distance that differs by less is no step: wall clocks are slewed, too.
-const LEAST_STEP: Micros = 500_000;
-/// A date so far ahead of a wall clock is still by that clock, which is only a little behind; a date further ahead is by
-/// another one, and tells nothing of the age.
-const MOST_BEHIND: Micros = 60_000_000;
+/// How many offsets between the clocks are remembered, each from before a step of the wall clock.
+const MAX_CLOCK_OFFSETS: usize = 4;
+/// An offset that differs by less is no step, as wall clocks are slewed, too.
+const MIN_CLOCK_STEP: Micros = 500_000;
+/// A date that is ahead of a wall clock by up to this is taken for one by that clock, which is a little slow. A date
+/// further ahead is by another clock and tells nothing of the age.
+const MAX_CLOCK_LAG: Micros = 60_000_000;
 
+/// A start of a worker's process.
 #[derive(Clone, Copy, Debug)]
 struct Start {
+    /// Its date, in Unix milliseconds; zero means long ago.
     up_since_ms: i64,
     incarnation: u64,
 }
 
-/// StartTimes of the model servers that stand.
+/// The start times of the workers in the list.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    known: BTreeMap<String, Start>,
-    /// Distances of the wall clock from the driver's, the newest last.
-    distances: VecDeque<Micros>,
-    /// When the last answer was taken; nothing that a later one holds had been told by then.
-    told_at: Option<Micros>,
-    incarnations: u64,
+    /// The last known start of each worker, by the worker's name.
+    starts: BTreeMap<String, Start>,
+    /// Offsets of the wall clock from the driver's clock, the latest last.
+    clock_offsets: VecDeque<Micros>,
+    /// When the last response was processed, by the driver's clock. What a later one adds had not been reported by then.
+    last_batch_at: Option<Micros>,
+    last_incarnation: u64,
 }
 
 impl StartTimes {
-    /// Looks at the wall clock. It is to be called with each answer of the feed, before its events are taken.
+    /// Observes the wall clock. It has to be called with each response of the feed, before its events are processed.
     pub fn observe_clocks(&mut self, clocks: ClockReading) {
-        let distance = clocks.wall - clocks.now;
-        if self
-            .distances
+        let offset = clocks.wall - clocks.now;
+        let is_step = self
+            .clock_offsets
             .back()
-            .is_some_and(|last| (last - distance).abs() < LEAST_STEP)
-        {
+            .is_none_or(|last| (last - offset).abs() >= MIN_CLOCK_STEP);
+        if !is_step {
             return;
         }
-        self.distances.push_back(distance);
-        if self.distances.len() > STEPS_REMEMBERED {
-            self.distances.pop_front();
+        self.clock_offsets.push_back(offset);
+        if self.clock_offsets.len() > MAX_CLOCK_OFFSETS {
+            self.clock_offsets.pop_front();
         }
     }
-    /// All that the feed had to tell by now has been taken.
+
+    /// All that the feed had to report by `now` has been processed.
     pub fn finish_batch(&mut self, now: Micros) {
-        self.told_at = Some(now);
+        self.last_batch_at = Some(now);
     }
-    /// Rows of one event, each with its start: the incarnation and the age at `now`. A later start has the larger
+
+    /// The endpoints of one event, each with its incarnation and its age at `now`. A later start has a higher
     /// incarnation.
     pub fn endpoints(
         &mut self,
         now: Micros,
-        members: Vec<Member>,
-        complete: bool,
+        mut members: Vec<Member>,
+        is_full_snapshot: bool,
     ) -> Vec<EndpointRecord> {
-        if complete {
-            self.known
+        if is_full_snapshot {
+            self.starts
                 .retain(|name, _| members.iter().any(|member| member.endpoint.name == *name));
         }
-        let mut order: Vec<usize> = (0..members.len()).collect();
-        order.sort_by_key(|n| members[*n].up_since_ms);
-        let ages: BTreeMap<usize, (u64, Micros)> = order
-            .into_iter()
-            .map(|n| (n, self.start_of(now, &members[n])))
-            .collect();
-        let row = |(n, member): (usize, Member)| {
-            let (incarnation, age_us) = ages.get(&n).copied().unwrap_or((0, -1));
-            EndpointRecord {
-                incarnation,
-                age_us,
-                ..member.endpoint
-            }
-        };
-        members.into_iter().enumerate().map(row).collect()
+        let mut by_start: Vec<&mut Member> = members.iter_mut().collect();
+        by_start.sort_by_key(|member| member.up_since_ms);
+        for member in by_start {
+            let start = self.start_of(member);
+            member.endpoint.incarnation = start.incarnation;
+            member.endpoint.age_us = self.age(now, start);
+        }
+        members.into_iter().map(|member| member.endpoint).collect()
     }
-    fn start_of(&mut self, now: Micros, member: &Member) -> (u64, Micros) {
-        let (name, up_since_ms) = (&member.endpoint.name, member.up_since_ms);
-        let known = self.known.get(name).copied();
-        if member.endpoint.phase == Phase::Gone {
-            self.known.remove(name);
+
+    fn start_of(&mut self, member: &Member) -> Start {
+        let name = &member.endpoint.name;
+        let is_gone = member.endpoint.phase == Phase::Gone;
+        let known = self.starts.get(name).copied();
+        if is_gone {
+            self.starts.remove(name);
         }
-        let same = known.filter(|known| known.up_since_ms == up_since_ms || up_since_ms <= 0);
-        if let Some(Start {
-            up_since_ms,
-            incarnation,
-        }) = same
-        {
-            return (
-                incarnation,
-                if up_since_ms > 0 {
-                    self.age(now, up_since_ms)
-                } else {
-                    -1
-                },
-            );
+        let is_dated = member.up_since_ms > 0;
+        match known {
+            Some(start) if !is_dated || start.up_since_ms == member.up_since_ms => start,
+            _ => {
+                let start = self.new_start(member.up_since_ms);
+                if !is_gone {
+                    self.starts.insert(name.clone(), start);
+                }
+                start
+            }
         }
+    }
+
+    fn new_start(&mut self, up_since_ms: i64) -> Start {
         let incarnation = if up_since_ms > 0 {
-            self.incarnations + 1
+            self.last_incarnation += 1;
+            self.last_incarnation
         } else {
             0
         };
-        self.incarnations = self.incarnations.max(incarnation);
-        if member.endpoint.phase != Phase::Gone {
-            self.known.insert(
-                name.clone(),
-                Start {
-                    up_since_ms,
-                    incarnation,
-                },
-            );
-        }
-        (
+        Start {
+            up_since_ms,
             incarnation,
-            if up_since_ms > 0 {
-                self.age(now, up_since_ms)
-            } else {
-                -1
-            },
-        )
+        }
     }
-    /// The least that a start of this date may be old.
-    fn age(&self, now: Micros, up_since_ms: i64) -> Micros {
-        let by_wall_clock = |distance: &Micros| {
-            let age = now + distance - up_since_ms.saturating_mul(1000);
-            (age > -MOST_BEHIND).then_some(age.max(0))
-        };
-        let by_wall_clocks = self
-            .distances
+
+    /// The lowest age that a start may have.
+    fn age(&self, now: Micros, start: Start) -> Micros {
+        if start.up_since_ms <= 0 {
+            return UNKNOWN_AGE_US;
+        }
+        let started_at = start.up_since_ms.saturating_mul(1000);
+        let age_by_wall_clocks = self
+            .clock_offsets
             .iter()
-            .filter_map(by_wall_clock)
+            .map(|offset| now + offset - started_at)
+            .filter(|age| *age > -MAX_CLOCK_LAG)
+            .map(|age| age.max(0))
             .min()
             .unwrap_or(0);
-        let by_feed = self
-            .told_at
-            .map_or(Micros::MAX, |told_at| (now - told_at).max(0));
-        by_wall_clocks.min(by_feed)
+        let age_by_feed = self
+            .last_batch_at
+            .map_or(Micros::MAX, |last_batch_at| (now - last_batch_at).max(0));
+        age_by_wall_clocks.min(age_by_feed)
     }
 }
--- a/crates/sanddrum-platform/src/startup_config.rs
+++ b/crates/sanddrum-platform/src/startup_config.rs
@@ -1,204 +1,160 @@
-//! What a router is told at its start, and the deployment that follows from it: our own settings, written as
-//! S-expressions and checked as any others. The decision module's map comes from the dialect alone.
+//! The startup configuration that the platform gives a router: a JSON file.
 
-use crate::control_feed::{self as feed, FeedEvents};
+use crate::control_feed::{self, FeedError, FeedEvents};
+use crate::deployment;
 use sanddrum::Settings;
-use sanddrum_settings::LoadedSettings;
+use sanddrum_platform_config::PlatformSettingsError;
+use sanddrum_settings::{LoadedSettings, SettingsError};
 use serde_json::Value as Json;
-use std::fmt::Write;
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
 
-/// A start configuration that has been read.
+/// A startup configuration whose values have been checked.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
+    /// The router's name.
     pub name: String,
+    /// The IP address and port that the router listens on.
     pub listen: String,
+    /// The IP address and port of the control feed.
     pub feed: String,
+    /// The seed of the router's random draws.
     pub seed: u64,
-    /// Descriptors and memory that this router may have.
+    /// File descriptors that the router may have, at least one.
     pub sockets: u64,
+    /// Memory that the router may have in MB (2^20 bytes), at least one.
     pub memory_mb: f64,
+    /// The feed's events when the configuration was written; see [`StartupConfig::feed_events`].
     pub known: Json,
-    /// The settings as the platform words them, and as the decision module takes them.
+    /// The settings by the platform's names.
     pub settings: Json,
-    module: Settings,
+    /// The settings by the decision module's names.
+    decision_settings: Settings,
 }
 
-/// The platform's own words for limits that we have under other names, as the dialect leaves them.
-const STREAMS: &str = "limits.streams-per-conn";
-const IDLE: &str = "limits.keepalive-us";
-const CONNECT: &str = "limits.connect-timeout-us";
-
-/// Descriptors that are neither a client's nor a worker's, with some to spare for connections about to close.
-const OWN_DESCRIPTORS: u64 = 32;
-
-/// A router that was asked to end is killed so long after the longest time limit, which counts as this where it is
-/// longer, and a tenth of a second is left for the last answers.
-const STOP_LONGEST: f64 = 3e6;
-const STOP_BEYOND: f64 = 0.7e6 - 0.1e6;
-
-/// What the platform's pages state and no setting tells. Each is told in docs/operating/platform.md.
-const LIMITS: &str = include_str!("limits.sx");
+/// Why a startup configuration can't be used. The text begins with the key.
+#[derive(Debug, thiserror::Error)]
+pub enum StartupConfigError {
+    /// The text is no JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[source] serde_json::Error),
+    /// A text is missing or empty.
+    #[error("{0}: a text is wanted")]
+    NoText(&'static str),
+    /// A text is no IP address with a port.
+    #[error("{key}: {value:?} is not an IP address and a port")]
+    InvalidAddress {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: String,
+        /// What is wrong with it.
+        source: AddrParseError,
+    },
+    /// The seed is no hexadecimal number of 64 bits.
+    #[error("seed: {value:?} is not hex digits")]
+    InvalidSeed {
+        /// The seed as it was given.
+        value: String,
+        /// What is wrong with it.
+        source: ParseIntError,
+    },
+    /// One of the `limits` is missing or less than one.
+    #[error("limits.{0}: a number from 1 on is wanted")]
+    InvalidLimit(&'static str),
+    /// The settings are missing or no object.
+    #[error("settings: an object is wanted")]
+    NoSettings,
+    /// One of the settings can't be used.
+    #[error("settings.{0}")]
+    InvalidSettings(#[source] PlatformSettingsError),
+    /// The known events can't be read.
+    #[error("known: {0}")]
+    InvalidEvents(#[source] FeedError),
+}
 
 impl StartupConfig {
+    /// Reads and checks a startup configuration.
+    ///
     /// # Errors
-    /// What can't be used, by the name of its key.
-    pub fn read(text: &str) -> Result<Self, String> {
-        let json: Json = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
-        let text = |key: &str| match json[key].as_str() {
-            Some(text) if !text.is_empty() => Ok(text.to_string()),
-            _ => Err(format!("{key}: a text is wanted")),
-        };
-        let address = |key: &str| {
-            let at = text(key)?;
-            at.parse::<SocketAddr>()
-                .map_err(|_| format!("{key}: {at:?} is not an IP address and a port"))?;
-            Ok::<String, String>(at)
-        };
-        let seed = text("seed")?;
-        let seed = u64::from_str_radix(&seed, 16)
-            .map_err(|_| format!("seed: {seed:?} is not hex digits"))?;
-        let limit = |key: &str| {
-            let n = json["limits"][key].as_f64().filter(|n| *n >= 1.0);
-            n.ok_or_else(|| format!("limits.{key}: a number from 1 on is wanted"))
-        };
+    /// [`StartupConfigError`], which names the key that can't be used.
+    pub fn read(text: &str) -> Result<Self, StartupConfigError> {
+        let json: Json = serde_json::from_str(text).map_err(StartupConfigError::NotJson)?;
+        let seed = read_seed(&json)?;
         if !json["settings"].is_object() {
-            return Err("settings: an object is wanted".into());
+            return Err(StartupConfigError::NoSettings);
         }
-        let module = sanddrum_platform_config::decision_settings(&json["settings"])
-            .map_err(|why| format!("settings.{why}"))?;
-        let read = StartupConfig {
-            name: text("name")?,
-            listen: address("listen")?,
-            feed: address("feed")?,
+        let decision_settings = sanddrum_platform_config::decision_settings(&json["settings"])
+            .map_err(StartupConfigError::InvalidSettings)?;
+        let config = StartupConfig {
+            name: read_text(&json, "name")?,
+            listen: read_address(&json, "listen")?,
+            feed: read_address(&json, "feed")?,
             seed,
-            sockets: limit("sockets")? as u64,
-            memory_mb: limit("memory_mb")?,
+            sockets: read_limit(&json, "sockets")? as u64,
+            memory_mb: read_limit(&json, "memory_mb")?,
             known: json["known"].clone(),
             settings: json["settings"].clone(),
-            module,
+            decision_settings,
         };
-        read.feed_events().map_err(|e| format!("known: {e}"))?;
-        Ok(read)
+        config
+            .feed_events()
+            .map_err(StartupConfigError::InvalidEvents)?;
+        Ok(config)
     }
-    /// The list as it stood when the configuration was written.
+
+    /// The feed's events when the configuration was written.
     ///
     /// # Errors
-    /// What can't be read of it.
-    pub fn feed_events(&self) -> Result<FeedEvents, String> {
-        feed::parse(&self.known, &self.worker_kinds())
+    /// [`FeedError`]: they can't be read, which [`StartupConfig::read`] excludes.
+    pub fn feed_events(&self) -> Result<FeedEvents, FeedError> {
+        control_feed::parse(&self.known, &self.worker_kinds())
     }
+
+    /// The names of the kinds of machine that workers run on.
     pub fn worker_kinds(&self) -> Vec<String> {
         sanddrum_platform_config::list_names(&self.settings, "kinds")
     }
-    /// The decision module's map.
+
+    /// The settings for the decision module.
     pub fn decision_settings(&self) -> Settings {
-        self.module.clone()
+        self.decision_settings.clone()
     }
-    /// The edge's own settings.
+
+    /// The edge's own settings, checked like those of a file.
     ///
     /// # Errors
-    /// What is missing or out of bounds.
-    pub fn deployment_settings(&self) -> Result<LoadedSettings, String> {
-        let text = self.written(&self.module);
-        sanddrum_settings::read("settings", &text).map_err(|e| e.to_string())
+    /// [`SettingsError`]: a setting is missing or out of bounds.
+    pub fn deployment_settings(&self) -> Result<LoadedSettings, SettingsError> {
+        let text = deployment::write(self, &self.decision_settings);
+        sanddrum_settings::read("settings", &text)
     }
+}
 
-    fn written(&self, map: &Settings) -> String {
-        let number = |name: &str, otherwise: f64| map.number(name).unwrap_or(otherwise);
-        let span =
-            |name: &str, otherwise: f64| format!("{}us", number(name, otherwise).max(0.0) as i64);
-        let mut out = String::new();
-        let zones = sanddrum_platform_config::list_names(&self.settings, "azs");
-        if !zones.is_empty() {
-            let zones: Vec<String> = zones.iter().map(|zone| format!("{zone:?}")).collect();
-            let _ = writeln!(out, "(deployment (zones {}))", zones.join(" "));
-        }
-        let mut longest = 0.0f64;
-        for (n, name) in sanddrum_platform_config::list_names(&self.settings, "classes")
-            .iter()
-            .enumerate()
-        {
-            let at = |key: &str| format!("workloads.{n}.{key}");
-            let effect = map.text(&at("effect")).unwrap_or("run-once");
-            let limit = number(&at("time-limit-us"), 5e6).max(1.0);
-            // What is wanted later than it is given up is wanted by then.
-            let target = number(&at("start-target-us"), 1e6).clamp(1.0, limit);
-            longest = longest.max(limit);
-            let repeats = match effect {
-                "fingerprinted" => {
-                    let group = map.text(&at("group")).unwrap_or("all");
-                    let window = number(&at("repeat-window-us"), 0.0).max(1.0) as i64;
-                    format!(" (group {group}) (repeat-window {window}us)")
-                }
-                _ => String::new(),
-            };
-            let _ = writeln!(
-                out,
-                "(workload {name:?} (start-target {}us) (time-limit {}us) (effect {effect}){repeats})",
-                target as i64, limit as i64
-            );
-        }
-        let on_miss = map.text("copies.on-miss").unwrap_or("load");
-        // Whether orders are allowed the module reads for itself; a fleet that loads by other means is no mistake here.
-        let orders = if map.flag("copies.orders") == Some(true) || on_miss == "miss" {
-            "yes"
-        } else {
-            "no"
-        };
-        let keep = format!("{}us", number("copies.keep-alive-us", 8e6).max(1.0) as i64);
-        let _ = writeln!(
-            out,
-            "(copies (keep-alive {keep}) (on-miss {on_miss}) (orders {orders}))"
-        );
-        let _ = writeln!(
-            out,
-            "(rules (drain-grace {}) (cold-from {}) (cold {}) (fall-multiple {}) (fall {}))",
-            span("rules.drain-grace-us", 2e6),
-            number("rules.cold-from", 0.2).clamp(0.01, 1.0),
-            span("rules.cold-us", 1e7),
-            number("rules.fall-multiple", 3.0).clamp(1.0, 100.0),
-            span("rules.fall-us", 3e6),
-        );
-        // A connection is closed before the worker closes it, so that no job is put on one that is on its way out.
-        let idle = format!("{}us", (number(IDLE, 3e7) * 0.8) as i64);
-        // A front's connections are at most a third of the descriptors; who says nothing sensible has no place beside them.
-        let clients = (self.sockets / 3).max(8);
-        // All others are for workers but a few: the door, the feed, the loop's own and files.
-        let workers = self
-            .sockets
-            .saturating_sub(clients + OWN_DESCRIPTORS)
-            .max(8);
-        // Bodies are held twice, in the job and on their way to a worker.
-        let bodies = (self.memory_mb / 8.0).max(1.0);
-        let stop = format!("{}us", (longest.min(STOP_LONGEST) + STOP_BEYOND) as i64);
-        let _ = writeln!(
-            out,
-            "(limits {LIMITS} (streams {}) (connect-time-out {}) (idle-close {idle}) (order-time-out {}) \
-             (max-retry-after {}) (max-executions {}) (max-open {}) (max-clients {clients}) (all-connections {workers}) (held-bodies {bodies}MB) \
-             (stop-within {stop}))",
-            number(STREAMS, 32.0).clamp(1.0, 1e5) as i64,
-            span(CONNECT, 250e3),
-            span("copies.order-time-out-us", 1e7),
-            span("limits.max-retry-after-us", 2e6),
-            number("limits.max-executions", 5.0).clamp(1.0, 100.0) as i64,
-            number("limits.max-open", 20e3).clamp(1.0, 1e7) as i64,
-        );
-        let (me, routers) = (
-            number("me", 0.0) as i64,
-            number("routers", 1.0).max(1.0) as i64,
-        );
-        let zone = zones
-            .get(number("zone", 0.0) as usize)
-            .map(|zone| format!("(zone {zone:?})"));
-        let _ = writeln!(
-            out,
-            "(edge (name {:?}) (listen {:?}) (list {:?}) {} (number {me}) (edges {routers}))",
-            self.name,
-            self.listen,
-            self.feed,
-            zone.unwrap_or_default(),
-        );
-        out
+fn read_text(json: &Json, key: &'static str) -> Result<String, StartupConfigError> {
+    match json[key].as_str() {
+        Some(text) if !text.is_empty() => Ok(text.to_string()),
+        _ => Err(StartupConfigError::NoText(key)),
     }
 }
+
+fn read_address(json: &Json, key: &'static str) -> Result<String, StartupConfigError> {
+    let value = read_text(json, key)?;
+    match value.parse::<SocketAddr>() {
+        Ok(_) => Ok(value),
+        Err(source) => Err(StartupConfigError::InvalidAddress { key, value, source }),
+    }
+}
+
+fn read_seed(json: &Json) -> Result<u64, StartupConfigError> {
+    let value = read_text(json, "seed")?;
+    u64::from_str_radix(&value, 16)
+        .map_err(|source| StartupConfigError::InvalidSeed { value, source })
+}
+
+fn read_limit(json: &Json, key: &'static str) -> Result<f64, StartupConfigError> {
+    json["limits"][key]
+        .as_f64()
+        .filter(|limit| *limit >= 1.0)
+        .ok_or(StartupConfigError::InvalidLimit(key))
+}
--- a/crates/sanddrum-platform/tests/start_times.rs
+++ b/crates/sanddrum-platform/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! When servers started, as far as dates of stepped clocks and the feed let it be known.
+//! Start times of workers, as far as dates by stepped clocks and the order of the feed's responses reveal them.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -6,28 +6,37 @@
 use sanddrum_platform::start_times::{ClockReading, StartTimes};
 use sanddrum_wire::{EndpointRecord, Phase};
 
-const S: i64 = 1_000_000;
-const HOUR: i64 = 3600 * S;
-/// The driver's clock as the stories begin.
-const BEGUN: i64 = 1_000_000 * S;
+const SECOND: i64 = 1_000_000;
+const HOUR: i64 = 3600 * SECOND;
+/// The driver's clock at the beginning of a test, in microseconds.
+const BEGIN: i64 = 1_000_000 * SECOND;
 
-fn member(name: &str, up_since: i64) -> Member {
-    let row = EndpointRecord {
+fn member(name: &str, up_since_us: i64) -> Member {
+    let endpoint = EndpointRecord {
         name: name.into(),
         phase: Phase::Ready,
         ..EndpointRecord::default()
     };
     Member {
-        endpoint: row,
-        up_since_ms: up_since / 1000,
+        endpoint,
+        up_since_ms: up_since_us / 1000,
     }
 }
-/// Takes one event with one server; its incarnation and age.
-fn told(starts: &mut StartTimes, now: i64, wall: i64, up_since: i64) -> (u64, i64) {
-    starts.observe_clocks(ClockReading { now, wall });
-    let rows = starts.endpoints(now, vec![member("a", up_since)], false);
-    starts.finish_batch(now);
-    (rows[0].incarnation, rows[0].age_us)
+
+/// Processes a response whose one event has one worker, and returns the worker's incarnation and age.
+fn observe(starts: &mut StartTimes, clocks: ClockReading, up_since_us: i64) -> (u64, i64) {
+    starts.observe_clocks(clocks);
+    let endpoints = starts.endpoints(clocks.now, vec![member("a", up_since_us)], false);
+    starts.finish_batch(clocks.now);
+    (endpoints[0].incarnation, endpoints[0].age_us)
+}
+
+/// Both clocks at `now`, with the wall clock ahead by `offset`.
+fn clocks(now: i64, offset: i64) -> ClockReading {
+    ClockReading {
+        now,
+        wall: now + offset,
+    }
 }
 
 #[rstest]
@@ -36,83 +45,88 @@
 #[case::all_clocks_forward(HOUR, HOUR)]
 #[case::only_this_clock_forward(HOUR, 0)]
 #[case::only_this_clock_back(-HOUR, 0)]
-fn a_start_told_after_a_long_gap_is_no_older_than_it_is(#[case] here: i64, #[case] there: i64) {
+fn a_start_reported_late_is_not_taken_for_an_older_one(
+    #[case] own_step: i64,
+    #[case] worker_step: i64,
+) {
     let mut starts = StartTimes::default();
-    starts.observe_clocks(ClockReading {
-        now: BEGUN,
-        wall: BEGUN,
-    });
-    starts.finish_batch(BEGUN);
-    let (started, now) = (BEGUN + 50 * S, BEGUN + 60 * S);
-    let (_, age) = told(&mut starts, now, now + here, started + there);
-    assert!(age <= 10 * S, "{age}");
+    starts.observe_clocks(clocks(BEGIN, 0));
+    starts.finish_batch(BEGIN);
+    let started = BEGIN + 50 * SECOND;
+    let now = BEGIN + 60 * SECOND;
+    let (_, age_us) = observe(&mut starts, clocks(now, own_step), started + worker_step);
+    assert!(age_us <= 10 * SECOND, "{age_us}");
 }
 
 #[rstest]
-fn the_same_date_is_the_same_start_and_an_earlier_one_a_later_start() {
+fn an_equal_date_is_the_same_start_and_an_earlier_one_a_later_start() {
     let mut starts = StartTimes::default();
-    let (first, _) = told(&mut starts, BEGUN, BEGUN, BEGUN - 5 * S);
-    let (again, age) = told(&mut starts, BEGUN + S, BEGUN + S, BEGUN - 5 * S);
-    let (later, new_age) = told(
+    let up_since = BEGIN - 5 * SECOND;
+    let (first, _) = observe(&mut starts, clocks(BEGIN, 0), up_since);
+    let (repeated, age_us) = observe(&mut starts, clocks(BEGIN + SECOND, 0), up_since);
+    let (later, later_age_us) = observe(
         &mut starts,
-        BEGUN + 2 * S,
-        BEGUN + 2 * S - HOUR,
-        BEGUN + S - HOUR,
+        clocks(BEGIN + 2 * SECOND, -HOUR),
+        BEGIN + SECOND - HOUR,
     );
-    assert_eq!((first, again), (1, 1));
+    assert_eq!((first, repeated), (1, 1));
     assert!(
-        age <= 6 * S && later == 2 && new_age <= S,
-        "{age} {later} {new_age}"
+        age_us <= 6 * SECOND && later == 2 && later_age_us <= SECOND,
+        "{age_us} {later} {later_age_us}"
     );
 }
 
 #[rstest]
-fn a_date_a_little_ahead_of_this_clock_is_a_start_just_now() {
+fn a_date_slightly_ahead_of_the_wall_clock_is_a_start_at_this_moment() {
     let mut starts = StartTimes::default();
-    starts.observe_clocks(ClockReading {
-        now: BEGUN,
-        wall: BEGUN + HOUR,
-    });
-    let (_, age) = told(
-        &mut starts,
-        BEGUN + 100 * S,
-        BEGUN + 100 * S,
-        BEGUN + 100 * S + 3000,
-    );
-    assert_eq!(age, 0);
+    starts.observe_clocks(clocks(BEGIN, HOUR));
+    let now = BEGIN + 100 * SECOND;
+    let (_, age_us) = observe(&mut starts, clocks(now, 0), now + 3000);
+    assert_eq!(age_us, 0);
 }
 
 #[rstest]
-fn a_server_that_stands_since_long_stays_one_whatever_the_clocks_do() {
+fn a_worker_without_a_date_started_long_ago_by_any_clock() {
     let mut starts = StartTimes::default();
     for step in [0, HOUR, -HOUR] {
-        assert_eq!(told(&mut starts, BEGUN + S, BEGUN + S + step, 0), (0, -1));
+        assert_eq!(
+            observe(&mut starts, clocks(BEGIN + SECOND, step), 0),
+            (0, -1)
+        );
     }
 }
 
 proptest! {
-    /// Steps of the common clock of any size, at any time before and after a start that is told with a delay: the age is
-    /// at most the true one, or what has passed since the answer before.
+    /// With steps of the common clock of any size, at any time before and after a start that is reported with a delay,
+    /// the age is at most the true one, or the time since the response before.
     #[test]
-    fn no_step_makes_a_start_older(
+    fn no_step_of_the_clocks_makes_a_start_older(
         steps in prop::collection::vec((-2 * HOUR..2 * HOUR, 1i64..20), 0..3),
-        start in 0i64..60, late in 0i64..5,
+        start_second in 0i64..60,
+        delay_seconds in 0i64..5,
     ) {
-        let mut starts = StartTimes::default();
-        let mut at = 0;
         let offset_at = |second: i64| {
-            let mut from = 0;
-            steps.iter().filter(|(_, after)| { from += after; from <= second }).map(|(by, _)| by).sum::<i64>()
+            let mut step_second = 0;
+            steps
+                .iter()
+                .filter(|(_, after)| {
+                    step_second += after;
+                    step_second <= second
+                })
+                .map(|(step, _)| step)
+                .sum::<i64>()
         };
-        while at < start + late {
-            let now = BEGUN + at * S;
-            starts.observe_clocks(ClockReading { now, wall: now + offset_at(at) });
+        let mut starts = StartTimes::default();
+        let report_second = start_second + delay_seconds;
+        for second in 0..report_second {
+            let now = BEGIN + second * SECOND;
+            starts.observe_clocks(clocks(now, offset_at(second)));
             starts.finish_batch(now);
-            at += 1;
         }
-        let now = BEGUN + (start + late) * S;
-        let up_since = BEGUN + start * S + offset_at(start);
-        let (_, age) = told(&mut starts, now, now + offset_at(start + late), up_since);
-        prop_assert!(age <= (late * S).max(S), "{} of {}", age, late * S);
+        let up_since = BEGIN + start_second * SECOND + offset_at(start_second);
+        let reported = clocks(BEGIN + report_second * SECOND, offset_at(report_second));
+        let (_, age_us) = observe(&mut starts, reported, up_since);
+        let max_age_us = (delay_seconds * SECOND).max(SECOND);
+        prop_assert!(age_us <= max_age_us, "{} of {}", age_us, max_age_us);
     }
 }
