--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -97,14 +97,12 @@
     }
     for set in &args.set {
         let Some((name, value)) = set.split_once('=') else {
-            let remedy = "as --set limits.max-open=500".to_string();
-            return Err(SettingsError {
-                file: "--set".into(),
-                line: 0,
-                column: 0,
-                message: format!("{set:?} has no ="),
-                remedy,
-            });
+            let message = format!("{set:?} has no =");
+            return Err(SettingsError::new(
+                "--set",
+                message,
+                "as --set limits.max-open=500",
+            ));
         };
         loaded.override_value(name, value, "--set")?;
     }
--- a/crates/sanddrum-lab/src/capacity/configuration.rs
+++ b/crates/sanddrum-lab/src/capacity/configuration.rs
@@ -8,7 +8,7 @@
     name: "configuration",
     section: Section {
         name: "configuration-plays",
-        dotted: "configuration-plays",
+        prefix: "configuration-plays",
         occurrence: Occurrence::Once,
         description: "nothing is to be set: no mechanism carries the configuration to routers",
         keys: &[],
--- a/crates/sanddrum-lab/src/capacity/list_service.rs
+++ b/crates/sanddrum-lab/src/capacity/list_service.rs
@@ -15,7 +15,7 @@
     name: "list-service",
     section: Section {
         name: "list-service-plays",
-        dotted: "list-service-plays",
+        prefix: "list-service-plays",
         occurrence: Occurrence::Once,
         description: "sizes at which the list service is measured, and the stand-in that it is",
         keys: &[
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -11,7 +11,7 @@
 
 pub const SECTION: Section = Section {
     name: "model",
-    dotted: "model",
+    prefix: "model",
     occurrence: Occurrence::Once,
     description: "hollow workers, their store and the calls",
     keys: &[
--- a/crates/sanddrum-lab/src/capacity/plan.rs
+++ b/crates/sanddrum-lab/src/capacity/plan.rs
@@ -11,7 +11,7 @@
 
 const DEPLOYMENT: Section = Section {
     name: "capacity",
-    dotted: "capacity",
+    prefix: "capacity",
     occurrence: Occurrence::Once,
     description: "what the operators expect to run",
     keys: &[
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -14,7 +14,7 @@
     name: "router",
     section: Section {
         name: "router-plays",
-        dotted: "router-plays",
+        prefix: "router-plays",
         occurrence: Occurrence::Once,
         description: "one router as one of many",
         keys: &[
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -19,7 +19,7 @@
     name: "start-target",
     section: Section {
         name: "start-target-plays",
-        dotted: "start-target-plays",
+        prefix: "start-target-plays",
         occurrence: Occurrence::Once,
         description: "many routers together; the n-th of each list makes a size",
         keys: &[
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -84,13 +84,7 @@
             .enumerate()
             .map(variant)
             .collect();
-        let told = |what: String, remedy: &str| SettingsError {
-            file: file.into(),
-            line: 0,
-            column: 0,
-            message: what,
-            remedy: remedy.into(),
-        };
+        let told = |what: String, remedy: &str| SettingsError::new(file, what, remedy);
         if variants.len() < 2 {
             let remedy = "add (variant \"as built\") and (variant \"another\" (set \"limits.repeats=100%\"))";
             return Err(told("an experiment needs two variants".into(), remedy));
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -84,13 +84,8 @@
 /// Gives settings over those of the file, each as `fleet.edges=1000`; `by` says whose they are.
 fn give_over(l: &mut LoadedSettings, set: &[String], by: &str) -> Result<(), SettingsError> {
     for set in set {
-        let refused = |what: String, remedy: &str| SettingsError {
-            file: by.into(),
-            line: 0,
-            column: 0,
-            message: format!("{set}: {what}"),
-            remedy: remedy.into(),
-        };
+        let refused =
+            |what: String, remedy: &str| SettingsError::new(by, format!("{set}: {what}"), remedy);
         let Some((name, value)) = set.split_once('=') else {
             return Err(refused("it has no =".into(), "as fleet.edges=1000"));
         };
@@ -131,13 +126,7 @@
             give_over(&mut l, set, by)?;
             sanddrum_settings::check(&l)?;
         }
-        let problem = |what: String, remedy: &str| SettingsError {
-            file: file.into(),
-            line: 0,
-            column: 0,
-            message: what,
-            remedy: remedy.into(),
-        };
+        let problem = |what: String, remedy: &str| SettingsError::new(file, what, remedy);
         let workloads = l.names("workloads");
         let mut calls = Vec::new();
         for n in 0..l.count("calls") {
--- a/crates/sanddrum-lab/src/schema.rs
+++ b/crates/sanddrum-lab/src/schema.rs
@@ -39,7 +39,7 @@
 pub const SCENARIO: &[Section] = &[
     Section {
         name: "fleet",
-        dotted: "fleet",
+        prefix: "fleet",
         occurrence: Occurrence::Once,
         description: "stand-in workers and edges",
         keys: &[
@@ -143,7 +143,7 @@
     },
     Section {
         name: "store",
-        dotted: "store",
+        prefix: "store",
         occurrence: Occurrence::Once,
         description: "the stand-in store of functions",
         keys: &[
@@ -169,7 +169,7 @@
     },
     Section {
         name: "list-service",
-        dotted: "list-service",
+        prefix: "list-service",
         occurrence: Occurrence::Once,
         description: "the stand-in list service",
         keys: &[
@@ -219,7 +219,7 @@
     },
     Section {
         name: "traffic",
-        dotted: "traffic",
+        prefix: "traffic",
         occurrence: Occurrence::Once,
         description: "what clients do",
         keys: &[
@@ -275,7 +275,7 @@
     },
     Section {
         name: "gateways",
-        dotted: "gateways",
+        prefix: "gateways",
         occurrence: Occurrence::Once,
         description: "callers that show tokens, as the deployment's identity asks for them",
         keys: &[
@@ -301,7 +301,7 @@
     },
     Section {
         name: "calls",
-        dotted: "calls",
+        prefix: "calls",
         occurrence: Occurrence::UniqueNames,
         description: "the calls of one workload",
         keys: &[
@@ -327,7 +327,7 @@
     },
     Section {
         name: "experiment",
-        dotted: "experiment",
+        prefix: "experiment",
         occurrence: Occurrence::Once,
         description: "for lab experiment",
         keys: &[key(
@@ -339,7 +339,7 @@
     },
     Section {
         name: "variant",
-        dotted: "variants",
+        prefix: "variants",
         occurrence: Occurrence::UniqueNames,
         description: "one way to run the scenario; the first is what the others are compared with",
         keys: &[
@@ -367,7 +367,7 @@
     },
     Section {
         name: "trouble",
-        dotted: "troubles",
+        prefix: "troubles",
         occurrence: Occurrence::AnyNames,
         description: "what goes wrong; the name is its kind",
         keys: &[
--- a/crates/sanddrum-platform/src/deployment.rs
+++ b/crates/sanddrum-platform/src/deployment.rs
@@ -25,11 +25,11 @@
 /// The longest time limit that the platform waits for after SIGTERM.
 const MAX_STOP_TIME_LIMIT_US: f64 = 3e6;
 
-/// The share of the platform's keep-alive time after which an idle connection is closed: before the worker closes it, so
+/// The fraction of the platform's keep-alive time after which an idle connection is closed: before the worker closes it, so
 /// that no request is sent on a connection that is closing.
-const IDLE_CLOSE_SHARE: f64 = 0.8;
-/// The share of the router's memory for request bodies. Each is held twice: in the request and on its way to a worker.
-const BODY_MEMORY_SHARE: f64 = 1.0 / 8.0;
+const IDLE_CLOSE_FRACTION: f64 = 0.8;
+/// The fraction of the router's memory for request bodies. Each is held twice: in the request and on its way to a worker.
+const BODY_MEMORY_FRACTION: f64 = 1.0 / 8.0;
 
 /// The deployment's settings as S-expressions, one section a line.
 pub(crate) fn write(config: &StartupConfig, settings: &Settings) -> String {
@@ -37,7 +37,7 @@
     let sections = [
         source.deployment(),
         source.workloads(),
-        source.copies(),
+        source.instances(),
         source.rules(),
         source.limits(),
         source.edge(),
@@ -116,7 +116,7 @@
         )
     }
 
-    fn copies(&self) -> String {
+    fn instances(&self) -> String {
         let on_miss = self.settings.text("copies.on-miss").unwrap_or("load");
         // The decision module reads by itself whether load commands are allowed. Here they always are where workers
         // load nothing by themselves, as the check of the settings rejects a fleet that nothing could load functions in.
@@ -146,8 +146,8 @@
             .sockets
             .saturating_sub(max_clients + OWN_DESCRIPTORS)
             .max(MIN_CONNECTIONS);
-        let body_memory_mb = (self.config.memory_mb * BODY_MEMORY_SHARE).max(1.0);
-        let idle_close = micros(self.number(KEEP_ALIVE_US, 3e7) * IDLE_CLOSE_SHARE);
+        let body_memory_mb = (self.config.memory_mb * BODY_MEMORY_FRACTION).max(1.0);
+        let idle_close = micros(self.number(KEEP_ALIVE_US, 3e7) * IDLE_CLOSE_FRACTION);
         format!(
             "(limits {FIXED_LIMITS} (streams {}) (connect-time-out {}) (idle-close {idle_close}) \
              (order-time-out {}) (max-retry-after {}) (max-executions {}) (max-open {}) \
--- a/crates/sanddrum-platform/src/startup_config.rs
+++ b/crates/sanddrum-platform/src/startup_config.rs
@@ -25,7 +25,7 @@
     /// Memory that the router may have in MB (2^20 bytes), at least one.
     pub memory_mb: f64,
     /// The feed's events when the configuration was written; see [`StartupConfig::feed_events`].
-    pub known: Json,
+    pub known_events: Json,
     /// The settings by the platform's names.
     pub settings: Json,
     /// The settings by the decision module's names.
@@ -93,7 +93,7 @@
             seed,
             sockets: read_limit(&json, "sockets")? as u64,
             memory_mb: read_limit(&json, "memory_mb")?,
-            known: json["known"].clone(),
+            known_events: json["known"].clone(),
             settings: json["settings"].clone(),
             decision_settings,
         };
@@ -108,7 +108,7 @@
     /// # Errors
     /// [`FeedError`]: they can't be read, which [`StartupConfig::read`] excludes.
     pub fn feed_events(&self) -> Result<FeedEvents, FeedError> {
-        control_feed::parse(&self.known, &self.worker_kinds())
+        control_feed::parse(&self.known_events, &self.worker_kinds())
     }
 
     /// The names of the kinds of machine that workers run on.
--- a/crates/sanddrum-settings/src/checks.rs
+++ b/crates/sanddrum-settings/src/checks.rs
@@ -1,209 +1,258 @@
-//! Combinations that cannot work are refused before anything starts.
+//! Rejects combinations of values that cannot work, before anything starts.
 
-use crate::forms::SettingsError;
-use crate::values::LoadedSettings;
+use crate::error::SettingsError;
+use crate::loaded::LoadedSettings;
 use std::collections::BTreeMap;
 
-pub(crate) fn check(l: &LoadedSettings) -> Result<(), SettingsError> {
-    let zones = l.names("zones");
-    let workloads = l.names("workloads");
-    if workloads.is_empty() {
-        return Err(l.error_at(
+/// By how much the customers' shares may exceed one in total, for rounding.
+const SHARE_TOLERANCE: f64 = 1e-9;
+
+/// Checks all combinations, in the order in which their errors are reported.
+///
+/// # Errors
+/// The first combination that cannot work.
+pub(crate) fn check(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    check_workloads(settings)?;
+    check_functions(settings)?;
+    check_shares(settings)?;
+    check_instances(settings)?;
+    check_zone(settings)?;
+    check_worker_tls(settings)?;
+    check_client_tls(settings)?;
+    check_customer_certificates(settings)?;
+    check_tokens(settings)?;
+    check_authorization(settings)?;
+    check_backoff(settings, "list-retry", "as 100ms and 5s")?;
+    check_backoff(settings, "left-alone", "as 100ms and 2s")?;
+    check_body_size(settings)
+}
+
+/// Whether a pattern is a name, or a prefix with one or more `*` at its end.
+fn is_pattern(pattern: &str) -> bool {
+    !pattern.is_empty() && !pattern.trim_end_matches('*').contains('*')
+}
+
+fn check_workloads(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    let count = settings.names("workloads").len();
+    if count == 0 {
+        return Err(settings.error_at(
             "",
             "no workload is set",
             "add (workload \"a-name\" (effect ...) ...)",
         ));
     }
-    for n in 0..workloads.len() {
-        workload(l, &format!("workloads.{n}"))?;
-    }
-    for n in 0..l.count("functions") {
-        let at = format!("functions.{n}.workload");
-        let named = format!("functions.{n}.name");
-        if !l.contains(&at) {
-            return Err(l.error_at(
-                &named,
-                "a function needs a workload",
-                "add (workload \"a-name\")",
-            ));
+    for index in 0..count {
+        let prefix = format!("workloads.{index}");
+        check_start_target(settings, &prefix)?;
+        check_idempotency(settings, &prefix)?;
+    }
+    Ok(())
+}
+
+fn check_start_target(settings: &LoadedSettings, workload: &str) -> Result<(), SettingsError> {
+    let target_name = format!("{workload}.start-target-us");
+    let target_us = settings.duration_us(&target_name);
+    let time_limit_us = settings.duration_us(&format!("{workload}.time-limit-us"));
+    if target_us == 0 || target_us > time_limit_us {
+        let message = "the start target must be above 0 and no longer than the time limit";
+        return Err(settings.error_at(&target_name, message, "as 1s and 3s"));
+    }
+    Ok(())
+}
+
+fn check_idempotency(settings: &LoadedSettings, workload: &str) -> Result<(), SettingsError> {
+    let effect_name = format!("{workload}.effect");
+    let group_name = format!("{workload}.group");
+    let has_group = settings.contains(&group_name);
+    let has_window = settings.duration_us(&format!("{workload}.repeat-window-us")) > 0;
+    let is_fingerprinted = settings.text(&effect_name) == "fingerprinted";
+    if is_fingerprinted && !(has_group && has_window) {
+        let message =
+            "a fingerprinted workload needs to say which workers drop its repeats and for how long";
+        let remedy = "add (group zone) and (repeat-window 2s), as the workers do it";
+        return Err(settings.error_at(&effect_name, message, remedy));
+    }
+    if !is_fingerprinted && has_group {
+        let message = "only fingerprinted workloads have a group";
+        let remedy = "take it out, or set (effect fingerprinted)";
+        return Err(settings.error_at(&group_name, message, remedy));
+    }
+    Ok(())
+}
+
+fn check_functions(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    let workloads = settings.names("workloads");
+    for index in 0..settings.count("functions") {
+        let name_key = format!("functions.{index}.name");
+        let workload_key = format!("functions.{index}.workload");
+        if !settings.contains(&workload_key) {
+            let message = "a function needs a workload";
+            return Err(settings.error_at(&name_key, message, "add (workload \"a-name\")"));
         }
-        if !workloads.iter().any(|w| w == l.text(&at)) {
-            let known = format!("known are {}", workloads.join(", "));
-            return Err(l.error_at(&at, format!("no workload {:?} is set", l.text(&at)), known));
+        let workload = settings.text(&workload_key);
+        if !workloads.iter().any(|known| known == workload) {
+            let message = format!("no workload {workload:?} is set");
+            let remedy = format!("known are {}", workloads.join(", "));
+            return Err(settings.error_at(&workload_key, message, remedy));
         }
-        let name = l.text(&named);
-        if name.trim_end_matches('*').contains('*') || name.is_empty() {
-            return Err(l.error_at(&named, "a * may stand at the end only", "as \"pick-*\""));
+        if !is_pattern(settings.text(&name_key)) {
+            let message = "a * may stand at the end only";
+            return Err(settings.error_at(&name_key, message, "as \"pick-*\""));
         }
     }
-    let shares: f64 = (0..l.count("customers"))
-        .map(|n| l.number(&format!("customers.{n}.share")))
+    Ok(())
+}
+
+fn check_shares(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    let count = settings.count("customers");
+    let total: f64 = (0..count)
+        .map(|index| settings.number(&format!("customers.{index}.share")))
         .sum();
-    if l.count("customers") > 1 && shares > 1.0 + 1e-9 {
-        let what = format!("the customers' shares add up to {shares}");
-        return Err(l.error_at("customers.0.share", what, "at most 1 in all"));
-    }
-    if l.text("copies.on-miss") == "miss" && !l.flag("copies.orders") {
-        let what = "nothing could ever be loaded: workers answer a miss and edges give no orders";
-        return Err(l.error_at("copies.on-miss", what, "set (orders yes) or (on-miss load)"));
-    }
-    let rationed = l.duration_us("copies.load-window-us") > 0;
-    if rationed && l.number("copies.load-free") < 1.0 && l.number("copies.load-share") <= 0.0 {
-        let what = "the ration of orders to load is nought";
-        return Err(l.error_at(
-            "copies.load-window-us",
-            what,
-            "set load-free to 1 or more, or load-share above 0",
-        ));
+    if count > 1 && total > 1.0 + SHARE_TOLERANCE {
+        let message = format!("the customers' shares add up to {total}");
+        return Err(settings.error_at("customers.0.share", message, "at most 1 in all"));
     }
-    if l.duration_us("copies.keep-alive-us") == 0 {
-        return Err(l.error_at(
-            "copies.keep-alive-us",
-            "no copy would ever be found loaded",
-            "set it above 0s",
-        ));
+    Ok(())
+}
+
+/// Whether functions can be loaded at all, and stay loaded.
+fn check_instances(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    if settings.text("copies.on-miss") == "miss" && !settings.flag("copies.orders") {
+        let message =
+            "nothing could ever be loaded: workers answer a miss and edges give no orders";
+        let remedy = "set (orders yes) or (on-miss load)";
+        return Err(settings.error_at("copies.on-miss", message, remedy));
     }
-    if l.contains("edge.zone") && !zones.iter().any(|z| z == l.text("edge.zone")) {
-        let what = format!("no zone {:?} is set", l.text("edge.zone"));
-        return Err(l.error_at("edge.zone", what, format!("known are {}", zones.join(", "))));
+    let has_load_budget = settings.duration_us("copies.load-window-us") > 0;
+    let free_loads = settings.number("copies.load-free");
+    let loads_per_request = settings.number("copies.load-share");
+    if has_load_budget && free_loads < 1.0 && loads_per_request <= 0.0 {
+        let message = "the ration of orders to load is nought";
+        let remedy = "set load-free to 1 or more, or load-share above 0";
+        return Err(settings.error_at("copies.load-window-us", message, remedy));
     }
-    if l.text("tls.workers") == "verified" && !l.contains("tls.roots-file") {
-        let what = "workers' names can't be verified without roots";
-        return Err(l.error_at(
-            "tls.workers",
-            what,
-            "add (roots-file \"roots.pem\"), as sanddrum certs make does",
-        ));
+    if settings.duration_us("copies.keep-alive-us") == 0 {
+        let message = "no copy would ever be found loaded";
+        return Err(settings.error_at("copies.keep-alive-us", message, "set it above 0s"));
     }
-    if l.contains("tls.certificate-file") != l.contains("tls.key-file") {
-        let what = "a certificate and its key go together";
-        return Err(l.error_at(
-            "tls.certificate-file",
-            what,
-            "set both certificate-file and key-file, or neither",
-        ));
+    Ok(())
+}
+
+fn check_zone(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    if !settings.contains("edge.zone") {
+        return Ok(());
     }
-    door(l)?;
-    if l.text("identity.tokens") != "off" && !l.contains("identity.keys-file") {
-        let what = "tokens can't be checked without keys";
-        return Err(l.error_at(
-            "identity.tokens",
-            what,
-            "add (keys-file \"keys.json\"), made with sanddrum keys new",
-        ));
+    let zones = settings.names("zones");
+    let zone = settings.text("edge.zone");
+    if !zones.iter().any(|known| known == zone) {
+        let message = format!("no zone {zone:?} is set");
+        let remedy = format!("known are {}", zones.join(", "));
+        return Err(settings.error_at("edge.zone", message, remedy));
     }
-    for kind in ["allow", "deny"] {
-        for (n, customer) in l.names(kind).iter().enumerate() {
-            let mut patterns = l.names(&format!("{kind}.{n}.functions"));
-            patterns.extend(l.names(&format!("{kind}.{n}.workloads")));
-            patterns.push(customer.clone());
-            if let Some(bad) = patterns
-                .iter()
-                .find(|p| p.is_empty() || p.trim_end_matches('*').contains('*'))
-            {
-                let what = format!("{bad:?} is no pattern");
-                return Err(l.error_at(
-                    &format!("{kind}.{n}.name"),
-                    what,
-                    "a * may stand at the end only, as \"pick-*\"",
-                ));
-            }
-        }
+    Ok(())
+}
+
+fn check_worker_tls(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    if settings.text("tls.workers") == "verified" && !settings.contains("tls.roots-file") {
+        let message = "workers' names can't be verified without roots";
+        let remedy = "add (roots-file \"roots.pem\"), as sanddrum certs make does";
+        return Err(settings.error_at("tls.workers", message, remedy));
     }
-    let (least, most) = (
-        l.duration_us("limits.list-retry-least-us"),
-        l.duration_us("limits.list-retry-most-us"),
-    );
-    if least > most || least == 0 {
-        let what = "list-retry-least must be above 0 and no more than list-retry-most";
-        return Err(l.error_at("limits.list-retry-least-us", what, "as 100ms and 5s"));
-    }
-    let (least, most) = (
-        l.duration_us("limits.left-alone-least-us"),
-        l.duration_us("limits.left-alone-most-us"),
-    );
-    if least > most || least == 0 {
-        let what = "left-alone-least must be above 0 and no more than left-alone-most";
-        return Err(l.error_at("limits.left-alone-least-us", what, "as 100ms and 2s"));
-    }
-    if l.number("limits.largest-body-bytes") >= l.number("limits.largest-frame-bytes") + 1.0 {
-        let what = "a body may be larger than a frame, so it could reach no worker";
-        return Err(l.error_at(
-            "limits.largest-body-bytes",
-            what,
-            "set largest-frame above largest-body",
-        ));
+    if settings.contains("tls.certificate-file") != settings.contains("tls.key-file") {
+        let message = "a certificate and its key go together";
+        let remedy = "set both certificate-file and key-file, or neither";
+        return Err(settings.error_at("tls.certificate-file", message, remedy));
     }
     Ok(())
 }
 
-fn door(l: &LoadedSettings) -> Result<(), SettingsError> {
-    let tls = l.text("door.speaks") == "tls";
-    if tls && !(l.contains("door.certificate-file") && l.contains("door.key-file")) {
-        let what = "the client door can't speak TLS without a certificate and its key";
-        return Err(l.error_at(
-            "door.speaks",
-            what,
-            "add (certificate-file \"door.pem\") (key-file \"door.key\")",
-        ));
+fn check_client_tls(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    let uses_tls = settings.text("door.speaks") == "tls";
+    let has_certificate =
+        settings.contains("door.certificate-file") && settings.contains("door.key-file");
+    if uses_tls && !has_certificate {
+        let message = "the client door can't speak TLS without a certificate and its key";
+        let remedy = "add (certificate-file \"door.pem\") (key-file \"door.key\")";
+        return Err(settings.error_at("door.speaks", message, remedy));
     }
-    if l.text("door.certificates") != "off" && !(tls && l.contains("door.roots-file")) {
-        let what = "clients' certificates can't be verified without TLS and roots";
-        return Err(l.error_at(
-            "door.certificates",
-            what,
-            "add (speaks tls) and (roots-file \"clients.pem\")",
-        ));
+    let verifies_clients = settings.text("door.certificates") != "off";
+    if verifies_clients && !(uses_tls && settings.contains("door.roots-file")) {
+        let message = "clients' certificates can't be verified without TLS and roots";
+        let remedy = "add (speaks tls) and (roots-file \"clients.pem\")";
+        return Err(settings.error_at("door.certificates", message, remedy));
     }
+    Ok(())
+}
+
+/// Whether each name in a client certificate belongs to one customer.
+fn check_customer_certificates(settings: &LoadedSettings) -> Result<(), SettingsError> {
     let mut owners: BTreeMap<String, usize> = BTreeMap::new();
-    for n in 0..l.count("customers") {
-        let at = format!("customers.{n}.certificates");
-        for name in l.names(&at) {
-            if name.is_empty() || name.trim_end_matches('*').contains('*') || name == "*" {
-                let what = format!("{name:?} is no certificate's name");
-                return Err(l.error_at(&at, what, "a * may stand at the end of a beginning only"));
+    for customer in 0..settings.count("customers") {
+        let key = format!("customers.{customer}.certificates");
+        for name in settings.names(&key) {
+            if !is_pattern(&name) || name == "*" {
+                let message = format!("{name:?} is no certificate's name");
+                let remedy = "a * may stand at the end of a beginning only";
+                return Err(settings.error_at(&key, message, remedy));
             }
-            if owners
-                .insert(name.clone(), n)
-                .is_some_and(|other| other != n)
-            {
-                let what = format!("{name:?} would be two customers'");
-                return Err(l.error_at(&at, what, "take it out of one of them"));
+            let owner = *owners.entry(name.clone()).or_insert(customer);
+            if owner != customer {
+                let message = format!("{name:?} would be two customers'");
+                return Err(settings.error_at(&key, message, "take it out of one of them"));
             }
         }
     }
     Ok(())
 }
 
-fn workload(l: &LoadedSettings, at: &str) -> Result<(), SettingsError> {
-    let name = |key: &str| format!("{at}.{key}");
-    let (target, limit) = (
-        l.duration_us(&name("start-target-us")),
-        l.duration_us(&name("time-limit-us")),
-    );
-    if target == 0 || target > limit {
-        let what = "the start target must be above 0 and no longer than the time limit";
-        return Err(l.error_at(&name("start-target-us"), what, "as 1s and 3s"));
-    }
-    let fingerprinted = l.text(&name("effect")) == "fingerprinted";
-    if fingerprinted
-        && !(l.contains(&name("group")) && l.duration_us(&name("repeat-window-us")) > 0)
-    {
-        let what =
-            "a fingerprinted workload needs to say which workers drop its repeats and for how long";
-        return Err(l.error_at(
-            &name("effect"),
-            what,
-            "add (group zone) and (repeat-window 2s), as the workers do it",
-        ));
+fn check_tokens(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    if settings.text("identity.tokens") != "off" && !settings.contains("identity.keys-file") {
+        let message = "tokens can't be checked without keys";
+        let remedy = "add (keys-file \"keys.json\"), made with sanddrum keys new";
+        return Err(settings.error_at("identity.tokens", message, remedy));
     }
-    if !fingerprinted && l.contains(&name("group")) {
-        let what = "only fingerprinted workloads have a group";
-        return Err(l.error_at(
-            &name("group"),
-            what,
-            "take it out, or set (effect fingerprinted)",
-        ));
+    Ok(())
+}
+
+fn check_authorization(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    for section in ["allow", "deny"] {
+        for (index, customer) in settings.names(section).into_iter().enumerate() {
+            let mut patterns = settings.names(&format!("{section}.{index}.functions"));
+            patterns.extend(settings.names(&format!("{section}.{index}.workloads")));
+            patterns.push(customer);
+            if let Some(invalid) = patterns.iter().find(|pattern| !is_pattern(pattern)) {
+                let message = format!("{invalid:?} is no pattern");
+                let remedy = "a * may stand at the end only, as \"pick-*\"";
+                return Err(settings.error_at(&format!("{section}.{index}.name"), message, remedy));
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Checks the first and the longest backoff of a limit.
+fn check_backoff(
+    settings: &LoadedSettings,
+    limit: &str,
+    remedy: &str,
+) -> Result<(), SettingsError> {
+    let first_name = format!("limits.{limit}-least-us");
+    let first_us = settings.duration_us(&first_name);
+    let longest_us = settings.duration_us(&format!("limits.{limit}-most-us"));
+    if first_us > longest_us || first_us == 0 {
+        let message = format!("{limit}-least must be above 0 and no more than {limit}-most");
+        return Err(settings.error_at(&first_name, message, remedy));
+    }
+    Ok(())
+}
+
+fn check_body_size(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    let max_body_bytes = settings.number("limits.largest-body-bytes");
+    let max_frame_bytes = settings.number("limits.largest-frame-bytes");
+    if max_body_bytes >= max_frame_bytes + 1.0 {
+        let message = "a body may be larger than a frame, so it could reach no worker";
+        let remedy = "set largest-frame above largest-body";
+        return Err(settings.error_at("limits.largest-body-bytes", message, remedy));
     }
     Ok(())
 }
--- a/crates/sanddrum-settings/src/lib.rs
+++ b/crates/sanddrum-settings/src/lib.rs
@@ -1,58 +1,62 @@
-//! Settings as S-expressions: read with their places in the file, checked against a schema before anything starts,
-//! and kept as dotted names with plain values, which is how the decision module asks for them.
-
-#![allow(clippy::too_many_lines, missing_docs)] // unfinished: docs/ROADMAP.md
+//! Settings files as S-expressions: read with the positions of their values, checked against a schema and for
+//! combinations that cannot work before anything starts, and kept as dotted names with plain values, which is how the
+//! decision module queries them.
 
 mod checks;
-mod forms;
+mod deployment;
+mod error;
+mod loaded;
+mod reader;
 mod schema;
-mod values;
+mod suggestion;
+mod syntax;
+mod value;
 
-pub use forms::SettingsError;
-pub use schema::{key, Key, Occurrence, Section, ValueType, DEPLOYMENT};
-pub use values::{LoadedSettings, Origin};
+pub use deployment::DEPLOYMENT;
+pub use error::{Position, SettingsError};
+pub use loaded::{LoadedSettings, Origin};
+pub use schema::{key, Key, Occurrence, Section, ValueType};
 
 use std::path::Path;
 
 /// Reads a deployment's settings from a file and checks them.
 ///
 /// # Errors
-/// The file can't be read, or something in it is wrong: the problem names the place, what is wrong and what to do.
+/// [`SettingsError`]: the file can't be read, or something in it is wrong.
 pub fn load(path: &Path) -> Result<LoadedSettings, SettingsError> {
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| SettingsError::of_file(&path.display().to_string(), &e))?;
-    read(&path.display().to_string(), &text)
+    let file = path.display().to_string();
+    let text =
+        std::fs::read_to_string(path).map_err(|error| SettingsError::of_file(&file, &error))?;
+    read(&file, &text)
 }
 
-/// Reads a deployment's settings from a text.
+/// Reads a deployment's settings from the text of a file and checks them.
 ///
 /// # Errors
-/// As [`load`].
+/// [`SettingsError`]: something in the text is wrong.
 pub fn read(file: &str, text: &str) -> Result<LoadedSettings, SettingsError> {
-    let loaded = values::read(file, text, DEPLOYMENT)?;
-    checks::check(&loaded)?;
-    Ok(loaded)
+    read_with(file, text, &[])
 }
 
-/// Reads a text that holds a deployment and more sections beside it.
+/// Reads a text that has further sections beside a deployment's, and checks it.
 ///
 /// # Errors
-/// As [`load`].
+/// As [`read`].
 pub fn read_with(
     file: &str,
     text: &str,
-    more: &[Section],
+    further_sections: &[Section],
 ) -> Result<LoadedSettings, SettingsError> {
-    let schema = [DEPLOYMENT, more].concat();
-    let loaded = values::read(file, text, &schema)?;
-    checks::check(&loaded)?;
-    Ok(loaded)
+    let schema = [DEPLOYMENT, further_sections].concat();
+    let settings = reader::read(file, text, &schema)?;
+    check(&settings)?;
+    Ok(settings)
 }
 
-/// Checks a deployment again, after values were set from elsewhere.
+/// Checks combinations of values, as reading does; for settings with overridden values.
 ///
 /// # Errors
-/// As [`load`].
-pub fn check(loaded: &LoadedSettings) -> Result<(), SettingsError> {
-    checks::check(loaded)
+/// [`SettingsError`]: a combination cannot work.
+pub fn check(settings: &LoadedSettings) -> Result<(), SettingsError> {
+    checks::check(settings)
 }
--- /dev/null
+++ b/crates/sanddrum-settings/src/syntax.rs
@@ -0,0 +1,140 @@
+//! Parses the text of a settings file into forms with their positions: `(name part part ...)`.
+
+use crate::error::{Position, SettingsError};
+use lexpr::datum::Ref;
+use lexpr::parse::Parser;
+
+/// One part of a form.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum Part {
+    /// A number.
+    Number(f64),
+    /// A symbol or a string.
+    Word(String),
+    /// A nested form.
+    Form(Form),
+}
+
+/// A list that begins with a symbol.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct Form {
+    /// The symbol that it begins with.
+    pub name: String,
+    pub position: Position,
+    /// What follows the name.
+    pub parts: Vec<(Part, Position)>,
+}
+
+/// How deep forms may be nested. Deeper ones are rejected before the recursive parser sees them.
+const MAX_DEPTH: usize = 32;
+
+/// Parses all forms of a text, in order.
+///
+/// # Errors
+/// The text is no sequence of forms.
+pub(crate) fn parse_forms(file: &str, text: &str) -> Result<Vec<Form>, SettingsError> {
+    check_depth(file, text)?;
+    let mut parser = Parser::from_str(text);
+    let mut forms = Vec::new();
+    loop {
+        match parser.next_datum() {
+            Ok(None) => return Ok(forms),
+            Ok(Some(datum)) => forms.push(form(file, datum.as_ref())?),
+            Err(error) => return Err(syntax_error(file, &error)),
+        }
+    }
+}
+
+/// Parses a single form, as `(name value)`.
+///
+/// # Errors
+/// The text is no form.
+pub(crate) fn parse_form(file: &str, text: &str) -> Result<Form, SettingsError> {
+    let mut forms = parse_forms(file, text)?;
+    if forms.is_empty() {
+        return Err(not_a_form(file));
+    }
+    Ok(forms.remove(0))
+}
+
+fn syntax_error(file: &str, error: &lexpr::parse::Error) -> SettingsError {
+    let position = match error.location() {
+        Some(location) => Position {
+            line: location.line(),
+            column: location.column() + 1,
+        },
+        None => Position { line: 1, column: 1 },
+    };
+    let message = error.to_string();
+    let remedy = if message.contains("number") {
+        "write the number and its unit apart, as 500 B"
+    } else {
+        "look for a bracket or a quote that is not closed before this place"
+    };
+    SettingsError::new(file, message, remedy).at(position)
+}
+
+fn check_depth(file: &str, text: &str) -> Result<(), SettingsError> {
+    let mut depth = 0usize;
+    for (line_index, line) in text.lines().enumerate() {
+        for (column_index, character) in line.chars().enumerate() {
+            depth = match character {
+                '(' | '[' => depth + 1,
+                ')' | ']' => depth.saturating_sub(1),
+                _ => depth,
+            };
+            if depth > MAX_DEPTH {
+                let position = Position {
+                    line: line_index + 1,
+                    column: column_index + 1,
+                };
+                let error =
+                    SettingsError::new(file, "nested too deep", "settings need a few levels only");
+                return Err(error.at(position));
+            }
+        }
+    }
+    Ok(())
+}
+
+fn position_of(datum: Ref<'_>) -> Position {
+    let start = datum.span().start();
+    Position {
+        line: start.line(),
+        column: start.column() + 1,
+    }
+}
+
+fn not_a_form(file: &str) -> SettingsError {
+    let remedy = "write (name value), as (keep-alive 8s)";
+    SettingsError::new(file, "a form is wanted here", remedy)
+}
+
+fn form(file: &str, datum: Ref<'_>) -> Result<Form, SettingsError> {
+    let position = position_of(datum);
+    let no_form = || not_a_form(file).at(position);
+    let mut items = datum.list_iter().ok_or_else(no_form)?;
+    let head = items.next().ok_or_else(no_form)?;
+    let name = head.value().as_symbol().ok_or_else(no_form)?.to_string();
+    let parts = items
+        .map(|item| Ok((part(file, item)?, position_of(item))))
+        .collect::<Result<_, SettingsError>>()?;
+    Ok(Form {
+        name,
+        position,
+        parts,
+    })
+}
+
+fn part(file: &str, datum: Ref<'_>) -> Result<Part, SettingsError> {
+    let value = datum.value();
+    if let Some(number) = value.as_f64() {
+        Ok(Part::Number(number))
+    } else if let Some(word) = value.as_symbol().or_else(|| value.as_str()) {
+        Ok(Part::Word(word.to_string()))
+    } else if let Some(flag) = value.as_bool() {
+        Ok(Part::Word(if flag { "yes" } else { "no" }.to_string()))
+    } else {
+        Ok(Part::Form(form(file, datum)?))
+    }
+}
--- /dev/null
+++ b/crates/sanddrum-settings/tests/settings.rs
@@ -0,0 +1,153 @@
+//! Reading and checking settings: values with their origin, errors with their position and remedy.
+
+use proptest::prelude::*;
+use rstest::rstest;
+use sanddrum_settings::{
+    key, read, read_with, Occurrence, Origin, Position, Section, SettingsError, ValueType,
+};
+
+const FILE: &str = "demo.sx";
+
+/// Valid settings of seven lines, the first of which is empty; what tests add begins in line 8.
+const VALID: &str = r#"
+(deployment (name "demo") (zones "bat-a" "bat-b"))
+(workload "trace-pass" (start-target 1s) (time-limit 3s) (effect restartable))
+(workload "phase-pick" (effect fingerprinted) (group zone) (repeat-window 2s) (importance 5))
+(function "pick-*" (workload "trace-pass") (memory 300MB) (lanes 2))
+(limits (max-open 10))
+(edge (zone "bat-b") (number 1) (edges 2))
+"#;
+const FIRST_ADDED_LINE: usize = 8;
+
+/// The error of the valid settings with something wrong added.
+fn error_with(added: &str, further_sections: &[Section]) -> SettingsError {
+    read_with(FILE, &format!("{VALID}{added}"), further_sections).unwrap_err()
+}
+
+#[rstest]
+fn values_have_dotted_names_units_and_origins() {
+    let settings = read(FILE, VALID).unwrap();
+    let values = &settings.values;
+    assert_eq!(values.number("workloads.0.start-target-us"), Some(1e6));
+    assert_eq!(values.text("workloads.1.group"), Some("zone"));
+    assert_eq!(values.number("functions.0.memory-mb"), Some(300.0));
+    assert_eq!(
+        (values.number("me"), values.number("routers")),
+        (Some(1.0), Some(2.0))
+    );
+    assert_eq!(
+        settings.origins["limits.max-open"],
+        Origin::File { line: 6, column: 9 }
+    );
+    assert_eq!(settings.origins["limits.streams"], Origin::Default);
+    assert!(
+        !settings.contains("copies.load-window-us"),
+        "a setting without a default of its own stays absent"
+    );
+}
+
+#[rstest]
+#[case::misspelt("(copies (keep-alvie 3s))", 8, 9, "did you mean keep-alive?")]
+#[case::unit("(copies (keep-alive 8sec))", 8, 21, "us, ms, s, min or h")]
+#[case::no_unit("(copies (keep-alive 8))", 8, 21, "as 250ms")]
+#[case::unknown_section("(limit (max-open 3))", 8, 1, "did you mean limits?")]
+#[case::twice("(workload \"trace-pass\")", 8, 11, "differ")]
+#[case::open("(copies (orders yes)", 8, 0, "not closed")]
+#[case::no_load("(copies (on-miss miss) (orders no))", 8, 9, "on-miss load")]
+#[case::no_ration("(copies (load-window 5s))", 8, 9, "load-free")]
+#[case::choice(
+    "(workload \"x\" (effect restartible))",
+    8,
+    23,
+    "did you mean restartable?"
+)]
+#[case::target("(workload \"x\" (start-target 9s))", 8, 15, "as 1s and 3s")]
+#[case::fingerprint("(workload \"x\" (effect fingerprinted))", 8, 15, "repeat-window")]
+#[case::function(
+    "(function \"f\" (workload \"nope\"))",
+    8,
+    15,
+    "known are trace-pass, phase-pick"
+)]
+#[case::share(
+    "(customer \"a\" (share 60%)) (customer \"b\" (share 60%))",
+    8,
+    15,
+    "at most 1"
+)]
+fn an_error_has_a_position_and_a_remedy(
+    #[case] added: &str,
+    #[case] line: usize,
+    #[case] column: usize,
+    #[case] remedy: &str,
+) {
+    let error = error_with(added, &[]);
+    let position = error.position.expect("a position");
+    assert_eq!(position.line, line, "{error}");
+    assert!(column == 0 || position.column == column, "{error}");
+    assert!(error.to_string().contains(remedy), "{error}");
+}
+
+#[rstest]
+fn the_command_line_overrides_known_settings_only() {
+    let mut settings = read(FILE, VALID).unwrap();
+    settings
+        .override_value("edge.listen", "127.0.0.1:0", "--listen")
+        .unwrap();
+    assert_eq!(settings.text("edge.listen"), "127.0.0.1:0");
+    let error = settings
+        .override_value("limits.tik", "3s", "--set")
+        .unwrap_err();
+    assert!(error.to_string().contains("not a setting"));
+}
+
+const SIZES: &[Section] = &[Section {
+    name: "sizes",
+    prefix: "sizes",
+    occurrence: Occurrence::Once,
+    description: "",
+    keys: &[key(
+        "workers",
+        ValueType::Integers(1.0, 1e4),
+        Some("10 100"),
+        "",
+    )],
+}];
+
+#[rstest]
+#[case::set("(sizes (workers 1 20 300))", &[1, 20, 300])]
+#[case::default("", &[10, 100])]
+#[case::empty("(sizes (workers))", &[])]
+fn a_list_of_integers_keeps_its_order(#[case] added: &str, #[case] expected: &[u64]) {
+    let settings = read_with(FILE, &format!("{VALID}{added}"), SIZES).unwrap();
+    assert_eq!(settings.integers("sizes.workers"), expected);
+}
+
+#[rstest]
+#[case::fraction("(sizes (workers 1 2.5))", 19, "workers: a whole number is wanted")]
+#[case::bound(
+    "(sizes (workers 1 20000))",
+    19,
+    "workers: 20000 is not between 1 and 10000"
+)]
+#[case::word("(sizes (workers many))", 17, "workers: a whole number is wanted")]
+fn an_invalid_element_of_a_list_is_rejected_at_its_position(
+    #[case] added: &str,
+    #[case] column: usize,
+    #[case] message: &str,
+) {
+    let error = error_with(added, SIZES);
+    let expected_place = Position {
+        line: FIRST_ADDED_LINE,
+        column,
+    };
+    assert_eq!(error.position, Some(expected_place), "{error}");
+    assert_eq!(error.message, message);
+}
+
+proptest! {
+    #[test]
+    fn arbitrary_text_never_panics_the_reader(text in "[ ()\"a-z0-9;#'\\\\.\\[\\]\n-]{0,200}") {
+        let _ = read("noise", &text);
+    }
+}
