--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -188,7 +188,10 @@
                     }
                     Ok(Some((answer, _))) => serde_json::from_slice(&answer.body)
                         .map_err(|e| e.to_string())
-                        .and_then(|json| control_feed::parse(&json, &control_feed.kinds)),
+                        .and_then(|json| {
+                            control_feed::parse(&json, &control_feed.kinds)
+                                .map_err(|e| e.to_string())
+                        }),
                     Err(bad) => Err(bad.reason().to_string()),
                 };
                 match told {
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -329,7 +329,9 @@
         let text = content
             .map_err(ToString::to_string)
             .map(String::from_utf8_lossy);
-        match text.and_then(|text| sanddrum_platform::StartupConfig::read(&text)) {
+        match text.and_then(|text| {
+            sanddrum_platform::StartupConfig::read(&text).map_err(|e| e.to_string())
+        }) {
             Ok(configuration) => self.change_feed_address(now, &configuration.feed, io),
             Err(why) => {
                 tracing::error!(
