--- a/crates/sanddrum-edge/src/worker_connections/closing.rs
+++ b/crates/sanddrum-edge/src/worker_connections/closing.rs
@@ -1,180 +1,196 @@
-//! How connections to workers end, and what waits on them is written.
+//! How connections to workers end, and with which outcome what was in flight on them.
 
-use super::{MessageKey, WorkerConnection};
-use crate::{EdgeState, Timer};
-use sanddrum::{Micros, Outcome, Warmth};
+use super::{ConnectionLoss, EndedMessage, Transport, WorkerConnection, WorkerConnections};
+use crate::context::EdgeContext;
+use crate::message::{AttemptId, MessageKey};
+use crate::timers::Timer;
+use crate::worker_protocol::WorkerProtocol;
+use sanddrum::{Micros, Outcome};
 use sanddrum_net::{CloseCause, Io};
-use sanddrum_upstream::WorkerConnectionId;
-use std::collections::BTreeMap;
+use sanddrum_upstream::{RejectReason, WorkerConnectionId};
 
-impl EdgeState {
+impl WorkerConnections {
     /// A connection is gone. What was not written to its last byte cannot have been read; what was may have run.
-    pub(super) fn connection_lost(
+    pub fn lost(
         &mut self,
+        context: &mut EdgeContext,
         now: Micros,
         id: WorkerConnectionId,
-        how: CloseCause,
-        lied: bool,
-    ) {
-        let Some(connection) = self.worker_connections.connections.get(&id) else {
-            return;
+        loss: ConnectionLoss,
+    ) -> Vec<EndedMessage> {
+        let Some(connection) = self.connections.get(&id) else {
+            return Vec::new();
         };
-        if !connection.in_flight.is_empty() {
-            let name = self.worker_connections.name(connection.worker);
-            tracing::info!(
-                worker = name,
-                ?how,
-                is_connected = connection.is_connected,
-                carried = connection.in_flight.len(),
-                rested_us = connection.idle_before,
-                "a connection ended"
-            );
-        }
-        if connection.is_connected
-            && how != CloseCause::Refused
-            && !connection.in_flight.is_empty()
-            && !lied
-        {
-            self.idle_timeout.record_reset(
-                now,
-                connection.idle_before,
-                now - connection.busy_since,
-            );
+        let cause = loss.cause();
+        if !connection.is_idle() {
+            self.log_loss(connection, cause);
+            let was_open = connection.transport.is_connected() && cause != CloseCause::Refused;
+            if was_open && loss != ConnectionLoss::ProtocolError {
+                let busy_for = now - connection.busy_since;
+                self.idle_timeout
+                    .record_reset(now, connection.idle_before, busy_for);
+            }
         }
-        let unread = |connection: &WorkerConnection, mark: &MessageKey| {
-            !connection.is_connected
-                || how == CloseCause::Refused
-                || connection.out.is_pending(mark)
-        };
-        let each: BTreeMap<MessageKey, bool> = connection
+        let ended = connection
             .in_flight
             .iter()
-            .map(|mark| (*mark, unread(connection, mark)))
+            .map(|key| EndedMessage {
+                key: *key,
+                outcome: outcome_after_loss(connection, *key, cause),
+            })
             .collect();
-        let end = |mark: &MessageKey| {
-            if each.get(mark) == Some(&true) {
-                Outcome::NoConnection
-            } else {
-                Outcome::Reset
-            }
-        };
-        self.remove_connection(now, id, end, lied);
+        self.remove(context, id, loss);
+        ended
+    }
+
+    fn log_loss(&self, connection: &WorkerConnection, cause: CloseCause) {
+        tracing::info!(
+            worker = self.worker_name(connection.worker),
+            ?cause,
+            connected = connection.transport.is_connected(),
+            in_flight = connection.in_flight.len(),
+            idle_before_us = connection.idle_before,
+            "worker connection lost"
+        );
     }
-    pub(super) fn remove_connection(
+
+    /// The connection policy does not let a connection be opened.
+    pub fn reject(
         &mut self,
-        now: Micros,
+        context: &mut EdgeContext,
         id: WorkerConnectionId,
-        end: impl Fn(&MessageKey) -> Outcome,
-        lied: bool,
-    ) {
-        let Some(connection) = self.worker_connections.connections.remove(&id) else {
+        reason: RejectReason,
+    ) -> Vec<EndedMessage> {
+        context.metrics.record_limit_hit(reason.reason());
+        let outcome = match reason {
+            RejectReason::HandshakeBudget => Outcome::Rejected,
+            _ => Outcome::NoConnection,
+        };
+        let Some(connection) = self.connections.get(&id) else {
+            return Vec::new();
+        };
+        let in_flight = connection.in_flight.iter();
+        let ended = in_flight
+            .map(|key| EndedMessage { key: *key, outcome })
+            .collect();
+        self.remove(context, id, ConnectionLoss::Closed(CloseCause::Refused));
+        ended
+    }
+
+    fn remove(&mut self, context: &mut EdgeContext, id: WorkerConnectionId, loss: ConnectionLoss) {
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        self.metrics.links_open.decrement(1.0);
-        self.worker_connections.dirty.remove(&id);
-        if let Some(endpoint) = self
-            .worker_connections
-            .endpoints
-            .get_mut(&connection.worker)
-        {
+        context.metrics.worker_connections_open.decrement(1.0);
+        self.dirty.remove(&id);
+        if let Some(endpoint) = self.endpoints.get_mut(&connection.worker) {
             endpoint.connections.remove(&id);
         }
-        // A spoilt answer tells nothing against the next connection; another worker's name, as our own tell it, does.
-        // Nor does a dial that was left because its worker has moved.
-        let failed = (lied && !self.on_platform)
-            || (connection.conn.is_some() && !connection.is_connected && !connection.is_retired);
-        let events = &mut self.worker_connections.events;
-        if failed {
-            &mut events.failed
+        let events = &mut context.connection_events;
+        if self.counts_as_failed(&connection, loss) {
+            events.failed.push(id);
         } else {
-            &mut events.closed
+            events.closed.push(id);
         }
-        .push(id);
-        for mark in &connection.in_flight {
-            let end = end(mark);
-            match mark {
-                MessageKey::Attempt(id) => {
-                    self.attempt_ended(now, *id, end, Warmth::Unknown, None, None)
-                }
-                MessageKey::Load(id) => self.load_ended(now, *id, end, 0),
-                MessageKey::HealthCheck(id) => self.health_check_failed(now, *id, end),
-                MessageKey::Cancel | MessageKey::Untracked => {}
-            }
+    }
+
+    /// Whether the end of a connection says that the next one would fail as well. A malformed answer does not, but another
+    /// worker's name in the greeting does, which only the native protocol has. Nor does a dial that was given up because
+    /// its worker has moved.
+    fn counts_as_failed(&self, connection: &WorkerConnection, loss: ConnectionLoss) -> bool {
+        let is_native = self.protocol == WorkerProtocol::Native;
+        let is_wrong_worker = loss == ConnectionLoss::ProtocolError && is_native;
+        let is_failed_dial =
+            matches!(connection.transport, Transport::Connecting(_)) && !connection.is_retired;
+        is_wrong_worker || is_failed_dial
+    }
+
+    /// Resets the transport of a connection.
+    pub fn reset(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        id: WorkerConnectionId,
+        loss: ConnectionLoss,
+        io: &mut dyn Io,
+    ) -> Vec<EndedMessage> {
+        let connection = self.connections.get(&id);
+        if let Some(conn) = connection.and_then(|connection| connection.transport.conn()) {
+            context.connection_owners.remove(&conn);
+            io.reset(conn);
         }
+        self.lost(context, now, id, loss)
     }
 
-    /// Its connection is not up in time, or carries nothing for long, or nothing more.
-    pub(crate) fn check_worker_connection(
+    /// Resets a connection on which an attempt that nobody waits for is still written only in part.
+    pub fn end_partial_write(
         &mut self,
+        context: &mut EdgeContext,
         now: Micros,
         id: WorkerConnectionId,
+        attempt: AttemptId,
         io: &mut dyn Io,
-    ) {
-        let Some(connection) = self.worker_connections.connections.get(&id) else {
-            return;
+    ) -> Vec<EndedMessage> {
+        if !self.is_pending(id, MessageKey::Attempt(attempt)) {
+            return Vec::new();
+        }
+        let loss = ConnectionLoss::Closed(CloseCause::Reset);
+        self.reset(context, now, id, loss, io)
+    }
+
+    /// Closes a connection that did not come up in time, is idle for too long, or is retired with nothing in flight.
+    pub fn check(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        id: WorkerConnectionId,
+        io: &mut dyn Io,
+    ) -> Vec<EndedMessage> {
+        let Some(connection) = self.connections.get(&id) else {
+            return Vec::new();
         };
-        let idle = connection.idle_since + self.limits.idle_close;
-        let empty = connection.in_flight.is_empty() && connection.out.pending_bytes() == 0;
-        if !connection.is_connected && connection.conn.is_some() && !connection.is_retired {
-            self.reset_connection(id, io);
-            return self.connection_lost(now, id, CloseCause::Refused, false);
+        let is_connecting = matches!(connection.transport, Transport::Connecting(_));
+        if is_connecting && !connection.is_retired {
+            let loss = ConnectionLoss::Closed(CloseCause::Refused);
+            return self.reset(context, now, id, loss, io);
         }
-        if connection.in_flight.is_empty() && (connection.is_retired || (empty && idle <= now)) {
-            if let Some(conn) = connection.conn {
-                self.connection_owners.remove(&conn);
+        let idle_timeout = context.limits.idle_close;
+        let idle_until = connection.idle_since + idle_timeout;
+        let is_idle = connection.is_idle();
+        let is_expired = idle_until <= now && connection.outbox.pending_bytes() == 0;
+        if is_idle && (connection.is_retired || is_expired) {
+            if let Some(conn) = connection.transport.conn() {
+                context.connection_owners.remove(&conn);
                 io.close(conn);
             }
-            return self.connection_lost(now, id, CloseCause::Orderly, false);
+            let loss = ConnectionLoss::Closed(CloseCause::Orderly);
+            return self.lost(context, now, id, loss);
         }
-        if connection.is_retired {
-            return;
+        if !connection.is_retired {
+            let next_check = if is_idle {
+                idle_until
+            } else {
+                now + idle_timeout
+            };
+            let timer = Timer::WorkerConnection(id);
+            context.timers.schedule(next_check.max(now + 1), timer);
         }
-        let again = if connection.in_flight.is_empty() {
-            idle
-        } else {
-            now + self.limits.idle_close
-        };
-        self.timers
-            .insert((again.max(now + 1), Timer::WorkerConnection(id)));
+        Vec::new()
     }
+}
 
-    /// Writes what waits: first all that gives something up, on all connections, then the rest. Guards against a
-    /// further attempt that is out on one connection before the first one is given up on another.
-    pub(crate) fn flush_worker_connections(&mut self, now: Micros, io: &mut dyn Io) {
-        for id in std::mem::take(&mut self.worker_connections.cancels_first) {
-            self.retract_disallowed(now, id);
-            self.refresh_deadlines(now, id);
-            let Some(connection) = self
-                .worker_connections
-                .connections
-                .get_mut(&id)
-                .filter(|connection| connection.is_connected)
-            else {
-                continue;
-            };
-            if let Some(conn) = connection.conn {
-                connection.out.flush_through(&MessageKey::Cancel, conn, io);
-            }
-            if self.on_platform && connection.out.is_pending(&MessageKey::Cancel) {
-                // It reads nothing, so that what is given up there would be out twice at a time.
-                self.reset_connection(id, io);
-                self.connection_lost(now, id, CloseCause::Reset, false);
-            }
-        }
-        for id in std::mem::take(&mut self.worker_connections.dirty) {
-            self.retract_disallowed(now, id);
-            self.refresh_deadlines(now, id);
-            let Some(connection) = self
-                .worker_connections
-                .connections
-                .get_mut(&id)
-                .filter(|connection| connection.is_connected)
-            else {
-                continue;
-            };
-            if let Some(conn) = connection.conn {
-                connection.out.flush(conn, io);
-            }
-        }
+/// The outcome of a message that was in flight when its connection was lost.
+fn outcome_after_loss(
+    connection: &WorkerConnection,
+    key: MessageKey,
+    cause: CloseCause,
+) -> Outcome {
+    let is_unread = !connection.transport.is_connected()
+        || cause == CloseCause::Refused
+        || connection.outbox.is_pending(&key);
+    if is_unread {
+        Outcome::NoConnection
+    } else {
+        Outcome::Reset
     }
 }
--- /dev/null
+++ b/crates/sanddrum-edge/src/worker_connections/sending.rs
@@ -0,0 +1,310 @@
+//! Choosing or creating the connection for a message, and writing what is queued.
+
+use super::{
+    ConnectionLoss, EndedMessage, SendError, Transport, WorkerConnection, WorkerConnections,
+};
+use crate::context::EdgeContext;
+use crate::message::{MessageKey, OutboundMessage};
+use crate::timers::Timer;
+use crate::worker_protocol::WorkerProtocol;
+use sanddrum::{Micros, WorkerId};
+use sanddrum_net::{CloseCause, Io, Outbox};
+use sanddrum_upstream::{ConnectionRequest, Purpose, WorkerConnectionId};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+impl WorkerConnections {
+    /// Queues a message for a worker. `deadline` is when its answer is given up.
+    ///
+    /// # Errors
+    /// No connection takes the message; nothing of it is written.
+    pub fn send(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        worker: WorkerId,
+        message: &OutboundMessage,
+        deadline: Micros,
+    ) -> Result<WorkerConnectionId, SendError> {
+        let id = self.connection_for(context, now, worker, message)?;
+        let connection = self
+            .connections
+            .get_mut(&id)
+            .ok_or(SendError::NoConnection)?;
+        if connection.outbox.push(message.key, &message.bytes).is_err() {
+            context.metrics.record_limit_hit("waiting-per-worker");
+            tracing::warn!(
+                worker = self.worker_name(worker),
+                reason = "waiting-per-worker",
+                "worker reads too slowly"
+            );
+            return Err(SendError::OutboxFull);
+        }
+        if message.key != MessageKey::Untracked {
+            connection.track(now, message, self.protocol.uses_call_ids());
+        }
+        if connection.transport == Transport::Pending {
+            context.connection_events.requested.push(ConnectionRequest {
+                connection: id,
+                worker,
+                purpose: purpose_of(message.key),
+                deadline,
+            });
+        }
+        let utilization = connection.in_flight.len() as f64 / context.limits.streams_wanted as f64;
+        context
+            .connection_events
+            .utilization
+            .push((worker, utilization));
+        self.dirty.insert(id);
+        Ok(id)
+    }
+
+    /// Queues the cancellation of an attempt behind all that was sent on its connection, if that is still there.
+    pub fn send_cancel(&mut self, id: WorkerConnectionId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if connection.outbox.push(MessageKey::Cancel, bytes).is_ok() {
+            self.dirty.insert(id);
+            self.with_cancels.insert(id);
+        }
+    }
+
+    /// A connection to a worker with capacity for a message; a new one where all are full.
+    fn connection_for(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        worker: WorkerId,
+        message: &OutboundMessage,
+    ) -> Result<WorkerConnectionId, SendError> {
+        if let Some(id) = self.least_loaded(now, worker, context.limits.streams, message) {
+            return Ok(id);
+        }
+        for id in self.idle_too_long(now, worker) {
+            self.retire(context, now, id);
+        }
+        self.create(context, now, worker)
+    }
+
+    /// The connection to a worker with the fewest messages in flight, if one has capacity.
+    fn least_loaded(
+        &self,
+        now: Micros,
+        worker: WorkerId,
+        max_in_flight: usize,
+        message: &OutboundMessage,
+    ) -> Option<WorkerConnectionId> {
+        let endpoint = self.endpoints.get(&worker)?;
+        let connections = endpoint
+            .connections
+            .iter()
+            .filter_map(|id| Some((id, self.connections.get(id)?)));
+        // One id stands for one message on a connection.
+        let is_free = |connection: &WorkerConnection| {
+            message.key == MessageKey::Untracked || !connection.uses_wire_id(message.wire_id)
+        };
+        let usable = connections.filter(|(_, connection)| {
+            is_free(connection) && !self.is_idle_too_long(now, connection)
+        });
+        // Of idle ones the most recently used: the longest idle may be dead without notice.
+        let load = usable.map(|(id, connection)| {
+            let in_flight = connection.in_flight.len();
+            (in_flight, Reverse(connection.idle_since), *id)
+        });
+        let (in_flight, _, id) = load.min()?;
+        (in_flight < max_in_flight).then_some(id)
+    }
+
+    /// Whether an open connection has been idle for so long that it may be dead.
+    fn is_idle_too_long(&self, now: Micros, connection: &WorkerConnection) -> bool {
+        connection.is_idle()
+            && connection.transport.is_connected()
+            && !self
+                .idle_timeout
+                .is_trusted(now, now - connection.idle_since)
+    }
+
+    fn idle_too_long(&self, now: Micros, worker: WorkerId) -> Vec<WorkerConnectionId> {
+        let is_idle_too_long = |id: &WorkerConnectionId| {
+            self.connections
+                .get(id)
+                .is_some_and(|connection| self.is_idle_too_long(now, connection))
+        };
+        let mut connections = self.connections_of(worker);
+        connections.retain(is_idle_too_long);
+        connections
+    }
+
+    /// Creates a connection; the connection policy decides when its transport is opened.
+    fn create(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        worker: WorkerId,
+    ) -> Result<WorkerConnectionId, SendError> {
+        let endpoint = self.endpoints.get(&worker).ok_or(SendError::NoConnection)?;
+        if endpoint.connections.len() >= context.limits.connections {
+            context.metrics.record_limit_hit("connections");
+            tracing::warn!(
+                worker = endpoint.name,
+                reason = "connections",
+                "all connections to a worker are full"
+            );
+            return Err(SendError::ConnectionsFull);
+        }
+        self.make_room(context, now)?;
+        self.last_connection += 1;
+        let id = WorkerConnectionId(self.last_connection);
+        if let Some(endpoint) = self.endpoints.get_mut(&worker) {
+            endpoint.connections.insert(id);
+        }
+        let connection = self.new_connection(context, now, worker);
+        self.connections.insert(id, connection);
+        context.metrics.worker_connections_open.increment(1.0);
+        Ok(id)
+    }
+
+    /// Retires the longest idle connection where as many are open as may be. Guards against workers' connections that
+    /// leave no file descriptor for clients': their requests would lie unaccepted until their time is up.
+    fn make_room(&mut self, context: &mut EdgeContext, now: Micros) -> Result<(), SendError> {
+        if self.len() < context.limits.all_connections {
+            return Ok(());
+        }
+        context.metrics.record_limit_hit("all-connections");
+        let idle = self.longest_idle().ok_or(SendError::NoConnection)?;
+        self.retire(context, now, idle);
+        Ok(())
+    }
+
+    fn longest_idle(&self) -> Option<WorkerConnectionId> {
+        let idle = self.connections.iter().filter(|(_, connection)| {
+            connection.transport.is_connected() && !connection.is_retired && connection.is_idle()
+        });
+        idle.min_by_key(|(id, connection)| (connection.idle_since, **id))
+            .map(|(id, _)| *id)
+    }
+
+    fn new_connection(
+        &self,
+        context: &EdgeContext,
+        now: Micros,
+        worker: WorkerId,
+    ) -> WorkerConnection {
+        let mut outbox = Outbox::new(context.limits.waiting_per_worker);
+        if let Some(hello) = self.protocol.hello(self.hello()) {
+            // An empty outbox always takes one message.
+            let _ = outbox.push(MessageKey::Untracked, &hello);
+        }
+        WorkerConnection {
+            worker,
+            transport: Transport::Pending,
+            outbox,
+            decoder: self.protocol.decoder(context.limits.largest_frame),
+            in_flight: BTreeSet::new(),
+            keys_by_wire_id: BTreeMap::new(),
+            retired_wire_ids: BTreeMap::new(),
+            is_retired: false,
+            idle_since: now,
+            idle_before: 0,
+            busy_since: now,
+        }
+    }
+
+    /// Creates a connection that no message waits for yet.
+    pub fn prewarm(&mut self, context: &mut EdgeContext, now: Micros, worker: WorkerId) {
+        let connections = self.connections_of(worker);
+        let is_full = self.len() >= context.limits.all_connections
+            || connections.len() >= context.limits.connections;
+        let is_connecting = |id: &WorkerConnectionId| {
+            self.connections
+                .get(id)
+                .is_some_and(|connection| !connection.transport.is_connected())
+        };
+        if is_full || connections.iter().any(is_connecting) {
+            return;
+        }
+        if let Ok(id) = self.create(context, now, worker) {
+            context.connection_events.requested.push(ConnectionRequest {
+                connection: id,
+                worker,
+                purpose: Purpose::Prewarm,
+                deadline: now + context.limits.connect_time_out,
+            });
+        }
+    }
+
+    /// The connections with a cancellation to write; they are to be written first, with
+    /// [`flush_cancels`](Self::flush_cancels). Guards against a further attempt that is sent on one connection before
+    /// the first one is cancelled on another.
+    pub fn take_with_cancels(&mut self) -> BTreeSet<WorkerConnectionId> {
+        std::mem::take(&mut self.with_cancels)
+    }
+
+    /// The connections with something to write.
+    pub fn take_dirty(&mut self) -> BTreeSet<WorkerConnectionId> {
+        std::mem::take(&mut self.dirty)
+    }
+
+    /// Writes a connection up to its last cancellation. On the platform's protocol one that does not take it is reset,
+    /// as the attempt would otherwise run beside the next one.
+    pub fn flush_cancels(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        id: WorkerConnectionId,
+        io: &mut dyn Io,
+    ) -> Vec<EndedMessage> {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return Vec::new();
+        };
+        let Transport::Connected(conn) = connection.transport else {
+            return Vec::new();
+        };
+        connection
+            .outbox
+            .flush_through(&MessageKey::Cancel, conn, io);
+        let is_stuck = connection.outbox.is_pending(&MessageKey::Cancel);
+        if self.protocol == WorkerProtocol::Platform && is_stuck {
+            return self.reset(
+                context,
+                now,
+                id,
+                ConnectionLoss::Closed(CloseCause::Reset),
+                io,
+            );
+        }
+        Vec::new()
+    }
+
+    /// Writes what an open connection takes.
+    pub fn flush(&mut self, id: WorkerConnectionId, io: &mut dyn Io) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if let Transport::Connected(conn) = connection.transport {
+            connection.outbox.flush(conn, io);
+        }
+    }
+
+    /// Retires a connection: it gets no new messages, and is closed once nothing is in flight.
+    pub fn retire(&mut self, context: &mut EdgeContext, now: Micros, id: WorkerConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        connection.is_retired = true;
+        let worker = connection.worker;
+        if let Some(endpoint) = self.endpoints.get_mut(&worker) {
+            endpoint.connections.remove(&id);
+        }
+        context.timers.schedule(now, Timer::WorkerConnection(id));
+    }
+}
+
+fn purpose_of(key: MessageKey) -> Purpose {
+    match key {
+        MessageKey::Attempt(_) => Purpose::Request,
+        _ => Purpose::Control,
+    }
+}
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -1,6 +1,7 @@
-//! What is spoken with workers: our protocol or the platform's, chosen at the start. Both come out as the same messages.
+//! The protocol spoken with workers: the native one or the platform's, chosen at the start. Answers of both are decoded to
+//! the same messages.
 
-use crate::worker_connections::MessageKey;
+use crate::message::{AttemptId, CommandId, MessageKey};
 use sanddrum_platform::frames;
 use sanddrum_wire::frame::frame;
 use sanddrum_wire::{
@@ -8,69 +9,103 @@
     Load, LoadDone, ToWorker,
 };
 use std::collections::BTreeMap;
+use thiserror::Error;
 
+/// No attempt has this id: an answer under it is counted as unmatched.
+const NO_ATTEMPT: AttemptId = AttemptId(0);
+
+/// The protocol that an edge speaks with its workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerProtocol {
+    /// Sanddrum's own frames.
     Native,
+    /// The platform's frames.
     Platform,
 }
 
-/// Cuts what a worker writes into messages.
+/// Why a worker's connection can't be used any more.
+#[derive(Debug, Error)]
+pub(crate) enum WorkerProtocolError {
+    /// A native frame can't be decoded.
+    #[error(transparent)]
+    NativeFrame(#[from] wire::FrameError),
+    /// A frame of the platform can't be decoded.
+    #[error(transparent)]
+    PlatformFrame(#[from] sanddrum_platform::FrameError),
+    /// Another worker answers at the address.
+    #[error("{answering:?} answers where {listed:?} is listed")]
+    WrongWorker {
+        /// The name in the worker's greeting.
+        answering: String,
+        /// The name in the endpoint list.
+        listed: String,
+    },
+    /// The greeting names a version that was never defined.
+    #[error("version 0 of the protocol does not exist")]
+    UnsupportedVersion,
+}
+
+/// Decodes what a worker writes.
 pub(crate) enum MessageDecoder {
+    /// Decodes native frames.
     Native(FrameDecoder),
+    /// Decodes the platform's frames.
     Platform(sanddrum_platform::FrameDecoder),
 }
 
-impl Default for MessageDecoder {
-    fn default() -> Self {
-        MessageDecoder::Native(FrameDecoder::default())
-    }
-}
-
 impl WorkerProtocol {
-    /// The platform's ids are the callers', and are seen on the wire; ours are the executions' own.
+    /// Whether answers name the caller's id of a request; otherwise they name the attempt's.
     pub fn uses_call_ids(self) -> bool {
         self == WorkerProtocol::Platform
     }
-    pub fn decoder(self, most: usize) -> MessageDecoder {
+
+    /// A decoder for one connection that accepts frames of up to so many bytes.
+    pub fn decoder(self, max_frame_bytes: usize) -> MessageDecoder {
         match self {
-            WorkerProtocol::Native => MessageDecoder::Native(FrameDecoder::new(most)),
+            WorkerProtocol::Native => MessageDecoder::Native(FrameDecoder::new(max_frame_bytes)),
             WorkerProtocol::Platform => {
-                MessageDecoder::Platform(sanddrum_platform::FrameDecoder::new(most))
+                MessageDecoder::Platform(sanddrum_platform::FrameDecoder::new(max_frame_bytes))
             }
         }
     }
+
+    /// The greeting at the begin of a connection, where the protocol has one.
     pub fn hello(self, hello: Hello) -> Option<Vec<u8>> {
         (self == WorkerProtocol::Native).then(|| frame(&ToWorker::Hello(hello)))
     }
-    pub fn execute(self, execute: Execute, call: u64) -> Vec<u8> {
+
+    /// Encodes a request.
+    pub fn execute(self, execute: Execute, call_id: u64) -> Vec<u8> {
         match self {
             WorkerProtocol::Native => frame(&ToWorker::Execute(execute)),
-            WorkerProtocol::Platform => {
-                let Execute {
-                    workload,
-                    function,
-                    time_limit_us: limit_us,
-                    body,
-                    idempotency_key: mark,
-                    ..
-                } = execute;
-                frames::keyed_request(call, &workload, &function, limit_us, mark.as_deref(), &body)
-            }
+            WorkerProtocol::Platform => frames::keyed_request(
+                call_id,
+                &execute.workload,
+                &execute.function,
+                execute.time_limit_us,
+                execute.idempotency_key.as_deref(),
+                &execute.body,
+            ),
         }
     }
-    pub fn cancel(self, attempt: u64, call: u64) -> Vec<u8> {
+
+    /// Encodes the cancellation of an attempt.
+    pub fn cancel(self, attempt: AttemptId, call_id: u64) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::Cancel(wire::Cancel { id: attempt })),
-            WorkerProtocol::Platform => frames::cancel(call),
+            WorkerProtocol::Native => frame(&ToWorker::Cancel(wire::Cancel { id: attempt.0 })),
+            WorkerProtocol::Platform => frames::cancel(call_id),
         }
     }
+
+    /// Encodes a load command.
     pub fn load(self, load: Load) -> Vec<u8> {
         match self {
             WorkerProtocol::Native => frame(&ToWorker::Load(load)),
             WorkerProtocol::Platform => frames::load(load.id, &load.function, load.instances),
         }
     }
+
+    /// Encodes the command to unload a function's idle instances.
     pub fn unload(self, function: String) -> Vec<u8> {
         match self {
             WorkerProtocol::Native => frame(&ToWorker::Unload(wire::Unload { function })),
@@ -79,68 +114,74 @@
             }
         }
     }
-    pub fn health_check(self, id: u64) -> Vec<u8> {
+
+    /// Encodes a health check.
+    pub fn health_check(self, id: CommandId) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::HealthCheck(wire::HealthCheck { id })),
-            WorkerProtocol::Platform => frames::ping(id),
+            WorkerProtocol::Native => frame(&ToWorker::HealthCheck(wire::HealthCheck { id: id.0 })),
+            WorkerProtocol::Platform => frames::ping(id.0),
         }
     }
 }
 
 impl MessageDecoder {
+    /// Adds bytes that were received.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         match self {
             MessageDecoder::Native(frames) => frames.push_bytes(bytes),
             MessageDecoder::Platform(frames) => frames.push_bytes(bytes),
         }
     }
-    /// The next message; `ids` says what is out under which id on this connection.
+
+    /// The next complete message, if there is one. `keys_by_wire_id` holds what is in flight on the connection, by the
+    /// ids that the platform's answers name.
+    ///
+    /// # Errors
+    /// A frame can't be decoded.
     pub fn next_message(
         &mut self,
-        ids: &BTreeMap<u64, MessageKey>,
-    ) -> Result<Option<FromWorker>, String> {
+        keys_by_wire_id: &BTreeMap<u64, MessageKey>,
+    ) -> Result<Option<FromWorker>, WorkerProtocolError> {
         match self {
-            MessageDecoder::Native(frames) => frames.next_message().map_err(|e| e.to_string()),
+            MessageDecoder::Native(frames) => Ok(frames.next_message()?),
             MessageDecoder::Platform(frames) => {
-                let answer = frames.next_answer().map_err(|e| e.to_string())?;
-                Ok(answer.map(|answer| translate(answer, ids)))
+                let answer = frames.next_answer()?;
+                Ok(answer.map(|answer| native_message(answer, keys_by_wire_id)))
             }
         }
     }
 }
 
-fn translate(answer: frames::Answer, ids: &BTreeMap<u64, MessageKey>) -> FromWorker {
-    let frames::Answer {
-        id,
-        status: ended,
-        instance,
-        report,
-        instances,
-        body,
-    } = answer;
-    let done = |id, ended| {
-        FromWorker::Done(Done {
-            id,
-            status: ended,
-            instance,
-            function_in_flight: None,
-            report,
-            body,
-            customer_rate: None,
-            total_rate: None,
-        })
-    };
-    match (ids.get(&id), ended) {
-        (Some(MessageKey::Attempt(id)), Some(ended)) => done(*id, ended),
-        (Some(MessageKey::Load(id)), Some(ended)) => FromWorker::LoadDone(LoadDone {
-            id: *id,
-            status: ended,
-            instances: instances.unwrap_or(0),
+/// Translates an answer in the platform's protocol to a native message.
+fn native_message(
+    answer: frames::Answer,
+    keys_by_wire_id: &BTreeMap<u64, MessageKey>,
+) -> FromWorker {
+    let key = keys_by_wire_id.get(&answer.id).copied();
+    match (key, answer.status) {
+        (Some(MessageKey::Attempt(id)), Some(status)) => done(id, status, answer),
+        (Some(MessageKey::Load(id)), Some(status)) => FromWorker::LoadDone(LoadDone {
+            id: id.0,
+            status,
+            instances: answer.instances.unwrap_or(0),
         }),
-        (Some(MessageKey::HealthCheck(id)), None) => {
-            FromWorker::HealthStatus(HealthStatus { id: *id, report })
-        }
-        // No execution has this number: it is counted as an answer that nothing waits for.
-        _ => done(0, ExecutionStatus::Dropped),
+        (Some(MessageKey::HealthCheck(id)), None) => FromWorker::HealthStatus(HealthStatus {
+            id: id.0,
+            report: answer.report,
+        }),
+        _ => done(NO_ATTEMPT, ExecutionStatus::Dropped, answer),
     }
 }
+
+fn done(id: AttemptId, status: ExecutionStatus, answer: frames::Answer) -> FromWorker {
+    FromWorker::Done(Done {
+        id: id.0,
+        status,
+        instance: answer.instance,
+        function_in_flight: None,
+        report: answer.report,
+        body: answer.body,
+        customer_rate: None,
+        total_rate: None,
+    })
+}
