--- a/crates/sanddrum-net/src/event_loop.rs
+++ b/crates/sanddrum-net/src/event_loop.rs
@@ -28,12 +28,12 @@
 
 /// Bytes read from one connection before the others have their turn.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Longer than this between two polls, and the process was held up: it was stopped, or others had its processor.
-const HELD_UP_THRESHOLD: Micros = 60_000;
+/// Longer than this between two polls, and the process was stalled: it was stopped, or others had its processor.
+const STALL_THRESHOLD: Micros = 60_000;
 /// After such a time the loop polls again before any core acts on a timer, this many times at most in a row: a loop
 /// whose polls themselves take that long has to make progress.
 const MAX_POLLS_PER_STEP: usize = 3;
-/// Polls for remaining input before the loop ends: a peer that never stops writing does not hold it up.
+/// Polls for remaining input before the loop ends: a peer that never stops writing does not delay it.
 const MAX_FINAL_POLLS: usize = 100;
 
 /// Why [`EventLoop::run`] returned.
@@ -75,9 +75,9 @@
     /// While a core is given input: the earliest instant at which that may have arrived.
     earliest_arrival: Option<Micros>,
     /// Connections that could not be opened; their cores are notified once they are not being called.
-    refused: Vec<HostConnection>,
+    pending_refusals: Vec<HostConnection>,
     /// Connections to reset once their cores are not being called.
-    broken: Vec<HostConnection>,
+    pending_resets: Vec<HostConnection>,
     /// When to try again to accept connections and to register streams with the poller.
     retry_accept_at: Option<Micros>,
     /// Closed connections whose input is still drained, by the end of that.
@@ -112,8 +112,8 @@
                 previous: epoch,
             },
             earliest_arrival: None,
-            refused: Vec::new(),
-            broken: Vec::new(),
+            pending_refusals: Vec::new(),
+            pending_resets: Vec::new(),
             retry_accept_at: None,
             lingering: BTreeSet::new(),
             shutdown_signals: 0,
@@ -241,7 +241,7 @@
     }
 
     /// Waits for input until this instant or the next timer, and handles what has come and what is due. Returns the
-    /// number of events. A process that was held up polls once more before it acts on timers: the cores are to be given
+    /// number of events. A process that was stalled polls once more before it acts on timers: the cores are to be given
     /// all input that came meanwhile first.
     fn step(&mut self, until: Option<Micros>) -> io::Result<usize> {
         let mut events = 0;
@@ -255,7 +255,7 @@
                 return Ok(events + 1);
             };
             events += polled;
-            if self.now() - self.polls.previous <= HELD_UP_THRESHOLD {
+            if self.now() - self.polls.previous <= STALL_THRESHOLD {
                 break;
             }
         }
--- a/crates/sanddrum-net/src/event_loop/loop_io.rs
+++ b/crates/sanddrum-net/src/event_loop/loop_io.rs
@@ -1,7 +1,7 @@
 //! What a core may request from the event loop while it is being called.
 
 use super::sources::{SourceKey, Stream};
-use super::{EventLoop, HostConnection, HELD_UP_THRESHOLD};
+use super::{EventLoop, HostConnection, STALL_THRESHOLD};
 use crate::{ConnectionId, HostId, Io, Micros, Side};
 use std::io::{ErrorKind, Write};
 
@@ -18,7 +18,7 @@
 struct Written {
     bytes: usize,
     /// The connection has failed, and no read will show it.
-    is_broken: bool,
+    has_failed: bool,
 }
 
 impl LoopIo<'_> {
@@ -27,9 +27,11 @@
         let stream = self.event_loop.sources.stream_mut(key)?;
         Some((key, stream))
     }
-    fn mark_broken(&mut self, conn: ConnectionId) {
+    fn schedule_reset(&mut self, conn: ConnectionId) {
         let host = self.host;
-        self.event_loop.broken.push(HostConnection { host, conn });
+        self.event_loop
+            .pending_resets
+            .push(HostConnection { host, conn });
     }
     /// Whether a test has asked for a reset at this write.
     fn take_reset_on_write(&mut self, conn: ConnectionId) -> bool {
@@ -45,7 +47,9 @@
         let conn = self.event_loop.open(host, to).unwrap_or_else(|| {
             let conn = ConnectionId(self.event_loop.next_connection);
             self.event_loop.next_connection += 1;
-            self.event_loop.refused.push(HostConnection { host, conn });
+            self.event_loop
+                .pending_refusals
+                .push(HostConnection { host, conn });
             conn
         });
         let now = self.event_loop.now();
@@ -61,12 +65,12 @@
         self.event_loop.earliest_arrival.unwrap_or(now)
     }
     fn is_delayed(&self) -> bool {
-        self.event_loop.now() - self.event_loop.polls.last > HELD_UP_THRESHOLD
+        self.event_loop.now() - self.event_loop.polls.last > STALL_THRESHOLD
     }
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         if bytes.len() > 1 && self.take_reset_on_write(conn) {
             let written = self.write(conn, &bytes[..bytes.len() / 2]);
-            self.mark_broken(conn);
+            self.schedule_reset(conn);
             return written;
         }
         let Some((key, stream)) = self.stream_mut(conn) else {
@@ -76,9 +80,9 @@
             return 0;
         }
         let written = write_to(stream, bytes);
-        if written.is_broken {
+        if written.has_failed {
             stream.wants_write = false;
-            self.mark_broken(conn);
+            self.schedule_reset(conn);
         } else if written.bytes < bytes.len() {
             stream.wants_write = true;
             self.event_loop.update_interest(key);
@@ -126,7 +130,7 @@
 fn write_to(stream: &mut Stream, bytes: &[u8]) -> Written {
     let mut written = Written {
         bytes: 0,
-        is_broken: false,
+        has_failed: false,
     };
     while written.bytes < bytes.len() {
         match stream.socket.write(&bytes[written.bytes..]) {
@@ -135,7 +139,7 @@
             // Guards against a paused connection whose peer is gone: it is not read, so that no read would show the
             // error, and the poller would report it as writable for ever.
             Err(error) if error.kind() != ErrorKind::WouldBlock && stream.paused => {
-                written.is_broken = true;
+                written.has_failed = true;
                 break;
             }
             // Any other error shows when the stream is next read, after the input before it.
--- a/crates/sanddrum-net/src/event_loop/poll.rs
+++ b/crates/sanddrum-net/src/event_loop/poll.rs
@@ -8,7 +8,7 @@
 
 /// The loop polls at least this often, so that the arrival of input is known to within this.
 const MAX_POLL_TIMEOUT: Micros = 25_000;
-/// A poll that returns later than this after its time-out shows that the process was held up in it.
+/// A poll that returns later than this after its time-out shows that the process was stalled in it.
 const POLL_SLACK: Micros = 5_000;
 /// The delay after a failed poll.
 const POLL_RETRY_DELAY: Duration = Duration::from_millis(1);
@@ -25,7 +25,7 @@
 impl EventLoop {
     /// How long to wait for input: until this instant, the next timer or the longest time-out.
     pub(super) fn poll_timeout(&self, until: Option<Micros>) -> Duration {
-        if !(self.refused.is_empty() && self.broken.is_empty()) {
+        if !(self.pending_refusals.is_empty() && self.pending_resets.is_empty()) {
             return Duration::ZERO;
         }
         let hosts = || self.hosts.iter().flatten();
@@ -61,7 +61,7 @@
             self.dispatch(event);
         }
         self.handle_signal_flags();
-        self.end_refused_and_broken();
+        self.close_refused_and_reset();
         Ok(Some(count))
     }
     fn wait_for_events(&mut self, timeout: Duration) -> io::Result<Option<Vec<PollEvent>>> {
@@ -84,13 +84,13 @@
             Err(error) => Err(error),
         }
     }
-    /// Where the process was held up within the wait, it is unknown whether the kernel collected the events at its begin
+    /// Where the process was stalled within the wait, it is unknown whether the kernel collected the events at its begin
     /// or at its end: a process that is stopped while it is being woken has polled before the stop.
     fn record_poll(&mut self, began: Micros, timeout: Duration) {
         let ended = self.now();
-        let was_held_up = ended - began > timeout.as_micros() as Micros + POLL_SLACK;
+        let was_stalled = ended - began > timeout.as_micros() as Micros + POLL_SLACK;
         self.polls = PollTimes {
-            last: if was_held_up { began } else { ended },
+            last: if was_stalled { began } else { ended },
             previous: self.polls.last,
         };
     }
@@ -104,12 +104,12 @@
             None => {}
         }
     }
-    fn end_refused_and_broken(&mut self) {
-        for HostConnection { host, conn } in std::mem::take(&mut self.refused) {
+    fn close_refused_and_reset(&mut self) {
+        for HostConnection { host, conn } in std::mem::take(&mut self.pending_refusals) {
             let cause = CloseCause::Refused;
             self.call_with_event(host, Event::Closed { conn, cause });
         }
-        for HostConnection { host, conn } in std::mem::take(&mut self.broken) {
+        for HostConnection { host, conn } in std::mem::take(&mut self.pending_resets) {
             self.end_connection(host, conn, CloseCause::Reset);
         }
     }
--- a/crates/sanddrum-net/src/event_loop/streams.rs
+++ b/crates/sanddrum-net/src/event_loop/streams.rs
@@ -2,14 +2,14 @@
 
 use super::listeners::ACCEPT_RETRY_DELAY;
 use super::sources::{Source, SourceKey, Stream};
-use super::{EventLoop, HostConnection, HELD_UP_THRESHOLD};
+use super::{EventLoop, HostConnection, STALL_THRESHOLD};
 use crate::{CloseCause, ConnectionId, Event, HostId, Micros, Side};
 use polling::{Event as PollEvent, PollMode};
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 
 /// Reads in a row from a connection whose input has waited, so that the peer's close behind it is seen.
-const MAX_READS_WHEN_HELD_UP: usize = 16;
+const MAX_READS_WHEN_STALLED: usize = 16;
 
 impl EventLoop {
     /// Opens a connection, unless the address is invalid or the system refuses at once.
@@ -102,7 +102,7 @@
                 // Guards against a connection that waits for ever, as the poller would report nothing more.
                 tracing::warn!(reason = "poller", %error, "a connection can't be watched any more and is reset");
                 let conn = stream.conn;
-                self.broken.push(HostConnection { host, conn });
+                self.pending_resets.push(HostConnection { host, conn });
             }
         } else if interest.readable || interest.writable {
             stream.is_unregistered = self
@@ -148,7 +148,7 @@
     /// Guards against dispatching a request of a client whose close is in the same buffer behind the request.
     pub(super) fn read(&mut self, key: SourceKey, host: HostId, conn: ConnectionId) {
         let previous_poll = self.polls.previous;
-        for _ in 0..MAX_READS_WHEN_HELD_UP {
+        for _ in 0..MAX_READS_WHEN_STALLED {
             let Some(stream) = self.sources.stream_mut(key) else {
                 return;
             };
@@ -157,7 +157,7 @@
             }
             let waited_since = *stream.unread_since.get_or_insert(previous_poll);
             let is_exhausted = self.read_once(key, host, conn, waited_since);
-            if is_exhausted || self.now() - waited_since <= HELD_UP_THRESHOLD {
+            if is_exhausted || self.now() - waited_since <= STALL_THRESHOLD {
                 return;
             }
         }
--- a/crates/sanddrum-net/src/io.rs
+++ b/crates/sanddrum-net/src/io.rs
@@ -32,7 +32,7 @@
         now
     }
     /// The earliest instant at which the input that the core is being given may have reached this machine. It is before
-    /// `now` where the process was held up while the input waited in the kernel's buffers.
+    /// `now` where the process was stalled while the input waited in the kernel's buffers.
     fn earliest_arrival(&self, now: Micros) -> Micros {
         now
     }
--- a/crates/sanddrum-net/src/link_model.rs
+++ b/crates/sanddrum-net/src/link_model.rs
@@ -42,7 +42,7 @@
     pub delay: Micros,
     /// The bandwidth of each connection; zero: unlimited.
     pub bytes_per_second: f64,
-    /// Connections are established, but what is sent on them is held until the fault is removed.
+    /// Connections are established, but what is sent on them is buffered until the fault is removed.
     pub holds_data: bool,
     /// Connections are refused.
     pub refuses_connections: bool,
--- a/crates/sanddrum-net/src/virtual_net.rs
+++ b/crates/sanddrum-net/src/virtual_net.rs
@@ -58,15 +58,15 @@
     write_was_short: bool,
     paused: bool,
     /// Messages that arrived while the socket was paused or its host frozen.
-    held: VecDeque<Message>,
+    buffered: VecDeque<Message>,
     /// When the message sent last arrives: none sent later arrives earlier.
     last_arrival: Micros,
 }
 
-/// A fault of a one-way link, and the messages that it holds back.
+/// A fault of a one-way link, and the messages that it delays until it is removed.
 struct FaultyLink {
     fault: LinkFault,
-    held: Vec<Message>,
+    buffered: Vec<Message>,
 }
 
 /// Runs cores on simulated hosts and links, in virtual time.
@@ -85,7 +85,7 @@
     wakeups: BTreeSet<(Micros, HostId)>,
     /// Hosts whose cores are to process what they were given.
     pending_hosts: BTreeSet<HostId>,
-    /// Sockets that are read again; what they hold is delivered once no core is being called.
+    /// Sockets that are read again; what they have buffered is delivered once no core is being called.
     resumed: BTreeSet<ConnectionId>,
     /// Connections that are reset at their next write.
     reset_on_write: BTreeSet<ConnectionId>,
@@ -210,7 +210,7 @@
         if !frozen && host.core.is_some() {
             let connections: Vec<ConnectionId> = host.connections.iter().copied().collect();
             for conn in connections {
-                self.deliver_held(conn);
+                self.deliver_buffered(conn);
             }
             self.pending_hosts.insert(id);
             self.process_pending();
@@ -267,7 +267,7 @@
     fn process_pending(&mut self) {
         loop {
             while let Some(conn) = self.resumed.pop_first() {
-                self.deliver_held(conn);
+                self.deliver_buffered(conn);
             }
             let Some(id) = self.pending_hosts.pop_first() else {
                 return;
--- a/crates/sanddrum-net/src/virtual_net/delivery.rs
+++ b/crates/sanddrum-net/src/virtual_net/delivery.rs
@@ -15,7 +15,7 @@
             bytes_in_flight: 0,
             write_was_short: false,
             paused: false,
-            held: VecDeque::new(),
+            buffered: VecDeque::new(),
             last_arrival: self.now,
         };
         self.sockets.insert(conn, socket);
@@ -33,19 +33,19 @@
             self.hosts[socket.host.0].connections.remove(&conn);
         }
     }
-    /// Delivers what a socket holds, until it is paused or its host frozen.
-    pub(super) fn deliver_held(&mut self, conn: ConnectionId) {
+    /// Delivers what a socket has buffered, until it is paused or its host frozen.
+    pub(super) fn deliver_buffered(&mut self, conn: ConnectionId) {
         while let Some(socket) = self.sockets.get_mut(&conn) {
             if socket.paused || self.hosts[socket.host.0].frozen {
                 return;
             }
-            let Some(message) = socket.held.pop_front() else {
+            let Some(message) = socket.buffered.pop_front() else {
                 return;
             };
             self.deliver_now(conn, message);
         }
     }
-    /// Delivers a message that arrives now, or holds it where its socket is paused or its host frozen.
+    /// Delivers a message that arrives now, or buffers it where its socket is paused or its host frozen.
     pub(super) fn deliver(&mut self, message: Message) {
         let conn = match &message {
             Message::Connect { from, to } => {
@@ -62,8 +62,8 @@
         };
         let is_frozen = self.hosts[socket.host.0].frozen;
         let is_read = matches!(message, Message::Bytes { .. } | Message::Closed { .. });
-        if is_frozen || (is_read && socket.paused) || !socket.held.is_empty() {
-            socket.held.push_back(message);
+        if is_frozen || (is_read && socket.paused) || !socket.buffered.is_empty() {
+            socket.buffered.push_back(message);
             return;
         }
         self.deliver_now(conn, message);
--- a/crates/sanddrum-net/src/virtual_net/faults.rs
+++ b/crates/sanddrum-net/src/virtual_net/faults.rs
@@ -4,19 +4,19 @@
 use crate::{CloseCause, ConnectionId, HostId, LinkFault};
 
 impl VirtualNet {
-    /// Sets or removes the fault of the link from one host to another. Messages that the fault before held back are sent
+    /// Sets or removes the fault of the link from one host to another. Messages that the fault before buffered are sent
     /// now.
     pub fn set_link_fault(&mut self, from: HostId, to: HostId, fault: Option<LinkFault>) {
-        let held = self
+        let buffered = self
             .faulty_links
             .remove(&(from, to))
-            .map_or(Vec::new(), |link| link.held);
+            .map_or(Vec::new(), |link| link.buffered);
         if let Some(fault) = fault {
-            let held = Vec::new();
+            let buffered = Vec::new();
             self.faulty_links
-                .insert((from, to), FaultyLink { fault, held });
+                .insert((from, to), FaultyLink { fault, buffered });
         }
-        for message in held {
+        for message in buffered {
             self.send(from, Some(to), 0, message);
         }
     }
--- a/crates/sanddrum-net/src/virtual_net/transmission.rs
+++ b/crates/sanddrum-net/src/virtual_net/transmission.rs
@@ -7,7 +7,7 @@
 
 impl VirtualNet {
     /// Sends a message over the link between two hosts, to arrive at `earliest` or later. Returns when it arrives, or
-    /// `earliest` where the link holds it back. Without a receiving host the latency is that within a zone.
+    /// `earliest` where a fault of the link delays it indefinitely. Without a receiving host the latency is that within a zone.
     pub(super) fn send(
         &mut self,
         from: HostId,
@@ -21,7 +21,7 @@
             let is_handshake =
                 matches!(message, Message::Connect { .. } | Message::Connected { .. });
             if link.fault.holds_data && !is_handshake {
-                link.held.push(message);
+                link.buffered.push(message);
                 return earliest;
             }
             // The delay is counted from now, not from the arrival of the message before: the delays of successive
--- /dev/null
+++ b/crates/sanddrum-net/tests/event_loop_files.rs
@@ -0,0 +1,172 @@
+//! Files of the event loop: watched files, saved state and the audit log.
+
+use rstest::rstest;
+use sanddrum_net::{Core, Event, EventLoop, FileError, HostId, Io, Micros, NullObserver};
+use std::cell::RefCell;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+
+const MILLISECOND: Micros = 1_000;
+/// The name by which the cores here know their watched file.
+const FILE: &str = "settings";
+
+/// A directory that is removed at the end of a test.
+struct TestDirectory(PathBuf);
+
+impl TestDirectory {
+    fn new(name: &str) -> Self {
+        let unique = format!("sanddrum-net-{name}-{}", std::process::id());
+        let path = std::env::temp_dir().join(unique);
+        fs::create_dir_all(&path).unwrap();
+        TestDirectory(path)
+    }
+    fn file(&self, name: &str) -> PathBuf {
+        self.0.join(name)
+    }
+}
+
+impl Drop for TestDirectory {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+type Contents = Rc<RefCell<Vec<Result<String, String>>>>;
+
+/// Saves its state at its start, records the contents of its file, and appends each to its audit log.
+#[derive(Default)]
+struct FileCore {
+    contents: Contents,
+    state: Option<&'static str>,
+}
+
+impl Core for FileCore {
+    fn start(&mut self, _: Micros, io: &mut dyn Io) {
+        if let Some(state) = self.state {
+            io.save_state(state.as_bytes());
+        }
+    }
+    fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
+    fn process(&mut self, _: Micros, _: &mut dyn Io) {}
+    fn next_wakeup(&self) -> Option<Micros> {
+        None
+    }
+    fn on_file(
+        &mut self,
+        _: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
+        assert_eq!(name, FILE);
+        let content = content
+            .map(|bytes| String::from_utf8_lossy(bytes).into_owned())
+            .map_err(FileError::to_string);
+        if let Ok(line) = &content {
+            io.audit(line);
+        }
+        self.contents.borrow_mut().push(content);
+    }
+}
+
+fn event_loop_with(core: FileCore, state_file: Option<PathBuf>) -> (EventLoop, HostId) {
+    let mut event_loop = EventLoop::new(Box::new(NullObserver)).unwrap();
+    let host = event_loop.add(Box::new(core), vec![], state_file).unwrap();
+    (event_loop, host)
+}
+
+/// A loop whose core watches a file, and the contents that the core was given.
+fn watching(path: &Path) -> (EventLoop, HostId, Contents) {
+    let core = FileCore::default();
+    let contents = core.contents.clone();
+    let (mut event_loop, host) = event_loop_with(core, None);
+    event_loop.watch_file(host, FILE, path.to_path_buf(), MILLISECOND);
+    (event_loop, host, contents)
+}
+
+/// Runs until the core was given this many contents; panics if it was not within about five seconds.
+fn run_until_count(event_loop: &mut EventLoop, contents: &Contents, count: usize) {
+    for _ in 0..1000 {
+        if contents.borrow().len() >= count {
+            return;
+        }
+        let at = event_loop.now() + 5 * MILLISECOND;
+        event_loop.run_until(at).unwrap();
+    }
+    panic!("the file was not read again: {:?}", contents.borrow());
+}
+
+#[rstest]
+fn a_watched_file_is_read_at_once_and_again_only_when_it_has_changed() {
+    let directory = TestDirectory::new("watched");
+    let path = directory.file("watched");
+    fs::write(&path, "first").unwrap();
+    let (mut event_loop, _, contents) = watching(&path);
+    assert_eq!(*contents.borrow(), [Ok("first".to_string())]);
+    let at = event_loop.now() + 250 * MILLISECOND;
+    event_loop.run_until(at).unwrap();
+    assert_eq!(contents.borrow().len(), 1, "it has not changed");
+    fs::write(&path, "second").unwrap();
+    run_until_count(&mut event_loop, &contents, 2);
+    assert_eq!(
+        contents.borrow().last(),
+        Some(&Ok("second".to_string())),
+        "{:?}",
+        contents.borrow()
+    );
+}
+
+#[rstest]
+fn a_missing_file_is_reported_with_its_path() {
+    let directory = TestDirectory::new("missing");
+    let path = directory.file("missing");
+    let (_, _, contents) = watching(&path);
+    let error = contents.borrow()[0].clone().unwrap_err();
+    assert!(
+        error.starts_with(&format!("{}: ", path.display())),
+        "{error}"
+    );
+}
+
+#[rstest]
+fn a_file_of_more_than_a_mebibyte_is_reported_as_too_large() {
+    let directory = TestDirectory::new("large");
+    let path = directory.file("large");
+    fs::write(&path, vec![b'x'; (1 << 20) + 1]).unwrap();
+    let (_, _, contents) = watching(&path);
+    let expected = format!("{}: larger than 1048576 bytes", path.display());
+    assert_eq!(*contents.borrow(), [Err(expected)]);
+}
+
+#[rstest]
+fn saved_state_replaces_the_state_file() {
+    let directory = TestDirectory::new("state");
+    let path = directory.file("state");
+    fs::write(&path, "a longer state of an earlier run").unwrap();
+    let core = FileCore {
+        state: Some("state"),
+        ..FileCore::default()
+    };
+    event_loop_with(core, Some(path.clone()));
+    assert_eq!(fs::read_to_string(&path).unwrap(), "state");
+}
+
+#[rstest]
+fn a_full_audit_log_is_renamed_and_a_new_one_begun() {
+    let directory = TestDirectory::new("audit");
+    let path = directory.file("watched");
+    let audit_path = directory.file("audit.log");
+    fs::write(&path, "0").unwrap();
+    let (mut event_loop, host, contents) = watching(&path);
+    // Two lines of two bytes each fit.
+    event_loop.set_audit_file(host, audit_path.clone(), 4);
+    for (count, line) in [(2, "1"), (3, "2"), (4, "3")] {
+        fs::write(directory.file("next"), line).unwrap();
+        fs::rename(directory.file("next"), &path).unwrap();
+        run_until_count(&mut event_loop, &contents, count);
+    }
+    let renamed = audit_path.with_extension("before");
+    assert_eq!(fs::read_to_string(renamed).unwrap(), "1\n2\n");
+    assert_eq!(fs::read_to_string(&audit_path).unwrap(), "3\n");
+}
