--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -263,8 +263,7 @@
 }
 
 fn read_settings(info: &Json) -> Result<Settings, DecodeError> {
-    platform_config::decision_settings(info)
-        .map_err(|error| DecodeError::Settings(error.to_string()))
+    Ok(platform_config::decision_settings(info)?)
 }
 
 fn read_start(fields: Fields) -> Result<Instance, DecodeError> {
--- a/crates/sanddrum-simulator-adapter/src/error.rs
+++ b/crates/sanddrum-simulator-adapter/src/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the adapter.
 
+use sanddrum_platform_config::PlatformSettingsError;
 use std::fmt;
 use std::io;
 
@@ -59,7 +60,7 @@
     },
     /// The settings of an instance can't be used.
     #[error("boot-info: {0}")]
-    Settings(String),
+    Settings(#[from] PlatformSettingsError),
     /// A message names an instance that was not started.
     #[error("i: no instance {0:?}")]
     UnknownInstance(String),
