--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use sanddrum::Router;
-use sanddrum_edge::{endpoint_cache, Edge, Start, KEYS};
+use sanddrum_edge::{endpoint_cache, Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, NullObserver, Shutdown};
 use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_tls::{Asks, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
@@ -143,8 +143,8 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     match serve(driver, args, settings) {
-        Ok(Shutdown::InOrder) => ExitCode::from(exit::GOOD),
-        Ok(Shutdown::AtOnce) => fail(exit::TROUBLE, "ended at once, as a second signal came"),
+        Ok(Shutdown::Graceful) => ExitCode::from(exit::GOOD),
+        Ok(Shutdown::Immediate) => fail(exit::TROUBLE, "ended at once, as a second signal came"),
         Err(e) => fail(exit::TROUBLE, e),
     }
 }
@@ -281,8 +281,8 @@
         seed,
         "an edge begins"
     );
-    let start = Start {
-        kept: state_file.as_deref().and_then(kept),
+    let start = EdgeOptions {
+        cached_state: state_file.as_deref().and_then(kept),
         seed,
         incarnation: begun,
         metrics_page: Some(Box::new(move || recorder.render())),
@@ -317,7 +317,7 @@
         .zip(CALL_KEYS)
         .chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
     for (name, key) in files.filter(|(_, key)| settings.contains(key)) {
-        driver.watch(
+        driver.watch_file(
             host,
             name,
             PathBuf::from(settings.text(key)),
@@ -325,16 +325,16 @@
         );
     }
     if let Some(file) = audit_file {
-        driver.audit_to(
+        driver.set_audit_file(
             host,
             file,
             settings.integer("identity.audit-most-bytes") as u64,
         );
     }
     if let Some(file) = keys_file {
-        driver.watch(
+        driver.watch_file(
             host,
-            KEYS,
+            KEYS_FILE,
             file,
             settings.duration_us("identity.watch-every-us"),
         );
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -3,7 +3,7 @@
 
 use super::Plan;
 use sanddrum::{FunctionId, Micros, WorkerId};
-use sanddrum_emulator::machine::{Machine, Size};
+use sanddrum_emulator::machine::{Machine, MachineConfig};
 use sanddrum_emulator::OnMiss;
 use sanddrum_net::Rng;
 use sanddrum_settings::{key, LoadedSettings, Occurrence, Section, SettingsError, ValueType};
@@ -150,7 +150,7 @@
 /// The figures of the model, as set.
 #[derive(Clone, Debug)]
 pub struct Model {
-    pub size: Size,
+    pub size: MachineConfig,
     pub load: Micros,
     pub load_spread: f64,
     pub work: Micros,
@@ -174,12 +174,12 @@
     pub fn of(l: &LoadedSettings) -> Self {
         let span = |name: &str| l.duration_us(&format!("model.{name}-us"));
         Model {
-            size: Size {
+            size: MachineConfig {
                 cores: l.integer("model.cores"),
                 speed: 1.0,
-                queue: l.integer("model.queue"),
+                queue_limit: l.integer("model.queue"),
                 memory_mb: l.number("model.memory-mb"),
-                loads_at_once: l.integer("model.loads-at-once"),
+                concurrent_loads: l.integer("model.loads-at-once"),
                 keep_alive: l.duration_us("copies.keep-alive-us"),
                 on_miss: if l.text("copies.on-miss") == "miss" {
                     OnMiss::Miss
@@ -188,10 +188,10 @@
                 },
                 // The whole of a load is drawn.
                 start_us_per_mb: 0.0,
-                cold_from: l.number("rules.cold-from"),
-                cold: l.duration_us("rules.cold-us"),
-                fall_multiple: l.number("rules.fall-multiple"),
-                fall: l.duration_us("rules.fall-us"),
+                initial_capacity: l.number("rules.cold-from"),
+                warm_up: l.duration_us("rules.cold-us"),
+                collapse_multiple: l.number("rules.fall-multiple"),
+                collapse_window: l.duration_us("rules.fall-us"),
             },
             load: span("load"),
             load_spread: l.number("model.load-spread"),
@@ -215,7 +215,7 @@
     /// What a load takes, drawn about the middle one.
     pub fn draw_load(&self, chance: &mut Rng) -> Micros {
         // A normal draw, by Box and Muller.
-        let (u, v) = (1.0 - chance.unit(), chance.unit());
+        let (u, v) = (1.0 - chance.next_f64(), chance.next_f64());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         (self.load as f64 * (self.load_spread * normal).exp()).max(1.0) as Micros
     }
@@ -278,7 +278,7 @@
             ),
         };
         let rates: Vec<f64> = (frequent..count)
-            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.unit()))
+            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.next_f64()))
             .collect();
         let of_rare = rates.iter().sum::<f64>() / calls;
         let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
@@ -311,7 +311,7 @@
     /// One, as often as it is called.
     pub fn draw(&self, chance: &mut Rng) -> usize {
         let all = self.sums.last().copied().unwrap_or(1.0);
-        let at = chance.unit() * all;
+        let at = chance.next_f64() * all;
         self.sums
             .partition_point(|sum| *sum <= at)
             .min(self.all.len().saturating_sub(1))
@@ -352,14 +352,14 @@
         n: usize,
         workers: usize,
     ) -> bool {
-        let keep = at.machine.size.keep_alive.max(1);
+        let keep = at.machine.config.keep_alive.max(1);
         let part = functions.part(n);
         let places = (part * workers as f64 / PLACE_PART)
             .ceil()
             .clamp(PLACES, (workers as f64).max(PLACES));
         let expected = part * self.calls * (keep as f64 / 1e6) / places;
         let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
-        Rng::new(self.seed ^ draw).unit() < 1.0 - (-expected).exp()
+        Rng::new(self.seed ^ draw).next_f64() < 1.0 - (-expected).exp()
     }
     /// A report with the others' jobs in it.
     fn in_report(
@@ -375,7 +375,7 @@
         while gone < jobs {
             (more, gone) = (more + 1.0, gone + chance.exponential(1.0));
         }
-        let cores = at.machine.size.cores.max(1) as f64;
+        let cores = at.machine.config.cores.max(1) as f64;
         LoadReport {
             in_flight: report.in_flight.map(|held| held + more),
             busy: report.busy.map(|busy| (busy + more / cores).min(1.0)),
@@ -400,7 +400,7 @@
 
 impl HollowWorker {
     /// One that has run for long.
-    pub fn new(n: usize, zones: usize, size: &Size, seed: u64) -> Self {
+    pub fn new(n: usize, zones: usize, size: &MachineConfig, seed: u64) -> Self {
         let id = WorkerId(stable_id(&crate::Scenario::worker_name(n)));
         let seed = seed.wrapping_mul(31).wrapping_add(n as u64);
         let machine = Machine::new(size.clone(), seed, 0);
@@ -418,7 +418,7 @@
     }
     /// It starts anew, empty and cold.
     pub fn restart(&mut self, now: Micros) {
-        let size = self.machine.size.clone();
+        let size = self.machine.config.clone();
         self.incarnation += 1;
         self.machine = Machine::new(size, self.id.0 ^ self.incarnation, now);
         (self.up, self.drains, self.report, self.wake) = (true, false, None, None);
@@ -432,7 +432,7 @@
         match self.report {
             Some((at, report)) if now < at + every => report,
             _ => {
-                let own = self.machine.report();
+                let own = self.machine.load_report();
                 let report =
                     others.map_or(own, |(others, jobs)| others.in_report(now, self, own, jobs));
                 self.report = Some((now, report));
@@ -450,7 +450,7 @@
     ) {
         if others.stands(now, self, functions, n, workers) {
             let f = &functions.all[n];
-            self.machine.has_stood(now, &f.name, f.memory_mb, f.lanes);
+            self.machine.preload(now, &f.name, f.memory_mb, f.lanes);
         }
     }
 }
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -4,8 +4,8 @@
 use crate::hammer::{Hammer, HammerSpec, Hammered};
 use crate::tapped::Authority;
 use sanddrum::{Decisions, EventBatch, Micros, Router, WorkerId, WorkerState};
-use sanddrum_edge::{DecisionModule, Edge, Start, KEYS};
-use sanddrum_emulator::{ListService, ListSpec};
+use sanddrum_edge::{DecisionModule, Edge, EdgeOptions, KEYS_FILE};
+use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
 use sanddrum_settings::LoadedSettings;
@@ -285,7 +285,7 @@
 impl Core for Keyed {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
-        self.core.on_file(now, KEYS, Ok(&self.keys), io);
+        self.core.on_file(now, KEYS_FILE, Ok(&self.keys), io);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         self.core.on_event(now, event, io);
@@ -381,15 +381,17 @@
         }
     };
     let workers = in_thread(stop.clone(), move |driver| {
-        let spec = ListSpec {
-            notice: (0, 0),
-            silent_after: Micros::MAX / 4,
-            changes_kept: 16,
-            whole: 0,
-            change: 0,
-            most: 1024,
+        let spec = DiscoverySpec {
+            min_publish_delay: 0,
+            max_publish_delay: 0,
+            heartbeat_timeout: Micros::MAX / 4,
+            change_history: 16,
+            snapshot_cost: 0,
+            delta_cost: 0,
+            max_pending_calls: 1024,
         };
-        let list = ListService::new(spec, 1, 1, Default::default()).with_rows(driver.now(), &rows);
+        let list = DiscoveryService::new(spec, 1, 1, Default::default())
+            .with_endpoints(driver.now(), &rows);
         driver.add(Box::new(list), vec![list_door], None)?;
         let Some(terms) = worker_terms else {
             return driver
@@ -445,10 +447,10 @@
         .name(format!("edge-{decides:?}"))
         .spawn(move || -> io::Result<()> {
             let mut driver = EventLoop::new(Box::new(NullObserver))?;
-            let start = Start {
+            let start = EdgeOptions {
                 settings,
                 seed: 1,
-                kept: None,
+                cached_state: None,
                 incarnation: 1,
                 metrics_page: None,
                 platform: None,
@@ -544,7 +546,7 @@
     wait(&mut driver, spec.length - spec.warm_up)?;
     let after = cpu();
     for _ in 0..100 {
-        if driver.core_done(host) {
+        if driver.is_core_done(host) {
             break;
         }
         wait(&mut driver, 20_000)?;
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -2,7 +2,7 @@
 
 use crate::relay::Fault;
 use crate::schema::{kinds, SCENARIO};
-use sanddrum_emulator::{ListSpec, OnMiss, StoreSpec, WorkerSpec};
+use sanddrum_emulator::{DiscoverySpec, MachineConfig, OnMiss, StoreSpec, WorkerSpec};
 use sanddrum_net::{Micros, Rng};
 use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_wire::{EndpointRecord, Phase};
@@ -240,60 +240,60 @@
     pub fn worker(&self, n: usize, address: &str, list: &str, store: &str) -> WorkerSpec {
         let l = &self.settings;
         let slow = Rng::new(self.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9))
-            .happens(l.number("fleet.slow-part"));
+            .random_bool(l.number("fleet.slow-part"));
         WorkerSpec {
             name: Self::worker_name(n),
             address: address.into(),
             zone: self.zones[self.zone_of(n)].clone(),
             cell: (n / l.integer("fleet.cell-size").max(1)) as u32,
             kind: u32::from(slow),
-            cores: l.integer("fleet.cores"),
-            speed: l.number(if slow {
-                "fleet.slow-speed"
-            } else {
-                "fleet.speed"
-            }),
-            queue: l.integer("fleet.queue"),
-            memory_mb: l.number("fleet.memory-mb"),
-            loads_at_once: l.integer("fleet.loads-at-once"),
-            keep_alive: l.duration_us("copies.keep-alive-us"),
-            on_miss: if l.text("copies.on-miss") == "miss" {
-                OnMiss::Miss
-            } else {
-                OnMiss::Load
+            machine: MachineConfig {
+                cores: l.integer("fleet.cores"),
+                speed: l.number(if slow {
+                    "fleet.slow-speed"
+                } else {
+                    "fleet.speed"
+                }),
+                queue_limit: l.integer("fleet.queue"),
+                memory_mb: l.number("fleet.memory-mb"),
+                concurrent_loads: l.integer("fleet.loads-at-once"),
+                keep_alive: l.duration_us("copies.keep-alive-us"),
+                on_miss: if l.text("copies.on-miss") == "miss" {
+                    OnMiss::Miss
+                } else {
+                    OnMiss::Load
+                },
+                start_us_per_mb: l.number("fleet.start-per-mb-us"),
+                initial_capacity: l.number("rules.cold-from"),
+                warm_up: l.duration_us("rules.cold-us"),
+                collapse_multiple: l.number("rules.fall-multiple"),
+                collapse_window: l.duration_us("rules.fall-us"),
             },
-            start_us_per_mb: l.number("fleet.start-per-mb-us"),
-            cold_from: l.number("rules.cold-from"),
-            cold: l.duration_us("rules.cold-us"),
-            fall_multiple: l.number("rules.fall-multiple"),
-            fall: l.duration_us("rules.fall-us"),
-            tells_crowd: l.flag("fleet.tells-crowd"),
-            report_every: l.duration_us("fleet.report-every-us"),
-            list: list.into(),
-            store: store.into(),
-            beat_every: l.duration_us("fleet.beat-every-us").max(1000),
+            reports_function_in_flight: l.flag("fleet.tells-crowd"),
+            report_interval: l.duration_us("fleet.report-every-us"),
+            discovery_address: list.into(),
+            store_address: store.into(),
+            heartbeat_interval: l.duration_us("fleet.beat-every-us").max(1000),
         }
     }
     pub fn store(&self) -> StoreSpec {
         let l = &self.settings;
         StoreSpec {
-            at_once: l.integer("store.at-once"),
-            most: l.integer("store.most"),
+            full_speed_fetches: l.integer("store.at-once"),
+            max_fetches: l.integer("store.most"),
             us_per_mb: l.number("store.per-mb-us"),
         }
     }
-    pub fn list(&self) -> ListSpec {
+    pub fn list(&self) -> DiscoverySpec {
         let l = &self.settings;
-        ListSpec {
-            notice: (
-                l.duration_us("list-service.notice-least-us"),
-                l.duration_us("list-service.notice-most-us"),
-            ),
-            silent_after: l.duration_us("list-service.silent-after-us"),
-            changes_kept: l.integer("list-service.changes-kept"),
-            whole: l.duration_us("list-service.whole-us"),
-            change: l.duration_us("list-service.change-us"),
-            most: l.integer("list-service.calls"),
+        DiscoverySpec {
+            min_publish_delay: l.duration_us("list-service.notice-least-us"),
+            max_publish_delay: l.duration_us("list-service.notice-most-us"),
+            heartbeat_timeout: l.duration_us("list-service.silent-after-us"),
+            change_history: l.integer("list-service.changes-kept"),
+            snapshot_cost: l.duration_us("list-service.whole-us"),
+            delta_cost: l.duration_us("list-service.change-us"),
+            max_pending_calls: l.integer("list-service.calls"),
         }
     }
     /// The workers at these addresses, as the list service knows them from the start.
@@ -301,7 +301,7 @@
         let row = |(n, address): (usize, &String)| {
             let spec = self.worker(n, address, "", "");
             EndpointRecord {
-                size: spec.cores as f64 * spec.speed,
+                size: spec.size(),
                 phase: Phase::Ready,
                 incarnation: 1,
                 age_us: -1,
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -6,7 +6,7 @@
 use crate::scenario::Scenario;
 use crate::stage::{MakeEdge, Stage};
 use rustix::process::{kill_process, Pid, Signal};
-use sanddrum_edge::{Edge, Start, KEYS};
+use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, HostId, Micros};
 use sanddrum_tls::{CALL_FILES, DOOR_FILES};
 use std::collections::BTreeMap;
@@ -167,13 +167,13 @@
             // An impostor shows what it came with.
             Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
                 let name = Scenario::worker_name(n);
-                self.driver.watch(
+                self.driver.watch_file(
                     host,
                     DOOR_FILES[1],
                     self.folder.join(format!("{name}.pem")),
                     every,
                 );
-                self.driver.watch(
+                self.driver.watch_file(
                     host,
                     DOOR_FILES[2],
                     self.folder.join(format!("{name}.key")),
@@ -182,7 +182,7 @@
             }
             Who::Edge(_) => {
                 self.driver
-                    .watch(host, CALL_FILES[0], self.folder.join("roots.pem"), every)
+                    .watch_file(host, CALL_FILES[0], self.folder.join("roots.pem"), every)
             }
             _ => {}
         }
@@ -198,7 +198,8 @@
                 .scenario
                 .settings
                 .duration_us("identity.watch-every-us");
-            self.driver.watch(host, KEYS, self.keys_file(), every);
+            self.driver
+                .watch_file(host, KEYS_FILE, self.keys_file(), every);
         }
     }
     fn state_file(&self, who: Who) -> Option<PathBuf> {
@@ -246,10 +247,10 @@
                 let kept = self
                     .state_file(who)
                     .and_then(|file| std::fs::read(file).ok());
-                let start = Start {
+                let start = EdgeOptions {
                     settings,
                     seed,
-                    kept,
+                    cached_state: kept,
                     incarnation,
                     metrics_page: None,
                     platform: None,
@@ -274,7 +275,7 @@
     }
     /// Whether a signal asked for the end.
     pub fn signalled(&self) -> bool {
-        self.driver.signalled()
+        self.driver.shutdown_requested()
     }
     pub fn catch_signals(&mut self) -> io::Result<()> {
         self.driver.catch_signals()
@@ -429,13 +430,13 @@
     }
     fn tear(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
-            self.driver.tear_connections(*host);
+            self.driver.reset_on_next_write(*host);
         }
     }
     fn calls_are_over(&self) -> bool {
         self.hosts
             .get(&Who::Callers)
-            .is_none_or(|host| self.driver.core_done(*host))
+            .is_none_or(|host| self.driver.is_core_done(*host))
     }
     fn slack(&self) -> Micros {
         SOCKET_SLACK
