--- a/crates/sanddrum-settings/src/deployment/security.rs
+++ b/crates/sanddrum-settings/src/deployment/security.rs
@@ -174,8 +174,8 @@
     name: "authority",
     prefix: "authorities",
     occurrence: Occurrence::UniqueNames,
-    description:
-        "a trusted authority, by its common name, that may certify some workers' names only",
+    description: "a trusted authority, by its common name, that may certify some workers' names \
+             only",
     keys: &[key(
         "names",
         ValueType::Names,
@@ -252,10 +252,22 @@
     name: "allow",
     prefix: "allow",
     occurrence: Occurrence::AnyNames,
-    description: "a customer, or a prefix of names (a-*), may execute these; a matching (deny ...) outweighs it",
+    description:
+        "a customer, or a prefix of names (a-*), may execute these; a matching (deny ...) \
+             outweighs it",
     keys: &[
-        key("functions", ValueType::Names, None, "functions, by name or prefix; any where not set"),
-        key("workloads", ValueType::Names, None, "workloads; any where not set"),
+        key(
+            "functions",
+            ValueType::Names,
+            None,
+            "functions, by name or prefix; any where not set",
+        ),
+        key(
+            "workloads",
+            ValueType::Names,
+            None,
+            "workloads; any where not set",
+        ),
     ],
 };
 
