--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand};
 use ring::rand::{SecureRandom, SystemRandom};
 use sanddrum_edge::access_rights;
-use sanddrum_identity::token::{self, Terms};
+use sanddrum_identity::token::{self, TokenRequirements};
 use sanddrum_identity::{Claims, KeySet, KeyState, Seconds, SecretKey};
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -111,11 +111,13 @@
             name,
         } => new_key(file, secrets, name),
         Keys::Rotate { file, retire_after } => change(file, |set| {
-            let kid = set.rotate(now() + retire_after)?;
+            let kid = set
+                .rotate(now() + retire_after)
+                .map_err(|e| e.to_string())?;
             Ok(format!("{kid} signs; version {}", set.version))
         }),
         Keys::Revoke { file, name } => change(file, |set| {
-            set.revoke(name)?;
+            set.revoke(name).map_err(|e| e.to_string())?;
             Ok(format!("{name} is revoked; version {}", set.version))
         }),
         Keys::List { file } => read_set(file).map(|set| {
@@ -170,7 +172,8 @@
         .fill(&mut seed)
         .map_err(|_| "the system gives no random bytes".to_string())?;
     let secret = SecretKey::from_seed(name, seed);
-    set.add(name, secret.x()?)?;
+    let public_key = secret.public_key().map_err(|e| e.to_string())?;
+    set.add(name, public_key).map_err(|e| e.to_string())?;
     fs::create_dir_all(secrets).map_err(|e| format!("{}: {e}", secrets.display()))?;
     let path = secrets.join(format!("{name}.secret"));
     let made = OpenOptions::new()
@@ -181,7 +184,7 @@
     let written = made.and_then(|mut file| file.write_all(&secret.write()));
     written.map_err(|e| format!("{}: {e}", path.display()))?;
     write_set(file, &set)?;
-    let state = if set.signing() == Some(name) {
+    let state = if set.signing_key() == Some(name) {
         "signs"
     } else {
         "is coming"
@@ -233,6 +236,7 @@
         },
         &secret,
     )
+    .map_err(|e| e.to_string())
 }
 
 fn inspect(keys: Option<&Path>, audience: &str) -> Result<String, String> {
@@ -241,22 +245,22 @@
         .read_line(&mut text)
         .map_err(|e| e.to_string())?;
     let text = text.trim();
-    let customer = token::claimed(text).unwrap_or_else(|| "nobody".into());
-    let key = token::named_key(text).unwrap_or_else(|| "no key".into());
+    let customer = token::unverified_subject(text).unwrap_or_else(|| "nobody".into());
+    let key = token::unverified_key_id(text).unwrap_or_else(|| "no key".into());
     let Some(file) = keys else {
         return Ok(format!(
             "claims to be of {customer}, signed with {key}; not checked"
         ));
     };
     let set = read_set(file)?;
-    let terms = Terms {
+    let terms = TokenRequirements {
         audience: audience.into(),
         leeway: 60,
-        longest: Seconds::MAX / 4,
-        longest_bytes: 1 << 16,
+        max_lifetime: Seconds::MAX / 4,
+        max_bytes: 1 << 16,
     };
-    let checked = token::glance(text, &set, &terms, now());
-    let checked = checked.and_then(|kid| token::check(text, &kid, &set, &terms, now()));
+    let checked = token::precheck(text, &set, &terms, now());
+    let checked = checked.and_then(|kid| token::verify(text, &kid, &set, &terms, now()));
     match checked {
         Ok(claims) => Ok(format!(
             "good: {} for {}, id {}, {} s left",
@@ -289,9 +293,9 @@
             format!("{function:?}: write workload/function"),
         );
     };
-    let ruling = access_rights(&loaded).rule(customer, workload, function);
+    let ruling = access_rights(&loaded).decide(customer, workload, function);
     println!("{customer} running {workload}/{function}: {ruling}");
-    ExitCode::from(if ruling.allowed {
+    ExitCode::from(if ruling.is_allowed {
         exit::GOOD
     } else {
         exit::BAD
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -2,11 +2,15 @@
 
 use crate::endpoint_cache::CachedState;
 use crate::EdgeState;
-use sanddrum_identity::authenticator::Standing;
-use sanddrum_identity::authorization::{Line, Pattern};
-use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
-use sanddrum_identity::token::{self, Terms};
-use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
+use sanddrum_identity::authenticator::ConnectionTrust;
+use sanddrum_identity::authorization::{Pattern, Rule};
+use sanddrum_identity::certificates::{
+    CertificateError, CertificateOwners, ClientCertificate, StatedCustomers,
+};
+use sanddrum_identity::token::{self, TokenRequirements};
+use sanddrum_identity::{
+    Authenticator, AuthenticatorLimits, Authorization, KeySet, KeySetFloor, TokenError,
+};
 use sanddrum_net::{ConnectionId, Io, Micros};
 use sanddrum_settings::{LoadedSettings, Origin};
 use sanddrum_wire::http::Request;
@@ -22,17 +26,17 @@
 
 pub(crate) struct Identity {
     tokens: TokenPolicy,
-    gate: Gate,
+    gate: Authenticator,
     keys: Option<KeySet>,
-    floor: Floor,
-    rights: Rights,
+    floor: KeySetFloor,
+    rights: Authorization,
     /// How each client's connection stands with its tokens.
-    standings: BTreeMap<ConnectionId, Standing>,
-    connection_owners: Owners,
+    standings: BTreeMap<ConnectionId, ConnectionTrust>,
+    connection_owners: CertificateOwners,
     asks_certificates: bool,
     needs_certificates: bool,
     /// What each client's connection has proved.
-    presented: BTreeMap<ConnectionId, Shown>,
+    presented: BTreeMap<ConnectionId, ClientCertificate>,
     audit: AuditRate,
 }
 
@@ -47,11 +51,11 @@
 /// Why a call is not taken, as the client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AuthError {
-    Token(Refused),
+    Token(TokenError),
     /// No key set has ever been in force here.
     NoKeys,
     /// The certificate, or how it goes with the rest.
-    Certificate(Doubt),
+    Certificate(CertificateError),
     /// This customer may not run it.
     Rights,
 }
@@ -59,8 +63,9 @@
 impl AuthError {
     pub fn status(self) -> u16 {
         match self {
-            AuthError::Token(Refused::Busy) | AuthError::NoKeys => 503,
-            AuthError::Token(_) | AuthError::Certificate(Doubt::Missing | Doubt::Denied) => 401,
+            AuthError::Token(TokenError::Busy) | AuthError::NoKeys => 503,
+            AuthError::Token(_)
+            | AuthError::Certificate(CertificateError::Missing | CertificateError::Denied) => 401,
             AuthError::Certificate(_) | AuthError::Rights => 403,
         }
     }
@@ -83,7 +88,7 @@
 }
 
 /// Rights as the settings state them.
-pub fn access_rights(settings: &LoadedSettings) -> Rights {
+pub fn access_rights(settings: &LoadedSettings) -> Authorization {
     let mut lines = Vec::new();
     for (kind, allows) in [("deny", false), ("allow", true)] {
         for (n, customer) in settings.names(kind).iter().enumerate() {
@@ -99,25 +104,25 @@
                 }
                 _ => format!("({kind} {customer:?} ...)"),
             };
-            lines.push(Line {
+            lines.push(Rule {
                 allows,
                 customers: patterns(std::slice::from_ref(customer)),
                 workloads: patterns(&settings.names(&format!("{kind}.{n}.workloads"))),
                 functions: patterns(&settings.names(&format!("{kind}.{n}.functions"))),
-                place,
+                source: place,
             });
         }
     }
-    Rights {
-        lines,
+    Authorization {
+        rules: lines,
         allows_by_default: settings.text("rights.default") != "deny",
     }
 }
 
 /// The names in certificates, and whose they are.
-fn owners_of(settings: &LoadedSettings) -> Owners {
+fn owners_of(settings: &LoadedSettings) -> CertificateOwners {
     let customers = settings.names("customers").into_iter().enumerate();
-    Owners::new(customers.flat_map(|(n, customer)| {
+    CertificateOwners::new(customers.flat_map(|(n, customer)| {
         let names = settings
             .names(&format!("customers.{n}.certificates"))
             .into_iter();
@@ -134,16 +139,16 @@
 impl Identity {
     pub fn from_settings(settings: &LoadedSettings) -> Self {
         let seconds = |name: &str| settings.duration_us(name) / 1_000_000;
-        let terms = Terms {
+        let requirements = TokenRequirements {
             audience: settings.text("identity.audience").to_string(),
             leeway: seconds("identity.leeway-us"),
-            longest: seconds("identity.longest-token-us"),
-            longest_bytes: settings.integer("identity.largest-token-bytes"),
+            max_lifetime: seconds("identity.longest-token-us"),
+            max_bytes: settings.integer("identity.largest-token-bytes"),
         };
-        let limits = GateLimits {
-            checks_per_s: settings.number("identity.token-checks"),
-            remembered: settings.integer("identity.token-memory"),
-            bad_tokens: settings.integer("identity.bad-tokens") as u32,
+        let limits = AuthenticatorLimits {
+            verifications_per_s: settings.number("identity.token-checks"),
+            max_cached_tokens: settings.integer("identity.token-memory"),
+            max_invalid_tokens: settings.integer("identity.bad-tokens") as u32,
         };
         let per_s = settings.number("identity.audit-rate");
         Identity {
@@ -152,9 +157,9 @@
                 "optional" => TokenPolicy::Optional,
                 _ => TokenPolicy::Off,
             },
-            gate: Gate::new(limits, terms),
+            gate: Authenticator::new(limits, requirements),
             keys: None,
-            floor: Floor::default(),
+            floor: KeySetFloor::default(),
             rights: access_rights(settings),
             standings: BTreeMap::new(),
             connection_owners: owners_of(settings),
@@ -170,7 +175,7 @@
         }
     }
     pub fn restore_floor(&mut self, kept: &CachedState) {
-        self.floor = Floor {
+        self.floor = KeySetFloor {
             version: kept.keys_version,
             revoked: kept.keys_revoked.iter().cloned().collect(),
         };
@@ -188,17 +193,17 @@
         if let Some(peer) = io.peer(conn) {
             self.presented.insert(
                 conn,
-                Shown {
+                ClientCertificate {
                     names: peer.names,
-                    key: peer.key_fingerprint,
-                    denied: false,
+                    key_fingerprint: peer.key_fingerprint,
+                    is_denied: false,
                 },
             );
         }
     }
     /// What a connection has proved is not believed any more.
     pub fn client_denied(&mut self, conn: ConnectionId) {
-        self.presented.entry(conn).or_default().denied = true;
+        self.presented.entry(conn).or_default().is_denied = true;
     }
     pub fn client_gone(&mut self, conn: ConnectionId) {
         self.standings.remove(&conn);
@@ -208,11 +213,11 @@
     pub fn is_ejected(&self, conn: ConnectionId) -> bool {
         self.presented
             .get(&conn)
-            .is_some_and(|presented| presented.denied)
+            .is_some_and(|presented| presented.is_denied)
             || self
                 .standings
                 .get(&conn)
-                .is_some_and(|standing| self.gate.is_out(*standing))
+                .is_some_and(|standing| self.gate.must_close(*standing))
     }
 
     /// The customer that calls, if any is known.
@@ -226,30 +231,34 @@
         let presented = self.presented.get(&conn).cloned().unwrap_or_default();
         let certificate = self
             .connection_owners
-            .who(&presented)
+            .customer(&presented)
             .map_err(AuthError::Certificate)?;
         if certificate.is_none() && self.needs_certificates {
-            return Err(AuthError::Certificate(Doubt::Missing));
+            return Err(AuthError::Certificate(CertificateError::Missing));
         }
         let token = match bearer(request).filter(|_| self.tokens != TokenPolicy::Off) {
             Some(token) => {
                 let keys = self.keys.as_ref().ok_or(AuthError::NoKeys)?;
                 let standing = self.standings.entry(conn).or_default();
-                let (claims, _) = self
+                let authenticated = self
                     .gate
-                    .judge(now, token, keys, standing)
+                    .authenticate(now, token, keys, standing)
                     .map_err(AuthError::Token)?;
-                Some(claims.sub)
+                Some(authenticated.claims.sub)
             }
             None if self.tokens == TokenPolicy::Required => {
-                return Err(AuthError::Token(Refused::Missing))
+                return Err(AuthError::Token(TokenError::Missing))
             }
             None => None,
         };
         // A name that nothing proves counts only where nothing is ever to be proved.
         let names_count = self.tokens == TokenPolicy::Off && !self.asks_certificates;
-        certificates::agreed(named, token.as_deref(), certificate.as_deref(), names_count)
-            .map_err(AuthError::Certificate)
+        let stated = StatedCustomers {
+            named,
+            token: token.as_deref(),
+            certificate: certificate.as_deref(),
+        };
+        stated.resolve(names_count).map_err(AuthError::Certificate)
     }
 }
 
@@ -274,8 +283,8 @@
             let ruling =
                 self.identity
                     .rights
-                    .rule(who.as_deref().unwrap_or_default(), workload, function);
-            if ruling.allowed {
+                    .decide(who.as_deref().unwrap_or_default(), workload, function);
+            if ruling.is_allowed {
                 Ok(who)
             } else {
                 Err(AuthError::Rights)
@@ -283,16 +292,21 @@
         });
         if let Err(why) = judged {
             // The customer is only claimed where the token is not good; the token itself is never told.
-            let claimed = bearer(request).and_then(token::claimed);
-            let claimed = claimed.or_else(|| request.field("sanddrum-customer").map(token::tame));
-            let call = format!("{}/{}", token::tame(workload), token::tame(function));
-            let key = bearer(request).and_then(token::named_key);
+            let claimed = bearer(request).and_then(token::unverified_subject);
+            let claimed =
+                claimed.or_else(|| request.field("sanddrum-customer").map(token::sanitize));
+            let call = format!(
+                "{}/{}",
+                token::sanitize(workload),
+                token::sanitize(function)
+            );
+            let key = bearer(request).and_then(token::unverified_key_id);
             let presented = self
                 .identity
                 .presented
                 .get(&conn)
-                .filter(|presented| !presented.key.is_empty());
-            let certificate = presented.map(|presented| presented.key.clone());
+                .filter(|presented| !presented.key_fingerprint.is_empty());
+            let certificate = presented.map(|presented| presented.key_fingerprint.clone());
             tracing::info!(
                 reason = why.reason(),
                 claimed,
@@ -321,12 +335,12 @@
         self.identity.client_denied(conn);
         tracing::warn!(
             reason = "certificate-denied",
-            key = presented.key,
+            key = presented.key_fingerprint,
             "a client is not believed any more"
         );
         self.audit(
             now,
-            &json!({"what": "certificate-denied", "certificate": presented.key, "names": presented.names}),
+            &json!({"what": "certificate-denied", "certificate": presented.key_fingerprint, "names": presented.names}),
             io,
         );
     }
@@ -362,7 +376,7 @@
             .and_then(|bytes| KeySet::read(bytes).map_err(|e| e.to_string()));
         let (reason, why) = match read {
             Ok(set) => {
-                match set.may_follow(
+                match set.check_successor(
                     self.identity.keys.as_ref(),
                     &self.identity.floor,
                     now / 1_000_000,
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -19,7 +19,7 @@
     let mut set = KeySet::default();
     ["k1", "k2"]
         .iter()
-        .for_each(|kid| set.add(kid, key(kid).x().unwrap()).unwrap());
+        .for_each(|kid| set.add(kid, key(kid).public_key().unwrap()).unwrap());
     set
 }
 /// The story's clock begins at 1,000 s.
--- a/crates/sanddrum-identity/src/authenticator.rs
+++ b/crates/sanddrum-identity/src/authenticator.rs
@@ -1,155 +1,162 @@
-//! How much work is spent on checking tokens, and for whom: a flood of bad ones must not push honest callers out.
+//! Bounds the work of verifying tokens, so that a flood of invalid ones does not keep valid callers out.
 //!
-//! A token that was checked is remembered for as long as it and its key last; what the key set says of the key is looked
-//! up every time, so no memory outlives a revocation. A token that is new costs a signature check. Checks come from two
-//! budgets: callers whose connection has shown a good token draw from one, all others from the other, so that strangers
-//! can use up only their own. A connection that keeps sending bad tokens is not listened to any more.
+//! A verified token is cached for as long as it and its key are valid; the key's state is looked up at every use, so the
+//! cache never outlives a revocation. A token that is not cached costs a signature verification. Verifications have two
+//! budgets: one for connections that have presented a valid token, one for all others, so that unknown callers can use up
+//! only their own. A connection that keeps presenting invalid tokens has to be closed.
 
 use crate::keys::KeySet;
-use crate::token::{self, Claims, Refused, Terms};
+use crate::token::{self, Claims, TokenError, TokenRequirements};
+use crate::token_cache::TokenCache;
 use crate::Seconds;
-use std::collections::BTreeMap;
 
+const MICROS_PER_SECOND: i64 = 1_000_000;
+
+/// Bounds on an [`Authenticator`]'s work.
 #[derive(Clone, Debug)]
-pub struct GateLimits {
-    /// Signature checks a second for callers that are known; strangers get as many again.
-    pub checks_per_s: f64,
-    /// Tokens remembered.
-    pub remembered: usize,
-    /// Bad tokens after which a connection is closed.
-    pub bad_tokens: u32,
+pub struct AuthenticatorLimits {
+    /// Signature verifications a second for known callers, and as many again for unknown ones.
+    pub verifications_per_s: f64,
+    /// Verified tokens that are cached.
+    pub max_cached_tokens: usize,
+    /// Invalid tokens in a row after which a connection has to be closed.
+    pub max_invalid_tokens: u32,
 }
 
-/// What a connection has shown so far.
+/// What a connection's tokens have shown so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
-    pub known: bool,
-    pub bad: u32,
+pub struct ConnectionTrust {
+    /// It has presented a valid token.
+    pub is_known: bool,
+    /// Invalid tokens since the last valid one.
+    pub invalid_tokens: u32,
+}
+
+/// The outcome of a valid token.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Authenticated {
+    /// What the token claims.
+    pub claims: Claims,
+    /// Whether it was cached, so that no signature was verified.
+    pub was_cached: bool,
 }
 
-struct Budget {
-    left: f64,
-    at: i64,
+/// A token bucket of signature verifications that holds up to one second's worth.
+struct VerificationBudget {
+    available: f64,
+    updated_at_us: i64,
 }
 
-impl Budget {
-    /// A second's worth may be saved up.
-    fn take(&mut self, now_us: i64, per_s: f64) -> bool {
-        let passed = (now_us - self.at).max(0) as f64 / 1e6;
-        (self.left, self.at) = ((self.left + passed * per_s).min(per_s.max(1.0)), now_us);
-        let has = self.left >= 1.0;
-        if has {
-            self.left -= 1.0;
+impl VerificationBudget {
+    fn full(per_s: f64) -> Self {
+        VerificationBudget {
+            available: per_s.max(1.0),
+            updated_at_us: i64::MIN / 2,
         }
-        has
+    }
+
+    /// Takes one verification if there is one.
+    fn try_take(&mut self, now_us: i64, per_s: f64) -> bool {
+        let elapsed_s = (now_us - self.updated_at_us).max(0) as f64 / MICROS_PER_SECOND as f64;
+        self.available = (self.available + elapsed_s * per_s).min(per_s.max(1.0));
+        self.updated_at_us = now_us;
+        let is_available = self.available >= 1.0;
+        if is_available {
+            self.available -= 1.0;
+        }
+        is_available
     }
 }
 
-pub struct Gate {
-    limits: GateLimits,
-    terms: Terms,
-    /// Token to its key and claims, in the order of the tokens' text; the oldest go by their use.
-    good: BTreeMap<String, (String, Claims, u64)>,
-    uses: BTreeMap<u64, String>,
-    used: u64,
-    known: Budget,
-    strangers: Budget,
+/// Verifies the tokens of all connections.
+pub struct Authenticator {
+    limits: AuthenticatorLimits,
+    requirements: TokenRequirements,
+    cache: TokenCache,
+    known_callers: VerificationBudget,
+    unknown_callers: VerificationBudget,
 }
 
-impl Gate {
-    pub fn new(limits: GateLimits, terms: Terms) -> Self {
-        let full = limits.checks_per_s.max(1.0);
-        let budget = || Budget {
-            left: full,
-            at: i64::MIN / 2,
-        };
-        Gate {
+impl Authenticator {
+    /// An authenticator with full budgets and an empty cache.
+    pub fn new(limits: AuthenticatorLimits, requirements: TokenRequirements) -> Self {
+        Authenticator {
+            cache: TokenCache::new(limits.max_cached_tokens),
+            known_callers: VerificationBudget::full(limits.verifications_per_s),
+            unknown_callers: VerificationBudget::full(limits.verifications_per_s),
             limits,
-            terms,
-            good: BTreeMap::new(),
-            uses: BTreeMap::new(),
-            used: 0,
-            known: budget(),
-            strangers: budget(),
+            requirements,
         }
     }
 
-    /// Judges a token that came over a connection with this standing, which is brought up to date. `true` beside the
-    /// claims where the token was remembered.
+    /// Authenticates a token that was presented on a connection with this trust, which is updated. `now_us` is in
+    /// microseconds since 1970.
     ///
     /// # Errors
-    /// Why it is refused.
-    pub fn judge(
+    /// [`TokenError`]: why the token is rejected.
+    pub fn authenticate(
         &mut self,
         now_us: i64,
         token: &str,
         keys: &KeySet,
-        standing: &mut Standing,
-    ) -> Result<(Claims, bool), Refused> {
-        let judged = self.judged(now_us, token, keys, *standing);
-        match &judged {
+        trust: &mut ConnectionTrust,
+    ) -> Result<Authenticated, TokenError> {
+        let result = self.check(now_us, token, keys, *trust);
+        match &result {
             Ok(_) => {
-                *standing = Standing {
-                    known: true,
-                    bad: 0,
+                *trust = ConnectionTrust {
+                    is_known: true,
+                    invalid_tokens: 0,
                 }
             }
-            Err(Refused::Busy) => {}
-            Err(_) => standing.bad += 1,
+            Err(TokenError::Busy) => {}
+            Err(_) => trust.invalid_tokens += 1,
         }
-        judged
+        result
     }
-    fn judged(
+
+    fn check(
         &mut self,
         now_us: i64,
         token: &str,
         keys: &KeySet,
-        standing: Standing,
-    ) -> Result<(Claims, bool), Refused> {
-        let now: Seconds = now_us / 1_000_000;
-        if let Some((kid, claims, used)) = self.good.get_mut(token) {
-            token::standing(kid, keys, now)?;
-            token::in_time(claims, &self.terms, now)?;
-            self.used += 1;
-            if let Some(text) = self.uses.remove(used) {
-                self.uses.insert(self.used, text);
-            }
-            *used = self.used;
-            return Ok((claims.clone(), true));
+        trust: ConnectionTrust,
+    ) -> Result<Authenticated, TokenError> {
+        let now: Seconds = now_us / MICROS_PER_SECOND;
+        if let Some(cached) = self.cache.get(token) {
+            token::check_key(&cached.key_id, keys, now)?;
+            token::check_validity_period(&cached.claims, &self.requirements, now)?;
+            let claims = cached.claims.clone();
+            self.cache.mark_used(token);
+            return Ok(Authenticated {
+                claims,
+                was_cached: true,
+            });
         }
-        let kid = token::glance(token, keys, &self.terms, now)?;
-        let budget = if standing.known {
-            &mut self.known
+        let key_id = token::precheck(token, keys, &self.requirements, now)?;
+        let budget = if trust.is_known {
+            &mut self.known_callers
         } else {
-            &mut self.strangers
+            &mut self.unknown_callers
         };
-        if !budget.take(now_us, self.limits.checks_per_s) {
-            return Err(Refused::Busy);
+        if !budget.try_take(now_us, self.limits.verifications_per_s) {
+            return Err(TokenError::Busy);
         }
-        let claims = token::check(token, &kid, keys, &self.terms, now)?;
-        self.remember(token, kid, claims.clone());
-        Ok((claims, false))
+        let claims = token::verify(token, &key_id, keys, &self.requirements, now)?;
+        self.cache.insert(token, key_id, claims.clone());
+        Ok(Authenticated {
+            claims,
+            was_cached: false,
+        })
     }
-    fn remember(&mut self, token: &str, kid: String, claims: Claims) {
-        if self.limits.remembered == 0 {
-            return;
-        }
-        while self.good.len() >= self.limits.remembered {
-            let Some((_, oldest)) = self.uses.pop_first() else {
-                break;
-            };
-            self.good.remove(&oldest);
-        }
-        self.used += 1;
-        self.uses.insert(self.used, token.to_string());
-        self.good
-            .insert(token.to_string(), (kid, claims, self.used));
-    }
-    /// Whether a connection has sent so many bad tokens that it is to be closed.
-    pub fn is_out(&self, standing: Standing) -> bool {
-        standing.bad >= self.limits.bad_tokens.max(1)
+
+    /// Whether a connection has presented so many invalid tokens that it has to be closed.
+    pub fn must_close(&self, trust: ConnectionTrust) -> bool {
+        trust.invalid_tokens >= self.limits.max_invalid_tokens.max(1)
     }
-    pub fn remembered(&self) -> usize {
-        self.good.len()
+
+    /// The number of cached tokens.
+    pub fn cached_tokens(&self) -> usize {
+        self.cache.len()
     }
 }
--- a/crates/sanddrum-identity/src/authorization.rs
+++ b/crates/sanddrum-identity/src/authorization.rs
@@ -1,28 +1,44 @@
-//! Which customer may run what. Every line that fits is looked at: one that denies decides, else one that allows, else
+//! Which customer may call what. All matching rules are considered: one that denies decides, else one that allows, else
 //! the default.
 
 use std::fmt;
 
-/// A name, or a beginning with a `*` behind it.
+/// A name, or a prefix of names with a `*` behind it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern(String);
 
+/// A text that is no pattern: it is empty, or a `*` is elsewhere than at its end.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?}: a * may stand at the end only")]
+pub struct PatternError {
+    /// The text.
+    pub text: String,
+}
+
 impl Pattern {
+    /// A pattern from its text.
+    ///
     /// # Errors
-    /// A `*` stands elsewhere than at the end.
-    pub fn new(text: &str) -> Result<Pattern, String> {
-        match text.trim_end_matches('*').contains('*') || text.ends_with("**") || text.is_empty() {
-            true => Err(format!("{text:?}: a * may stand at the end only")),
-            false => Ok(Pattern(text.to_string())),
+    /// [`PatternError`]: the text is no pattern.
+    pub fn new(text: &str) -> Result<Pattern, PatternError> {
+        let prefix = text.strip_suffix('*').unwrap_or(text);
+        if text.is_empty() || prefix.contains('*') {
+            return Err(PatternError {
+                text: text.to_string(),
+            });
         }
+        Ok(Pattern(text.to_string()))
     }
-    /// The longer one of two that fit says more.
+
+    /// The pattern's length in bytes. Of two patterns that match, the longer one is more specific.
     pub fn length(&self) -> usize {
         self.0.len()
     }
-    pub fn fits(&self, name: &str) -> bool {
+
+    /// Whether a name matches.
+    pub fn matches(&self, name: &str) -> bool {
         match self.0.strip_suffix('*') {
-            Some(begins) => name.starts_with(begins),
+            Some(prefix) => name.starts_with(prefix),
             None => name == self.0,
         }
     }
@@ -34,79 +50,98 @@
     }
 }
 
-/// One line of the rights.
+/// A rule that allows or denies calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct Rule {
+    /// Whether it allows what it matches; otherwise it denies it.
     pub allows: bool,
+    /// The customers that it concerns.
     pub customers: Vec<Pattern>,
-    /// None means any.
+    /// The workloads that it concerns; all if empty.
     pub workloads: Vec<Pattern>,
+    /// The functions that it concerns; all if empty.
     pub functions: Vec<Pattern>,
-    /// Where it stands, for people.
-    pub place: String,
+    /// Where it is defined, for people.
+    pub source: String,
 }
 
-impl Line {
-    fn fits(&self, customer: &str, workload: &str, function: &str) -> bool {
-        let any = |patterns: &[Pattern], name: &str| {
-            patterns.is_empty() || patterns.iter().any(|p| p.fits(name))
-        };
-        self.customers.iter().any(|p| p.fits(customer))
-            && any(&self.workloads, workload)
-            && any(&self.functions, function)
+impl Rule {
+    fn matches(&self, customer: &str, workload: &str, function: &str) -> bool {
+        let any_matches =
+            |patterns: &[Pattern], name: &str| patterns.iter().any(|pattern| pattern.matches(name));
+        any_matches(&self.customers, customer)
+            && (self.workloads.is_empty() || any_matches(&self.workloads, workload))
+            && (self.functions.is_empty() || any_matches(&self.functions, function))
     }
 }
 
+/// All rules, and the default.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rights {
-    pub lines: Vec<Line>,
+pub struct Authorization {
+    /// The rules, in the order of precedence among those that allow and among those that deny.
+    pub rules: Vec<Rule>,
+    /// Whether calls are allowed that no rule matches.
     pub allows_by_default: bool,
 }
 
-impl Default for Rights {
-    /// With no word on rights everyone may run everything.
+impl Default for Authorization {
+    /// Without rules everyone may call everything.
     fn default() -> Self {
-        Rights {
-            lines: Vec::new(),
+        Authorization {
+            rules: Vec::new(),
             allows_by_default: true,
         }
     }
 }
 
-/// What was decided, and by which line.
+/// The rule that decided.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DecidingRule {
+    /// Its index in [`Authorization::rules`].
+    pub index: usize,
+    /// Where it is defined, for people.
+    pub source: String,
+}
+
+/// Whether a call is allowed, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ruling {
-    pub allowed: bool,
-    /// The line's number and place; `None` for the default.
-    pub line: Option<(usize, String)>,
+pub struct Decision {
+    /// Whether it is allowed.
+    pub is_allowed: bool,
+    /// The rule that decided; none for the default.
+    pub rule: Option<DecidingRule>,
 }
 
-impl Rights {
-    pub fn rule(&self, customer: &str, workload: &str, function: &str) -> Ruling {
-        let mut fitting = self
-            .lines
+impl Authorization {
+    /// Decides whether a customer may call a function of a workload.
+    pub fn decide(&self, customer: &str, workload: &str, function: &str) -> Decision {
+        let mut matching = self
+            .rules
             .iter()
             .enumerate()
-            .filter(|(_, l)| l.fits(customer, workload, function));
-        let denies = fitting.clone().find(|(_, line)| !line.allows);
-        match denies.or_else(|| fitting.next()) {
-            Some((n, line)) => Ruling {
-                allowed: line.allows,
-                line: Some((n, line.place.clone())),
+            .filter(|(_, rule)| rule.matches(customer, workload, function));
+        let denying = matching.clone().find(|(_, rule)| !rule.allows);
+        match denying.or_else(|| matching.next()) {
+            Some((index, rule)) => Decision {
+                is_allowed: rule.allows,
+                rule: Some(DecidingRule {
+                    index,
+                    source: rule.source.clone(),
+                }),
             },
-            None => Ruling {
-                allowed: self.allows_by_default,
-                line: None,
+            None => Decision {
+                is_allowed: self.allows_by_default,
+                rule: None,
             },
         }
     }
 }
 
-impl fmt::Display for Ruling {
+impl fmt::Display for Decision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = if self.allowed { "allowed" } else { "denied" };
-        match &self.line {
-            Some((_, place)) => write!(f, "{word} by {place}"),
+        let word = if self.is_allowed { "allowed" } else { "denied" };
+        match &self.rule {
+            Some(rule) => write!(f, "{word} by {}", rule.source),
             None => write!(f, "{word} by default: no line fits"),
         }
     }
--- a/crates/sanddrum-identity/src/certificates.rs
+++ b/crates/sanddrum-identity/src/certificates.rs
@@ -1,115 +1,148 @@
-//! Whose a client certificate is, and whether all that a call says of its customer agrees. The chain itself was verified
-//! before (RFC 5280); here only its names count (RFC 9525, section 6.3: the subject's common name is none of them).
+//! Which customer a client certificate belongs to, and whether all that a call states of its customer agrees. The
+//! certificate's chain has been verified before (RFC 5280); here only its names count (RFC 9525, section 6.3: the
+//! subject's common name is none of them).
 
 use crate::authorization::Pattern;
+use std::fmt;
 
-/// Why a call is not taken for what its connection has shown.
+/// Why a call has no certain customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doubt {
-    /// No certificate, where one is wanted.
+pub enum CertificateError {
+    /// There is no certificate, where one is required.
     Missing,
-    /// Its names are no customer's.
+    /// The certificate's names belong to no customer.
     Unknown,
-    /// Its names are several customers'.
+    /// The certificate's names belong to several customers.
     Ambiguous,
-    /// It was good when the connection was made, and is not any more.
+    /// The certificate was valid when the connection was made, and no longer is.
     Denied,
-    /// Certificate, token and call do not name the same customer.
-    Disagrees,
+    /// The certificate, the token and the call do not name the same customer.
+    Mismatch,
 }
 
-impl Doubt {
+impl CertificateError {
+    /// The reason in responses, logs and metrics.
     pub fn reason(self) -> &'static str {
         match self {
-            Doubt::Missing => "certificate-missing",
-            Doubt::Unknown => "certificate-unknown",
-            Doubt::Ambiguous => "certificate-ambiguous",
-            Doubt::Denied => "certificate-denied",
-            Doubt::Disagrees => "customer-mismatch",
+            CertificateError::Missing => "certificate-missing",
+            CertificateError::Unknown => "certificate-unknown",
+            CertificateError::Ambiguous => "certificate-ambiguous",
+            CertificateError::Denied => "certificate-denied",
+            CertificateError::Mismatch => "customer-mismatch",
         }
     }
+
+    /// What the caller can do about it, as responses state it.
     pub fn detail(self) -> &'static str {
         match self {
-            Doubt::Missing => "show a client certificate",
-            Doubt::Unknown => "the certificate's names are no customer's here",
-            Doubt::Ambiguous => "the certificate's names are several customers'; use one for each",
-            Doubt::Denied => "the certificate is not believed any more; get a new one",
-            Doubt::Disagrees => {
+            CertificateError::Missing => "show a client certificate",
+            CertificateError::Unknown => "the certificate's names are no customer's here",
+            CertificateError::Ambiguous => {
+                "the certificate's names are several customers'; use one for each"
+            }
+            CertificateError::Denied => "the certificate is not believed any more; get a new one",
+            CertificateError::Mismatch => {
                 "what the call names, its token and its certificate are not one customer"
             }
         }
     }
 }
 
-/// What a connection has shown.
+impl fmt::Display for CertificateError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.detail())
+    }
+}
+
+impl std::error::Error for CertificateError {}
+
+/// The certificate that a client presented on its connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct ClientCertificate {
+    /// Its names.
     pub names: Vec<String>,
-    /// The print of the certificate's key, for the audit.
-    pub key: String,
-    /// It is not believed any more.
-    pub denied: bool,
+    /// The fingerprint of its key, for the audit; empty where no certificate was presented.
+    pub key_fingerprint: String,
+    /// Whether it is no longer trusted.
+    pub is_denied: bool,
 }
 
-/// Names, and the customers whose they are. The longest pattern that fits a name counts, as with functions.
+/// Patterns of names in certificates, and the customers that they belong to.
 #[derive(Clone, Debug, Default)]
-pub struct Owners(Vec<(Pattern, String)>);
+pub struct CertificateOwners(Vec<(Pattern, String)>);
 
-impl Owners {
+impl CertificateOwners {
+    /// The owners from patterns and customers.
     pub fn new(owners: impl IntoIterator<Item = (Pattern, String)>) -> Self {
-        Owners(owners.into_iter().collect())
+        CertificateOwners(owners.into_iter().collect())
     }
-    fn of_name(&self, name: &str) -> Option<&str> {
-        let fitting = self.0.iter().filter(|(pattern, _)| pattern.fits(name));
-        fitting
+
+    /// The customer of the longest pattern that matches a name.
+    fn customer_of_name(&self, name: &str) -> Option<&str> {
+        self.0
+            .iter()
+            .filter(|(pattern, _)| pattern.matches(name))
             .max_by_key(|(pattern, _)| pattern.length())
             .map(|(_, customer)| customer.as_str())
     }
-    /// The customer whose certificate it is; `None` where nothing was shown.
+
+    /// The customer that a certificate belongs to; none where no certificate was presented.
     ///
     /// # Errors
-    /// It is nobody's, or not only one customer's, or not believed any more.
-    pub fn who(&self, shown: &Shown) -> Result<Option<String>, Doubt> {
-        if shown.denied {
-            return Err(Doubt::Denied);
+    /// [`CertificateError`]: it is denied, or does not belong to exactly one customer.
+    pub fn customer(
+        &self,
+        certificate: &ClientCertificate,
+    ) -> Result<Option<String>, CertificateError> {
+        if certificate.is_denied {
+            return Err(CertificateError::Denied);
         }
-        if shown.key.is_empty() {
+        if certificate.key_fingerprint.is_empty() {
             return Ok(None);
         }
-        let mut owners: Vec<&str> = shown
+        let mut customers: Vec<&str> = certificate
             .names
             .iter()
-            .filter_map(|name| self.of_name(name))
+            .filter_map(|name| self.customer_of_name(name))
             .collect();
-        owners.sort_unstable();
-        owners.dedup();
-        match owners[..] {
-            [] => Err(Doubt::Unknown),
-            [one] => Ok(Some(one.to_string())),
-            _ => Err(Doubt::Ambiguous),
+        customers.sort_unstable();
+        customers.dedup();
+        match customers[..] {
+            [] => Err(CertificateError::Unknown),
+            [customer] => Ok(Some(customer.to_string())),
+            _ => Err(CertificateError::Ambiguous),
         }
     }
 }
 
-/// The one customer that a call is of. What is proved outweighs what is merely named, and has to agree with it.
-///
-/// # Errors
-/// They do not agree.
-pub fn agreed(
-    named: Option<&str>,
-    token: Option<&str>,
-    certificate: Option<&str>,
-    names_count: bool,
-) -> Result<Option<String>, Doubt> {
-    let proved = token.or(certificate);
-    if let (Some(token), Some(certificate)) = (token, certificate) {
-        if token != certificate {
-            return Err(Doubt::Disagrees);
+/// The customers that a call states, each by another means.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct StatedCustomers<'a> {
+    /// The one that the call names without proof.
+    pub named: Option<&'a str>,
+    /// The one that its token proves.
+    pub token: Option<&'a str>,
+    /// The one that its certificate proves.
+    pub certificate: Option<&'a str>,
+}
+
+impl StatedCustomers<'_> {
+    /// The one customer of the call. What is proved outweighs what is only named, and has to agree with it; a name
+    /// without proof counts if `accepts_unproved`.
+    ///
+    /// # Errors
+    /// [`CertificateError::Mismatch`]: they do not agree.
+    pub fn resolve(self, accepts_unproved: bool) -> Result<Option<String>, CertificateError> {
+        if let (Some(token), Some(certificate)) = (self.token, self.certificate) {
+            if token != certificate {
+                return Err(CertificateError::Mismatch);
+            }
+        }
+        let proved = self.token.or(self.certificate);
+        match (proved, self.named) {
+            (Some(proved), Some(named)) if proved != named => Err(CertificateError::Mismatch),
+            (Some(proved), _) => Ok(Some(proved.to_string())),
+            (None, named) => Ok(named.filter(|_| accepts_unproved).map(String::from)),
         }
-    }
-    match (proved, named) {
-        (Some(proved), Some(named)) if proved != named => Err(Doubt::Disagrees),
-        (Some(proved), _) => Ok(Some(proved.to_string())),
-        (None, named) => Ok(named.filter(|_| names_count).map(String::from)),
     }
 }
--- a/crates/sanddrum-identity/src/lib.rs
+++ b/crates/sanddrum-identity/src/lib.rs
@@ -1,25 +1,24 @@
-//! Who calls, and what they may. Everything here is a function of bytes, settings and the time given: no file, clock
-//! or socket is touched.
+//! Authentication and authorization of callers. Everything here is a function of bytes, settings and the given time: no
+//! file, clock or socket is accessed.
 //!
-//! - [`keys`]: the set of verifying keys, which of its versions may follow which, and what a restart must remember.
-//! - [`token`]: a token checked against the set.
-//! - [`gate`]: how much work is spent on checking, and for whom.
-//! - [`certificates`]: whose a client certificate is, and whether it agrees with the rest.
-//! - [`rights`]: which customer may run what, and which line says so.
-
-#![allow(missing_docs)] // unfinished: docs/ROADMAP.md
+//! - [`keys`]: the set of verification keys, which of its versions may replace which, and what a restart must remember.
+//! - [`token`]: verifies a token with the key set.
+//! - [`authenticator`]: bounds the work of verifying tokens, and caches verified ones.
+//! - [`certificates`]: which customer a client certificate belongs to, and whether it agrees with the rest of a call.
+//! - [`authorization`]: which customer may call what, and which rule says so.
 
 pub mod authenticator;
 pub mod authorization;
 pub mod certificates;
 pub mod keys;
 pub mod token;
+mod token_cache;
 
-pub use authenticator::{Gate, GateLimits};
-pub use authorization::{Rights, Ruling};
-pub use certificates::{Doubt, Owners, Shown};
-pub use keys::{Floor, KeySet, KeyState, SecretKey};
-pub use token::{Claims, Refused};
+pub use authenticator::{Authenticated, Authenticator, AuthenticatorLimits};
+pub use authorization::{Authorization, Decision};
+pub use certificates::{CertificateError, CertificateOwners, ClientCertificate};
+pub use keys::{KeySet, KeySetFloor, KeyState, SecretKey};
+pub use token::{Claims, TokenError};
 
 /// Whole seconds since 1970, as tokens and key sets state them (RFC 7519, section 2, NumericDate).
 pub type Seconds = i64;
--- a/crates/sanddrum-identity/src/token.rs
+++ b/crates/sanddrum-identity/src/token.rs
@@ -1,241 +1,185 @@
 //! Tokens: JWS in compact form (RFC 7515, section 7.1) with JWT claims (RFC 7519), signed with EdDSA (RFC 8037). The
 //! algorithm is fixed by the key and never taken from the token (RFC 8725, section 3.1).
 
-use crate::keys::{KeySet, KeyState, SecretKey};
+mod error;
+mod unverified;
+
+pub use error::TokenError;
+pub use unverified::{sanitize, unverified_key_id, unverified_subject};
+
+use crate::keys::{KeySet, KeyState, SecretKey, SecretKeyError};
 use crate::Seconds;
+use jsonwebtoken::errors::{Error as JwtError, ErrorKind};
 use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey, Header, Validation};
 use serde::{Deserialize, Serialize};
 
-/// Why a token is not taken. The word goes to the caller, the log and the metrics; the token itself to none of them.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
-    Missing,
-    TooLong,
-    Malformed,
-    Algorithm,
-    NoKey,
-    UnknownKey,
-    KeyNotYet,
-    KeyRetired,
-    KeyRevoked,
-    Signature,
-    Audience,
-    Expired,
-    NotYet,
-    TooLasting,
-    /// No subject, id or times.
-    Claims,
-    /// The work that may be spent on checking is used up; trying again is harmless.
-    Busy,
-}
-
-impl Refused {
-    pub fn reason(self) -> &'static str {
-        match self {
-            Refused::Missing => "token-missing",
-            Refused::TooLong => "token-too-long",
-            Refused::Malformed => "token-malformed",
-            Refused::Algorithm => "token-algorithm",
-            Refused::NoKey => "token-without-key",
-            Refused::UnknownKey => "token-key-unknown",
-            Refused::KeyNotYet => "token-key-coming",
-            Refused::KeyRetired => "token-key-retired",
-            Refused::KeyRevoked => "token-key-revoked",
-            Refused::Signature => "token-signature",
-            Refused::Audience => "token-audience",
-            Refused::Expired => "token-expired",
-            Refused::NotYet => "token-not-yet",
-            Refused::TooLasting => "token-too-lasting",
-            Refused::Claims => "token-claims",
-            Refused::Busy => "token-checks",
-        }
-    }
-    pub fn detail(self) -> &'static str {
-        match self {
-            Refused::Missing => "send a token as Authorization: Bearer ...",
-            Refused::TooLong | Refused::Malformed => "the token is no JWS in compact form",
-            Refused::Algorithm => {
-                "tokens are signed with EdDSA here, whatever they say of themselves"
-            }
-            Refused::NoKey | Refused::UnknownKey => "the token names no key that is known here",
-            Refused::KeyNotYet => "the key does not sign yet",
-            Refused::KeyRetired | Refused::KeyRevoked => {
-                "the key is no longer in service; get a new token"
-            }
-            Refused::Signature => "the signature does not fit",
-            Refused::Audience => "the token is for somebody else",
-            Refused::Expired => "the token is over; get a new one, and look at the clocks",
-            Refused::NotYet => "the token is not valid yet; look at the clocks",
-            Refused::TooLasting => "the token lasts longer than is allowed here",
-            Refused::Claims => "the token lacks sub, jti, exp or aud",
-            Refused::Busy => "too many tokens are being checked; try again",
-        }
-    }
-}
-
+/// The claims of a token (RFC 7519, section 4.1), by their registered names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
-    /// The customer.
+    /// The subject: the customer.
     pub sub: String,
+    /// The audience that the token is for.
     pub aud: String,
+    /// When it expires.
     pub exp: Seconds,
+    /// Since when it is valid.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nbf: Option<Seconds>,
+    /// When it was issued.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub iat: Option<Seconds>,
     /// Its id, for the audit.
     pub jti: String,
 }
 
-/// How tokens are judged here.
+/// Which tokens are accepted.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct TokenRequirements {
+    /// The audience that a token has to name.
     pub audience: String,
-    /// By how much clocks may differ.
+    /// The largest accepted difference of clocks.
     pub leeway: Seconds,
-    /// The longest that a token may last from now; a leaked one is of use no longer than that.
-    pub longest: Seconds,
-    pub longest_bytes: usize,
+    /// The longest time from now until a token expires: a leaked one is of use no longer than that.
+    pub max_lifetime: Seconds,
+    /// The longest token in bytes.
+    pub max_bytes: usize,
 }
 
-/// The key id that a token names, and that key's word on it: what can be told without spending a signature check.
+/// Checks what can be checked without verifying the signature, and returns the id of the token's key.
 ///
 /// # Errors
-/// Why the token can't be good.
-pub fn glance(token: &str, keys: &KeySet, terms: &Terms, now: Seconds) -> Result<String, Refused> {
-    if token.len() > terms.longest_bytes {
-        return Err(Refused::TooLong);
+/// [`TokenError`]: why the token can't be valid.
+pub fn precheck(
+    token: &str,
+    keys: &KeySet,
+    requirements: &TokenRequirements,
+    now: Seconds,
+) -> Result<String, TokenError> {
+    if token.len() > requirements.max_bytes {
+        return Err(TokenError::TooLong);
     }
-    // A header with another algorithm, or none, does not parse as one of ours.
-    let header = jsonwebtoken::decode_header(token).map_err(|e| match e.kind() {
-        jsonwebtoken::errors::ErrorKind::Json(_) => Refused::Algorithm,
-        _ => Refused::Malformed,
+    // A header with an algorithm that the library does not know, or with none, is rejected as JSON.
+    let header = jsonwebtoken::decode_header(token).map_err(|error| match error.kind() {
+        ErrorKind::Json(_) => TokenError::Algorithm,
+        _ => TokenError::Malformed,
     })?;
     if header.alg != Algorithm::EdDSA {
-        return Err(Refused::Algorithm);
+        return Err(TokenError::Algorithm);
     }
-    let kid = header.kid.ok_or(Refused::NoKey)?;
-    standing(&kid, keys, now)?;
-    Ok(kid)
+    let key_id = header.kid.ok_or(TokenError::NoKey)?;
+    check_key(&key_id, keys, now)?;
+    Ok(key_id)
 }
 
-/// Whether a key verifies now.
+/// Checks that a key verifies tokens now.
 ///
 /// # Errors
-/// Why it does not.
-pub fn standing(kid: &str, keys: &KeySet, now: Seconds) -> Result<(), Refused> {
-    match keys.keys.get(kid).map(|key| key.state) {
-        None => Err(Refused::UnknownKey),
-        Some(KeyState::Coming) => Err(Refused::KeyNotYet),
-        Some(KeyState::Revoked) => Err(Refused::KeyRevoked),
-        Some(KeyState::Retiring(until)) if now >= until => Err(Refused::KeyRetired),
+/// [`TokenError`]: why it does not.
+pub fn check_key(key_id: &str, keys: &KeySet, now: Seconds) -> Result<(), TokenError> {
+    match keys.keys.get(key_id).map(|key| key.state) {
+        None => Err(TokenError::UnknownKey),
+        Some(KeyState::Coming) => Err(TokenError::KeyNotYetValid),
+        Some(KeyState::Revoked) => Err(TokenError::KeyRevoked),
+        Some(KeyState::Retiring(until)) if now >= until => Err(TokenError::KeyRetired),
         Some(KeyState::Signing | KeyState::Retiring(_)) => Ok(()),
     }
 }
 
-/// Checks a token that passed its glance, signature and claims.
+/// Verifies the signature and the claims of a token that passed [`precheck`].
 ///
 /// # Errors
-/// Why it is not taken.
-pub fn check(
+/// [`TokenError`]: why the token is rejected.
+pub fn verify(
     token: &str,
-    kid: &str,
+    key_id: &str,
     keys: &KeySet,
-    terms: &Terms,
+    requirements: &TokenRequirements,
     now: Seconds,
-) -> Result<Claims, Refused> {
-    let key = keys.keys.get(kid).ok_or(Refused::UnknownKey)?;
-    let verifier = DecodingKey::from_ed_components(&key.x).map_err(|_| Refused::UnknownKey)?;
-    let mut terms_of_library = Validation::new(Algorithm::EdDSA);
-    // Time and audience are judged below, by the clock given.
-    (terms_of_library.validate_exp, terms_of_library.validate_nbf) = (false, false);
-    terms_of_library.validate_aud = false;
-    terms_of_library.required_spec_claims.clear();
-    let claims = jsonwebtoken::decode::<Claims>(token, &verifier, &terms_of_library);
-    let claims = claims.map(|data| data.claims).map_err(|e| match e.kind() {
-        jsonwebtoken::errors::ErrorKind::InvalidSignature => Refused::Signature,
-        jsonwebtoken::errors::ErrorKind::Json(_) => Refused::Claims,
-        jsonwebtoken::errors::ErrorKind::InvalidAlgorithm => Refused::Algorithm,
-        _ => Refused::Malformed,
-    })?;
-    in_time(&claims, terms, now)?;
-    if claims.aud != terms.audience {
-        return Err(Refused::Audience);
+) -> Result<Claims, TokenError> {
+    let key = keys.keys.get(key_id).ok_or(TokenError::UnknownKey)?;
+    let decoding_key =
+        DecodingKey::from_ed_components(&key.x).map_err(|_| TokenError::UnknownKey)?;
+    let claims = jsonwebtoken::decode::<Claims>(token, &decoding_key, &signature_only())
+        .map(|data| data.claims)
+        .map_err(|error| match error.kind() {
+            ErrorKind::InvalidSignature => TokenError::Signature,
+            ErrorKind::Json(_) => TokenError::Claims,
+            ErrorKind::InvalidAlgorithm => TokenError::Algorithm,
+            _ => TokenError::Malformed,
+        })?;
+    check_claims(&claims, requirements, now)?;
+    Ok(claims)
+}
+
+/// Has the library verify the signature only: the claims are checked here, by the given time.
+fn signature_only() -> Validation {
+    let mut validation = Validation::new(Algorithm::EdDSA);
+    validation.validate_exp = false;
+    validation.validate_nbf = false;
+    validation.validate_aud = false;
+    validation.required_spec_claims.clear();
+    validation
+}
+
+fn check_claims(
+    claims: &Claims,
+    requirements: &TokenRequirements,
+    now: Seconds,
+) -> Result<(), TokenError> {
+    check_validity_period(claims, requirements, now)?;
+    if claims.aud != requirements.audience {
+        return Err(TokenError::Audience);
     }
     if claims.sub.is_empty() || claims.jti.is_empty() {
-        return Err(Refused::Claims);
+        return Err(TokenError::Claims);
     }
-    if claims.exp
-        > now
-            .saturating_add(terms.longest)
-            .saturating_add(terms.leeway)
-    {
-        return Err(Refused::TooLasting);
+    let latest_expiry = now
+        .saturating_add(requirements.max_lifetime)
+        .saturating_add(requirements.leeway);
+    if claims.exp > latest_expiry {
+        return Err(TokenError::LifetimeTooLong);
     }
-    Ok(claims)
+    Ok(())
 }
 
-/// Whether a token that was checked before is still, and already, valid.
+/// Checks that a token is valid now, by its times.
 ///
 /// # Errors
-/// It is over, or not valid yet.
-pub fn in_time(claims: &Claims, terms: &Terms, now: Seconds) -> Result<(), Refused> {
-    if now >= claims.exp.saturating_add(terms.leeway) {
-        return Err(Refused::Expired);
+/// [`TokenError::Expired`] or [`TokenError::NotYetValid`]
+pub fn check_validity_period(
+    claims: &Claims,
+    requirements: &TokenRequirements,
+    now: Seconds,
+) -> Result<(), TokenError> {
+    if now >= claims.exp.saturating_add(requirements.leeway) {
+        return Err(TokenError::Expired);
     }
-    if claims
-        .nbf
-        .is_some_and(|nbf| now < nbf.saturating_sub(terms.leeway))
-    {
-        return Err(Refused::NotYet);
+    match claims.nbf {
+        Some(nbf) if now < nbf.saturating_sub(requirements.leeway) => Err(TokenError::NotYetValid),
+        _ => Ok(()),
     }
-    Ok(())
+}
+
+/// Why a token can't be signed.
+#[derive(Debug, thiserror::Error)]
+pub enum SignError {
+    /// The secret key can't be used.
+    #[error(transparent)]
+    SecretKey(#[from] SecretKeyError),
+    /// The library can't encode or sign the token.
+    #[error(transparent)]
+    Encoding(#[from] JwtError),
 }
 
 /// Signs a token.
 ///
 /// # Errors
-/// The key is none.
-pub fn issue(claims: &Claims, key: &SecretKey) -> Result<String, String> {
+/// [`SignError`]
+pub fn issue(claims: &Claims, key: &SecretKey) -> Result<String, SignError> {
     let header = Header {
-        kid: Some(key.kid.clone()),
+        kid: Some(key.key_id.clone()),
         ..Header::new(Algorithm::EdDSA)
     };
-    let signer = EncodingKey::from_ed_der(&key.pkcs8()?);
-    jsonwebtoken::encode(&header, claims, &signer).map_err(|e| e.to_string())
-}
-
-/// What a token says of its subject, unchecked: for a log, never for a decision.
-pub fn claimed(token: &str) -> Option<String> {
-    let body = token
-        .split('.')
-        .nth(1)
-        .filter(|part| part.len() < UNCHECKED)?;
-    let bytes =
-        base64::Engine::decode(&base64::engine::general_purpose::URL_SAFE_NO_PAD, body).ok()?;
-    let claims: serde_json::Value = serde_json::from_slice(&bytes).ok()?;
-    claims.get("sub").and_then(|sub| sub.as_str()).map(tame)
-}
-
-/// The key that a token names, unchecked: for a log.
-pub fn named_key(token: &str) -> Option<String> {
-    let header = token
-        .split('.')
-        .next()
-        .filter(|part| part.len() < UNCHECKED)?;
-    let bytes =
-        base64::Engine::decode(&base64::engine::general_purpose::URL_SAFE_NO_PAD, header).ok()?;
-    let header: serde_json::Value = serde_json::from_slice(&bytes).ok()?;
-    header.get("kid").and_then(|kid| kid.as_str()).map(tame)
-}
-
-/// The longest part of a token that is looked into for a log.
-const UNCHECKED: usize = 4096;
-
-/// A stranger's text, short and without anything that could break a line.
-pub fn tame(text: &str) -> String {
-    text.chars()
-        .take(64)
-        .map(|c| if c.is_ascii_graphic() { c } else { '?' })
-        .collect()
+    let encoding_key = EncodingKey::from_ed_der(&key.pkcs8()?);
+    Ok(jsonwebtoken::encode(&header, claims, &encoding_key)?)
 }
--- /dev/null
+++ b/crates/sanddrum-identity/src/token/error.rs
@@ -0,0 +1,97 @@
+//! Why a token is rejected.
+
+use std::fmt;
+
+/// Why a token is rejected. The reason is sent to the caller and goes to logs and metrics; the token itself does not.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum TokenError {
+    /// There is no token, where one is required.
+    Missing,
+    /// It is longer than accepted.
+    TooLong,
+    /// It is no JWS in compact form.
+    Malformed,
+    /// Its algorithm is not EdDSA.
+    Algorithm,
+    /// It names no key.
+    NoKey,
+    /// It names a key that is not in the key set.
+    UnknownKey,
+    /// Its key does not sign yet.
+    KeyNotYetValid,
+    /// Its key has retired.
+    KeyRetired,
+    /// Its key is revoked.
+    KeyRevoked,
+    /// Its signature is not its key's.
+    Signature,
+    /// It is for another audience.
+    Audience,
+    /// It has expired.
+    Expired,
+    /// It is not valid yet.
+    NotYetValid,
+    /// It expires later than accepted.
+    LifetimeTooLong,
+    /// It has no subject, no id or no expiry.
+    Claims,
+    /// The budget of verifications is used up; a retry is harmless.
+    Busy,
+}
+
+impl TokenError {
+    /// The reason in responses, logs and metrics.
+    pub fn reason(self) -> &'static str {
+        match self {
+            TokenError::Missing => "token-missing",
+            TokenError::TooLong => "token-too-long",
+            TokenError::Malformed => "token-malformed",
+            TokenError::Algorithm => "token-algorithm",
+            TokenError::NoKey => "token-without-key",
+            TokenError::UnknownKey => "token-key-unknown",
+            TokenError::KeyNotYetValid => "token-key-coming",
+            TokenError::KeyRetired => "token-key-retired",
+            TokenError::KeyRevoked => "token-key-revoked",
+            TokenError::Signature => "token-signature",
+            TokenError::Audience => "token-audience",
+            TokenError::Expired => "token-expired",
+            TokenError::NotYetValid => "token-not-yet",
+            TokenError::LifetimeTooLong => "token-too-lasting",
+            TokenError::Claims => "token-claims",
+            TokenError::Busy => "token-checks",
+        }
+    }
+
+    /// What the caller can do about it, as responses state it.
+    pub fn detail(self) -> &'static str {
+        match self {
+            TokenError::Missing => "send a token as Authorization: Bearer ...",
+            TokenError::TooLong | TokenError::Malformed => "the token is no JWS in compact form",
+            TokenError::Algorithm => {
+                "tokens are signed with EdDSA here, whatever they say of themselves"
+            }
+            TokenError::NoKey | TokenError::UnknownKey => {
+                "the token names no key that is known here"
+            }
+            TokenError::KeyNotYetValid => "the key does not sign yet",
+            TokenError::KeyRetired | TokenError::KeyRevoked => {
+                "the key is no longer in service; get a new token"
+            }
+            TokenError::Signature => "the signature does not fit",
+            TokenError::Audience => "the token is for somebody else",
+            TokenError::Expired => "the token is over; get a new one, and look at the clocks",
+            TokenError::NotYetValid => "the token is not valid yet; look at the clocks",
+            TokenError::LifetimeTooLong => "the token lasts longer than is allowed here",
+            TokenError::Claims => "the token lacks sub, jti, exp or aud",
+            TokenError::Busy => "too many tokens are being checked; try again",
+        }
+    }
+}
+
+impl fmt::Display for TokenError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.detail())
+    }
+}
+
+impl std::error::Error for TokenError {}
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -254,7 +254,8 @@
 fn tokens(count: usize) -> Result<(Vec<String>, Vec<u8>), String> {
     let secret = SecretKey::from_seed("measure", [5; 32]);
     let mut set = KeySet::default();
-    set.add("measure", secret.x()?)?;
+    let public_key = secret.public_key().map_err(|e| e.to_string())?;
+    set.add("measure", public_key).map_err(|e| e.to_string())?;
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
@@ -273,7 +274,8 @@
             &secret,
         )
     };
-    Ok(((0..count).map(sign).collect::<Result<_, _>>()?, set.write()))
+    let signed: Result<_, token::SignError> = (0..count).map(sign).collect();
+    Ok((signed.map_err(|e| e.to_string())?, set.write()))
 }
 
 /// An edge that has its key set from the start.
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -221,7 +221,7 @@
                 sent: now,
                 limit: limit.unwrap_or(0) * 1000,
                 customer: request.field("sanddrum-customer").map(String::from),
-                key: token.and_then(sanddrum_identity::token::named_key),
+                key: token.and_then(sanddrum_identity::token::unverified_key_id),
                 ..Try::default()
             });
         }
--- a/crates/sanddrum-lab/src/wallet.rs
+++ b/crates/sanddrum-lab/src/wallet.rs
@@ -42,7 +42,7 @@
         seed[..8].copy_from_slice(&self.seed.to_be_bytes());
         seed[8] = self.secrets.len() as u8;
         let secret = SecretKey::from_seed(&kid, seed);
-        if let Ok(x) = secret.x() {
+        if let Ok(x) = secret.public_key() {
             let _ = self.set.add(&kid, x);
             self.secrets.insert(kid, secret);
         }
@@ -68,7 +68,7 @@
                 return Some(token.clone());
             }
         }
-        let secret = self.secrets.get(self.set.signing()?)?;
+        let secret = self.secrets.get(self.set.signing_key()?)?;
         self.issued += 1;
         let seconds = now / 1_000_000;
         let claims = Claims {
