--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -4,20 +4,12 @@
 use crate::requests::PendingRequest;
 use sanddrum::{CustomerId, Micros, Request, RequestId, WorkerId};
 use sanddrum_limits::{
-    Admission as Decisions, AdmissionEvents, QuotaPolicy, RejectReason, RetryBudget, RetryEvents,
+    Admission as Decisions, AdmissionEvents, AdmissionRequest, ClientRequest, Dispatch,
+    QuotaPolicy, Rejection, ReportedRates, RetryBudget, RetryEvents,
 };
 use sanddrum_settings::LoadedSettings;
 use std::collections::BTreeMap;
 
-/// Why a request is not admitted.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Rejection {
-    /// The limit that it is over.
-    pub reason: RejectReason,
-    /// How long the client is asked to wait.
-    pub retry_after: Micros,
-}
-
 /// What was decided for a request.
 pub(crate) struct AdmissionDecision {
     /// The request.
@@ -35,11 +27,7 @@
         self.0.push((request, Ok(())));
     }
 
-    fn reject(&mut self, request: RequestId, reason: RejectReason, retry_after: Micros) {
-        let rejection = Rejection {
-            reason,
-            retry_after,
-        };
+    fn reject(&mut self, request: RequestId, rejection: Rejection) {
         self.0.push((request, Err(rejection)));
     }
 }
@@ -88,13 +76,16 @@
 
     /// An attempt of a customer's request was dispatched.
     pub fn attempt_dispatched(&mut self, customer: CustomerId, worker: WorkerId) {
-        self.events.dispatched.push((customer, worker));
+        self.events.dispatched.push(Dispatch { customer, worker });
     }
 
     /// A worker reported the rate of a customer's requests and of all, in requests per second.
     pub fn rates_reported(&mut self, customer: CustomerId, customer_rate: f64, total_rate: f64) {
-        let rates = (customer, customer_rate, total_rate);
-        self.events.reported_rates.push(rates);
+        self.events.reported_rates.push(ReportedRates {
+            customer,
+            of_customer: customer_rate,
+            of_all: total_rate,
+        });
     }
 
     /// The decision module rejected a request.
@@ -122,15 +113,11 @@
     fn screen_retries(&mut self, now: Micros, is_open: impl Fn(RequestId) -> bool) -> Verdicts {
         let open = self.pending.values().filter(|request| is_open(request.id));
         let events = RetryEvents {
-            requests: open.map(|request| (request.id, request.is_retry)).collect(),
+            requests: open.map(client_request).collect(),
             rejected: self.events.rejected,
         };
         let mut verdicts = Verdicts::default();
-        self.retry_budget
-            .handle(now, &events, &mut |id, result| match result {
-                Ok(()) => verdicts.admit(id),
-                Err((reason, retry_after)) => verdicts.reject(id, reason, retry_after),
-            });
+        self.retry_budget.handle(now, &events, &mut verdicts);
         verdicts
     }
 
@@ -145,7 +132,10 @@
                 continue;
             };
             match result {
-                Ok(()) => events.requests.push((id, request.customer)),
+                Ok(()) => events.requests.push(AdmissionRequest {
+                    request: id,
+                    customer: request.customer,
+                }),
                 Err(rejection) => verdicts.0.push((id, Err(rejection))),
             }
         }
@@ -153,3 +143,10 @@
         verdicts
     }
 }
+
+fn client_request(request: &Request) -> ClientRequest {
+    ClientRequest {
+        request: request.id,
+        is_retry: request.is_retry,
+    }
+}
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -5,7 +5,7 @@
 use sanddrum::{EndpointListKind, Micros};
 use sanddrum_net::{ConnectionId, Io, Rng};
 use sanddrum_platform::control_feed::{self, FeedEvent, FeedEvents};
-use sanddrum_platform::starts::{ClockReading, StartTimes};
+use sanddrum_platform::start_times::{ClockReading, StartTimes};
 use sanddrum_settings::LoadedSettings;
 use sanddrum_upstream::Backoff;
 use sanddrum_wire::http::{self, HttpError, Response};
@@ -73,7 +73,7 @@
 impl ControlFeed {
     /// A client that is not connected. `seed` is the seed of the backoff's random draws.
     pub fn new(settings: &LoadedSettings, machine_kinds: Vec<String>, seed: u64) -> Self {
-        let backoff = |name: &str| settings.span(&format!("limits.list-retry-{name}-us"));
+        let backoff = |name: &str| settings.duration_us(&format!("limits.list-retry-{name}-us"));
         ControlFeed {
             address: settings.text("edge.list").to_string(),
             machine_kinds,
@@ -120,8 +120,10 @@
 
     fn endpoint_change(&mut self, now: Micros, event: FeedEvent) -> Option<EndpointChange> {
         let list = event.members?;
-        let endpoints = self.start_times.endpoints(now, list.members, list.complete);
-        let kind = if list.complete {
+        let endpoints = self
+            .start_times
+            .endpoints(now, list.members, list.is_full_snapshot);
+        let kind = if list.is_full_snapshot {
             EndpointListKind::Full
         } else {
             EndpointListKind::Delta
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -9,7 +9,7 @@
 use sanddrum_net::{ConnectionId, Io, Outbox};
 use sanddrum_settings::LoadedSettings;
 use sanddrum_wire::{
-    frame::frame, EndpointUpdate, FrameDecoder, FromDiscovery, Hello, ToDiscovery, VERSION,
+    frame::encode_frame, EndpointUpdate, FrameDecoder, FromDiscovery, Hello, ToDiscovery, VERSION,
 };
 
 /// What the bootstrap policy has decided in one run.
@@ -49,7 +49,7 @@
 impl ServiceConnection {
     fn send(&mut self, message: &ToDiscovery) {
         // A message that does not fit is not needed: the service has read nothing for long, and the policy reconnects.
-        let _ = self.outbox.push((), &frame(message));
+        let _ = self.outbox.push((), &encode_frame(message));
     }
 
     fn flush(&mut self, io: &mut dyn Io) {
--- a/crates/sanddrum-edge/src/edge_state/admission.rs
+++ b/crates/sanddrum-edge/src/edge_state/admission.rs
@@ -1,10 +1,10 @@
 //! From the listeners to the decision module by way of the customer limits.
 
 use super::EdgeState;
-use crate::admission::{AdmissionDecision, Rejection};
+use crate::admission::AdmissionDecision;
 use crate::responses::{ErrorKind, ErrorResponse};
 use sanddrum::{Micros, RequestId};
-use sanddrum_limits::RejectReason;
+use sanddrum_limits::{RejectReason, Rejection};
 
 impl EdgeState {
     /// Decides on all requests that were accepted since the last time. Admitted ones go to the decision module.
--- a/crates/sanddrum-edge/src/edge_state/clients.rs
+++ b/crates/sanddrum-edge/src/edge_state/clients.rs
@@ -6,7 +6,7 @@
 use crate::responses::FinalResponse;
 use sanddrum::Micros;
 use sanddrum_net::{ConnectionId, Event, Io};
-use sanddrum_upstream::{ClientConnectionId, OutdatedConnection};
+use sanddrum_upstream::{ClientConnectionId, OutdatedConnection, RotationRequest};
 
 impl EdgeState {
     /// A client has connected.
@@ -107,9 +107,11 @@
             self.identity.deny_certificate(now, conn, io);
             self.context.connection_events.revoked.push(outdated);
         } else {
-            let open_requests = self.http.open_requests(conn);
-            let events = &mut self.context.connection_events;
-            events.outdated.push((outdated, open_requests));
+            let request = RotationRequest {
+                connection: outdated,
+                in_flight: self.http.open_requests(conn),
+            };
+            self.context.connection_events.outdated.push(request);
         }
     }
 
--- a/crates/sanddrum-edge/src/edge_state/discovery.rs
+++ b/crates/sanddrum-edge/src/edge_state/discovery.rs
@@ -9,8 +9,8 @@
 use sanddrum_bootstrap::DiscoveryEvent;
 use sanddrum_net::{ConnectionId, Event, Io};
 use sanddrum_platform::control_feed::FeedEvents;
-use sanddrum_platform::starts::ClockReading;
-use sanddrum_wire::{id_of, EndpointRecord, EndpointUpdate, Phase};
+use sanddrum_platform::start_times::ClockReading;
+use sanddrum_wire::{stable_id, EndpointRecord, EndpointUpdate, Phase};
 use std::collections::BTreeSet;
 
 impl EdgeState {
@@ -70,7 +70,7 @@
             endpoints: Vec::new(),
         };
         for record in records {
-            let worker = WorkerId(id_of(&record.name));
+            let worker = WorkerId(stable_id(&record.name));
             let start = self.endpoints.start_of(worker, record, now);
             let listed = self.endpoints.endpoint(worker, record, start.started_at);
             self.handle_address_changes(now, worker, record, start);
@@ -93,7 +93,7 @@
     fn remove_unlisted(&mut self, now: Micros, records: &[EndpointRecord]) {
         let listed: BTreeSet<WorkerId> = records
             .iter()
-            .map(|record| WorkerId(id_of(&record.name)))
+            .map(|record| WorkerId(stable_id(&record.name)))
             .collect();
         self.endpoints.retain(&listed);
         for worker in self.worker_connections.workers_except(&listed) {
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -15,8 +15,8 @@
 use crate::timers::Timer;
 use sanddrum::{Micros, RequestId};
 use sanddrum_fastcgi::{
-    self as fastcgi, ProtocolError, RejectReason, Request, Responder, ResponderEvent,
-    ResponderLimits, Status,
+    self as fastcgi, ProtocolError, ProtocolStatus, RejectReason, Request, Responder,
+    ResponderEvent, ResponderLimits,
 };
 use sanddrum_net::{ConnectionId, Io, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
@@ -196,7 +196,7 @@
                     self.write(
                         context,
                         conn,
-                        &fastcgi::end_all(id, Status::RequestComplete),
+                        &fastcgi::encode_end_request(id, ProtocolStatus::RequestComplete),
                     );
                     if let Some(request) = request {
                         return Some(FastCgiEvent::Cancelled(vec![request]));
@@ -206,7 +206,12 @@
                 ResponderEvent::Request { id, .. }
                     if connection.close_state != CloseState::Open =>
                 {
-                    self.respond(context, conn, id, &fastcgi::end_all(id, Status::Overloaded));
+                    self.respond(
+                        context,
+                        conn,
+                        id,
+                        &fastcgi::encode_end_request(id, ProtocolStatus::Overloaded),
+                    );
                 }
                 ResponderEvent::Request { id, request } => {
                     connection.has_sent_request = true;
@@ -263,7 +268,11 @@
         context.metrics.record_limit_hit("held-bodies");
         self.partial_bytes -= std::mem::take(&mut connection.partial_bytes);
         for id in connection.responder.drop_partial() {
-            self.write(context, conn, &fastcgi::end_all(id, Status::Overloaded));
+            self.write(
+                context,
+                conn,
+                &fastcgi::encode_end_request(id, ProtocolStatus::Overloaded),
+            );
         }
     }
 
@@ -280,11 +289,11 @@
         let (status, reason) = match reject_reason {
             RejectReason::TooManyOpen => {
                 context.metrics.record_limit_hit("pipelined");
-                let response = fastcgi::end_all(id, Status::Overloaded);
+                let response = fastcgi::encode_end_request(id, ProtocolStatus::Overloaded);
                 return self.write(context, conn, &response);
             }
             RejectReason::Role => {
-                let response = fastcgi::end_all(id, Status::UnknownRole);
+                let response = fastcgi::encode_end_request(id, ProtocolStatus::UnknownRole);
                 return self.write(context, conn, &response);
             }
             RejectReason::Params => (400, "malformed-request"),
--- a/crates/sanddrum-edge/src/fastcgi_listener/response.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener/response.rs
@@ -27,7 +27,7 @@
 
 fn encode(id: u16, status: u16, retry_after: Option<Micros>, body: &[u8]) -> Vec<u8> {
     let head = head(status, retry_after, body.len());
-    fastcgi::answer(id, &[head.as_bytes(), body])
+    fastcgi::encode_response(id, &[head.as_bytes(), body])
 }
 
 fn head(status: u16, retry_after: Option<Micros>, length: usize) -> String {
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -2,7 +2,7 @@
 
 use sanddrum::{FunctionId, Micros, WorkloadId};
 use sanddrum_settings::LoadedSettings;
-use sanddrum_wire::id_of;
+use sanddrum_wire::stable_id;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -55,7 +55,9 @@
             spec: FunctionSpec {
                 memory_mb: settings.number(&key("memory-mb")),
                 concurrency: settings.number(&key("lanes")) as u32,
-                load_time: settings.has(&load_time).then(|| settings.span(&load_time)),
+                load_time: settings
+                    .contains(&load_time)
+                    .then(|| settings.duration_us(&load_time)),
             },
         }
     }
@@ -115,7 +117,7 @@
         let workload = |(index, name): (usize, String)| Workload {
             name,
             runs_once: settings.text(&format!("workloads.{index}.effect")) == "run-once",
-            time_limit: settings.span(&format!("workloads.{index}.time-limit-us")),
+            time_limit: settings.duration_us(&format!("workloads.{index}.time-limit-us")),
         };
         let names = settings.names("workloads").into_iter().enumerate();
         Functions {
@@ -123,7 +125,7 @@
             workloads: names.map(workload).collect(),
             known: BTreeMap::new(),
             // The decision module forgets a function well before, so that it never names one that is unknown here.
-            retention: KEEP_ALIVES_RETAINED * settings.span("copies.keep-alive-us"),
+            retention: KEEP_ALIVES_RETAINED * settings.duration_us("copies.keep-alive-us"),
             next_sweep: 0,
         }
     }
@@ -175,7 +177,7 @@
         max_functions: usize,
     ) -> Option<FunctionId> {
         self.sweep(now);
-        let id = FunctionId(id_of(name));
+        let id = FunctionId(stable_id(name));
         if !self.known.contains_key(&id) && self.known.len() >= max_functions {
             return None;
         }
@@ -212,7 +214,7 @@
         max_functions: usize,
     ) -> Result<(FunctionId, &Function), FunctionLookupError> {
         let name = format!("{workload}/{function}");
-        let id = FunctionId(id_of(&name));
+        let id = FunctionId(stable_id(&name));
         if !self.known.contains_key(&id) {
             let found = self.configured(name, workload, function)?;
             if self.known.len() >= max_functions {
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -258,7 +258,7 @@
                 }
                 None
             }
-            Ok(Parsed::Whole(request, length)) => {
+            Ok(Parsed::Complete(request, length)) => {
                 connection.received.drain(..length);
                 connection.continue_sent = false;
                 connection.partial_since = None;
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -138,17 +138,17 @@
 }
 
 fn authenticator(settings: &LoadedSettings) -> Gate {
-    let seconds = |name: &str| settings.span(name) / MICROS_PER_SECOND;
+    let seconds = |name: &str| settings.duration_us(name) / MICROS_PER_SECOND;
     let terms = Terms {
         audience: settings.text("identity.audience").to_string(),
         leeway: seconds("identity.leeway-us"),
         longest: seconds("identity.longest-token-us"),
-        longest_bytes: settings.size("identity.largest-token-bytes"),
+        longest_bytes: settings.integer("identity.largest-token-bytes"),
     };
     let limits = GateLimits {
         checks_per_s: settings.number("identity.token-checks"),
-        remembered: settings.size("identity.token-memory"),
-        bad_tokens: settings.size("identity.bad-tokens") as u32,
+        remembered: settings.integer("identity.token-memory"),
+        bad_tokens: settings.integer("identity.bad-tokens") as u32,
     };
     Gate::new(limits, terms)
 }
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -82,19 +82,19 @@
 impl Limits {
     /// The limits as set.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
-        let span = |name: &str| settings.span(&format!("limits.{name}-us"));
-        let bytes = |name: &str| settings.size(&format!("limits.{name}-bytes"));
-        let count = |name: &str| settings.size(&format!("limits.{name}"));
+        let duration = |name: &str| settings.duration_us(&format!("limits.{name}-us"));
+        let bytes = |name: &str| settings.integer(&format!("limits.{name}-bytes"));
+        let count = |name: &str| settings.integer(&format!("limits.{name}"));
         let streams = count("streams");
-        let has_streams_wanted = settings.has("limits.streams-wanted");
+        let has_streams_wanted = settings.contains("limits.streams-wanted");
         Limits {
-            answer_ahead: span("answer-ahead"),
+            answer_ahead: duration("answer-ahead"),
             max_open: count("max-open"),
             max_clients: count("max-clients"),
-            client_idle: span("client-idle"),
-            head_time_out: span("head-time-out"),
-            time_to_speak: span("time-to-speak"),
-            linger: span("linger"),
+            client_idle: duration("client-idle"),
+            head_time_out: duration("head-time-out"),
+            time_to_speak: duration("time-to-speak"),
+            linger: duration("linger"),
             largest_head: bytes("largest-head"),
             largest_body: bytes("largest-body"),
             pipelined: count("pipelined"),
@@ -110,19 +110,19 @@
             },
             connections: count("connections"),
             all_connections: count("all-connections"),
-            connect_time_out: span("connect-time-out"),
-            idle_close: span("idle-close"),
-            probe_time_out: span("probe-time-out"),
-            order_time_out: span("order-time-out"),
-            save_least: span("save-least"),
-            stop_within: span("stop-within"),
-            max_retry_after: span("max-retry-after"),
+            connect_time_out: duration("connect-time-out"),
+            idle_close: duration("idle-close"),
+            probe_time_out: duration("probe-time-out"),
+            order_time_out: duration("order-time-out"),
+            save_least: duration("save-least"),
+            stop_within: duration("stop-within"),
+            max_retry_after: duration("max-retry-after"),
             max_functions: count("max-functions"),
             held_bodies: bytes("held-bodies"),
             figures_beyond: settings.number("limits.figures-beyond"),
-            late_arrivals: span("late-arrivals"),
-            feed_wait: span("feed-wait"),
-            feed_silence: span("feed-silence"),
+            late_arrivals: duration("late-arrivals"),
+            feed_wait: duration("feed-wait"),
+            feed_silence: duration("feed-silence"),
             answers_late: LATE_ANSWER_TIME_LIMITS * longest_time_limit(settings),
         }
     }
@@ -130,7 +130,7 @@
 
 fn longest_time_limit(settings: &LoadedSettings) -> Micros {
     (0..settings.count("workloads"))
-        .map(|index| settings.span(&format!("workloads.{index}.time-limit-us")))
+        .map(|index| settings.duration_us(&format!("workloads.{index}.time-limit-us")))
         .max()
         .unwrap_or_default()
 }
--- a/crates/sanddrum-edge/src/metrics.rs
+++ b/crates/sanddrum-edge/src/metrics.rs
@@ -85,8 +85,10 @@
     pub fn record_connections(&self, policy: &ConnectionPolicy) {
         self.handshakes_in_flight
             .set(policy.handshakes_in_flight() as f64);
-        self.worker_connections_waiting.set(policy.waiting() as f64);
-        self.handshake_us.set(policy.costs().full() as f64);
+        self.worker_connections_waiting
+            .set(policy.queued_requests() as f64);
+        self.handshake_us
+            .set(policy.handshake_costs().full() as f64);
     }
 
     /// Counts a client's connection that was closed by the edge.
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -12,7 +12,10 @@
 use endpoints::WorkerEndpoint;
 use sanddrum::{LoadReport, Micros, Outcome, WorkerId};
 use sanddrum_net::{CloseCause, ConnectionId, Io, Outbox};
-use sanddrum_upstream::{IdleTimeoutEstimate, OutdatedConnection, WorkerConnectionId};
+use sanddrum_upstream::{
+    EstablishedConnection, IdleTimeoutEstimate, OutdatedConnection, RotationRequest,
+    WorkerConnectionId, WorkerLoad,
+};
 use sanddrum_wire::{FromWorker, Hello, VERSION};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -262,8 +265,12 @@
         };
         connection.transport = Transport::Connected(conn);
         connection.idle_since = now;
-        let is_resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
-        context.connection_events.established.push((id, is_resumed));
+        let resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
+        let established = EstablishedConnection {
+            connection: id,
+            resumed,
+        };
+        context.connection_events.established.push(established);
         self.dirty.insert(id);
     }
 
@@ -311,15 +318,19 @@
         if is_denied {
             events.revoked.push(outdated);
         } else {
-            events.outdated.push((outdated, connection.in_flight.len()));
+            events.outdated.push(RotationRequest {
+                connection: outdated,
+                in_flight: connection.in_flight.len(),
+            });
         }
     }
 
     /// Passes a worker's load report on to the connection policy.
     pub fn record_load_report(context: &mut EdgeContext, worker: WorkerId, report: &LoadReport) {
         if let (Some(in_flight), Some(queued)) = (report.in_flight, report.queued) {
-            let load = in_flight + queued;
-            context.connection_events.load_reports.push((worker, load));
+            let requests = in_flight + queued;
+            let load = WorkerLoad { worker, requests };
+            context.connection_events.load_reports.push(load);
         }
     }
 
--- a/crates/sanddrum-edge/src/worker_connections/endpoints.rs
+++ b/crates/sanddrum-edge/src/worker_connections/endpoints.rs
@@ -5,7 +5,7 @@
 use crate::message::MessageKey;
 use sanddrum::{Endpoint, Micros, Outcome, WorkerId, WorkerState};
 use sanddrum_upstream::{ListedWorker, WorkerConnectionId};
-use sanddrum_wire::{id_of, EndpointRecord};
+use sanddrum_wire::{stable_id, EndpointRecord};
 use std::collections::BTreeSet;
 
 /// A worker as last listed.
@@ -29,7 +29,7 @@
     /// Whether a listed worker has another address than this record says.
     pub fn has_moved(&self, record: &EndpointRecord) -> bool {
         self.endpoints
-            .get(&WorkerId(id_of(&record.name)))
+            .get(&WorkerId(stable_id(&record.name)))
             .is_some_and(|endpoint| endpoint.address != record.address)
     }
 
--- a/crates/sanddrum-edge/src/worker_connections/sending.rs
+++ b/crates/sanddrum-edge/src/worker_connections/sending.rs
@@ -9,7 +9,7 @@
 use crate::worker_protocol::WorkerProtocol;
 use sanddrum::{Micros, WorkerId};
 use sanddrum_net::{CloseCause, Io, Outbox};
-use sanddrum_upstream::{ConnectionRequest, Purpose, WorkerConnectionId};
+use sanddrum_upstream::{ConnectionRequest, ConnectionUtilization, Purpose, WorkerConnectionId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -55,7 +55,10 @@
         context
             .connection_events
             .utilization
-            .push((worker, utilization));
+            .push(ConnectionUtilization {
+                worker,
+                utilization,
+            });
         self.dirty.insert(id);
         Ok(id)
     }
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -3,7 +3,7 @@
 
 use crate::message::{AttemptId, CommandId, MessageKey};
 use sanddrum_platform::frames;
-use sanddrum_wire::frame::frame;
+use sanddrum_wire::frame::encode_frame;
 use sanddrum_wire::{
     self as wire, Done, Execute, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
     Load, LoadDone, ToWorker,
@@ -71,14 +71,14 @@
 
     /// The greeting at the begin of a connection, where the protocol has one.
     pub fn hello(self, hello: Hello) -> Option<Vec<u8>> {
-        (self == WorkerProtocol::Native).then(|| frame(&ToWorker::Hello(hello)))
+        (self == WorkerProtocol::Native).then(|| encode_frame(&ToWorker::Hello(hello)))
     }
 
     /// Encodes a request.
     pub fn execute(self, execute: Execute, call_id: u64) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::Execute(execute)),
-            WorkerProtocol::Platform => frames::keyed_request(
+            WorkerProtocol::Native => encode_frame(&ToWorker::Execute(execute)),
+            WorkerProtocol::Platform => frames::request_with_key(
                 call_id,
                 &execute.workload,
                 &execute.function,
@@ -92,7 +92,9 @@
     /// Encodes the cancellation of an attempt.
     pub fn cancel(self, attempt: AttemptId, call_id: u64) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::Cancel(wire::Cancel { id: attempt.0 })),
+            WorkerProtocol::Native => {
+                encode_frame(&ToWorker::Cancel(wire::Cancel { id: attempt.0 }))
+            }
             WorkerProtocol::Platform => frames::cancel(call_id),
         }
     }
@@ -100,7 +102,7 @@
     /// Encodes a load command.
     pub fn load(self, load: Load) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::Load(load)),
+            WorkerProtocol::Native => encode_frame(&ToWorker::Load(load)),
             WorkerProtocol::Platform => frames::load(load.id, &load.function, load.instances),
         }
     }
@@ -108,7 +110,7 @@
     /// Encodes the command to unload a function's idle instances.
     pub fn unload(self, function: String) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::Unload(wire::Unload { function })),
+            WorkerProtocol::Native => encode_frame(&ToWorker::Unload(wire::Unload { function })),
             WorkerProtocol::Platform => {
                 frames::unload(u64::from_str_radix(&function, 16).unwrap_or_default())
             }
@@ -118,7 +120,9 @@
     /// Encodes a health check.
     pub fn health_check(self, id: CommandId) -> Vec<u8> {
         match self {
-            WorkerProtocol::Native => frame(&ToWorker::HealthCheck(wire::HealthCheck { id: id.0 })),
+            WorkerProtocol::Native => {
+                encode_frame(&ToWorker::HealthCheck(wire::HealthCheck { id: id.0 }))
+            }
             WorkerProtocol::Platform => frames::ping(id.0),
         }
     }
@@ -145,7 +149,7 @@
         match self {
             MessageDecoder::Native(frames) => Ok(frames.next_message()?),
             MessageDecoder::Platform(frames) => {
-                let answer = frames.next_answer()?;
+                let answer = frames.next_response()?;
                 Ok(answer.map(|answer| native_message(answer, keys_by_wire_id)))
             }
         }
@@ -154,7 +158,7 @@
 
 /// Translates an answer in the platform's protocol to a native message.
 fn native_message(
-    answer: frames::Answer,
+    answer: frames::Response,
     keys_by_wire_id: &BTreeMap<u64, MessageKey>,
 ) -> FromWorker {
     let key = keys_by_wire_id.get(&answer.id).copied();
@@ -173,7 +177,7 @@
     }
 }
 
-fn done(id: AttemptId, status: ExecutionStatus, answer: frames::Answer) -> FromWorker {
+fn done(id: AttemptId, status: ExecutionStatus, answer: frames::Response) -> FromWorker {
     FromWorker::Done(Done {
         id: id.0,
         status,
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -6,7 +6,7 @@
 use crate::stage::{product_edge, MakeEdge, VirtualStage};
 use crate::{play, Outcome};
 use sanddrum_edge::Edge;
-use sanddrum_emulator::Truth;
+use sanddrum_emulator::GroundTruth;
 use sanddrum_net::{LinkModel, Rng};
 use sanddrum_settings::SettingsError;
 use std::cell::RefCell;
@@ -95,7 +95,7 @@
             let remedy = "add (variant \"as built\") and (variant \"another\" (set \"limits.repeats=100%\"))";
             return Err(told("an experiment needs two variants".into(), remedy));
         }
-        let seeds = seeds.unwrap_or(l.size("experiment.seeds") as u64);
+        let seeds = seeds.unwrap_or(l.integer("experiment.seeds") as u64);
         let experiment = Experiment {
             file: file.into(),
             text: text.into(),
@@ -118,7 +118,7 @@
             .calls
             .iter_mut()
             .for_each(|calls| calls.exact = sees_all);
-        let truth = Rc::new(RefCell::new(Truth::default()));
+        let truth = Rc::new(RefCell::new(GroundTruth::default()));
         let make: MakeEdge = match variant.decides {
             None => product_edge(),
             Some(choice) => {
--- a/crates/sanddrum-lab/src/player.rs
+++ b/crates/sanddrum-lab/src/player.rs
@@ -299,8 +299,15 @@
                 "key-rotate" => wallet.rotate(now, t.length),
                 _ => wallet.revoke(now),
             }
-            let reach = self.scenario.settings.span("gateways.keys-reach-edges-us");
-            let bound = reach + self.scenario.settings.span("identity.watch-every-us");
+            let reach = self
+                .scenario
+                .settings
+                .duration_us("gateways.keys-reach-edges-us");
+            let bound = reach
+                + self
+                    .scenario
+                    .settings
+                    .duration_us("identity.watch-every-us");
             let revoked = wallet
                 .revoked
                 .iter()
@@ -364,18 +371,18 @@
                 let stopped = Self::edges(whom).map(|edge| (edge, now, None));
                 self.recording.0.borrow_mut().log.stopped.extend(stopped);
             }
-            "hang" => self.faults(whom, |f| f.hangs = true),
-            "slow" => self.faults(whom, |f| f.slower = size),
-            "lose-answers" => self.faults(whom, |f| f.loses = size.min(1.0)),
-            "load-fails" => self.faults(whom, |f| f.load_fails = size.min(1.0)),
-            "garble" => self.faults(whom, |f| f.garbles = true),
-            "drain" => self.faults(whom, |f| f.drains = true),
-            "flush" => self.faults(whom, |f| f.flush = true),
+            "hang" => self.faults(whom, |f| f.is_hung = true),
+            "slow" => self.faults(whom, |f| f.slowdown = size),
+            "lose-answers" => self.faults(whom, |f| f.answer_loss = size.min(1.0)),
+            "load-fails" => self.faults(whom, |f| f.load_failure = size.min(1.0)),
+            "garble" => self.faults(whom, |f| f.garble_once = true),
+            "drain" => self.faults(whom, |f| f.is_draining = true),
+            "flush" => self.faults(whom, |f| f.invalidate_once = true),
             "tear" => whom.iter().for_each(|who| self.stage.tear(*who)),
-            "store-stall" => self.stage.fleet().store.borrow_mut().stalls = true,
-            "store-refuse" => self.stage.fleet().store.borrow_mut().refuses = true,
+            "store-stall" => self.stage.fleet().store.borrow_mut().is_stalled = true,
+            "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = true,
             "list-away" => self.kill(&[Who::List]),
-            "list-lag" => self.stage.fleet().list.borrow_mut().lags = (size * 1e6) as Micros,
+            "list-lag" => self.stage.fleet().list.borrow_mut().delay = (size * 1e6) as Micros,
             "overload" => self.stage.fleet().mood.borrow_mut().rate = size,
             "hot-functions" => self.stage.fleet().mood.borrow_mut().hot = size.min(1.0),
             "greedy-customer" => self.stage.fleet().mood.borrow_mut().greedy = size.min(1.0),
@@ -409,14 +416,14 @@
                     self.stage.bend(from, to, None)?;
                 }
             }
-            "hang" => self.faults(whom, |f| f.hangs = false),
-            "slow" => self.faults(whom, |f| f.slower = 0.0),
-            "lose-answers" => self.faults(whom, |f| f.loses = 0.0),
-            "load-fails" => self.faults(whom, |f| f.load_fails = 0.0),
-            "store-stall" => self.stage.fleet().store.borrow_mut().stalls = false,
-            "store-refuse" => self.stage.fleet().store.borrow_mut().refuses = false,
+            "hang" => self.faults(whom, |f| f.is_hung = false),
+            "slow" => self.faults(whom, |f| f.slowdown = 0.0),
+            "lose-answers" => self.faults(whom, |f| f.answer_loss = 0.0),
+            "load-fails" => self.faults(whom, |f| f.load_failure = 0.0),
+            "store-stall" => self.stage.fleet().store.borrow_mut().is_stalled = false,
+            "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = false,
             "list-away" => self.bring_back(&[Who::List])?,
-            "list-lag" => self.stage.fleet().list.borrow_mut().lags = 0,
+            "list-lag" => self.stage.fleet().list.borrow_mut().delay = 0,
             "overload" => self.stage.fleet().mood.borrow_mut().rate = 1.0,
             "hot-functions" => self.stage.fleet().mood.borrow_mut().hot = 0.0,
             "greedy-customer" => self.stage.fleet().mood.borrow_mut().greedy = 0.0,
