--- /dev/null
+++ b/crates/sanddrum-edge/tests/control_feed.rs
@@ -0,0 +1,214 @@
+//! The platform's control feed, and what waits for workers that it changes.
+
+mod harness;
+
+use harness::feed::{feed_answer, member, member_event};
+use harness::scripted_module::Decision;
+use harness::{EdgeHarness, SECOND};
+use rstest::rstest;
+use sanddrum::{Outcome, WorkerState};
+use sanddrum_edge::CONFIGURATION_FILE;
+use sanddrum_net::{CloseCause, Core, Event};
+use serde_json::json;
+
+#[rstest]
+fn attempts_to_a_worker_that_a_full_list_omits_are_retracted() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (_, worker) = harness.dispatch_while_connecting();
+    let others =
+        json!([{"n": 2, "members": {"complete": true, "members": [member("v", "in_service")]}}]);
+    harness.receive_events(2, others);
+    assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
+    harness.connect(worker);
+    assert_eq!(harness.io.written.get(&worker), None);
+}
+
+#[rstest]
+fn attempts_to_a_worker_that_has_moved_are_not_sent_to_its_old_address() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (_, worker) = harness.dispatch_while_connecting();
+    let mut moved = member("w", "in_service");
+    moved["host_port"] = json!("10.0.0.9:7001");
+    harness.receive_member(2, moved);
+    assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
+    harness.connect(worker);
+    assert_eq!(harness.io.written.get(&worker), None);
+    harness.decide_on_event(2, []);
+    harness.plan([Decision::Dispatch(0, 1_000_000)]);
+    harness.receive_events(3, json!([member_event(3, member("u", "in_service"))]));
+    assert_eq!(harness.io.connects.last().unwrap().1, "10.0.0.9:7001");
+}
+
+#[rstest]
+fn attempts_to_a_worker_whose_address_was_taken_over_are_retracted() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (_, worker) = harness.dispatch_while_connecting();
+    let mut cold = member("v", "in_service");
+    cold["up_since_ms"] = json!(harness.now / 1000);
+    harness.receive_member(2, cold);
+    assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
+    harness.connect(worker);
+    assert_eq!(harness.io.written.get(&worker), None);
+    // Until its new address is listed nothing is sent to it.
+    let before = harness.io.connects.len();
+    harness.plan([Decision::Dispatch(0, 1_000_000)]);
+    harness.receive_events(3, json!([member_event(3, member("u", "in_service"))]));
+    assert_eq!(harness.io.connects.len(), before);
+    assert_eq!(
+        harness.outcomes(),
+        [Outcome::CancelledBeforeStart, Outcome::NoConnection]
+    );
+}
+
+#[rstest]
+fn an_event_that_is_counted_but_missing_is_polled_for_once_more() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    harness.receive_events(3, json!([member_event(2, member("v", "in_service"))]));
+    assert!(
+        harness.last_poll().contains("SUB=2&"),
+        "{}",
+        harness.last_poll()
+    );
+    harness.receive_events(3, json!([member_event(3, member("v", "terminated"))]));
+    assert_eq!(harness.last_endpoint().state, WorkerState::Gone);
+    // An event that is missing a second time does not exist.
+    harness.receive_events(5, json!([]));
+    assert!(harness.last_poll().contains("SUB=3&"));
+    harness.receive_events(5, json!([]));
+    assert!(harness.last_poll().contains("SUB=5&"));
+}
+
+#[rstest]
+fn events_of_an_answer_apply_though_the_connection_closes_at_once() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let feed = harness.discovery;
+    let answer = feed_answer(2, json!([member_event(2, member("w", "terminating"))]));
+    harness.deliver(Event::Bytes {
+        conn: feed,
+        bytes: &answer,
+    });
+    harness.event(Event::Closed {
+        conn: feed,
+        cause: CloseCause::Orderly,
+    });
+    assert_eq!(harness.last_endpoint().state, WorkerState::Draining);
+}
+
+#[rstest]
+fn an_answer_on_a_replaced_connection_is_ignored() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let old = harness.discovery;
+    harness.advance(2 * SECOND);
+    let answer = feed_answer(2, json!([member_event(2, member("w", "terminated"))]));
+    harness.receive(old, &answer);
+    assert_eq!(harness.script.borrow().endpoint_lists.len(), 1);
+}
+
+#[rstest]
+fn an_edge_without_a_list_becomes_ready_after_half_of_ten_seconds() {
+    let mut harness = EdgeHarness::on_platform_without_workers(&[]);
+    let health = |harness: &mut EdgeHarness| {
+        let client = harness.accept_client();
+        harness.send_health_check(client);
+        harness.fastcgi_statuses(client).remove(0).1
+    };
+    harness.event(Event::Closed {
+        conn: harness.discovery,
+        cause: CloseCause::Refused,
+    });
+    assert_eq!(health(&mut harness), 503);
+    harness.advance(5 * SECOND);
+    assert_eq!(health(&mut harness), 200);
+}
+
+#[rstest]
+fn an_edge_with_a_list_is_ready() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let client = harness.accept_client();
+    harness.send_health_check(client);
+    assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
+}
+
+#[rstest]
+#[case::draining("terminating", WorkerState::Draining)]
+#[case::gone("terminated", WorkerState::Gone)]
+fn attempts_to_a_draining_or_gone_worker_are_retracted(
+    #[case] phase: &str,
+    #[case] state: WorkerState,
+) {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (_, worker) = harness.dispatch_while_connecting();
+    harness.receive_member(2, member("w", phase));
+    assert_eq!(harness.last_endpoint().state, state);
+    assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
+    harness.connect(worker);
+    assert_eq!(harness.io.written.get(&worker), None);
+}
+
+#[rstest]
+fn the_feed_is_polled_again_at_once_and_each_event_applies_once() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    harness.receive_member(5, member("v", "in_service"));
+    harness.receive_member(5, member("v", "in_service"));
+    let polls = harness.polls();
+    assert!(
+        polls[0].starts_with("GET /v1/events?SUB=1&wait=") && polls[1].contains("SUB=5"),
+        "{polls:?}"
+    );
+    assert_eq!(polls.len(), 3);
+    assert_eq!(harness.script.borrow().endpoint_lists.len(), 2);
+}
+
+#[rstest]
+#[case::silent(false)]
+#[case::closed_within_an_event(true)]
+fn a_lost_feed_is_polled_again_from_the_last_complete_event(#[case] closes: bool) {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let feed = harness.discovery;
+    if closes {
+        harness.receive(
+            feed,
+            b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"n\":2,\"events\":[{\"n\":2,",
+        );
+        harness.event(Event::Closed {
+            conn: feed,
+            cause: CloseCause::Orderly,
+        });
+    }
+    harness.advance(2 * SECOND);
+    let (again, _) = harness
+        .io
+        .connects
+        .iter()
+        .find(|(conn, to)| *conn != feed && to == "127.0.0.1:8090")
+        .unwrap()
+        .clone();
+    harness.connect(again);
+    assert!(harness.polls().last().unwrap().contains("SUB=1&"));
+    assert_eq!(harness.script.borrow().endpoint_lists.len(), 1);
+}
+
+#[rstest]
+fn a_new_configuration_changes_the_feed_address_and_an_invalid_one_nothing() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (now, before) = (harness.now, harness.io.connects.len());
+    harness
+        .edge
+        .on_file(now, CONFIGURATION_FILE, Ok(b"{"), &mut harness.io);
+    assert_eq!(harness.io.connects.len(), before);
+    let json = json!({"name": "n", "listen": "127.0.0.1:1", "feed": "127.0.0.9:2380", "seed": "1", "settings": {},
+                      "limits": {"sockets": 100, "memory_mb": 10}, "known": {"n": 0, "events": []}});
+    harness.edge.on_file(
+        now,
+        CONFIGURATION_FILE,
+        Ok(json.to_string().as_bytes()),
+        &mut harness.io,
+    );
+    let (moved, to) = harness.io.connects.last().unwrap().clone();
+    assert_eq!(to, "127.0.0.9:2380");
+    harness.connect(moved);
+    assert!(
+        harness.polls().last().unwrap().contains("SUB=1&"),
+        "the event numbers continue"
+    );
+}
--- /dev/null
+++ b/crates/sanddrum-edge/tests/fastcgi_listener.rs
@@ -0,0 +1,264 @@
+//! Web servers that call over FastCGI.
+
+mod harness;
+
+use harness::fastcgi::{call_params, call_params_with, request, CALL_ID, OTHER_CALL_ID};
+use harness::scripted_module::Decision;
+use harness::{EdgeHarness, SECOND};
+use rstest::rstest;
+use sanddrum_fastcgi::{encode_header, RecordType, HEADER_BYTES};
+use sanddrum_net::{CloseCause, Event};
+
+#[rstest]
+fn a_request_in_the_turn_of_the_idle_timeout_is_accepted() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.client-idle", "4 s")]);
+    let client = harness.accept_client();
+    harness.send_call(client, 1, CALL_ID);
+    harness.decide_on_event(2, [Decision::Reject(0)]);
+    harness.now += 4 * SECOND + 1;
+    harness.send_call(client, 2, OTHER_CALL_ID);
+    assert_eq!(harness.request_count(), 2);
+    assert!(!harness.io.has_closed(client));
+}
+
+#[rstest]
+fn a_request_that_is_too_large_leaves_others_on_its_connection_open() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.largest-body", "16 KB")]);
+    let (client, worker) = harness.dispatch_fastcgi_call();
+    harness.receive(
+        client,
+        &request(2, &call_params(OTHER_CALL_ID), &vec![7; 40_000]),
+    );
+    harness.advance(SECOND);
+    assert_eq!(harness.fastcgi_statuses(client), [(2, 413)]);
+    harness.finish_call(worker, CALL_ID, b"out");
+    assert_eq!(harness.fastcgi_statuses(client).last().unwrap(), &(1, 200));
+    assert!(!harness.io.has_closed(client));
+}
+
+#[rstest]
+fn a_request_that_is_never_completed_leaves_others_on_its_connection_open() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.head-time-out", "500 ms")]);
+    let (client, worker) = harness.dispatch_fastcgi_call();
+    harness.receive(
+        client,
+        &request(2, &call_params(OTHER_CALL_ID), b"in")[..40],
+    );
+    harness.advance(SECOND);
+    assert!(!harness.io.has_closed(client));
+    harness.finish_call(worker, CALL_ID, b"out");
+    assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
+    assert!(harness.io.has_closed_in_order(client), "after the response");
+}
+
+#[rstest]
+fn a_cancellation_on_a_closing_connection_counts() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let client = harness.accept_client();
+    // The second request is the last on its connection, and is answered first.
+    harness.send_call(client, 1, CALL_ID);
+    let mut last = request(2, &call_params(OTHER_CALL_ID), b"in");
+    last[HEADER_BYTES + 2] = 0;
+    harness.plan([Decision::Reject(1)]);
+    harness.receive(client, &last);
+    assert_eq!(harness.fastcgi_statuses(client), [(2, 503)]);
+    harness.send_call(client, 3, "00000000000000bb");
+    assert_eq!(
+        harness.fastcgi_responses(client).last().unwrap().2,
+        2,
+        "a further request is rejected at once"
+    );
+    harness.leave(client, true);
+    assert_eq!(harness.script.borrow().cancelled.len(), 1);
+    assert!(harness.io.has_closed_in_order(client));
+}
+
+#[rstest]
+fn a_rejected_request_has_a_retry_after_and_a_failed_one_has_none() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let client = harness.accept_client();
+    harness.plan([Decision::Reject(0)]);
+    harness.send_call(client, 1, CALL_ID);
+    harness.plan([Decision::Fail(1)]);
+    harness.send_call(client, 2, CALL_ID);
+    let responses = harness.fastcgi_responses(client);
+    assert!(
+        responses[0].1.starts_with("Status: 503\r\n")
+            && responses[0].1.contains("X-Come-Back-Ms: 300\r\n")
+    );
+    assert!(responses[1].1.starts_with("Status: 502\r\n") && !responses[1].1.contains("Come-Back"));
+}
+
+#[rstest]
+#[case::no_such_workload("SCRIPT_NAME", "/rpc/other", 404)]
+#[case::no_id("HTTP_X_CALL_ID", "", 400)]
+#[case::an_id_too_long("HTTP_X_CALL_ID", "9b1f03aa5c7e2d4100", 400)]
+#[case::no_number("HTTP_X_PATIENCE_MS", "soon", 400)]
+#[case::not_a_number("HTTP_X_PATIENCE_MS", "NaN", 400)]
+#[case::a_negative_number("HTTP_X_PATIENCE_MS", "-5", 400)]
+#[case::a_huge_number("HTTP_X_PATIENCE_MS", "1e12", 400)]
+#[case::no_lanes("HTTP_X_INFO", "memory_mb:512;lanes:0;load_ms:640", 400)]
+#[case::wrong_content_length("CONTENT_LENGTH", "700", 400)]
+fn an_invalid_call_is_answered_at_once_and_its_connection_stays_open(
+    #[case] name: &'static str,
+    #[case] value: &str,
+    #[case] status: u16,
+) {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let client = harness.accept_client();
+    let params = call_params_with(name, value);
+    harness.receive(client, &request(1, &params, b"in"));
+    assert_eq!(harness.fastcgi_statuses(client), [(1, status)]);
+    assert!(harness.script.borrow().requests.is_empty());
+    harness.send_call(client, 2, OTHER_CALL_ID);
+    assert_eq!(harness.request_count(), 1);
+}
+
+#[rstest]
+#[case::a_load_longer_than_the_command_timeout(
+    "HTTP_X_INFO",
+    "memory_mb:512;lanes:2;load_ms:11500"
+)]
+#[case::a_patience_just_beyond_the_time_limit("HTTP_X_PATIENCE_MS", "10001")]
+fn parameters_slightly_beyond_their_limit_are_accepted(
+    #[case] name: &'static str,
+    #[case] value: &str,
+) {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let client = harness.accept_client();
+    let params = call_params_with(name, value);
+    harness.receive(client, &request(1, &params, b"in"));
+    assert_eq!(harness.request_count(), 1);
+}
+
+#[rstest]
+fn a_call_with_an_open_call_id_is_rejected_and_the_first_goes_on() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (client, worker) = harness.dispatch_fastcgi_call();
+    let second = harness.accept_client();
+    harness.receive(second, &request(1, &call_params(CALL_ID), b"another body"));
+    assert_eq!(harness.fastcgi_statuses(second), [(1, 409)]);
+    harness.finish_call(worker, CALL_ID, b"out");
+    assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
+}
+
+#[rstest]
+fn a_body_that_is_too_large_is_rejected_without_being_read() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.largest-body", "16 KB")]);
+    let client = harness.accept_client();
+    let complete = request(1, &call_params(CALL_ID), &vec![7; 60_000]);
+    harness.receive(client, &complete[..40_000]);
+    // The record is incomplete: nothing beyond it is buffered, and the rest is not awaited.
+    harness.receive(client, &complete[40_000..]);
+    assert_eq!(harness.fastcgi_statuses(client), [(1, 413)]);
+    assert_eq!(harness.io.closed, [(client, Some(CloseCause::Orderly))]);
+}
+
+#[rstest]
+#[case::silent(vec![])]
+#[case::half_a_request(encode_header(RecordType::BeginRequest, 1, 8).to_vec())]
+fn a_connection_without_a_complete_request_is_closed_within_its_timeout(#[case] bytes: Vec<u8>) {
+    let mut harness = EdgeHarness::on_platform(&[("limits.head-time-out", "2 s")]);
+    let client = harness.accept_client();
+    if !bytes.is_empty() {
+        harness.receive(client, &bytes);
+    }
+    harness.advance(2 * SECOND + 1);
+    assert!(harness.io.has_closed(client));
+}
+
+#[rstest]
+fn eviction_takes_silent_connections_first_and_never_one_with_an_open_request() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.max-clients", "2")]);
+    let (busy, _) = harness.dispatch_fastcgi_call();
+    let silent = harness.accept_client();
+    harness.advance(SECOND / 4);
+    let third = harness.accept_client();
+    assert_eq!(harness.io.closed, [(silent, Some(CloseCause::Orderly))]);
+    harness.send_call(third, 1, OTHER_CALL_ID);
+    harness.accept_client();
+    assert!(harness
+        .io
+        .closed
+        .iter()
+        .all(|(conn, _)| *conn != busy && *conn != third));
+}
+
+#[rstest]
+fn eviction_takes_an_idle_connection_before_a_new_one() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.max-clients", "2")]);
+    let idle = harness.accept_client();
+    harness.send_health_check(idle);
+    let new_client = harness.accept_client();
+    harness.accept_client();
+    assert_eq!(harness.io.closed, [(idle, Some(CloseCause::Orderly))]);
+    harness.send_call(new_client, 1, CALL_ID);
+    assert_eq!(harness.request_count(), 1);
+}
+
+#[rstest]
+fn a_cancelled_request_gets_no_response_and_a_late_answer_is_ignored() {
+    let mut harness = EdgeHarness::on_platform(&[]);
+    let (client, worker) = harness.dispatch_fastcgi_call();
+    harness.receive(client, &encode_header(RecordType::AbortRequest, 1, 0));
+    assert_eq!(harness.script.borrow().cancelled.len(), 1);
+    harness.finish_call(worker, CALL_ID, b"out");
+    assert_eq!(harness.fastcgi_responses(client), [(1, String::new(), 0)]);
+}
+
+#[rstest]
+fn interleaved_requests_beyond_the_limit_are_each_answered_once() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.pipelined", "32")]);
+    let client = harness.accept_client();
+    let bytes: Vec<u8> = (1..=40)
+        .flat_map(|id| request(id, &call_params(&format!("{id:016x}")), b"in"))
+        .collect();
+    harness.event(Event::Bytes {
+        conn: client,
+        bytes: &bytes[..HEADER_BYTES / 2],
+    });
+    harness.event(Event::Bytes {
+        conn: client,
+        bytes: &bytes[HEADER_BYTES / 2..],
+    });
+    assert_eq!(harness.request_count(), 32);
+    assert_eq!(
+        harness
+            .fastcgi_responses(client)
+            .iter()
+            .filter(|(_, _, status)| *status == 2)
+            .count(),
+        8
+    );
+    harness.decide_on_event(2, (0..32).map(Decision::Reject));
+    assert_eq!(harness.fastcgi_responses(client).len(), 40);
+}
+
+#[rstest]
+fn partial_requests_are_bounded_over_all_connections() {
+    let mut harness = EdgeHarness::on_platform(&[
+        ("limits.held-bodies", "30KB"),
+        ("limits.largest-body", "16KB"),
+    ]);
+    let (first, second) = (harness.accept_client(), harness.accept_client());
+    let complete = |id, call| request(id, &call_params(call), &[b'x'; 16 * 1024]);
+    let (one, other) = (complete(1, CALL_ID), complete(1, OTHER_CALL_ID));
+    harness.receive(first, &one[..one.len() - HEADER_BYTES]);
+    harness.receive(second, &other[..other.len() - HEADER_BYTES]);
+    // The request that exceeds the bound is rejected; the other one is completed and decided on.
+    assert_eq!(
+        harness
+            .fastcgi_responses(second)
+            .iter()
+            .map(|(id, _, status)| (*id, *status))
+            .collect::<Vec<_>>(),
+        [(1, 2)]
+    );
+    harness.receive(second, &other[other.len() - HEADER_BYTES..]);
+    harness.receive(first, &one[one.len() - HEADER_BYTES..]);
+    assert_eq!(harness.request_count(), 1);
+    // Its share of the buffer is free again.
+    let again = request(2, &call_params(OTHER_CALL_ID), b"in");
+    harness.receive(second, &again);
+    assert_eq!(harness.request_count(), 2);
+}
--- /dev/null
+++ b/crates/sanddrum-edge/tests/harness/fastcgi.rs
@@ -0,0 +1,142 @@
+//! Web servers that call the edge on the platform.
+
+use super::scripted_module::Decision;
+use super::EdgeHarness;
+use sanddrum_fastcgi::{
+    encode_header, encode_params, write_begin_request, write_stream, Record, RecordType,
+};
+use sanddrum_net::{CloseCause, ConnectionId, Event, Micros};
+use std::collections::BTreeMap;
+
+/// A caller's id of a call.
+pub const CALL_ID: &str = "9b1f03aa5c7e2d41";
+/// Another one.
+pub const OTHER_CALL_ID: &str = "00000000000000aa";
+/// The function that all calls name.
+pub const FUNCTION: &str = "7f3a9c21e0b4d655";
+/// The time limit of attempts whose call waits for 1.5 s.
+pub const TIME_LIMIT: Micros = 1_400_000;
+
+/// The number of a caller's id.
+pub fn id_number(call_id: &str) -> u64 {
+    u64::from_str_radix(call_id, 16).unwrap()
+}
+
+/// The parameters of a valid call.
+pub fn call_params(call_id: &str) -> Vec<(&'static str, String)> {
+    vec![
+        ("SCRIPT_NAME", "/rpc/job".into()),
+        ("HTTP_X_CALL_ID", call_id.into()),
+        ("HTTP_X_PATIENCE_MS", "1500".into()),
+        ("HTTP_X_ENTITY", FUNCTION.into()),
+        ("HTTP_X_INFO", "memory_mb:512;lanes:2;load_ms:640".into()),
+    ]
+}
+
+/// The same with another value of one parameter.
+pub fn call_params_with(name: &'static str, value: &str) -> Vec<(&'static str, String)> {
+    let mut params = call_params(CALL_ID);
+    params.retain(|(other, _)| *other != name);
+    params.push((name, value.into()));
+    params
+}
+
+/// The records of a request.
+pub fn request(id: u16, params: &[(&'static str, String)], body: &[u8]) -> Vec<u8> {
+    let params: Vec<(&str, &str)> = params
+        .iter()
+        .map(|(name, value)| (*name, value.as_str()))
+        .collect();
+    let mut records = Vec::new();
+    write_begin_request(&mut records, id, true);
+    write_stream(
+        &mut records,
+        RecordType::Params,
+        id,
+        &encode_params(&params),
+    );
+    write_stream(&mut records, RecordType::Stdin, id, body);
+    records
+}
+
+/// A response: the request's id, the CGI response and the protocol status.
+pub type Response = (u16, String, u8);
+
+impl EdgeHarness {
+    /// A web server sends a call.
+    pub fn send_call(&mut self, client: ConnectionId, id: u16, call_id: &str) {
+        self.receive(client, &request(id, &call_params(call_id), b"in"));
+    }
+
+    /// A web server with a call that is dispatched while the worker's connection is being opened; its connection and
+    /// the worker's.
+    pub fn dispatch_while_connecting(&mut self) -> (ConnectionId, ConnectionId) {
+        let client = self.accept_client();
+        self.plan([Decision::Dispatch(0, TIME_LIMIT)]);
+        self.send_call(client, 1, CALL_ID);
+        (client, self.last_connection())
+    }
+
+    /// The same, with the worker's connection open.
+    pub fn dispatch_fastcgi_call(&mut self) -> (ConnectionId, ConnectionId) {
+        let (client, worker) = self.dispatch_while_connecting();
+        self.connect(worker);
+        (client, worker)
+    }
+
+    /// A web server sends a health check as its first request.
+    pub fn send_health_check(&mut self, client: ConnectionId) {
+        let params = [("SCRIPT_NAME", "/health".into())];
+        self.receive(client, &request(1, &params, b""));
+    }
+
+    /// A web server cancels its first request, or disconnects.
+    pub fn leave(&mut self, client: ConnectionId, cancels: bool) {
+        if cancels {
+            self.receive(client, &encode_header(RecordType::AbortRequest, 1, 0));
+        } else {
+            self.event(Event::Closed {
+                conn: client,
+                cause: CloseCause::Orderly,
+            });
+        }
+    }
+
+    /// The complete responses that were written to a web server.
+    pub fn fastcgi_responses(&self, client: ConnectionId) -> Vec<Response> {
+        let bytes = self.io.written.get(&client).cloned().unwrap_or_default();
+        let mut rest = &bytes[..];
+        let mut partial = BTreeMap::<u16, String>::new();
+        let mut complete = Vec::new();
+        while let Some((record, length)) = Record::read(rest).unwrap() {
+            match record.kind {
+                RecordType::Stdout => {
+                    let text = String::from_utf8_lossy(record.content);
+                    partial.entry(record.id).or_default().push_str(&text);
+                }
+                RecordType::EndRequest => {
+                    let text = partial.remove(&record.id).unwrap_or_default();
+                    complete.push((record.id, text, record.content[4]));
+                }
+                _ => {}
+            }
+            rest = &rest[length..];
+        }
+        complete
+    }
+
+    /// Their status codes, with the requests' ids.
+    pub fn fastcgi_statuses(&self, client: ConnectionId) -> Vec<(u16, u16)> {
+        self.fastcgi_responses(client)
+            .iter()
+            .map(|(id, text, _)| (*id, status_code(text)))
+            .collect()
+    }
+}
+
+/// The status code in the first line of a CGI response.
+fn status_code(response: &str) -> u16 {
+    let first_line = response.lines().next().unwrap_or_default();
+    let code = first_line.strip_prefix("Status: ");
+    code.unwrap().parse().unwrap()
+}
--- /dev/null
+++ b/crates/sanddrum-edge/tests/harness/feed.rs
@@ -0,0 +1,61 @@
+//! The platform's control feed.
+
+use super::scripted_module::Decision;
+use super::EdgeHarness;
+use sanddrum_wire::http;
+use serde_json::{json, Value as Json};
+
+/// A worker as the feed lists it.
+pub fn member(id: &str, phase: &str) -> Json {
+    json!({"id": id, "host_port": "10.0.0.1:7001", "locality": "a", "phase": phase, "size": 4, "up_since_ms": 0})
+}
+
+/// An event that changes one worker.
+pub fn member_event(number: u64, member: Json) -> Json {
+    json!({"n": number, "members": {"complete": false, "members": [member]}})
+}
+
+/// An answer of the feed that counts events up to `last` and brings these.
+pub fn feed_answer(last: u64, events: Json) -> Vec<u8> {
+    let body = json!({"n": last, "events": events}).to_string();
+    http::encode_response(200, &[], body.as_bytes(), true)
+}
+
+impl EdgeHarness {
+    /// The feed answers with these events.
+    pub fn receive_events(&mut self, last: u64, events: Json) {
+        self.receive(self.discovery, &feed_answer(last, events));
+    }
+
+    /// The feed answers with one event, which changes one worker.
+    pub fn receive_member(&mut self, number: u64, member: Json) {
+        self.receive_events(number, json!([member_event(number, member)]));
+    }
+
+    /// Has the module make these decisions now: any event of the feed runs it.
+    pub fn decide_on_event(&mut self, number: u64, decisions: impl IntoIterator<Item = Decision>) {
+        self.plan(decisions);
+        self.receive_member(number, member("w", "in_service"));
+    }
+
+    /// The request lines of all polls, in the order of their connections.
+    pub fn polls(&self) -> Vec<String> {
+        let connections = self.io.connects.iter().map(|(conn, _)| conn);
+        let written = connections.filter_map(|conn| self.io.written.get(conn));
+        let texts: Vec<_> = written
+            .map(|bytes| String::from_utf8_lossy(bytes))
+            .collect();
+        let lines = texts.iter().flat_map(|text| text.lines());
+        lines
+            .filter(|line| line.starts_with("GET"))
+            .map(String::from)
+            .collect()
+    }
+
+    /// The request line of the last poll on the feed's first connection.
+    pub fn last_poll(&self) -> String {
+        let text = String::from_utf8_lossy(&self.io.written[&self.discovery]);
+        let poll = text.lines().rfind(|line| line.starts_with("GET"));
+        poll.unwrap().to_string()
+    }
+}
--- /dev/null
+++ b/crates/sanddrum-edge/tests/harness/scripted_module.rs
@@ -0,0 +1,95 @@
+//! A module in the decision module's place that makes the decisions of a test and records its events.
+
+use super::worker_id;
+use sanddrum::{
+    AttemptResult, Decisions, EndpointList, EventBatch, FunctionId, HealthCheckResult, LoadResult,
+    Micros, Request, RequestId, WorkerId,
+};
+use sanddrum_edge::DecisionModule;
+use sanddrum_wire::stable_id;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// A decision that the module is to make.
+#[derive(Clone, Copy, Debug)]
+pub enum Decision {
+    /// Dispatches a request to the worker `w` within a time limit.
+    Dispatch(u64, Micros),
+    /// The same, to the worker of this name.
+    DispatchTo(u64, Micros, &'static str),
+    /// Cancels an attempt of a request, by its index.
+    Cancel(u64, usize),
+    /// Rejects a request.
+    Reject(u64),
+    /// Fails a request.
+    Fail(u64),
+    /// Has so many instances of the last request's function loaded at `w`.
+    Load(u32),
+    /// Checks the health of `w`.
+    CheckHealth,
+}
+
+/// The decisions to be made, and all events of the module so far.
+#[derive(Default)]
+pub struct Script {
+    pub planned: Vec<Decision>,
+    pub attempt_results: Vec<AttemptResult>,
+    pub load_results: Vec<LoadResult>,
+    pub health_check_results: Vec<HealthCheckResult>,
+    pub requests: Vec<Request>,
+    pub cancelled: Vec<RequestId>,
+    pub endpoint_lists: Vec<EndpointList>,
+}
+
+impl Script {
+    fn record(&mut self, batch: &EventBatch) {
+        self.attempt_results.extend(&batch.attempt_results);
+        self.load_results.extend(&batch.load_results);
+        self.health_check_results
+            .extend(&batch.health_check_results);
+        self.requests.extend(&batch.requests);
+        self.cancelled.extend(&batch.cancelled);
+        self.endpoint_lists
+            .extend(batch.endpoint_lists.iter().cloned());
+    }
+
+    /// The function of the last request; `f1` before the first one.
+    fn last_function(&self) -> FunctionId {
+        self.requests
+            .last()
+            .map_or(FunctionId(stable_id("job/f1")), |request| request.function)
+    }
+}
+
+/// The module.
+pub struct ScriptedModule(Rc<RefCell<Script>>);
+
+impl ScriptedModule {
+    /// A module that follows a script.
+    pub fn new(script: Rc<RefCell<Script>>) -> Self {
+        ScriptedModule(script)
+    }
+}
+
+impl DecisionModule for ScriptedModule {
+    fn handle(&mut self, _: Micros, batch: &EventBatch, decisions: &mut impl Decisions) {
+        let mut script = self.0.borrow_mut();
+        script.record(batch);
+        let function = script.last_function();
+        for decision in std::mem::take(&mut script.planned) {
+            match decision {
+                Decision::Dispatch(id, time_limit) => {
+                    decisions.dispatch(RequestId(id), worker_id(), time_limit);
+                }
+                Decision::DispatchTo(id, time_limit, name) => {
+                    decisions.dispatch(RequestId(id), WorkerId(stable_id(name)), time_limit);
+                }
+                Decision::Cancel(id, attempt) => decisions.cancel(RequestId(id), attempt),
+                Decision::Reject(id) => decisions.reject(RequestId(id), 300_000),
+                Decision::Fail(id) => decisions.fail(RequestId(id)),
+                Decision::Load(instances) => decisions.load(worker_id(), function, instances),
+                Decision::CheckHealth => decisions.check_health(worker_id()),
+            }
+        }
+    }
+}
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -1,29 +1,29 @@
 //! Who may call, with keys that change while the edge runs.
 
-mod host;
+mod harness;
 
-use host::{Do, Host, S};
+use harness::scripted_module::Decision;
+use harness::{EdgeHarness, SECOND};
 use rstest::rstest;
 use sanddrum_edge::KEYS_FILE;
-use sanddrum_identity::token;
-use sanddrum_identity::{Claims, KeySet, SecretKey};
+use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{CloseCause, ConnectionId, Core, PeerIdentity};
 use sanddrum_wire::{http, ExecutionStatus};
 
-fn key(kid: &str) -> SecretKey {
+fn secret_key(kid: &str) -> SecretKey {
     let mut seed = [9; 32];
     seed[..kid.len()].copy_from_slice(kid.as_bytes());
     SecretKey::from_seed(kid, seed)
 }
-fn set() -> KeySet {
+fn key_set() -> KeySet {
     let mut set = KeySet::default();
     ["k1", "k2"]
         .iter()
-        .for_each(|kid| set.add(kid, key(kid).x().unwrap()).unwrap());
+        .for_each(|kid| set.add(kid, secret_key(kid).x().unwrap()).unwrap());
     set
 }
-/// The story's clock begins at 1,000 s.
-fn signed(kid: &str, customer: &str) -> String {
+/// A token that is valid at the clock of the tests, which begins at 1,000 s.
+fn bearer_token(kid: &str, customer: &str) -> String {
     let (sub, aud) = (customer.to_string(), "sanddrum".to_string());
     let claims = Claims {
         sub,
@@ -33,100 +33,148 @@
         iat: None,
         jti: format!("{kid}-{customer}"),
     };
-    format!("Bearer {}", token::issue(&claims, &key(kid)).unwrap())
+    format!(
+        "Bearer {}",
+        token::issue(&claims, &secret_key(kid)).unwrap()
+    )
 }
 const TOKENS: &[(&str, &str)] = &[
     ("identity.tokens", "required"),
     ("identity.keys-file", "keys.json"),
 ];
 
-fn host() -> Host {
-    let mut h = Host::new(TOKENS);
-    gives(&mut h, Ok(&set().write()));
-    h
+fn edge_with_keys() -> EdgeHarness {
+    let mut harness = EdgeHarness::new(TOKENS);
+    provide_keys(&mut harness, Ok(&key_set().write()));
+    harness
 }
-fn gives(h: &mut Host, content: Result<&[u8], &str>) {
-    h.edge.on_file(h.now, KEYS_FILE, content, &mut h.io);
-    h.turn();
+fn provide_keys(harness: &mut EdgeHarness, content: Result<&[u8], &str>) {
+    harness
+        .edge
+        .on_file(harness.now, KEYS_FILE, content, &mut harness.io);
+    harness.process();
 }
-fn calls(h: &mut Host, conn: ConnectionId, token: &str) -> Option<u16> {
-    let before = h.statuses(conn).len();
-    h.calls(conn, &[("authorization", token)]);
-    h.statuses(conn).get(before).copied()
+fn call_status(harness: &mut EdgeHarness, conn: ConnectionId, token: &str) -> Option<u16> {
+    let before = harness.statuses(conn).len();
+    harness.call(conn, &[("authorization", token)]);
+    harness.statuses(conn).get(before).copied()
+}
+
+const SCHOOL: &str = r#"
+    (customer "school" (share 50%) (certificates "gw-*"))
+    (customer "obs" (share 50%) (certificates "obs.example"))"#;
+
+/// An edge whose clients may show certificates beside tokens.
+fn edge_asking_for_certificates(certificates: &str) -> EdgeHarness {
+    let mut harness = EdgeHarness::with_forms(
+        &[
+            ("door.speaks", "tls"),
+            ("door.certificate-file", "door.pem"),
+            ("door.key-file", "door.key"),
+            ("door.roots-file", "clients.pem"),
+            ("door.certificates", certificates),
+            ("identity.tokens", "optional"),
+            ("identity.keys-file", "keys.json"),
+        ],
+        SCHOOL,
+    );
+    provide_keys(&mut harness, Ok(&key_set().write()));
+    harness
+}
+fn accept_with_certificate(harness: &mut EdgeHarness, name: &str) -> ConnectionId {
+    let names = vec![name.to_string()];
+    harness.io.next_peer = Some(PeerIdentity {
+        names,
+        key_fingerprint: "sha256:ab".into(),
+        resumed: false,
+    });
+    harness.accept_client()
 }
 
 #[rstest]
-fn a_refusal_is_a_final_answer_and_no_job() {
-    let mut h = host();
-    let client = h.client();
-    assert_eq!(calls(&mut h, client, "Bearer nonsense"), Some(401));
-    assert_eq!(calls(&mut h, client, "Basic abc"), Some(401));
-    let answer = &h.answers(client)[0];
-    assert_eq!(answer.field("sanddrum-end"), Some("pushed-back"));
-    assert!(String::from_utf8_lossy(&answer.body).contains("urn:sanddrum:token-malformed"));
-    assert!(answer.field("www-authenticate").is_some());
-    assert!(h.strings.borrow().jobs.is_empty());
+fn an_unauthenticated_call_gets_a_final_response_and_no_decision() {
+    let mut harness = edge_with_keys();
+    let client = harness.accept_client();
     assert_eq!(
-        calls(&mut h, client, &signed("k1", "obs-brest")),
+        call_status(&mut harness, client, "Bearer nonsense"),
+        Some(401)
+    );
+    assert_eq!(call_status(&mut harness, client, "Basic abc"), Some(401));
+    let response = &harness.responses(client)[0];
+    assert_eq!(response.field("sanddrum-end"), Some("pushed-back"));
+    assert!(String::from_utf8_lossy(&response.body).contains("urn:sanddrum:token-malformed"));
+    assert!(response.field("www-authenticate").is_some());
+    assert!(harness.script.borrow().requests.is_empty());
+    assert_eq!(
+        call_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
         None,
-        "taken"
+        "accepted"
     );
-    assert_eq!(h.strings.borrow().jobs.len(), 1);
+    assert_eq!(harness.request_count(), 1);
 }
 
 #[rstest]
 fn a_key_is_rotated_and_revoked_without_a_restart() {
-    let mut h = host();
-    let (old, new) = (signed("k1", "obs-brest"), signed("k2", "obs-brest"));
-    // Each from a client of its own, as an open call holds back the answers behind it.
-    let both = |h: &mut Host| {
+    let mut harness = edge_with_keys();
+    let (old, new) = (
+        bearer_token("k1", "obs-brest"),
+        bearer_token("k2", "obs-brest"),
+    );
+    // Each from a client of its own, as an open request holds back the responses behind it.
+    let both = |harness: &mut EdgeHarness| {
         [&old, &new].map(|token| {
-            let client = h.client();
-            calls(h, client, token)
+            let client = harness.accept_client();
+            call_status(harness, client, token)
         })
     };
-    assert_eq!(both(&mut h), [None, Some(401)]);
-    let mut keys = set();
+    assert_eq!(both(&mut harness), [None, Some(401)]);
+    let mut keys = key_set();
     keys.rotate(1100).unwrap();
-    gives(&mut h, Ok(&keys.write()));
+    provide_keys(&mut harness, Ok(&keys.write()));
     assert_eq!(
-        both(&mut h),
+        both(&mut harness),
         [None, None],
-        "a gateway still holds a token of the old one"
+        "tokens of the old key stay valid"
     );
     keys.revoke("k1").unwrap();
-    gives(&mut h, Ok(&keys.write()));
-    assert_eq!(both(&mut h), [Some(401), None]);
+    provide_keys(&mut harness, Ok(&keys.write()));
+    assert_eq!(both(&mut harness), [Some(401), None]);
 }
 
 #[rstest]
-fn a_job_whose_key_is_revoked_while_it_is_out_gets_its_answer_once() {
-    let mut h = host();
-    let client = h.client();
-    h.strings.borrow_mut().deeds.push(Do::Execute(0, 5 * S));
-    assert_eq!(calls(&mut h, client, &signed("k1", "obs-brest")), None);
-    let worker = h.io.connects.last().unwrap().0;
-    h.up(worker);
-    let mut keys = set();
+fn a_request_in_flight_is_answered_after_its_key_is_revoked() {
+    let mut harness = edge_with_keys();
+    let client = harness.accept_client();
+    harness.plan([Decision::Dispatch(0, 5 * SECOND)]);
+    assert_eq!(
+        call_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
+        None
+    );
+    let worker = harness.last_connection();
+    harness.connect(worker);
+    let mut keys = key_set();
     keys.revoke("k1").unwrap();
-    gives(&mut h, Ok(&keys.write()));
-    let id = h.executions_read(worker)[0];
-    h.done(worker, id, ExecutionStatus::Finished);
-    h.done(worker, id, ExecutionStatus::Finished);
-    assert_eq!(h.statuses(client), [200]);
+    provide_keys(&mut harness, Ok(&keys.write()));
+    let id = harness.attempts_to(worker)[0];
+    harness.answer_attempt(worker, id, ExecutionStatus::Finished);
+    harness.answer_attempt(worker, id, ExecutionStatus::Finished);
+    assert_eq!(harness.statuses(client), [200]);
 }
 
 #[rstest]
-#[case::emptied(Ok(&b""[..]))]
+#[case::empty(Ok(&b""[..]))]
 #[case::unreadable(Err("no such file"))]
 #[case::half_written(Ok(&br#"{"version":9,"keys":[{"kty":"OKP","#[..]))]
-#[case::another_thing(Ok(&b"{}"[..]))]
-fn a_bad_key_file_leaves_the_last_good_one_in_force(#[case] content: Result<&[u8], &str>) {
-    let mut h = host();
-    gives(&mut h, content);
-    let client = h.client();
-    assert_eq!(calls(&mut h, client, &signed("k1", "obs-brest")), None);
-    let audit = h.io.audit.join("\n");
+#[case::not_a_key_set(Ok(&b"{}"[..]))]
+fn an_invalid_key_file_leaves_the_last_valid_set_in_force(#[case] content: Result<&[u8], &str>) {
+    let mut harness = edge_with_keys();
+    provide_keys(&mut harness, content);
+    let client = harness.accept_client();
+    assert_eq!(
+        call_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
+        None
+    );
+    let audit = harness.io.audit_lines.join("\n");
     assert!(
         audit.contains("keys-refused") && audit.contains("\"in_force\":2"),
         "{audit}"
@@ -134,208 +182,193 @@
 }
 
 #[rstest]
-fn a_restart_never_brings_a_revoked_key_back() {
-    let mut h = host();
-    let mut keys = set();
+fn a_restart_does_not_restore_a_revoked_key() {
+    let mut harness = edge_with_keys();
+    let mut keys = key_set();
     keys.revoke("k1").unwrap();
-    gives(&mut h, Ok(&keys.write()));
-    // It dies at once; what it had kept was kept before the set was in force.
-    let kept = h.io.saved.clone();
-    let mut again = Host::bare(TOKENS, kept);
-    gives(&mut again, Ok(&set().write()));
-    let client = again.client();
+    provide_keys(&mut harness, Ok(&keys.write()));
+    // The edge crashes at once; its state was saved before the set was in force.
+    let saved = harness.io.saved.clone();
+    let mut restarted = EdgeHarness::with_cached_state(TOKENS, saved);
+    provide_keys(&mut restarted, Ok(&key_set().write()));
+    let client = restarted.accept_client();
     assert_eq!(
-        calls(&mut again, client, &signed("k1", "obs-brest")),
+        call_status(&mut restarted, client, &bearer_token("k1", "obs-brest")),
         Some(503),
-        "it has no keys that it trusts"
+        "no key set is trusted"
     );
-    gives(&mut again, Ok(&keys.write()));
-    let client = again.client();
+    provide_keys(&mut restarted, Ok(&keys.write()));
+    let client = restarted.accept_client();
     assert_eq!(
-        calls(&mut again, client, &signed("k1", "obs-brest")),
+        call_status(&mut restarted, client, &bearer_token("k1", "obs-brest")),
         Some(401)
     );
 }
 
 #[rstest]
-fn a_token_and_a_name_must_agree_and_a_school_may_not_run_what_is_reserved() {
-    let more = r#"
+fn a_token_must_match_the_customer_name_and_its_access_rights() {
+    let forms = r#"
         (customer "obs-brest" (share 50%)) (customer "lycees" (share 50%))
         (rights (default allow))
         (deny "lycees*" (functions "f1"))"#;
-    let mut h = Host::with(TOKENS, more);
-    gives(&mut h, Ok(&set().write()));
-    let client = h.client();
-    let school = signed("k1", "lycees-reseau");
-    assert_eq!(calls(&mut h, client, &school), Some(403));
-    h.calls(
+    let mut harness = EdgeHarness::with_forms(TOKENS, forms);
+    provide_keys(&mut harness, Ok(&key_set().write()));
+    let client = harness.accept_client();
+    let school = bearer_token("k1", "lycees-reseau");
+    assert_eq!(call_status(&mut harness, client, &school), Some(403));
+    harness.call(
         client,
         &[
-            ("authorization", &signed("k1", "obs-brest")),
+            ("authorization", &bearer_token("k1", "obs-brest")),
             ("sanddrum-customer", "lycees"),
         ],
     );
-    assert_eq!(h.statuses(client), [403, 403]);
-    let two = http::encode_request(
+    assert_eq!(harness.statuses(client), [403, 403]);
+    let other_function = http::encode_request(
         "POST",
         "/v1/calls/job/f2",
         &[("authorization", &school)],
         b"",
     );
-    h.says(client, &two);
+    harness.receive(client, &other_function);
     assert_eq!(
-        h.strings.borrow().jobs.len(),
+        harness.request_count(),
         1,
-        "what is not reserved is taken"
+        "a function that is not reserved is accepted"
     );
-    let audit = h.io.audit.join("\n");
+    let audit = harness.io.audit_lines.join("\n");
     assert!(
         audit.contains("not-allowed")
             && audit.contains("lycees-reseau")
             && audit.contains("customer-mismatch")
     );
-    assert!(!audit.contains(&school[7..40]), "no token is told");
+    assert!(!audit.contains(&school[7..40]), "no token is audited");
 }
 
 #[rstest]
-fn a_connection_that_sends_only_bad_tokens_is_closed_and_the_audit_is_bounded() {
-    let mut h = Host::new(
+fn a_connection_with_only_bad_tokens_is_closed_and_the_audit_is_bounded() {
+    let mut harness = EdgeHarness::new(
         &[
             TOKENS,
             &[("identity.bad-tokens", "3"), ("identity.audit-rate", "2")],
         ]
         .concat(),
     );
-    gives(&mut h, Ok(&set().write()));
-    let client = h.client();
+    provide_keys(&mut harness, Ok(&key_set().write()));
+    let client = harness.accept_client();
     for _ in 0..3 {
-        assert_eq!(calls(&mut h, client, "Bearer x.y.z"), Some(401));
+        assert_eq!(call_status(&mut harness, client, "Bearer x.y.z"), Some(401));
     }
-    assert!(h.io.closed.contains(&(client, Some(CloseCause::Orderly))));
-    assert!(h.io.audit.len() <= 3, "{:?}", h.io.audit);
-    h.now += S;
-    let client = h.client();
-    calls(&mut h, client, "Bearer x.y.z");
-    assert!(h.io.audit.last().unwrap().contains("omitted_before"));
-}
-
-// ---- Client certificates
-
-const SCHOOL: &str = r#"
-    (customer "school" (share 50%) (certificates "gw-*"))
-    (customer "obs" (share 50%) (certificates "obs.example"))"#;
-
-/// An edge whose clients may show certificates beside tokens.
-fn asking(certificates: &str) -> Host {
-    let mut h = Host::with(
-        &[
-            ("door.speaks", "tls"),
-            ("door.certificate-file", "door.pem"),
-            ("door.key-file", "door.key"),
-            ("door.roots-file", "clients.pem"),
-            ("door.certificates", certificates),
-            ("identity.tokens", "optional"),
-            ("identity.keys-file", "keys.json"),
-        ],
-        SCHOOL,
+    assert!(harness.io.has_closed_in_order(client));
+    assert!(
+        harness.io.audit_lines.len() <= 3,
+        "{:?}",
+        harness.io.audit_lines
     );
-    gives(&mut h, Ok(&set().write()));
-    h
-}
-fn shows(h: &mut Host, name: &str) -> ConnectionId {
-    let names = vec![name.to_string()];
-    h.io.peer_of_next = Some(PeerIdentity {
-        names,
-        key_fingerprint: "sha256:ab".into(),
-        resumed: false,
-    });
-    h.client()
+    harness.now += SECOND;
+    let client = harness.accept_client();
+    call_status(&mut harness, client, "Bearer x.y.z");
+    assert!(harness
+        .io
+        .audit_lines
+        .last()
+        .unwrap()
+        .contains("omitted_before"));
 }
 
 #[rstest]
-fn a_certificate_says_who_calls_and_agrees_with_the_token() {
-    let mut h = asking("optional");
-    let gateway = shows(&mut h, "gw-7");
-    h.calls(gateway, &[]);
-    assert_eq!(h.strings.borrow().jobs.last().unwrap().customer.0, 0);
-    h.calls(gateway, &[("authorization", &signed("k1", "school"))]);
-    assert_eq!(h.strings.borrow().jobs.len(), 2);
-    let observatory = shows(&mut h, "obs.example");
+fn a_certificate_identifies_the_customer_and_must_match_the_token() {
+    let mut harness = edge_asking_for_certificates("optional");
+    let gateway = accept_with_certificate(&mut harness, "gw-7");
+    harness.call(gateway, &[]);
+    assert_eq!(
+        harness.script.borrow().requests.last().unwrap().customer.0,
+        0
+    );
+    harness.call(gateway, &[("authorization", &bearer_token("k1", "school"))]);
+    assert_eq!(harness.request_count(), 2);
+    let observatory = accept_with_certificate(&mut harness, "obs.example");
     assert_eq!(
-        calls(&mut h, observatory, &signed("k1", "school")),
+        call_status(&mut harness, observatory, &bearer_token("k1", "school")),
         Some(403),
         "a school's token"
     );
-    h.calls(observatory, &[("sanddrum-customer", "school")]);
+    harness.call(observatory, &[("sanddrum-customer", "school")]);
     assert_eq!(
-        h.statuses(observatory).last(),
+        harness.statuses(observatory).last(),
         Some(&403),
         "the call names another"
     );
-    let laptop = shows(&mut h, "laptop");
-    h.calls(laptop, &[]);
-    assert_eq!(h.statuses(laptop), [403]);
-    assert!(h
+    let laptop = accept_with_certificate(&mut harness, "laptop");
+    harness.call(laptop, &[]);
+    assert_eq!(harness.statuses(laptop), [403]);
+    assert!(harness
         .io
-        .audit
+        .audit_lines
         .iter()
         .any(|line| line.contains("certificate-unknown") && line.contains("sha256:ab")));
-    assert_eq!(h.strings.borrow().jobs.len(), 2);
+    assert_eq!(harness.request_count(), 2);
 }
 
 #[rstest]
-fn where_one_is_required_no_token_stands_in_for_it() {
-    let mut h = asking("required");
-    let client = h.client();
-    assert_eq!(calls(&mut h, client, &signed("k1", "school")), Some(401));
-    let gateway = shows(&mut h, "gw-7");
+fn a_token_does_not_replace_a_required_certificate() {
+    let mut harness = edge_asking_for_certificates("required");
+    let client = harness.accept_client();
+    assert_eq!(
+        call_status(&mut harness, client, &bearer_token("k1", "school")),
+        Some(401)
+    );
+    let gateway = accept_with_certificate(&mut harness, "gw-7");
     assert_eq!(
-        calls(&mut h, gateway, &signed("k1", "school")),
+        call_status(&mut harness, gateway, &bearer_token("k1", "school")),
         None,
-        "taken"
+        "accepted"
     );
 }
 
-/// Its key is denied while its job is out: the answer still comes, once; nothing new is taken, and the connection ends.
+/// Its key is denied while a request is in flight: that is still answered, once; nothing new is accepted, and the connection
+/// is closed.
 #[rstest]
-fn a_certificate_is_denied_while_its_job_is_out() {
-    let mut h = asking("optional");
-    let gateway = shows(&mut h, "gw-7");
-    h.strings.borrow_mut().deeds.push(Do::Execute(0, 5 * S));
-    h.calls(gateway, &[]);
-    let worker = h.io.connects.last().unwrap().0;
-    h.up(worker);
-    let id = h.executions_read(worker)[0];
-    let now = h.now;
-    h.edge.on_credentials_changed(now, gateway, true, &mut h.io);
-    h.calls(gateway, &[]);
-    h.done(worker, id, ExecutionStatus::Finished);
-    assert_eq!(h.statuses(gateway), [200, 401]);
-    assert!(h
+fn a_denied_certificate_ends_its_connection_after_open_requests() {
+    let mut harness = edge_asking_for_certificates("optional");
+    let gateway = accept_with_certificate(&mut harness, "gw-7");
+    harness.plan([Decision::Dispatch(0, 5 * SECOND)]);
+    harness.call(gateway, &[]);
+    let worker = harness.last_connection();
+    harness.connect(worker);
+    let id = harness.attempts_to(worker)[0];
+    let now = harness.now;
+    harness
+        .edge
+        .on_credentials_changed(now, gateway, true, &mut harness.io);
+    harness.call(gateway, &[]);
+    harness.answer_attempt(worker, id, ExecutionStatus::Finished);
+    assert_eq!(harness.statuses(gateway), [200, 401]);
+    assert!(harness
         .io
         .closed
         .iter()
-        .any(|(conn, how)| *conn == gateway && *how == Some(CloseCause::Orderly)));
-    assert_eq!(h.strings.borrow().jobs.len(), 1);
-    assert!(h
+        .any(|(conn, cause)| *conn == gateway && *cause == Some(CloseCause::Orderly)));
+    assert_eq!(harness.request_count(), 1);
+    assert!(harness
         .io
-        .audit
+        .audit_lines
         .iter()
         .any(|line| line.contains("certificate-denied")));
 }
 
-/// A token is good at every edge within its time; bound to a certificate's customer it is of use to nobody else.
+/// A token is valid at every edge until it expires; bound to a certificate's customer it is of no use to others.
 #[rstest]
-fn a_token_replayed_at_another_edge_is_taken_there_unless_certificates_are_required() {
-    let token = signed("k1", "obs");
-    let (mut first, mut other) = (host(), host());
+fn a_replayed_token_is_accepted_unless_certificates_are_required() {
+    let token = bearer_token("k1", "obs");
+    let (mut first, mut other) = (edge_with_keys(), edge_with_keys());
     for edge in [&mut first, &mut other] {
-        let client = edge.client();
-        assert_eq!(calls(edge, client, &token), None, "taken");
+        let client = edge.accept_client();
+        assert_eq!(call_status(edge, client, &token), None, "accepted");
     }
-    let mut bound = asking("required");
-    let school = shows(&mut bound, "gw-7");
-    assert_eq!(calls(&mut bound, school, &token), Some(403));
-    let owner = shows(&mut bound, "obs.example");
-    assert_eq!(calls(&mut bound, owner, &token), None, "taken");
+    let mut bound = edge_asking_for_certificates("required");
+    let school = accept_with_certificate(&mut bound, "gw-7");
+    assert_eq!(call_status(&mut bound, school, &token), Some(403));
+    let owner = accept_with_certificate(&mut bound, "obs.example");
+    assert_eq!(call_status(&mut bound, owner, &token), None, "accepted");
 }
--- /dev/null
+++ b/crates/sanddrum-edge/tests/shutdown.rs
@@ -0,0 +1,96 @@
+//! Graceful shutdown.
+
+mod harness;
+
+use harness::fastcgi::{call_params, request, CALL_ID};
+use harness::scripted_module::Decision;
+use harness::{EdgeHarness, SECOND};
+use rstest::rstest;
+use sanddrum_net::Core;
+use sanddrum_wire::ExecutionStatus;
+
+#[rstest]
+fn shutdown_rejects_new_requests_and_answers_open_ones() {
+    let mut harness = EdgeHarness::new(&[("limits.stop-within", "3s")]);
+    let (client, worker) = harness.dispatch_call(50 * SECOND);
+    let (second, _) = harness.dispatch_call(50 * SECOND);
+    let late = harness.accept_client();
+    harness.connect(worker);
+    harness.edge.shut_down(harness.now, &mut harness.io);
+    harness.call(late, &[]);
+    assert_eq!(harness.statuses(late), [503]);
+    assert!(harness.io.has_closed_in_order(late));
+    harness.answer_attempt(
+        worker,
+        harness.attempts_to(worker)[0],
+        ExecutionStatus::Finished,
+    );
+    assert_eq!(harness.statuses(client), [200]);
+    assert!(!harness.edge.is_done());
+    harness.advance(3 * SECOND);
+    assert_eq!(
+        harness.statuses(second),
+        [502],
+        "the deadline of the shutdown"
+    );
+    assert!(harness.edge.is_done());
+}
+
+#[rstest]
+fn shutdown_waits_for_a_request_that_is_received_in_part() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.late-arrivals", "700 ms")]);
+    let client = harness.accept_client();
+    let bytes = request(1, &call_params(CALL_ID), b"in");
+    let now = harness.now;
+    harness.edge.shut_down(now, &mut harness.io);
+    harness.advance(SECOND / 2);
+    harness.receive(client, &bytes[..40]);
+    harness.advance(SECOND / 2);
+    assert!(!harness.edge.is_done());
+    harness.plan([Decision::Reject(0)]);
+    harness.receive(client, &bytes[40..]);
+    assert_eq!(harness.fastcgi_statuses(client), [(1, 503)]);
+    assert!(harness.edge.is_done());
+}
+
+#[rstest]
+fn shutdown_does_not_wait_beyond_its_deadline_for_a_partial_request() {
+    let mut harness = EdgeHarness::on_platform(&[
+        ("limits.stop-within", "1 s"),
+        ("limits.head-time-out", "30 s"),
+    ]);
+    let client = harness.accept_client();
+    let now = harness.now;
+    harness.receive(client, &request(1, &call_params(CALL_ID), b"in")[..40]);
+    harness.edge.shut_down(now, &mut harness.io);
+    harness.advance(SECOND + 1);
+    assert!(harness.edge.is_done());
+}
+
+#[rstest]
+fn a_request_accepted_during_shutdown_has_its_deadline() {
+    let mut harness = EdgeHarness::on_platform(&[
+        ("limits.stop-within", "1 s"),
+        ("limits.late-arrivals", "700 ms"),
+    ]);
+    let now = harness.now;
+    harness.edge.shut_down(now, &mut harness.io);
+    let client = harness.accept_client();
+    harness.send_call(client, 1, CALL_ID);
+    assert_eq!(harness.script.borrow().requests[0].deadline, now + SECOND);
+}
+
+#[rstest]
+fn shutdown_serves_late_arrivals_and_is_done_once_all_is_answered() {
+    let mut harness = EdgeHarness::on_platform(&[("limits.late-arrivals", "700 ms")]);
+    let now = harness.now;
+    harness.edge.shut_down(now, &mut harness.io);
+    assert!(harness.edge.accepts_while_draining() && !harness.edge.is_done());
+    harness.advance(SECOND / 2);
+    let (client, worker) = harness.dispatch_fastcgi_call();
+    harness.advance(SECOND / 2);
+    assert!(!harness.edge.is_done(), "a request is open");
+    harness.finish_call(worker, CALL_ID, b"out");
+    assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
+    assert!(harness.edge.is_done());
+}
