--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -145,7 +145,7 @@
             .connection_owners
             .insert(conn, ConnectionOwner::Discovery);
         self.conn = Some(conn);
-        self.check_at(context, now + context.limits.connect_time_out);
+        self.check_at(context, now + context.limits.connect_timeout);
     }
 
     fn check_at(&mut self, context: &mut EdgeContext, at: Micros) {
@@ -156,12 +156,12 @@
     /// Polls for the events after the last one.
     pub fn poll(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
         let Some(conn) = self.conn else { return };
-        let wait = context.limits.feed_wait;
+        let wait = context.limits.feed_poll_wait;
         let request = control_feed::poll_request(&self.address, self.last_event, wait);
         if io.write(conn, &request) < request.len() {
             return self.give_up(context, now, &FeedError::NotReading, io);
         }
-        self.check_at(context, now + wait + context.limits.feed_silence);
+        self.check_at(context, now + wait + context.limits.feed_answer_timeout);
     }
 
     /// Closes the connection, if there is one, and reconnects after a backoff.
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -151,7 +151,7 @@
         context
             .connection_owners
             .insert(conn, ConnectionOwner::Discovery);
-        let max_frame_bytes = context.limits.largest_frame;
+        let max_frame_bytes = context.limits.max_frame_bytes;
         let mut connection = ServiceConnection {
             conn,
             decoder: FrameDecoder::new(max_frame_bytes),
--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -10,10 +10,11 @@
 mod dispatcher;
 mod fastcgi;
 mod http;
-mod keys;
+
 mod requests;
 mod send_checks;
 mod shutdown;
+mod watched_files;
 mod workers;
 
 pub(crate) use connection_executor::ConnectionExecutor;
@@ -106,7 +107,7 @@
             .unzip();
         let context = new_context(&settings);
         let edge_name = settings.text("edge.name");
-        let connect_timeout = context.limits.connect_time_out;
+        let connect_timeout = context.limits.connect_timeout;
         EdgeState {
             started_at: 0,
             shutdown: Shutdown::NotRequested,
--- a/crates/sanddrum-edge/src/edge_state/attempts.rs
+++ b/crates/sanddrum-edge/src/edge_state/attempts.rs
@@ -12,7 +12,7 @@
 use sanddrum_wire::{self as wire, Done, ExecutionStatus, InstanceState};
 
 /// How an attempt ended.
-pub(super) struct AttemptEnd {
+pub(super) struct AttemptOutcome {
     outcome: Outcome,
     warmth: Warmth,
     /// Requests of the same function at the worker, where it reports them.
@@ -20,10 +20,10 @@
     report: Option<LoadReport>,
 }
 
-impl From<Outcome> for AttemptEnd {
+impl From<Outcome> for AttemptOutcome {
     /// The end of an attempt that was not answered.
     fn from(outcome: Outcome) -> Self {
-        AttemptEnd {
+        AttemptOutcome {
             outcome,
             warmth: Warmth::Unknown,
             function_in_flight: None,
@@ -32,9 +32,9 @@
     }
 }
 
-impl From<&Done> for AttemptEnd {
+impl From<&Done> for AttemptOutcome {
     fn from(done: &Done) -> Self {
-        AttemptEnd {
+        AttemptOutcome {
             outcome: outcome_of(done.status),
             warmth: done.instance.map_or(Warmth::Unknown, warmth_of),
             function_in_flight: done.function_in_flight,
@@ -140,7 +140,7 @@
                 let timer = Timer::AttemptTimeout(attempt);
                 self.context.timers.schedule(deadline, timer);
             }
-            Err(outcome) => self.attempt_ended(now, attempt, outcome.into()),
+            Err(outcome) => self.finish_attempt(now, attempt, outcome.into()),
         }
     }
 
@@ -228,15 +228,15 @@
                     .rates_reported(customer, customer_rate, total_rate);
             }
         }
-        let end = AttemptEnd::from(done);
+        let end = AttemptOutcome::from(done);
         if end.outcome == Outcome::Finished {
             self.complete_request(now, request, id, &done.body, end.warmth);
         }
-        self.attempt_ended(now, id, end);
+        self.finish_attempt(now, id, end);
     }
 
     /// An attempt has ended; the decision module is notified once.
-    pub(super) fn attempt_ended(&mut self, now: Micros, id: AttemptId, end: AttemptEnd) {
+    pub(super) fn finish_attempt(&mut self, now: Micros, id: AttemptId, end: AttemptOutcome) {
         let Some(attempt) = self.requests.remove_attempt(id) else {
             return;
         };
@@ -285,12 +285,12 @@
         };
         let key = MessageKey::Attempt(id);
         if self.worker_connections.retract(connection, key) {
-            return self.attempt_ended(now, id, Outcome::NoConnection.into());
+            return self.finish_attempt(now, id, Outcome::NoConnection.into());
         }
         if self.worker_connections.protocol() == WorkerProtocol::Platform {
             self.send_cancel(connection, id);
         }
-        self.attempt_ended(now, id, Outcome::TimedOut.into());
+        self.finish_attempt(now, id, Outcome::TimedOut.into());
     }
 
     /// The decision module stops waiting for an attempt.
@@ -303,10 +303,10 @@
         };
         let key = MessageKey::Attempt(id);
         if self.worker_connections.retract(connection, key) {
-            return self.attempt_ended(now, id, Outcome::CancelledBeforeStart.into());
+            return self.finish_attempt(now, id, Outcome::CancelledBeforeStart.into());
         }
         self.send_cancel(connection, id);
-        self.attempt_ended(now, id, Outcome::Cancelled.into());
+        self.finish_attempt(now, id, Outcome::Cancelled.into());
     }
 
     /// Has a worker drop an attempt, behind all that was sent to it before.
--- a/crates/sanddrum-edge/src/edge_state/clients.rs
+++ b/crates/sanddrum-edge/src/edge_state/clients.rs
@@ -11,7 +11,7 @@
 impl EdgeState {
     /// A client has connected.
     pub(super) fn accept_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        if !self.make_room_for_client(now, io) {
+        if !self.evict_at_limit(now, io) {
             if !self.is_on_platform() {
                 tracing::warn!(reason = "max-clients", "client connection rejected");
             }
@@ -25,9 +25,10 @@
     }
 
     /// Closes an idle connection where as many are open as may be. Returns whether there is room for one more.
-    fn make_room_for_client(&mut self, now: Micros, io: &mut dyn Io) -> bool {
+    fn evict_at_limit(&mut self, now: Micros, io: &mut dyn Io) -> bool {
         let limits = &self.context.limits;
-        let (max_clients, time_to_speak) = (limits.max_clients, limits.time_to_speak);
+        let (max_clients, first_request_timeout) =
+            (limits.max_clients, limits.first_request_timeout);
         let open = if self.is_on_platform() {
             self.fastcgi.len()
         } else {
@@ -38,9 +39,9 @@
         }
         self.context.metrics.record_limit_hit("max-clients");
         let candidate = if self.is_on_platform() {
-            self.fastcgi.eviction_candidate(now, time_to_speak)
+            self.fastcgi.eviction_candidate(now, first_request_timeout)
         } else {
-            self.http.eviction_candidate(now, time_to_speak)
+            self.http.eviction_candidate(now, first_request_timeout)
         };
         let Some(candidate) = candidate else {
             return false;
--- a/crates/sanddrum-edge/src/edge_state/control_commands.rs
+++ b/crates/sanddrum-edge/src/edge_state/control_commands.rs
@@ -31,7 +31,7 @@
             wire_id: id.0,
             bytes: self.worker_connections.protocol().load(load),
         };
-        let deadline = now + self.context.limits.order_time_out;
+        let deadline = now + self.context.limits.load_timeout;
         match self.send_command(now, worker, &message, deadline) {
             Ok(command) => {
                 let load = PendingLoad { function, command };
@@ -73,7 +73,7 @@
     }
 
     /// A load command has ended; `instances` are loaded, as the worker reports.
-    pub(super) fn load_ended(
+    pub(super) fn finish_load(
         &mut self,
         now: Micros,
         id: CommandId,
@@ -109,7 +109,7 @@
 
     /// A load command was not answered in time.
     pub(super) fn load_timed_out(&mut self, now: Micros, id: CommandId) {
-        self.load_ended(now, id, Outcome::TimedOut, 0);
+        self.finish_load(now, id, Outcome::TimedOut, 0);
     }
 
     /// Has a worker unload the idle instances of a function. Where that can't be sent they expire by themselves.
@@ -125,7 +125,7 @@
                 .protocol()
                 .unload(known.name.clone()),
         };
-        let deadline = now + self.context.limits.order_time_out;
+        let deadline = now + self.context.limits.load_timeout;
         let _ = self
             .worker_connections
             .send(&mut self.context, now, worker, &message, deadline);
@@ -140,7 +140,7 @@
             wire_id: id.0,
             bytes: self.worker_connections.protocol().health_check(id),
         };
-        let deadline = now + self.context.limits.probe_time_out;
+        let deadline = now + self.context.limits.health_check_timeout;
         match self.send_command(now, worker, &message, deadline) {
             Ok(command) => {
                 self.control_commands.insert_health_check(id, command);
@@ -157,7 +157,7 @@
     }
 
     /// A health check has ended, with the worker's load report where it was answered.
-    pub(super) fn health_check_ended(
+    pub(super) fn finish_health_check(
         &mut self,
         now: Micros,
         id: CommandId,
@@ -182,7 +182,7 @@
 
     /// A health check was not answered in time.
     pub(super) fn health_check_timed_out(&mut self, now: Micros, id: CommandId) {
-        self.health_check_ended(now, id, Outcome::TimedOut, None);
+        self.finish_health_check(now, id, Outcome::TimedOut, None);
     }
 }
 
--- a/crates/sanddrum-edge/src/edge_state/discovery.rs
+++ b/crates/sanddrum-edge/src/edge_state/discovery.rs
@@ -118,7 +118,7 @@
         if record.phase != Phase::Ready {
             return;
         }
-        for other in self.worker_connections.others_at_address(record) {
+        for other in self.worker_connections.workers_sharing_address(record) {
             let is_older = self
                 .endpoints
                 .record(other)
@@ -219,7 +219,7 @@
             return;
         }
         self.is_save_scheduled = true;
-        let save_at = now + self.context.limits.save_least;
+        let save_at = now + self.context.limits.min_save_interval;
         self.context.timers.schedule(save_at, Timer::SaveState);
     }
 
@@ -259,11 +259,13 @@
         let context = &mut self.context;
         match event {
             Event::Connected { .. } => feed.poll(context, now, io),
-            Event::Bytes { bytes, .. } => match feed.receive(context.limits.largest_list, bytes) {
-                Ok(None) => {}
-                Ok(Some(events)) => self.on_feed_answer(now, events, io),
-                Err(error) => feed.give_up(context, now, &error, io),
-            },
+            Event::Bytes { bytes, .. } => {
+                match feed.receive(context.limits.max_feed_answer_bytes, bytes) {
+                    Ok(None) => {}
+                    Ok(Some(events)) => self.on_feed_answer(now, events, io),
+                    Err(error) => feed.give_up(context, now, &error, io),
+                }
+            }
             Event::Closed { .. } => feed.closed(context, now, io),
             Event::Accepted { .. } | Event::Writable { .. } => {}
         }
--- a/crates/sanddrum-edge/src/edge_state/fastcgi.rs
+++ b/crates/sanddrum-edge/src/edge_state/fastcgi.rs
@@ -111,7 +111,7 @@
             memory_mb: params.memory_mb,
             concurrency: params.concurrency,
             load_time: params.load_time,
-            time_limit: (params.patience - limits.answer_ahead).max(1),
+            time_limit: (params.patience - limits.response_lead_time).max(1),
             idempotency_key: params.idempotency_key,
             body: request.body,
             ..Call::default()
@@ -120,11 +120,11 @@
 
     fn check_capacity(&self, body_bytes: usize) -> Result<(), CallError> {
         let limits = &self.context.limits;
-        if self.requests.open_count() >= limits.max_open {
+        if self.requests.open_count() >= limits.max_open_requests {
             self.context.metrics.record_limit_hit("max-open");
             return Err(CallError::too_many_requests());
         }
-        if self.requests.body_bytes() + body_bytes > limits.held_bodies {
+        if self.requests.body_bytes() + body_bytes > limits.max_buffered_body_bytes {
             self.context.metrics.record_limit_hit("held-bodies");
             let detail = "this edge holds as much as it may; nothing was done";
             return Err(CallError::new(503, "held-bodies", detail));
--- a/crates/sanddrum-edge/src/edge_state/http.rs
+++ b/crates/sanddrum-edge/src/edge_state/http.rs
@@ -156,7 +156,9 @@
             memory_mb: function.spec.memory_mb,
             concurrency: f64::from(function.spec.concurrency),
             load_time: function.spec.load_time,
-            time_limit: requested.min(longest) - self.context.limits.answer_ahead - read_delay,
+            time_limit: requested.min(longest)
+                - self.context.limits.response_lead_time
+                - read_delay,
             expected_work,
             is_retry,
             idempotency_key: field("idempotency-key"),
@@ -172,7 +174,7 @@
             let detail = "this edge ends; nothing was done, ask another one";
             return Err(CallError::new(503, "stopping", detail));
         }
-        if self.requests.open_count() >= self.context.limits.max_open {
+        if self.requests.open_count() >= self.context.limits.max_open_requests {
             return Err(CallError::too_many_requests());
         }
         Ok(())
--- a/crates/sanddrum-edge/src/edge_state/requests.rs
+++ b/crates/sanddrum-edge/src/edge_state/requests.rs
@@ -131,7 +131,7 @@
             };
             let key = MessageKey::Attempt(attempt);
             if self.worker_connections.retract(connection, key) {
-                self.attempt_ended(now, attempt, Outcome::CancelledBeforeStart.into());
+                self.finish_attempt(now, attempt, Outcome::CancelledBeforeStart.into());
             } else {
                 self.worker_connections.bound_partial_write(
                     &mut self.context,
--- a/crates/sanddrum-edge/src/edge_state/send_checks.rs
+++ b/crates/sanddrum-edge/src/edge_state/send_checks.rs
@@ -35,7 +35,7 @@
             }
             let key = MessageKey::Attempt(attempt);
             if self.worker_connections.retract(id, key) {
-                self.attempt_ended(now, attempt, Outcome::CancelledBeforeStart.into());
+                self.finish_attempt(now, attempt, Outcome::CancelledBeforeStart.into());
             }
         }
     }
@@ -49,7 +49,7 @@
             endpoint: attempt.and_then(|attempt| self.endpoints.phase(attempt.worker)),
             runs_once: request
                 .is_some_and(|request| self.functions.runs_once(request.call.workload)),
-            other_may_run: request
+            another_may_run: request
                 .is_some_and(|request| request.may_have_run || request.in_flight > 1),
             is_past_shutdown: self.shutdown.is_past_deadline(),
         }
--- a/crates/sanddrum-edge/src/edge_state/shutdown.rs
+++ b/crates/sanddrum-edge/src/edge_state/shutdown.rs
@@ -50,8 +50,8 @@
         let open_requests = self.requests.open_count();
         tracing::info!(open_requests, "graceful shutdown started");
         let limits = &self.context.limits;
-        let deadline = now + limits.stop_within;
-        let last_arrival = now + limits.late_arrivals;
+        let deadline = now + limits.shutdown_timeout;
+        let last_arrival = now + limits.late_arrival_window;
         self.shutdown = Shutdown::Draining { deadline };
         let timers = &mut self.context.timers;
         timers.schedule(last_arrival, Timer::LateArrivals);
@@ -71,7 +71,7 @@
 
     /// Whether connections are accepted during the shutdown.
     pub fn accepts_while_draining(&self) -> bool {
-        self.shutdown.is_requested() && self.context.limits.late_arrivals > 0
+        self.shutdown.is_requested() && self.context.limits.late_arrival_window > 0
     }
 
     /// Whether the shutdown is complete.
--- a/crates/sanddrum-edge/src/edge_state/workers.rs
+++ b/crates/sanddrum-edge/src/edge_state/workers.rs
@@ -3,7 +3,7 @@
 use super::attempts::load_report;
 use super::EdgeState;
 use crate::message::{AttemptId, CommandId, MessageKey};
-use crate::worker_connections::{ConnectionLoss, EndedMessage};
+use crate::worker_connections::{ConnectionLoss, MessageOutcome};
 use crate::worker_protocol::WorkerProtocolError;
 use sanddrum::{Micros, Outcome, WorkerId};
 use sanddrum_net::{Event, Io};
@@ -31,10 +31,10 @@
             }
             Event::Closed { cause, .. } => {
                 let loss = ConnectionLoss::Closed(cause);
-                let ended = self
+                let outcomes = self
                     .worker_connections
                     .lost(&mut self.context, now, id, loss);
-                self.messages_ended(now, ended);
+                self.finish_messages(now, outcomes);
             }
             Event::Accepted { .. } => {}
         }
@@ -75,10 +75,10 @@
             "worker violated the protocol; connection reset"
         );
         let loss = ConnectionLoss::ProtocolError;
-        let ended = self
+        let outcomes = self
             .worker_connections
             .reset(&mut self.context, now, id, loss, io);
-        self.messages_ended(now, ended);
+        self.finish_messages(now, outcomes);
     }
 
     fn on_worker_message(
@@ -97,11 +97,11 @@
                 instances,
             }) => {
                 let outcome = load_outcome(status);
-                self.load_ended(now, CommandId(id), outcome, instances);
+                self.finish_load(now, CommandId(id), outcome, instances);
             }
             FromWorker::HealthStatus(status) => {
                 let report = status.report.as_ref().map(load_report);
-                self.health_check_ended(now, CommandId(status.id), Outcome::Finished, report);
+                self.finish_health_check(now, CommandId(status.id), Outcome::Finished, report);
             }
         }
         Ok(())
@@ -131,12 +131,12 @@
     }
 
     /// Messages have ended without an answer.
-    pub(super) fn messages_ended(&mut self, now: Micros, ended: Vec<EndedMessage>) {
-        for EndedMessage { key, outcome } in ended {
+    pub(super) fn finish_messages(&mut self, now: Micros, outcomes: Vec<MessageOutcome>) {
+        for MessageOutcome { key, outcome } in outcomes {
             match key {
-                MessageKey::Attempt(id) => self.attempt_ended(now, id, outcome.into()),
-                MessageKey::Load(id) => self.load_ended(now, id, outcome, 0),
-                MessageKey::HealthCheck(id) => self.health_check_ended(now, id, outcome, None),
+                MessageKey::Attempt(id) => self.finish_attempt(now, id, outcome.into()),
+                MessageKey::Load(id) => self.finish_load(now, id, outcome, 0),
+                MessageKey::HealthCheck(id) => self.finish_health_check(now, id, outcome, None),
                 MessageKey::Cancel | MessageKey::Untracked => {}
             }
         }
@@ -149,10 +149,10 @@
         id: WorkerConnectionId,
         reason: RejectReason,
     ) {
-        let ended = self
+        let outcomes = self
             .worker_connections
             .reject(&mut self.context, id, reason);
-        self.messages_ended(now, ended);
+        self.finish_messages(now, outcomes);
     }
 
     /// The connection policy replaces a connection.
@@ -167,10 +167,10 @@
         id: WorkerConnectionId,
         io: &mut dyn Io,
     ) {
-        let ended = self
+        let outcomes = self
             .worker_connections
             .check(&mut self.context, now, id, io);
-        self.messages_ended(now, ended);
+        self.finish_messages(now, outcomes);
     }
 
     /// Resets a connection on which an attempt that nobody waits for is still written only in part.
@@ -181,20 +181,20 @@
         attempt: AttemptId,
         io: &mut dyn Io,
     ) {
-        let ended =
+        let outcomes =
             self.worker_connections
                 .end_partial_write(&mut self.context, now, id, attempt, io);
-        self.messages_ended(now, ended);
+        self.finish_messages(now, outcomes);
     }
 
     /// Writes what is queued for workers, cancellations first.
     pub(super) fn flush_workers(&mut self, now: Micros, io: &mut dyn Io) {
         for id in self.worker_connections.take_with_cancels() {
             self.check_unwritten_attempts(now, id);
-            let ended = self
+            let outcomes = self
                 .worker_connections
                 .flush_cancels(&mut self.context, now, id, io);
-            self.messages_ended(now, ended);
+            self.finish_messages(now, outcomes);
         }
         for id in self.worker_connections.take_dirty() {
             self.check_unwritten_attempts(now, id);
@@ -205,7 +205,7 @@
     /// A worker is draining, gone or has moved: what is not written to it yet is retracted.
     pub(super) fn retract_from_worker(&mut self, now: Micros, worker: WorkerId) {
         let retracted = self.worker_connections.retract_all(worker);
-        self.messages_ended(now, retracted);
+        self.finish_messages(now, retracted);
     }
 
     /// The connections to a worker get nothing new, and are closed once their answers have come.
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -54,17 +54,17 @@
 impl FastCgiConnection {
     fn new(context: &EdgeContext, now: Micros) -> Self {
         let limits = &context.limits;
-        let largest_request = limits.largest_head + limits.largest_body;
+        let largest_request = limits.max_head_bytes + limits.max_body_bytes;
         let responder_limits = ResponderLimits {
-            max_open_requests: limits.pipelined,
-            max_params_bytes: limits.largest_head,
-            max_body_bytes: limits.largest_body,
+            max_open_requests: limits.max_pipelined_requests,
+            max_params_bytes: limits.max_head_bytes,
+            max_body_bytes: limits.max_body_bytes,
             // All of them may be received at a time; what all connections buffer together is bounded besides.
-            max_buffered_bytes: limits.pipelined * largest_request,
+            max_buffered_bytes: limits.max_pipelined_requests * largest_request,
         };
         FastCgiConnection {
             responder: Responder::new(responder_limits),
-            outbox: Outbox::new(limits.waiting_per_client),
+            outbox: Outbox::new(limits.max_outbox_bytes_per_client),
             open_requests: BTreeMap::new(),
             accepted_at: now,
             last_active: now,
@@ -124,13 +124,17 @@
     /// The connection that is closed where there is no room for one more, if any may be: one without open requests, by
     /// its [`EvictionRank`], of these the one that has been idle for longest. Guards against clients that connect by the
     /// hundred and send nothing, or call once and stay.
-    pub fn eviction_candidate(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
+    pub fn eviction_candidate(
+        &self,
+        now: Micros,
+        first_request_timeout: Micros,
+    ) -> Option<ConnectionId> {
         let idle = self
             .connections
             .iter()
             .filter(|(_, connection)| connection.is_flushed());
         let rank = |connection: &FastCgiConnection| {
-            let had_time_to_send = now - connection.accepted_at >= time_to_speak;
+            let had_time_to_send = now - connection.accepted_at >= first_request_timeout;
             EvictionRank::new(connection.has_sent_request, had_time_to_send)
         };
         idle.min_by_key(|(conn, connection)| (rank(connection), connection.last_active, **conn))
@@ -145,7 +149,7 @@
             .insert(conn, ConnectionOwner::Client);
         self.connections.insert(conn, connection);
         context.metrics.client_connections_open.increment(1.0);
-        let check_at = now + context.limits.head_time_out;
+        let check_at = now + context.limits.request_timeout;
         let timer = Timer::ClientConnection(conn);
         context.timers.schedule(check_at, timer);
     }
@@ -231,7 +235,7 @@
             connection.partial_since = None;
         } else if connection.partial_since.is_none() {
             connection.partial_since = Some(now);
-            let check_at = now + context.limits.head_time_out;
+            let check_at = now + context.limits.request_timeout;
             let timer = Timer::ClientConnection(conn);
             context.timers.schedule(check_at, timer);
         }
@@ -262,7 +266,7 @@
         let buffered = connection.responder.buffered_bytes();
         let before = std::mem::replace(&mut connection.partial_bytes, buffered);
         self.partial_bytes = self.partial_bytes + buffered - before;
-        if self.partial_bytes <= context.limits.held_bodies {
+        if self.partial_bytes <= context.limits.max_buffered_body_bytes {
             return;
         }
         context.metrics.record_limit_hit("held-bodies");
@@ -327,7 +331,7 @@
         if !connection.open_requests.is_empty() {
             return;
         }
-        let close_at = now + context.limits.linger;
+        let close_at = now + context.limits.linger_time;
         connection.close_state = CloseState::By(close_at);
         let timer = Timer::ClientConnection(conn);
         context.timers.schedule(close_at, timer);
--- a/crates/sanddrum-edge/src/fastcgi_listener/call_params.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener/call_params.rs
@@ -47,12 +47,12 @@
         let function = request.param("HTTP_X_ENTITY").unwrap_or_default();
         hex_id(request, "HTTP_X_ENTITY")?;
         // Callers round, and count from before the request was sent: a little beyond what is set is still valid.
-        let tolerance = limits.figures_beyond;
+        let tolerance = limits.parameter_tolerance;
         let max_patience_ms = tolerance * functions.time_limit(workload) as f64 / MICROS_PER_MILLI;
         let patience = request.param("HTTP_X_PATIENCE_MS");
         let patience_ms = number(patience, "HTTP_X_PATIENCE_MS", 1.0..=max_patience_ms)?;
         let info = FunctionInfo::parse(request.param("HTTP_X_INFO").unwrap_or_default());
-        let max_load_ms = tolerance * limits.order_time_out as f64 / MICROS_PER_MILLI;
+        let max_load_ms = tolerance * limits.load_timeout as f64 / MICROS_PER_MILLI;
         Ok(CallParams {
             workload,
             call_id,
--- a/crates/sanddrum-edge/src/fastcgi_listener/closing.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener/closing.rs
@@ -26,8 +26,8 @@
                 false => CloseReason::NotReading,
             });
         }
-        let request_timeout = context.limits.head_time_out;
-        let client_idle = context.limits.client_idle;
+        let request_timeout = context.limits.request_timeout;
+        let client_idle_timeout = context.limits.client_idle_timeout;
         let silent_until = (!self.has_sent_request).then_some(self.accepted_at + request_timeout);
         let partial_until = self
             .partial_since
@@ -38,17 +38,17 @@
             return Check::Drain;
         }
         let waits_for_client = self.open_requests.is_empty() || unwritten > 0;
-        let idle_until = waits_for_client.then_some(self.last_active + client_idle);
+        let idle_until = waits_for_client.then_some(self.last_active + client_idle_timeout);
         let instants = [silent_until, partial_until, idle_until];
         let next_check = instants.into_iter().flatten().min();
         if !next_check.is_some_and(is_over) {
-            let check_at = next_check.unwrap_or(now + client_idle);
+            let check_at = next_check.unwrap_or(now + client_idle_timeout);
             return Check::At(check_at.max(now + 1));
         }
         Check::Close(if unwritten > 0 {
             CloseReason::NotReading
         } else if silent_until.or(partial_until).is_some_and(is_over) {
-            CloseReason::TimeToSpeakOver
+            CloseReason::RequestTimeout
         } else {
             CloseReason::Idle
         })
@@ -82,7 +82,7 @@
                 // connection is closed behind their responses.
                 connection.close_state = CloseState::AfterResponses;
                 connection.partial_since = None;
-                let check_at = now + context.limits.head_time_out;
+                let check_at = now + context.limits.request_timeout;
                 context.timers.schedule(check_at, timer);
             }
         }
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -57,7 +57,7 @@
     fn new(context: &EdgeContext, now: Micros) -> Self {
         HttpConnection {
             received: Vec::new(),
-            outbox: Outbox::new(context.limits.waiting_per_client),
+            outbox: Outbox::new(context.limits.max_outbox_bytes_per_client),
             slots: VecDeque::new(),
             first_slot: 0,
             partial_since: None,
@@ -138,13 +138,17 @@
 
     /// The connection that is closed where there is no room for one more, if any may be: one without open requests, by
     /// its [`EvictionRank`], of these the one that has been idle for longest.
-    pub fn eviction_candidate(&self, now: Micros, time_to_speak: Micros) -> Option<ConnectionId> {
+    pub fn eviction_candidate(
+        &self,
+        now: Micros,
+        first_request_timeout: Micros,
+    ) -> Option<ConnectionId> {
         let idle = self
             .connections
             .iter()
             .filter(|(_, connection)| connection.is_quiet());
         let rank = |connection: &HttpConnection| {
-            let had_time_to_send = now - connection.accepted_at >= time_to_speak;
+            let had_time_to_send = now - connection.accepted_at >= first_request_timeout;
             EvictionRank::new(connection.first_slot > 0, had_time_to_send)
         };
         idle.min_by_key(|(conn, connection)| (rank(connection), connection.last_active, **conn))
@@ -159,7 +163,10 @@
             .insert(conn, ConnectionOwner::Client);
         self.connections.insert(conn, connection);
         context.metrics.client_connections_open.increment(1.0);
-        let check_in = context.limits.head_time_out.min(context.limits.client_idle);
+        let check_in = context
+            .limits
+            .request_timeout
+            .min(context.limits.client_idle_timeout);
         let timer = Timer::ClientConnection(conn);
         context.timers.schedule(now + check_in, timer);
     }
@@ -237,17 +244,17 @@
             connection.partial_since = None;
             return None;
         }
-        if connection.slots.len() >= limits.pipelined {
+        if connection.slots.len() >= limits.max_pipelined_requests {
             connection.partial_since = None;
             // Read on within a bound. Guards against a client that disconnects unnoticed, for which what it had called
             // would still be sent: of a connection that is not read the end is not notified.
-            if connection.received.len() > limits.largest_head + limits.largest_body {
+            if connection.received.len() > limits.max_head_bytes + limits.max_body_bytes {
                 connection.is_paused = true;
                 io.pause(conn, true);
             }
             return None;
         }
-        let (max_head, max_body) = (limits.largest_head, limits.largest_body);
+        let (max_head, max_body) = (limits.max_head_bytes, limits.max_body_bytes);
         match http::parse_request(&connection.received, max_head, max_body) {
             Ok(Parsed::Partial { expects_continue }) => {
                 connection.partial_since = connection.partial_since.or(Some(now));
@@ -295,7 +302,7 @@
         });
         connection.received = Vec::new();
         connection.partial_since = None;
-        let linger_until = now + context.limits.linger;
+        let linger_until = now + context.limits.linger_time;
         connection.close_state = CloseState::Lingering(linger_until);
         let timer = Timer::ClientConnection(conn);
         context.timers.schedule(linger_until, timer);
@@ -378,7 +385,7 @@
         if connection.close_state == CloseState::AfterFlush && unwritten == 0 {
             return self.close_or_done(context, conn, io, true);
         }
-        let has_capacity = connection.slots.len() < context.limits.pipelined;
+        let has_capacity = connection.slots.len() < context.limits.max_pipelined_requests;
         if connection.received.is_empty() || !has_capacity {
             return Flushed::Done;
         }
@@ -463,13 +470,13 @@
             if until <= now && connection.slots.is_empty() {
                 return self.close(context, conn, io, is_written);
             }
-            let check_at = until.max(now + limits.linger.max(1));
+            let check_at = until.max(now + limits.linger_time.max(1));
             context.timers.schedule(check_at, timer);
             return None;
         }
         let request_until = connection
             .partial_since
-            .map(|since| since + limits.head_time_out);
+            .map(|since| since + limits.request_timeout);
         if request_until.is_some_and(|until| until <= now) {
             let detail = "the request did not come whole in time";
             let error = CallError::new(408, "head-time-out", detail);
@@ -477,18 +484,18 @@
             return None;
         }
         let waits_for_client = connection.slots.is_empty() || !is_written;
-        let idle_until = connection.last_active + limits.client_idle;
+        let idle_until = connection.last_active + limits.client_idle_timeout;
         if waits_for_client && idle_until <= now {
             return self.close(context, conn, io, is_written);
         }
         let idle_check = if waits_for_client {
             idle_until
         } else {
-            now + limits.client_idle
+            now + limits.client_idle_timeout
         };
         let next_check = request_until
             .into_iter()
-            .chain([idle_check, now + limits.head_time_out])
+            .chain([idle_check, now + limits.request_timeout])
             .min()
             .unwrap_or(idle_check);
         context.timers.schedule(next_check.max(now + 1), timer);
--- a/crates/sanddrum-edge/src/invariants.rs
+++ b/crates/sanddrum-edge/src/invariants.rs
@@ -49,7 +49,7 @@
     /// The request may run only once.
     pub runs_once: bool,
     /// Another attempt of the request has run or may run still.
-    pub other_may_run: bool,
+    pub another_may_run: bool,
     /// The shutdown's deadline has passed and all was answered.
     pub is_past_shutdown: bool,
 }
@@ -65,7 +65,7 @@
         (facts.time_left > 0, Invariant::TimeLeft),
         (is_ready, Invariant::EndpointListed),
         (
-            !(facts.runs_once && facts.other_may_run),
+            !(facts.runs_once && facts.another_may_run),
             Invariant::EffectOnce,
         ),
         (!facts.is_past_shutdown, Invariant::NotEnded),
@@ -82,7 +82,7 @@
     /// Another client needs its place, and no request is open on it.
     Evicted,
     /// It has sent nothing valid, or a request that was never completed.
-    TimeToSpeakOver,
+    RequestTimeout,
     /// No request was open on it for long.
     Idle,
     /// It can't be decoded any further: what is open on it can't be told apart any more.
@@ -98,7 +98,7 @@
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Evicted => "makes-room",
-            CloseReason::TimeToSpeakOver => "time-to-speak-over",
+            CloseReason::RequestTimeout => "time-to-speak-over",
             CloseReason::Idle => "idle",
             CloseReason::Unreadable => "unreadable",
             CloseReason::NotReading => "reads-nothing",
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -14,69 +14,69 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
     /// How long before a client's deadline its final response is due.
-    pub answer_ahead: Micros,
+    pub response_lead_time: Micros,
     /// Open requests.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// Connections of clients.
     pub max_clients: usize,
     /// How long a client's connection may be idle.
-    pub client_idle: Micros,
+    pub client_idle_timeout: Micros,
     /// How long a request may take to be received.
-    pub head_time_out: Micros,
+    pub request_timeout: Micros,
     /// How long a new client may take to send its first request before it is evicted for others.
-    pub time_to_speak: Micros,
+    pub first_request_timeout: Micros,
     /// How long a connection is kept after a response to a request that can't be read.
-    pub linger: Micros,
+    pub linger_time: Micros,
     /// Bytes of a request's head.
-    pub largest_head: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub largest_body: usize,
+    pub max_body_bytes: usize,
     /// Open requests on a client's connection.
-    pub pipelined: usize,
+    pub max_pipelined_requests: usize,
     /// Bytes that wait to be written to a client.
-    pub waiting_per_client: usize,
+    pub max_outbox_bytes_per_client: usize,
     /// Bytes that wait to be written on a connection to a worker.
-    pub waiting_per_worker: usize,
+    pub max_outbox_bytes_per_worker: usize,
     /// Bytes of a frame of the worker protocol.
-    pub largest_frame: usize,
+    pub max_frame_bytes: usize,
     /// Bytes of an answer of the control feed.
-    pub largest_list: usize,
+    pub max_feed_answer_bytes: usize,
     /// Messages in flight on a connection to a worker.
-    pub streams: usize,
+    pub max_in_flight_per_connection: usize,
     /// Messages in flight on a connection to a worker, above which a further connection is wanted.
-    pub streams_wanted: usize,
+    pub wanted_in_flight_per_connection: usize,
     /// Connections to one worker.
-    pub connections: usize,
+    pub max_connections_per_worker: usize,
     /// Connections to all workers.
-    pub all_connections: usize,
+    pub max_worker_connections: usize,
     /// How long a connection may take to be opened.
-    pub connect_time_out: Micros,
+    pub connect_timeout: Micros,
     /// How long a connection to a worker may be idle.
-    pub idle_close: Micros,
+    pub worker_idle_timeout: Micros,
     /// How long a health check may take.
-    pub probe_time_out: Micros,
+    pub health_check_timeout: Micros,
     /// How long a load command may take.
-    pub order_time_out: Micros,
+    pub load_timeout: Micros,
     /// The least time between two writes of the endpoint cache.
-    pub save_least: Micros,
+    pub min_save_interval: Micros,
     /// How long a graceful shutdown may take.
-    pub stop_within: Micros,
+    pub shutdown_timeout: Micros,
     /// The longest time that a client is asked to wait before it retries.
     pub max_retry_after: Micros,
     /// Functions that are remembered.
     pub max_functions: usize,
     /// Bytes of the bodies of all open requests, and of all requests that are received in part.
-    pub held_bodies: usize,
+    pub max_buffered_body_bytes: usize,
     /// How many times what is set a figure of a caller's may be.
-    pub figures_beyond: f64,
+    pub parameter_tolerance: f64,
     /// How long after the begin of a shutdown requests may still arrive.
-    pub late_arrivals: Micros,
+    pub late_arrival_window: Micros,
     /// How long the control feed may hold a poll.
-    pub feed_wait: Micros,
+    pub feed_poll_wait: Micros,
     /// How long after that the control feed may take to answer.
-    pub feed_silence: Micros,
+    pub feed_answer_timeout: Micros,
     /// How long after the end of an attempt an answer to it may still come.
-    pub answers_late: Micros,
+    pub late_answer_window: Micros,
 }
 
 impl Limits {
@@ -88,42 +88,42 @@
         let streams = count("streams");
         let has_streams_wanted = settings.contains("limits.streams-wanted");
         Limits {
-            answer_ahead: duration("answer-ahead"),
-            max_open: count("max-open"),
+            response_lead_time: duration("answer-ahead"),
+            max_open_requests: count("max-open"),
             max_clients: count("max-clients"),
-            client_idle: duration("client-idle"),
-            head_time_out: duration("head-time-out"),
-            time_to_speak: duration("time-to-speak"),
-            linger: duration("linger"),
-            largest_head: bytes("largest-head"),
-            largest_body: bytes("largest-body"),
-            pipelined: count("pipelined"),
-            waiting_per_client: bytes("waiting-per-client"),
-            waiting_per_worker: bytes("waiting-per-worker"),
-            largest_frame: bytes("largest-frame"),
-            largest_list: bytes("largest-list"),
-            streams,
-            streams_wanted: if has_streams_wanted {
+            client_idle_timeout: duration("client-idle"),
+            request_timeout: duration("head-time-out"),
+            first_request_timeout: duration("time-to-speak"),
+            linger_time: duration("linger"),
+            max_head_bytes: bytes("largest-head"),
+            max_body_bytes: bytes("largest-body"),
+            max_pipelined_requests: count("pipelined"),
+            max_outbox_bytes_per_client: bytes("waiting-per-client"),
+            max_outbox_bytes_per_worker: bytes("waiting-per-worker"),
+            max_frame_bytes: bytes("largest-frame"),
+            max_feed_answer_bytes: bytes("largest-list"),
+            max_in_flight_per_connection: streams,
+            wanted_in_flight_per_connection: if has_streams_wanted {
                 count("streams-wanted")
             } else {
                 streams
             },
-            connections: count("connections"),
-            all_connections: count("all-connections"),
-            connect_time_out: duration("connect-time-out"),
-            idle_close: duration("idle-close"),
-            probe_time_out: duration("probe-time-out"),
-            order_time_out: duration("order-time-out"),
-            save_least: duration("save-least"),
-            stop_within: duration("stop-within"),
+            max_connections_per_worker: count("connections"),
+            max_worker_connections: count("all-connections"),
+            connect_timeout: duration("connect-time-out"),
+            worker_idle_timeout: duration("idle-close"),
+            health_check_timeout: duration("probe-time-out"),
+            load_timeout: duration("order-time-out"),
+            min_save_interval: duration("save-least"),
+            shutdown_timeout: duration("stop-within"),
             max_retry_after: duration("max-retry-after"),
             max_functions: count("max-functions"),
-            held_bodies: bytes("held-bodies"),
-            figures_beyond: settings.number("limits.figures-beyond"),
-            late_arrivals: duration("late-arrivals"),
-            feed_wait: duration("feed-wait"),
-            feed_silence: duration("feed-silence"),
-            answers_late: LATE_ANSWER_TIME_LIMITS * longest_time_limit(settings),
+            max_buffered_body_bytes: bytes("held-bodies"),
+            parameter_tolerance: settings.number("limits.figures-beyond"),
+            late_arrival_window: duration("late-arrivals"),
+            feed_poll_wait: duration("feed-wait"),
+            feed_answer_timeout: duration("feed-silence"),
+            late_answer_window: LATE_ANSWER_TIME_LIMITS * longest_time_limit(settings),
         }
     }
 }
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -96,12 +96,12 @@
     fn untrack(&mut self, now: Micros, key: MessageKey, reusable_at: Micros) {
         self.in_flight.remove(&key);
         self.retired_wire_ids.retain(|_, until| *until > now);
-        let ended = self
+        let retired = self
             .keys_by_wire_id
             .iter()
             .find(|(_, tracked)| **tracked == key)
             .map(|(wire_id, _)| *wire_id);
-        if let Some(wire_id) = ended {
+        if let Some(wire_id) = retired {
             self.keys_by_wire_id.remove(&wire_id);
             self.retired_wire_ids.insert(wire_id, reusable_at);
         }
@@ -112,7 +112,7 @@
 
 /// A message whose connection has ended, or that was not sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EndedMessage {
+pub(crate) struct MessageOutcome {
     /// The message.
     pub key: MessageKey,
     /// How it ended.
@@ -245,7 +245,7 @@
         context
             .connection_owners
             .insert(conn, crate::context::ConnectionOwner::Worker(id));
-        let timeout_at = now + context.limits.connect_time_out;
+        let timeout_at = now + context.limits.connect_timeout;
         context
             .timers
             .schedule(timeout_at, Timer::WorkerConnection(id));
@@ -345,7 +345,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.untrack(now, key, now + context.limits.answers_late);
+        connection.untrack(now, key, now + context.limits.late_answer_window);
         if connection.is_retired && connection.is_idle() {
             context.timers.schedule(now, Timer::WorkerConnection(id));
         }
--- a/crates/sanddrum-edge/src/worker_connections/closing.rs
+++ b/crates/sanddrum-edge/src/worker_connections/closing.rs
@@ -1,6 +1,6 @@
 //! How connections to workers end, and with which outcome what was in flight on them.
 
-use super::{ConnectionLoss, EndedMessage, Transport, WorkerConnection, WorkerConnections};
+use super::{ConnectionLoss, MessageOutcome, Transport, WorkerConnection, WorkerConnections};
 use crate::context::EdgeContext;
 use crate::message::{AttemptId, MessageKey};
 use crate::timers::Timer;
@@ -17,7 +17,7 @@
         now: Micros,
         id: WorkerConnectionId,
         loss: ConnectionLoss,
-    ) -> Vec<EndedMessage> {
+    ) -> Vec<MessageOutcome> {
         let Some(connection) = self.connections.get(&id) else {
             return Vec::new();
         };
@@ -31,16 +31,16 @@
                     .record_reset(now, connection.idle_before, busy_for);
             }
         }
-        let ended = connection
+        let outcomes = connection
             .in_flight
             .iter()
-            .map(|key| EndedMessage {
+            .map(|key| MessageOutcome {
                 key: *key,
                 outcome: outcome_after_loss(connection, *key, cause),
             })
             .collect();
         self.remove(context, id, loss);
-        ended
+        outcomes
     }
 
     fn log_loss(&self, connection: &WorkerConnection, cause: CloseCause) {
@@ -60,7 +60,7 @@
         context: &mut EdgeContext,
         id: WorkerConnectionId,
         reason: RejectReason,
-    ) -> Vec<EndedMessage> {
+    ) -> Vec<MessageOutcome> {
         context.metrics.record_limit_hit(reason.reason());
         let outcome = match reason {
             RejectReason::HandshakeBudget => Outcome::Rejected,
@@ -70,11 +70,11 @@
             return Vec::new();
         };
         let in_flight = connection.in_flight.iter();
-        let ended = in_flight
-            .map(|key| EndedMessage { key: *key, outcome })
+        let outcomes = in_flight
+            .map(|key| MessageOutcome { key: *key, outcome })
             .collect();
         self.remove(context, id, ConnectionLoss::Closed(CloseCause::Refused));
-        ended
+        outcomes
     }
 
     fn remove(&mut self, context: &mut EdgeContext, id: WorkerConnectionId, loss: ConnectionLoss) {
@@ -113,7 +113,7 @@
         id: WorkerConnectionId,
         loss: ConnectionLoss,
         io: &mut dyn Io,
-    ) -> Vec<EndedMessage> {
+    ) -> Vec<MessageOutcome> {
         let connection = self.connections.get(&id);
         if let Some(conn) = connection.and_then(|connection| connection.transport.conn()) {
             context.connection_owners.remove(&conn);
@@ -130,7 +130,7 @@
         id: WorkerConnectionId,
         attempt: AttemptId,
         io: &mut dyn Io,
-    ) -> Vec<EndedMessage> {
+    ) -> Vec<MessageOutcome> {
         if !self.is_pending(id, MessageKey::Attempt(attempt)) {
             return Vec::new();
         }
@@ -145,7 +145,7 @@
         now: Micros,
         id: WorkerConnectionId,
         io: &mut dyn Io,
-    ) -> Vec<EndedMessage> {
+    ) -> Vec<MessageOutcome> {
         let Some(connection) = self.connections.get(&id) else {
             return Vec::new();
         };
@@ -154,7 +154,7 @@
             let loss = ConnectionLoss::Closed(CloseCause::Refused);
             return self.reset(context, now, id, loss, io);
         }
-        let idle_timeout = context.limits.idle_close;
+        let idle_timeout = context.limits.worker_idle_timeout;
         let idle_until = connection.idle_since + idle_timeout;
         let is_idle = connection.is_idle();
         let is_expired = idle_until <= now && connection.outbox.pending_bytes() == 0;
--- a/crates/sanddrum-edge/src/worker_connections/endpoints.rs
+++ b/crates/sanddrum-edge/src/worker_connections/endpoints.rs
@@ -1,6 +1,6 @@
 //! Workers as the endpoint list last named them, and which connections each has.
 
-use super::{EndedMessage, WorkerConnections};
+use super::{MessageOutcome, WorkerConnections};
 use crate::context::EdgeContext;
 use crate::message::MessageKey;
 use sanddrum::{Endpoint, Micros, Outcome, WorkerId, WorkerState};
@@ -34,7 +34,7 @@
     }
 
     /// Other workers that are listed at the address of this record.
-    pub fn others_at_address(&self, record: &EndpointRecord) -> Vec<WorkerId> {
+    pub fn workers_sharing_address(&self, record: &EndpointRecord) -> Vec<WorkerId> {
         let others = self.endpoints.iter().filter(|(_, endpoint)| {
             endpoint.address == record.address && endpoint.name != record.name
         });
@@ -84,7 +84,7 @@
 
     /// Removes all messages to a worker of which nothing was written yet. To be used where it drains, is gone or has
     /// moved.
-    pub fn retract_all(&mut self, worker: WorkerId) -> Vec<EndedMessage> {
+    pub fn retract_all(&mut self, worker: WorkerId) -> Vec<MessageOutcome> {
         let mut retracted = Vec::new();
         for id in self.connections_of(worker) {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -113,10 +113,10 @@
 }
 
 /// A message that was retracted for its worker's sake. A load command can't be cancelled: it counts as rejected.
-fn retracted_message(key: MessageKey) -> EndedMessage {
+fn retracted_message(key: MessageKey) -> MessageOutcome {
     let outcome = match key {
         MessageKey::Load(_) => Outcome::Rejected,
         _ => Outcome::CancelledBeforeStart,
     };
-    EndedMessage { key, outcome }
+    MessageOutcome { key, outcome }
 }
--- a/crates/sanddrum-edge/src/worker_connections/sending.rs
+++ b/crates/sanddrum-edge/src/worker_connections/sending.rs
@@ -1,7 +1,7 @@
 //! Choosing or creating the connection for a message, and writing what is queued.
 
 use super::{
-    ConnectionLoss, EndedMessage, SendError, Transport, WorkerConnection, WorkerConnections,
+    ConnectionLoss, MessageOutcome, SendError, Transport, WorkerConnection, WorkerConnections,
 };
 use crate::context::EdgeContext;
 use crate::message::{MessageKey, OutboundMessage};
@@ -51,7 +51,8 @@
                 deadline,
             });
         }
-        let utilization = connection.in_flight.len() as f64 / context.limits.streams_wanted as f64;
+        let utilization = connection.in_flight.len() as f64
+            / context.limits.wanted_in_flight_per_connection as f64;
         context
             .connection_events
             .utilization
@@ -82,7 +83,12 @@
         worker: WorkerId,
         message: &OutboundMessage,
     ) -> Result<WorkerConnectionId, SendError> {
-        if let Some(id) = self.least_loaded(now, worker, context.limits.streams, message) {
+        if let Some(id) = self.least_loaded(
+            now,
+            worker,
+            context.limits.max_in_flight_per_connection,
+            message,
+        ) {
             return Ok(id);
         }
         for id in self.idle_too_long(now, worker) {
@@ -148,7 +154,7 @@
         worker: WorkerId,
     ) -> Result<WorkerConnectionId, SendError> {
         let endpoint = self.endpoints.get(&worker).ok_or(SendError::NoConnection)?;
-        if endpoint.connections.len() >= context.limits.connections {
+        if endpoint.connections.len() >= context.limits.max_connections_per_worker {
             context.metrics.record_limit_hit("connections");
             tracing::warn!(
                 worker = endpoint.name,
@@ -157,7 +163,7 @@
             );
             return Err(SendError::ConnectionsFull);
         }
-        self.make_room(context, now)?;
+        self.retire_idle_at_limit(context, now)?;
         self.last_connection += 1;
         let id = WorkerConnectionId(self.last_connection);
         if let Some(endpoint) = self.endpoints.get_mut(&worker) {
@@ -171,8 +177,12 @@
 
     /// Retires the longest idle connection where as many are open as may be. Guards against workers' connections that
     /// leave no file descriptor for clients': their requests would lie unaccepted until their time is up.
-    fn make_room(&mut self, context: &mut EdgeContext, now: Micros) -> Result<(), SendError> {
-        if self.len() < context.limits.all_connections {
+    fn retire_idle_at_limit(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+    ) -> Result<(), SendError> {
+        if self.len() < context.limits.max_worker_connections {
             return Ok(());
         }
         context.metrics.record_limit_hit("all-connections");
@@ -195,7 +205,7 @@
         now: Micros,
         worker: WorkerId,
     ) -> WorkerConnection {
-        let mut outbox = Outbox::new(context.limits.waiting_per_worker);
+        let mut outbox = Outbox::new(context.limits.max_outbox_bytes_per_worker);
         if let Some(hello) = self.protocol.hello(self.hello()) {
             // An empty outbox always takes one message.
             let _ = outbox.push(MessageKey::Untracked, &hello);
@@ -204,7 +214,7 @@
             worker,
             transport: Transport::Pending,
             outbox,
-            decoder: self.protocol.decoder(context.limits.largest_frame),
+            decoder: self.protocol.decoder(context.limits.max_frame_bytes),
             in_flight: BTreeSet::new(),
             keys_by_wire_id: BTreeMap::new(),
             retired_wire_ids: BTreeMap::new(),
@@ -218,8 +228,8 @@
     /// Creates a connection that no message waits for yet.
     pub fn prewarm(&mut self, context: &mut EdgeContext, now: Micros, worker: WorkerId) {
         let connections = self.connections_of(worker);
-        let is_full = self.len() >= context.limits.all_connections
-            || connections.len() >= context.limits.connections;
+        let is_full = self.len() >= context.limits.max_worker_connections
+            || connections.len() >= context.limits.max_connections_per_worker;
         let is_connecting = |id: &WorkerConnectionId| {
             self.connections
                 .get(id)
@@ -233,7 +243,7 @@
                 connection: id,
                 worker,
                 purpose: Purpose::Prewarm,
-                deadline: now + context.limits.connect_time_out,
+                deadline: now + context.limits.connect_timeout,
             });
         }
     }
@@ -258,7 +268,7 @@
         now: Micros,
         id: WorkerConnectionId,
         io: &mut dyn Io,
-    ) -> Vec<EndedMessage> {
+    ) -> Vec<MessageOutcome> {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Vec::new();
         };
