--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -96,12 +96,12 @@
     fn untrack(&mut self, now: Micros, key: MessageKey, reusable_at: Micros) {
         self.in_flight.remove(&key);
         self.retired_wire_ids.retain(|_, until| *until > now);
-        let ended = self
+        let retired = self
             .keys_by_wire_id
             .iter()
             .find(|(_, tracked)| **tracked == key)
             .map(|(wire_id, _)| *wire_id);
-        if let Some(wire_id) = ended {
+        if let Some(wire_id) = retired {
             self.keys_by_wire_id.remove(&wire_id);
             self.retired_wire_ids.insert(wire_id, reusable_at);
         }
@@ -112,7 +112,7 @@
 
 /// A message whose connection has ended, or that was not sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EndedMessage {
+pub(crate) struct MessageOutcome {
     /// The message.
     pub key: MessageKey,
     /// How it ended.
@@ -245,7 +245,7 @@
         context
             .connection_owners
             .insert(conn, crate::context::ConnectionOwner::Worker(id));
-        let timeout_at = now + context.limits.connect_time_out;
+        let timeout_at = now + context.limits.connect_timeout;
         context
             .timers
             .schedule(timeout_at, Timer::WorkerConnection(id));
@@ -265,14 +265,12 @@
         };
         connection.transport = Transport::Connected(conn);
         connection.idle_since = now;
-        let is_resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
-        context
-            .connection_events
-            .established
-            .push(EstablishedConnection {
-                connection: id,
-                resumed: is_resumed,
-            });
+        let resumed = io.peer(conn).is_some_and(|peer| peer.resumed);
+        let established = EstablishedConnection {
+            connection: id,
+            resumed,
+        };
+        context.connection_events.established.push(established);
         self.dirty.insert(id);
     }
 
@@ -330,11 +328,9 @@
     /// Passes a worker's load report on to the connection policy.
     pub fn record_load_report(context: &mut EdgeContext, worker: WorkerId, report: &LoadReport) {
         if let (Some(in_flight), Some(queued)) = (report.in_flight, report.queued) {
-            let load = in_flight + queued;
-            context.connection_events.load_reports.push(WorkerLoad {
-                worker,
-                requests: load,
-            });
+            let requests = in_flight + queued;
+            let load = WorkerLoad { worker, requests };
+            context.connection_events.load_reports.push(load);
         }
     }
 
@@ -349,7 +345,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.untrack(now, key, now + context.limits.answers_late);
+        connection.untrack(now, key, now + context.limits.late_answer_window);
         if connection.is_retired && connection.is_idle() {
             context.timers.schedule(now, Timer::WorkerConnection(id));
         }
