--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -81,12 +81,11 @@
 
     /// A worker reported the rate of a customer's requests and of all, in requests per second.
     pub fn rates_reported(&mut self, customer: CustomerId, customer_rate: f64, total_rate: f64) {
-        let rates = ReportedRates {
+        self.events.reported_rates.push(ReportedRates {
             customer,
             of_customer: customer_rate,
             of_all: total_rate,
-        };
-        self.events.reported_rates.push(rates);
+        });
     }
 
     /// The decision module rejected a request.
@@ -113,12 +112,8 @@
     /// Retries come first, as one that is rejected here must not count for its customer.
     fn screen_retries(&mut self, now: Micros, is_open: impl Fn(RequestId) -> bool) -> Verdicts {
         let open = self.pending.values().filter(|request| is_open(request.id));
-        let requests = open.map(|request| ClientRequest {
-            request: request.id,
-            is_retry: request.is_retry,
-        });
         let events = RetryEvents {
-            requests: requests.collect(),
+            requests: open.map(client_request).collect(),
             rejected: self.events.rejected,
         };
         let mut verdicts = Verdicts::default();
@@ -148,3 +143,10 @@
         verdicts
     }
 }
+
+fn client_request(request: &Request) -> ClientRequest {
+    ClientRequest {
+        request: request.id,
+        is_retry: request.is_retry,
+    }
+}
