--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -21,7 +21,7 @@
 /// What does not come within this does not come.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Waits until it is so; a story that would wait for ever fails.
+/// SchedulingDelays until it is so; a story that would wait for ever fails.
 pub fn until(so: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
@@ -308,7 +308,7 @@
         let mut piece = [0; 4096];
         loop {
             while let Some((record, took)) = Record::read(&self.bytes).unwrap() {
-                let (kind, id, content) = (record.kind, record.id, record.content.to_vec());
+                let (kind, id, content) = (record.record_type, record.id, record.content.to_vec());
                 self.bytes.drain(..took);
                 match kind {
                     RecordType::EndRequest => {
@@ -438,7 +438,7 @@
             reader: Some(reader),
         }
     }
-    /// Waits until it listens, and learns where.
+    /// SchedulingDelays until it listens, and learns where.
     pub fn begins(mut self) -> Router {
         let begun = std::time::Instant::now();
         while self.at.is_empty() {
--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -40,7 +40,7 @@
 use crate::worker_protocol::WorkerProtocol;
 use crate::{EdgeOptions, ResourceCounts, CONFIGURATION_FILE, KEYS_FILE};
 use sanddrum::EventBatch;
-use sanddrum_net::{ConnectionId, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Event, FileError, Io, Micros};
 use sanddrum_platform::control_feed::FeedEvents;
 use sanddrum_settings::LoadedSettings;
 use sanddrum_upstream::{ConnectionEvents, ConnectionPolicy};
@@ -243,7 +243,7 @@
         &mut self,
         now: Micros,
         name: &str,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
         match name {
--- a/crates/sanddrum-edge/src/edge_state/watched_files.rs
+++ b/crates/sanddrum-edge/src/edge_state/watched_files.rs
@@ -2,7 +2,7 @@
 
 use super::EdgeState;
 use sanddrum::Micros;
-use sanddrum_net::Io;
+use sanddrum_net::{FileError, Io};
 use sanddrum_platform::StartupConfig;
 
 impl EdgeState {
@@ -10,7 +10,7 @@
     pub(super) fn on_keys_changed(
         &mut self,
         now: Micros,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
         if let Some(keys) = self.identity.read_keys(now, content, io) {
@@ -25,7 +25,7 @@
     pub(super) fn on_configuration_changed(
         &mut self,
         now: Micros,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
         let why = match content.map(|bytes| StartupConfig::read(&String::from_utf8_lossy(bytes))) {
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -7,7 +7,7 @@
 use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
 use sanddrum_identity::token::{self, Terms};
 use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
-use sanddrum_net::{ConnectionId, Io, Micros};
+use sanddrum_net::{ConnectionId, FileError, Io, Micros};
 use sanddrum_settings::{LoadedSettings, Origin};
 use sanddrum_wire::http::Request;
 use serde_json::json;
@@ -384,7 +384,7 @@
     pub fn read_keys(
         &mut self,
         now: Micros,
-        content: Result<&[u8], &str>,
+        content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) -> Option<KeySet> {
         let (reason, why) = match content.map(KeySet::read) {
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -38,7 +38,7 @@
 use edge_state::{ConnectionExecutor, Dispatcher, EdgeState};
 use limits::MAX_BATCHES_PER_TURN;
 use sanddrum::{Decisions, EventBatch, Router, Settings};
-use sanddrum_net::{ConnectionId, Core, Event, Io, Micros};
+use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, Micros};
 use sanddrum_upstream::ConnectionPolicy;
 
 /// Mixed into the seed of the connection policy, so that its draws do not move those of others.
@@ -162,7 +162,13 @@
         self.state.next_wakeup()
     }
 
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         self.state.on_file(now, name, content, io);
     }
 
--- a/crates/sanddrum-edge/tests/harness/fastcgi.rs
+++ b/crates/sanddrum-edge/tests/harness/fastcgi.rs
@@ -109,7 +109,7 @@
         let mut partial = BTreeMap::<u16, String>::new();
         let mut complete = Vec::new();
         while let Some((record, length)) = Record::read(rest).unwrap() {
-            match record.kind {
+            match record.record_type {
                 RecordType::Stdout => {
                     let text = String::from_utf8_lossy(record.content);
                     partial.entry(record.id).or_default().push_str(&text);
--- a/crates/sanddrum-edge/tests/harness/simulation.rs
+++ b/crates/sanddrum-edge/tests/harness/simulation.rs
@@ -230,7 +230,7 @@
     fn receive(&mut self, bytes: &[u8]) {
         self.received.extend_from_slice(bytes);
         while let Some((record, length)) = Record::read(&self.received).unwrap() {
-            match record.kind {
+            match record.record_type {
                 RecordType::Stdout => {
                     let text = String::from_utf8_lossy(record.content);
                     let (_, response) = self.open.get_mut(&record.id).unwrap();
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use sanddrum_edge::KEYS_FILE;
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
-use sanddrum_net::{CloseCause, ConnectionId, Core, PeerIdentity};
+use sanddrum_net::{CloseCause, ConnectionId, Core, FileError, PeerIdentity};
 use sanddrum_wire::{http, ExecutionStatus};
 
 fn secret_key(kid: &str) -> SecretKey {
@@ -49,6 +49,11 @@
     harness
 }
 fn provide_keys(harness: &mut EdgeHarness, content: Result<&[u8], &str>) {
+    let content = content.map_err(|reason| FileError::Unreadable {
+        path: KEYS_FILE.into(),
+        source: std::io::Error::other(reason.to_owned()),
+    });
+    let content = content.as_ref().copied();
     harness
         .edge
         .on_file(harness.now, KEYS_FILE, content, &mut harness.io);
--- a/crates/sanddrum-lab/src/tapped.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -3,21 +3,22 @@
 use crate::recorder::Recording;
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use sanddrum_net::{
-    ConnectionId, Core, Event, HostId, Io, Micros, PeerIdentity, Side as TapSide, TrafficObserver,
+    ConnectionId, Core, Event, FileError, HostId, Io, Micros, PeerIdentity, Side as TapSide,
+    TrafficObserver,
 };
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{Asks, Bounds, Papers, Rules, Side};
 
-pub struct Tapped<C> {
+pub struct PlaintextCapture<C> {
     core: C,
     host: HostId,
     recording: Recording,
 }
 
-impl<C: Core> Tapped<C> {
+impl<C: Core> PlaintextCapture<C> {
     /// Recorded under a host of its own, which the recorder knows the role of.
     pub fn new(core: C, host: HostId, recording: Recording) -> Self {
-        Tapped {
+        PlaintextCapture {
             core,
             host,
             recording,
@@ -73,7 +74,7 @@
     }
 }
 
-impl<C: Core> Core for Tapped<C> {
+impl<C: Core> Core for PlaintextCapture<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
         self.core.start(
@@ -142,7 +143,13 @@
             },
         );
     }
-    fn on_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &str>, io: &mut dyn Io) {
+    fn on_file(
+        &mut self,
+        now: Micros,
+        name: &str,
+        content: Result<&[u8], &FileError>,
+        io: &mut dyn Io,
+    ) {
         let (host, recording) = (self.host, &mut self.recording);
         self.core.on_file(
             now,
