--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -53,12 +53,10 @@
         path: KEYS_FILE.into(),
         source: std::io::Error::other(reason.to_owned()),
     });
-    harness.edge.on_file(
-        harness.now,
-        KEYS_FILE,
-        content.as_ref().copied(),
-        &mut harness.io,
-    );
+    let content = content.as_ref().copied();
+    harness
+        .edge
+        .on_file(harness.now, KEYS_FILE, content, &mut harness.io);
     harness.process();
 }
 fn call_status(harness: &mut EdgeHarness, conn: ConnectionId, token: &str) -> Option<u16> {
