--- a/crates/sanddrum-faults/src/layout.rs
+++ b/crates/sanddrum-faults/src/layout.rs
@@ -12,29 +12,41 @@
 pub enum Word {
     /// Microseconds (signed) added to the wall clock. The monotonic clock is never touched.
     WallOffset = 0,
-    /// Seed of the library's chance.
+    /// Seed of the random numbers by which calls are chosen to fail.
     Seed = 1,
-    /// Calls in a million that fail, one word for each call.
+    /// Calls of `accept4` in a million that fail.
     Accept = 2,
+    /// Calls of `socket` in a million that fail.
     Socket = 3,
+    /// Calls of `connect` in a million that fail.
     Connect = 4,
+    /// Calls of `recv` in a million that fail.
     Receive = 5,
+    /// Calls of `send` in a million that fail.
     Send = 6,
-    /// Not nought: writes and syncs of regular files fail.
+    /// Not zero: writes and syncs of regular files fail.
     Disk = 7,
-    /// Calls in a million, as above: waits for input that are interrupted.
+    /// Calls of `epoll_wait` in a million that are interrupted.
     Wait = 8,
-    /// Changes of what the poller watches that fail.
+    /// Calls of `epoll_ctl` in a million that fail, but for those that remove a descriptor.
     Control = 9,
-    /// From here on: how often each fault came.
+    /// How many reads of the wall clock were stepped; this and the words after it are counters of the library.
     WallReadsStepped = 16,
+    /// How many calls of `accept4` failed.
     AcceptsFailed = 17,
+    /// How many calls of `socket` failed.
     SocketsFailed = 18,
+    /// How many calls of `connect` failed.
     ConnectsFailed = 19,
+    /// How many calls of `recv` failed or were short.
     ReceivesFailed = 20,
+    /// How many calls of `send` failed or were short.
     SendsFailed = 21,
+    /// How many writes and syncs of regular files failed.
     DiskWritesFailed = 22,
+    /// How many calls of `epoll_wait` were interrupted.
     WaitsInterrupted = 23,
+    /// How many calls of `epoll_ctl` failed.
     ControlsFailed = 24,
 }
 
--- a/crates/sanddrum-faults/src/lib.rs
+++ b/crates/sanddrum-faults/src/lib.rs
@@ -4,8 +4,6 @@
 //!
 //! Calls that a program makes without the C library (the poller's own) are out of its reach.
 
-#![allow(missing_docs)] // unfinished: docs/ROADMAP.md
-
 pub mod layout;
 
 use layout::{Word, BYTES, CONTROL_VARIABLE};
@@ -22,7 +20,7 @@
 static CONTROL: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
 /// Stands for a control block that is not there.
 static MISSING: AtomicU64 = AtomicU64::new(0);
-/// Draws made so far.
+/// Random numbers drawn so far.
 static DRAWS: AtomicU64 = AtomicU64::new(0);
 
 fn missing() -> *mut AtomicU64 {
@@ -177,6 +175,8 @@
     seconds * MICROS + micros + offset
 }
 
+/// Reads a clock; the wall clock is stepped.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -194,6 +194,8 @@
     result
 }
 
+/// Reads the wall clock, stepped.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -209,6 +211,8 @@
     result
 }
 
+/// Reads the wall clock in seconds, stepped.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -241,6 +245,8 @@
 const BREAKS: u64 = 8;
 const BREAK_ERRORS: [c_int; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
 
+/// Accepts a connection, or fails.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -259,6 +265,8 @@
     accepted
 }
 
+/// Waits for events, or is interrupted.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -277,6 +285,8 @@
 
 const CONTROL_ERRORS: [c_int; 2] = [libc::ENOMEM, libc::ENOSPC];
 
+/// Changes what a poller watches, or fails.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -293,6 +303,8 @@
     real!(c"epoll_ctl", Control)(poller, operation, fd, event)
 }
 
+/// Opens a socket, or fails.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -306,6 +318,8 @@
     )(domain, kind, protocol)
 }
 
+/// Connects a socket, or fails.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -340,6 +354,8 @@
     })
 }
 
+/// Receives bytes, or fails or receives fewer.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -358,6 +374,8 @@
     real!(c"recv", Receive)(fd, into, length, flags)
 }
 
+/// Sends bytes, or fails or sends fewer.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
@@ -388,6 +406,8 @@
     fails
 }
 
+/// Writes to a descriptor; writes to regular files may fail.
+///
 /// # Safety
 /// As the C library's.
 #[no_mangle]
