--- a/crates/sanddrum-settings/src/deployment.rs
+++ b/crates/sanddrum-settings/src/deployment.rs
@@ -316,7 +316,7 @@
             "list",
             ValueType::Address,
             Some("127.0.0.1:8090"),
-            "the list service",
+            "the discovery service",
         ),
         key(
             "zone",
--- a/crates/sanddrum-settings/src/deployment/limits.rs
+++ b/crates/sanddrum-settings/src/deployment/limits.rs
@@ -204,7 +204,7 @@
             "list-retry-least",
             ValueType::Duration,
             Some("100ms"),
-            "the first backoff before the list service is called again",
+            "the first backoff before the discovery service is called again",
         ),
         key(
             "list-retry-most",
@@ -216,13 +216,13 @@
             "list-calls",
             ValueType::Number(0.1, 1e6),
             Some("100"),
-            "calls a second to the list service by all edges together",
+            "calls a second to the discovery service by all edges together",
         ),
         key(
             "list-check",
             ValueType::Duration,
             Some("10s"),
-            "a list service that has sent nothing for about this long is sent a health check",
+            "a discovery service that has sent nothing for about this long is sent a health check",
         ),
         key(
             "save-least",
--- a/crates/sanddrum-wire/src/messages/discovery.rs
+++ b/crates/sanddrum-wire/src/messages/discovery.rs
@@ -1,14 +1,14 @@
-//! Messages of the list service, which tells edges which workers exist.
+//! Messages of the discovery service, which tells edges which workers exist.
 
 use super::Hello;
 use minicbor::data::Type;
 use minicbor::{Decode, Decoder, Encode};
 
-/// From edges and workers to the list service.
+/// From edges and workers to the discovery service.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum ToDiscovery {
-    /// Greets the list service.
+    /// Greets the discovery service.
     #[n(0)]
     Hello(#[n(0)] Hello),
     /// An edge watches the endpoint list.
@@ -22,7 +22,7 @@
     Heartbeat(#[n(0)] Heartbeat),
 }
 
-/// From the list service to an edge.
+/// From the discovery service to an edge.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum FromDiscovery {
@@ -41,7 +41,7 @@
     /// The version that the edge has; zero requests a full snapshot.
     #[n(0)]
     pub version: u64,
-    /// The incarnation of the list service that `version` belongs to; zero requests a full snapshot.
+    /// The incarnation of the discovery service that `version` belongs to; zero requests a full snapshot.
     #[n(1)]
     #[cbor(default)]
     pub service_incarnation: u64,
@@ -103,10 +103,10 @@
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct EndpointUpdate {
-    /// The list's version after this update; versions grow within one incarnation of the list service.
+    /// The list's version after this update; versions grow within one incarnation of the discovery service.
     #[n(0)]
     pub version: u64,
-    /// The incarnation of the list service.
+    /// The incarnation of the discovery service.
     #[n(1)]
     pub service_incarnation: u64,
     /// Whether `endpoints` is the complete list; otherwise it holds only the changes since `base_version`.
