--- a/crates/sanddrum-edge/src/edge_state/admission.rs
+++ b/crates/sanddrum-edge/src/edge_state/admission.rs
@@ -4,8 +4,7 @@
 use crate::admission::AdmissionDecision;
 use crate::responses::{ErrorKind, ErrorResponse};
 use sanddrum::{Micros, RequestId};
-use sanddrum_limits::RejectReason;
-use sanddrum_limits::Rejection;
+use sanddrum_limits::{RejectReason, Rejection};
 
 impl EdgeState {
     /// Decides on all requests that were accepted since the last time. Admitted ones go to the decision module.
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -339,8 +339,8 @@
         target: CallTarget<'_>,
     ) -> Result<Option<String>, AuthError> {
         let name = customer.as_deref().unwrap_or_default();
-        let ruling = self.rights.decide(name, target.workload, target.function);
-        if ruling.is_allowed {
+        let decision = self.rights.decide(name, target.workload, target.function);
+        if decision.is_allowed {
             Ok(customer)
         } else {
             Err(AuthError::NotAllowed)
