--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -144,7 +144,7 @@
 
 fn authenticator(settings: &LoadedSettings) -> Authenticator {
     let seconds = |name: &str| settings.duration_us(name) / MICROS_PER_SECOND;
-    let terms = TokenRequirements {
+    let requirements = TokenRequirements {
         audience: settings.text("identity.audience").to_string(),
         leeway: seconds("identity.leeway-us"),
         max_lifetime: seconds("identity.longest-token-us"),
@@ -155,7 +155,7 @@
         max_cached_tokens: settings.integer("identity.token-memory"),
         max_invalid_tokens: settings.integer("identity.bad-tokens") as u32,
     };
-    Authenticator::new(limits, terms)
+    Authenticator::new(limits, requirements)
 }
 
 /// Authenticates and authorizes calls.
