--- a/crates/sanddrum-edge/src/arrival_time.rs
+++ b/crates/sanddrum-edge/src/arrival_time.rs
@@ -3,7 +3,7 @@
 
 use sanddrum_net::Micros;
 
-/// A wait of up to so long can't be told from none: the driver knows the arrival no better, and the time limit that a
+/// A wait of up to so long can't be distinguished from none: the driver knows the arrival no better, and the time limit that a
 /// worker is sent may exceed what the client has left by twice as much.
 const ARRIVAL_PRECISION: Micros = 75_000;
 
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -58,7 +58,7 @@
     machine_kinds: Vec<String>,
     /// When the listed workers started.
     start_times: StartTimes,
-    /// The number of the last event that was taken up; all that a new connection needs.
+    /// The number of the last event that was applied; all that a new connection needs.
     last_event: u64,
     /// The last answer counted an event that it did not bring.
     missed_event: bool,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes up events, in order and each once. Returns the changes of the endpoint list.
+    /// Applies events, in order and each once. Returns the changes of the endpoint list.
     pub fn apply(&mut self, clocks: ClockReading, events: FeedEvents) -> Vec<EndpointChange> {
         self.start_times.observe_clocks(clocks);
         let seen = self.last_event;
@@ -221,7 +221,7 @@
         self.give_up(context, now, &FeedError::Closed, io);
     }
 
-    /// Takes up bytes of an answer. Returns its events once it is complete.
+    /// Receives bytes of an answer. Returns its events once it is complete.
     ///
     /// # Errors
     /// The answer can't be read; the connection is to be given up.
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -88,7 +88,7 @@
         self.version
     }
 
-    /// Takes up the version of a list that was kept over a restart.
+    /// Restores the version of a list that was cached over a restart.
     pub fn restore_version(&mut self, version: DiscoveryVersion) {
         self.version = version;
     }
--- a/crates/sanddrum-edge/src/edge_state/discovery.rs
+++ b/crates/sanddrum-edge/src/edge_state/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: taken up from the discovery service, the control feed or the cache, and saved.
+//! The endpoint list: received from the discovery service, the control feed or the cache, and saved.
 
 use super::EdgeState;
 use crate::discovery_version::DiscoveryVersion;
@@ -55,12 +55,12 @@
             version = state.version,
             "cached endpoint list restored"
         );
-        // The time that has passed since is not added to the workers' ages: only a wall clock tells it, which may have
+        // The time that has passed since is not added to the workers' ages: only a wall clock measures it, which may have
         // been stepped.
         self.apply_endpoints(now, EndpointListKind::Cached, &state.endpoints);
     }
 
-    /// Takes up an endpoint list, or what has changed in it.
+    /// Applies an endpoint list, or what has changed in it.
     fn apply_endpoints(&mut self, now: Micros, kind: EndpointListKind, records: &[EndpointRecord]) {
         if kind != EndpointListKind::Delta {
             self.remove_unlisted(now, records);
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Takes up events of the control feed, in order and each once.
+    /// Applies events of the control feed, in order and each once.
     fn apply_feed_events(&mut self, now: Micros, events: FeedEvents, io: &dyn Io) {
         let Some(feed) = &mut self.control_feed else {
             return;
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -141,7 +141,7 @@
             .map(|(conn, _)| *conn)
     }
 
-    /// Takes up a new connection.
+    /// Accepts a connection.
     pub fn accept(&mut self, context: &mut EdgeContext, now: Micros, conn: ConnectionId) {
         let connection = FastCgiConnection::new(context, now);
         context
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -1,5 +1,7 @@
 //! The HTTP/1.1 listener: keep-alive and bounded pipelining. Responses are written in the order of the requests.
 
+mod closing;
+
 use crate::arrival_time;
 use crate::context::{ConnectionOwner, EdgeContext};
 use crate::listener::{ClosedClient, EvictionRank};
@@ -155,7 +157,7 @@
             .map(|(conn, _)| *conn)
     }
 
-    /// Takes up a new connection.
+    /// Accepts a connection.
     pub fn accept(&mut self, context: &mut EdgeContext, now: Micros, conn: ConnectionId) {
         let connection = HttpConnection::new(context, now);
         context
@@ -405,100 +407,4 @@
         self.close(context, conn, io, is_orderly)
             .map_or(Flushed::Done, Flushed::Closed)
     }
-
-    /// Has a connection closed with its next response, or at once where no request is open.
-    pub fn retire(
-        &mut self,
-        context: &mut EdgeContext,
-        conn: ConnectionId,
-        io: &mut dyn Io,
-    ) -> Option<ClosedClient> {
-        let connection = self.connections.get_mut(&conn)?;
-        connection.is_retired = true;
-        if !connection.is_quiet() {
-            return None;
-        }
-        self.close(context, conn, io, true)
-    }
-
-    /// Closes a connection in order, or resets it.
-    pub fn close(
-        &mut self,
-        context: &mut EdgeContext,
-        conn: ConnectionId,
-        io: &mut dyn Io,
-        is_orderly: bool,
-    ) -> Option<ClosedClient> {
-        context.connection_owners.remove(&conn);
-        if is_orderly {
-            io.close(conn);
-        } else {
-            io.reset(conn);
-        }
-        self.remove(context, conn)
-    }
-
-    /// Removes a connection that is closed.
-    pub fn remove(&mut self, context: &EdgeContext, conn: ConnectionId) -> Option<ClosedClient> {
-        let connection = self.connections.remove(&conn)?;
-        self.dirty.remove(&conn);
-        context.metrics.client_connections_open.decrement(1.0);
-        let pending = connection.slots.into_iter().filter_map(|slot| match slot {
-            ResponseSlot::Pending { request, .. } => Some(request),
-            ResponseSlot::Ready { .. } => None,
-        });
-        Some(ClosedClient {
-            conn,
-            cancelled: pending.collect(),
-        })
-    }
-
-    /// Closes a connection that lingers, is slow with a request, is idle or does not read.
-    pub fn check(
-        &mut self,
-        context: &mut EdgeContext,
-        now: Micros,
-        conn: ConnectionId,
-        io: &mut dyn Io,
-    ) -> Option<ClosedClient> {
-        let connection = self.connections.get(&conn)?;
-        let limits = &context.limits;
-        let timer = Timer::ClientConnection(conn);
-        let is_written = connection.outbox.pending_bytes() == 0;
-        if let CloseState::Lingering(until) = connection.close_state {
-            // Guards against a request that can't be read and ends those before it on its connection.
-            if until <= now && connection.slots.is_empty() {
-                return self.close(context, conn, io, is_written);
-            }
-            let check_at = until.max(now + limits.linger_time.max(1));
-            context.timers.schedule(check_at, timer);
-            return None;
-        }
-        let request_until = connection
-            .partial_since
-            .map(|since| since + limits.request_timeout);
-        if request_until.is_some_and(|until| until <= now) {
-            let detail = "the request did not come whole in time";
-            let error = CallError::new(408, "head-time-out", detail);
-            self.reject_unreadable(context, now, conn, &error);
-            return None;
-        }
-        let waits_for_client = connection.slots.is_empty() || !is_written;
-        let idle_until = connection.last_active + limits.client_idle_timeout;
-        if waits_for_client && idle_until <= now {
-            return self.close(context, conn, io, is_written);
-        }
-        let idle_check = if waits_for_client {
-            idle_until
-        } else {
-            now + limits.client_idle_timeout
-        };
-        let next_check = request_until
-            .into_iter()
-            .chain([idle_check, now + limits.request_timeout])
-            .min()
-            .unwrap_or(idle_check);
-        context.timers.schedule(next_check.max(now + 1), timer);
-        None
-    }
 }
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -38,7 +38,7 @@
     Required,
 }
 
-/// Why a call is rejected, as the client is told.
+/// Why a call is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum AuthError {
     /// The token is missing or not valid.
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Takes up what an earlier process recorded of its key set.
+    /// Restores what an earlier process recorded of its key set.
     pub fn restore_floor(&mut self, state: &CachedState) {
         self.floor = Floor {
             version: state.keys_version,
--- a/crates/sanddrum-edge/src/invariants.rs
+++ b/crates/sanddrum-edge/src/invariants.rs
@@ -85,7 +85,7 @@
     RequestTimeout,
     /// No request was open on it for long.
     Idle,
-    /// It can't be decoded any further: what is open on it can't be told apart any more.
+    /// It can't be decoded any further: the requests that are open on it can't be distinguished any more.
     Unreadable,
     /// The client does not read its responses.
     NotReading,
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -46,7 +46,7 @@
 
 /// What decides: the decision module, or another in its place to compare it with.
 pub trait DecisionModule {
-    /// Takes up a batch of events and decides on it.
+    /// Handles a batch of events and decides on it.
     fn handle(&mut self, now: Micros, batch: &EventBatch, decisions: &mut impl Decisions);
 }
 
--- a/crates/sanddrum-edge/src/worker_connections/endpoints.rs
+++ b/crates/sanddrum-edge/src/worker_connections/endpoints.rs
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// Takes up a worker as listed.
+    /// Records a worker as listed.
     pub fn update_endpoint(
         &mut self,
         context: &mut EdgeContext,
