--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -2,11 +2,15 @@
 
 use crate::audit::AuditLog;
 use crate::endpoint_cache::CachedState;
-use sanddrum_identity::authenticator::Standing;
-use sanddrum_identity::authorization::{Line, Pattern};
-use sanddrum_identity::certificates::{self, Doubt, Owners, Shown};
-use sanddrum_identity::token::{self, Terms};
-use sanddrum_identity::{Floor, Gate, GateLimits, KeySet, Refused, Rights};
+use sanddrum_identity::authenticator::ConnectionTrust;
+use sanddrum_identity::authorization::{Pattern, Rule};
+use sanddrum_identity::certificates::{
+    CertificateError, CertificateOwners, ClientCertificate, StatedCustomers,
+};
+use sanddrum_identity::token::{self, TokenRequirements};
+use sanddrum_identity::{
+    Authenticator, AuthenticatorLimits, Authorization, KeySet, KeySetFloor, TokenError,
+};
 use sanddrum_net::{ConnectionId, FileError, Io, Micros};
 use sanddrum_settings::{LoadedSettings, Origin};
 use sanddrum_wire::http::Request;
@@ -43,13 +47,13 @@
 pub(crate) enum AuthError {
     /// The token is missing or not valid.
     #[error("{}", .0.detail())]
-    Token(Refused),
+    Token(TokenError),
     /// No key set was ever in force here.
     #[error("this edge has no keys to check tokens with yet; ask another one")]
     NoKeys,
     /// The certificate is missing or not valid, or names another customer than the token.
     #[error("{}", .0.detail())]
-    Certificate(Doubt),
+    Certificate(CertificateError),
     /// The customer may not call the function.
     #[error("this customer may not run this function")]
     NotAllowed,
@@ -59,8 +63,9 @@
     /// The HTTP status code.
     pub fn status(self) -> u16 {
         match self {
-            AuthError::Token(Refused::Busy) | AuthError::NoKeys => 503,
-            AuthError::Token(_) | AuthError::Certificate(Doubt::Missing | Doubt::Denied) => 401,
+            AuthError::Token(TokenError::Busy) | AuthError::NoKeys => 503,
+            AuthError::Token(_)
+            | AuthError::Certificate(CertificateError::Missing | CertificateError::Denied) => 401,
             AuthError::Certificate(_) | AuthError::NotAllowed => 403,
         }
     }
@@ -86,15 +91,15 @@
 }
 
 /// Access rights as the settings state them.
-pub fn access_rights(settings: &LoadedSettings) -> Rights {
+pub fn access_rights(settings: &LoadedSettings) -> Authorization {
     let mut lines = Vec::new();
     for (section, allows) in [("deny", false), ("allow", true)] {
         for (index, customer) in settings.names(section).iter().enumerate() {
             lines.push(rights_line(settings, section, index, customer, allows));
         }
     }
-    Rights {
-        lines,
+    Authorization {
+        rules: lines,
         allows_by_default: settings.text("rights.default") != "deny",
     }
 }
@@ -105,7 +110,7 @@
     index: usize,
     customer: &String,
     allows: bool,
-) -> Line {
+) -> Rule {
     let patterns = |names: &[String]| {
         let valid = names.iter().filter_map(|name| Pattern::new(name).ok());
         valid.collect()
@@ -115,19 +120,19 @@
         Some(Origin::File { line, .. }) => format!("({section} {customer:?} ...) in line {line}"),
         _ => format!("({section} {customer:?} ...)"),
     };
-    Line {
+    Rule {
         allows,
         customers: patterns(std::slice::from_ref(customer)),
         workloads: patterns(&settings.names(&key("workloads"))),
         functions: patterns(&settings.names(&key("functions"))),
-        place,
+        source: place,
     }
 }
 
 /// Which customer a name in a certificate stands for.
-fn certificate_owners(settings: &LoadedSettings) -> Owners {
+fn certificate_owners(settings: &LoadedSettings) -> CertificateOwners {
     let customers = settings.names("customers").into_iter().enumerate();
-    Owners::new(customers.flat_map(|(index, customer)| {
+    CertificateOwners::new(customers.flat_map(|(index, customer)| {
         let names = settings.names(&format!("customers.{index}.certificates"));
         let owner = move |name: String| {
             let pattern = Pattern::new(&name.to_ascii_lowercase()).ok()?;
@@ -137,37 +142,37 @@
     }))
 }
 
-fn authenticator(settings: &LoadedSettings) -> Gate {
+fn authenticator(settings: &LoadedSettings) -> Authenticator {
     let seconds = |name: &str| settings.duration_us(name) / MICROS_PER_SECOND;
-    let terms = Terms {
+    let terms = TokenRequirements {
         audience: settings.text("identity.audience").to_string(),
         leeway: seconds("identity.leeway-us"),
-        longest: seconds("identity.longest-token-us"),
-        longest_bytes: settings.integer("identity.largest-token-bytes"),
+        max_lifetime: seconds("identity.longest-token-us"),
+        max_bytes: settings.integer("identity.largest-token-bytes"),
     };
-    let limits = GateLimits {
-        checks_per_s: settings.number("identity.token-checks"),
-        remembered: settings.integer("identity.token-memory"),
-        bad_tokens: settings.integer("identity.bad-tokens") as u32,
+    let limits = AuthenticatorLimits {
+        verifications_per_s: settings.number("identity.token-checks"),
+        max_cached_tokens: settings.integer("identity.token-memory"),
+        max_invalid_tokens: settings.integer("identity.bad-tokens") as u32,
     };
-    Gate::new(limits, terms)
+    Authenticator::new(limits, terms)
 }
 
 /// Authenticates and authorizes calls.
 pub(crate) struct Identity {
     token_policy: TokenPolicy,
     certificate_policy: CertificatePolicy,
-    authenticator: Gate,
+    authenticator: Authenticator,
     /// The key set in force.
     keys: Option<KeySet>,
     /// What no later key set may take back.
-    floor: Floor,
-    rights: Rights,
+    floor: KeySetFloor,
+    rights: Authorization,
     /// How many bad tokens each client's connection has sent.
-    standings: BTreeMap<ConnectionId, Standing>,
-    certificate_owners: Owners,
+    standings: BTreeMap<ConnectionId, ConnectionTrust>,
+    certificate_owners: CertificateOwners,
     /// What each client's connection has proved.
-    certificates: BTreeMap<ConnectionId, Shown>,
+    certificates: BTreeMap<ConnectionId, ClientCertificate>,
     audit: AuditLog,
 }
 
@@ -190,7 +195,7 @@
             certificate_policy,
             authenticator: authenticator(settings),
             keys: None,
-            floor: Floor::default(),
+            floor: KeySetFloor::default(),
             rights: access_rights(settings),
             standings: BTreeMap::new(),
             certificate_owners: certificate_owners(settings),
@@ -201,14 +206,14 @@
 
     /// Restores what an earlier process recorded of its key set.
     pub fn restore_floor(&mut self, state: &CachedState) {
-        self.floor = Floor {
+        self.floor = KeySetFloor {
             version: state.keys_version,
             revoked: state.keys_revoked.iter().cloned().collect(),
         };
     }
 
     /// What a later process must remember of the key set.
-    pub fn floor(&self) -> &Floor {
+    pub fn floor(&self) -> &KeySetFloor {
         &self.floor
     }
 
@@ -218,10 +223,10 @@
             return;
         }
         if let Some(peer) = io.peer(conn) {
-            let shown = Shown {
+            let shown = ClientCertificate {
                 names: peer.names,
-                key: peer.key_fingerprint,
-                denied: false,
+                key_fingerprint: peer.key_fingerprint,
+                is_denied: false,
             };
             self.certificates.insert(conn, shown);
         }
@@ -236,8 +241,8 @@
     /// What a client's connection has proved is valid no more; nothing new is accepted on it.
     pub fn deny_certificate(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let shown = self.certificates.entry(conn).or_default();
-        let (key, names) = (shown.key.clone(), shown.names.clone());
-        shown.denied = true;
+        let (key, names) = (shown.key_fingerprint.clone(), shown.names.clone());
+        shown.is_denied = true;
         tracing::warn!(
             reason = "certificate-denied",
             key,
@@ -249,8 +254,8 @@
 
     /// Whether a client's connection is to be closed: it has sent too many bad tokens, or its certificate is denied.
     pub fn is_ejected(&self, conn: ConnectionId) -> bool {
-        let is_denied = |shown: &Shown| shown.denied;
-        let is_out = |standing: &Standing| self.authenticator.is_out(*standing);
+        let is_denied = |shown: &ClientCertificate| shown.is_denied;
+        let is_out = |standing: &ConnectionTrust| self.authenticator.must_close(*standing);
         self.certificates.get(&conn).is_some_and(is_denied)
             || self.standings.get(&conn).is_some_and(is_out)
     }
@@ -286,22 +291,21 @@
         let shown = self.certificates.get(&conn).cloned().unwrap_or_default();
         let certificate = self
             .certificate_owners
-            .who(&shown)
+            .customer(&shown)
             .map_err(AuthError::Certificate)?;
         if certificate.is_none() && self.certificate_policy == CertificatePolicy::Required {
-            return Err(AuthError::Certificate(Doubt::Missing));
+            return Err(AuthError::Certificate(CertificateError::Missing));
         }
         let token = self.verify_token(now, conn, request)?;
         // A name that nothing proves counts only where nothing is ever to be proved.
         let trusts_names = self.token_policy == TokenPolicy::Off
             && self.certificate_policy == CertificatePolicy::Off;
-        certificates::agreed(
-            request.field("sanddrum-customer"),
-            token.as_deref(),
-            certificate.as_deref(),
-            trusts_names,
-        )
-        .map_err(AuthError::Certificate)
+        let stated = StatedCustomers {
+            named: request.field("sanddrum-customer"),
+            token: token.as_deref(),
+            certificate: certificate.as_deref(),
+        };
+        stated.resolve(trusts_names).map_err(AuthError::Certificate)
     }
 
     /// The customer that the call's token proves, if it has one.
@@ -316,17 +320,17 @@
         }
         let Some(token) = bearer_token(request) else {
             return match self.token_policy {
-                TokenPolicy::Required => Err(AuthError::Token(Refused::Missing)),
+                TokenPolicy::Required => Err(AuthError::Token(TokenError::Missing)),
                 TokenPolicy::Off | TokenPolicy::Optional => Ok(None),
             };
         };
         let keys = self.keys.as_ref().ok_or(AuthError::NoKeys)?;
         let standing = self.standings.entry(conn).or_default();
-        let (claims, _) = self
+        let authenticated = self
             .authenticator
-            .judge(now, token, keys, standing)
+            .authenticate(now, token, keys, standing)
             .map_err(AuthError::Token)?;
-        Ok(Some(claims.sub))
+        Ok(Some(authenticated.claims.sub))
     }
 
     fn check_rights(
@@ -335,8 +339,8 @@
         target: CallTarget<'_>,
     ) -> Result<Option<String>, AuthError> {
         let name = customer.as_deref().unwrap_or_default();
-        let ruling = self.rights.rule(name, target.workload, target.function);
-        if ruling.allowed {
+        let decision = self.rights.decide(name, target.workload, target.function);
+        if decision.is_allowed {
             Ok(customer)
         } else {
             Err(AuthError::NotAllowed)
@@ -354,14 +358,17 @@
         io: &mut dyn Io,
     ) {
         let claimed = bearer_token(request)
-            .and_then(token::claimed)
-            .or_else(|| request.field("sanddrum-customer").map(token::tame));
-        let (workload, function) = (token::tame(target.workload), token::tame(target.function));
+            .and_then(token::unverified_subject)
+            .or_else(|| request.field("sanddrum-customer").map(token::sanitize));
+        let (workload, function) = (
+            token::sanitize(target.workload),
+            token::sanitize(target.function),
+        );
         let call = format!("{workload}/{function}");
-        let key = bearer_token(request).and_then(token::named_key);
+        let key = bearer_token(request).and_then(token::unverified_key_id);
         let shown = self.certificates.get(&conn);
         let certificate = shown
-            .map(|shown| shown.key.clone())
+            .map(|shown| shown.key_fingerprint.clone())
             .filter(|key| !key.is_empty());
         let reason = error.reason();
         tracing::info!(
@@ -390,7 +397,7 @@
         let (reason, why) = match content.map(KeySet::read) {
             Ok(Ok(keys)) => {
                 let seconds = now / MICROS_PER_SECOND;
-                match keys.may_follow(self.keys.as_ref(), &self.floor, seconds) {
+                match keys.check_successor(self.keys.as_ref(), &self.floor, seconds) {
                     Ok(()) => return Some(keys).filter(|keys| self.keys.as_ref() != Some(keys)),
                     Err(refused) => (refused.reason(), refused.to_string()),
                 }
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -19,7 +19,7 @@
     let mut set = KeySet::default();
     ["k1", "k2"]
         .iter()
-        .for_each(|kid| set.add(kid, secret_key(kid).x().unwrap()).unwrap());
+        .for_each(|kid| set.add(kid, secret_key(kid).public_key().unwrap()).unwrap());
     set
 }
 /// A token that is valid at the clock of the tests, which begins at 1,000 s.
