--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -42,7 +42,7 @@
     Required,
 }
 
-/// Why a call is rejected, as the client is told.
+/// Why a call is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum AuthError {
     /// The token is missing or not valid.
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Takes up what an earlier process recorded of its key set.
+    /// Restores what an earlier process recorded of its key set.
     pub fn restore_floor(&mut self, state: &CachedState) {
         self.floor = KeySetFloor {
             version: state.keys_version,
