--- a/crates/sanddrum-identity/tests/tokens.rs
+++ b/crates/sanddrum-identity/tests/tokens.rs
@@ -133,6 +133,15 @@
         Ok(false),
         "a known caller has a budget of its own"
     );
+    let mut stranger = ConnectionTrust::default();
+    for _ in 0..3 {
+        let result = authenticator.authenticate(NOW_US, "x.y.z", &keys, &mut stranger);
+        assert!(result.is_err());
+    }
+    assert!(
+        authenticator.must_close(stranger),
+        "invalid tokens count while the budget is used up, too"
+    );
 }
 
 #[rstest]
