--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -1,10 +1,13 @@
 //! A router of the platform as a process, on real sockets: started by its environment alone, serving, reading its
 //! configuration again, and ending.
 
+mod socket_reads;
+
 use rstest::rstest;
 use sanddrum_fastcgi::{encode_params, write_begin_request, write_stream, Record, RecordType};
 use sanddrum_platform::frames;
 use serde_json::json;
+use socket_reads::read;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -39,7 +42,7 @@
 fn feed(listener: TcpListener, asked: mpsc::Sender<String>) {
     for mut conn in listener.incoming().flatten() {
         let mut bytes = [0; 1024];
-        while let Ok(n @ 1..) = conn.read(&mut bytes) {
+        while let Ok(n @ 1..) = read(&mut conn, &mut bytes) {
             let question = String::from_utf8_lossy(&bytes[..n]).into_owned();
             if asked.send(question).is_err() {
                 return;
@@ -121,7 +124,7 @@
     conn.write_all(&out).unwrap();
     let (mut bytes, mut text, mut piece) = (Vec::new(), String::new(), [0; 4096]);
     loop {
-        let n = conn.read(&mut piece).unwrap();
+        let n = read(&mut conn, &mut piece).unwrap();
         assert!(n > 0, "closed before its end: {text}");
         bytes.extend_from_slice(&piece[..n]);
         while let Some((record, took)) = Record::read(&bytes).unwrap() {
--- a/crates/sanddrum-cli/tests/processes.rs
+++ b/crates/sanddrum-cli/tests/processes.rs
@@ -1,8 +1,11 @@
 //! The edge as a process: signals, restarts, and what is said about wrong settings.
 
+mod socket_reads;
+
 use rstest::rstest;
 use sanddrum_wire::http;
-use std::io::{BufRead, BufReader, Read, Write};
+use socket_reads::read;
+use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
@@ -129,7 +132,7 @@
         if let Some((answer, _)) = http::parse_response(&bytes).unwrap() {
             return answer;
         }
-        let n = socket.read(&mut piece).unwrap();
+        let n = read(socket, &mut piece).unwrap();
         assert!(n > 0, "closed without an answer");
         bytes.extend_from_slice(&piece[..n]);
     }
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -2,6 +2,9 @@
 //! step: each waits for what it is to see, and fails where that does not come.
 #![allow(dead_code)]
 
+#[path = "../socket_reads/mod.rs"]
+mod socket_reads;
+
 use sanddrum_fastcgi::{
     encode_header, encode_params, write_begin_request, write_stream, Record, RecordType,
 };
@@ -9,8 +12,9 @@
 use sanddrum_platform::frames;
 use serde_json::{json, Value};
 use socket2::{Domain, SockRef, Socket, Type};
+use socket_reads::read;
 use std::collections::BTreeMap;
-use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
+use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
@@ -21,7 +25,7 @@
 /// What does not come within this does not come.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// SchedulingDelays until it is so; a story that would wait for ever fails.
+/// Waits until it is so; a test that would wait for ever fails.
 pub fn until(so: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
@@ -119,7 +123,7 @@
         let mut piece = [0; 65536];
         for (conn, bytes) in &mut self.conns {
             let Some(open) = conn else { continue };
-            match open.read(&mut piece) {
+            match read(open, &mut piece) {
                 Ok(n @ 1..) => bytes.extend_from_slice(&piece[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 _ => *conn = None,
@@ -327,7 +331,7 @@
                     }
                 }
             }
-            match self.conn.read(&mut piece).unwrap() {
+            match read(&mut self.conn, &mut piece).unwrap() {
                 0 => return None,
                 n => self.bytes.extend_from_slice(&piece[..n]),
             }
@@ -342,7 +346,7 @@
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with("\r\n\r\n") {
         assert!(
-            conn.read(&mut byte).unwrap() > 0,
+            read(conn, &mut byte).unwrap() > 0,
             "closed before its question"
         );
         text.push(byte[0] as char);
@@ -438,7 +442,7 @@
             reader: Some(reader),
         }
     }
-    /// SchedulingDelays until it listens, and learns where.
+    /// Waits until it listens, and learns where.
     pub fn begins(mut self) -> Router {
         let begun = std::time::Instant::now();
         while self.at.is_empty() {
