--- a/crates/sanddrum-edge/src/arrival_time.rs
+++ b/crates/sanddrum-edge/src/arrival_time.rs
@@ -1,14 +1,14 @@
-//! The instant from which a client's time counts. A client counts from its sending, and what it sent may have waited unread
-//! while the process was delayed.
+//! The time at which a request arrived, from which its time limit counts. If the process was delayed, the request may
+//! have waited unread, while the client's own timeout was already running.
 
 use sanddrum_net::Micros;
 
-/// A wait of up to so long can't be distinguished from none: the driver knows the arrival no better, and the time limit that a
-/// worker is sent may exceed what the client has left by twice as much.
+/// Waits of up to this duration are ignored: the driver does not know the arrival time more precisely, and the time
+/// limit sent to a worker may exceed the client's remaining time by twice this value.
 const ARRIVAL_PRECISION: Micros = 75_000;
 
-/// The instant from which the time of what is read at `now` counts, where it may have arrived at `earliest`.
-pub(crate) fn counts_from(now: Micros, earliest: Micros) -> Micros {
+/// The arrival time to assume for input that is read at `now` and may have arrived as early as `earliest`.
+pub(crate) fn effective_arrival(now: Micros, earliest: Micros) -> Micros {
     if now - earliest <= ARRIVAL_PRECISION {
         now
     } else {
--- a/crates/sanddrum-edge/src/context.rs
+++ b/crates/sanddrum-edge/src/context.rs
@@ -1,4 +1,4 @@
-//! Services that all parts of the edge share.
+//! State that all parts of the edge share.
 
 use crate::event_counts::EventCounts;
 use crate::invariants::Violations;
@@ -12,28 +12,28 @@
 /// What a transport connection serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionOwner {
-    /// A client that calls functions.
+    /// A client.
     Client,
-    /// A connection to a worker.
+    /// A worker.
     Worker(WorkerConnectionId),
-    /// The connection to the discovery service or to the platform's control feed.
+    /// The discovery service or the platform's control feed.
     Discovery,
 }
 
-/// Handed to each part of the edge that schedules timers, opens connections or counts.
+/// Passed to each part of the edge that schedules timers, opens connections or updates counters.
 pub(crate) struct EdgeContext {
-    /// The bounds as set.
+    /// The configured limits.
     pub limits: Limits,
     /// Counters and gauges.
     pub metrics: EdgeMetrics,
-    /// What was done and why, for the status line.
+    /// Events counted by kind and reason, for the status line.
     pub counts: EventCounts,
-    /// Timers of all parts.
+    /// The timers of all parts.
     pub timers: Timers,
     /// Violations of invariants.
     pub violations: Violations,
     /// The owner of each open transport connection.
     pub connection_owners: BTreeMap<ConnectionId, ConnectionOwner>,
-    /// What the connection policy is notified of when it runs next.
+    /// Events for the next run of the connection policy.
     pub connection_events: ConnectionEvents,
 }
--- a/crates/sanddrum-edge/src/control_commands.rs
+++ b/crates/sanddrum-edge/src/control_commands.rs
@@ -1,4 +1,4 @@
-//! Load commands and health checks that wait for their answers.
+//! Load commands and health checks that have not been answered.
 
 use crate::message::CommandId;
 use sanddrum::{FunctionId, Micros, WorkerId};
@@ -8,9 +8,9 @@
 /// A command in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingCommand {
-    /// The worker that it was sent to.
+    /// The recipient.
     pub worker: WorkerId,
-    /// The connection that it was sent on.
+    /// The connection on which it was sent.
     pub connection: WorkerConnectionId,
     /// When it was sent.
     pub sent_at: Micros,
@@ -36,13 +36,13 @@
 }
 
 impl ControlCommands {
-    /// The id of a further command.
-    pub fn next_id(&mut self) -> CommandId {
+    /// Allocates an id for a command.
+    pub fn allocate_id(&mut self) -> CommandId {
         self.last_id += 1;
         CommandId(self.last_id)
     }
 
-    /// Adds a load command that was sent.
+    /// Adds a load command that has been sent.
     pub fn insert_load(&mut self, id: CommandId, load: PendingLoad) {
         self.loads.insert(id, load);
     }
@@ -52,7 +52,7 @@
         self.loads.remove(&id)
     }
 
-    /// Adds a health check that was sent.
+    /// Adds a health check that has been sent.
     pub fn insert_health_check(&mut self, id: CommandId, health_check: PendingCommand) {
         self.health_checks.insert(id, health_check);
     }
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -1,4 +1,5 @@
-//! The client of the platform's control feed: one long poll is always outstanding. Its events change the endpoint list.
+//! The client of the platform's control feed, whose events update the endpoint list. It keeps one long poll
+//! outstanding.
 
 use crate::context::{ConnectionOwner, EdgeContext};
 use crate::endpoint_freshness::{EndpointFreshness, FreshnessChange, Poll};
@@ -17,71 +18,71 @@
 
 const STATUS_OK: u16 = 200;
 
-/// Why the connection to the feed is given up.
+/// Why the client closes its connection to the feed.
 #[derive(Debug, Error)]
 pub(crate) enum FeedError {
-    /// No answer came within the poll's wait and the silence that is allowed beyond it, or no connection in time.
+    /// The connection was not established in time, or a poll was not answered within its wait and the answer timeout.
     #[error("silent")]
     TimedOut,
     /// The poll could not be written at once.
-    #[error("does not read")]
+    #[error("the feed does not read the poll")]
     NotReading,
-    /// The other side closed the connection.
+    /// The feed closed the connection.
     #[error("closed")]
     Closed,
-    /// The answer is larger than a list may be.
-    #[error("an answer without end")]
+    /// The answer exceeds the size limit.
+    #[error("the answer exceeds the size limit")]
     TooLarge,
     /// The answer is not HTTP.
     #[error("{}", .0.reason())]
     Http(HttpError),
-    /// The answer has another status than success.
-    #[error("status {0}")]
+    /// The answer's status code is not 200.
+    #[error("unexpected status {0}")]
     Status(u16),
     /// The answer is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The answer does not describe events.
+    /// The JSON does not describe events.
     #[error("{0}")]
-    Events(String),
+    InvalidEvents(String),
 }
 
-/// A change of the endpoint list.
+/// An update of the endpoint list.
 pub(crate) struct EndpointChange {
-    /// Whether all workers are listed, or only those that have changed.
+    /// Whether `endpoints` contains all workers or only those that have changed.
     pub kind: EndpointListKind,
     /// The workers.
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// Follows the control feed.
+/// A client of the control feed.
 pub(crate) struct ControlFeed {
     address: String,
-    /// Machine kinds, in the settings' order.
+    /// Machine kinds, in the order of the settings.
     machine_kinds: Vec<String>,
-    /// When the listed workers started.
+    /// The start times of the listed workers.
     start_times: StartTimes,
-    /// The number of the last event that was applied; all that a new connection needs.
+    /// The number of the last event that was applied, from which a new connection continues.
     last_event: u64,
-    /// The last answer counted an event that it did not bring.
+    /// Whether the last answer counted an event that it did not contain.
     missed_event: bool,
     conn: Option<ConnectionId>,
     received: Vec<u8>,
-    /// The poll that has not been answered.
+    /// The outstanding poll.
     poll: Option<Poll>,
     freshness: EndpointFreshness,
-    /// The connection has not been polled on.
+    /// Whether no poll has been sent on the connection yet.
     has_just_connected: bool,
-    /// Why the feed was lost, since its last answer.
-    last_loss: Option<String>,
+    /// Why the last connection was closed; none if the feed has answered since.
+    last_error: Option<String>,
     backoff: Backoff,
     rng: Rng,
-    /// When to connect, or to give the connection up; timers for earlier instants are obsolete.
-    next_check: Micros,
+    /// When to connect, or when the current connection times out. A timer that fires earlier is obsolete.
+    next_timer_at: Micros,
 }
 
 impl ControlFeed {
-    /// A client that is not connected. `seed` is the seed of the backoff's random draws.
+    /// A client that is not connected. `seed` seeds the jitter of the backoff.
     pub fn new(settings: &LoadedSettings, machine_kinds: Vec<String>, seed: u64) -> Self {
         let backoff = |name: &str| settings.duration_us(&format!("limits.list-retry-{name}-us"));
         ControlFeed {
@@ -95,19 +96,20 @@
             poll: None,
             freshness: EndpointFreshness::new(NOTIFIED_AFTER),
             has_just_connected: false,
-            last_loss: None,
+            last_error: None,
             backoff: Backoff::new(backoff("least"), backoff("most")),
             rng: Rng::new(seed),
-            next_check: 0,
+            next_timer_at: 0,
         }
     }
 
-    /// The list is that of the startup configuration.
+    /// Starts with the endpoint list of the startup configuration, which counts as current.
     pub fn start(&mut self, now: Micros) {
         self.freshness.start(now);
     }
 
-    /// Until when the endpoint list is confirmed, with the platform's terms on what the feed does not tell.
+    /// The instant up to which the endpoint list is confirmed, with the platform's bounds on how late the feed reports
+    /// changes when it is unavailable.
     pub fn confirmation(&self) -> EndpointConfirmation {
         EndpointConfirmation {
             confirmed_at: self.freshness.confirmed_at(),
@@ -121,7 +123,8 @@
         self.last_event
     }
 
-    /// Records what an answer shows of the list's age. An answer that leaves an event out shows nothing.
+    /// Updates the list's freshness for an answer to the outstanding poll. An answer with a missing event confirms
+    /// nothing.
     pub fn record_answer(
         &mut self,
         now: Micros,
@@ -132,19 +135,20 @@
         if self.missed_event {
             return None;
         }
-        self.freshness.answered(now, poll, has_events, is_delayed);
-        self.last_loss = None;
-        self.freshness.change(now)
+        self.freshness
+            .record_answer(now, poll, has_events, is_delayed);
+        self.last_error = None;
+        self.freshness.take_change(now)
     }
 
-    /// Whether the list has become stale since this was last asked, and why the feed was lost.
+    /// Returns whether the list has become stale or current since the last check, with the reason of the last failure.
     pub fn check_freshness(&mut self, now: Micros) -> Option<(FreshnessChange, String)> {
-        let change = self.freshness.change(now)?;
-        let reason = self.last_loss.clone();
+        let change = self.freshness.take_change(now)?;
+        let reason = self.last_error.clone();
         Some((change, reason.unwrap_or_else(|| "no answer".to_string())))
     }
 
-    /// Applies events, in order and each once. Returns the changes of the endpoint list.
+    /// Applies each event once, in order, and returns the resulting updates of the endpoint list.
     pub fn apply(&mut self, clocks: ClockReading, events: FeedEvents) -> Vec<EndpointChange> {
         self.start_times.observe_clocks(clocks);
         let seen = self.last_event;
@@ -162,16 +166,20 @@
         changes
     }
 
-    /// Moves on to the last event of an answer. An event that the answer counts and does not bring is polled for once
-    /// more. Guards against one that is lost for good; a feed that has nothing to bring is believed then, or it would be
-    /// polled without end.
+    /// Advances `last_event` to the last event of an answer. If the answer counts an event that it does not contain,
+    /// the client polls for that event once more, so that it is not lost. If it is missing again, it is skipped: the
+    /// feed would otherwise be polled in an endless loop.
     fn advance(&mut self, events: &FeedEvents) {
         let numbers = events.events.iter().map(|event| event.number);
         let newest = numbers.fold(self.last_event, u64::max);
         let is_missing = newest < events.last_number;
-        let gives_up = is_missing && self.missed_event;
-        self.last_event = if gives_up { events.last_number } else { newest };
-        self.missed_event = is_missing && !gives_up;
+        let skips_missing = is_missing && self.missed_event;
+        self.last_event = if skips_missing {
+            events.last_number
+        } else {
+            newest
+        };
+        self.missed_event = is_missing && !skips_missing;
     }
 
     fn endpoint_change(&mut self, now: Micros, event: FeedEvent) -> Option<EndpointChange> {
@@ -187,13 +195,14 @@
         Some(EndpointChange { kind, endpoints })
     }
 
-    /// Connects where that is due. A connection that is there by then has not answered in time and is given up.
-    pub fn check(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
-        if now < self.next_check {
+    /// Handles the client's timer. If it is due, connects, or closes a connection that was not established or a poll
+    /// on which was not answered in time.
+    pub fn on_timer(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
+        if now < self.next_timer_at {
             return;
         }
         if self.conn.is_some() {
-            return self.give_up(context, now, &FeedError::TimedOut, io);
+            return self.reconnect_later(context, now, &FeedError::TimedOut, io);
         }
         self.received = Vec::new();
         self.poll = None;
@@ -203,37 +212,38 @@
             .connection_owners
             .insert(conn, ConnectionOwner::Discovery);
         self.conn = Some(conn);
-        self.check_at(context, now + context.limits.connect_timeout);
+        self.schedule_timer(context, now + context.limits.connect_timeout);
     }
 
-    fn check_at(&mut self, context: &mut EdgeContext, at: Micros) {
-        self.next_check = at;
+    fn schedule_timer(&mut self, context: &mut EdgeContext, at: Micros) {
+        self.next_timer_at = at;
         context.timers.schedule(at, Timer::Discovery);
     }
 
-    /// Polls for the events after the last one.
+    /// Polls for the events after the last one that was applied.
     pub fn poll(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
         let Some(conn) = self.conn else { return };
-        let longest_wait = context.limits.feed_poll_wait;
-        // The first poll of a connection is answered at once: what has been missed is then known without another wait.
+        let max_wait = context.limits.feed_poll_wait;
+        // The feed answers the first poll of a connection at once, so that missed events arrive without a further
+        // wait.
         let wait = if std::mem::take(&mut self.has_just_connected) {
             0
         } else {
-            self.freshness.next_wait(longest_wait)
+            self.freshness.next_wait(max_wait)
         };
         let request = control_feed::poll_request(&self.address, self.last_event, wait);
         if io.write(conn, &request) < request.len() {
-            return self.give_up(context, now, &FeedError::NotReading, io);
+            return self.reconnect_later(context, now, &FeedError::NotReading, io);
         }
         self.poll = Some(Poll { sent_at: now, wait });
-        let answer_due = now + longest_wait + context.limits.feed_answer_timeout;
-        self.check_at(context, answer_due);
+        let answer_due = now + max_wait + context.limits.feed_answer_timeout;
+        self.schedule_timer(context, answer_due);
         let stale_at = self.freshness.confirmed_at() + NOTIFIED_AFTER + 1;
         context.timers.schedule(stale_at, Timer::Discovery);
     }
 
-    /// Closes the connection, if there is one, and reconnects after a backoff.
-    pub fn give_up(
+    /// Closes the connection, if there is one, and schedules a reconnect after a backoff.
+    pub fn reconnect_later(
         &mut self,
         context: &mut EdgeContext,
         now: Micros,
@@ -241,18 +251,18 @@
         io: &mut dyn Io,
     ) {
         self.disconnect(context, io);
-        self.last_loss = Some(error.to_string());
-        let until = self.backoff.record_failure(now, 0, self.rng.next_f64());
+        self.last_error = Some(error.to_string());
+        let retry_at = self.backoff.record_failure(now, 0, self.rng.next_f64());
         tracing::info!(
             reason = "feed-away",
             why = %error,
-            wait_us = until - now,
+            wait_us = retry_at - now,
             last_event = self.last_event,
             list_age_us = now - self.freshness.confirmed_at(),
             "reconnecting to the control feed"
         );
         context.metrics.discovery_losses.increment(1);
-        self.check_at(context, until);
+        self.schedule_timer(context, retry_at);
     }
 
     fn disconnect(&mut self, context: &mut EdgeContext, io: &mut dyn Io) {
@@ -262,7 +272,7 @@
         }
     }
 
-    /// Follows the feed at another address; the numbers of its events go on.
+    /// Connects to the feed at another address. The event numbers continue.
     pub fn change_address(
         &mut self,
         context: &mut EdgeContext,
@@ -277,25 +287,25 @@
         self.address = address.to_string();
         self.disconnect(context, io);
         self.backoff.reset();
-        self.next_check = now;
-        self.check(context, now, io);
+        self.next_timer_at = now;
+        self.on_timer(context, now, io);
     }
 
-    /// Whether this is the current connection.
+    /// Whether `conn` is the current connection.
     pub fn owns(&self, conn: ConnectionId) -> bool {
         self.conn == Some(conn)
     }
 
-    /// The connection was closed by the other side.
-    pub fn closed(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
+    /// Handles the end of the current connection.
+    pub fn on_closed(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
         self.conn = None;
-        self.give_up(context, now, &FeedError::Closed, io);
+        self.reconnect_later(context, now, &FeedError::Closed, io);
     }
 
     /// Receives bytes of an answer. Returns its events once it is complete.
     ///
     /// # Errors
-    /// The answer can't be read; the connection is to be given up.
+    /// [`FeedError`]: the answer is too large or malformed, and the connection has to be closed.
     pub fn receive(
         &mut self,
         max_bytes: usize,
@@ -321,6 +331,6 @@
         }
         let json = serde_json::from_slice(&response.body)?;
         control_feed::parse(&json, &self.machine_kinds)
-            .map_err(|error| FeedError::Events(error.to_string()))
+            .map_err(|error| FeedError::InvalidEvents(error.to_string()))
     }
 }
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The client of the discovery service: watches the endpoint list, and reconnects and polls when the bootstrap policy says
-//! so.
+//! The client of the discovery service. It watches the endpoint list; the bootstrap policy decides when it reconnects
+//! and polls.
 
 use crate::context::{ConnectionOwner, EdgeContext};
 use crate::discovery_version::DiscoveryVersion;
@@ -12,7 +12,7 @@
     frame::encode_frame, EndpointUpdate, FrameDecoder, FromDiscovery, Hello, ToDiscovery, VERSION,
 };
 
-/// What the bootstrap policy has decided in one run.
+/// The decisions of one run of the bootstrap policy.
 #[derive(Default)]
 struct DiscoveryActions {
     connect: bool,
@@ -48,7 +48,8 @@
 
 impl ServiceConnection {
     fn send(&mut self, message: &ToDiscovery) {
-        // A message that does not fit is not needed: the service has read nothing for long, and the policy reconnects.
+        // A message that does not fit may be dropped: the service has not read for a long time, so the policy
+        // reconnects.
         let _ = self.outbox.push((), &encode_frame(message));
     }
 
@@ -57,7 +58,7 @@
     }
 }
 
-/// Follows the discovery service.
+/// A client of the discovery service.
 pub(crate) struct DiscoveryClient {
     address: String,
     edge_name: String,
@@ -65,12 +66,12 @@
     bootstrap: Bootstrap,
     connection: Option<ServiceConnection>,
     version: DiscoveryVersion,
-    /// When the policy runs next; timers for earlier instants are obsolete.
+    /// When the policy runs next. A timer that fires earlier is obsolete.
     next_run: Micros,
 }
 
 impl DiscoveryClient {
-    /// A client that is not connected. `bootstrap_seed` is the seed of the policy's random draws.
+    /// A client that is not connected. `bootstrap_seed` seeds the random number generator of the bootstrap policy.
     pub fn new(settings: &LoadedSettings, edge_incarnation: u64, bootstrap_seed: u64) -> Self {
         DiscoveryClient {
             address: settings.text("edge.list").to_string(),
@@ -83,32 +84,32 @@
         }
     }
 
-    /// The version of the list that the edge has.
+    /// The version of the edge's endpoint list.
     pub fn version(&self) -> DiscoveryVersion {
         self.version
     }
 
-    /// Restores the version of a list that was cached over a restart.
+    /// Sets the version to that of the cached endpoint list.
     pub fn restore_version(&mut self, version: DiscoveryVersion) {
         self.version = version;
     }
 
-    /// Takes the version of an update that follows; false for one that is out of date.
+    /// Advances to the version of an update. Returns false if the update is outdated.
     pub fn advance(&mut self, update: &EndpointUpdate) -> bool {
         self.version.advance(update.head())
     }
 
-    /// How far the start has come.
+    /// The progress of the start.
     pub fn readiness(&self) -> Readiness {
         self.bootstrap.readiness()
     }
 
-    /// Whether the edge can serve clients.
+    /// Whether the edge knows an endpoint list and can therefore serve clients.
     pub fn is_healthy(&self) -> bool {
         self.bootstrap.is_healthy()
     }
 
-    /// Runs the policy on these events and carries out what it decides.
+    /// Runs the policy on these events and carries out its decisions.
     pub fn run(
         &mut self,
         context: &mut EdgeContext,
@@ -138,8 +139,8 @@
         context.timers.schedule(self.next_run, Timer::Discovery);
     }
 
-    /// Runs the policy where the timer that fired is not obsolete.
-    pub fn check(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
+    /// Handles the client's timer: runs the policy if that is due.
+    pub fn on_timer(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
         if now >= self.next_run {
             self.run(context, now, &[], io);
         }
@@ -179,47 +180,47 @@
         if let Some(connection) = self.connection.take() {
             context.connection_owners.remove(&connection.conn);
             io.reset(connection.conn);
-            record_loss(context);
+            record_disconnect(context);
         }
     }
 
-    /// Whether this is the current connection.
+    /// Whether `conn` is the current connection.
     pub fn owns(&self, conn: ConnectionId) -> bool {
         self.connection
             .as_ref()
             .is_some_and(|connection| connection.conn == conn)
     }
 
-    /// The connection is open.
-    pub fn connected(&mut self, io: &mut dyn Io) {
+    /// Handles the connection's establishment.
+    pub fn on_connected(&mut self, io: &mut dyn Io) {
         if let Some(connection) = &mut self.connection {
             connection.flush(io);
         }
     }
 
-    /// The connection takes bytes again.
-    pub fn writable(&mut self, io: &mut dyn Io) {
+    /// Handles the connection's becoming writable.
+    pub fn on_writable(&mut self, io: &mut dyn Io) {
         if let Some(connection) = &mut self.connection {
             connection.outbox.unblock();
             connection.flush(io);
         }
     }
 
-    /// The connection was closed.
-    pub fn closed(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
+    /// Handles the end of the current connection.
+    pub fn on_closed(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
         self.connection = None;
-        record_loss(context);
+        record_disconnect(context);
         self.run(context, now, &[DiscoveryEvent::Disconnected], io);
     }
 
-    /// Bytes were received.
+    /// Adds received bytes to the frame decoder.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         if let Some(connection) = &mut self.connection {
             connection.decoder.push_bytes(bytes);
         }
     }
 
-    /// The next update that was received, if there is one. A connection with a malformed message is closed.
+    /// Returns the next update that was received completely. A malformed message closes the connection.
     pub fn next_update(
         &mut self,
         context: &mut EdgeContext,
@@ -246,7 +247,7 @@
     }
 }
 
-fn record_loss(context: &EdgeContext) {
+fn record_disconnect(context: &EdgeContext) {
     tracing::info!(
         reason = "list-away",
         "discovery service unavailable; the last endpoint list stays in use"
--- a/crates/sanddrum-edge/src/discovery_version.rs
+++ b/crates/sanddrum-edge/src/discovery_version.rs
@@ -1,19 +1,19 @@
-//! Which version of the endpoint list a client of the discovery service has. By it the client decides whether an update
-//! follows on what it has.
+//! The version of the endpoint list that a client of the discovery service has. It determines whether an update can be
+//! applied or updates before it were missed.
 
 use sanddrum_wire::{EndpointUpdateHead, Watch};
 
-/// The version of an endpoint list; all zero for none.
+/// The version of an endpoint list; all zeros if the client has no list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoveryVersion {
     /// The incarnation of the discovery service.
     pub service_incarnation: u64,
-    /// The version of its list.
+    /// The version of the list within that incarnation.
     pub version: u64,
 }
 
 impl DiscoveryVersion {
-    /// The watch request for all that follows on this version.
+    /// The watch request for all updates after this version.
     pub fn watch(self) -> Watch {
         Watch {
             version: self.version,
@@ -21,15 +21,15 @@
         }
     }
 
-    /// Whether nothing is missing between this version and the update.
+    /// Whether the update is a full snapshot or a delta based on exactly this version.
     pub fn is_followed_by(self, update: EndpointUpdateHead) -> bool {
         update.is_full_snapshot
             || (update.service_incarnation == self.service_incarnation
                 && update.base_version == self.version)
     }
 
-    /// Takes the version of an update that follows. Returns false for a snapshot that is older than this version, which
-    /// changes nothing.
+    /// Advances to the version of an update for which [`is_followed_by`](Self::is_followed_by) holds. Returns false
+    /// and changes nothing if the update is a snapshot older than this version.
     pub fn advance(&mut self, update: EndpointUpdateHead) -> bool {
         let is_outdated = update.is_full_snapshot
             && update.service_incarnation == self.service_incarnation
--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -1,5 +1,5 @@
-//! The parts of an edge put together. Each part owns its state and knows nothing of the others; the submodules here carry
-//! events from one to the next.
+//! The composition of an edge's parts. Each part owns its state and does not depend on the others; the submodules of
+//! this module pass events between them.
 
 mod admission;
 mod attempts;
@@ -10,7 +10,6 @@
 mod dispatcher;
 mod fastcgi;
 mod http;
-
 mod requests;
 mod send_checks;
 mod shutdown;
@@ -47,16 +46,16 @@
 use sanddrum_upstream::{ConnectionEvents, ConnectionPolicy};
 use std::collections::BTreeMap;
 
-/// Mixed into the seed of the bootstrap policy, so that its draws do not move those of others.
+/// XORed with the edge's seed, so that the bootstrap policy's random numbers are independent of the other modules'.
 const BOOTSTRAP_SEED: u64 = 0x57;
 
-/// All of an edge but the decision module and the connection policy, which are called with it.
+/// The state of an edge without its decision module and connection policy.
 pub(crate) struct EdgeState {
     context: EdgeContext,
     started_at: Micros,
     shutdown: Shutdown,
     metrics_page: Option<Box<dyn Fn() -> String>>,
-    /// Customers' names in the settings' order.
+    /// The customers' names, in the order of the settings.
     customers: Vec<Option<String>>,
     http: HttpListener,
     fastcgi: FastCgiListener,
@@ -68,25 +67,25 @@
     worker_connections: WorkerConnections,
     endpoints: EndpointTable,
     discovery: DiscoveryClient,
-    /// In place of the discovery service, on the platform.
+    /// The source of the endpoint list on the platform, in place of the discovery service.
     control_feed: Option<ControlFeed>,
-    /// Events of the startup configuration, until the start.
+    /// The events of the startup configuration, until the edge starts.
     initial_events: Option<FeedEvents>,
-    /// The state that an earlier process saved, until the start.
+    /// The state that the previous process saved, until the edge starts.
     cached_state: Option<Vec<u8>>,
     is_save_scheduled: bool,
-    /// What the decision module is notified of when it runs next.
+    /// The events for the next run of the decision module.
     batch: EventBatch,
-    /// When the decision module is to run at the latest.
+    /// When the decision module has to run, at the latest.
     module_wakeup: Option<Micros>,
-    /// When the connection policy is to run at the latest.
+    /// When the connection policy has to run, at the latest.
     connection_wakeup: Option<Micros>,
-    /// The writes of this turn wait for the next one.
+    /// Whether the writes of this turn are deferred to the next one.
     are_writes_deferred: bool,
 }
 
 impl EdgeState {
-    /// The parts of an edge that is not started.
+    /// The state of an edge that has not been started.
     pub fn new(options: EdgeOptions) -> Self {
         let EdgeOptions {
             settings,
@@ -141,7 +140,7 @@
         }
     }
 
-    /// How much is remembered.
+    /// The sizes of the tables.
     pub fn resource_counts(&self) -> ResourceCounts {
         ResourceCounts {
             requests: self.requests.len(),
@@ -153,7 +152,7 @@
         }
     }
 
-    /// From now on violations of invariants are counted and let happen.
+    /// Makes violations of invariants be counted without being prevented.
     pub fn allow_violations(&mut self) {
         self.context.violations.allow();
     }
@@ -162,7 +161,7 @@
         self.control_feed.is_some()
     }
 
-    /// Whether the decision module has something to decide on.
+    /// Whether there are events for the decision module.
     fn has_events(&self) -> bool {
         let batch = &self.batch;
         let is_empty = batch.endpoint_lists.is_empty()
@@ -177,7 +176,7 @@
         !is_empty || self.admission.has_pending()
     }
 
-    /// What the decision module is to decide on now; none where it need not run.
+    /// Takes the events for a run of the decision module; none if it need not run now.
     pub fn take_batch(&mut self, now: Micros) -> Option<EventBatch> {
         let is_due = self.module_wakeup.is_some_and(|at| at <= now);
         if !is_due && !self.has_events() {
@@ -191,7 +190,7 @@
         Some(batch)
     }
 
-    /// What the connection policy is to decide on now; none where it need not run.
+    /// Takes the events for a run of the connection policy; none if it need not run now.
     pub fn take_connection_events(&mut self, now: Micros) -> Option<ConnectionEvents> {
         let is_due = self.connection_wakeup.is_some_and(|at| at <= now);
         if !is_due && self.context.connection_events.is_empty() {
@@ -206,7 +205,7 @@
         self.context.metrics.record_connections(policy);
     }
 
-    /// When the edge is to be called at the latest.
+    /// When the edge has to be processed, at the latest.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let is_due = self.has_events()
             || !self.context.connection_events.is_empty()
@@ -217,7 +216,7 @@
         wakeups.into_iter().flatten().min()
     }
 
-    /// A transport event.
+    /// Handles a transport event.
     pub fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let conn = match event {
             Event::Accepted { conn, .. } => return self.accept_client(now, conn, io),
@@ -240,7 +239,7 @@
         }
     }
 
-    /// A watched file has changed.
+    /// Handles a change of a watched file.
     pub fn on_file(
         &mut self,
         now: Micros,
@@ -255,7 +254,7 @@
         }
     }
 
-    /// The credentials of a connection have changed since its handshake.
+    /// Handles a change of the credentials that a connection was established with.
     pub fn on_credentials_changed(
         &mut self,
         now: Micros,
@@ -293,9 +292,9 @@
         }
     }
 
-    /// Writes what is queued on all connections. A delayed process puts its writes off to its next turn, in which it has
-    /// looked for input first, but not twice in a row, as it would never write otherwise. Guards against an attempt that
-    /// begins for a client that has disconnected since the turn began.
+    /// Writes the queued bytes of all connections. If the process was delayed, the writes are deferred to the next
+    /// turn, which polls for input first, so that no attempt is started for a client that has disconnected meanwhile.
+    /// Writes are not deferred twice in a row, because a process that is always delayed would otherwise never write.
     pub fn flush(&mut self, now: Micros, io: &mut dyn Io) {
         self.are_writes_deferred = !self.are_writes_deferred && io.is_delayed();
         if self.are_writes_deferred {
@@ -305,7 +304,7 @@
         self.flush_clients(now, io);
     }
 
-    /// Logs how much is in flight, and violations of invariants.
+    /// Logs the sizes of the tables, the event counts and the violations of invariants.
     pub fn log_status(&self) {
         let ResourceCounts {
             client_connections,
--- a/crates/sanddrum-edge/src/edge_state/connection_executor.rs
+++ b/crates/sanddrum-edge/src/edge_state/connection_executor.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of the connection policy as it makes them.
+//! Execution of the connection policy's decisions.
 
 use super::EdgeState;
 use sanddrum::{Micros, WorkerId};
@@ -7,7 +7,7 @@
     ClientConnectionId, Decisions, OutdatedConnection, RejectReason, WorkerConnectionId,
 };
 
-/// Receives the decisions of one run.
+/// Carries out the decisions of one run of the connection policy as they are made.
 pub(crate) struct ConnectionExecutor<'a> {
     state: &'a mut EdgeState,
     now: Micros,
@@ -15,7 +15,7 @@
 }
 
 impl<'a> ConnectionExecutor<'a> {
-    /// An executor for a run at this instant.
+    /// An executor for a run at `now`.
     pub fn new(state: &'a mut EdgeState, now: Micros, io: &'a mut dyn Io) -> Self {
         ConnectionExecutor { state, now, io }
     }
--- a/crates/sanddrum-edge/src/edge_state/control_commands.rs
+++ b/crates/sanddrum-edge/src/edge_state/control_commands.rs
@@ -1,4 +1,4 @@
-//! Load commands and health checks on their way to workers and back.
+//! Sending load commands, unload commands and health checks, and handling their results.
 
 use super::EdgeState;
 use crate::control_commands::{PendingCommand, PendingLoad};
@@ -20,9 +20,9 @@
         function: FunctionId,
         instances: u32,
     ) {
-        let id = self.control_commands.next_id();
+        let id = self.control_commands.allocate_id();
         let Some(known) = self.functions.get(function) else {
-            return self.load_not_sent(worker, function, Outcome::Error);
+            return self.report_unsent_load(worker, function, Outcome::Error);
         };
         let load = load_message(id, known, instances);
         if instances > 0 {
@@ -48,7 +48,7 @@
                 let timer = Timer::LoadTimeout(id);
                 self.context.timers.schedule(deadline, timer);
             }
-            Err(outcome) => self.load_not_sent(worker, function, outcome),
+            Err(outcome) => self.report_unsent_load(worker, function, outcome),
         }
     }
 
@@ -71,7 +71,7 @@
         })
     }
 
-    fn load_not_sent(&mut self, worker: WorkerId, function: FunctionId, outcome: Outcome) {
+    fn report_unsent_load(&mut self, worker: WorkerId, function: FunctionId, outcome: Outcome) {
         self.batch.load_results.push(LoadResult {
             worker,
             function,
@@ -81,7 +81,7 @@
         });
     }
 
-    /// A load command has ended; `instances` are loaded, as the worker reports.
+    /// Handles the end of a load command. `instances` is the number of loaded instances that the worker reported.
     pub(super) fn finish_load(
         &mut self,
         now: Micros,
@@ -127,12 +127,13 @@
             .release(&mut self.context, now, command.connection, key);
     }
 
-    /// A load command was not answered in time.
+    /// Handles the timeout of a load command.
     pub(super) fn load_timed_out(&mut self, now: Micros, id: CommandId) {
         self.finish_load(now, id, Outcome::TimedOut, 0);
     }
 
-    /// Has a worker unload the idle instances of a function. Where that can't be sent they expire by themselves.
+    /// Asks a worker to unload the idle instances of a function. If this can't be sent, the instances' keep-alive
+    /// expires.
     pub(super) fn send_unload(&mut self, now: Micros, worker: WorkerId, function: FunctionId) {
         let Some(known) = self.functions.get(function) else {
             return;
@@ -153,7 +154,7 @@
 
     /// Sends a health check.
     pub(super) fn send_health_check(&mut self, now: Micros, worker: WorkerId) {
-        let id = self.control_commands.next_id();
+        let id = self.control_commands.allocate_id();
         self.context.metrics.health_checks.increment(1);
         let message = OutboundMessage {
             key: MessageKey::HealthCheck(id),
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A health check has ended, with the worker's load report where it was answered.
+    /// Handles the end of a health check; `report` is the worker's load report, if the check was answered.
     pub(super) fn finish_health_check(
         &mut self,
         now: Micros,
@@ -200,7 +201,7 @@
         });
     }
 
-    /// A health check was not answered in time.
+    /// Handles the timeout of a health check.
     pub(super) fn health_check_timed_out(&mut self, now: Micros, id: CommandId) {
         self.finish_health_check(now, id, Outcome::TimedOut, None);
     }
--- a/crates/sanddrum-edge/src/edge_state/discovery.rs
+++ b/crates/sanddrum-edge/src/edge_state/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: received from the discovery service, the control feed or the cache, and saved.
+//! The endpoint list: receiving it from the discovery service, the control feed or the cache, applying and saving it.
 
 use super::EdgeState;
 use crate::discovery_version::DiscoveryVersion;
@@ -15,8 +15,8 @@
 use std::collections::BTreeSet;
 
 impl EdgeState {
-    /// Starts the edge with the cached state and the events of the startup configuration, and connects to where the
-    /// endpoint list comes from.
+    /// Starts the edge with the cached state and the events of the startup configuration, and connects to the
+    /// discovery service or the control feed.
     pub fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.started_at = now;
         self.restore_cached_state(now);
@@ -60,12 +60,12 @@
             version = state.version,
             "cached endpoint list restored"
         );
-        // The time that has passed since is not added to the workers' ages: only a wall clock measures it, which may have
-        // been stepped.
+        // The time since the state was saved is not added to the workers' ages: only wall clocks could measure it, and
+        // they may have been stepped.
         self.apply_endpoints(now, EndpointListKind::Cached, &state.endpoints);
     }
 
-    /// Applies an endpoint list, or what has changed in it.
+    /// Applies an endpoint list or a delta.
     fn apply_endpoints(&mut self, now: Micros, kind: EndpointListKind, records: &[EndpointRecord]) {
         if kind != EndpointListKind::Delta {
             self.remove_unlisted(now, records);
@@ -94,7 +94,7 @@
         self.batch.endpoint_lists.push(list);
     }
 
-    /// Workers that a full list does not contain are gone.
+    /// Removes all workers that a full list does not contain.
     fn remove_unlisted(&mut self, now: Micros, records: &[EndpointRecord]) {
         let listed: BTreeSet<WorkerId> = records
             .iter()
@@ -108,8 +108,8 @@
         }
     }
 
-    /// A worker that has moved is connected to at its new address only, and one whose address a later start has taken
-    /// over is connected to no more. Guards against requests for a warm worker that reach a cold one in its place.
+    /// Retires the connections to the old address of a worker that has moved, and removes workers at whose address a
+    /// later start is listed. Requests for a warm worker would otherwise reach a cold one that has its address.
     fn handle_address_changes(
         &mut self,
         now: Micros,
@@ -134,7 +134,8 @@
         }
     }
 
-    /// A worker's greeting may name a start that is not listed yet: its instances are gone and it is cold.
+    /// Handles a worker's hello message. If it states a later incarnation than the listed one, the worker has
+    /// restarted: its instances are gone and it is cold. The record is updated accordingly.
     pub(super) fn on_worker_restart(
         &mut self,
         now: Micros,
@@ -157,18 +158,18 @@
         self.apply_endpoints(now, EndpointListKind::Delta, &[record]);
     }
 
-    /// The timer of the discovery service or the control feed has fired.
+    /// Handles the timer of the discovery client or the control feed client.
     pub(super) fn check_discovery(&mut self, now: Micros, io: &mut dyn Io) {
         match &mut self.control_feed {
             Some(feed) => {
-                feed.check(&mut self.context, now, io);
+                feed.on_timer(&mut self.context, now, io);
                 self.report_stale_endpoints(now);
             }
-            None => self.discovery.check(&mut self.context, now, io),
+            None => self.discovery.on_timer(&mut self.context, now, io),
         }
     }
 
-    /// An event of the connection to the discovery service or the control feed.
+    /// Handles an event of the connection to the discovery service or the control feed.
     pub(super) fn on_discovery_event(
         &mut self,
         now: Micros,
@@ -183,10 +184,10 @@
             return;
         }
         match event {
-            Event::Connected { .. } => self.discovery.connected(io),
-            Event::Writable { .. } => self.discovery.writable(io),
+            Event::Connected { .. } => self.discovery.on_connected(io),
+            Event::Writable { .. } => self.discovery.on_writable(io),
             Event::Bytes { bytes, .. } => self.receive_updates(now, bytes, io),
-            Event::Closed { .. } => self.discovery.closed(&mut self.context, now, io),
+            Event::Closed { .. } => self.discovery.on_closed(&mut self.context, now, io),
             Event::Accepted { .. } => {}
         }
     }
@@ -201,8 +202,8 @@
     fn on_endpoint_update(&mut self, now: Micros, update: &EndpointUpdate, io: &mut dyn Io) {
         let is_next = self.discovery.version().is_followed_by(update.head());
         if !is_next {
-            // A change was missed: the service is polled for what follows on the version that the edge has. What this
-            // update contains is true all the same, and a draining worker would be noticed too late otherwise.
+            // An update was missed, so the service is polled for all updates after the edge's version. The content of
+            // this update is valid nevertheless; if it were ignored, a draining worker would be noticed too late.
             self.apply_endpoints(now, EndpointListKind::Delta, &update.endpoints);
             return self
                 .discovery
@@ -231,14 +232,15 @@
         self.context.timers.schedule(save_at, Timer::SaveState);
     }
 
-    /// The timer for the next save has fired.
+    /// Handles the save timer.
     pub(super) fn save_state_as_scheduled(&mut self, now: Micros, io: &mut dyn Io) {
         self.is_save_scheduled = false;
-        // A list that a crash loses is listed again; the responses that are due meanwhile do not wait for the disk.
+        // The save is asynchronous, so that responses do not wait for the disk. A list that is lost in a crash is
+        // received again.
         io.save_state_later(&self.state_to_save(now));
     }
 
-    /// Saves what a later process starts with, and waits until that is done: keys that are revoked must stay so.
+    /// Saves the state for the next start synchronously, so that revoked keys stay revoked after a crash.
     pub(super) fn save_state(&self, now: Micros, io: &mut dyn Io) {
         io.save_state(&self.state_to_save(now));
     }
@@ -276,10 +278,10 @@
                 match feed.receive(context.limits.max_feed_answer_bytes, bytes) {
                     Ok(None) => {}
                     Ok(Some(events)) => self.on_feed_answer(now, events, io),
-                    Err(error) => feed.give_up(context, now, &error, io),
+                    Err(error) => feed.reconnect_later(context, now, &error, io),
                 }
             }
-            Event::Closed { .. } => feed.closed(context, now, io),
+            Event::Closed { .. } => feed.on_closed(context, now, io),
             Event::Accepted { .. } | Event::Writable { .. } => {}
         }
     }
@@ -309,7 +311,7 @@
         }
     }
 
-    /// Logs once for each outage that the endpoint list has become stale.
+    /// Logs that the endpoint list has become stale, once per outage.
     fn report_stale_endpoints(&mut self, now: Micros) {
         let Some(feed) = &mut self.control_feed else {
             return;
@@ -326,7 +328,7 @@
         }
     }
 
-    /// Applies events of the control feed, in order and each once.
+    /// Applies each event of the control feed once, in order.
     pub(super) fn apply_feed_events(&mut self, now: Micros, events: FeedEvents, io: &dyn Io) {
         let Some(feed) = &mut self.control_feed else {
             return;
--- a/crates/sanddrum-edge/src/edge_state/fastcgi.rs
+++ b/crates/sanddrum-edge/src/edge_state/fastcgi.rs
@@ -25,7 +25,7 @@
         io: &mut dyn Io,
     ) {
         self.fastcgi.push_bytes(now, conn, bytes);
-        let received_at = arrival_time::counts_from(now, io.earliest_arrival(now));
+        let received_at = arrival_time::effective_arrival(now, io.earliest_arrival(now));
         while let Some(event) = self.fastcgi.next_event(&mut self.context, now, conn, io) {
             match event {
                 FastCgiEvent::Request { id, request } => {
--- a/crates/sanddrum-edge/src/edge_state/http.rs
+++ b/crates/sanddrum-edge/src/edge_state/http.rs
@@ -3,7 +3,7 @@
 use super::EdgeState;
 use crate::functions::{FunctionLookupError, FunctionSpec};
 use crate::http_listener::Flushed;
-use crate::identity::CallTarget;
+use crate::identity::RequestTarget;
 use crate::requests::Call;
 use crate::responses::{CallError, ErrorKind};
 use sanddrum::{CustomerId, FunctionId, Micros, RequestId, WorkloadId};
@@ -119,7 +119,7 @@
         self.context.metrics.record_error_response(kind, reason);
         tracing::info!(status, reason, "request rejected");
         let retry_after = (status == 503).then_some(self.context.limits.max_retry_after);
-        let keep_alive = keep_alive && !self.identity.is_ejected(conn);
+        let keep_alive = keep_alive && !self.identity.must_disconnect(conn);
         let response = error.response(kind, retry_after).encode_http(keep_alive);
         self.http.push_response(conn, response, keep_alive);
     }
@@ -180,8 +180,8 @@
         Ok(())
     }
 
-    fn find_function(&mut self, target: CallTarget<'_>) -> Result<CalledFunction, CallError> {
-        let CallTarget { workload, function } = target;
+    fn find_function(&mut self, target: RequestTarget<'_>) -> Result<CalledFunction, CallError> {
+        let RequestTarget { workload, function } = target;
         let max_functions = self.context.limits.max_functions;
         let found = self.functions.find(workload, function, max_functions);
         let (id, function) = found.map_err(|error| match error {
@@ -213,7 +213,7 @@
 }
 
 /// The function that a request calls, by its path.
-fn call_target<'a>(request: &Request, path: &'a str) -> Result<CallTarget<'a>, CallError> {
+fn call_target<'a>(request: &Request, path: &'a str) -> Result<RequestTarget<'a>, CallError> {
     let (workload, function) = path
         .strip_prefix("/v1/calls/")
         .and_then(|names| names.split_once('/'))
@@ -225,7 +225,7 @@
     if request.method != "POST" {
         return Err(CallError::new(405, "method", "calls are made with POST"));
     }
-    Ok(CallTarget { workload, function })
+    Ok(RequestTarget { workload, function })
 }
 
 /// A field with a whole number, if the request has it.
--- a/crates/sanddrum-edge/src/edge_state/shutdown.rs
+++ b/crates/sanddrum-edge/src/edge_state/shutdown.rs
@@ -1,38 +1,40 @@
-//! Graceful shutdown: the edge accepts late arrivals for a while, answers all open requests and is done at a deadline.
+//! Graceful shutdown: the edge still accepts late arrivals for a configured time, answers all open requests, and
+//! finishes by a deadline.
 
 use super::EdgeState;
 use crate::timers::Timer;
 use sanddrum::Micros;
 
-/// How far the shutdown has come.
+/// The progress of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shutdown {
-    /// The edge serves.
+    /// No shutdown was requested.
     NotRequested,
-    /// The edge answers what it has, until the deadline.
+    /// The edge answers its open requests until the deadline.
     Draining {
-        /// When all has to be answered.
+        /// When all requests have to be answered.
         deadline: Micros,
     },
-    /// All was answered at the deadline. A request that is received in part is not waited for any more.
+    /// The deadline has passed and all requests have been answered. The edge no longer waits for partly received
+    /// requests.
     PastDeadline {
-        /// The deadline.
+        /// The deadline that has passed.
         deadline: Micros,
     },
 }
 
 impl Shutdown {
-    /// Whether the edge was asked to shut down.
+    /// Whether a shutdown was requested.
     pub fn is_requested(self) -> bool {
         self != Shutdown::NotRequested
     }
 
-    /// Whether the deadline has passed and all was answered.
+    /// Whether the deadline has passed and all requests have been answered.
     pub fn is_past_deadline(self) -> bool {
         matches!(self, Shutdown::PastDeadline { .. })
     }
 
-    /// When all has to be answered, once the edge was asked to shut down.
+    /// When all requests have to be answered; none if no shutdown was requested.
     pub fn deadline(self) -> Option<Micros> {
         match self {
             Shutdown::NotRequested => None,
@@ -42,7 +44,7 @@
 }
 
 impl EdgeState {
-    /// Begins the shutdown.
+    /// Starts the graceful shutdown. Further calls have no effect.
     pub fn shut_down(&mut self, now: Micros) {
         if self.shutdown.is_requested() {
             return;
@@ -58,7 +60,7 @@
         timers.schedule(deadline, Timer::ShutdownDeadline);
     }
 
-    /// Fails all requests that are still open at the shutdown's deadline.
+    /// Fails all requests that are still open once the shutdown's deadline has passed.
     pub fn enforce_shutdown_deadline(&mut self, now: Micros) {
         let Some(deadline) = self.shutdown.deadline() else {
             return;
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Whether connections are accepted during the shutdown.
+    /// Whether the listener keeps accepting connections during the shutdown.
     pub fn accepts_while_draining(&self) -> bool {
         self.shutdown.is_requested() && self.context.limits.late_arrival_window > 0
     }
--- a/crates/sanddrum-edge/src/edge_state/watched_files.rs
+++ b/crates/sanddrum-edge/src/edge_state/watched_files.rs
@@ -1,4 +1,4 @@
-//! Watched files: the key set and the platform's startup configuration.
+//! Changes of the watched files: the key set and the platform's startup configuration.
 
 use super::EdgeState;
 use sanddrum::Micros;
@@ -6,7 +6,7 @@
 use sanddrum_platform::StartupConfig;
 
 impl EdgeState {
-    /// The key file has changed or can't be read.
+    /// Handles a change of the key file, or a failure to read it.
     pub(super) fn on_keys_changed(
         &mut self,
         now: Micros,
@@ -20,8 +20,8 @@
         }
     }
 
-    /// The startup configuration has changed or can't be read. The events that it states and that are not known yet apply,
-    /// and the address of the control feed is followed; the rest holds from the next start on.
+    /// Handles a change of the startup configuration, or a failure to read it. New events that it contains and a
+    /// changed address of the control feed take effect immediately; all other values take effect at the next start.
     pub(super) fn on_configuration_changed(
         &mut self,
         now: Micros,
@@ -30,7 +30,8 @@
     ) {
         let why = match content.map(|bytes| StartupConfig::read(&String::from_utf8_lossy(bytes))) {
             Ok(Ok(configuration)) => {
-                // They may be newer than the feed's last answer, and the feed may be out of reach at its new address.
+                // These events may be newer than the feed's last answer, and the feed may be unreachable at its new
+                // address.
                 if let Ok(events) = configuration.feed_events() {
                     self.apply_feed_events(now, events, io);
                 }
@@ -39,8 +40,8 @@
                 }
                 return;
             }
-            Ok(Err(invalid)) => invalid.to_string(),
-            Err(unreadable) => unreadable.to_string(),
+            Ok(Err(error)) => error.to_string(),
+            Err(error) => error.to_string(),
         };
         tracing::error!(
             reason = "configuration",
--- a/crates/sanddrum-edge/src/endpoint_cache.rs
+++ b/crates/sanddrum-edge/src/endpoint_cache.rs
@@ -1,5 +1,5 @@
-//! What an edge keeps over a restart: the last endpoint list and what must never be forgotten of the key set, with a magic
-//! number and a checksum.
+//! The state that an edge saves for its next start: the last endpoint list, and the part of the key set's history that
+//! must survive a restart. The encoding has a magic number and a checksum.
 
 use minicbor::{Decode, Encode};
 use sanddrum_wire::EndpointRecord;
@@ -7,47 +7,47 @@
 
 const MAGIC: &[u8] = b"sanddrum worker list 1\n";
 
-/// The state that is kept.
+/// The saved state.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct CachedState {
-    /// When it was written, by the edge's clock. For people only: a wall clock is stepped, and a worker that it made
-    /// older than it is would be overloaded in its slow start.
+    /// When it was saved, by the edge's clock. It is informational only: wall clocks can be stepped, and a worker
+    /// whose age was overestimated would be overloaded in its slow start.
     #[n(0)]
     pub saved_at: i64,
-    /// The incarnation of the discovery service that the list came from.
+    /// The incarnation of the discovery service that sent the list.
     #[n(1)]
     pub service_incarnation: u64,
     /// The version of the list.
     #[n(2)]
     pub version: u64,
-    /// The listed workers. Their ages are those at the time of writing, which are the least that they can be later.
+    /// The listed workers, with their ages at the time of saving, which are lower bounds at any later time.
     #[n(3)]
     pub endpoints: Vec<EndpointRecord>,
-    /// The highest version of the key set that was in force.
+    /// The highest version of a key set that was in force.
     #[n(4)]
     #[cbor(default)]
     pub keys_version: u64,
-    /// The keys that were revoked.
+    /// The ids of revoked keys.
     #[n(5)]
     #[cbor(default)]
     pub keys_revoked: Vec<String>,
 }
 
-/// Why a cached state can't be used.
+/// Why a saved state can't be used.
 #[derive(Debug, Error)]
 pub enum CacheError {
-    /// It does not begin with the magic number.
-    #[error("it is not a kept worker list of this version")]
+    /// It does not start with the magic number.
+    #[error("it is not an endpoint cache of this version")]
     WrongMagic,
-    /// It ends before the checksum does.
-    #[error("it is torn")]
+    /// It ends before the end of the checksum.
+    #[error("it is truncated")]
     Truncated,
-    /// Its content is not what was written.
-    #[error("it is torn: its checksum does not fit")]
+    /// The content does not match the checksum.
+    #[error("it is corrupt: its checksum does not match")]
     WrongChecksum,
     /// The content can't be decoded.
-    #[error("it can't be read")]
+    #[error("it can't be decoded")]
     Undecodable(#[source] minicbor::decode::Error),
 }
 
@@ -63,7 +63,7 @@
 /// Decodes a state.
 ///
 /// # Errors
-/// It is not a cached state, it is truncated or corrupt, or it can't be decoded.
+/// [`CacheError`]: `bytes` is not a saved state of this version, or is truncated, corrupt or undecodable.
 pub fn read(bytes: &[u8]) -> Result<CachedState, CacheError> {
     let rest = bytes.strip_prefix(MAGIC).ok_or(CacheError::WrongMagic)?;
     let (checksum, content) = rest.split_first_chunk().ok_or(CacheError::Truncated)?;
--- a/crates/sanddrum-edge/src/endpoint_freshness.rs
+++ b/crates/sanddrum-edge/src/endpoint_freshness.rs
@@ -1,7 +1,7 @@
-//! How old the endpoint list is: the instant up to which every change of it is known, as the control feed's answers show.
+//! The freshness of the endpoint list: the instant up to which all changes are known from the control feed's answers.
 //!
-//! A feed that says nothing looks the same whether nothing has changed or nothing can be heard. So what counts is the last
-//! instant at which the feed itself stated that there was nothing more.
+//! A silent feed looks the same whether nothing has changed or the feed is unreachable. Freshness is therefore
+//! measured from the last instant for which the feed itself confirmed that there were no further changes.
 
 use sanddrum::Micros;
 
@@ -10,36 +10,36 @@
 pub(crate) struct Poll {
     /// When it was sent.
     pub sent_at: Micros,
-    /// How long the feed may hold it.
+    /// How long the feed may hold the poll before it answers.
     pub wait: Micros,
 }
 
-/// A change between a current and a stale list.
+/// A transition between a current and a stale list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FreshnessChange {
-    /// Changes may have come unseen for too long.
+    /// Changes may have been missed for too long.
     Stale {
         /// The age of the list.
         age: Micros,
     },
-    /// The feed has answered again.
+    /// The feed has confirmed the list again.
     Current,
 }
 
-/// The age of the endpoint list.
+/// Tracks the freshness of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct EndpointFreshness {
-    /// An older list is stale.
+    /// The age above which the list is stale.
     stale_after: Micros,
-    /// All changes until then are known.
+    /// All changes up to this instant are known.
     confirmed_at: Micros,
-    /// How long answers of the feed are under way, by the newest one that shows it.
+    /// The delay of the feed's answers, measured with the last answer without events.
     answer_delay: Micros,
     is_stale: bool,
 }
 
 impl EndpointFreshness {
-    /// A list that is stale once it is older than this.
+    /// A list that becomes stale once its age exceeds `stale_after`.
     pub fn new(stale_after: Micros) -> Self {
         EndpointFreshness {
             stale_after,
@@ -49,21 +49,22 @@
         }
     }
 
-    /// All changes until this instant are known.
+    /// The instant up to which all changes are known.
     pub fn confirmed_at(&self) -> Micros {
         self.confirmed_at
     }
 
-    /// The list is complete as of this instant, which is that of the start.
+    /// Marks the list as complete at the start of the edge.
     pub fn start(&mut self, now: Micros) {
         self.confirmed_at = now;
     }
 
-    /// The feed has answered a poll. An answer without events was held for the whole wait. One with events was sent as they
-    /// came, which is known only as well as the answers' delay is; a process that was held up may have found it long after
-    /// that. Guards against an answer that has lain unread and is taken for the feed's newest word.
-    pub fn answered(&mut self, now: Micros, poll: Poll, has_events: bool, is_delayed: bool) {
-        let held_until = if has_events && is_delayed {
+    /// Records an answer to a poll. An answer without events was held for the whole wait, so it confirms the list up
+    /// to the end of that wait. An answer with events was sent when the first of them occurred, which is estimated
+    /// from the delay of earlier answers. If this process was delayed, the answer may have been waiting unread for any
+    /// time, and it confirms the list only up to the time at which the poll was sent.
+    pub fn record_answer(&mut self, now: Micros, poll: Poll, has_events: bool, is_delayed: bool) {
+        let confirmed_until = if has_events && is_delayed {
             poll.sent_at
         } else if has_events {
             (now - self.answer_delay).max(poll.sent_at)
@@ -71,17 +72,17 @@
             self.answer_delay = (now - poll.sent_at - poll.wait).max(0);
             (poll.sent_at + poll.wait).min(now)
         };
-        self.confirmed_at = self.confirmed_at.max(held_until);
+        self.confirmed_at = self.confirmed_at.max(confirmed_until);
     }
 
-    /// How long the feed is to hold the next poll, if its answer is to be there within this time. Guards against a slow feed
-    /// whose answers are all given up.
+    /// The wait of the next poll, chosen so that its answer arrives within `answer_within`. Without the deduction of
+    /// the answers' delay, every poll of a slow feed would time out.
     pub fn next_wait(&self, answer_within: Micros) -> Micros {
         (answer_within - self.answer_delay).max(0)
     }
 
-    /// Whether the list has become stale, or current again, since this was last asked.
-    pub fn change(&mut self, now: Micros) -> Option<FreshnessChange> {
+    /// Returns whether the list has become stale, or current again, since the last call.
+    pub fn take_change(&mut self, now: Micros) -> Option<FreshnessChange> {
         let age = now - self.confirmed_at;
         let is_stale = age > self.stale_after;
         let was_stale = std::mem::replace(&mut self.is_stale, is_stale);
--- a/crates/sanddrum-edge/src/endpoint_table.rs
+++ b/crates/sanddrum-edge/src/endpoint_table.rs
@@ -1,22 +1,22 @@
-//! The workers as listed, whether the discovery service or the control feed listed them.
+//! The listed workers, whether they come from the discovery service, the control feed or the cache.
 
 use sanddrum::{CellId, Endpoint, KindId, Micros, WorkerId, WorkerState, ZoneId};
 use sanddrum_settings::LoadedSettings;
 use sanddrum_wire::{EndpointRecord, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The start time of a worker that has been running for long.
+/// The start time of a worker whose age is unknown or long.
 const STARTED_LONG_AGO: Micros = 0;
 
-/// The age that stands for "long" in an endpoint record, in microseconds.
-const AGE_LONG: i64 = -1;
+/// The value of `age_us` in an endpoint record for a worker whose age is unknown or long.
+const UNKNOWN_AGE_US: i64 = -1;
 
 /// One start of a worker's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WorkerStart {
-    /// Larger at each start.
+    /// The incarnation, higher at each start.
     pub incarnation: u64,
-    /// When it started, by the edge's clock; zero: long ago.
+    /// When it started, by the edge's clock; zero means long ago.
     pub started_at: Micros,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl EndpointTable {
-    /// No workers, in the zones as set.
+    /// An empty table with the configured zones.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
         EndpointTable {
             zones: settings.names("zones"),
@@ -50,19 +50,20 @@
         self.endpoints.is_empty()
     }
 
-    /// A worker as last listed.
+    /// The last record of a worker.
     pub fn record(&self, worker: WorkerId) -> Option<&EndpointRecord> {
         let listed = self.endpoints.get(&worker)?;
         Some(&listed.record)
     }
 
-    /// The phase that a worker was last listed in.
+    /// The phase in the last record of a worker.
     pub fn phase(&self, worker: WorkerId) -> Option<Phase> {
         self.record(worker).map(|record| record.phase)
     }
 
-    /// The start that a record describes. The same start keeps its instant however often it is listed, as a later instant
-    /// would mean a restart; a record of an older incarnation is out of date.
+    /// The process start that a record describes. A start that is already known keeps its instant, because the
+    /// decision module takes a later instant for a restart. A record of an older incarnation is outdated, and yields
+    /// the known start.
     pub fn start_of(&self, worker: WorkerId, record: &EndpointRecord, now: Micros) -> WorkerStart {
         match self.endpoints.get(&worker) {
             Some(known) if known.record.incarnation >= record.incarnation => WorkerStart {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A worker as the decision module sees it.
+    /// Converts a record to the decision module's representation.
     pub fn endpoint(
         &self,
         worker: WorkerId,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Zones that are not set count as one more.
+    /// All zones that are not configured share one further id.
     fn zone(&self, name: &str) -> ZoneId {
         let known = self.zones.iter().position(|zone| zone == name);
         ZoneId(known.unwrap_or(self.zones.len()))
@@ -121,18 +122,18 @@
         self.endpoints.insert(worker, listed);
     }
 
-    /// Removes all workers but these.
+    /// Removes all workers that are not in `workers`.
     pub fn retain(&mut self, workers: &BTreeSet<WorkerId>) {
         self.endpoints.retain(|worker, _| workers.contains(worker));
     }
 
-    /// Removes workers that are gone. To be used where none comes back under its name.
+    /// Removes workers that are gone. Only valid if a worker never returns under the same name.
     pub fn remove_gone(&mut self) {
         self.endpoints
             .retain(|_, listed| listed.record.phase != Phase::Gone);
     }
 
-    /// The workers that are not gone, with their ages at this instant.
+    /// The records of all workers that are not gone, with their ages at `now`.
     pub fn aged_records(&self, now: Micros) -> Vec<EndpointRecord> {
         let live = self
             .endpoints
@@ -150,6 +151,6 @@
     if started_at > STARTED_LONG_AGO {
         now - started_at
     } else {
-        AGE_LONG
+        UNKNOWN_AGE_US
     }
 }
--- a/crates/sanddrum-edge/src/event_counts.rs
+++ b/crates/sanddrum-edge/src/event_counts.rs
@@ -1,21 +1,21 @@
-//! Counts of what an edge did and why, for its status line. They are kept where no metrics are exported, too, so that a router
-//! that logs warnings only can still say what it rejected, retried and closed.
+//! Counts of an edge's events by kind and reason, for its status line. They do not depend on exported metrics, so that
+//! a router that only logs warnings can still report what it rejected, retried and closed.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What is counted.
+/// A kind of event that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CountedEvent {
     /// A request was rejected or failed.
     NotFinished,
-    /// A request got a further attempt.
+    /// A request was attempted again.
     Retried,
-    /// A client's connection was closed by the edge.
+    /// The edge closed a client connection.
     ClientClosed,
-    /// A worker's connection was lost.
+    /// A worker connection was lost.
     WorkerLost,
-    /// A load command ended without success.
+    /// A load command failed.
     LoadNotDone,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Events by kind and reason. Reasons are names in the program, so that their number is bounded.
+/// Event counts by kind and reason. Reasons are static strings, which bounds the number of entries.
 #[derive(Debug, Default)]
 pub(crate) struct EventCounts(BTreeMap<(CountedEvent, &'static str), u64>);
 
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -193,7 +193,7 @@
         }
         connection.received.extend_from_slice(bytes);
         let earliest = io.earliest_arrival(now);
-        connection.received_at = arrival_time::counts_from(now, earliest);
+        connection.received_at = arrival_time::effective_arrival(now, earliest);
         true
     }
 
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who calls and what it may call: tokens, certificates, the key set in force and access rights.
+//! Authentication and authorization of requests: tokens, certificates, the key set in force and access rights.
 
 use crate::audit::AuditLog;
 use crate::endpoint_cache::CachedState;
@@ -20,41 +20,41 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Whether calls need a token.
+/// Whether requests need a token.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TokenPolicy {
-    /// Tokens are not looked at.
+    /// Tokens are ignored.
     Off,
-    /// A token is verified where a call has one.
+    /// A token is verified if the request has one.
     Optional,
-    /// A call without a token is rejected.
+    /// A request without a token is rejected.
     Required,
 }
 
 /// Whether clients need a certificate.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CertificatePolicy {
-    /// Certificates are not asked for.
+    /// Certificates are not requested.
     Off,
-    /// A certificate is verified where a client has one.
+    /// A certificate is verified if the client presents one.
     Optional,
-    /// A client without a certificate is rejected.
+    /// Requests of a client without a certificate are rejected.
     Required,
 }
 
-/// Why a call is rejected.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum AuthError {
-    /// The token is missing or not valid.
+    /// The token is missing or invalid, or can't be verified now.
     #[error("{}", .0.detail())]
     Token(TokenError),
-    /// No key set was ever in force here.
+    /// No key set is in force yet.
     #[error("this edge has no keys to check tokens with yet; ask another one")]
     NoKeys,
-    /// The certificate is missing or not valid, or names another customer than the token.
+    /// The certificate is missing or invalid, or the customers of the certificate, the token and the request differ.
     #[error("{}", .0.detail())]
     Certificate(CertificateError),
-    /// The customer may not call the function.
+    /// The customer has no access to the function.
     #[error("this customer may not run this function")]
     NotAllowed,
 }
@@ -70,41 +70,41 @@
         }
     }
 
-    /// The name of the reason on the wire and in metrics.
+    /// The name of the reason on the wire, in logs and in metrics.
     pub fn reason(self) -> &'static str {
         match self {
-            AuthError::Token(refused) => refused.reason(),
+            AuthError::Token(error) => error.reason(),
             AuthError::NoKeys => "keys-missing",
-            AuthError::Certificate(doubt) => doubt.reason(),
+            AuthError::Certificate(error) => error.reason(),
             AuthError::NotAllowed => "not-allowed",
         }
     }
 }
 
-/// The function that a call is for.
+/// The function that a request names.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CallTarget<'a> {
+pub(crate) struct RequestTarget<'a> {
     /// The workload's name.
     pub workload: &'a str,
     /// The function's name within the workload.
     pub function: &'a str,
 }
 
-/// Access rights as the settings state them.
+/// The access rights that the settings define.
 pub fn access_rights(settings: &LoadedSettings) -> Authorization {
-    let mut lines = Vec::new();
+    let mut rules = Vec::new();
     for (section, allows) in [("deny", false), ("allow", true)] {
         for (index, customer) in settings.names(section).iter().enumerate() {
-            lines.push(rights_line(settings, section, index, customer, allows));
+            rules.push(access_rule(settings, section, index, customer, allows));
         }
     }
     Authorization {
-        rules: lines,
+        rules,
         allows_by_default: settings.text("rights.default") != "deny",
     }
 }
 
-fn rights_line(
+fn access_rule(
     settings: &LoadedSettings,
     section: &str,
     index: usize,
@@ -116,7 +116,7 @@
         valid.collect()
     };
     let key = |name: &str| format!("{section}.{index}.{name}");
-    let place = match settings.origins.get(&key("name")) {
+    let source = match settings.origins.get(&key("name")) {
         Some(Origin::File { line, .. }) => format!("({section} {customer:?} ...) in line {line}"),
         _ => format!("({section} {customer:?} ...)"),
     };
@@ -125,11 +125,11 @@
         customers: patterns(std::slice::from_ref(customer)),
         workloads: patterns(&settings.names(&key("workloads"))),
         functions: patterns(&settings.names(&key("functions"))),
-        source: place,
+        source,
     }
 }
 
-/// Which customer a name in a certificate stands for.
+/// The customers to which names in certificates belong.
 fn certificate_owners(settings: &LoadedSettings) -> CertificateOwners {
     let customers = settings.names("customers").into_iter().enumerate();
     CertificateOwners::new(customers.flat_map(|(index, customer)| {
@@ -158,26 +158,26 @@
     Authenticator::new(limits, requirements)
 }
 
-/// Authenticates and authorizes calls.
+/// Authenticates and authorizes requests.
 pub(crate) struct Identity {
     token_policy: TokenPolicy,
     certificate_policy: CertificatePolicy,
     authenticator: Authenticator,
     /// The key set in force.
     keys: Option<KeySet>,
-    /// What no later key set may take back.
+    /// The minimum version and the revoked keys that every later key set must respect.
     floor: KeySetFloor,
     rights: Authorization,
-    /// How many bad tokens each client's connection has sent.
-    standings: BTreeMap<ConnectionId, ConnectionTrust>,
+    /// The token history of each client connection.
+    connection_trust: BTreeMap<ConnectionId, ConnectionTrust>,
     certificate_owners: CertificateOwners,
-    /// What each client's connection has proved.
+    /// The certificate of each client connection.
     certificates: BTreeMap<ConnectionId, ClientCertificate>,
     audit: AuditLog,
 }
 
 impl Identity {
-    /// The policies as set, without a key set.
+    /// The configured policies, without a key set.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
         let token_policy = match settings.text("identity.tokens") {
             "required" => TokenPolicy::Required,
@@ -197,14 +197,14 @@
             keys: None,
             floor: KeySetFloor::default(),
             rights: access_rights(settings),
-            standings: BTreeMap::new(),
+            connection_trust: BTreeMap::new(),
             certificate_owners: certificate_owners(settings),
             certificates: BTreeMap::new(),
             audit: AuditLog::new(settings.text("edge.name"), audit_rate),
         }
     }
 
-    /// Restores what an earlier process recorded of its key set.
+    /// Restores the key set floor that an earlier process saved.
     pub fn restore_floor(&mut self, state: &CachedState) {
         self.floor = KeySetFloor {
             version: state.keys_version,
@@ -212,37 +212,40 @@
         };
     }
 
-    /// What a later process must remember of the key set.
+    /// The key set floor, which has to be saved for later processes.
     pub fn floor(&self) -> &KeySetFloor {
         &self.floor
     }
 
-    /// A client has connected.
+    /// Registers a client connection.
     pub fn client_connected(&mut self, conn: ConnectionId, io: &dyn Io) {
         if self.certificate_policy == CertificatePolicy::Off {
             return;
         }
         if let Some(peer) = io.peer(conn) {
-            let shown = ClientCertificate {
+            let certificate = ClientCertificate {
                 names: peer.names,
                 key_fingerprint: peer.key_fingerprint,
                 is_denied: false,
             };
-            self.certificates.insert(conn, shown);
+            self.certificates.insert(conn, certificate);
         }
     }
 
-    /// A client's connection is closed.
+    /// Removes a client connection that was closed.
     pub fn client_disconnected(&mut self, conn: ConnectionId) {
-        self.standings.remove(&conn);
+        self.connection_trust.remove(&conn);
         self.certificates.remove(&conn);
     }
 
-    /// What a client's connection has proved is valid no more; nothing new is accepted on it.
+    /// Denies the certificate of a client connection; further requests on the connection are rejected.
     pub fn deny_certificate(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let shown = self.certificates.entry(conn).or_default();
-        let (key, names) = (shown.key_fingerprint.clone(), shown.names.clone());
-        shown.is_denied = true;
+        let certificate = self.certificates.entry(conn).or_default();
+        let (key, names) = (
+            certificate.key_fingerprint.clone(),
+            certificate.names.clone(),
+        );
+        certificate.is_denied = true;
         tracing::warn!(
             reason = "certificate-denied",
             key,
@@ -252,24 +255,25 @@
         self.audit.write(now, line, io);
     }
 
-    /// Whether a client's connection is to be closed: it has sent too many bad tokens, or its certificate is denied.
-    pub fn is_ejected(&self, conn: ConnectionId) -> bool {
-        let is_denied = |shown: &ClientCertificate| shown.is_denied;
-        let is_out = |standing: &ConnectionTrust| self.authenticator.must_close(*standing);
+    /// Whether a client connection has to be closed because its certificate is denied or it has sent too many invalid
+    /// tokens.
+    pub fn must_disconnect(&self, conn: ConnectionId) -> bool {
+        let is_denied = |certificate: &ClientCertificate| certificate.is_denied;
+        let is_untrusted = |trust: &ConnectionTrust| self.authenticator.must_close(*trust);
         self.certificates.get(&conn).is_some_and(is_denied)
-            || self.standings.get(&conn).is_some_and(is_out)
+            || self.connection_trust.get(&conn).is_some_and(is_untrusted)
     }
 
-    /// The customer of a call that may run. A rejected call is audited.
+    /// Authenticates and authorizes a request, and returns its customer, if it has one. Rejections are audited.
     ///
     /// # Errors
-    /// The customer can't be authenticated, or may not call the function.
+    /// The customer can't be authenticated, or has no access to the function.
     pub fn authorize(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: &Request,
-        target: CallTarget<'_>,
+        target: RequestTarget<'_>,
         io: &mut dyn Io,
     ) -> Result<Option<String>, AuthError> {
         let authorized = self
@@ -281,34 +285,37 @@
         authorized
     }
 
-    /// The customer that calls, if any is known.
+    /// The customer of the request, if it has one.
     fn authenticate(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: &Request,
     ) -> Result<Option<String>, AuthError> {
-        let shown = self.certificates.get(&conn).cloned().unwrap_or_default();
-        let certificate = self
+        let certificate = self.certificates.get(&conn).cloned().unwrap_or_default();
+        let certificate_customer = self
             .certificate_owners
-            .customer(&shown)
+            .customer(&certificate)
             .map_err(AuthError::Certificate)?;
-        if certificate.is_none() && self.certificate_policy == CertificatePolicy::Required {
+        if certificate_customer.is_none() && self.certificate_policy == CertificatePolicy::Required
+        {
             return Err(AuthError::Certificate(CertificateError::Missing));
         }
-        let token = self.verify_token(now, conn, request)?;
-        // A name that nothing proves counts only where nothing is ever to be proved.
-        let trusts_names = self.token_policy == TokenPolicy::Off
+        let token_customer = self.verify_token(now, conn, request)?;
+        // An unproved customer name is accepted only if neither tokens nor certificates are in use.
+        let accepts_unproved = self.token_policy == TokenPolicy::Off
             && self.certificate_policy == CertificatePolicy::Off;
         let stated = StatedCustomers {
             named: request.field("sanddrum-customer"),
-            token: token.as_deref(),
-            certificate: certificate.as_deref(),
+            token: token_customer.as_deref(),
+            certificate: certificate_customer.as_deref(),
         };
-        stated.resolve(trusts_names).map_err(AuthError::Certificate)
+        stated
+            .resolve(accepts_unproved)
+            .map_err(AuthError::Certificate)
     }
 
-    /// The customer that the call's token proves, if it has one.
+    /// The customer that the request's token proves, if it has one.
     fn verify_token(
         &mut self,
         now: Micros,
@@ -325,10 +332,10 @@
             };
         };
         let keys = self.keys.as_ref().ok_or(AuthError::NoKeys)?;
-        let standing = self.standings.entry(conn).or_default();
+        let trust = self.connection_trust.entry(conn).or_default();
         let authenticated = self
             .authenticator
-            .authenticate(now, token, keys, standing)
+            .authenticate(now, token, keys, trust)
             .map_err(AuthError::Token)?;
         Ok(Some(authenticated.claims.sub))
     }
@@ -336,7 +343,7 @@
     fn check_rights(
         &self,
         customer: Option<String>,
-        target: CallTarget<'_>,
+        target: RequestTarget<'_>,
     ) -> Result<Option<String>, AuthError> {
         let name = customer.as_deref().unwrap_or_default();
         let decision = self.rights.decide(name, target.workload, target.function);
@@ -347,13 +354,14 @@
         }
     }
 
-    /// The customer is only claimed where the token is not valid; the token itself is never logged.
+    /// Logs and audits a rejected request. The customer is reported as claimed, since it may be unverified. The token
+    /// itself is never logged.
     fn audit_rejection(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: &Request,
-        target: CallTarget<'_>,
+        target: RequestTarget<'_>,
         error: AuthError,
         io: &mut dyn Io,
     ) {
@@ -366,9 +374,10 @@
         );
         let call = format!("{workload}/{function}");
         let key = bearer_token(request).and_then(token::unverified_key_id);
-        let shown = self.certificates.get(&conn);
-        let certificate = shown
-            .map(|shown| shown.key_fingerprint.clone())
+        let certificate = self
+            .certificates
+            .get(&conn)
+            .map(|certificate| certificate.key_fingerprint.clone())
             .filter(|key| !key.is_empty());
         let reason = error.reason();
         tracing::info!(
@@ -377,7 +386,7 @@
             key,
             certificate,
             call,
-            "call not authorized"
+            "request not authorized"
         );
         let line = json!({
             "what": "refused", "reason": reason, "claimed": claimed, "key": key,
@@ -386,8 +395,8 @@
         self.audit.write(now, line, io);
     }
 
-    /// Reads a key set from the content of the key file, if it may replace the one in force. The one in force stays
-    /// otherwise, and also where both are the same.
+    /// Reads a key set from the content of the key file. Returns none if it is invalid, may not replace the key set in
+    /// force, or is equal to it.
     pub fn read_keys(
         &mut self,
         now: Micros,
@@ -399,11 +408,11 @@
                 let seconds = now / MICROS_PER_SECOND;
                 match keys.check_successor(self.keys.as_ref(), &self.floor, seconds) {
                     Ok(()) => return Some(keys).filter(|keys| self.keys.as_ref() != Some(keys)),
-                    Err(refused) => (refused.reason(), refused.to_string()),
+                    Err(error) => (error.reason(), error.to_string()),
                 }
             }
-            Ok(Err(unreadable)) => ("keys-unreadable", unreadable.to_string()),
-            Err(unreadable) => ("keys-unreadable", unreadable.to_string()),
+            Ok(Err(error)) => ("keys-unreadable", error.to_string()),
+            Err(error) => ("keys-unreadable", error.to_string()),
         };
         self.reject_keys(now, reason, &why, io);
         None
@@ -423,13 +432,13 @@
         self.audit.write(now, line, io);
     }
 
-    /// Records what a later process must remember of a key set. To be saved before the set is put in force, so that a
-    /// crash in between never brings a revoked key back.
+    /// Raises the floor to a new key set. The floor must be saved before the key set is installed, so that a crash in
+    /// between can't make a revoked key valid again.
     pub fn raise_floor(&mut self, keys: &KeySet) {
         self.floor = keys.floor(&self.floor);
     }
 
-    /// Puts a key set in force.
+    /// Puts a key set into force.
     pub fn install_keys(&mut self, now: Micros, keys: KeySet, io: &mut dyn Io) {
         let states: BTreeMap<&String, String> = keys
             .keys
@@ -444,7 +453,7 @@
     }
 }
 
-/// The token of a request (RFC 6750, section 2.1).
+/// The bearer token of a request (RFC 6750, section 2.1).
 fn bearer_token(request: &Request) -> Option<&str> {
     let (scheme, token) = request.field("authorization")?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
--- a/crates/sanddrum-edge/src/invariants.rs
+++ b/crates/sanddrum-edge/src/invariants.rs
@@ -1,25 +1,25 @@
-//! Whether an attempt may be sent or a client's connection be closed now. The decision module chooses; these are the
-//! invariants that hold whatever it chose and whatever has happened since. Every path checks here at the last moment before
-//! its bytes are written, and what should never have come so far is counted as a violation, by invariant.
+//! The invariants for sending an attempt and for closing a client connection. They hold regardless of what the
+//! decision module chose and what has happened since. Every path checks them immediately before it acts; an action
+//! that should already have been prevented is counted as a violation of its invariant.
 
 use sanddrum::Micros;
 use sanddrum_wire::Phase;
 use std::collections::BTreeMap;
 
-/// An invariant that was about to be violated.
+/// An invariant of the edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Nothing is sent for a client that has disconnected or has its final response.
+    /// No attempt is sent for a client that has disconnected or received its final response.
     ClientWaits,
-    /// Nothing is sent once the deadline of the attempt has passed.
+    /// No attempt is sent after its deadline.
     TimeLeft,
-    /// Nothing is sent to an endpoint that is draining, gone or was never listed.
+    /// No attempt is sent to an endpoint that is draining, gone or not listed.
     EndpointListed,
-    /// A request that may run only once is not sent again once it may have run.
+    /// A request that may run only once is not sent again if it may have run.
     EffectOnce,
-    /// Nothing is sent once the shutdown's deadline has passed.
+    /// No attempt is sent after the shutdown's deadline.
     NotEnded,
-    /// A connection is not closed while requests on it wait for their responses.
+    /// A connection is not closed while requests on it await their responses.
     AnsweredFirst,
 }
 
@@ -37,27 +37,27 @@
     }
 }
 
-/// What is known of an attempt as its first byte is about to be written.
+/// The state of an attempt immediately before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptFacts {
-    /// The client is connected and has no final response.
+    /// The client is connected and has not received a final response.
     pub client_waits: bool,
     /// The time until the deadline.
     pub time_left: Micros,
-    /// The endpoint's phase, where it is listed.
+    /// The endpoint's phase, if it is listed.
     pub endpoint: Option<Phase>,
     /// The request may run only once.
     pub runs_once: bool,
-    /// Another attempt of the request has run or may run still.
+    /// Another attempt of the request may have run or may still run.
     pub another_may_run: bool,
-    /// The shutdown's deadline has passed and all was answered.
+    /// The shutdown's deadline has passed and all requests have been answered.
     pub is_past_shutdown: bool,
 }
 
-/// Whether an attempt may be sent.
+/// Checks whether an attempt may be sent.
 ///
 /// # Errors
-/// The first invariant that it would violate.
+/// The first invariant that sending it would violate.
 pub(crate) fn may_send(facts: &AttemptFacts) -> Result<(), Invariant> {
     let is_ready = facts.endpoint == Some(Phase::Ready);
     let checks = [
@@ -79,17 +79,17 @@
 /// Why the edge closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CloseReason {
-    /// Another client needs its place, and no request is open on it.
+    /// The limit on client connections is reached, and this one has no open request.
     Evicted,
-    /// It has sent nothing valid, or a request that was never completed.
+    /// No valid request, or only part of one, was received in time.
     RequestTimeout,
-    /// No request was open on it for long.
+    /// No request was open for the idle timeout.
     Idle,
-    /// It can't be decoded any further: the requests that are open on it can't be distinguished any more.
+    /// Its input can't be decoded, so that its open requests can no longer be distinguished.
     Unreadable,
     /// The client does not read its responses.
     NotReading,
-    /// All that was open on it is answered, and nothing new is accepted on it.
+    /// All its requests are answered, and no further ones are accepted.
     Answered,
 }
 
@@ -106,16 +106,16 @@
         }
     }
 
-    /// Whether the client itself prevents that anything more is answered.
+    /// Whether the client itself makes further responses impossible.
     fn is_caused_by_client(self) -> bool {
         matches!(self, CloseReason::Unreadable | CloseReason::NotReading)
     }
 }
 
-/// Whether a client's connection may be closed.
+/// Checks whether a client connection may be closed.
 ///
 /// # Errors
-/// Requests on the connection wait for their responses, or responses are not written yet.
+/// [`Invariant::AnsweredFirst`]: requests on the connection await their responses, or responses are not fully written.
 pub(crate) fn may_close(
     reason: CloseReason,
     open_requests: usize,
@@ -137,17 +137,17 @@
 }
 
 impl Violations {
-    /// From now on violations are counted and let happen.
+    /// Makes violations be counted without being prevented.
     pub fn allow(&mut self) {
         self.are_allowed = true;
     }
 
-    /// Whether violations are let happen.
+    /// Whether violations are not prevented.
     pub fn are_allowed(&self) -> bool {
         self.are_allowed
     }
 
-    /// Counts and logs a violation. In debug builds it panics, unless violations are allowed.
+    /// Counts and logs a violation. Panics in debug builds unless violations are allowed.
     pub fn report(&mut self, invariant: Invariant, what: &str) {
         let name = invariant.name();
         *self.counts.entry(invariant).or_default() += 1;
@@ -161,12 +161,12 @@
         debug_assert!(self.are_allowed, "violation of {name}: {what}");
     }
 
-    /// The number of violations.
+    /// The total number of violations.
     pub fn total(&self) -> u64 {
         self.counts.values().sum()
     }
 
-    /// For the log: invariants with their counts, or "none".
+    /// The violated invariants with their counts, or "none", for the log.
     pub fn summary(&self) -> String {
         if self.counts.is_empty() {
             return "none".to_string();
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -1,7 +1,9 @@
-//! The edge as a core without I/O: it accepts clients' calls, hosts one decision module and holds connections to workers
-//! and to the service that lists them. What is received in one turn of the event loop becomes one batch of events for the
-//! decision module, and its decisions are carried out as it makes them. The edge itself chooses no worker, retries nothing
-//! and gives a request up only at its own shutdown.
+//! The edge as a core without I/O. It accepts clients' requests, hosts one decision module, and holds connections to
+//! the workers and to the discovery service or control feed.
+//!
+//! All input of one turn of the event loop becomes one batch of events for the decision module, whose decisions are
+//! carried out as it makes them. The edge itself never chooses a worker or retries, and it fails a request on its own
+//! only at the deadline of its graceful shutdown.
 
 mod admission;
 mod arrival_time;
@@ -43,12 +45,13 @@
 use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, Micros};
 use sanddrum_upstream::ConnectionPolicy;
 
-/// Mixed into the seed of the connection policy, so that its draws do not move those of others.
+/// XORed with the edge's seed, so that the connection policy's random numbers are independent of the decision
+/// module's.
 const CONNECTION_POLICY_SEED: u64 = 0xc0;
 
-/// What decides: the decision module, or another in its place to compare it with.
+/// A decision module: [`Router`], or a replacement that it is compared with.
 pub trait DecisionModule {
-    /// Handles a batch of events and decides on it.
+    /// Handles a batch of events and reports its decisions to `decisions`.
     fn handle(&mut self, now: Micros, batch: &EventBatch, decisions: &mut impl Decisions);
 }
 
@@ -58,24 +61,24 @@
     }
 }
 
-/// How much an edge remembers.
+/// The sizes of an edge's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceCounts {
-    /// Requests, open or with attempts in flight.
+    /// Requests that are open or have attempts in flight.
     pub requests: usize,
-    /// Connections of clients.
+    /// Client connections.
     pub client_connections: usize,
     /// Connections to workers.
     pub worker_connections: usize,
     /// Listed workers.
     pub workers: usize,
-    /// Functions that calls have named.
+    /// Functions that requests have named.
     pub functions: usize,
     /// Scheduled timers.
     pub timers: usize,
 }
 
-/// An edge with a decision module.
+/// An edge that hosts the decision module `M`.
 pub struct Edge<M> {
     module: M,
     connection_policy: ConnectionPolicy,
@@ -83,13 +86,14 @@
 }
 
 impl Edge<Router> {
-    /// An edge with the decision module.
+    /// An edge with the default decision module, configured from the edge's settings.
     pub fn new(options: EdgeOptions) -> Self {
         let settings = options.settings.values_for_module();
         Edge::with_settings(options, &settings)
     }
 
-    /// The same with other settings for the decision module, where another program is to give it equal ones.
+    /// Like [`Edge::new`], but with separate settings for the decision module. On the platform they are derived from
+    /// its startup configuration, as in any other program that hosts the module.
     pub fn with_settings(options: EdgeOptions, settings: &Settings) -> Self {
         let module = Router::new(options.seed, settings);
         Edge::with_module(options, module)
@@ -97,7 +101,7 @@
 }
 
 impl<M: DecisionModule> Edge<M> {
-    /// An edge with another module in the decision module's place.
+    /// An edge with the given decision module.
     pub fn with_module(options: EdgeOptions, module: M) -> Self {
         let seed = options.seed ^ CONNECTION_POLICY_SEED;
         let connection_policy = ConnectionPolicy::new(seed, &options.settings.values);
@@ -108,20 +112,20 @@
         }
     }
 
-    /// The same edge, in which violations of [`Invariant`]s are counted and let happen: a checker that judges from the
-    /// traffic has to see them.
+    /// Makes the edge count violations of [`Invariant`]s without preventing them, so that tests can verify that a
+    /// checker detects them in the traffic.
     pub fn allowing_violations(mut self) -> Self {
         self.state.allow_violations();
         self
     }
 
-    /// How much the edge remembers.
+    /// The sizes of the edge's tables.
     pub fn resource_counts(&self) -> ResourceCounts {
         self.state.resource_counts()
     }
 
-    /// Runs the decision module until no event is left. A decision that is carried out may cause further events at once,
-    /// such as a full connection or a request that has ended.
+    /// Runs the decision module until no events are pending, at most [`MAX_BATCHES_PER_TURN`] times. Carrying out a
+    /// decision can produce further events immediately, such as a full connection or a request that has ended.
     fn run_decision_module(&mut self, now: Micros) {
         for _ in 0..MAX_BATCHES_PER_TURN {
             let Some(batch) = self.state.take_batch(now) else {
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -1,86 +1,88 @@
-//! The limits of an edge, as set.
+//! The configured limits of an edge.
 
 use sanddrum_net::Micros;
 use sanddrum_settings::LoadedSettings;
 
-/// How often the decision module runs at most in one turn of the event loop; events that are left over wait for the next
-/// turn, so that sockets are served.
+/// The maximum number of runs of the decision module in one turn of the event loop. Remaining events wait for the next
+/// turn, so that I/O is not starved.
 pub(crate) const MAX_BATCHES_PER_TURN: usize = 4;
 
-/// A worker answers an attempt within this many of the longest time limit, or never.
+/// After this multiple of the longest time limit of a workload, a worker no longer answers an attempt.
 const LATE_ANSWER_TIME_LIMITS: Micros = 2;
 
-/// The named limits (`limits` in the settings); docs/settings.md says what each guards against.
+/// The limits in the `limits` section of the settings; docs/settings.md documents the purpose of each.
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
-    /// How long before a client's deadline its final response is due.
+    /// How long before the client's deadline the final response is due.
     pub response_lead_time: Micros,
-    /// Open requests.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub max_clients: usize,
-    /// How long a client's connection may be idle.
+    /// Maximum idle time of a client connection.
     pub client_idle_timeout: Micros,
-    /// How long a request may take to be received.
+    /// Maximum time to receive a request.
     pub request_timeout: Micros,
-    /// How long a new client may take to send its first request before it is evicted for others.
+    /// How long a new client connection without a request is evicted last if the limit is reached; afterwards it is
+    /// evicted first.
     pub first_request_timeout: Micros,
-    /// How long a connection is kept after a response to a request that can't be read.
+    /// How long a connection stays open after the response to a malformed request.
     pub linger_time: Micros,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// Open requests on a client's connection.
+    /// Maximum number of open requests on a client connection.
     pub max_pipelined_requests: usize,
-    /// Bytes that wait to be written to a client.
+    /// Maximum number of bytes that are queued for writing to a client.
     pub max_outbox_bytes_per_client: usize,
-    /// Bytes that wait to be written on a connection to a worker.
+    /// Maximum number of bytes that are queued for writing on a worker connection.
     pub max_outbox_bytes_per_worker: usize,
-    /// Bytes of a frame of the worker protocol.
+    /// Maximum size of a frame of the worker protocol.
     pub max_frame_bytes: usize,
-    /// Bytes of an answer of the control feed.
+    /// Maximum size of an answer of the control feed.
     pub max_feed_answer_bytes: usize,
-    /// Messages in flight on a connection to a worker.
+    /// Maximum number of messages in flight on a worker connection.
     pub max_in_flight_per_connection: usize,
-    /// Messages in flight on a connection to a worker, above which a further connection is wanted.
+    /// Number of messages in flight that counts as full utilization of a worker connection, above which the connection
+    /// policy opens another one.
     pub wanted_in_flight_per_connection: usize,
-    /// Connections to one worker.
+    /// Maximum number of connections to one worker.
     pub max_connections_per_worker: usize,
-    /// Connections to all workers.
+    /// Maximum number of connections to all workers.
     pub max_worker_connections: usize,
-    /// How long a connection may take to be opened.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Micros,
-    /// How long a connection to a worker may be idle.
+    /// Maximum idle time of a worker connection.
     pub worker_idle_timeout: Micros,
-    /// How long a health check may take.
+    /// Timeout of a health check.
     pub health_check_timeout: Micros,
-    /// How long a load command may take.
+    /// Timeout of a load command.
     pub load_timeout: Micros,
-    /// The least time between two writes of the endpoint cache.
+    /// Minimum interval between two saves of the endpoint cache.
     pub min_save_interval: Micros,
-    /// How long a graceful shutdown may take.
+    /// Maximum duration of a graceful shutdown.
     pub shutdown_timeout: Micros,
-    /// The longest time that a client is asked to wait before it retries.
+    /// Maximum Retry-After of a response; the edge's own 503 responses use it.
     pub max_retry_after: Micros,
-    /// Functions that are remembered.
+    /// Maximum number of functions in the function table.
     pub max_functions: usize,
-    /// Bytes of the bodies of all open requests, and of all requests that are received in part.
+    /// Maximum total size of the bodies of all open and partly received requests.
     pub max_buffered_body_bytes: usize,
-    /// How many times what is set a figure of a caller's may be.
+    /// Factor by which a duration that a caller states may exceed the configured maximum.
     pub parameter_tolerance: f64,
-    /// How long after the begin of a shutdown requests may still arrive.
+    /// How long after the start of a shutdown requests may still arrive.
     pub late_arrival_window: Micros,
-    /// How long the control feed may hold a poll.
+    /// Maximum time for which the control feed holds a poll.
     pub feed_poll_wait: Micros,
-    /// How long after that the control feed may take to answer.
+    /// How long after that time the control feed's answer may arrive.
     pub feed_answer_timeout: Micros,
-    /// How long after the end of an attempt an answer to it may still come.
+    /// How long after the end of an attempt its answer may still arrive.
     pub late_answer_window: Micros,
 }
 
 impl Limits {
-    /// The limits as set.
+    /// Reads the limits from the settings.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
         let duration = |name: &str| settings.duration_us(&format!("limits.{name}-us"));
         let bytes = |name: &str| settings.integer(&format!("limits.{name}-bytes"));
--- a/crates/sanddrum-edge/src/metrics.rs
+++ b/crates/sanddrum-edge/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters and gauges of an edge. Without a recorder they cost next to nothing.
+//! Counters and gauges of an edge. Without an installed recorder, updating them is almost free.
 
 use crate::responses::ErrorKind;
 use metrics::{counter, gauge, Counter, Gauge};
 use sanddrum::Outcome;
 use sanddrum_upstream::ConnectionPolicy;
 
-/// Outcomes of attempts by their label values.
+/// Attempt outcomes with their label values.
 const OUTCOME_LABELS: [(Outcome, &str); 9] = [
     (Outcome::Finished, "finished"),
     (Outcome::Error, "error"),
@@ -26,31 +26,31 @@
     found.map_or("", |(_, label)| label)
 }
 
-/// All metrics that are updated often.
+/// Handles of all metrics that are updated often; the others are looked up at each update.
 pub(crate) struct EdgeMetrics {
-    /// Requests accepted.
+    /// Accepted requests.
     pub requests_accepted: Counter,
-    /// Requests finished.
+    /// Finished requests.
     pub requests_finished: Counter,
     /// Requests cancelled by their clients.
     pub requests_cancelled: Counter,
-    /// Load commands sent.
+    /// Load commands that were sent.
     pub load_commands: Counter,
-    /// Health checks sent.
+    /// Health checks that were sent.
     pub health_checks: Counter,
-    /// Answers that no attempt waited for.
+    /// Answers that matched no attempt.
     pub unmatched_answers: Counter,
-    /// Worker connections ended for a violation of the protocol.
+    /// Worker connections that were closed for a protocol violation.
     pub malformed_worker_streams: Counter,
     /// Lost connections to the discovery service or the control feed.
     pub discovery_losses: Counter,
-    /// Connections to workers, open or not.
+    /// Connections to workers, including those that are being established.
     pub worker_connections_open: Gauge,
-    /// Connections of clients.
+    /// Client connections.
     pub client_connections_open: Gauge,
     /// Listed workers.
     pub workers_listed: Gauge,
-    /// How far the start has come: 0 no list, 1 the cached one, 2 a current one.
+    /// The progress of the start: 0 no endpoint list, 1 the cached list, 2 a current list.
     pub readiness_step: Gauge,
     handshakes_in_flight: Gauge,
     worker_connections_waiting: Gauge,
@@ -83,7 +83,7 @@
 }
 
 impl EdgeMetrics {
-    /// Counts a final response to a request that did not finish.
+    /// Counts an error response to a request.
     pub fn record_error_response(&self, kind: ErrorKind, reason: &str) {
         let (end, reason) = (kind.name(), reason.to_string());
         counter!("sanddrum_answers_total", "end" => end, "reason" => reason).increment(1);
@@ -99,7 +99,7 @@
             .set(policy.handshake_costs().full() as f64);
     }
 
-    /// Counts a client's connection that was closed by the edge.
+    /// Counts a client connection that the edge closed.
     pub fn record_client_close(&self, reason: &'static str) {
         counter!("sanddrum_client_closes_total", "reason" => reason).increment(1);
     }
--- a/crates/sanddrum-edge/src/timers.rs
+++ b/crates/sanddrum-edge/src/timers.rs
@@ -1,51 +1,52 @@
-//! Timers of the edge. The wake-ups of the decision module and of the connection policy are kept apart from them.
+//! The edge's timers, without the wake-ups of the decision module and the connection policy, which
+//! [`EdgeState`](crate::edge_state::EdgeState) stores separately.
 
 use crate::message::{AttemptId, CommandId};
 use sanddrum_net::{ConnectionId, Micros};
 use sanddrum_upstream::WorkerConnectionId;
 use std::collections::BTreeSet;
 
-/// What a timer is for. Timers of the same instant fire in the order of the variants.
+/// The purpose of a timer. Timers of the same instant fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The time limit of an attempt is over.
+    /// An attempt has reached its deadline.
     AttemptTimeout(AttemptId),
     /// A load command was not answered in time.
     LoadTimeout(CommandId),
     /// A health check was not answered in time.
     HealthCheckTimeout(CommandId),
-    /// A connection to a worker is checked: it may not have come up, be idle or be retired.
+    /// Checks whether a worker connection is not established in time, idle or due to be retired.
     WorkerConnection(WorkerConnectionId),
-    /// An attempt without a waiting client is still written only in part.
+    /// An attempt whose client no longer waits is still only partly written.
     PartialWrite(WorkerConnectionId, AttemptId),
-    /// A client's connection is checked: it may be idle or slow.
+    /// Checks whether a client connection is idle or slow.
     ClientConnection(ConnectionId),
-    /// The connection to the discovery service or the control feed is checked.
+    /// Checks the connection to the discovery service or the control feed.
     Discovery,
-    /// The endpoint cache is written.
+    /// Saves the endpoint cache.
     SaveState,
-    /// Requests that were under way when the shutdown began can no longer arrive.
+    /// Requests that were in transit when the shutdown began can no longer arrive.
     LateArrivals,
-    /// The time limit of the graceful shutdown is over.
+    /// The graceful shutdown has reached its deadline.
     ShutdownDeadline,
 }
 
-/// Scheduled timers, the earliest first.
+/// Scheduled timers, earliest first.
 #[derive(Debug, Default)]
 pub(crate) struct Timers(BTreeSet<(Micros, Timer)>);
 
 impl Timers {
-    /// Schedules a timer. One that is scheduled already for this instant fires once.
+    /// Schedules a timer. A timer that is scheduled twice for the same instant fires once.
     pub fn schedule(&mut self, at: Micros, timer: Timer) {
         self.0.insert((at, timer));
     }
 
-    /// Removes a timer that was scheduled for this instant.
+    /// Cancels a timer that was scheduled for `at`.
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
         self.0.remove(&(at, timer));
     }
 
-    /// Removes and returns the earliest timer that is due.
+    /// Removes and returns the earliest timer if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         let (at, timer) = self.0.first().copied()?;
         if at > now {
@@ -60,7 +61,7 @@
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Whether such a timer is scheduled for any instant.
+    /// Whether `timer` is scheduled for any instant.
     pub fn is_scheduled(&self, timer: Timer) -> bool {
         self.0.iter().any(|(_, scheduled)| *scheduled == timer)
     }
