--- a/crates/sanddrum-edge/tests/control_feed.rs
+++ b/crates/sanddrum-edge/tests/control_feed.rs
@@ -1,4 +1,4 @@
-//! The platform's control feed, and what waits for workers that it changes.
+//! Tests of the control feed client, and of attempts to workers that the feed changes.
 
 mod harness;
 
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 #[rstest]
-fn attempts_to_a_worker_that_a_full_list_omits_are_retracted() {
+fn attempts_to_a_worker_missing_from_a_full_list_are_retracted() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (_, worker) = harness.dispatch_while_connecting();
     let others =
@@ -40,7 +40,7 @@
 }
 
 #[rstest]
-fn attempts_to_a_worker_whose_address_was_taken_over_are_retracted() {
+fn attempts_to_a_worker_whose_address_belongs_to_a_newer_worker_are_retracted() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (_, worker) = harness.dispatch_while_connecting();
     let mut cold = member("v", "in_service");
@@ -49,7 +49,7 @@
     assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
     harness.connect(worker);
     assert_eq!(harness.io.written.get(&worker), None);
-    // Until its new address is listed nothing is sent to it.
+    // Nothing is sent to the worker until its new address is listed.
     let before = harness.io.connects.len();
     harness.plan([Decision::Dispatch(0, 1_000_000)]);
     harness.receive_events(3, json!([member_event(3, member("u", "in_service"))]));
@@ -61,7 +61,7 @@
 }
 
 #[rstest]
-fn an_event_that_is_counted_but_missing_is_polled_for_once_more() {
+fn a_missing_event_is_polled_for_once_more_and_then_skipped() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.receive_events(3, json!([member_event(2, member("v", "in_service"))]));
     assert!(
@@ -71,7 +71,7 @@
     );
     harness.receive_events(3, json!([member_event(3, member("v", "terminated"))]));
     assert_eq!(harness.last_endpoint().state, WorkerState::Gone);
-    // An event that is missing a second time does not exist.
+    // An event that is missing from two answers in a row is skipped.
     harness.receive_events(5, json!([]));
     assert!(harness.last_poll().contains("SUB=3&"));
     harness.receive_events(5, json!([]));
@@ -79,7 +79,7 @@
 }
 
 #[rstest]
-fn events_of_an_answer_apply_though_the_connection_closes_at_once() {
+fn events_of_an_answer_are_applied_if_the_connection_closes_immediately_afterwards() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let feed = harness.discovery;
     let answer = feed_answer(2, json!([member_event(2, member("w", "terminating"))]));
@@ -104,8 +104,10 @@
     assert_eq!(harness.script.borrow().endpoint_lists.len(), 1);
 }
 
+/// An edge has to report healthy within ten seconds of its start, even if the feed is unreachable; it uses half of
+/// that.
 #[rstest]
-fn an_edge_without_a_list_becomes_ready_after_half_of_ten_seconds() {
+fn an_edge_without_an_endpoint_list_reports_healthy_after_five_seconds() {
     let mut harness = EdgeHarness::on_platform_without_workers(&[]);
     let health = |harness: &mut EdgeHarness| {
         let client = harness.accept_client();
@@ -122,7 +124,7 @@
 }
 
 #[rstest]
-fn an_edge_with_a_list_is_ready() {
+fn an_edge_with_an_endpoint_list_reports_healthy() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
     harness.send_health_check(client);
@@ -146,7 +148,7 @@
 }
 
 #[rstest]
-fn the_feed_is_polled_again_at_once_and_each_event_applies_once() {
+fn the_feed_is_polled_again_immediately_and_each_event_is_applied_once() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.receive_member(5, member("v", "in_service"));
     harness.receive_member(5, member("v", "in_service"));
@@ -161,8 +163,8 @@
 
 #[rstest]
 #[case::silent(false)]
-#[case::closed_within_an_event(true)]
-fn a_lost_feed_is_polled_again_from_the_last_complete_event(#[case] closes: bool) {
+#[case::closed_in_the_middle_of_an_event(true)]
+fn after_a_reconnect_the_feed_is_polled_from_the_last_applied_event(#[case] closes: bool) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let feed = harness.discovery;
     if closes {
@@ -189,7 +191,7 @@
 }
 
 #[rstest]
-fn a_new_configuration_changes_the_feed_address_and_an_invalid_one_nothing() {
+fn a_new_configuration_changes_the_feed_address_and_an_invalid_one_is_rejected() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (now, before) = (harness.now, harness.io.connects.len());
     harness
@@ -213,7 +215,7 @@
     );
 }
 
-/// Until when the endpoint list is confirmed, as the decision module was notified last.
+/// The instant up to which the endpoint list is confirmed, as last reported to the decision module.
 fn confirmed_at(harness: &EdgeHarness) -> Micros {
     harness
         .script
@@ -225,7 +227,7 @@
 }
 
 #[rstest]
-fn the_first_poll_of_a_connection_is_to_be_answered_at_once() {
+fn the_first_poll_of_a_connection_requests_an_immediate_answer() {
     let mut harness = EdgeHarness::on_platform(&[]);
     assert!(harness.last_poll().contains("wait=0 "));
     harness.receive_events(1, json!([]));
@@ -233,7 +235,7 @@
 }
 
 #[rstest]
-fn an_answer_without_events_confirms_the_list_until_the_end_of_its_wait() {
+fn an_answer_without_events_confirms_the_list_up_to_the_end_of_its_wait() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let start = confirmed_at(&harness);
     harness.receive_events(1, json!([]));
@@ -245,18 +247,18 @@
 }
 
 #[rstest]
-fn an_answer_that_was_read_late_confirms_no_more_than_the_feed_could_know() {
+fn an_answer_read_late_confirms_the_list_only_up_to_the_end_of_its_wait() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.receive_events(1, json!([]));
     let polled_at = harness.now;
-    // The process stands still, and finds the answer to a wait of one second after three.
+    // The process is stalled for three seconds and then reads the answer to a poll that waited for one second.
     harness.now += 3 * SECOND;
     harness.receive_events(1, json!([]));
     assert_eq!(confirmed_at(&harness), polled_at + SECOND);
 }
 
 #[rstest]
-fn a_lost_feed_confirms_nothing() {
+fn the_list_is_not_confirmed_while_the_feed_is_disconnected() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.receive_events(1, json!([]));
     let confirmed = confirmed_at(&harness);
@@ -269,7 +271,7 @@
 }
 
 #[rstest]
-fn polls_of_a_slow_feed_wait_for_less() {
+fn polls_of_a_slow_feed_have_a_shorter_wait() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.now += 400_000;
     harness.receive_events(1, json!([]));
@@ -281,12 +283,12 @@
 }
 
 #[rstest]
-fn events_that_only_a_new_configuration_states_apply_while_the_feed_is_out_of_reach() {
+fn new_events_in_a_changed_configuration_are_applied_while_the_feed_is_unreachable() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let drains =
+    let draining_event =
         json!({"n": 2, "members": {"complete": false, "members": [member("w", "terminating")]}});
     let json = json!({"name": "n", "listen": "127.0.0.1:1", "feed": "127.0.0.9:2380", "seed": "1", "settings": {},
-                      "limits": {"sockets": 100, "memory_mb": 10}, "known": {"n": 2, "events": [drains]}});
+                      "limits": {"sockets": 100, "memory_mb": 10}, "known": {"n": 2, "events": [draining_event]}});
     harness.edge.on_file(
         harness.now,
         CONFIGURATION_FILE,
--- a/crates/sanddrum-edge/tests/discovery.rs
+++ b/crates/sanddrum-edge/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: updates, gaps, restarts, the cache and reconnects.
+//! Tests of the endpoint list: updates, gaps, worker restarts, the cache and reconnects to the discovery service.
 
 mod harness;
 
@@ -10,7 +10,7 @@
 use sanddrum_wire::{EndpointRecord, Phase};
 
 #[rstest]
-fn an_update_after_a_gap_applies_at_once_and_the_gap_is_polled_for_once() {
+fn an_update_after_a_gap_is_applied_immediately_and_the_gap_is_polled_for_once() {
     let mut harness = EdgeHarness::new(&[]);
     let before = harness.io.written[&harness.discovery].len();
     harness.receive_update(&delta_update(5, 4, &[endpoint("w", 1, Phase::Draining)]));
@@ -18,49 +18,49 @@
     assert_eq!(
         listed,
         Some((EndpointListKind::Delta, WorkerState::Draining)),
-        "a draining worker is reported without the missed update"
+        "a draining worker is reported despite the missed update"
     );
     let polled = harness.io.written[&harness.discovery].len();
-    assert!(polled > before, "the gap is polled for");
+    assert!(polled > before, "the missed update is polled for");
     harness.receive_update(&delta_update(6, 5, &[endpoint("w", 1, Phase::Draining)]));
     assert_eq!(
         harness.io.written[&harness.discovery].len(),
         polled,
-        "and only once"
+        "the missed update is polled for only once"
     );
-    // The update that follows on the known version applies.
+    // An update that is based on the known version is applied.
     harness.receive_update(&delta_update(6, 1, &[endpoint("w", 1, Phase::Ready)]));
     let listed = harness.last_list_kind_and_state();
     assert_eq!(listed, Some((EndpointListKind::Delta, WorkerState::Ready)));
 }
 
 #[rstest]
-fn a_start_keeps_its_instant_until_a_greeting_reports_a_restart() {
+fn a_worker_keeps_its_start_time_until_its_hello_message_reports_a_restart() {
     let mut harness = EdgeHarness::new(&[]);
-    let young = |incarnation, age_us| EndpointRecord {
+    let record = |incarnation, age_us| EndpointRecord {
         age_us,
         ..endpoint("w", incarnation, Phase::Ready)
     };
-    harness.receive_update(&full_update(2, &[young(2, 500_000)]));
+    harness.receive_update(&full_update(2, &[record(2, 500_000)]));
     let first = harness.last_endpoint().started_at;
     assert_eq!(first, harness.now - 500_000);
     harness.now += SECOND;
-    harness.receive_update(&full_update(3, &[young(2, 1_700_000)]));
+    harness.receive_update(&full_update(3, &[record(2, 1_700_000)]));
     assert_eq!(
         harness.last_endpoint().started_at,
         first,
-        "200 ms late, not restarted"
+        "the record is 200 ms late, the worker has not restarted"
     );
     let (_, worker) = harness.dispatch_call(5 * SECOND);
     harness.connect(worker);
-    harness.greet(worker, "w", 3, Some(1000));
+    harness.receive_hello(worker, "w", 3, Some(1000));
     let listed = harness.last_endpoint();
     assert_eq!(listed.started_at, harness.now - 1000);
-    harness.receive_update(&full_update(4, &[young(2, 9_000_000)]));
+    harness.receive_update(&full_update(4, &[record(2, 9_000_000)]));
     assert_eq!(
         harness.last_endpoint().started_at,
         listed.started_at,
-        "an older start is out of date"
+        "a record of an older incarnation is outdated"
     );
 }
 
@@ -109,7 +109,7 @@
             cause: CloseCause::Refused,
         });
     }
-    // Each delay is drawn from the least to three times the one before.
+    // Each delay is random between the minimum and three times the previous delay.
     assert!(
         delays[0] <= 310_000
             && delays
@@ -121,10 +121,10 @@
 }
 
 #[rstest]
-#[case::the_clock_went_on_by_an_hour(-3600 * SECOND)]
-#[case::the_clock_went_back_by_an_hour(3600 * SECOND)]
-fn a_step_of_the_wall_clock_does_not_age_workers_of_the_cached_list(#[case] clock_step: i64) {
-    let young = EndpointRecord {
+#[case::clock_stepped_forward_by_an_hour(-3600 * SECOND)]
+#[case::clock_stepped_back_by_an_hour(3600 * SECOND)]
+fn a_step_of_the_wall_clock_does_not_change_the_ages_of_cached_workers(#[case] clock_step: i64) {
+    let record = EndpointRecord {
         age_us: 500_000,
         ..endpoint("w", 1, Phase::Ready)
     };
@@ -132,7 +132,7 @@
         saved_at: 1000 * SECOND + clock_step,
         service_incarnation: 1,
         version: 1,
-        endpoints: vec![young],
+        endpoints: vec![record],
         ..endpoint_cache::CachedState::default()
     };
     let harness = EdgeHarness::with_cached_state(&[], Some(endpoint_cache::write(&cached)));
--- a/crates/sanddrum-edge/tests/harness/feed.rs
+++ b/crates/sanddrum-edge/tests/harness/feed.rs
@@ -1,11 +1,11 @@
-//! The platform's control feed.
+//! Answers and polls of the platform's control feed.
 
 use super::scripted_module::Decision;
 use super::EdgeHarness;
 use sanddrum_wire::http;
 use serde_json::{json, Value as Json};
 
-/// A worker as the feed lists it.
+/// A worker in the feed's format.
 pub fn member(id: &str, phase: &str) -> Json {
     json!({"id": id, "host_port": "10.0.0.1:7001", "locality": "a", "phase": phase, "size": 4, "up_since_ms": 0})
 }
@@ -15,24 +15,24 @@
     json!({"n": number, "members": {"complete": false, "members": [member]}})
 }
 
-/// An answer of the feed that counts events up to `last` and brings these.
+/// An answer of the feed that contains `events` and reports `last` as the number of its last event.
 pub fn feed_answer(last: u64, events: Json) -> Vec<u8> {
     let body = json!({"n": last, "events": events}).to_string();
     http::encode_response(200, &[], body.as_bytes(), true)
 }
 
 impl EdgeHarness {
-    /// The feed answers with these events.
+    /// Delivers an answer of the feed with these events.
     pub fn receive_events(&mut self, last: u64, events: Json) {
         self.receive(self.discovery, &feed_answer(last, events));
     }
 
-    /// The feed answers with one event, which changes one worker.
+    /// Delivers an answer of the feed with one event that changes one worker.
     pub fn receive_member(&mut self, number: u64, member: Json) {
         self.receive_events(number, json!([member_event(number, member)]));
     }
 
-    /// Has the module make these decisions now: any event of the feed runs it.
+    /// Has the module make these decisions now, by delivering a feed event, which runs it.
     pub fn decide_on_event(&mut self, number: u64, decisions: impl IntoIterator<Item = Decision>) {
         self.plan(decisions);
         self.receive_member(number, member("w", "in_service"));
--- a/crates/sanddrum-edge/tests/harness/mod.rs
+++ b/crates/sanddrum-edge/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! An edge between scripted connections and a scripted module in the decision module's place.
-#![allow(dead_code)] // Each test binary uses a part of it.
+//! A test harness: an edge with scripted I/O and a scripted decision module.
+#![allow(dead_code)] // Each test binary uses only part of the harness.
 
 pub mod fake_io;
 pub mod fastcgi;
@@ -25,21 +25,21 @@
 /// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// The workload and functions that all tests have, in the zones `a` and `b`.
+/// The settings of all tests: a workload, its functions and the zones `a` and `b`.
 const SETTINGS: &str = r#"
     (deployment (zones "a" "b"))
     (workload "job" (time-limit 10s) (effect restartable))
     (function "f*" (workload "job"))"#;
 
-/// The largest frame that a decoder of the tests accepts, in bytes.
+/// The maximum frame size that the decoders of the tests accept.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// The worker that all tests have.
+/// The worker `w`, which most tests use.
 pub fn worker_id() -> WorkerId {
     WorkerId(stable_id("w"))
 }
 
-/// An edge, its connections and its clock.
+/// An edge with fake I/O and a manual clock.
 pub struct EdgeHarness {
     pub edge: Edge<ScriptedModule>,
     pub io: FakeIo,
@@ -51,19 +51,19 @@
 }
 
 impl EdgeHarness {
-    /// An edge with a restartable workload `job`, functions `f*`, one worker `w` and these settings.
+    /// An edge with a restartable workload `job`, functions `f*`, one worker `w` and the given settings.
     pub fn new(settings: &[(&str, &str)]) -> Self {
         EdgeHarness::with_forms(settings, "")
     }
 
-    /// The same with more forms in its settings.
+    /// Like [`EdgeHarness::new`], with additional forms in the settings file.
     pub fn with_forms(settings: &[(&str, &str)], forms: &str) -> Self {
         let mut harness = EdgeHarness::start(settings, forms, None, None);
         harness.receive_update(&full_update(1, &[endpoint("w", 1, Phase::Ready)]));
         harness
     }
 
-    /// An edge without workers, with the state that an earlier one has saved.
+    /// An edge without listed workers that starts with the given cached state.
     pub fn with_cached_state(settings: &[(&str, &str)], cached_state: Option<Vec<u8>>) -> Self {
         EdgeHarness::start(settings, "", cached_state, None)
     }
@@ -108,7 +108,7 @@
     ) -> Self {
         let text = format!("{SETTINGS}{forms}");
         let mut settings = sanddrum_settings::read("test", &text).unwrap();
-        // The first connection to the discovery service is not spread over time here.
+        // The first connection to the discovery service is made without a random delay.
         let first_connection = ("limits.list-calls", "1000000");
         for (name, value) in [first_connection].iter().chain(overrides) {
             settings.override_value(name, value, "test").unwrap();
@@ -139,13 +139,13 @@
 
     // ---- Time and events
 
-    /// Delivers an event, and has the edge act on it.
+    /// Delivers an event and ends the turn of the event loop.
     pub fn event(&mut self, event: Event<'_>) {
         self.deliver(event);
         self.process();
     }
 
-    /// Delivers an event that the edge acts on only with what follows in the same turn.
+    /// Delivers an event without ending the turn, so that further events can follow in the same turn.
     pub fn deliver(&mut self, event: Event<'_>) {
         self.edge.on_event(self.now, event, &mut self.io);
     }
@@ -155,7 +155,7 @@
         self.edge.process(self.now, &mut self.io);
     }
 
-    /// Lets time pass, with every wake-up on the way.
+    /// Advances the clock, processing every wake-up that becomes due.
     pub fn advance(&mut self, duration: Micros) {
         let until = self.now + duration;
         while let Some(at) = self.edge.next_wakeup().filter(|at| *at <= until) {
@@ -166,53 +166,53 @@
         self.process();
     }
 
-    /// Opens a connection that the edge has begun.
+    /// Establishes a connection that the edge has initiated.
     pub fn connect(&mut self, conn: ConnectionId) {
         self.event(Event::Connected { conn });
     }
 
-    /// Delivers bytes that the other side of a connection has sent.
+    /// Delivers bytes that the peer of a connection has sent.
     pub fn receive(&mut self, conn: ConnectionId, bytes: &[u8]) {
         self.event(Event::Bytes { conn, bytes });
     }
 
-    /// The connection that the edge has begun last.
+    /// The connection that the edge has initiated last.
     pub fn last_connection(&self) -> ConnectionId {
         self.io.connects.last().unwrap().0
     }
 
     // ---- Decisions
 
-    /// Has the module make these decisions when it runs next.
+    /// Has the module make these decisions in its next run.
     pub fn plan(&mut self, decisions: impl IntoIterator<Item = Decision>) {
         self.script.borrow_mut().planned.extend(decisions);
     }
 
-    /// Has the module make a decision now: any update of the list runs it.
+    /// Has the module make a decision now, by delivering an endpoint list update, which runs it.
     pub fn decide(&mut self, decision: Decision) {
         self.plan([decision]);
         self.receive_update(&full_update(2, &[endpoint("w", 1, Phase::Ready)]));
     }
 
-    /// The outcomes of attempts that the module was notified of.
+    /// The outcomes of attempts that were reported to the module.
     pub fn outcomes(&self) -> Vec<Outcome> {
         let script = self.script.borrow();
         let results = script.attempt_results.iter();
         results.map(|result| result.outcome).collect()
     }
 
-    /// The number of requests that the module was notified of.
+    /// The number of requests that were reported to the module.
     pub fn request_count(&self) -> usize {
         self.script.borrow().requests.len()
     }
 
-    /// The first worker of the last endpoint list that the module was notified of.
+    /// The first endpoint of the last endpoint list that was reported to the module.
     pub fn last_endpoint(&self) -> Endpoint {
         let script = self.script.borrow();
         script.endpoint_lists.last().unwrap().endpoints[0]
     }
 
-    /// The kind of that list, and the state of that worker.
+    /// The kind of the last endpoint list, and the state of its first endpoint.
     pub fn last_list_kind_and_state(&self) -> Option<(EndpointListKind, WorkerState)> {
         let script = self.script.borrow();
         let list = script.endpoint_lists.last()?;
@@ -221,7 +221,7 @@
 
     // ---- Clients
 
-    /// A client connects.
+    /// Accepts a client connection.
     pub fn accept_client(&mut self) -> ConnectionId {
         self.accepted += 1;
         let conn = ConnectionId(self.accepted);
@@ -232,13 +232,13 @@
         conn
     }
 
-    /// A client calls the function `f1` over HTTP.
+    /// Delivers an HTTP request for the function `f1` with these header fields.
     pub fn call(&mut self, conn: ConnectionId, fields: &[(&str, &str)]) {
         let request = http::encode_request("POST", "/v1/calls/job/f1", fields, b"in");
         self.receive(conn, &request);
     }
 
-    /// A client with a call that is dispatched at once; its connection and the worker's.
+    /// Accepts a client whose request is dispatched immediately. Returns the connections of the client and the worker.
     pub fn dispatch_call(&mut self, time_limit: Micros) -> (ConnectionId, ConnectionId) {
         let client = self.accept_client();
         let request = self.request_count() as u64;
@@ -258,7 +258,7 @@
         responses
     }
 
-    /// Their status codes.
+    /// The status codes of these responses.
     pub fn statuses(&self, conn: ConnectionId) -> Vec<u16> {
         let responses = self.responses(conn);
         responses.iter().map(|response| response.status).collect()
@@ -273,7 +273,7 @@
         std::iter::from_fn(|| decoder.next_message().ok().flatten()).collect()
     }
 
-    /// The ids of the attempts among them.
+    /// The ids of the attempts that were written to a worker.
     pub fn attempts_to(&self, conn: ConnectionId) -> Vec<u64> {
         let attempt = |message| match message {
             ToWorker::Execute(execute) => Some(execute.id),
@@ -285,12 +285,12 @@
             .collect()
     }
 
-    /// A worker sends a message.
+    /// Delivers a message from a worker.
     pub fn receive_message(&mut self, conn: ConnectionId, message: &FromWorker) {
         self.receive(conn, &encode_frame(message));
     }
 
-    /// A worker answers an attempt.
+    /// Delivers a worker's answer to an attempt.
     pub fn answer_attempt(&mut self, conn: ConnectionId, id: u64, status: ExecutionStatus) {
         let done = Done {
             id,
@@ -305,8 +305,14 @@
         self.receive_message(conn, &FromWorker::Done(done));
     }
 
-    /// A worker greets the edge.
-    pub fn greet(&mut self, conn: ConnectionId, name: &str, incarnation: u64, age_us: Option<i64>) {
+    /// Delivers a worker's hello message.
+    pub fn receive_hello(
+        &mut self,
+        conn: ConnectionId,
+        name: &str,
+        incarnation: u64,
+        age_us: Option<i64>,
+    ) {
         let hello = Hello {
             version: 1,
             name: name.into(),
@@ -318,7 +324,7 @@
 
     // ---- The discovery service
 
-    /// The discovery service sends an update.
+    /// Delivers an update from the discovery service.
     pub fn receive_update(&mut self, update: &EndpointUpdate) {
         let message = FromDiscovery::Endpoints(update.clone());
         self.receive(self.discovery, &encode_frame(&message));
@@ -336,7 +342,7 @@
     }
 }
 
-/// What has changed in the endpoint list since a version.
+/// An update with the changes of the endpoint list since `base_version`.
 pub fn delta_update(
     version: u64,
     base_version: u64,
@@ -349,7 +355,7 @@
     }
 }
 
-/// A worker that started long ago.
+/// The record of a worker that started long ago.
 pub fn endpoint(name: &str, incarnation: u64, phase: Phase) -> EndpointRecord {
     EndpointRecord {
         name: name.into(),
--- a/crates/sanddrum-edge/tests/harness/simulation.rs
+++ b/crates/sanddrum-edge/tests/harness/simulation.rs
@@ -1,5 +1,5 @@
-//! The edge with its decision module on a simulated network, between stand-ins for a web server, workers and the control
-//! feed that speak the platform's protocol.
+//! A virtual network with an edge that runs the default decision module, and with a fake web server, fake workers and
+//! a fake control feed that use the platform's protocols.
 
 use super::platform_worker::{COLD_MISS, FINISHED};
 use super::SECOND;
@@ -22,41 +22,41 @@
     ("b", "10.1.0.2:80"),
     ("c", "10.1.0.3:80"),
 ];
-/// When a simulation begins, by the simulated clock.
-pub const BEGIN: Micros = 1_000 * SECOND;
+/// The start of a simulation, by the virtual clock.
+pub const START: Micros = 1_000 * SECOND;
 
 const NETWORK_SEED: u64 = 7;
 const LOAD_TIME: Micros = 300_000;
 const SERVICE_TIME: Micros = 40_000;
-const CALL_INTERVAL: Micros = SECOND / 100;
+const REQUEST_INTERVAL: Micros = SECOND / 100;
 const POLL_WAIT: Micros = SECOND;
-/// Each so-manieth call may run only once.
+/// Every `RUN_ONCE_EVERY`-th request may run only once.
 const RUN_ONCE_EVERY: u64 = 3;
 const FUNCTIONS: u64 = 7;
 
-/// Codes of the platform's frames.
+/// Message codes of the platform's frames.
 const EXECUTE: u8 = 65;
 const LOAD: u8 = 69;
-/// Bytes of a frame's head and of its checksum.
+/// Sizes of a frame's head and of its checksum.
 const HEAD_BYTES: usize = 16;
 const CHECKSUM_BYTES: usize = 4;
 
-/// What the stand-ins have seen.
+/// What the fake peers have observed.
 #[derive(Default)]
 pub struct Observations {
-    /// When each call was sent.
+    /// When each request was sent.
     pub sent_at: BTreeMap<u64, Micros>,
-    /// All responses to each call.
+    /// All responses to each request.
     pub responses: BTreeMap<u64, Vec<String>>,
-    /// How often each call has run.
+    /// How often each request was executed.
     pub executions: BTreeMap<u64, u32>,
-    /// When each worker received its last message.
+    /// When each worker last received a message.
     pub last_message_at: BTreeMap<&'static str, Micros>,
 }
 
 type SharedObservations = Rc<RefCell<Observations>>;
 
-/// A frame that a worker has received.
+/// A frame that a worker received.
 struct Frame {
     code: u8,
     id: u64,
@@ -65,7 +65,7 @@
 }
 
 impl Frame {
-    /// Takes a complete frame from the front of `bytes`.
+    /// Removes a complete frame from the front of `bytes`.
     fn take(bytes: &mut Vec<u8>) -> Option<Frame> {
         let head = *bytes.first_chunk::<HEAD_BYTES>()?;
         let fields_length = usize::from(u16::from_be_bytes([head[2], head[3]]));
@@ -94,21 +94,21 @@
 }
 
 /// A worker that loads functions on command and answers requests for loaded ones.
-struct WorkerStandIn {
+struct FakeWorker {
     name: &'static str,
     observations: SharedObservations,
     received: BTreeMap<ConnectionId, Vec<u8>>,
     loaded: BTreeSet<String>,
-    /// Answers by when they are written and in their order.
+    /// Pending answers, ordered by the time at which they are written and their sequence number.
     answers: BTreeMap<(Micros, u64), (ConnectionId, Vec<u8>)>,
     answer_count: u64,
-    /// Each so-manieth answer is malformed; zero: none is.
+    /// Every `malformed_every`-th answer is malformed; zero means none.
     malformed_every: u64,
 }
 
-impl WorkerStandIn {
+impl FakeWorker {
     fn new(name: &'static str, malformed_every: u64, observations: SharedObservations) -> Self {
-        WorkerStandIn {
+        FakeWorker {
             name,
             observations,
             received: BTreeMap::new(),
@@ -121,8 +121,8 @@
 
     fn answer_at(&mut self, at: Micros, conn: ConnectionId, bytes: Vec<u8>) {
         self.answer_count += 1;
-        let order = (at, self.answer_count);
-        self.answers.insert(order, (conn, bytes));
+        let key = (at, self.answer_count);
+        self.answers.insert(key, (conn, bytes));
     }
 
     fn handle(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
@@ -168,7 +168,7 @@
     }
 }
 
-impl Core for WorkerStandIn {
+impl Core for FakeWorker {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
 
     fn on_event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
@@ -198,32 +198,32 @@
     }
 }
 
-/// A web server that sends a call every ten milliseconds, on one connection.
-struct WebServerStandIn {
+/// A web server that sends a request every ten milliseconds on one connection.
+struct FakeWebServer {
     observations: SharedObservations,
     conn: Option<ConnectionId>,
     is_connected: bool,
     free_ids: Vec<u16>,
-    /// Calls without a complete response, with what was received of it, by their requests' ids.
+    /// The number and the partial response of each open request, by FastCGI request id.
     open: BTreeMap<u16, (u64, String)>,
     received: Vec<u8>,
-    next_call_at: Micros,
-    calls_left: u64,
-    calls: u64,
+    next_request_at: Micros,
+    requests_left: u64,
+    request_count: u64,
 }
 
-impl WebServerStandIn {
-    fn new(calls: u64, observations: SharedObservations) -> Self {
-        WebServerStandIn {
+impl FakeWebServer {
+    fn new(request_count: u64, observations: SharedObservations) -> Self {
+        FakeWebServer {
             observations,
             conn: None,
             is_connected: false,
             free_ids: (1..=32).collect(),
             open: BTreeMap::new(),
             received: Vec::new(),
-            next_call_at: 0,
-            calls_left: calls,
-            calls,
+            next_request_at: 0,
+            requests_left: request_count,
+            request_count,
         }
     }
 
@@ -237,9 +237,9 @@
                     response.push_str(&text);
                 }
                 RecordType::EndRequest => {
-                    let (call, response) = self.open.remove(&record.id).unwrap();
+                    let (number, response) = self.open.remove(&record.id).unwrap();
                     let mut observations = self.observations.borrow_mut();
-                    let responses = observations.responses.entry(call);
+                    let responses = observations.responses.entry(number);
                     responses.or_default().push(response);
                     self.free_ids.push(record.id);
                 }
@@ -249,16 +249,16 @@
         }
     }
 
-    fn send_call(&mut self, now: Micros, id: u16, io: &mut dyn Io) {
-        self.calls_left -= 1;
-        let call = self.calls - self.calls_left;
-        let path = if call.is_multiple_of(RUN_ONCE_EVERY) {
+    fn send_request(&mut self, now: Micros, id: u16, io: &mut dyn Io) {
+        self.requests_left -= 1;
+        let number = self.request_count - self.requests_left;
+        let path = if number.is_multiple_of(RUN_ONCE_EVERY) {
             "/rpc/once"
         } else {
             "/rpc/again"
         };
-        let call_id = format!("{call:016x}");
-        let function = format!("{:016x}", call % FUNCTIONS);
+        let call_id = format!("{number:016x}");
+        let function = format!("{:016x}", number % FUNCTIONS);
         let params = [
             ("SCRIPT_NAME", path),
             ("HTTP_X_CALL_ID", &call_id),
@@ -276,15 +276,15 @@
         );
         write_stream(&mut records, RecordType::Stdin, id, call_id.as_bytes());
         io.write(self.conn.unwrap(), &records);
-        self.open.insert(id, (call, String::new()));
-        self.observations.borrow_mut().sent_at.insert(call, now);
+        self.open.insert(id, (number, String::new()));
+        self.observations.borrow_mut().sent_at.insert(number, now);
     }
 }
 
-impl Core for WebServerStandIn {
+impl Core for FakeWebServer {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.conn = Some(io.connect(EDGE_ADDRESS));
-        self.next_call_at = now + SECOND / 10;
+        self.next_request_at = now + SECOND / 10;
     }
 
     fn on_event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
@@ -293,7 +293,7 @@
             Event::Bytes { bytes, .. } => self.receive(bytes),
             Event::Closed { .. } => {
                 let is_idle = self.open.is_empty();
-                assert!(is_idle, "a connection with open calls is not closed");
+                assert!(is_idle, "a connection with open requests is not closed");
                 self.is_connected = false;
             }
             _ => {}
@@ -301,30 +301,30 @@
     }
 
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        while self.is_connected && self.calls_left > 0 && self.next_call_at <= now {
-            self.next_call_at += CALL_INTERVAL;
+        while self.is_connected && self.requests_left > 0 && self.next_request_at <= now {
+            self.next_request_at += REQUEST_INTERVAL;
             if let Some(id) = self.free_ids.pop() {
-                self.send_call(now, id, io);
+                self.send_request(now, id, io);
             }
         }
     }
 
     fn next_wakeup(&self) -> Option<Micros> {
-        (self.calls_left > 0).then_some(self.next_call_at)
+        (self.requests_left > 0).then_some(self.next_request_at)
     }
 }
 
-/// The control feed.
-struct FeedStandIn {
-    /// Events after the first, with when they come to be.
+/// A control feed that holds each poll until an event occurs or the wait ends.
+struct FakeFeed {
+    /// All events after the first, with the time at which each occurs.
     events: Vec<(Micros, Json)>,
-    /// Polls that wait: the last event that each has, and until when it waits.
+    /// Outstanding polls: the last event that the client has, and the end of the wait.
     polls: BTreeMap<ConnectionId, (u64, Micros)>,
     received: BTreeMap<ConnectionId, String>,
     now: Micros,
 }
 
-impl Core for FeedStandIn {
+impl Core for FakeFeed {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
 
     fn on_event(&mut self, now: Micros, event: Event<'_>, _: &mut dyn Io) {
@@ -422,7 +422,7 @@
     Box::new(Edge::with_settings(options, &config.decision_settings()))
 }
 
-/// A simulated network with an edge and its stand-ins.
+/// A virtual network with an edge and its fake peers.
 pub struct Simulation {
     pub net: VirtualNet,
     pub observations: SharedObservations,
@@ -430,20 +430,20 @@
 }
 
 impl Simulation {
-    /// A network whose web server sends so many calls. Each so-manieth answer of a worker is malformed, none where that
-    /// is zero, and the feed's events come to be so long after the begin.
-    pub fn new(calls: u64, malformed_every: u64, events: Vec<(Micros, Json)>) -> Self {
+    /// A network whose web server sends `request_count` requests. Every `malformed_every`-th answer of a worker is
+    /// malformed (zero means none), and each event of the feed occurs at the given time after the start.
+    pub fn new(request_count: u64, malformed_every: u64, events: Vec<(Micros, Json)>) -> Self {
         let observations = SharedObservations::default();
         let observer = Box::new(NullObserver);
-        let mut net = VirtualNet::new(NETWORK_SEED, BEGIN, LinkModel::default(), observer);
+        let mut net = VirtualNet::new(NETWORK_SEED, START, LinkModel::default(), observer);
         let workers = WORKERS.map(|(name, address)| {
-            let worker = WorkerStandIn::new(name, malformed_every, observations.clone());
+            let worker = FakeWorker::new(name, malformed_every, observations.clone());
             net.add(0, &[address], Box::new(worker))
         });
         let events = events.into_iter();
-        let feed = FeedStandIn {
+        let feed = FakeFeed {
             events: events
-                .map(|(after, event)| (BEGIN + after, event))
+                .map(|(after, event)| (START + after, event))
                 .collect(),
             polls: BTreeMap::new(),
             received: BTreeMap::new(),
@@ -451,7 +451,7 @@
         };
         net.add(0, &[FEED_ADDRESS], Box::new(feed));
         net.add(0, &[EDGE_ADDRESS], edge());
-        let web_server = WebServerStandIn::new(calls, observations.clone());
+        let web_server = FakeWebServer::new(request_count, observations.clone());
         net.add(0, &[], Box::new(web_server));
         Simulation {
             net,
@@ -460,29 +460,32 @@
         }
     }
 
-    /// Runs until so long after the begin.
+    /// Runs until `duration` after the start.
     pub fn run_for(&mut self, duration: Micros) {
-        self.net.run_until(BEGIN + duration);
+        self.net.run_until(START + duration);
     }
 
-    /// Verifies that each of so many calls has one response, that none that may run only once has run twice, and that
-    /// results are forwarded unchanged. Returns the number of calls that have finished.
-    pub fn verify(&self, calls: u64) -> usize {
+    /// Verifies that `request_count` requests were sent, that each has exactly one response, that none that may run
+    /// only once has run twice, and that results are forwarded unchanged. Returns the number of finished requests.
+    pub fn verify(&self, request_count: u64) -> usize {
         let seen = self.observations.borrow();
-        assert_eq!(seen.sent_at.len() as u64, calls);
-        for call in seen.sent_at.keys() {
-            let responses = seen.responses.get(call).map_or(0, Vec::len);
-            assert_eq!(responses, 1, "call {call}");
-            let executions = seen.executions.get(call).copied().unwrap_or(0);
+        assert_eq!(seen.sent_at.len() as u64, request_count);
+        for number in seen.sent_at.keys() {
+            let responses = seen.responses.get(number).map_or(0, Vec::len);
+            assert_eq!(responses, 1, "request {number}");
+            let executions = seen.executions.get(number).copied().unwrap_or(0);
             assert!(
-                !call.is_multiple_of(RUN_ONCE_EVERY) || executions <= 1,
-                "call {call} ran {executions} times"
+                !number.is_multiple_of(RUN_ONCE_EVERY) || executions <= 1,
+                "request {number} ran {executions} times"
             );
         }
-        let is_finished = |(call, responses): &(&u64, &Vec<String>)| {
+        let is_finished = |(number, responses): &(&u64, &Vec<String>)| {
             let is_finished = responses[0].starts_with("Status: 200\r\n");
-            let is_own = responses[0].ends_with(&format!("\r\n\r\n{call:016x}"));
-            assert!(!is_finished || is_own, "its own body, unchanged");
+            let is_own = responses[0].ends_with(&format!("\r\n\r\n{number:016x}"));
+            assert!(
+                !is_finished || is_own,
+                "the response has the request's own body, unchanged"
+            );
             is_finished
         };
         seen.responses.iter().filter(is_finished).count()
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Who may call, with keys that change while the edge runs.
+//! Tests of authentication and authorization, including key sets that change while the edge runs.
 
 mod harness;
 
@@ -15,6 +15,7 @@
     seed[..kid.len()].copy_from_slice(kid.as_bytes());
     SecretKey::from_seed(kid, seed)
 }
+
 fn key_set() -> KeySet {
     let mut set = KeySet::default();
     ["k1", "k2"]
@@ -22,7 +23,8 @@
         .for_each(|kid| set.add(kid, secret_key(kid).public_key().unwrap()).unwrap());
     set
 }
-/// A token that is valid at the clock of the tests, which begins at 1,000 s.
+
+/// A token that is valid by the test clock, which starts at 1,000 s.
 fn bearer_token(kid: &str, customer: &str) -> String {
     let (sub, aud) = (customer.to_string(), "sanddrum".to_string());
     let claims = Claims {
@@ -38,6 +40,8 @@
         token::issue(&claims, &secret_key(kid)).unwrap()
     )
 }
+
+/// Settings of an edge that requires tokens.
 const TOKENS: &[(&str, &str)] = &[
     ("identity.tokens", "required"),
     ("identity.keys-file", "keys.json"),
@@ -48,6 +52,7 @@
     provide_keys(&mut harness, Ok(&key_set().write()));
     harness
 }
+
 fn provide_keys(harness: &mut EdgeHarness, content: Result<&[u8], &str>) {
     let content = content.map_err(|reason| FileError::Unreadable {
         path: KEYS_FILE.into(),
@@ -59,18 +64,21 @@
         .on_file(harness.now, KEYS_FILE, content, &mut harness.io);
     harness.process();
 }
-fn call_status(harness: &mut EdgeHarness, conn: ConnectionId, token: &str) -> Option<u16> {
+
+/// Sends a request with this token. Returns the response's status code, or none if there is no response yet.
+fn response_status(harness: &mut EdgeHarness, conn: ConnectionId, token: &str) -> Option<u16> {
     let before = harness.statuses(conn).len();
     harness.call(conn, &[("authorization", token)]);
     harness.statuses(conn).get(before).copied()
 }
 
-const SCHOOL: &str = r#"
+/// Customers that are identified by the names in their certificates.
+const CUSTOMERS: &str = r#"
     (customer "school" (share 50%) (certificates "gw-*"))
     (customer "obs" (share 50%) (certificates "obs.example"))"#;
 
-/// An edge whose clients may show certificates beside tokens.
-fn edge_asking_for_certificates(certificates: &str) -> EdgeHarness {
+/// An edge with this certificate policy, for which tokens are optional.
+fn edge_with_certificate_policy(certificates: &str) -> EdgeHarness {
     let mut harness = EdgeHarness::with_forms(
         &[
             ("door.speaks", "tls"),
@@ -81,11 +89,12 @@
             ("identity.tokens", "optional"),
             ("identity.keys-file", "keys.json"),
         ],
-        SCHOOL,
+        CUSTOMERS,
     );
     provide_keys(&mut harness, Ok(&key_set().write()));
     harness
 }
+
 fn accept_with_certificate(harness: &mut EdgeHarness, name: &str) -> ConnectionId {
     let names = vec![name.to_string()];
     harness.io.next_peer = Some(PeerIdentity {
@@ -97,21 +106,24 @@
 }
 
 #[rstest]
-fn an_unauthenticated_call_gets_a_final_response_and_no_decision() {
+fn an_unauthenticated_request_is_rejected_without_reaching_the_decision_module() {
     let mut harness = edge_with_keys();
     let client = harness.accept_client();
     assert_eq!(
-        call_status(&mut harness, client, "Bearer nonsense"),
+        response_status(&mut harness, client, "Bearer nonsense"),
+        Some(401)
+    );
+    assert_eq!(
+        response_status(&mut harness, client, "Basic abc"),
         Some(401)
     );
-    assert_eq!(call_status(&mut harness, client, "Basic abc"), Some(401));
     let response = &harness.responses(client)[0];
     assert_eq!(response.field("sanddrum-end"), Some("pushed-back"));
     assert!(String::from_utf8_lossy(&response.body).contains("urn:sanddrum:token-malformed"));
     assert!(response.field("www-authenticate").is_some());
     assert!(harness.script.borrow().requests.is_empty());
     assert_eq!(
-        call_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
+        response_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
         None,
         "accepted"
     );
@@ -125,25 +137,25 @@
         bearer_token("k1", "obs-brest"),
         bearer_token("k2", "obs-brest"),
     );
-    // Each from a client of its own, as an open request holds back the responses behind it.
-    let both = |harness: &mut EdgeHarness| {
+    // Each token is sent on its own connection, as an open request delays the responses to later ones.
+    let statuses = |harness: &mut EdgeHarness| {
         [&old, &new].map(|token| {
             let client = harness.accept_client();
-            call_status(harness, client, token)
+            response_status(harness, client, token)
         })
     };
-    assert_eq!(both(&mut harness), [None, Some(401)]);
+    assert_eq!(statuses(&mut harness), [None, Some(401)]);
     let mut keys = key_set();
     keys.rotate(1100).unwrap();
     provide_keys(&mut harness, Ok(&keys.write()));
     assert_eq!(
-        both(&mut harness),
+        statuses(&mut harness),
         [None, None],
-        "tokens of the old key stay valid"
+        "tokens of the old key remain valid"
     );
     keys.revoke("k1").unwrap();
     provide_keys(&mut harness, Ok(&keys.write()));
-    assert_eq!(both(&mut harness), [Some(401), None]);
+    assert_eq!(statuses(&mut harness), [Some(401), None]);
 }
 
 #[rstest]
@@ -152,7 +164,7 @@
     let client = harness.accept_client();
     harness.plan([Decision::Dispatch(0, 5 * SECOND)]);
     assert_eq!(
-        call_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
+        response_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
         None
     );
     let worker = harness.last_connection();
@@ -169,14 +181,14 @@
 #[rstest]
 #[case::empty(Ok(&b""[..]))]
 #[case::unreadable(Err("no such file"))]
-#[case::half_written(Ok(&br#"{"version":9,"keys":[{"kty":"OKP","#[..]))]
+#[case::truncated(Ok(&br#"{"version":9,"keys":[{"kty":"OKP","#[..]))]
 #[case::not_a_key_set(Ok(&b"{}"[..]))]
 fn an_invalid_key_file_leaves_the_last_valid_set_in_force(#[case] content: Result<&[u8], &str>) {
     let mut harness = edge_with_keys();
     provide_keys(&mut harness, content);
     let client = harness.accept_client();
     assert_eq!(
-        call_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
+        response_status(&mut harness, client, &bearer_token("k1", "obs-brest")),
         None
     );
     let audit = harness.io.audit_lines.join("\n");
@@ -192,20 +204,20 @@
     let mut keys = key_set();
     keys.revoke("k1").unwrap();
     provide_keys(&mut harness, Ok(&keys.write()));
-    // The edge crashes at once; its state was saved before the set was in force.
+    // The edge crashes immediately; its state was saved before the key set was installed.
     let saved = harness.io.saved.clone();
     let mut restarted = EdgeHarness::with_cached_state(TOKENS, saved);
     provide_keys(&mut restarted, Ok(&key_set().write()));
     let client = restarted.accept_client();
     assert_eq!(
-        call_status(&mut restarted, client, &bearer_token("k1", "obs-brest")),
+        response_status(&mut restarted, client, &bearer_token("k1", "obs-brest")),
         Some(503),
         "no key set is trusted"
     );
     provide_keys(&mut restarted, Ok(&keys.write()));
     let client = restarted.accept_client();
     assert_eq!(
-        call_status(&mut restarted, client, &bearer_token("k1", "obs-brest")),
+        response_status(&mut restarted, client, &bearer_token("k1", "obs-brest")),
         Some(401)
     );
 }
@@ -219,8 +231,11 @@
     let mut harness = EdgeHarness::with_forms(TOKENS, forms);
     provide_keys(&mut harness, Ok(&key_set().write()));
     let client = harness.accept_client();
-    let school = bearer_token("k1", "lycees-reseau");
-    assert_eq!(call_status(&mut harness, client, &school), Some(403));
+    let school_token = bearer_token("k1", "lycees-reseau");
+    assert_eq!(
+        response_status(&mut harness, client, &school_token),
+        Some(403)
+    );
     harness.call(
         client,
         &[
@@ -232,14 +247,14 @@
     let other_function = http::encode_request(
         "POST",
         "/v1/calls/job/f2",
-        &[("authorization", &school)],
+        &[("authorization", &school_token)],
         b"",
     );
     harness.receive(client, &other_function);
     assert_eq!(
         harness.request_count(),
         1,
-        "a function that is not reserved is accepted"
+        "a function that is not denied is accepted"
     );
     let audit = harness.io.audit_lines.join("\n");
     assert!(
@@ -247,11 +262,14 @@
             && audit.contains("lycees-reseau")
             && audit.contains("customer-mismatch")
     );
-    assert!(!audit.contains(&school[7..40]), "no token is audited");
+    assert!(
+        !audit.contains(&school_token[7..40]),
+        "tokens are not written to the audit log"
+    );
 }
 
 #[rstest]
-fn a_connection_with_only_bad_tokens_is_closed_and_the_audit_is_bounded() {
+fn a_connection_with_only_invalid_tokens_is_closed_and_audit_lines_are_rate_limited() {
     let mut harness = EdgeHarness::new(
         &[
             TOKENS,
@@ -262,7 +280,10 @@
     provide_keys(&mut harness, Ok(&key_set().write()));
     let client = harness.accept_client();
     for _ in 0..3 {
-        assert_eq!(call_status(&mut harness, client, "Bearer x.y.z"), Some(401));
+        assert_eq!(
+            response_status(&mut harness, client, "Bearer x.y.z"),
+            Some(401)
+        );
     }
     assert!(harness.io.has_closed_in_order(client));
     assert!(
@@ -272,7 +293,7 @@
     );
     harness.now += SECOND;
     let client = harness.accept_client();
-    call_status(&mut harness, client, "Bearer x.y.z");
+    response_status(&mut harness, client, "Bearer x.y.z");
     assert!(harness
         .io
         .audit_lines
@@ -283,7 +304,7 @@
 
 #[rstest]
 fn a_certificate_identifies_the_customer_and_must_match_the_token() {
-    let mut harness = edge_asking_for_certificates("optional");
+    let mut harness = edge_with_certificate_policy("optional");
     let gateway = accept_with_certificate(&mut harness, "gw-7");
     harness.call(gateway, &[]);
     assert_eq!(
@@ -294,15 +315,15 @@
     assert_eq!(harness.request_count(), 2);
     let observatory = accept_with_certificate(&mut harness, "obs.example");
     assert_eq!(
-        call_status(&mut harness, observatory, &bearer_token("k1", "school")),
+        response_status(&mut harness, observatory, &bearer_token("k1", "school")),
         Some(403),
-        "a school's token"
+        "the token belongs to another customer"
     );
     harness.call(observatory, &[("sanddrum-customer", "school")]);
     assert_eq!(
         harness.statuses(observatory).last(),
         Some(&403),
-        "the call names another"
+        "the request names another customer"
     );
     let laptop = accept_with_certificate(&mut harness, "laptop");
     harness.call(laptop, &[]);
@@ -317,25 +338,25 @@
 
 #[rstest]
 fn a_token_does_not_replace_a_required_certificate() {
-    let mut harness = edge_asking_for_certificates("required");
+    let mut harness = edge_with_certificate_policy("required");
     let client = harness.accept_client();
     assert_eq!(
-        call_status(&mut harness, client, &bearer_token("k1", "school")),
+        response_status(&mut harness, client, &bearer_token("k1", "school")),
         Some(401)
     );
     let gateway = accept_with_certificate(&mut harness, "gw-7");
     assert_eq!(
-        call_status(&mut harness, gateway, &bearer_token("k1", "school")),
+        response_status(&mut harness, gateway, &bearer_token("k1", "school")),
         None,
         "accepted"
     );
 }
 
-/// Its key is denied while a request is in flight: that is still answered, once; nothing new is accepted, and the connection
-/// is closed.
+/// The certificate is denied while a request is in flight. The request is still answered once, later requests are
+/// rejected, and the connection is closed.
 #[rstest]
-fn a_denied_certificate_ends_its_connection_after_open_requests() {
-    let mut harness = edge_asking_for_certificates("optional");
+fn a_connection_with_a_denied_certificate_is_closed_after_its_open_requests() {
+    let mut harness = edge_with_certificate_policy("optional");
     let gateway = accept_with_certificate(&mut harness, "gw-7");
     harness.plan([Decision::Dispatch(0, 5 * SECOND)]);
     harness.call(gateway, &[]);
@@ -362,18 +383,23 @@
         .any(|line| line.contains("certificate-denied")));
 }
 
-/// A token is valid at every edge until it expires; bound to a certificate's customer it is of no use to others.
+/// A token is valid at every edge until it expires. If certificates are required, it is accepted only together
+/// with a certificate of its customer.
 #[rstest]
 fn a_replayed_token_is_accepted_unless_certificates_are_required() {
     let token = bearer_token("k1", "obs");
     let (mut first, mut other) = (edge_with_keys(), edge_with_keys());
     for edge in [&mut first, &mut other] {
         let client = edge.accept_client();
-        assert_eq!(call_status(edge, client, &token), None, "accepted");
+        assert_eq!(response_status(edge, client, &token), None, "accepted");
     }
-    let mut bound = edge_asking_for_certificates("required");
+    let mut bound = edge_with_certificate_policy("required");
     let school = accept_with_certificate(&mut bound, "gw-7");
-    assert_eq!(call_status(&mut bound, school, &token), Some(403));
-    let owner = accept_with_certificate(&mut bound, "obs.example");
-    assert_eq!(call_status(&mut bound, owner, &token), None, "accepted");
+    assert_eq!(response_status(&mut bound, school, &token), Some(403));
+    let token_owner = accept_with_certificate(&mut bound, "obs.example");
+    assert_eq!(
+        response_status(&mut bound, token_owner, &token),
+        None,
+        "accepted"
+    );
 }
--- a/crates/sanddrum-edge/tests/shutdown.rs
+++ b/crates/sanddrum-edge/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown.
+//! Tests of graceful shutdown.
 
 mod harness;
 
@@ -31,13 +31,13 @@
     assert_eq!(
         harness.statuses(second),
         [502],
-        "the deadline of the shutdown"
+        "the request fails at the deadline of the shutdown"
     );
     assert!(harness.edge.is_done());
 }
 
 #[rstest]
-fn shutdown_waits_for_a_request_that_is_received_in_part() {
+fn shutdown_waits_for_a_partly_received_request() {
     let mut harness = EdgeHarness::on_platform(&[("limits.late-arrivals", "700 ms")]);
     let client = harness.accept_client();
     let bytes = request(1, &call_params(CALL_ID), b"in");
@@ -68,7 +68,7 @@
 }
 
 #[rstest]
-fn a_request_accepted_during_shutdown_has_its_deadline() {
+fn a_request_accepted_during_shutdown_gets_the_deadline_of_the_shutdown() {
     let mut harness = EdgeHarness::on_platform(&[
         ("limits.stop-within", "1 s"),
         ("limits.late-arrivals", "700 ms"),
@@ -81,7 +81,7 @@
 }
 
 #[rstest]
-fn shutdown_serves_late_arrivals_and_is_done_once_all_is_answered() {
+fn shutdown_serves_late_arrivals_and_completes_once_all_requests_are_answered() {
     let mut harness = EdgeHarness::on_platform(&[("limits.late-arrivals", "700 ms")]);
     let now = harness.now;
     harness.edge.shut_down(now, &mut harness.io);
@@ -89,7 +89,7 @@
     harness.advance(SECOND / 2);
     let (client, worker) = harness.dispatch_fastcgi_call();
     harness.advance(SECOND / 2);
-    assert!(!harness.edge.is_done(), "a request is open");
+    assert!(!harness.edge.is_done(), "a request is still open");
     harness.finish_call(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert!(harness.edge.is_done());
--- a/crates/sanddrum-edge/tests/worker_connections.rs
+++ b/crates/sanddrum-edge/tests/worker_connections.rs
@@ -69,7 +69,7 @@
     let mut harness = EdgeHarness::new(&[]);
     let (_, worker) = harness.dispatch_call(5 * SECOND);
     harness.connect(worker);
-    harness.greet(worker, "someone-else", 1, None);
+    harness.receive_hello(worker, "someone-else", 1, None);
     assert_eq!(harness.outcomes(), [Outcome::Reset]);
 }
 
@@ -199,7 +199,7 @@
     let mut harness = EdgeHarness::new(&[]);
     let (_, worker) = harness.dispatch_call(5 * SECOND);
     harness.connect(worker);
-    harness.greet(worker, "somebody", 1, None);
+    harness.receive_hello(worker, "somebody", 1, None);
     let connects = harness.io.connects.len();
     harness.dispatch_call(5 * SECOND);
     harness.process();
