--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -195,8 +195,7 @@
         Some(EndpointChange { kind, endpoints })
     }
 
-    /// Handles the client's timer. If it is due, connects, or closes a connection that was not established or a poll
-    /// on which was not answered in time.
+    /// Handles the client's timer. If it is due, connects, or closes a connection that has timed out.
     pub fn on_timer(&mut self, context: &mut EdgeContext, now: Micros, io: &mut dyn Io) {
         if now < self.next_timer_at {
             return;
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -2,8 +2,8 @@
 //! the workers and to the discovery service or control feed.
 //!
 //! All input of one turn of the event loop becomes one batch of events for the decision module, whose decisions are
-//! carried out as it makes them. The edge itself never chooses a worker or retries, and it fails a request on its own
-//! only at the deadline of its graceful shutdown.
+//! carried out as it makes them. The edge itself never chooses a worker or retries, and it fails an accepted
+//! request on its own only at the deadline of its graceful shutdown.
 
 mod admission;
 mod arrival_time;
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -69,7 +69,7 @@
     pub max_functions: usize,
     /// Maximum total size of the bodies of all open and partly received requests.
     pub max_buffered_body_bytes: usize,
-    /// Factor by which a duration that a caller states may exceed the configured maximum.
+    /// Factor by which a duration that a client states may exceed the configured maximum.
     pub parameter_tolerance: f64,
     /// How long after the start of a shutdown requests may still arrive.
     pub late_arrival_window: Micros,
--- a/crates/sanddrum-edge/tests/attempt_outcomes.rs
+++ b/crates/sanddrum-edge/tests/attempt_outcomes.rs
@@ -20,7 +20,7 @@
     #[case] outcome: Outcome,
 ) {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.io.capacity.insert(worker, capacity);
     if cause != CloseCause::Refused {
         harness.connect(worker);
@@ -40,7 +40,7 @@
 #[rstest]
 fn an_answer_after_a_cancellation_or_a_duplicate_answer_is_ignored() {
     let mut harness = EdgeHarness::new(&[]);
-    let (client, worker) = harness.dispatch_call(5 * SECOND);
+    let (client, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     let id = harness.attempts_to(worker)[0];
     harness.decide(Decision::Cancel(0, 0));
@@ -55,7 +55,7 @@
     harness.answer_attempt(worker, id, ExecutionStatus::Finished);
     assert_eq!(harness.statuses(client), [503]);
 
-    let (client, _) = harness.dispatch_call(5 * SECOND);
+    let (client, _) = harness.dispatch_http_request(5 * SECOND);
     let id = harness.attempts_to(worker)[1];
     harness.answer_attempt(worker, id, ExecutionStatus::Finished);
     harness.answer_attempt(worker, id, ExecutionStatus::Error);
@@ -67,11 +67,11 @@
 #[rstest]
 fn an_unwritten_attempt_is_retracted_and_has_not_run() {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.decide(Decision::Cancel(0, 0));
     harness.process();
     assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
-    harness.dispatch_call(SECOND / 10);
+    harness.dispatch_http_request(SECOND / 10);
     harness.advance(SECOND / 5);
     assert_eq!(
         harness.outcomes(),
@@ -85,7 +85,7 @@
 #[rstest]
 fn a_written_attempt_without_an_answer_times_out() {
     let mut harness = EdgeHarness::new(&[]);
-    let (client, worker) = harness.dispatch_call(SECOND);
+    let (client, worker) = harness.dispatch_http_request(SECOND);
     harness.connect(worker);
     harness.advance(2 * SECOND);
     assert_eq!(harness.outcomes(), [Outcome::TimedOut]);
@@ -109,7 +109,7 @@
     #[case] outcome: Outcome,
 ) {
     let mut harness = EdgeHarness::new(&[]);
-    let (client, worker) = harness.dispatch_call(5 * SECOND);
+    let (client, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     harness.answer_attempt(worker, harness.attempts_to(worker)[0], status);
     assert_eq!(harness.outcomes(), [outcome]);
@@ -122,8 +122,8 @@
 #[rstest]
 fn an_answer_on_another_connection_is_ignored() {
     let mut harness = EdgeHarness::new(&[("limits.streams", "1")]);
-    let (first, first_worker) = harness.dispatch_call(5 * SECOND);
-    let (second, second_worker) = harness.dispatch_call(5 * SECOND);
+    let (first, first_worker) = harness.dispatch_http_request(5 * SECOND);
+    let (second, second_worker) = harness.dispatch_http_request(5 * SECOND);
     assert_ne!(
         first_worker, second_worker,
         "one attempt on each connection"
@@ -145,7 +145,7 @@
 #[rstest]
 fn each_load_command_and_health_check_has_one_result() {
     let mut harness = EdgeHarness::new(&[("limits.order-time-out", "1s")]);
-    let (_, worker) = harness.dispatch_call(50 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(50 * SECOND);
     harness.connect(worker);
     harness.decide(Decision::Load(1));
     harness.decide(Decision::CheckHealth);
@@ -190,7 +190,7 @@
     #[values(true, false)] disconnects: bool,
 ) {
     let mut harness = EdgeHarness::new(&[("limits.connect-time-out", "4s")]);
-    let (client, worker) = harness.dispatch_call(5 * SECOND);
+    let (client, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.advance(SECOND);
     if disconnects {
         harness.event(Event::Closed {
--- a/crates/sanddrum-edge/tests/control_feed.rs
+++ b/crates/sanddrum-edge/tests/control_feed.rs
@@ -104,8 +104,8 @@
     assert_eq!(harness.script.borrow().endpoint_lists.len(), 1);
 }
 
-/// An edge has to report healthy within ten seconds of its start, even if the feed is unreachable; it uses half of
-/// that.
+/// Nine in ten edges have to be ready within ten seconds. An edge that can't reach the feed reports healthy after half
+/// of that time.
 #[rstest]
 fn an_edge_without_an_endpoint_list_reports_healthy_after_five_seconds() {
     let mut harness = EdgeHarness::on_platform_without_workers(&[]);
--- a/crates/sanddrum-edge/tests/discovery.rs
+++ b/crates/sanddrum-edge/tests/discovery.rs
@@ -51,7 +51,7 @@
         first,
         "the record is 200 ms late, the worker has not restarted"
     );
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     harness.receive_hello(worker, "w", 3, Some(1000));
     let listed = harness.last_endpoint();
@@ -147,7 +147,7 @@
 #[case::gone(Phase::Gone)]
 fn attempts_to_a_draining_or_gone_worker_are_retracted(#[case] phase: Phase) {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, worker) = harness.dispatch_call(SECOND);
+    let (_, worker) = harness.dispatch_http_request(SECOND);
     harness.receive_update(&full_update(2, &[endpoint("w", 1, phase)]));
     assert_eq!(harness.outcomes(), [Outcome::CancelledBeforeStart]);
     harness.connect(worker);
--- a/crates/sanddrum-edge/tests/harness/mod.rs
+++ b/crates/sanddrum-edge/tests/harness/mod.rs
@@ -233,17 +233,17 @@
     }
 
     /// Delivers an HTTP request for the function `f1` with these header fields.
-    pub fn call(&mut self, conn: ConnectionId, fields: &[(&str, &str)]) {
+    pub fn send_http_request(&mut self, conn: ConnectionId, fields: &[(&str, &str)]) {
         let request = http::encode_request("POST", "/v1/calls/job/f1", fields, b"in");
         self.receive(conn, &request);
     }
 
     /// Accepts a client whose request is dispatched immediately. Returns the connections of the client and the worker.
-    pub fn dispatch_call(&mut self, time_limit: Micros) -> (ConnectionId, ConnectionId) {
+    pub fn dispatch_http_request(&mut self, time_limit: Micros) -> (ConnectionId, ConnectionId) {
         let client = self.accept_client();
         let request = self.request_count() as u64;
         self.plan([Decision::Dispatch(request, time_limit)]);
-        self.call(client, &[]);
+        self.send_http_request(client, &[]);
         (client, self.last_connection())
     }
 
--- a/crates/sanddrum-edge/tests/http_listener.rs
+++ b/crates/sanddrum-edge/tests/http_listener.rs
@@ -134,7 +134,7 @@
         ("limits.linger", "100ms"),
         ("limits.head-time-out", "500ms"),
     ]);
-    let (client, worker) = harness.dispatch_call(50 * SECOND);
+    let (client, worker) = harness.dispatch_http_request(50 * SECOND);
     harness.connect(worker);
     harness.receive(client, text.as_bytes());
     harness.advance(2 * SECOND);
@@ -171,7 +171,9 @@
 fn requests_beyond_the_open_limit_are_rejected_without_a_decision() {
     let mut harness = EdgeHarness::new(&[("limits.max-open", "2")]);
     let clients: Vec<_> = (0..3).map(|_| harness.accept_client()).collect();
-    clients.iter().for_each(|client| harness.call(*client, &[]));
+    clients
+        .iter()
+        .for_each(|client| harness.send_http_request(*client, &[]));
     assert_eq!(
         (harness.statuses(clients[1]), harness.statuses(clients[2])),
         (vec![], vec![503])
@@ -186,10 +188,10 @@
         EdgeHarness::new(&[("limits.max-clients", "2"), ("limits.client-idle", "3s")]);
     let (silent, calling) = (harness.accept_client(), harness.accept_client());
     harness.advance(SECOND);
-    harness.call(calling, &[]);
+    harness.send_http_request(calling, &[]);
     let third = harness.accept_client();
     assert_eq!(harness.io.closed, [(silent, Some(CloseCause::Orderly))]);
-    harness.call(third, &[]);
+    harness.send_http_request(third, &[]);
     let fourth = harness.accept_client();
     assert_eq!(
         harness.io.closed[1..],
@@ -221,17 +223,17 @@
     let client = harness.accept_client();
     harness.io.capacity.insert(client, 10);
     for id in 0..4 {
-        harness.call(client, &[]);
+        harness.send_http_request(client, &[]);
         harness.decide(Decision::Reject(id));
     }
-    harness.call(client, &[]);
+    harness.send_http_request(client, &[]);
     assert!(harness.io.has_reset(client));
 }
 
 #[rstest]
 fn a_disconnect_cancels_open_requests_and_gets_no_response() {
     let mut harness = EdgeHarness::new(&[]);
-    let (client, worker) = harness.dispatch_call(5 * SECOND);
+    let (client, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     harness.event(Event::Closed {
         conn: client,
@@ -251,7 +253,7 @@
 #[rstest]
 fn a_request_gets_one_response_however_often_it_is_decided() {
     let mut harness = EdgeHarness::new(&[]);
-    let (client, _) = harness.dispatch_call(5 * SECOND);
+    let (client, _) = harness.dispatch_http_request(5 * SECOND);
     for decision in [Decision::Fail(0), Decision::Reject(0), Decision::Fail(0)] {
         harness.decide(decision);
     }
@@ -273,7 +275,7 @@
 ) {
     let mut harness = EdgeHarness::new(&[]);
     let client = harness.accept_client();
-    harness.call(client, &[]);
+    harness.send_http_request(client, &[]);
     harness.now += seconds * SECOND;
     harness.decide(Decision::Fail(0));
     assert_eq!(harness.statuses(client), [status]);
@@ -285,10 +287,10 @@
     let mut harness = EdgeHarness::with_forms(&[], customers);
     let client = harness.accept_client();
     for _ in 0..3 {
-        harness.call(client, &[("sanddrum-customer", "a")]);
+        harness.send_http_request(client, &[("sanddrum-customer", "a")]);
     }
     let other = harness.accept_client();
-    harness.call(other, &[("sanddrum-customer", "b")]);
+    harness.send_http_request(other, &[("sanddrum-customer", "b")]);
     assert_eq!(harness.request_count(), 2, "one of a's and b's");
     harness.decide(Decision::Reject(0));
     let responses = harness.responses(client);
@@ -304,6 +306,6 @@
         "a permit comes every 250 ms: {wait}"
     );
     harness.advance(wait * 1000 + 1000);
-    harness.call(client, &[("sanddrum-customer", "a")]);
+    harness.send_http_request(client, &[("sanddrum-customer", "a")]);
     assert_eq!(harness.request_count(), 3);
 }
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -68,7 +68,7 @@
 /// Sends a request with this token. Returns the response's status code, or none if there is no response yet.
 fn response_status(harness: &mut EdgeHarness, conn: ConnectionId, token: &str) -> Option<u16> {
     let before = harness.statuses(conn).len();
-    harness.call(conn, &[("authorization", token)]);
+    harness.send_http_request(conn, &[("authorization", token)]);
     harness.statuses(conn).get(before).copied()
 }
 
@@ -236,7 +236,7 @@
         response_status(&mut harness, client, &school_token),
         Some(403)
     );
-    harness.call(
+    harness.send_http_request(
         client,
         &[
             ("authorization", &bearer_token("k1", "obs-brest")),
@@ -306,12 +306,12 @@
 fn a_certificate_identifies_the_customer_and_must_match_the_token() {
     let mut harness = edge_with_certificate_policy("optional");
     let gateway = accept_with_certificate(&mut harness, "gw-7");
-    harness.call(gateway, &[]);
+    harness.send_http_request(gateway, &[]);
     assert_eq!(
         harness.script.borrow().requests.last().unwrap().customer.0,
         0
     );
-    harness.call(gateway, &[("authorization", &bearer_token("k1", "school"))]);
+    harness.send_http_request(gateway, &[("authorization", &bearer_token("k1", "school"))]);
     assert_eq!(harness.request_count(), 2);
     let observatory = accept_with_certificate(&mut harness, "obs.example");
     assert_eq!(
@@ -319,14 +319,14 @@
         Some(403),
         "the token belongs to another customer"
     );
-    harness.call(observatory, &[("sanddrum-customer", "school")]);
+    harness.send_http_request(observatory, &[("sanddrum-customer", "school")]);
     assert_eq!(
         harness.statuses(observatory).last(),
         Some(&403),
         "the request names another customer"
     );
     let laptop = accept_with_certificate(&mut harness, "laptop");
-    harness.call(laptop, &[]);
+    harness.send_http_request(laptop, &[]);
     assert_eq!(harness.statuses(laptop), [403]);
     assert!(harness
         .io
@@ -359,7 +359,7 @@
     let mut harness = edge_with_certificate_policy("optional");
     let gateway = accept_with_certificate(&mut harness, "gw-7");
     harness.plan([Decision::Dispatch(0, 5 * SECOND)]);
-    harness.call(gateway, &[]);
+    harness.send_http_request(gateway, &[]);
     let worker = harness.last_connection();
     harness.connect(worker);
     let id = harness.attempts_to(worker)[0];
@@ -367,7 +367,7 @@
     harness
         .edge
         .on_credentials_changed(now, gateway, true, &mut harness.io);
-    harness.call(gateway, &[]);
+    harness.send_http_request(gateway, &[]);
     harness.answer_attempt(worker, id, ExecutionStatus::Finished);
     assert_eq!(harness.statuses(gateway), [200, 401]);
     assert!(harness
--- a/crates/sanddrum-edge/tests/shutdown.rs
+++ b/crates/sanddrum-edge/tests/shutdown.rs
@@ -12,12 +12,12 @@
 #[rstest]
 fn shutdown_rejects_new_requests_and_answers_open_ones() {
     let mut harness = EdgeHarness::new(&[("limits.stop-within", "3s")]);
-    let (client, worker) = harness.dispatch_call(50 * SECOND);
-    let (second, _) = harness.dispatch_call(50 * SECOND);
+    let (client, worker) = harness.dispatch_http_request(50 * SECOND);
+    let (second, _) = harness.dispatch_http_request(50 * SECOND);
     let late = harness.accept_client();
     harness.connect(worker);
     harness.edge.shut_down(harness.now, &mut harness.io);
-    harness.call(late, &[]);
+    harness.send_http_request(late, &[]);
     assert_eq!(harness.statuses(late), [503]);
     assert!(harness.io.has_closed_in_order(late));
     harness.answer_attempt(
--- a/crates/sanddrum-edge/tests/worker_connections.rs
+++ b/crates/sanddrum-edge/tests/worker_connections.rs
@@ -12,7 +12,7 @@
 #[rstest]
 fn a_connection_that_is_not_open_in_time_is_reset() {
     let mut harness = EdgeHarness::new(&[("limits.connect-time-out", "100ms")]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.advance(SECOND / 5);
     assert_eq!(harness.outcomes(), [Outcome::NoConnection]);
     assert!(harness.io.has_reset(worker));
@@ -28,13 +28,13 @@
             endpoint("v", 1, Phase::Ready),
         ],
     ));
-    let (_, first) = harness.dispatch_call(5 * SECOND);
+    let (_, first) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(first);
     let connects = harness.io.connects.len();
     let client = harness.accept_client();
     let call_at_v = |harness: &mut EdgeHarness, id: u64| {
         harness.plan([Decision::DispatchTo(id, 5 * SECOND, "v")]);
-        harness.call(client, &[]);
+        harness.send_http_request(client, &[]);
         harness.process();
     };
     call_at_v(&mut harness, 1);
@@ -57,7 +57,7 @@
 #[case::part_of_a_frame_then_noise(&[0, 0, 0, 1, 0x00])]
 fn a_malformed_frame_resets_the_connection(#[case] bytes: &[u8]) {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     harness.receive(worker, bytes);
     assert_eq!(harness.outcomes(), [Outcome::Reset]);
@@ -67,7 +67,7 @@
 #[rstest]
 fn a_greeting_under_another_name_resets_the_connection() {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     harness.receive_hello(worker, "someone-else", 1, None);
     assert_eq!(harness.outcomes(), [Outcome::Reset]);
@@ -80,9 +80,9 @@
         ("limits.connections", "1"),
         ("limits.idle-close", "2s"),
     ]);
-    let (_, worker) = harness.dispatch_call(50 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(50 * SECOND);
     harness.connect(worker);
-    harness.dispatch_call(50 * SECOND);
+    harness.dispatch_http_request(50 * SECOND);
     harness.process();
     assert_eq!(harness.outcomes(), [Outcome::Rejected]);
     harness.advance(5 * SECOND);
@@ -102,11 +102,11 @@
 #[rstest]
 fn a_worker_that_does_not_read_counts_as_unreachable() {
     let mut harness = EdgeHarness::new(&[("limits.waiting-per-worker", "100 B")]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.io.capacity.insert(worker, 0);
     harness.connect(worker);
     for _ in 0..5 {
-        harness.dispatch_call(5 * SECOND);
+        harness.dispatch_http_request(5 * SECOND);
     }
     harness.process();
     assert!(harness.outcomes().contains(&Outcome::NoConnection));
@@ -117,7 +117,7 @@
 #[rstest]
 fn a_connection_with_outdated_credentials_is_drained_and_replaced() {
     let mut harness = EdgeHarness::new(&[("limits.retire-within", "1s")]);
-    let (client, old) = harness.dispatch_call(5 * SECOND);
+    let (client, old) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(old);
     let first = harness.attempts_to(old)[0];
     let now = harness.now;
@@ -129,7 +129,7 @@
     let new = harness.last_connection();
     assert_ne!(new, old, "a new connection is opened");
     harness.connect(new);
-    let (other, _) = harness.dispatch_call(5 * SECOND);
+    let (other, _) = harness.dispatch_http_request(5 * SECOND);
     assert_eq!(
         (
             harness.attempts_to(old).len(),
@@ -153,14 +153,14 @@
 #[rstest]
 fn a_worker_with_denied_credentials_gets_no_new_attempt() {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, old) = harness.dispatch_call(5 * SECOND);
+    let (_, old) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(old);
     let now = harness.now;
     harness
         .edge
         .on_credentials_changed(now, old, true, &mut harness.io);
     harness.process();
-    harness.dispatch_call(5 * SECOND);
+    harness.dispatch_http_request(5 * SECOND);
     assert_eq!(harness.attempts_to(old).len(), 1);
 }
 
@@ -168,7 +168,7 @@
 #[rstest]
 fn an_unreachable_worker_is_not_connected_to_during_its_backoff() {
     let mut harness = EdgeHarness::new(&[("limits.left-alone-least", "400ms")]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.event(Event::Closed {
         conn: worker,
         cause: CloseCause::Refused,
@@ -176,7 +176,7 @@
     let connects = harness.io.connects.len();
     for _ in 0..3 {
         harness.plan([Decision::CheckHealth]);
-        harness.dispatch_call(5 * SECOND);
+        harness.dispatch_http_request(5 * SECOND);
         harness.process();
     }
     assert_eq!(harness.io.connects.len(), connects);
@@ -190,18 +190,18 @@
         harness.outcomes()
     );
     harness.advance(SECOND);
-    harness.dispatch_call(5 * SECOND);
+    harness.dispatch_http_request(5 * SECOND);
     assert_eq!(harness.io.connects.len(), connects + 1);
 }
 
 #[rstest]
 fn a_worker_with_a_wrong_name_is_not_connected_to_during_its_backoff() {
     let mut harness = EdgeHarness::new(&[]);
-    let (_, worker) = harness.dispatch_call(5 * SECOND);
+    let (_, worker) = harness.dispatch_http_request(5 * SECOND);
     harness.connect(worker);
     harness.receive_hello(worker, "somebody", 1, None);
     let connects = harness.io.connects.len();
-    harness.dispatch_call(5 * SECOND);
+    harness.dispatch_http_request(5 * SECOND);
     harness.process();
     assert_eq!(harness.io.connects.len(), connects);
     assert_eq!(harness.outcomes(), [Outcome::Reset, Outcome::NoConnection]);
