--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -297,7 +297,7 @@
     /// looked for input first, but not twice in a row, as it would never write otherwise. Guards against an attempt that
     /// begins for a client that has disconnected since the turn began.
     pub fn flush(&mut self, now: Micros, io: &mut dyn Io) {
-        self.are_writes_deferred = !self.are_writes_deferred && io.is_delayed();
+        self.are_writes_deferred = !self.are_writes_deferred && io.is_poll_overdue();
         if self.are_writes_deferred {
             return;
         }
--- a/crates/sanddrum-edge/src/edge_state/discovery.rs
+++ b/crates/sanddrum-edge/src/edge_state/discovery.rs
@@ -287,7 +287,7 @@
     fn on_feed_answer(&mut self, now: Micros, events: FeedEvents, io: &mut dyn Io) {
         let has_events = !events.events.is_empty();
         self.apply_feed_events(now, events, io);
-        self.record_feed_answer(now, has_events, io.is_delayed());
+        self.record_feed_answer(now, has_events, io.is_poll_overdue());
         if let Some(feed) = &mut self.control_feed {
             feed.poll(&mut self.context, now, io);
         }
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -298,8 +298,8 @@
     fn earliest_arrival(&self, now: Micros) -> Micros {
         self.io.earliest_arrival(now)
     }
-    fn is_delayed(&self) -> bool {
-        self.io.is_delayed()
+    fn is_poll_overdue(&self) -> bool {
+        self.io.is_poll_overdue()
     }
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         self.outside(|this| {
--- a/crates/sanddrum-net/src/core.rs
+++ b/crates/sanddrum-net/src/core.rs
@@ -2,17 +2,17 @@
 
 use crate::{ConnectionId, Event, FileError, Io, Micros};
 
-/// A state machine without I/O that a driver runs. `now` is an instant of the driver's clock.
+/// A state machine without I/O that is run by a driver. `now` is an instant of the driver's clock.
 pub trait Core {
-    /// The driver has added the core.
+    /// Called once, when the driver has added the core.
     fn start(&mut self, now: Micros, io: &mut dyn Io);
-    /// Something happened on a connection.
+    /// Handles an event of a connection.
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io);
-    /// All input of this instant has been given, or the requested wake-up is due.
+    /// Called after all available input has been delivered, and when the requested wake-up is due.
     fn process(&mut self, now: Micros, io: &mut dyn Io);
-    /// When to call `process` again, if not before.
+    /// The latest time at which `process` is to be called again, if any.
     fn next_wakeup(&self) -> Option<Micros>;
-    /// A file that the driver watches for this core was read, has changed, or cannot be read.
+    /// Handles a watched file that was read for the first time, has changed, or cannot be read.
     fn on_file(
         &mut self,
         _now: Micros,
@@ -21,8 +21,8 @@
         _io: &mut dyn Io,
     ) {
     }
-    /// An established connection was made with credentials that are no longer current. It is to be replaced when that
-    /// does no harm, or at once where the peer's credentials were `revoked`.
+    /// Called for an established connection that was opened with outdated credentials. The core replaces it when that
+    /// does no harm, or immediately if the peer's credentials were `revoked`.
     fn on_credentials_changed(
         &mut self,
         _now: Micros,
@@ -31,9 +31,9 @@
         _io: &mut dyn Io,
     ) {
     }
-    /// A graceful shutdown begins: the core takes nothing new, and is done once nothing is in flight.
+    /// Begins a graceful shutdown: the core accepts nothing new, and is done once nothing is in flight.
     fn shut_down(&mut self, _now: Micros, _io: &mut dyn Io) {}
-    /// Logs the core's status, on SIGUSR1 and at the end.
+    /// Logs the core's status. Called on SIGUSR1 and at the end of a graceful shutdown.
     fn log_status(&mut self, _now: Micros) {}
     /// Whether the listeners stay open during a graceful shutdown.
     fn accepts_while_draining(&self) -> bool {
--- a/crates/sanddrum-net/src/event.rs
+++ b/crates/sanddrum-net/src/event.rs
@@ -1,13 +1,13 @@
-//! Ids, and the events that a driver gives to its cores.
+//! Identifiers, and the events that a driver delivers to its cores.
 
 /// Microseconds: an instant of the driver's clock, or a duration.
 pub type Micros = i64;
 
-/// One core's end of a connection; never reused by a driver.
+/// Identifies one core's end of a connection. A driver never reuses an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// The index of one of a core's listeners, in the order in which the driver was given them.
+/// The index of one of a core's listeners, in the order in which they were passed to the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerId(pub usize);
 
@@ -18,9 +18,9 @@
 /// How the peer or the network ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// The peer closed it: all that it wrote has been delivered.
+    /// The peer closed it. All data that the peer wrote has been delivered.
     Orderly,
-    /// It was reset: data in flight is lost.
+    /// It was reset. Data in flight is lost.
     Reset,
     /// It was never established.
     Refused,
@@ -48,12 +48,13 @@
         /// The data; never empty.
         bytes: &'a [u8],
     },
-    /// After a short write the connection takes data again.
+    /// The connection accepts data again after a short write.
     Writable {
         /// The connection.
         conn: ConnectionId,
     },
-    /// The last event of a connection. There is none after the core's own `close` or `reset`.
+    /// The connection has ended. No other event of it follows, and none is sent after the core's own `close` or
+    /// `reset`.
     Closed {
         /// The connection.
         conn: ConnectionId,
--- a/crates/sanddrum-net/src/event_loop.rs
+++ b/crates/sanddrum-net/src/event_loop.rs
@@ -11,7 +11,7 @@
 mod streams;
 mod watched_files;
 
-use self::host::{Host, NoCore};
+use self::host::{Host, PlaceholderCore};
 use self::loop_io::LoopIo;
 use self::poll::PollTimes;
 use self::sources::{Source, SourceKey, Sources};
@@ -26,14 +26,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes read from one connection before the others have their turn.
+/// The maximum number of bytes per read, so that one connection cannot delay the others for long.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Longer than this between two polls, and the process was stalled: it was stopped, or others had its processor.
+/// A longer time than this between two polls means that the process was stalled: it was stopped, or not scheduled.
 const STALL_THRESHOLD: Micros = 60_000;
-/// After such a time the loop polls again before any core acts on a timer, this many times at most in a row: a loop
-/// whose polls themselves take that long has to make progress.
+/// The maximum number of polls before timers run. After a stall the loop first polls again, but a loop whose polls
+/// themselves take longer than the threshold still has to make progress.
 const MAX_POLLS_PER_STEP: usize = 3;
-/// Polls for remaining input before the loop ends: a peer that never stops writing does not delay it.
+/// The maximum number of polls for remaining input before the loop ends, so that a peer that never stops writing
+/// cannot keep it running.
 const MAX_FINAL_POLLS: usize = 100;
 
 /// Why [`EventLoop::run`] returned.
@@ -41,7 +42,7 @@
 pub enum Shutdown {
     /// The graceful shutdown of every core is complete.
     Graceful,
-    /// A second signal asked for an immediate end.
+    /// A second signal requested an immediate end.
     Immediate,
 }
 
@@ -52,7 +53,7 @@
     conn: ConnectionId,
 }
 
-/// Set by the signal handlers beside what they write to their pipes, as a full pipe takes nothing.
+/// Flags that the signal handlers set in addition to writing to their pipes, since writes to a full pipe are lost.
 #[derive(Default)]
 struct SignalFlags {
     shutdown: Arc<AtomicBool>,
@@ -64,7 +65,7 @@
 pub struct EventLoop {
     poller: Poller,
     sources: Sources,
-    /// By host id; none where the core was killed.
+    /// Indexed by host id; `None` if the core was killed.
     hosts: Vec<Option<Host>>,
     observer: Box<dyn TrafficObserver>,
     started: Instant,
@@ -72,19 +73,19 @@
     epoch: Micros,
     next_connection: u64,
     polls: PollTimes,
-    /// While a core is given input: the earliest instant at which that may have arrived.
+    /// While input is delivered to a core: the earliest instant at which it may have arrived.
     earliest_arrival: Option<Micros>,
-    /// Connections that could not be opened; their cores are notified once they are not being called.
+    /// Connections that could not be opened. Their cores are notified once no core is being called.
     pending_refusals: Vec<HostConnection>,
-    /// Connections to reset once their cores are not being called.
+    /// Connections to reset once no core is being called.
     pending_resets: Vec<HostConnection>,
-    /// When to try again to accept connections and to register streams with the poller.
+    /// When to retry accepting connections and registering streams with the poller.
     retry_accept_at: Option<Micros>,
-    /// Closed connections whose input is still drained, by the end of that.
+    /// Closed connections whose input is still drained, ordered by the time at which draining ends.
     lingering: BTreeSet<(Micros, SourceKey)>,
-    /// Signals received that ask for the end.
+    /// The number of shutdown signals received.
     shutdown_signals: u32,
-    /// Failed polls in a row.
+    /// The number of consecutive failed polls.
     failed_polls: u32,
     signal_flags: SignalFlags,
     ignores_repeated_signals: bool,
@@ -92,11 +93,11 @@
 }
 
 impl EventLoop {
-    /// A loop without hosts. Its clock starts at the wall clock's time and follows the monotonic clock, whatever steps
-    /// the wall clock takes after that.
+    /// Creates a loop without hosts. Its clock starts at the wall-clock time and then follows the monotonic clock, so
+    /// that later steps of the wall clock do not affect it.
     ///
     /// # Errors
-    /// The operating system provides no poller.
+    /// The operating system cannot create a poller.
     pub fn new(observer: Box<dyn TrafficObserver>) -> io::Result<Self> {
         let epoch = wall_clock();
         Ok(EventLoop {
@@ -131,14 +132,14 @@
     pub fn observer(&mut self) -> &mut dyn TrafficObserver {
         &mut *self.observer
     }
-    /// Appends the host's audit log to a file of at most `max_bytes`; a full one is renamed and replaces the one renamed
-    /// before.
+    /// Appends the host's audit log to a file of at most `max_bytes`. A full file is renamed, replacing the one that
+    /// was renamed before it.
     pub fn set_audit_file(&mut self, host: HostId, path: PathBuf, max_bytes: u64) {
         if let Some(host) = self.host_mut(host) {
             host.audit_log = Some(AuditLog::new(path, max_bytes));
         }
     }
-    /// Adds a core and starts it. Its state is saved to `state_file`, if that is given.
+    /// Adds a core and starts it. Its state is saved to `state_file`, if given.
     ///
     /// # Errors
     /// A listener cannot be registered with the poller.
@@ -154,7 +155,7 @@
         self.call(id, |core, now, io| core.start(now, io));
         Ok(id)
     }
-    /// Kills a core: its listeners close and its connections break.
+    /// Kills a core: its listeners are closed, and its connections are broken.
     pub fn kill(&mut self, id: HostId) {
         let Some(host) = self.hosts.get_mut(id.0).and_then(Option::take) else {
             return;
@@ -183,7 +184,8 @@
         self.call(id, |core, now, io| core.start(now, io));
         Ok(())
     }
-    /// Freezes or thaws a host: while it is frozen nothing is read, written or refused there, and its core is not woken.
+    /// Freezes or thaws a host. While it is frozen, nothing is read, written or refused there, and its core is not
+    /// woken.
     pub fn freeze(&mut self, id: HostId, frozen: bool) {
         let Some(host) = self.host_mut(id) else {
             return;
@@ -194,23 +196,24 @@
             self.update_interest(key);
         }
     }
-    /// Resets each connection of a host at its next write, after half of what is written.
+    /// Resets each current connection of a host at its next write, after half of the data.
     pub fn reset_on_next_write(&mut self, host: HostId) {
         if let Some(host) = self.host_mut(host) {
             host.reset_on_write = host.connections.keys().copied().collect();
         }
     }
-    /// Whether the graceful shutdown of the host's core is complete, or it was killed.
+    /// Whether the host's core has completed its graceful shutdown or was killed.
     pub fn is_core_done(&self, host: HostId) -> bool {
         self.host(host).is_none_or(|host| host.core.is_done())
     }
-    /// Whether a signal has asked for the end.
+    /// Whether a shutdown signal was received.
     pub fn shutdown_requested(&self) -> bool {
         self.shutdown_signals > 0
     }
 
-    /// Runs until every core is done or a second signal comes. All input that has come by then is read, and all output is
-    /// delivered: listeners and connections are closed in order before it returns.
+    /// Runs until every core is done or a second shutdown signal is received. At a graceful end, all input that has
+    /// arrived by then is read, and all listeners and connections are closed in an orderly way, so that output is
+    /// delivered.
     ///
     /// # Errors
     /// Polling for input fails repeatedly.
@@ -229,7 +232,7 @@
             }
         }
     }
-    /// Runs until this instant, or until a signal asks for the end.
+    /// Runs until this instant, or until a shutdown signal is received.
     ///
     /// # Errors
     /// Polling for input fails repeatedly.
@@ -240,9 +243,9 @@
         Ok(())
     }
 
-    /// Waits for input until this instant or the next timer, and handles what has come and what is due. Returns the
-    /// number of events. A process that was stalled polls once more before it acts on timers: the cores are to be given
-    /// all input that came meanwhile first.
+    /// Waits for input until this instant or the next timer, and handles the input and all due timers. Returns the
+    /// number of events. After a stall of the process it polls again before it runs timers, so that the cores first
+    /// receive all input that arrived meanwhile.
     fn step(&mut self, until: Option<Micros>) -> io::Result<usize> {
         let mut events = 0;
         for poll in 1..=MAX_POLLS_PER_STEP {
@@ -268,11 +271,11 @@
     fn host_mut(&mut self, id: HostId) -> Option<&mut Host> {
         self.hosts.get_mut(id.0).and_then(Option::as_mut)
     }
-    /// Whether the host is frozen; a killed one is not.
+    /// Whether the host is frozen; false if its core was killed.
     fn is_frozen(&self, id: HostId) -> bool {
         self.host(id).is_some_and(|host| host.frozen)
     }
-    /// The source of a host's connection.
+    /// The source key of a host's connection.
     fn source_key(&self, host: HostId, conn: ConnectionId) -> Option<SourceKey> {
         self.host(host)?.connections.get(&conn).copied()
     }
@@ -283,7 +286,7 @@
             return;
         };
         host.is_pending = true;
-        let mut core = std::mem::replace(&mut host.core, Box::new(NoCore));
+        let mut core = std::mem::replace(&mut host.core, Box::new(PlaceholderCore));
         let now = self.now();
         let mut io = LoopIo {
             event_loop: self,
--- a/crates/sanddrum-net/src/event_loop/closing.rs
+++ b/crates/sanddrum-net/src/event_loop/closing.rs
@@ -1,20 +1,20 @@
-//! The end of connections.
+//! Closing and resetting connections.
 
 use super::sources::{Source, SourceKey};
 use super::EventLoop;
 use crate::{CloseCause, ConnectionId, Event, HostId, Micros};
 use polling::{Event as PollEvent, PollMode};
 use std::io::{ErrorKind, Read};
-use std::net::Shutdown as Half;
+use std::net::Shutdown as SocketShutdown;
 use std::time::Duration;
 
-/// The input of a connection that was closed here is drained for this long, or until the peer has closed it as well.
+/// How long the input of a locally closed connection is drained, unless the peer closes it earlier.
 const LINGER_DURATION: Micros = 500_000;
-/// Bytes drained from a lingering connection at a time.
+/// The maximum number of bytes drained from a lingering connection per read.
 const DRAIN_BUFFER_BYTES: usize = 16 * 1024;
 
 impl EventLoop {
-    /// The peer or the network has ended a connection, which is reported to its core.
+    /// Removes a connection that the peer or the network has ended, and notifies its core.
     pub(super) fn end_connection(&mut self, host: HostId, conn: ConnectionId, cause: CloseCause) {
         if cause == CloseCause::Reset {
             self.set_reset_on_close(host, conn);
@@ -23,7 +23,7 @@
             self.call_with_event(host, Event::Closed { conn, cause });
         }
     }
-    /// Has the system discard undelivered output when the socket is closed, so that the peer sees a reset.
+    /// Makes the system discard undelivered output when the socket is closed, so that the peer receives a reset.
     pub(super) fn set_reset_on_close(&self, host: HostId, conn: ConnectionId) {
         let stream = self
             .source_key(host, conn)
@@ -45,8 +45,9 @@
         self.on_descriptor_freed();
         true
     }
-    /// A core closes a connection: nothing more is written, and input is drained until the peer closes it too, for a
-    /// bounded time and for at most `max_lingering` connections at a time. Beyond that the oldest one is dropped.
+    /// Closes a connection for its core: nothing more is written, and input is drained until the peer closes it too,
+    /// for a bounded time. At most `max_lingering` connections are drained at a time; beyond that the oldest one is
+    /// dropped.
     pub(super) fn close(&mut self, host: HostId, conn: ConnectionId, max_lingering: usize) {
         let Some(key) = self.source_key(host, conn) else {
             return;
@@ -56,7 +57,7 @@
         };
         let can_linger = !stream.connecting
             && !stream.is_unregistered
-            && stream.socket.shutdown(Half::Write).is_ok();
+            && stream.socket.shutdown(SocketShutdown::Write).is_ok();
         if !can_linger {
             self.remove_connection(host, conn);
             return;
@@ -84,12 +85,12 @@
         self.lingering.insert((self.now() + LINGER_DURATION, key));
         self.drain(key);
     }
-    /// Discards input of a connection that was closed here.
+    /// Discards input of a lingering connection.
     pub(super) fn drain(&mut self, key: SourceKey) {
         let Some(Source::Lingering(socket)) = self.sources.get_mut(key) else {
             return;
         };
-        // The loop's own buffer may be in use: a core may close a connection while it is given bytes.
+        // `read_buffer` may be in use: a core may close a connection while it handles received bytes.
         match socket.read(&mut [0; DRAIN_BUFFER_BYTES]) {
             Ok(1..) => {}
             Err(error)
@@ -106,7 +107,7 @@
         let Some(source) = self.sources.remove(key) else {
             return;
         };
-        // A source that the poller does not know need not be unregistered.
+        // Fails if the source is not registered with the poller, which does no harm.
         let _ = match &source {
             Source::Listener(listener) => self.poller.delete(&listener.socket),
             Source::Stream(stream) => self.poller.delete(&stream.socket),
--- a/crates/sanddrum-net/src/event_loop/host.rs
+++ b/crates/sanddrum-net/src/event_loop/host.rs
@@ -1,4 +1,4 @@
-//! A core in the event loop.
+//! A core that the event loop runs.
 
 use super::sources::SourceKey;
 use crate::files::{AuditLog, StateWriter, WatchedFile};
@@ -6,17 +6,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// A core and what the loop keeps for it.
+/// A core, and the event loop's state for it.
 pub(super) struct Host {
     pub core: Box<dyn Core>,
     pub connections: BTreeMap<ConnectionId, SourceKey>,
     pub listeners: Vec<SourceKey>,
     pub state_writer: Option<StateWriter>,
     pub frozen: bool,
-    /// Whether the core is to process what it was given.
+    /// Whether the core was called since its last `process`, so that another one is due.
     pub is_pending: bool,
     pub is_shutting_down: bool,
-    /// Connections that are reset at their next write.
+    /// Connections to reset at their next write.
     pub reset_on_write: BTreeSet<ConnectionId>,
     pub audit_log: Option<AuditLog>,
     pub watched_files: Vec<WatchedFile>,
@@ -39,10 +39,10 @@
     }
 }
 
-/// Stands in for a core while that is being called.
-pub(super) struct NoCore;
+/// Takes the place of a core in its host while the core is being called.
+pub(super) struct PlaceholderCore;
 
-impl Core for NoCore {
+impl Core for PlaceholderCore {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
     fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
     fn process(&mut self, _: Micros, _: &mut dyn Io) {}
--- a/crates/sanddrum-net/src/event_loop/listeners.rs
+++ b/crates/sanddrum-net/src/event_loop/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the connections that come through them.
+//! Listeners, and the connections that they accept.
 
 use super::sources::{Listener, Source, SourceKey};
 use super::EventLoop;
@@ -7,13 +7,14 @@
 use std::io::{self, ErrorKind};
 use std::net::{TcpListener, TcpStream};
 
-/// Connections accepted before the other sources have their turn.
+/// The maximum number of connections accepted from a listener before the other sources are served.
 const MAX_ACCEPTS_PER_POLL: usize = 256;
-/// Where no descriptor is free, accepting pauses for this long or until a connection ends.
+/// How long accepting pauses if no file descriptor is available, unless a connection ends earlier.
+/// Also the delay before another attempt to register listeners and streams with the poller.
 pub(super) const ACCEPT_RETRY_DELAY: Micros = 50_000;
 
 impl EventLoop {
-    /// Binds a listener. The port may be zero; the bound address is returned.
+    /// Binds a listener and returns it with the bound address. Port zero selects a free port.
     ///
     /// # Errors
     /// The address is invalid, in use or not available.
@@ -76,7 +77,7 @@
         };
         let (host, id) = (listener.host, listener.id);
         if self.host(host).is_none_or(|host| host.frozen) {
-            // The kernel of a frozen machine may still complete handshakes; its process accepts nothing.
+            // As for a stopped process, the kernel may still complete handshakes, but nothing is accepted.
             self.pause_accepting(key);
             return false;
         }
@@ -101,7 +102,7 @@
                 true
             }
             Err(error) => {
-                tracing::warn!(reason = "no-descriptor", %error, "accepting pauses; raise the limit of open files");
+                tracing::warn!(reason = "no-descriptor", %error, "cannot accept connections; accepting is paused; raise the open file limit");
                 self.pause_accepting(key);
                 false
             }
@@ -142,7 +143,7 @@
             );
         }
     }
-    /// Watches all listeners again, and the streams that could not be registered.
+    /// Registers interest in all listeners again, and tries to register the streams that are unregistered.
     pub(super) fn resume_accepting(&mut self) {
         self.retry_accept_at = None;
         let mut has_failed = false;
@@ -163,12 +164,12 @@
         for key in unregistered {
             self.update_interest(key);
         }
-        // Guards against a listener that stays paused for good because the poller was out of memory once.
+        // Without another retry, a listener would stay paused forever after the poller was out of memory once.
         if has_failed {
             self.retry_accept_at = Some(self.now() + ACCEPT_RETRY_DELAY);
         }
     }
-    /// A descriptor is free: accepting need not pause any longer.
+    /// Ends a pause of accepting, since a file descriptor has become available.
     pub(super) fn on_descriptor_freed(&mut self) {
         if self.retry_accept_at.is_some() {
             self.retry_accept_at = Some(self.now());
--- a/crates/sanddrum-net/src/event_loop/loop_io.rs
+++ b/crates/sanddrum-net/src/event_loop/loop_io.rs
@@ -1,23 +1,23 @@
-//! What a core may request from the event loop while it is being called.
+//! The event loop's implementation of [`Io`].
 
 use super::sources::{SourceKey, Stream};
 use super::{EventLoop, HostConnection, STALL_THRESHOLD};
 use crate::{ConnectionId, HostId, Io, Micros, Side};
 use std::io::{ErrorKind, Write};
 
-/// Closed connections whose input is drained at a time, while the loop runs.
+/// The maximum number of closed connections whose input is drained at a time, while the loop runs.
 const MAX_LINGERING: usize = 16;
 
-/// The event loop as one host's core sees it.
+/// The event loop's [`Io`] for the core of one host.
 pub(super) struct LoopIo<'a> {
     pub event_loop: &'a mut EventLoop,
     pub host: HostId,
 }
 
-/// How far the socket took what was written.
+/// The result of a write to a socket.
 struct Written {
     bytes: usize,
-    /// The connection has failed, and no read will show it.
+    /// The connection has failed, and no read will report this.
     has_failed: bool,
 }
 
@@ -33,7 +33,7 @@
             .pending_resets
             .push(HostConnection { host, conn });
     }
-    /// Whether a test has asked for a reset at this write.
+    /// Whether `reset_on_next_write` has requested a reset at this write; clears the request.
     fn take_reset_on_write(&mut self, conn: ConnectionId) -> bool {
         self.event_loop
             .host_mut(self.host)
@@ -64,7 +64,7 @@
     fn earliest_arrival(&self, now: Micros) -> Micros {
         self.event_loop.earliest_arrival.unwrap_or(now)
     }
-    fn is_delayed(&self) -> bool {
+    fn is_poll_overdue(&self) -> bool {
         self.event_loop.now() - self.event_loop.polls.last > STALL_THRESHOLD
     }
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
@@ -104,7 +104,7 @@
         let now = self.event_loop.now();
         if let Some((key, stream)) = self.stream_mut(conn) {
             stream.paused = paused;
-            // When input arrives is unknown until the stream is read again.
+            // Input that arrives during the pause may have waited since the pause began.
             stream.unread_since = stream.unread_since.or(paused.then_some(now));
             self.event_loop.update_interest(key);
         }
@@ -129,7 +129,7 @@
     }
 }
 
-/// Writes what the socket takes.
+/// Writes as much as the socket accepts.
 fn write_to(stream: &mut Stream, bytes: &[u8]) -> Written {
     let mut written = Written {
         bytes: 0,
@@ -139,13 +139,13 @@
         match stream.socket.write(&bytes[written.bytes..]) {
             Ok(count) if count > 0 => written.bytes += count,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            // Guards against a paused connection whose peer is gone: it is not read, so that no read would show the
-            // error, and the poller would report it as writable for ever.
+            // A paused connection is not read, so no read would report that its peer is gone, and the poller would
+            // report it as writable forever.
             Err(error) if error.kind() != ErrorKind::WouldBlock && stream.paused => {
                 written.has_failed = true;
                 break;
             }
-            // Any other error shows when the stream is next read, after the input before it.
+            // Any other error is reported by a later read, after the input that precedes it.
             _ => break,
         }
     }
--- a/crates/sanddrum-net/src/event_loop/poll.rs
+++ b/crates/sanddrum-net/src/event_loop/poll.rs
@@ -1,4 +1,4 @@
-//! Waiting for input, and handing it to the cores.
+//! Polling for input, and dispatching it to the cores.
 
 use super::{EventLoop, HostConnection, Source};
 use crate::{CloseCause, Event, HostId, Micros};
@@ -6,16 +6,16 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// The loop polls at least this often, so that the arrival of input is known to within this.
+/// The longest wait for input. It limits the uncertainty about when input arrived.
 const MAX_POLL_TIMEOUT: Micros = 25_000;
-/// A poll that returns later than this after its time-out shows that the process was stalled in it.
+/// A poll that exceeds its timeout by more than this shows that the process was stalled during the poll.
 const POLL_SLACK: Micros = 5_000;
 /// The delay after a failed poll.
 const POLL_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Failed polls in a row before the loop gives up: after five seconds.
+/// The number of consecutive failed polls that are retried: for five seconds.
 const MAX_FAILED_POLLS: u32 = 5_000;
 
-/// When the loop polled: input that was not there at the previous poll has arrived since.
+/// The times of the last two polls. Input that only the last poll found has arrived since the previous one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollTimes {
     pub last: Micros,
@@ -23,7 +23,7 @@
 }
 
 impl EventLoop {
-    /// How long to wait for input: until this instant, the next timer or the longest time-out.
+    /// How long to wait for input: until this instant, the next timer or the longest timeout, whichever comes first.
     pub(super) fn poll_timeout(&self, until: Option<Micros>) -> Duration {
         if !(self.pending_refusals.is_empty() && self.pending_resets.is_empty()) {
             return Duration::ZERO;
@@ -45,8 +45,8 @@
         });
         Duration::from_micros(timeout as u64)
     }
-    /// Waits for input and hands it to the cores. Returns the number of events; none where the wait was interrupted or
-    /// failed.
+    /// Waits for input and dispatches it to the cores. Returns the number of events, or `None` if the wait was
+    /// interrupted or failed.
     pub(super) fn poll(&mut self, timeout: Duration) -> io::Result<Option<usize>> {
         let began = self.now();
         let Some(mut events) = self.wait_for_events(timeout)? else {
@@ -54,14 +54,14 @@
         };
         self.record_poll(began, timeout);
         let count = events.len();
-        // Listeners come last. Guards against a new connection that displaces one whose input has arrived.
+        // Listeners are served last, so that a new connection does not displace one whose input has already arrived.
         events
             .sort_by_key(|event| matches!(self.sources.get(event.key), Some(Source::Listener(_))));
         for event in events {
             self.dispatch(event);
         }
         self.handle_signal_flags();
-        self.close_refused_and_reset();
+        self.end_pending_connections();
         Ok(Some(count))
     }
     fn wait_for_events(&mut self, timeout: Duration) -> io::Result<Option<Vec<PollEvent>>> {
@@ -71,10 +71,10 @@
                 self.failed_polls = 0;
                 Ok(Some(events))
             }
-            // Guards against acting on timers before input that came meanwhile is read: a process that was stopped and
-            // continued would take all peers for silent.
+            // No timer may run before input that arrived meanwhile is read: a process that was stopped and continued
+            // would consider all its peers silent.
             Err(error) if error.kind() == ErrorKind::Interrupted => Ok(None),
-            // Guards against a transient error, such as a kernel out of memory, that would end all connections.
+            // A transient error, such as a kernel out of memory, must not end all connections.
             Err(error) if self.failed_polls < MAX_FAILED_POLLS => {
                 self.failed_polls += 1;
                 tracing::warn!(reason = "poller", %error, "polling for input failed and is retried");
@@ -84,8 +84,9 @@
             Err(error) => Err(error),
         }
     }
-    /// Where the process was stalled within the wait, it is unknown whether the kernel collected the events at its begin
-    /// or at its end: a process that is stopped while it is being woken has polled before the stop.
+    /// Records when the loop polled. If the process was stalled during the wait, it is unknown whether the kernel
+    /// collected the events at the beginning or at the end of the wait, as a process may be stopped while it is being
+    /// woken; the beginning is recorded then.
     fn record_poll(&mut self, began: Micros, timeout: Duration) {
         let ended = self.now();
         let was_stalled = ended - began > timeout.as_micros() as Micros + POLL_SLACK;
@@ -104,7 +105,8 @@
             None => {}
         }
     }
-    fn close_refused_and_reset(&mut self) {
+    /// Ends the connections that were refused or are to be reset, and notifies their cores.
+    fn end_pending_connections(&mut self) {
         for HostConnection { host, conn } in std::mem::take(&mut self.pending_refusals) {
             let cause = CloseCause::Refused;
             self.call_with_event(host, Event::Closed { conn, cause });
@@ -113,7 +115,8 @@
             self.end_connection(host, conn, CloseCause::Reset);
         }
     }
-    /// Runs the loop's own timers, and lets cores process what they were given or what is due.
+    /// Runs the loop's own due timers, checks due files, and calls `process` on cores that have new input or a due
+    /// timer.
     pub(super) fn run_due(&mut self) {
         if self.retry_accept_at.is_some_and(|at| at <= self.now()) {
             self.resume_accepting();
--- a/crates/sanddrum-net/src/event_loop/shutdown.rs
+++ b/crates/sanddrum-net/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the loop.
+//! The graceful end of the event loop.
 
 use super::{EventLoop, SourceKey};
 use crate::{ConnectionId, HostId, Side};
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 impl EventLoop {
-    /// Closes all listeners, and in order all connections that were accepted; returns once their peers have closed them
-    /// too, or have not in time.
+    /// Closes all listeners and connections. Returns once the peers of accepted connections have closed them too, or
+    /// after a time limit.
     pub(super) fn close_everything(&mut self) -> io::Result<()> {
         self.log_status();
         for id in (0..self.hosts.len()).map(HostId) {
--- a/crates/sanddrum-net/src/event_loop/signals.rs
+++ b/crates/sanddrum-net/src/event_loop/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: those that ask the cores to shut down, to log their status, or to reload watched files.
+//! Signals that request a shutdown, a status log or a reload of watched files.
 
 use super::{EventLoop, Source, SourceKey};
 use crate::HostId;
@@ -9,8 +9,8 @@
 use std::sync::atomic::Ordering;
 
 impl EventLoop {
-    /// Handles signals from now on. SIGTERM and SIGINT begin a graceful shutdown, and a second one ends the loop at once.
-    /// SIGHUP reloads watched files, and SIGUSR1 has the cores log their status.
+    /// Installs signal handlers. SIGTERM and SIGINT begin a graceful shutdown, and a second one ends the loop
+    /// immediately. SIGHUP reloads watched files, and SIGUSR1 makes the cores log their status.
     ///
     /// # Errors
     /// A signal handler or its pipe cannot be installed.
@@ -40,8 +40,8 @@
         }
         Ok(())
     }
-    /// From now on a second signal for shutdown changes nothing: an immediate end would break the connections that are
-    /// still open. SIGKILL remains for those who cannot wait.
+    /// Ignores further shutdown signals after the first one, since an immediate end would break the connections that
+    /// are still open. SIGKILL still ends the process immediately.
     pub fn ignore_repeated_signals(&mut self) {
         self.ignores_repeated_signals = true;
     }
@@ -60,7 +60,7 @@
         }
     }
     fn handle_shutdown_flag(&mut self) {
-        // The pipe is read first: what is in it would count as a second signal.
+        // Reads the pipe first: bytes left in it would count as a second signal later.
         let pipe = self
             .sources
             .iter()
@@ -98,7 +98,7 @@
                 .filter(|host| !host.core.accepts_while_draining())
                 .map(|host| std::mem::take(&mut host.listeners));
             for key in closed.into_iter().flatten() {
-                // Connections that wait to be accepted would be reset when the listener closes.
+                // Closing the listener would reset the connections that wait to be accepted.
                 self.accept(key);
                 self.remove_source(key);
             }
--- a/crates/sanddrum-net/src/event_loop/sources.rs
+++ b/crates/sanddrum-net/src/event_loop/sources.rs
@@ -1,4 +1,4 @@
-//! What the loop polls.
+//! The sources of events that the loop polls.
 
 use crate::{ConnectionId, HostId, ListenerId, Micros, Side};
 use std::collections::BTreeMap;
@@ -8,16 +8,16 @@
 /// The key of a source in the poller; never reused.
 pub(super) type SourceKey = usize;
 
-/// Something that the loop polls.
+/// A source of events that the loop polls.
 pub(super) enum Source {
     Listener(Listener),
     Stream(Stream),
-    /// A connection that was closed here and whose input is drained: closing a socket with unread input resets the
-    /// connection, which can destroy the data that was written last.
+    /// A locally closed connection whose input is drained: closing a socket with unread input resets the connection,
+    /// which can destroy the data that was written last.
     Lingering(TcpStream),
-    /// The signals that ask for the end.
+    /// The pipe of the shutdown signals.
     ShutdownSignals(UnixStream),
-    /// The signal that asks for a reload of watched files.
+    /// The pipe of the signal that reloads watched files.
     ReloadSignal(UnixStream),
 }
 
@@ -26,7 +26,7 @@
     pub host: HostId,
     pub id: ListenerId,
     pub socket: TcpListener,
-    /// Connections may have waited here since then; none if there were none when it was last accepted from.
+    /// The earliest time since which a connection may be waiting; `None` if the last accept found none waiting.
     pub unread_since: Option<Micros>,
 }
 
@@ -40,17 +40,17 @@
     pub connecting: bool,
     pub paused: bool,
     pub wants_write: bool,
-    /// Input may have waited here since then; none if there was none when it was last read.
+    /// The earliest time since which input may be waiting; `None` if the last read left none.
     pub unread_since: Option<Micros>,
-    /// Not registered with the poller. The peer hung up while the core is not to be given that, and the poller would
-    /// report it for ever; or the poller could not register it.
+    /// Whether the stream is not registered with the poller. Either the peer hung up while the stream was paused or
+    /// its host frozen, and the poller would report this forever, or the registration failed.
     pub is_unregistered: bool,
 }
 
 /// All sources, by keys that are never reused.
 ///
-/// Guards against an event of a connection that ended earlier in the same poll, taken for an event of another connection
-/// in its place: a connection that is being opened would count as refused.
+/// With reused keys, an event of a connection that ended earlier in the same poll could be taken for an event of a
+/// newer connection: one that is being opened would count as refused.
 #[derive(Default)]
 pub(super) struct Sources {
     by_key: BTreeMap<SourceKey, Source>,
@@ -64,7 +64,7 @@
         self.by_key.insert(key, source);
         key
     }
-    /// Puts another source in the place of one that was removed.
+    /// Inserts a source under the key of a removed one that had the same socket.
     pub fn reinsert(&mut self, key: SourceKey, source: Source) {
         self.by_key.insert(key, source);
     }
--- a/crates/sanddrum-net/src/event_loop/streams.rs
+++ b/crates/sanddrum-net/src/event_loop/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: registration with the poller, and reading.
+//! Registration of streams with the poller, and reading from them.
 
 use super::listeners::ACCEPT_RETRY_DELAY;
 use super::sources::{Source, SourceKey, Stream};
@@ -8,11 +8,12 @@
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 
-/// Reads in a row from a connection whose input has waited, so that the peer's close behind it is seen.
+/// The maximum number of consecutive reads from a connection whose input has waited, to find a close by the peer
+/// after it.
 const MAX_READS_WHEN_STALLED: usize = 16;
 
 impl EventLoop {
-    /// Opens a connection, unless the address is invalid or the system refuses at once.
+    /// Opens a connection. Returns `None` if the address is invalid or the system rejects the attempt immediately.
     pub(super) fn open(&mut self, host: HostId, to: &str) -> Option<ConnectionId> {
         let address: SocketAddr = to.parse().ok()?;
         let domain = if address.is_ipv4() {
@@ -52,12 +53,12 @@
         }));
         if let Err(error) = self.register(key) {
             let accepted = !is_connecting;
-            tracing::warn!(reason = "poller", %error, accepted, "a connection can't be watched yet");
+            tracing::warn!(reason = "poller", %error, accepted, "cannot register a connection with the poller");
             if is_connecting {
                 self.sources.remove(key);
                 return None;
             }
-            // Guards against a request that is never read: the stream is registered a little later.
+            // Registration is retried, as the client's request would otherwise never be read.
             if let Some(stream) = self.sources.stream_mut(key) {
                 stream.is_unregistered = true;
             }
@@ -80,7 +81,7 @@
         self.poller
             .add_with_mode(&stream.socket, interest, PollMode::Level)
     }
-    /// Has the poller report what the stream can use now.
+    /// Updates which events the poller reports for the stream.
     pub(super) fn update_interest(&mut self, key: SourceKey) {
         let Some(host) = self.sources.stream(key).map(|stream| stream.host) else {
             return;
@@ -99,8 +100,8 @@
                 .poller
                 .modify_with_mode(&stream.socket, interest, PollMode::Level);
             if let Err(error) = modified {
-                // Guards against a connection that waits for ever, as the poller would report nothing more.
-                tracing::warn!(reason = "poller", %error, "a connection can't be watched any more and is reset");
+                // The connection would hang forever, as the poller would report no more events of it.
+                tracing::warn!(reason = "poller", %error, "cannot update the poller's interest in a connection; connection reset");
                 let conn = stream.conn;
                 self.pending_resets.push(HostConnection { host, conn });
             }
@@ -143,9 +144,10 @@
             self.read(event.key, host, conn);
         }
     }
-    /// Reads what has arrived; all of it, up to the peer's close, where it may have waited for long.
+    /// Reads from a stream once, or repeatedly if its input may have waited longer than the stall threshold.
     ///
-    /// Guards against dispatching a request of a client whose close is in the same buffer behind the request.
+    /// Repeated reads find a close that follows a request in the same buffer, so that the request of a client that has
+    /// already closed its connection is not dispatched.
     pub(super) fn read(&mut self, key: SourceKey, host: HostId, conn: ConnectionId) {
         let previous_poll = self.polls.previous;
         for _ in 0..MAX_READS_WHEN_STALLED {
--- a/crates/sanddrum-net/src/event_loop/watched_files.rs
+++ b/crates/sanddrum-net/src/event_loop/watched_files.rs
@@ -1,4 +1,4 @@
-//! Files that cores watch.
+//! The watched files of the cores.
 
 use super::EventLoop;
 use crate::files::WatchedFile;
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 
 impl EventLoop {
-    /// Gives the host's core the content of a file now, on SIGHUP, and whenever the file has changed, which is checked at
-    /// this interval.
+    /// Delivers the content of a file to the host's core now, on SIGHUP, and whenever a check at this interval finds
+    /// that the file has changed.
     pub fn watch_file(&mut self, id: HostId, name: &str, path: PathBuf, interval: Micros) {
         if let Some(host) = self.host_mut(id) {
             host.watched_files
@@ -15,7 +15,7 @@
         }
         self.check_files(id, true);
     }
-    /// Checks the host's files if one of them is due.
+    /// Checks all watched files of a host if a check of one of them is due.
     pub(super) fn check_due_files(&mut self, id: HostId, now: Micros) {
         let is_due = self
             .host(id)
@@ -24,7 +24,7 @@
             self.check_files(id, false);
         }
     }
-    /// Checks all files of a host.
+    /// Checks all watched files of a host.
     pub(super) fn check_files(&mut self, id: HostId, reload_requested: bool) {
         let now = self.now();
         let Some(host) = self.host_mut(id) else {
--- a/crates/sanddrum-net/src/files.rs
+++ b/crates/sanddrum-net/src/files.rs
@@ -1,4 +1,4 @@
-//! Files of the event loop: saved state, watched files and the audit log.
+//! Files that the event loop reads and writes: saved state, watched files and audit logs.
 
 mod audit_log;
 mod state_writer;
@@ -13,8 +13,8 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Replaces a file atomically, also if power is lost: the content is written to a temporary file beside it and synced to
-/// disk, and the temporary file is renamed.
+/// Replaces a file atomically, even if power is lost: the content is written to a temporary file in the same
+/// directory and synced to disk before the temporary file is renamed.
 pub(crate) fn replace_atomically(path: &Path, content: &[u8]) -> io::Result<()> {
     let temporary_path = path.with_extension("new");
     let mut temporary = File::create(&temporary_path)?;
--- a/crates/sanddrum-net/src/files/audit_log.rs
+++ b/crates/sanddrum-net/src/files/audit_log.rs
@@ -24,7 +24,7 @@
             file: None,
         }
     }
-    /// Appends a line. A failure is logged, and the file is opened anew for the next line.
+    /// Appends a line. A failure is logged, and the file is reopened for the next line.
     pub fn append(&mut self, line: &str) {
         if let Err(error) = self.write(line) {
             self.file = None;
--- a/crates/sanddrum-net/src/files/state_writer.rs
+++ b/crates/sanddrum-net/src/files/state_writer.rs
@@ -1,18 +1,19 @@
-//! Saves a host's states in the background. Guards against a disk that takes long to sync: the event loop would stand still
-//! for so long, and with it all responses that are due.
+//! Saves the state of a host on a background thread. A slow sync to disk would otherwise block the event loop and
+//! delay all responses that are due.
 
 use super::replace_atomically;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
 
-/// What is still to be done, shared with the writing thread.
+/// The pending work of the writer thread.
 #[derive(Default)]
 struct Work {
-    /// The newest state that is not being written. Older ones are not needed any more.
-    next: Option<Vec<u8>>,
+    /// The newest state that is not being written yet; it replaces older ones.
+    pending_state: Option<Vec<u8>>,
     is_writing: bool,
-    has_ended: bool,
+    /// Whether the writer was dropped.
+    is_closed: bool,
 }
 
 #[derive(Default)]
@@ -32,17 +33,17 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next state to be written; none once all is written and the writer has ended.
-    fn next(&self) -> Option<Vec<u8>> {
+    /// Waits for the next state to write. Returns `None` once everything is written and the writer was dropped.
+    fn next_state(&self) -> Option<Vec<u8>> {
         let mut work = self.lock();
         work.is_writing = false;
         self.changed.notify_all();
         loop {
-            if let Some(state) = work.next.take() {
+            if let Some(state) = work.pending_state.take() {
                 work.is_writing = true;
                 return Some(state);
             }
-            if work.has_ended {
+            if work.is_closed {
                 return None;
             }
             work = self.wait(work);
@@ -50,7 +51,8 @@
     }
 }
 
-/// Writes states to a file, the newest one last. What has been given to it is written before it is dropped.
+/// Writes states to a file on a background thread. A newer state may replace one that is still pending, but the
+/// newest is always written: dropping the writer waits for it.
 pub(crate) struct StateWriter {
     path: PathBuf,
     shared: Arc<Shared>,
@@ -59,7 +61,7 @@
 }
 
 impl StateWriter {
-    /// A writer to this file.
+    /// Creates a writer for this file.
     pub fn new(path: PathBuf) -> Self {
         StateWriter {
             path,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Has a state written, in place of any that still waits.
+    /// Schedules a state to be written, in place of one that is still pending.
     pub fn save(&mut self, state: &[u8]) {
         if self.thread.is_none() {
             self.thread = self.start();
@@ -76,24 +78,25 @@
         if self.thread.is_none() {
             return write(&self.path, state);
         }
-        self.shared.lock().next = Some(state.to_vec());
+        self.shared.lock().pending_state = Some(state.to_vec());
         self.shared.changed.notify_all();
     }
 
-    /// Has a state written and waits until it is.
+    /// Schedules a state to be written and waits until it is written.
     pub fn save_and_wait(&mut self, state: &[u8]) {
         self.save(state);
         let mut work = self.shared.lock();
-        while self.thread.is_some() && (work.next.is_some() || work.is_writing) {
+        while self.thread.is_some() && (work.pending_state.is_some() || work.is_writing) {
             work = self.shared.wait(work);
         }
     }
 
-    /// The writing thread; none where the system has no room for one, in which case states are written at once.
+    /// Starts the writer thread. Returns `None` if the system cannot create one; states are then written
+    /// synchronously.
     fn start(&self) -> Option<JoinHandle<()>> {
         let (path, shared) = (self.path.clone(), self.shared.clone());
         let body = move || {
-            while let Some(state) = shared.next() {
+            while let Some(state) = shared.next_state() {
                 write(&path, &state);
             }
         };
@@ -104,7 +107,7 @@
 
 impl Drop for StateWriter {
     fn drop(&mut self) {
-        self.shared.lock().has_ended = true;
+        self.shared.lock().is_closed = true;
         self.shared.changed.notify_all();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
--- a/crates/sanddrum-net/src/files/watched_file.rs
+++ b/crates/sanddrum-net/src/files/watched_file.rs
@@ -11,10 +11,10 @@
 const MAX_FILE_BYTES: u64 = 1 << 20;
 /// The shortest interval between checks.
 const MIN_CHECK_INTERVAL: Micros = 1_000;
-/// After a requested reload the file is checked this many times at the shorter interval, as it may have been half written
-/// when it was read.
+/// The number of checks at the shorter interval after a requested reload, as the file may have been only partly
+/// written when it was read.
 const CHECKS_AFTER_RELOAD: u32 = 20;
-/// The interval of these checks.
+/// The interval of the checks after a requested reload.
 const CHECK_INTERVAL_AFTER_RELOAD: Micros = 100_000;
 
 /// Why a watched file cannot be read.
@@ -38,12 +38,13 @@
     },
 }
 
-/// What tells two states of a file apart. The modification time alone does not: clocks may be stepped, and a file may be
-/// changed twice within the clock's resolution at equal length. Hence the inode number and the time of any change.
+/// The metadata by which a change of a file is detected. The modification time alone is not enough: clocks may be
+/// stepped, and a file may be changed twice within the clock's resolution at equal length. Hence the inode number and
+/// the ctime.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileState {
     modified: SystemTime,
-    /// Seconds and nanoseconds.
+    /// The ctime in seconds and nanoseconds.
     changed: (i64, i64),
     inode: u64,
     bytes: u64,
@@ -62,11 +63,11 @@
 
 /// A file that is checked for changes at intervals.
 pub(crate) struct WatchedFile {
-    /// The name by which the core knows the file.
+    /// The name that is passed to the core's `on_file`.
     pub name: String,
     path: PathBuf,
     interval: Micros,
-    /// When the file is to be checked next.
+    /// When to check the file next.
     pub next_check: Micros,
     last_state: Option<FileState>,
     checks_after_reload: u32,
@@ -83,7 +84,7 @@
             checks_after_reload: 0,
         }
     }
-    /// The file's content if it has changed since the last check, or in any case if a reload is requested.
+    /// Returns the file's content if it has changed since the last check, or in any case if a reload is requested.
     pub fn check(
         &mut self,
         now: Micros,
--- a/crates/sanddrum-net/src/io.rs
+++ b/crates/sanddrum-net/src/io.rs
@@ -1,4 +1,4 @@
-//! What a core may request from its driver.
+//! The interface through which a core performs I/O.
 
 use crate::{ConnectionId, Micros};
 
@@ -13,46 +13,47 @@
     pub resumed: bool,
 }
 
-/// What a core may request from its driver while it is being called.
+/// The I/O operations that a driver offers to a core for the duration of a call.
 pub trait Io {
-    /// Opens a connection; `Connected` or `Closed` follows.
+    /// Opens a connection. `Event::Connected` or `Event::Closed` follows.
     fn connect(&mut self, to: &str) -> ConnectionId;
-    /// Opens a connection to a peer whose certificate must have this name, where names are verified.
+    /// Opens a connection to a peer whose certificate must contain this name, if certificates are verified.
     fn connect_named(&mut self, to: &str, _name: &str) -> ConnectionId {
         self.connect(to)
     }
-    /// The authenticated peer of an established connection; none on plaintext connections.
+    /// Returns the authenticated peer of an established connection, or `None` for a plaintext connection.
     fn peer(&self, _conn: ConnectionId) -> Option<PeerIdentity> {
         None
     }
-    /// The wall clock at the driver's instant `now`, in microseconds since 1970. It may be stepped at any time and by any
-    /// amount, so that it only serves to compare with dates that others have set; durations and deadlines are of the
-    /// driver's clock.
+    /// Returns the wall-clock time at the driver's instant `now`, in microseconds since 1970. The wall clock may be
+    /// stepped at any time and by any amount, so use it only to compare with dates that were set elsewhere. Durations
+    /// and deadlines are measured on the driver's clock.
     fn wall_clock(&self, now: Micros) -> Micros {
         now
     }
-    /// The earliest instant at which the input that the core is being given may have reached this machine. It is before
-    /// `now` where the process was stalled while the input waited in the kernel's buffers.
+    /// Returns the earliest instant at which the input that is being delivered may have reached this machine. It is
+    /// before `now` if the process was stalled while the input waited in the kernel's buffers.
     fn earliest_arrival(&self, now: Micros) -> Micros {
         now
     }
-    /// Whether the driver last polled for input so long ago that what the core would write now may be outdated by input
-    /// that waits. The core may postpone its writes to the next `process`, which follows a poll.
-    fn is_delayed(&self) -> bool {
+    /// Whether the driver last polled for input so long ago that unread input may invalidate what the core would write
+    /// now. The core may postpone its writes to the next `process`, which follows a poll.
+    fn is_poll_overdue(&self) -> bool {
         false
     }
-    /// Writes as many bytes as the connection takes, and returns their number; after a short write `Writable` follows.
-    /// Bytes taken may reach the peer; bytes not taken never do.
+    /// Writes as many bytes as the connection accepts, and returns their number. After a short write,
+    /// `Event::Writable` follows. Accepted bytes may reach the peer; the others never do.
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize;
-    /// Closes a connection; bytes taken are still delivered.
+    /// Closes a connection; accepted bytes are still delivered.
     fn close(&mut self, conn: ConnectionId);
     /// Resets a connection; bytes in flight may be lost.
     fn reset(&mut self, conn: ConnectionId);
-    /// Pauses or resumes reading: no `Bytes` come while paused, and flow control slows the peer down.
+    /// Pauses or resumes reading. While paused, no `Event::Bytes` is delivered, and flow control slows the peer down.
     fn pause(&mut self, conn: ConnectionId, paused: bool);
-    /// Saves the core's state atomically, in place of the state saved before, and returns when it is saved.
+    /// Atomically replaces the core's saved state, and returns once the new state is saved.
     fn save_state(&mut self, state: &[u8]);
-    /// The same without waiting: the state is saved soon, unless the process is killed or a newer one takes its place.
+    /// Like `save_state`, but without waiting: the state is saved soon, unless the process is killed or a newer state
+    /// replaces it first.
     fn save_state_later(&mut self, state: &[u8]) {
         self.save_state(state);
     }
--- a/crates/sanddrum-net/src/lib.rs
+++ b/crates/sanddrum-net/src/lib.rs
@@ -1,8 +1,9 @@
 //! Sans-I/O cores, and the two drivers that run them.
 //!
-//! A [`Core`] is a state machine without I/O: it is given bytes, connection events, files and the time, and through [`Io`]
-//! it writes, connects, closes and says when to be woken next. Two drivers run the same cores: [`EventLoop`] on real
-//! sockets and the monotonic clock, and [`VirtualNet`] on simulated links in virtual time. The drivers make no decisions.
+//! A [`Core`] is a state machine without I/O. Its driver passes it received bytes, connection events, file contents
+//! and the current time; the core connects, writes and closes through [`Io`] and returns the time of its next wake-up
+//! from [`Core::next_wakeup`]. Two drivers run the same cores: [`EventLoop`] on real sockets and the monotonic clock,
+//! and [`VirtualNet`] on simulated links in virtual time. The drivers make no decisions of their own.
 
 mod core;
 mod event;
--- a/crates/sanddrum-net/src/link_model.rs
+++ b/crates/sanddrum-net/src/link_model.rs
@@ -1,4 +1,4 @@
-//! How the links of the virtual network behave.
+//! The properties and faults of links in the virtual network.
 
 use crate::Micros;
 
@@ -9,15 +9,15 @@
     pub same_zone_latency: Micros,
     /// The one-way latency between hosts of different zones.
     pub cross_zone_latency: Micros,
-    /// The largest random addition to the latency, as a fraction of it.
+    /// The upper bound of the random addition to the latency, as a fraction of the latency.
     pub jitter: f64,
     /// The probability that a message is lost and sent again after `retransmit_after`.
     pub loss_probability: f64,
-    /// The delay of a lost message.
+    /// The additional delay of a lost message.
     pub retransmit_after: Micros,
     /// The probability that written bytes arrive in two parts.
     pub split_probability: f64,
-    /// Bytes that may be in flight on a connection, in each direction.
+    /// The maximum number of bytes in flight on a connection, in each direction.
     pub window_bytes: usize,
 }
 
@@ -35,14 +35,14 @@
     }
 }
 
-/// What is wrong with the link from one host to another.
+/// A fault of the one-way link from one host to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
     /// Added to the latency.
     pub delay: Micros,
-    /// The bandwidth of each connection; zero: unlimited.
+    /// The bandwidth of each connection; zero means unlimited.
     pub bytes_per_second: f64,
-    /// Connections are established, but what is sent on them is buffered until the fault is removed.
+    /// Connections are established, but data sent on them is buffered until the fault is removed.
     pub holds_data: bool,
     /// Connections are refused.
     pub refuses_connections: bool,
--- a/crates/sanddrum-net/src/outbox.rs
+++ b/crates/sanddrum-net/src/outbox.rs
@@ -1,10 +1,10 @@
-//! A write buffer that knows which messages can have reached the peer.
+//! A write buffer that tracks which messages can have reached the peer.
 
 use crate::{ConnectionId, Io};
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// A message that the connection has not taken to its end.
+/// A message that has not been written completely.
 #[derive(Debug)]
 struct Message<T> {
     /// The end of the message, as an offset in the buffer.
@@ -12,18 +12,18 @@
     tag: T,
 }
 
-/// The messages to be written to one connection, each with a tag, and how far the connection has taken them. When the
-/// connection ends, the core learns from it which messages can have arrived: one that was not taken to its last byte
-/// cannot have been read by the peer.
+/// The messages to be written to one connection, each with a tag, and how far they have been written. When the
+/// connection ends, it shows which messages can have arrived: the peer cannot have read one whose last byte was not
+/// written.
 #[derive(Debug)]
 pub struct Outbox<T> {
     buffer: Vec<u8>,
-    /// The bytes at the front of the buffer that the connection has taken.
-    taken: usize,
-    /// The messages that are not taken to their end.
+    /// Length of the front part of `buffer` that has been written.
+    written: usize,
+    /// The messages that have not been written completely, in order.
     messages: VecDeque<Message<T>>,
-    /// Whether the first message is taken in part.
-    first_is_partly_taken: bool,
+    /// Whether part of the first message has been written.
+    first_is_partly_written: bool,
     max_pending_bytes: usize,
     /// Whether the last write was short and the connection is not writable yet.
     blocked: bool,
@@ -35,25 +35,26 @@
 pub struct OutboxFull;
 
 impl<T: PartialEq> Outbox<T> {
-    /// An empty outbox. At most `max_pending_bytes` are pending, but a single message may exceed them.
+    /// Creates an empty outbox that holds at most `max_pending_bytes` pending bytes. A single message may exceed this
+    /// bound if no other bytes are pending.
     pub fn new(max_pending_bytes: usize) -> Self {
         Outbox {
             buffer: Vec::new(),
-            taken: 0,
+            written: 0,
             messages: VecDeque::new(),
-            first_is_partly_taken: false,
+            first_is_partly_written: false,
             max_pending_bytes,
             blocked: false,
         }
     }
-    /// The bytes that the connection has not taken.
+    /// The number of bytes that have not been written.
     pub fn pending_bytes(&self) -> usize {
-        self.buffer.len() - self.taken
+        self.buffer.len() - self.written
     }
     /// Appends a message.
     ///
     /// # Errors
-    /// [`OutboxFull`] if other bytes are pending and the message exceeds the bound.
+    /// [`OutboxFull`] if other bytes are pending and the message would exceed the bound.
     pub fn push(&mut self, tag: T, message: &[u8]) -> Result<(), OutboxFull> {
         let pending = self.pending_bytes();
         if pending > 0 && pending + message.len() > self.max_pending_bytes {
@@ -93,18 +94,18 @@
         }
         true
     }
-    /// The first message with this tag, if none of it was written.
+    /// The index of the first message with this tag, if none of it was written.
     fn unwritten_index(&self, tag: &T) -> Option<usize> {
         self.messages
             .iter()
             .position(|message| message.tag == *tag)
-            .filter(|index| *index > 0 || !self.first_is_partly_taken)
+            .filter(|index| *index > 0 || !self.first_is_partly_written)
     }
-    /// Where an unwritten message lies in the buffer.
+    /// The range of an unwritten message in the buffer.
     fn range_of(&self, index: usize) -> Range<usize> {
         let start = match index.checked_sub(1) {
             Some(before) => self.messages[before].end,
-            None => self.taken,
+            None => self.written,
         };
         start..self.messages[index].end
     }
@@ -112,14 +113,15 @@
     pub fn unwritten(&self) -> impl Iterator<Item = &T> {
         self.messages
             .iter()
-            .skip(usize::from(self.first_is_partly_taken))
+            .skip(usize::from(self.first_is_partly_written))
             .map(|message| &message.tag)
     }
-    /// Writes what the connection takes.
+    /// Writes as much as the connection accepts.
     pub fn flush(&mut self, conn: ConnectionId, io: &mut dyn Io) {
         self.write(self.buffer.len(), conn, io);
     }
-    /// Writes what the connection takes of everything up to the last message with this tag, and nothing after that.
+    /// Writes as much as the connection accepts, up to and including the last message with this tag. Writes nothing
+    /// if no message has this tag.
     pub fn flush_through(&mut self, tag: &T, conn: ConnectionId, io: &mut dyn Io) {
         let last = self
             .messages
@@ -131,37 +133,37 @@
         }
     }
     fn write(&mut self, end: usize, conn: ConnectionId, io: &mut dyn Io) {
-        while !self.blocked && self.taken < end {
-            let written = io.write(conn, &self.buffer[self.taken..end]);
-            self.taken += written;
-            self.first_is_partly_taken |= written > 0;
-            self.blocked = self.taken < end;
+        while !self.blocked && self.written < end {
+            let accepted = io.write(conn, &self.buffer[self.written..end]);
+            self.written += accepted;
+            self.first_is_partly_written |= accepted > 0;
+            self.blocked = self.written < end;
         }
         while let Some(end) = self.messages.front().map(|first| first.end) {
-            if end > self.taken {
+            if end > self.written {
                 break;
             }
             self.messages.pop_front();
-            self.first_is_partly_taken = end < self.taken;
+            self.first_is_partly_written = end < self.written;
         }
         if self.pending_bytes() == 0 {
             self.buffer.clear();
-            self.taken = 0;
-        } else if self.taken > self.max_pending_bytes {
+            self.written = 0;
+        } else if self.written > self.max_pending_bytes {
             self.compact();
         }
     }
-    /// The connection takes bytes again.
+    /// Allows writing again after a short write. Called when the connection is writable.
     pub fn unblock(&mut self) {
         self.blocked = false;
     }
-    /// Whether a message with this tag was not taken to its end, so that the peer cannot have read it.
+    /// Whether a message with this tag has not been written completely, so that the peer cannot have read it.
     pub fn is_pending(&self, tag: &T) -> bool {
         self.messages.iter().any(|message| message.tag == *tag)
     }
     fn compact(&mut self) {
-        self.buffer.drain(..self.taken);
-        let removed = std::mem::take(&mut self.taken);
+        self.buffer.drain(..self.written);
+        let removed = std::mem::take(&mut self.written);
         for message in &mut self.messages {
             message.end -= removed;
         }
--- a/crates/sanddrum-net/src/rng.rs
+++ b/crates/sanddrum-net/src/rng.rs
@@ -8,27 +8,27 @@
 pub struct Rng(Pcg64Mcg);
 
 impl Rng {
-    /// A generator with this seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
         Rng(Pcg64Mcg::seed_from_u64(seed))
     }
-    /// A uniform 64-bit number.
+    /// Returns a uniformly distributed 64-bit number.
     pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
-    /// A uniform number in `[0, 1)`.
+    /// Returns a uniformly distributed number in `[0, 1)`.
     pub fn next_f64(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
-    /// A uniform index below `end`; zero where `end` is zero.
+    /// Returns a uniformly distributed index below `end`, or zero if `end` is zero.
     pub fn index(&mut self, end: usize) -> usize {
         ((self.next_f64() * end as f64) as usize).min(end.saturating_sub(1))
     }
-    /// An exponentially distributed number with this mean, such as the time between independent arrivals.
+    /// Returns an exponentially distributed number with this mean, such as the time between independent arrivals.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.next_f64()).ln()
     }
-    /// True with this probability.
+    /// Returns true with this probability.
     pub fn random_bool(&mut self, probability: f64) -> bool {
         self.next_f64() < probability
     }
--- a/crates/sanddrum-net/src/traffic_observer.rs
+++ b/crates/sanddrum-net/src/traffic_observer.rs
@@ -1,25 +1,26 @@
-//! Observation of the traffic at the cores' ends of their connections.
+//! Observation of the traffic that cores send and receive.
 
 use crate::{ConnectionId, HostId, Micros};
 
 /// Which side opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The observed core did.
+    /// The observed core opened it.
     Connected,
-    /// The peer did.
+    /// The peer opened it.
     Accepted,
 }
 
-/// Observes the bytes where they cross a socket or a virtual link at one core's end. It must not change them.
+/// Observes the bytes that cores send and receive, at their sockets or their ends of virtual links. An observer must
+/// not alter the traffic.
 pub trait TrafficObserver {
     /// A connection was accepted, or is being opened to this address.
     fn opened(&mut self, now: Micros, host: HostId, conn: ConnectionId, side: Side, to: &str);
     /// Bytes were received.
     fn received(&mut self, now: Micros, host: HostId, conn: ConnectionId, bytes: &[u8]);
-    /// The connection took these bytes.
+    /// The connection accepted these bytes for sending.
     fn sent(&mut self, now: Micros, host: HostId, conn: ConnectionId, bytes: &[u8]);
-    /// The connection ended, at either end.
+    /// The connection ended, whichever side ended it.
     fn closed(&mut self, now: Micros, host: HostId, conn: ConnectionId);
 }
 
--- a/crates/sanddrum-net/src/virtual_net.rs
+++ b/crates/sanddrum-net/src/virtual_net.rs
@@ -1,4 +1,4 @@
-//! The simulation driver: many cores in one thread and in virtual time. Equal seeds give equal timelines, to the byte.
+//! The simulation driver: many cores in one thread and in virtual time. Equal seeds give byte-identical timelines.
 
 mod delivery;
 mod faults;
@@ -12,9 +12,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What travels over a virtual link.
+/// A message that is sent over a virtual link.
 enum Message {
-    /// A request for a connection to an address.
+    /// A request to open a connection to an address.
     Connect {
         from: ConnectionId,
         to: String,
@@ -26,7 +26,7 @@
         conn: ConnectionId,
         bytes: Vec<u8>,
     },
-    /// The window has room again after a short write.
+    /// The send window has free space again after a short write.
     Writable {
         conn: ConnectionId,
     },
@@ -36,7 +36,7 @@
     },
 }
 
-/// A core and its virtual machine. All but the core outlives the core.
+/// A virtual host and its core. The zone, addresses, saved state and audit log outlive the core.
 struct Host {
     core: Option<Box<dyn Core>>,
     zone: usize,
@@ -59,11 +59,11 @@
     paused: bool,
     /// Messages that arrived while the socket was paused or its host frozen.
     buffered: VecDeque<Message>,
-    /// When the message sent last arrives: none sent later arrives earlier.
+    /// When the last message that was sent arrives. Messages sent later arrive no earlier.
     last_arrival: Micros,
 }
 
-/// A fault of a one-way link, and the messages that it delays until it is removed.
+/// The fault of a one-way link, and the messages that it holds until it is removed.
 struct FaultyLink {
     fault: LinkFault,
     buffered: Vec<Message>,
@@ -78,23 +78,23 @@
     hosts: Vec<Host>,
     sockets: BTreeMap<ConnectionId, VirtualSocket>,
     listeners: BTreeMap<String, (HostId, ListenerId)>,
-    /// Messages in flight, by their arrival and then by the order in which they were sent.
+    /// Messages in flight, ordered by their arrival and then by the order in which they were sent.
     in_flight: BTreeMap<(Micros, u64), Message>,
     sent_messages: u64,
     next_connection: u64,
     wakeups: BTreeSet<(Micros, HostId)>,
-    /// Hosts whose cores are to process what they were given.
+    /// Hosts whose cores are due a call to `process`.
     pending_hosts: BTreeSet<HostId>,
-    /// Sockets that are read again; what they have buffered is delivered once no core is being called.
+    /// Sockets whose reading was resumed. Their buffered messages are delivered once no core is being called.
     resumed: BTreeSet<ConnectionId>,
-    /// Connections that are reset at their next write.
+    /// Connections to reset at their next write.
     reset_on_write: BTreeSet<ConnectionId>,
     faulty_links: BTreeMap<(HostId, HostId), FaultyLink>,
     processed_events: u64,
 }
 
 impl VirtualNet {
-    /// A network without hosts, whose clock starts at `start`.
+    /// Creates a network without hosts, whose clock starts at `start`.
     pub fn new(
         seed: u64,
         start: Micros,
@@ -128,11 +128,11 @@
     pub fn observer(&mut self) -> &mut dyn TrafficObserver {
         &mut *self.observer
     }
-    /// Messages delivered so far.
+    /// The number of messages delivered so far.
     pub fn processed_events(&self) -> u64 {
         self.processed_events
     }
-    /// Adds a host in a zone, which listens at these addresses, and starts its core.
+    /// Adds a host that is in this zone and listens at these addresses, and starts its core.
     pub fn add(&mut self, zone: usize, listen_addresses: &[&str], core: Box<dyn Core>) -> HostId {
         let host = HostId(self.hosts.len());
         self.hosts.push(Host {
@@ -151,13 +151,13 @@
         self.replace(host, core);
         host
     }
-    /// The state that the host's core saved last; it outlives the core.
+    /// The last state that the host's core saved; it outlives the core.
     pub fn saved_state(&self, host: HostId) -> Option<Vec<u8>> {
         self.hosts
             .get(host.0)
             .and_then(|host| host.saved_state.clone())
     }
-    /// Deletes the saved state.
+    /// Deletes the host's saved state.
     pub fn clear_saved_state(&mut self, host: HostId) {
         if let Some(host) = self.hosts.get_mut(host.0) {
             host.saved_state = None;
@@ -167,7 +167,7 @@
     pub fn audit(&self, host: HostId) -> &[String] {
         self.hosts.get(host.0).map_or(&[], |host| &host.audit_log)
     }
-    /// Gives a core the content of a file that it watches.
+    /// Delivers the content of a watched file to a core.
     pub fn deliver_file(&mut self, host: HostId, name: &str, content: Result<&[u8], &FileError>) {
         self.call(host, |core, now, io| core.on_file(now, name, content, io));
         self.process_pending();
@@ -186,7 +186,7 @@
         self.call(id, |core, now, io| core.start(now, io));
         self.process_pending();
     }
-    /// Kills the host's core: its listeners close and its connections are reset.
+    /// Kills the host's core: its listeners are closed, and its connections are reset.
     pub fn kill(&mut self, id: HostId) {
         let Some(host) = self.hosts.get_mut(id.0) else {
             return;
@@ -200,8 +200,8 @@
             self.close_socket(conn, CloseCause::Reset);
         }
     }
-    /// Freezes or thaws a host: while it is frozen nothing is read, written or refused there, and no time passes for its
-    /// core.
+    /// Freezes or thaws a host. While it is frozen, nothing is read, written or refused there, and its core is not
+    /// woken.
     pub fn freeze(&mut self, id: HostId, frozen: bool) {
         let Some(host) = self.hosts.get_mut(id.0) else {
             return;
@@ -221,7 +221,7 @@
         self.call(host, |core, now, io| core.shut_down(now, io));
         self.process_pending();
     }
-    /// Whether the graceful shutdown of the host's core is complete, or it was killed.
+    /// Whether the host's core has completed its graceful shutdown or was killed.
     pub fn is_core_done(&self, host: HostId) -> bool {
         self.hosts
             .get(host.0)
@@ -229,7 +229,7 @@
             .is_none_or(|core| core.is_done())
     }
 
-    /// Runs until this instant, included.
+    /// Runs until this instant, inclusive.
     pub fn run_until(&mut self, until: Micros) {
         while let Some(at) = self.next_event_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Lets the cores that were given something process it, until none is left.
+    /// Delivers the messages of resumed sockets and calls `process` on pending hosts, until none of either is left.
     fn process_pending(&mut self) {
         loop {
             while let Some(conn) = self.resumed.pop_first() {
@@ -296,7 +296,7 @@
         self.wakeups.extend(wake_at.map(|at| (at, id)));
         host.wake_at = wake_at;
     }
-    /// Calls the host's core, if it runs and is not being called.
+    /// Calls the host's core, if it is running and not already being called.
     fn call(&mut self, id: HostId, call: impl FnOnce(&mut dyn Core, Micros, &mut dyn Io)) {
         let Some(mut core) = self.hosts.get_mut(id.0).and_then(|host| host.core.take()) else {
             return;
--- a/crates/sanddrum-net/src/virtual_net/delivery.rs
+++ b/crates/sanddrum-net/src/virtual_net/delivery.rs
@@ -1,4 +1,4 @@
-//! Sockets, and the delivery of messages to them.
+//! Virtual sockets, and the delivery of messages to them.
 
 use super::{Message, VirtualNet, VirtualSocket};
 use crate::{CloseCause, ConnectionId, Event, HostId, Side};
@@ -33,7 +33,7 @@
             self.hosts[socket.host.0].connections.remove(&conn);
         }
     }
-    /// Delivers what a socket has buffered, until it is paused or its host frozen.
+    /// Delivers the messages that a socket has buffered, until it is paused or its host is frozen.
     pub(super) fn deliver_buffered(&mut self, conn: ConnectionId) {
         while let Some(socket) = self.sockets.get_mut(&conn) {
             if socket.paused || self.hosts[socket.host.0].frozen {
@@ -45,7 +45,7 @@
             self.deliver_now(conn, message);
         }
     }
-    /// Delivers a message that arrives now, or buffers it where its socket is paused or its host frozen.
+    /// Delivers a message that arrives now, or buffers it if its socket is paused or its host is frozen.
     pub(super) fn deliver(&mut self, message: Message) {
         let conn = match &message {
             Message::Connect { from, to } => {
@@ -68,7 +68,7 @@
         }
         self.deliver_now(conn, message);
     }
-    /// A request for a connection arrives at an address.
+    /// Handles a request to open a connection that has arrived at an address.
     fn accept(&mut self, from: ConnectionId, to: &str) {
         let Some(client) = self.sockets.get(&from).map(|socket| socket.host) else {
             return;
@@ -84,7 +84,8 @@
             return self.refuse(client, from);
         }
         if self.hosts[server.0].frozen {
-            // Nothing answers. The client gives up by itself, or its retransmission arrives once the host is thawed.
+            // A frozen host does not answer. The request is retransmitted until the host is thawed or the client
+            // gives up.
             let to = to.to_string();
             let retransmission = self.now + self.links.retransmit_after;
             return self.enqueue(retransmission, Message::Connect { from, to });
@@ -126,7 +127,7 @@
             }
         }
     }
-    /// Bytes have arrived at this end: the peer may have that many more in flight.
+    /// Frees space in the peer's send window after bytes have arrived at this end.
     fn open_window(&mut self, conn: ConnectionId, arrived: usize) {
         let peer_id = self.sockets.get(&conn).and_then(|socket| socket.peer);
         let Some(peer_id) = peer_id else {
--- a/crates/sanddrum-net/src/virtual_net/faults.rs
+++ b/crates/sanddrum-net/src/virtual_net/faults.rs
@@ -1,11 +1,11 @@
-//! Faults that a test or scenario injects.
+//! Fault injection for tests and scenarios.
 
 use super::{FaultyLink, Message, VirtualNet, VirtualSocket};
 use crate::{CloseCause, ConnectionId, HostId, LinkFault};
 
 impl VirtualNet {
-    /// Sets or removes the fault of the link from one host to another. Messages that the fault before buffered are sent
-    /// now.
+    /// Sets or removes the fault of the link from one host to another. Messages that the previous fault buffered are
+    /// sent now.
     pub fn set_link_fault(&mut self, from: HostId, to: HostId, fault: Option<LinkFault>) {
         let buffered = self
             .faulty_links
@@ -43,7 +43,7 @@
             }
         }
     }
-    /// Resets each connection of a host at its next write, after half of what is written.
+    /// Resets each current connection of a host at its next write, after half of the data.
     pub fn reset_on_next_write(&mut self, host: HostId) {
         let connections = self.hosts.get(host.0).map(|host| &host.connections);
         self.reset_on_write
--- a/crates/sanddrum-net/src/virtual_net/transmission.rs
+++ b/crates/sanddrum-net/src/virtual_net/transmission.rs
@@ -1,4 +1,4 @@
-//! Sending of messages over links.
+//! Transmission of messages over links.
 
 use super::{Message, VirtualNet};
 use crate::{ConnectionId, HostId, Micros};
@@ -6,8 +6,9 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl VirtualNet {
-    /// Sends a message over the link between two hosts, to arrive at `earliest` or later. Returns when it arrives, or
-    /// `earliest` where a fault of the link delays it indefinitely. Without a receiving host the latency is that within a zone.
+    /// Sends a message over the link between two hosts, to arrive at `earliest` or later. Returns its arrival time,
+    /// or `earliest` if a fault of the link holds it until the fault is removed. Without a receiving host, the
+    /// latency is that within a zone.
     pub(super) fn send(
         &mut self,
         from: HostId,
@@ -15,7 +16,7 @@
         earliest: Micros,
         message: Message,
     ) -> Micros {
-        let unimpeded = self.now + self.draw_latency(from, to);
+        let unimpeded = self.now + self.random_latency(from, to);
         let mut arrival = unimpeded.max(earliest);
         if let Some(link) = to.and_then(|to| self.faulty_links.get_mut(&(from, to))) {
             let is_handshake =
@@ -24,8 +25,8 @@
                 link.buffered.push(message);
                 return earliest;
             }
-            // The delay is counted from now, not from the arrival of the message before: the delays of successive
-            // messages would add up.
+            // The delay is added to the message's own arrival time, not to that of the previous message; otherwise the
+            // delays of successive messages would add up.
             arrival = (unimpeded + link.fault.delay).max(earliest);
             let bandwidth = link.fault.bytes_per_second;
             if let (Message::Bytes { bytes, .. }, true) = (&message, bandwidth > 0.0) {
@@ -50,13 +51,14 @@
             socket.last_arrival = arrival;
         }
     }
-    /// Has a message arrive at this instant.
+    /// Schedules the arrival of a message at this instant.
     pub(super) fn enqueue(&mut self, arrival: Micros, message: Message) {
         self.sent_messages += 1;
         self.in_flight
             .insert((arrival, self.sent_messages), message);
     }
-    fn draw_latency(&mut self, from: HostId, to: Option<HostId>) -> Micros {
+    /// The latency of one message, including jitter and the delay of a random loss.
+    fn random_latency(&mut self, from: HostId, to: Option<HostId>) -> Micros {
         let zone = |host: HostId| self.hosts.get(host.0).map_or(0, |host| host.zone);
         let is_same_zone = to.is_none_or(|to| zone(from) == zone(to));
         let base = if is_same_zone {
--- a/crates/sanddrum-net/src/virtual_net/virtual_io.rs
+++ b/crates/sanddrum-net/src/virtual_net/virtual_io.rs
@@ -1,9 +1,9 @@
-//! What a core may request from the virtual network while it is being called.
+//! The virtual network's implementation of [`Io`].
 
 use super::{Message, VirtualNet};
 use crate::{CloseCause, ConnectionId, HostId, Io, Side};
 
-/// The virtual network as one host's core sees it.
+/// The virtual network's [`Io`] for the core of one host.
 pub(super) struct VirtualIo<'a> {
     pub net: &'a mut VirtualNet,
     pub host: HostId,
@@ -49,18 +49,18 @@
             return 0;
         };
         let Some(peer) = socket.peer else { return 0 };
-        let taken = bytes
+        let accepted = bytes
             .len()
             .min(window.saturating_sub(socket.bytes_in_flight));
-        socket.bytes_in_flight += taken;
-        socket.write_was_short = taken < bytes.len();
-        let bytes = &bytes[..taken];
+        socket.bytes_in_flight += accepted;
+        socket.write_was_short = accepted < bytes.len();
+        let bytes = &bytes[..accepted];
         net.observer.sent(net.now, self.host, conn, bytes);
-        let is_split = taken > 1 && net.rng.random_bool(net.links.split_probability);
+        let is_split = accepted > 1 && net.rng.random_bool(net.links.split_probability);
         let split_at = if is_split {
-            1 + net.rng.index(taken - 1)
+            1 + net.rng.index(accepted - 1)
         } else {
-            taken
+            accepted
         };
         let (first, second) = bytes.split_at(split_at);
         for part in [first, second] {
@@ -69,7 +69,7 @@
                 net.send_on(conn, Message::Bytes { conn: peer, bytes });
             }
         }
-        taken
+        accepted
     }
     fn close(&mut self, conn: ConnectionId) {
         self.net.close_socket(conn, CloseCause::Orderly);
--- a/crates/sanddrum-net/tests/both_drivers.rs
+++ b/crates/sanddrum-net/tests/both_drivers.rs
@@ -1,4 +1,4 @@
-//! The same test cases on sockets and on the virtual network: a difference between the drivers is a bug.
+//! Runs the same test cases on sockets and on the virtual network: a difference between the drivers is a bug.
 
 use rstest::rstest;
 use sanddrum_net::{
@@ -13,7 +13,7 @@
 
 type Shared<T> = Rc<RefCell<T>>;
 
-/// What a core has seen.
+/// What a core has sent, received and been notified of.
 #[derive(Default)]
 struct Recorded {
     received: Vec<u8>,
@@ -23,11 +23,11 @@
     closed: Vec<CloseCause>,
 }
 
-/// Writes its data as the connection takes it, and records what it receives.
+/// Writes its data as the connection accepts it, and records what it receives.
 struct Sender {
     address: Option<String>,
     data: Vec<u8>,
-    /// Set by the test: reading is to be paused.
+    /// Set by the test to pause reading, and cleared to resume it.
     pause_requested: Shared<bool>,
     is_paused: bool,
     conn: Option<ConnectionId>,
@@ -38,7 +38,7 @@
 }
 
 impl Sender {
-    /// A core that connects to the address, or accepts if there is none.
+    /// A core that connects to the address, or accepts connections if there is none.
     fn new(address: Option<&str>, data: &[u8]) -> (Box<Sender>, Shared<Recorded>) {
         let recorded = Shared::<Recorded>::default();
         let sender = Sender {
@@ -54,7 +54,7 @@
         };
         (Box::new(sender), recorded)
     }
-    /// A core that accepts and sends nothing.
+    /// A core that accepts connections and sends nothing.
     fn receiver() -> (Box<Sender>, Shared<Recorded>) {
         Sender::new(None, b"")
     }
@@ -131,7 +131,7 @@
             Driver::Virtual(Box::new(VirtualNet::new(seed, SECOND, links, observer)))
         }
     }
-    /// Adds a core with a listener; returns the listener's address, too.
+    /// Adds a core with a listener, and returns the host and the listener's address.
     fn add_listening(&mut self, core: Box<dyn Core>) -> (HostId, String) {
         match self {
             Driver::Sockets(event_loop) => {
@@ -155,7 +155,7 @@
             Driver::Virtual(_) => "nowhere:1".to_string(),
         }
     }
-    /// Runs until the condition holds; panics if it does not within about five seconds.
+    /// Runs until the condition holds; panics after about five seconds.
     fn run_until(&mut self, condition: impl Fn() -> bool) {
         for _ in 0..5000 {
             if condition() {
@@ -163,7 +163,7 @@
             }
             self.step();
         }
-        panic!("the condition never held");
+        panic!("the condition did not hold within about five seconds");
     }
     /// Runs for a millisecond.
     fn step(&mut self) {
@@ -198,7 +198,7 @@
     }
 }
 
-/// Bytes that differ from position to position.
+/// Bytes that vary with their position, so that lost or reordered data is detected.
 fn test_data(len: usize) -> Vec<u8> {
     (0..len).map(|n| (n * 7 + n / 251) as u8).collect()
 }
@@ -250,7 +250,7 @@
 }
 
 #[rstest]
-fn a_paused_core_slows_its_peer_down_and_loses_nothing(#[values(true, false)] sockets: bool) {
+fn a_paused_core_slows_its_peer_down_and_loses_no_data(#[values(true, false)] sockets: bool) {
     let mut driver = Driver::new(sockets, 4);
     let (server, server_recorded) = Sender::receiver();
     let pause_requested = server.pause_requested.clone();
@@ -313,7 +313,7 @@
     assert_eq!(client_recorded.borrow().closed, [CloseCause::Reset]);
 }
 
-/// Records when how many bytes were received.
+/// Records the time and size of each receive.
 #[derive(Clone, Default)]
 struct ArrivalTimes(Shared<Vec<(Micros, usize)>>);
 
@@ -380,7 +380,7 @@
 }
 
 #[rstest]
-fn a_delay_of_a_link_is_added_to_each_message_once() {
+fn a_link_delay_is_added_to_each_message_once() {
     let start = SECOND;
     let links = LinkModel {
         split_probability: 0.0,
@@ -395,7 +395,7 @@
         ..LinkFault::default()
     };
     net.set_link_fault(from, to, Some(fault));
-    // The last byte is written after 690 ms and arrives a quarter of a second later.
+    // The last byte is written after 690 ms and arrives 250 ms later.
     net.run_until(start + 690 * MILLISECOND);
     assert!(recorded.borrow().received.len() < 20);
     net.run_until(start + 950 * MILLISECOND);
--- a/crates/sanddrum-net/tests/event_loop_files.rs
+++ b/crates/sanddrum-net/tests/event_loop_files.rs
@@ -1,4 +1,4 @@
-//! Files of the event loop: watched files, saved state and the audit log.
+//! Files that the event loop reads and writes: watched files, saved state and audit logs.
 
 use rstest::rstest;
 use sanddrum_net::{Core, Event, EventLoop, FileError, HostId, Io, Micros, NullObserver};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 const MILLISECOND: Micros = 1_000;
-/// The name by which the cores here know their watched file.
+/// The name under which the cores watch their file.
 const FILE: &str = "settings";
 
 /// A directory that is removed at the end of a test.
@@ -34,7 +34,7 @@
 
 type Contents = Rc<RefCell<Vec<Result<String, String>>>>;
 
-/// Saves its state at its start, records the contents of its file, and appends each to its audit log.
+/// Saves its state at its start, records each content of its watched file, and appends it to its audit log.
 #[derive(Default)]
 struct FileCore {
     contents: Contents,
@@ -76,7 +76,7 @@
     (event_loop, host)
 }
 
-/// A loop whose core watches a file, and the contents that the core was given.
+/// A loop whose core watches a file, and the contents that the core has received.
 fn watching(path: &Path) -> (EventLoop, HostId, Contents) {
     let core = FileCore::default();
     let contents = core.contents.clone();
@@ -85,7 +85,7 @@
     (event_loop, host, contents)
 }
 
-/// Runs until the core was given this many contents; panics if it was not within about five seconds.
+/// Runs until the core has received this many contents; panics after about five seconds.
 fn run_until_count(event_loop: &mut EventLoop, contents: &Contents, count: usize) {
     for _ in 0..1000 {
         if contents.borrow().len() >= count {
@@ -153,7 +153,7 @@
 }
 
 #[rstest]
-fn a_full_audit_log_is_renamed_and_a_new_one_begun() {
+fn a_full_audit_log_is_renamed_and_a_new_one_is_started() {
     let directory = TestDirectory::new("audit");
     let path = directory.file("watched");
     let audit_path = directory.file("audit.log");
@@ -171,9 +171,9 @@
     assert_eq!(fs::read_to_string(&audit_path).unwrap(), "3\n");
 }
 
-/// Has its state saved in the background at its start, and tells when it runs after that.
+/// Saves its state in the background at its start, and reports each later call to `process`.
 struct SavingCore {
-    ran: std::sync::mpsc::Sender<()>,
+    process_calls: std::sync::mpsc::Sender<()>,
 }
 
 impl Core for SavingCore {
@@ -182,7 +182,7 @@
     }
     fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
     fn process(&mut self, _: Micros, _: &mut dyn Io) {
-        let _ = self.ran.send(());
+        let _ = self.process_calls.send(());
     }
     fn next_wakeup(&self) -> Option<Micros> {
         None
@@ -190,27 +190,27 @@
 }
 
 #[rstest]
-fn the_loop_goes_on_while_a_state_waits_for_the_disk() {
+fn the_event_loop_keeps_running_while_a_state_is_written_to_a_slow_disk() {
     let directory = TestDirectory::new("slow-disk");
-    // Opening a pipe for writing waits for a reader, as a slow disk makes a write wait.
+    // Emulates a slow disk: opening a named pipe for writing blocks until it is opened for reading.
     let temporary = directory.file("state.new");
-    let made = std::process::Command::new("mkfifo")
+    let mkfifo_status = std::process::Command::new("mkfifo")
         .arg(&temporary)
         .status();
-    assert!(made.unwrap().success());
+    assert!(mkfifo_status.unwrap().success());
     let path = directory.file("state");
-    let (ran, runs) = std::sync::mpsc::channel();
-    let looping = std::thread::spawn(move || {
+    let (process_calls, received_calls) = std::sync::mpsc::channel();
+    let loop_thread = std::thread::spawn(move || {
         let mut event_loop = EventLoop::new(Box::new(NullObserver)).unwrap();
-        let core = Box::new(SavingCore { ran });
+        let core = Box::new(SavingCore { process_calls });
         event_loop.add(core, vec![], Some(path)).unwrap();
         event_loop.run_until(event_loop.now() + 10_000).unwrap();
     });
-    let has_run = runs
+    let has_run = received_calls
         .recv_timeout(std::time::Duration::from_secs(10))
         .is_ok();
-    // The disk answers now, so that the loop can end either way.
+    // Reading from the pipe completes the write, so that the loop can end even if the write had blocked it.
     assert_eq!(fs::read(&temporary).unwrap(), b"a state");
-    looping.join().unwrap();
-    assert!(has_run, "the loop stood still for the disk");
+    loop_thread.join().unwrap();
+    assert!(has_run, "the write to the disk blocked the event loop");
 }
--- a/crates/sanddrum-net/tests/graceful_shutdown.rs
+++ b/crates/sanddrum-net/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A signal, and connections that are opened at the same time. There is only one test here, as signals concern the whole
+//! Graceful shutdown by a signal while a client connects. This file has only one test, as signals affect the whole
 //! process.
 
 use rstest::rstest;
@@ -9,7 +9,7 @@
 use std::net::TcpStream;
 use std::thread;
 
-/// Echoes the first bytes of each connection. Its shutdown is complete once each connection was answered.
+/// Echoes the first bytes of each connection. Its shutdown is complete once every connection is answered.
 #[derive(Default)]
 struct Echo {
     is_shutting_down: bool,
@@ -50,27 +50,27 @@
     event_loop
         .add(Box::new(Echo::default()), vec![listener], None)
         .unwrap();
-    // One step, so that nothing is pending from the start.
+    // Runs one step, so that nothing is pending from the start.
     let soon = event_loop.now() + 1;
     event_loop.run_until(soon).unwrap();
-    // The signal comes first, then the client, then the loop polls.
+    // The signal is raised first, then the client connects, and only then does the loop poll.
     signal_hook::low_level::raise(SIGTERM).unwrap();
     let mut client = TcpStream::connect(&address).unwrap();
-    client.write_all(b"asks").unwrap();
+    client.write_all(b"ping").unwrap();
     let reader = thread::spawn(move || {
         let mut answer = [0; 4];
         client.read_exact(&mut answer).unwrap();
-        // The core ignores what follows the answer, but it must not cause a reset.
+        // The core ignores further input, but such input must not cause a reset.
         client.write_all(b"more").unwrap();
         let mut rest = Vec::new();
         client.read_to_end(&mut rest).unwrap();
         assert!(
             rest.is_empty(),
-            "an orderly close, and nothing after the answer"
+            "expected an orderly close without data after the answer"
         );
         answer
     });
     assert_eq!(event_loop.run().unwrap(), Shutdown::Graceful);
     drop(event_loop);
-    assert_eq!(&reader.join().unwrap(), b"asks");
+    assert_eq!(&reader.join().unwrap(), b"ping");
 }
--- a/crates/sanddrum-net/tests/outbox.rs
+++ b/crates/sanddrum-net/tests/outbox.rs
@@ -1,13 +1,13 @@
-//! The write buffer of a connection.
+//! The outbox: writing, removing and replacing pending messages.
 
 use rstest::rstest;
 use sanddrum_net::{ConnectionId, Io, Outbox, OutboxFull};
 
 const CONNECTION: ConnectionId = ConnectionId(0);
-/// The bound of the outboxes here, unless the bound is what is tested.
+/// The bound on pending bytes in tests that do not test the bound itself.
 const MAX_PENDING_BYTES: usize = 100;
 
-/// A connection that takes a limited number of bytes.
+/// A connection that accepts a limited number of bytes.
 struct LimitedConnection {
     capacity: usize,
     written: Vec<u8>,
@@ -27,10 +27,10 @@
         CONNECTION
     }
     fn write(&mut self, _: ConnectionId, bytes: &[u8]) -> usize {
-        let taken = bytes.len().min(self.capacity);
-        self.capacity -= taken;
-        self.written.extend_from_slice(&bytes[..taken]);
-        taken
+        let accepted = bytes.len().min(self.capacity);
+        self.capacity -= accepted;
+        self.written.extend_from_slice(&bytes[..accepted]);
+        accepted
     }
     fn close(&mut self, _: ConnectionId) {}
     fn reset(&mut self, _: ConnectionId) {}
@@ -82,7 +82,7 @@
 }
 
 #[rstest]
-fn pending_bytes_are_bounded_but_a_single_message_always_fits() {
+fn pending_bytes_are_bounded_but_an_empty_outbox_accepts_any_message() {
     let mut outbox = Outbox::new(4);
     assert_eq!(outbox.push(1, b"much too long"), Ok(()));
     assert_eq!(outbox.push(2, b"x"), Err(OutboxFull));
--- a/crates/sanddrum-net/tests/socket_races.rs
+++ b/crates/sanddrum-net/tests/socket_races.rs
@@ -1,5 +1,5 @@
-//! Unfavourable orders of events on real sockets. Each is forced: the test acts on the peers step by step, and the loop
-//! polls only once everything that one poll is to find has arrived.
+//! Races between events on real sockets. Each order of events is forced: the test drives the peers step by step, and
+//! the loop polls only after everything that one poll is to find has arrived.
 
 use rstest::rstest;
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, EventLoop, Io, Micros, NullObserver};
@@ -12,7 +12,7 @@
 
 type Shared<T> = Rc<RefCell<T>>;
 
-/// The events that a core was given.
+/// The events that a core has received.
 #[derive(Default)]
 struct Recorded {
     accepted: Vec<ConnectionId>,
@@ -57,7 +57,7 @@
     (Box::new(core), recorded)
 }
 
-/// Opens connections at its start and passes all events on.
+/// Opens connections at its start and forwards all events to another core.
 struct Connecting {
     core: Box<dyn Core>,
     addresses: Vec<String>,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Runs until the condition holds; panics if it does not within about five seconds.
+/// Runs until the condition holds; panics after about five seconds.
 fn run_until(event_loop: &mut EventLoop, condition: impl Fn() -> bool) {
     for _ in 0..5000 {
         if condition() {
@@ -87,10 +87,10 @@
         let at = event_loop.now() + 1000;
         event_loop.run_until(at).unwrap();
     }
-    panic!("the condition never held");
+    panic!("the condition did not hold within about five seconds");
 }
 
-/// Polls a few times, and finds what has arrived.
+/// Runs the loop for two milliseconds, so that it handles everything that has arrived.
 fn poll(event_loop: &mut EventLoop) {
     let at = event_loop.now() + 2000;
     event_loop.run_until(at).unwrap();
@@ -111,7 +111,7 @@
         .unwrap();
 }
 
-/// A listener with a full backlog, where connecting hangs, and the sockets that fill it.
+/// A listener with a full backlog, so that connecting to it hangs, and the sockets that fill the backlog.
 fn full_listener() -> (Socket, SocketAddr, Vec<Socket>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any_port: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -131,7 +131,7 @@
 }
 
 #[rstest]
-fn an_opening_connection_is_not_mistaken_for_one_that_ended_in_the_same_poll() {
+fn a_connection_being_opened_does_not_receive_events_of_one_that_ended_in_the_same_poll() {
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
     let second = TcpListener::bind("127.0.0.1:0").unwrap();
     let (full, full_address, backlog) = full_listener();
@@ -155,7 +155,7 @@
     event_loop.add(Box::new(connecting), vec![], None).unwrap();
     run_until(&mut event_loop, || recorded.borrow().connected.len() == 2);
     let (mut first_peer, second_peer) = (first.accept().unwrap().0, second.accept().unwrap().0);
-    // Both have arrived before the loop polls: bytes on the first connection, then the reset of the second.
+    // Both arrive before the loop polls: bytes on the first connection, then the reset of the second.
     first_peer.write_all(b"now").unwrap();
     reset(second_peer);
     run_until(&mut event_loop, || connections.borrow().len() == 3);
@@ -169,7 +169,7 @@
         "{:?}",
         recorded.borrow().closed
     );
-    // The backlog has room, and the connection is established.
+    // Once the backlog has free space, the third connection is established.
     drop(backlog);
     full.accept().unwrap();
     run_until(&mut event_loop, || {
@@ -178,7 +178,7 @@
 }
 
 #[rstest]
-fn an_answer_is_delivered_though_the_connection_is_closed_with_unread_input() {
+fn an_answer_is_delivered_even_if_the_connection_is_closed_with_unread_input() {
     let (core, _) = scripted(|event, io| {
         if let Event::Bytes { conn, .. } = event {
             io.write(*conn, b"the answer");
@@ -187,7 +187,7 @@
     });
     let (mut event_loop, address) = listening(core);
     let mut client = TcpStream::connect(address).unwrap();
-    // More than is read at once has arrived when the answer is written.
+    // More input than a single read returns has arrived when the answer is written.
     client.write_all(&vec![7; 200_000]).unwrap();
     for _ in 0..10 {
         poll(&mut event_loop);
@@ -200,7 +200,7 @@
 }
 
 #[rstest]
-fn a_paused_connection_that_cannot_be_written_any_more_is_reported_as_reset() {
+fn a_paused_connection_whose_write_fails_is_reported_as_reset() {
     let (core, recorded) = scripted(|event, io| match event {
         Event::Accepted { conn, .. } => {
             while io.write(*conn, &[7; 100_000]) > 0 {}
@@ -236,8 +236,8 @@
         .map(|_| TcpStream::connect(address).unwrap())
         .collect();
     run_until(&mut event_loop, || recorded.borrow().accepted.len() == 40);
-    // No client has closed. The oldest connection is dropped, and a write to it is answered by a reset; the input of the
-    // newest is drained.
+    // No client has closed its connection. The oldest one is dropped, so a write to it is answered by a reset; the
+    // input of the newest is still drained.
     let mut oldest = clients.remove(0);
     let is_dropped = (0..1000).any(|_| {
         poll(&mut event_loop);
