--- a/crates/sanddrum-fastcgi/src/lib.rs
+++ b/crates/sanddrum-fastcgi/src/lib.rs
@@ -1,10 +1,10 @@
-//! FastCGI 1.0 (the specification of 29 April 1996) in the Responder role, without I/O. Section numbers in this package
-//! are the specification's.
+//! FastCGI 1.0 (the specification of 29 April 1996) in the Responder role, without I/O. Section numbers in this
+//! package are the specification's.
 //!
-//! Bytes received from a web server go into a [`Responder`], and complete requests come out of it, many at a time on one
-//! connection; [`encode_response`] and [`encode_end_request`] encode what is sent back. What is buffered of incomplete
-//! requests is bounded by [`ResponderLimits`]. The `write_*` functions are the web server's side, for tests and load
-//! generators.
+//! A [`Responder`] decodes the bytes received from a web server into complete requests, of which many may be open on
+//! one connection. [`encode_response`] and [`encode_end_request`] encode what is sent back. [`ResponderLimits`]
+//! bounds the data that is buffered for incomplete requests. The `write_*` functions are the web server's side, for
+//! tests and load generators.
 
 mod params;
 mod record;
--- a/crates/sanddrum-fastcgi/src/params.rs
+++ b/crates/sanddrum-fastcgi/src/params.rs
@@ -1,6 +1,6 @@
 //! Name-value pairs (section 3.4).
 
-/// Lengths below this take one byte, others four.
+/// Lengths below this are encoded in one byte, others in four.
 const FOUR_BYTE_LENGTH: usize = 0x80;
 /// The bit that marks a length of four bytes.
 const FOUR_BYTE_FLAG: u32 = 0x8000_0000;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Decodes name-value pairs; `None` where a length exceeds what follows it.
+/// Decodes name-value pairs. Returns `None` if a length is incomplete or exceeds the remaining bytes.
 pub(crate) fn decode_params(mut bytes: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
--- a/crates/sanddrum-fastcgi/src/record.rs
+++ b/crates/sanddrum-fastcgi/src/record.rs
@@ -1,8 +1,8 @@
 //! Records (section 3.3), decoded and encoded.
 
-/// Bytes of a record's header.
+/// Size of a record's header in bytes.
 pub const HEADER_BYTES: usize = 8;
-/// The longest content of a record in bytes.
+/// Maximum size of a record's content in bytes.
 pub const MAX_CONTENT_BYTES: usize = 0xffff;
 /// The version of the protocol (FCGI_VERSION_1).
 const VERSION: u8 = 1;
@@ -36,12 +36,12 @@
     GetValuesResult,
     /// FCGI_UNKNOWN_TYPE (section 4.2).
     UnknownType,
-    /// A type that the specification does not know, by its code.
+    /// The code of a type that the specification does not define.
     Other(u8),
 }
 
 impl RecordType {
-    /// The known types in the order of their codes, which begin at one.
+    /// The known types in the order of their codes, which start at one.
     const KNOWN: [RecordType; 11] = [
         RecordType::BeginRequest,
         RecordType::AbortRequest,
@@ -76,28 +76,28 @@
     }
 }
 
-/// How the application ended a request: protocolStatus in section 5.5.
+/// How the application ended a request (protocolStatus in section 5.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
     /// FCGI_REQUEST_COMPLETE: the request was processed.
     RequestComplete = 0,
-    /// FCGI_CANT_MPX_CONN: rejected, as the application processes one request per connection.
+    /// FCGI_CANT_MPX_CONN: rejected, as the application processes only one request at a time per connection.
     CantMultiplex = 1,
     /// FCGI_OVERLOADED: rejected, as the application is overloaded.
     Overloaded = 2,
-    /// FCGI_UNKNOWN_ROLE: rejected, as the application does not know the role.
+    /// FCGI_UNKNOWN_ROLE: rejected, as the application does not support the role.
     UnknownRole = 3,
 }
 
-/// A record of another version than FastCGI 1.0. What follows it can't be decoded.
+/// A record has another version than FastCGI 1.0. The rest of the connection can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("version {0} is not FastCGI 1.0")]
+#[error("unsupported FastCGI version {0}; only FastCGI 1.0 is supported")]
 pub struct UnsupportedVersion(
     /// The version in the record's header.
     pub u8,
 );
 
-/// One record, which borrows its content from the bytes received.
+/// One record, which borrows its content from the received bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
     /// The record's type.
@@ -109,8 +109,8 @@
 }
 
 impl<'a> Record<'a> {
-    /// Decodes the record at the front of `bytes` and returns it with its length in bytes, header and padding included;
-    /// `None` until more bytes are received.
+    /// Decodes the record at the front of `bytes` and returns it with its length in bytes, header and padding
+    /// included; `None` until more bytes are received.
     ///
     /// # Errors
     /// [`UnsupportedVersion`], as soon as the first byte is received.
@@ -184,7 +184,7 @@
     write_record(out, RecordType::EndRequest, id, &content);
 }
 
-/// Encodes a complete response: the parts of its CGI response as one stream, and the end of the request.
+/// Encodes a complete response: the parts of the CGI response as one stream, and the end of the request.
 pub fn encode_response(id: u16, response: &[&[u8]]) -> Vec<u8> {
     let length: usize = response.iter().map(|part| part.len()).sum();
     let header_count = 4 + length / MAX_CONTENT_BYTES;
--- a/crates/sanddrum-fastcgi/src/request.rs
+++ b/crates/sanddrum-fastcgi/src/request.rs
@@ -8,12 +8,12 @@
 pub struct Request {
     /// Its parameters by name (section 5.2).
     pub params: BTreeMap<String, String>,
-    /// Its body: the content of its standard input.
+    /// Its body, which is the content of its stdin stream (section 5.3).
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The parameter of this name.
+    /// Returns the value of the parameter of this name.
     pub fn param(&self, name: &str) -> Option<&str> {
         self.params.get(name).map(String::as_str)
     }
@@ -22,15 +22,15 @@
 /// How much of a request has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// The parameters' stream has not ended.
+    /// The stream of parameters has not ended.
     Params,
-    /// The parameters are complete and the body is not.
+    /// The parameters are complete, but the body is not.
     Body,
     /// The request is complete and has not been answered.
     Complete,
 }
 
-/// A request that has begun and not ended.
+/// A request that has begun and has not been answered, rejected or aborted.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     /// Whether the web server keeps the connection open after it.
@@ -68,7 +68,7 @@
         self.body.len()
     }
 
-    /// Bytes buffered; none once it is complete.
+    /// Bytes buffered; zero once it is complete.
     pub fn buffered_bytes(&self) -> usize {
         self.params.len() + self.body.len()
     }
@@ -85,7 +85,7 @@
         self.progress = Progress::Body;
     }
 
-    /// Ends the body and takes the request out; `None` where its parameters are incomplete or can't be decoded.
+    /// Ends the body and returns the request, or `None` if its parameters are incomplete or can't be decoded.
     pub fn complete(&mut self) -> Option<Request> {
         if self.progress != Progress::Body {
             return None;
--- a/crates/sanddrum-fastcgi/src/responder.rs
+++ b/crates/sanddrum-fastcgi/src/responder.rs
@@ -1,4 +1,4 @@
-//! One connection from a web server: bytes in, complete requests out.
+//! The decoder of one connection from a web server.
 
 use crate::params::{decode_params, encode_params};
 use crate::record::{
@@ -9,19 +9,19 @@
 use sanddrum_wire::ReceiveBuffer;
 use std::collections::BTreeMap;
 
-/// Bytes of the content of begin-request and unknown-type records.
+/// Size in bytes of the content of begin-request and unknown-type records.
 const FIXED_CONTENT_BYTES: usize = 8;
 
-/// Bounds on what one connection may have buffered.
+/// Limits on the open requests and the buffered data of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponderLimits {
-    /// Requests that are open at a time, complete or not.
+    /// Maximum number of requests that are open at a time, complete or not.
     pub max_open_requests: usize,
-    /// Bytes of one request's parameters.
+    /// Maximum size of one request's parameters in bytes.
     pub max_params_bytes: usize,
-    /// Bytes of one request's body.
+    /// Maximum size of one request's body in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of all incomplete requests together.
+    /// Maximum size of the buffered data of all incomplete requests in bytes.
     pub max_buffered_bytes: usize,
 }
 
@@ -32,13 +32,13 @@
     #[error(transparent)]
     Version(#[from] UnsupportedVersion),
     /// A request begins with the id of an open one, so that a response would be ambiguous.
-    #[error("request id {0} begins while it is open")]
+    #[error("a request begins with id {0}, which belongs to an open request")]
     RequestIdInUse(u16),
     /// A begin-request record is too short.
     #[error("a begin-request record is malformed")]
     Malformed,
     /// Incomplete requests exceed [`ResponderLimits::max_buffered_bytes`].
-    #[error("incomplete requests exceed the buffer")]
+    #[error("incomplete requests exceed the limit of buffered bytes")]
     BufferFull,
 }
 
@@ -51,13 +51,13 @@
     ParamsTooLong,
     /// Its body exceeds [`ResponderLimits::max_body_bytes`].
     BodyTooLong,
-    /// [`ResponderLimits::max_open_requests`] are open.
+    /// [`ResponderLimits::max_open_requests`] requests are already open.
     TooManyOpen,
     /// Its role is not the Responder's.
     Role,
 }
 
-/// What records on a connection amount to.
+/// An event that is decoded from the records of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponderEvent {
     /// A request is complete. It stays open until [`Responder::finish`].
@@ -67,14 +67,15 @@
         /// The request.
         request: Request,
     },
-    /// A request is rejected and has to be ended. Its id is free again, and its further records are skipped.
+    /// A request is rejected, and an end-request record has to be sent. Its id is free again, and its further records
+    /// are skipped.
     Reject {
         /// The request's id on the connection.
         id: u16,
         /// Why it is rejected.
         reason: RejectReason,
     },
-    /// The web server aborted an open request, which is closed by this (section 5.4).
+    /// The web server aborted an open request, whose id is free again (section 5.4).
     Abort {
         /// The request's id on the connection.
         id: u16,
@@ -83,7 +84,7 @@
     Reply(Vec<u8>),
 }
 
-/// What came of decoding one record.
+/// The result of processing the next record.
 enum Step {
     /// More bytes are needed.
     Incomplete,
@@ -95,16 +96,16 @@
 pub struct Responder {
     limits: ResponderLimits,
     buffer: ReceiveBuffer,
-    /// Requests that have begun and not ended, by id.
+    /// Open requests by id.
     open: BTreeMap<u16, OpenRequest>,
-    /// Bytes buffered of incomplete requests.
+    /// Bytes buffered for incomplete requests.
     buffered_bytes: usize,
-    /// A request has ended after which the web server expects the connection to be closed.
+    /// Whether a request has ended after which the web server expects the connection to be closed.
     must_close: bool,
 }
 
 impl Responder {
-    /// The decoder of a new connection.
+    /// Creates the decoder of a new connection.
     pub fn new(limits: ResponderLimits) -> Self {
         Responder {
             limits,
@@ -120,7 +121,7 @@
         self.open.len()
     }
 
-    /// Bytes buffered of incomplete requests.
+    /// Bytes buffered for incomplete requests.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
@@ -158,7 +159,7 @@
         self.buffer.push(bytes);
     }
 
-    /// The next event, or `None` until more bytes are received.
+    /// Returns the next event, or `None` until more bytes are received.
     ///
     /// # Errors
     /// [`ProtocolError`]; the connection has to be closed.
@@ -173,7 +174,7 @@
     }
 
     fn process_next_record(&mut self) -> Result<Step, ProtocolError> {
-        // The record borrows from the buffer while it changes the rest of the responder.
+        // The buffer is moved out, since the record borrows from it while `process` modifies the responder.
         let mut buffer = std::mem::take(&mut self.buffer);
         let result = match Record::read(buffer.unread()) {
             Ok(Some((record, length))) => {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Section 5.1.
+    /// Handles a begin-request record (section 5.1).
     fn begin(&mut self, id: u16, content: &[u8]) -> Result<Option<ResponderEvent>, ProtocolError> {
         let [role1, role0, flags, ..] = *content else {
             return Err(ProtocolError::Malformed);
@@ -235,7 +236,7 @@
         Ok(None)
     }
 
-    /// Section 5.2.
+    /// Handles a params record (section 5.2).
     fn receive_params(
         &mut self,
         id: u16,
@@ -256,7 +257,7 @@
         Ok(None)
     }
 
-    /// Section 5.3. The empty record that ends the body completes the request.
+    /// Handles a stdin record (section 5.3). The empty record that ends the body completes the request.
     fn receive_body(
         &mut self,
         id: u16,
@@ -331,7 +332,7 @@
     encode_management(RecordType::UnknownType, &content)
 }
 
-/// A management record, which has the request id zero.
+/// Encodes a management record, which has the request id zero.
 fn encode_management(record_type: RecordType, content: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEADER_BYTES + content.len());
     write_record(&mut out, record_type, 0, content);
--- a/crates/sanddrum-fastcgi/tests/responder.rs
+++ b/crates/sanddrum-fastcgi/tests/responder.rs
@@ -1,4 +1,5 @@
-//! The Responder role: requests, rejections and management records, for any split of the bytes and for arbitrary bytes.
+//! Tests of the Responder role: requests, rejections and management records, for any split of the bytes and for
+//! arbitrary bytes.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -15,7 +16,7 @@
     max_buffered_bytes: 10_000,
 };
 
-/// A request as a web server sends it.
+/// Encodes a request as a web server sends it.
 fn encode_request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     write_begin_request(&mut out, id, true);
@@ -86,7 +87,7 @@
 }
 
 #[rstest]
-fn a_request_beyond_the_limit_is_rejected_and_open_ones_stay() {
+fn a_request_beyond_the_limit_is_rejected_and_open_ones_remain_open() {
     let mut responder = Responder::new(LIMITS);
     for id in 1..=4 {
         receive(&mut responder, &encode_request(id, &[], b"")).unwrap();
--- a/crates/sanddrum-wire/src/frame.rs
+++ b/crates/sanddrum-wire/src/frame.rs
@@ -4,26 +4,27 @@
 use crate::ReceiveBuffer;
 use minicbor::{Decode, Encode};
 
-/// Bytes of the length that precedes a frame's content.
+/// Size in bytes of the length that precedes a frame's content.
 pub const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Why the rest of a stream of frames can't be decoded. The connection has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// A frame's content is longer than this side accepts.
-    #[error("a frame of {length} bytes; at most {max} are taken (limits largest-frame)")]
+    #[error("a frame of {length} bytes exceeds the limit of {max} bytes (limits largest-frame)")]
     TooLarge {
         /// The announced length in bytes.
         length: usize,
         /// The largest accepted length in bytes.
         max: usize,
     },
-    /// A frame's content is no message of the protocol. The CBOR decoder's error is kept as text, which compares equal.
+    /// A frame's content is not a message of the protocol. The CBOR decoder's error is stored as text, so that errors
+    /// can be compared.
     #[error("not a message of this protocol: {0}")]
     Malformed(String),
 }
 
-/// Cuts a stream into frames. It buffers at most one frame and what was received together with its end.
+/// Splits a byte stream into frames. It buffers at most one frame and the bytes received together with its end.
 ///
 /// The default decoder accepts empty frames only.
 #[derive(Debug, Default)]
@@ -33,7 +34,7 @@
 }
 
 impl FrameDecoder {
-    /// A decoder that rejects frames of more than `max_frame_bytes` bytes as soon as their length is received.
+    /// Creates a decoder that rejects frames of more than `max_frame_bytes` bytes as soon as their length is received.
     pub fn new(max_frame_bytes: usize) -> Self {
         FrameDecoder {
             buffer: ReceiveBuffer::default(),
@@ -46,7 +47,7 @@
         self.buffer.push(bytes);
     }
 
-    /// The next complete frame's content, or `None` until more bytes are received.
+    /// Returns the next complete frame's content, or `None` until more bytes are received.
     ///
     /// # Errors
     /// [`FrameError::TooLarge`]; the decoder can't be used any further.
@@ -69,8 +70,8 @@
         Ok(Some(&frame[LENGTH_PREFIX_BYTES..]))
     }
 
-    /// The next message, or `None` until more bytes are received. Messages whose number this version does not know are
-    /// skipped.
+    /// Returns the next message, or `None` until more bytes are received. Messages with a number that this version
+    /// does not know are skipped.
     ///
     /// # Errors
     /// [`FrameError`]; the decoder can't be used any further.
--- a/crates/sanddrum-wire/src/http.rs
+++ b/crates/sanddrum-wire/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 (RFC 9112) for servers and clients, as far as function calls need it: bodies are delimited by
+//! The part of HTTP/1.1 (RFC 9112) that requests for functions need, for servers and clients: bodies are delimited by
 //! `Content-Length` only, and requests may be pipelined.
 
 mod request;
@@ -9,13 +9,13 @@
 
 use httparse::Header;
 
-/// The most header fields of one message.
+/// The maximum number of header fields of one message.
 const MAX_FIELDS: usize = 64;
 
-/// Why a message can't be read, named by the status that answers such a request (RFC 9110, section 15).
+/// Why a message can't be parsed. Each variant corresponds to a response status (RFC 9110, section 15).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The head is no HTTP/1.1 message, or its `Content-Length` is invalid.
+    /// The head is not a valid HTTP/1.1 message, or its `Content-Length` is invalid.
     #[error("the message is malformed")]
     Malformed,
     /// The head is longer than accepted, or has more than 64 fields.
@@ -24,16 +24,16 @@
     /// The announced body is longer than accepted.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body has a transfer coding in place of a `Content-Length`.
+    /// The body has a transfer coding, which is not supported; a `Content-Length` is required.
     #[error("the body has no Content-Length")]
     LengthRequired,
-    /// Another major version of HTTP.
+    /// The message has an unsupported HTTP version.
     #[error("the HTTP version is not supported")]
     Version,
 }
 
 impl HttpError {
-    /// The status code that tells the client.
+    /// The status code of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The reason in responses and metrics.
+    /// The reason that is given in responses and metrics.
     pub fn reason(self) -> &'static str {
         match self {
             HttpError::Malformed => "malformed-request",
@@ -56,7 +56,7 @@
     }
 }
 
-/// The first field of this name, in any case (RFC 9110, section 5.1).
+/// Returns the value of the first field of this name, ignoring case (RFC 9110, section 5.1).
 fn find_field<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let (_, value) = fields
         .iter()
@@ -75,7 +75,7 @@
         .collect()
 }
 
-/// The values of all fields of this name, in any case.
+/// Returns the values of all fields of this name, ignoring case.
 fn field_values<'a>(
     headers: &'a [Header<'a>],
     name: &'static str,
@@ -86,7 +86,8 @@
         .map(|header| header.value)
 }
 
-/// The body's length in bytes: one value, or several equal ones (RFC 9112, section 6.3); zero without a value.
+/// Returns the body's length in bytes, or zero if there is no `Content-Length`. Repeated fields must have equal values
+/// (RFC 9112, section 6.3).
 fn content_length(headers: &[Header<'_>]) -> Result<usize, HttpError> {
     let mut values = field_values(headers, "content-length");
     let Some(first) = values.next() else {
--- a/crates/sanddrum-wire/src/http/request.rs
+++ b/crates/sanddrum-wire/src/http/request.rs
@@ -10,7 +10,7 @@
 /// A complete request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
-    /// The method, as `POST`.
+    /// The method, such as `POST`.
     pub method: String,
     /// The request target in origin form (RFC 9112, section 3.2.1).
     pub path: String,
@@ -23,13 +23,13 @@
 }
 
 impl Request {
-    /// The first header field of this name, in any case.
+    /// Returns the value of the first header field of this name, ignoring case.
     pub fn field(&self, name: &str) -> Option<&str> {
         find_field(&self.fields, name)
     }
 }
 
-/// What [`parse_request`] found.
+/// The result of [`parse_request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parsed {
     /// More bytes are needed.
@@ -41,7 +41,8 @@
     Complete(Request, usize),
 }
 
-/// Parses the request at the front of `bytes`, of at most `max_head_bytes` and `max_body_bytes`.
+/// Parses the request at the front of `bytes`. Its head is limited to `max_head_bytes` and its body to
+/// `max_body_bytes`.
 ///
 /// # Errors
 /// [`HttpError`]: the request can't be served. Where its body ends is unknown, so the connection has to be closed.
@@ -88,7 +89,7 @@
     Ok(Parsed::Complete(request, head_length + body_length))
 }
 
-/// The body's length in bytes; transfer codings are not supported (RFC 9112, section 6.1).
+/// Returns the body's length in bytes. Transfer codings are not supported (RFC 9112, section 6.1).
 fn body_length(headers: &[Header<'_>], max_body_bytes: usize) -> Result<usize, HttpError> {
     if field_values(headers, "transfer-encoding").next().is_some() {
         return Err(HttpError::LengthRequired);
@@ -104,7 +105,8 @@
     field_values(headers, "expect").any(|value| value.eq_ignore_ascii_case(b"100-continue"))
 }
 
-/// HTTP/1.1 keeps a connection alive unless told to close it, HTTP/1.0 only when asked to (RFC 9112, section 9.3).
+/// Whether the client keeps the connection open: in HTTP/1.1 unless the `close` option is present, in HTTP/1.0 only
+/// with the `keep-alive` option (RFC 9112, section 9.3).
 fn keeps_alive(minor_version: Option<u8>, headers: &[Header<'_>]) -> bool {
     let mut options = field_values(headers, "connection")
         .flat_map(|value| value.split(|byte| *byte == b','))
--- a/crates/sanddrum-wire/src/http/response.rs
+++ b/crates/sanddrum-wire/src/http/response.rs
@@ -21,7 +21,7 @@
 }
 
 impl Response {
-    /// The first header field of this name, in any case.
+    /// Returns the value of the first header field of this name, ignoring case.
     pub fn field(&self, name: &str) -> Option<&str> {
         find_field(&self.fields, name)
     }
@@ -51,7 +51,7 @@
     Ok(Some((response, head_length + body_length)))
 }
 
-/// Encodes a response; without `keep_alive` it announces that the connection is closed after it.
+/// Encodes a response. Without `keep_alive`, it announces that the connection will be closed after it.
 pub fn encode_response(
     status: u16,
     fields: &[(&str, &str)],
@@ -74,7 +74,7 @@
     message
 }
 
-/// The reason phrases of the statuses that are sent here (RFC 9110, section 15).
+/// Returns the reason phrase of a status that the listener sends (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/sanddrum-wire/src/messages.rs
+++ b/crates/sanddrum-wire/src/messages.rs
@@ -1,8 +1,8 @@
-//! The messages of the worker protocol, version 1, as docs/protocol.md describes them. Each is an array of its number
-//! and one map with unsigned integers as keys (RFC 8949, section 3.1). A reader skips keys that it does not know, and
-//! writers leave optional values out.
+//! The messages of the worker protocol, version 1, as described in docs/protocol.md. Each message is an array of its
+//! number and one map with unsigned integers as keys (RFC 8949, section 3.1). Readers skip unknown keys, and writers
+//! omit absent optional values.
 //!
-//! Names of types and fields are not on the wire, numbers are: a number is never given a second meaning.
+//! Only numbers go over the wire, not the names of types and fields, so a number is never reused for another meaning.
 
 mod discovery;
 mod store;
@@ -20,14 +20,14 @@
 
 use minicbor::{Decode, Encode};
 
-/// The protocol's version in a [`Hello`]; both sides speak the lower one.
+/// The protocol version that is sent in a [`Hello`]. Both sides use the lower of their versions.
 pub const VERSION: u32 = 1;
 
-/// The first message of both sides of a connection.
+/// The first message that each side of a connection sends.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Hello {
-    /// The highest version that the sender speaks.
+    /// The highest version that the sender supports.
     #[n(0)]
     pub version: u32,
     /// The sender's name. An edge closes a connection on which a worker's name is not the one in the endpoint list.
@@ -37,7 +37,7 @@
     #[n(2)]
     #[cbor(default)]
     pub incarnation: u64,
-    /// Microseconds since the sender's process started; absent where it does not report them.
+    /// Microseconds since the sender's process started; absent if not reported.
     #[n(3)]
     pub age_us: Option<i64>,
 }
--- a/crates/sanddrum-wire/src/messages/discovery.rs
+++ b/crates/sanddrum-wire/src/messages/discovery.rs
@@ -1,4 +1,4 @@
-//! Messages of the discovery service, which tells edges which workers exist.
+//! Messages of the discovery service, which provides edges with the endpoint list.
 
 use super::Hello;
 use minicbor::data::Type;
@@ -8,16 +8,16 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum ToDiscovery {
-    /// Greets the discovery service.
+    /// The first message of an edge or a worker.
     #[n(0)]
     Hello(#[n(0)] Hello),
-    /// An edge watches the endpoint list.
+    /// Watches the endpoint list for an edge.
     #[n(1)]
     Watch(#[n(0)] Watch),
-    /// A worker registers itself, and again when its record changes.
+    /// Registers a worker. Sent again when its record changes.
     #[n(2)]
     Register(#[n(0)] EndpointRecord),
-    /// A worker's process is alive.
+    /// Reports that a worker's process is alive.
     #[n(3)]
     Heartbeat(#[n(0)] Heartbeat),
 }
@@ -26,10 +26,10 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum FromDiscovery {
-    /// Greets the edge.
+    /// The first message of the discovery service.
     #[n(0)]
     Hello(#[n(0)] Hello),
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or changes to it.
     #[n(1)]
     Endpoints(#[n(0)] EndpointUpdate),
 }
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Watch {
-    /// The version that the edge has; zero requests a full snapshot.
+    /// The version of the list that the edge has; zero requests a full snapshot.
     #[n(0)]
     pub version: u64,
     /// The incarnation of the discovery service that `version` belongs to; zero requests a full snapshot.
@@ -54,7 +54,7 @@
     /// It accepts new requests.
     #[n(0)]
     Ready,
-    /// It finishes what it has and accepts nothing new.
+    /// It finishes the requests it has and accepts no new ones.
     #[n(1)]
     Draining,
     /// It has left the list.
@@ -63,7 +63,7 @@
     Gone,
 }
 
-/// One worker of the endpoint list.
+/// One worker in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct EndpointRecord {
@@ -99,7 +99,7 @@
     pub age_us: i64,
 }
 
-/// A full snapshot of the endpoint list, or what changed since an earlier version.
+/// A full snapshot of the endpoint list, or the changes since an earlier version.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct EndpointUpdate {
@@ -112,7 +112,7 @@
     /// Whether `endpoints` is the complete list; otherwise it holds only the changes since `base_version`.
     #[n(2)]
     pub is_full_snapshot: bool,
-    /// The version that changes apply to. An edge that has another one requests a full snapshot.
+    /// The version that the changes apply to. An edge with another version requests a full snapshot.
     #[n(3)]
     #[cbor(default)]
     pub base_version: u64,
@@ -146,7 +146,7 @@
     pub base_version: u64,
 }
 
-/// Decodes an [`EndpointUpdate`] up to its endpoints, which [`Encode`] writes last.
+/// Decodes an [`EndpointUpdate`] up to its endpoints, which the derived [`Encode`] writes last.
 impl<C> Decode<'_, C> for EndpointUpdateHead {
     fn decode(decoder: &mut Decoder<'_>, _: &mut C) -> Result<Self, minicbor::decode::Error> {
         let mut head = EndpointUpdateHead::default();
@@ -168,11 +168,11 @@
     }
 }
 
-/// [`FromDiscovery`] for a reader that needs the list's version and not its endpoints.
+/// [`FromDiscovery`] for a reader that needs the version of the list but not its endpoints.
 #[derive(Clone, Debug, PartialEq, Decode)]
 #[cbor(flat)]
 pub enum FromDiscoveryHead {
-    /// Greets the edge.
+    /// The first message of the discovery service.
     #[n(0)]
     Hello(#[n(0)] Hello),
     /// The head of an endpoint update.
@@ -180,7 +180,7 @@
     Endpoints(#[n(0)] EndpointUpdateHead),
 }
 
-/// A sign of life of a worker's process.
+/// A report that a worker's process is alive.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Heartbeat {
--- a/crates/sanddrum-wire/src/messages/store.rs
+++ b/crates/sanddrum-wire/src/messages/store.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum ToStore {
-    /// Fetches a function; a [`Fetched`] answers it.
+    /// Fetches a function; answered by a [`Fetched`].
     #[n(0)]
     Fetch(#[n(0)] Fetch),
 }
--- a/crates/sanddrum-wire/src/messages/worker.rs
+++ b/crates/sanddrum-wire/src/messages/worker.rs
@@ -7,22 +7,22 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum ToWorker {
-    /// Greets the worker.
+    /// The first message of the edge.
     #[n(0)]
     Hello(#[n(0)] Hello),
-    /// Executes a request; a [`Done`] answers it.
+    /// Executes a request; answered by a [`Done`].
     #[n(1)]
     Execute(#[n(0)] Execute),
-    /// Cancels an execution; nothing answers it.
+    /// Cancels an execution; not answered.
     #[n(2)]
     Cancel(#[n(0)] Cancel),
-    /// Loads instances of a function; a [`LoadDone`] answers it.
+    /// Loads instances of a function; answered by a [`LoadDone`].
     #[n(3)]
     Load(#[n(0)] Load),
-    /// Unloads idle instances of a function; nothing answers it.
+    /// Unloads idle instances of a function; not answered.
     #[n(4)]
     Unload(#[n(0)] Unload),
-    /// Checks the worker's health; a [`HealthStatus`] answers it at once, beside the queue.
+    /// Checks the worker's health; answered immediately by a [`HealthStatus`], without queueing.
     #[n(5)]
     HealthCheck(#[n(0)] HealthCheck),
 }
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[cbor(flat)]
 pub enum FromWorker {
-    /// Greets the edge.
+    /// The first message of the worker.
     #[n(0)]
     Hello(#[n(0)] Hello),
     /// Answers an [`Execute`], exactly once.
@@ -58,32 +58,33 @@
     /// The name of the function to execute.
     #[n(2)]
     pub function: String,
-    /// Microseconds from its arrival within which an answer is of use. The worker drops what has not begun by then.
+    /// Microseconds after its arrival at which the answer is no longer useful. The worker drops an execution that has
+    /// not begun by then.
     #[n(3)]
     pub time_limit_us: i64,
     /// Memory of one instance in MB (2^20 bytes).
     #[n(4)]
     pub memory_mb: f64,
-    /// Requests that one instance executes at a time.
+    /// Maximum number of requests that one instance executes at a time.
     #[n(5)]
     pub concurrency: u32,
-    /// The idempotency key. A worker that knows of an execution with this key that finished answers
-    /// [`ExecutionStatus::Finished`] and runs nothing.
+    /// The idempotency key. A worker that knows of a finished execution with this key answers
+    /// [`ExecutionStatus::Finished`] and executes nothing.
     #[n(6)]
     pub idempotency_key: Option<String>,
-    /// The client's trace id, passed through.
+    /// The client's trace id, passed through unchanged.
     #[n(7)]
     pub trace: Option<String>,
     /// The request's body.
     #[n(8)]
     #[cbor(with = "minicbor::bytes", default)]
     pub body: Vec<u8>,
-    /// The customer that the request is counted for.
+    /// The customer to which the request is attributed.
     #[n(9)]
     pub customer: Option<String>,
 }
 
-/// The edge no longer waits for an execution. The worker drops it if it has not begun.
+/// Cancels an execution that the edge no longer waits for. The worker drops it if it has not begun.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Cancel {
@@ -92,8 +93,8 @@
     pub id: u64,
 }
 
-/// A load command: at least this many instances of a function are to be loaded. Instances that are loaded or loading
-/// count, and the idle time of idle ones begins anew.
+/// A load command, which requests that at least this many instances of a function are loaded. Instances that are
+/// already loaded or loading count, and the idle time of idle ones is reset.
 #[derive(Clone, Debug, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Load {
@@ -109,7 +110,7 @@
     /// Memory of one instance in MB (2^20 bytes).
     #[n(3)]
     pub memory_mb: f64,
-    /// Requests that one instance executes at a time.
+    /// Maximum number of requests that one instance executes at a time.
     #[n(4)]
     pub concurrency: u32,
 }
@@ -184,7 +185,7 @@
     /// The instance's state when it arrived.
     #[n(2)]
     pub instance: Option<InstanceState>,
-    /// Requests for the same function that the worker held when it arrived.
+    /// Requests for the same function that the worker had in flight when it arrived.
     #[n(3)]
     pub function_in_flight: Option<u32>,
     /// The worker's load report.
@@ -194,8 +195,8 @@
     #[n(5)]
     #[cbor(with = "minicbor::bytes", default)]
     pub body: Vec<u8>,
-    /// Requests per second of this request's customer on this worker, from all edges and with this request. Each
-    /// request counts one on arrival and decays exponentially with a time constant of one second.
+    /// Requests per second of this request's customer on this worker, from all edges and including this request. Each
+    /// request counts as one on arrival and decays exponentially with a time constant of one second.
     #[n(6)]
     pub customer_rate: Option<f64>,
     /// The same rate for the requests of all customers.
@@ -240,13 +241,13 @@
     /// Requests in flight that wait for a core or an instance.
     #[n(1)]
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, 0 to 1.
+    /// Fraction of its cores that is busy, 0 to 1.
     #[n(2)]
     pub busy: Option<f64>,
-    /// Share of its memory that can't be freed, 0 to 1.
+    /// Fraction of its memory that can't be freed, 0 to 1.
     #[n(3)]
     pub memory_pinned: Option<f64>,
-    /// Loads in progress or waiting.
+    /// Loads that are in progress or waiting.
     #[n(4)]
     pub loads_in_progress: Option<f64>,
 }
--- a/crates/sanddrum-wire/src/receive_buffer.rs
+++ b/crates/sanddrum-wire/src/receive_buffer.rs
@@ -1,13 +1,13 @@
-//! The buffer that stream decoders cut complete units from.
+//! The receive buffer of stream decoders.
 
-/// Bytes received from a stream that are consumed from the front.
+/// Bytes received from a stream, which decoders consume from the front.
 ///
 /// Consumed bytes are dropped with the next [`push`](ReceiveBuffer::push), so that a slice returned by
 /// [`consume`](ReceiveBuffer::consume) borrows from the buffer instead of being copied.
 #[derive(Debug, Default)]
 pub struct ReceiveBuffer {
     bytes: Vec<u8>,
-    /// Length of the front part of `bytes` that has been consumed.
+    /// Length of the consumed part at the front of `bytes`.
     consumed: usize,
 }
 
--- a/crates/sanddrum-wire/tests/http.rs
+++ b/crates/sanddrum-wire/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 codec against complete, partial, invalid and arbitrary input.
+//! Tests of the HTTP/1.1 codec with complete, partial, invalid and arbitrary input.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -37,8 +37,8 @@
 }
 
 #[rstest]
-#[case::no_head_end(&b"GET / HTTP/1.1\r\nx: y\r\n"[..], 10, HttpError::HeadTooLarge)]
-#[case::two_lengths(
+#[case::head_without_end(&b"GET / HTTP/1.1\r\nx: y\r\n"[..], 10, HttpError::HeadTooLarge)]
+#[case::differing_lengths(
     b"POST / HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab",
     99,
     HttpError::Malformed
@@ -53,12 +53,12 @@
     99,
     HttpError::LengthRequired
 )]
-#[case::body(
+#[case::body_too_large(
     b"POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n",
     99,
     HttpError::BodyTooLarge
 )]
-#[case::endless_length(
+#[case::length_beyond_integer_range(
     b"POST / HTTP/1.1\r\ncontent-length: 99999999999999999999999\r\n\r\n",
     99,
     HttpError::BodyTooLarge
--- a/crates/sanddrum-wire/tests/worker_protocol.rs
+++ b/crates/sanddrum-wire/tests/worker_protocol.rs
@@ -1,5 +1,5 @@
-//! Frames and messages of the worker protocol: what is encoded is decoded again, arbitrary input never panics, and the
-//! encoding is the one of docs/protocol.md.
+//! Frames and messages of the worker protocol: encoded messages are decoded again, arbitrary input never panics, and
+//! the encoding matches docs/protocol.md.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -95,7 +95,7 @@
     );
 }
 
-/// The vectors of docs/protocol.md by name, read from the page itself.
+/// The test vectors of docs/protocol.md with their names, read from the page itself.
 fn documented_vectors() -> Vec<(String, Vec<u8>)> {
     let decode_hex = |hex: &str| -> Vec<u8> {
         let digits: Vec<char> = hex.chars().filter(char::is_ascii_hexdigit).collect();
@@ -112,7 +112,7 @@
         .collect()
 }
 
-/// The messages that the vectors of docs/protocol.md describe, encoded.
+/// The messages that the test vectors of docs/protocol.md describe, encoded.
 fn encoded_examples() -> Vec<(&'static str, Vec<u8>)> {
     let hello = Hello {
         version: VERSION,
