--- a/crates/sanddrum-net/src/event_loop/host.rs
+++ b/crates/sanddrum-net/src/event_loop/host.rs
@@ -13,7 +13,7 @@
     pub listeners: Vec<SourceKey>,
     pub state_writer: Option<StateWriter>,
     pub frozen: bool,
-    /// Whether the core was called since its last `process`, so that another one is due.
+    /// Whether a call to the core's `process` is due, as the core has received input since the last one.
     pub is_pending: bool,
     pub is_shutting_down: bool,
     /// Connections to reset at their next write.
--- a/crates/sanddrum-net/src/event_loop/poll.rs
+++ b/crates/sanddrum-net/src/event_loop/poll.rs
@@ -12,7 +12,7 @@
 const POLL_SLACK: Micros = 5_000;
 /// The delay after a failed poll.
 const POLL_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// The number of consecutive failed polls that are retried: for five seconds.
+/// The number of consecutive failed polls that are retried before the loop gives up, after five seconds.
 const MAX_FAILED_POLLS: u32 = 5_000;
 
 /// The times of the last two polls. Input that only the last poll found has arrived since the previous one.
--- a/crates/sanddrum-wire/src/receive_buffer.rs
+++ b/crates/sanddrum-wire/src/receive_buffer.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the memory to the allocator when all bytes have been consumed, so that the buffer of a burst does not
-    /// stay allocated for as long as the connection lives.
+    /// stay allocated for as long as the connection is open.
     pub fn release_if_empty(&mut self) {
         if self.is_empty() {
             *self = ReceiveBuffer::default();
