--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -296,7 +296,7 @@
     /// turn, which polls for input first, so that no attempt is started for a client that has disconnected meanwhile.
     /// Writes are not deferred twice in a row, because a process that is always delayed would otherwise never write.
     pub fn flush(&mut self, now: Micros, io: &mut dyn Io) {
-        self.are_writes_deferred = !self.are_writes_deferred && io.is_delayed();
+        self.are_writes_deferred = !self.are_writes_deferred && io.is_poll_overdue();
         if self.are_writes_deferred {
             return;
         }
