--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -1,5 +1,5 @@
-//! Customer limits and the clients' retry budget, between the listeners and the decision module. The policies themselves
-//! are those of `sanddrum-limits`.
+//! Admission of new requests: applies the retry budget and the customer quotas of `sanddrum-limits` before a request
+//! reaches the decision module.
 
 use crate::requests::PendingRequest;
 use sanddrum::{CustomerId, Micros, Request, RequestId, WorkerId};
@@ -10,19 +10,19 @@
 use sanddrum_settings::LoadedSettings;
 use std::collections::BTreeMap;
 
-/// What was decided for a request.
+/// The admission decision for a request.
 pub(crate) struct AdmissionDecision {
     /// The request.
     pub request: Request,
-    /// Whether it is admitted.
+    /// `Ok` if it is admitted.
     pub result: Result<(), Rejection>,
 }
 
-/// Decisions in the order in which they were made.
+/// Collects the decisions of a policy in order.
 #[derive(Default)]
-struct Verdicts(Vec<(RequestId, Result<(), Rejection>)>);
+struct AdmissionResults(Vec<(RequestId, Result<(), Rejection>)>);
 
-impl Decisions for Verdicts {
+impl Decisions for AdmissionResults {
     fn admit(&mut self, request: RequestId) {
         self.0.push((request, Ok(())));
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// The policies, and the requests that wait to be admitted.
+/// The admission policies and the requests that await a decision.
 pub(crate) struct Admission {
     quotas: QuotaPolicy,
     retry_budget: RetryBudget,
@@ -41,7 +41,7 @@
 }
 
 impl Admission {
-    /// The policies as set.
+    /// Creates the policies from the settings.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
         let settings = settings.values_for_module();
         Admission {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether a request waits to be admitted.
+    /// Whether any request awaits a decision.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -62,24 +62,24 @@
         self.quotas.is_active()
     }
 
-    /// Adds a request that is to be admitted.
+    /// Adds a request to decide on.
     pub fn submit(&mut self, request: Request) {
         self.pending.insert(request.id, request);
     }
 
-    /// A request was closed.
+    /// Records that a request was closed. It no longer counts against its customer's limits.
     pub fn request_closed(&mut self, request: &PendingRequest) {
         if request.is_admitted {
-            self.events.finished.push(request.call.customer_id);
+            self.events.finished.push(request.spec.customer_id);
         }
     }
 
-    /// An attempt of a customer's request was dispatched.
+    /// Records that an attempt of a customer's request was dispatched.
     pub fn attempt_dispatched(&mut self, customer: CustomerId, worker: WorkerId) {
         self.events.dispatched.push(Dispatch { customer, worker });
     }
 
-    /// A worker reported the rate of a customer's requests and of all, in requests per second.
+    /// Records the request rates that a worker reported, of one customer and of all, in requests per second.
     pub fn rates_reported(&mut self, customer: CustomerId, customer_rate: f64, total_rate: f64) {
         self.events.reported_rates.push(ReportedRates {
             customer,
@@ -88,46 +88,50 @@
         });
     }
 
-    /// The decision module rejected a request.
+    /// Records that the decision module rejected a request.
     pub fn request_rejected(&mut self) {
         self.events.rejected += 1;
     }
 
-    /// Decides on all pending requests. Those whose client has disconnected meanwhile are dropped.
+    /// Decides on all pending requests. Requests that are no longer open are dropped.
     pub fn decide(
         &mut self,
         now: Micros,
         is_open: impl Fn(RequestId) -> bool,
     ) -> Vec<AdmissionDecision> {
-        let screened = self.screen_retries(now, is_open);
-        let verdicts = self.apply_quotas(now, screened);
+        let within_budget = self.apply_retry_budget(now, is_open);
+        let results = self.apply_quotas(now, within_budget);
         let mut pending = std::mem::take(&mut self.pending);
         let decision = |(id, result)| {
             let request = pending.remove(&id)?;
             Some(AdmissionDecision { request, result })
         };
-        verdicts.0.into_iter().filter_map(decision).collect()
+        results.0.into_iter().filter_map(decision).collect()
     }
 
-    /// Retries come first, as one that is rejected here must not count for its customer.
-    fn screen_retries(&mut self, now: Micros, is_open: impl Fn(RequestId) -> bool) -> Verdicts {
+    /// Applied before the quotas, as a retry rejected here must not count against its customer's quota.
+    fn apply_retry_budget(
+        &mut self,
+        now: Micros,
+        is_open: impl Fn(RequestId) -> bool,
+    ) -> AdmissionResults {
         let open = self.pending.values().filter(|request| is_open(request.id));
         let events = RetryEvents {
             requests: open.map(client_request).collect(),
             rejected: self.events.rejected,
         };
-        let mut verdicts = Verdicts::default();
-        self.retry_budget.handle(now, &events, &mut verdicts);
-        verdicts
+        let mut results = AdmissionResults::default();
+        self.retry_budget.handle(now, &events, &mut results);
+        results
     }
 
-    fn apply_quotas(&mut self, now: Micros, screened: Verdicts) -> Verdicts {
+    fn apply_quotas(&mut self, now: Micros, within_budget: AdmissionResults) -> AdmissionResults {
         let mut events = std::mem::take(&mut self.events);
         if !self.is_limited() {
-            return screened;
+            return within_budget;
         }
-        let mut verdicts = Verdicts::default();
-        for (id, result) in screened.0 {
+        let mut results = AdmissionResults::default();
+        for (id, result) in within_budget.0 {
             let Some(request) = self.pending.get(&id) else {
                 continue;
             };
@@ -136,11 +140,11 @@
                     request: id,
                     customer: request.customer,
                 }),
-                Err(rejection) => verdicts.0.push((id, Err(rejection))),
+                Err(rejection) => results.0.push((id, Err(rejection))),
             }
         }
-        self.quotas.handle(now, &events, &mut verdicts);
-        verdicts
+        self.quotas.handle(now, &events, &mut results);
+        results
     }
 }
 
--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -283,7 +283,7 @@
                 Timer::LoadTimeout(id) => self.load_timed_out(now, id),
                 Timer::HealthCheckTimeout(id) => self.health_check_timed_out(now, id),
                 Timer::WorkerConnection(id) => self.check_worker_connection(now, id, io),
-                Timer::PartialWrite(id, attempt) => self.end_partial_write(now, id, attempt, io),
+                Timer::PartialWrite(id, attempt) => self.reset_partial_write(now, id, attempt, io),
                 Timer::ClientConnection(conn) => self.check_client(now, conn, io),
                 Timer::Discovery => self.check_discovery(now, io),
                 Timer::SaveState => self.save_state_as_scheduled(now, io),
--- a/crates/sanddrum-edge/src/edge_state/admission.rs
+++ b/crates/sanddrum-edge/src/edge_state/admission.rs
@@ -1,4 +1,4 @@
-//! From the listeners to the decision module by way of the customer limits.
+//! Passes accepted requests through admission to the decision module.
 
 use super::EdgeState;
 use crate::admission::AdmissionDecision;
@@ -7,7 +7,7 @@
 use sanddrum_limits::{RejectReason, Rejection};
 
 impl EdgeState {
-    /// Decides on all requests that were accepted since the last time. Admitted ones go to the decision module.
+    /// Decides on all requests accepted since the last run. Admitted ones are added to the decision module's next batch.
     pub fn run_admission(&mut self, now: Micros) {
         let is_limited = self.admission.is_limited();
         let requests = &self.requests;
--- a/crates/sanddrum-edge/src/edge_state/attempts.rs
+++ b/crates/sanddrum-edge/src/edge_state/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: dispatched to a worker, then ended with exactly one outcome.
+//! The lifecycle of an attempt: it is dispatched to a worker and ends with exactly one outcome.
 
 use super::EdgeState;
 use crate::event_counts::CountedEvent;
@@ -13,17 +13,17 @@
 use sanddrum_upstream::WorkerConnectionId;
 use sanddrum_wire::{self as wire, Done, ExecutionStatus, InstanceState};
 
-/// How an attempt ended.
+/// The result of an attempt, as reported to the decision module.
 pub(super) struct AttemptOutcome {
     outcome: Outcome,
     warmth: Warmth,
-    /// Requests of the same function at the worker, where it reports them.
+    /// Requests of the same function in flight at the worker, if it reports them.
     function_in_flight: Option<u32>,
     report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptOutcome {
-    /// The end of an attempt that was not answered.
+    /// Creates the result of an attempt without an answer.
     fn from(outcome: Outcome) -> Self {
         AttemptOutcome {
             outcome,
@@ -51,7 +51,7 @@
         ExecutionStatus::Error => Outcome::Error,
         ExecutionStatus::Rejected => Outcome::Rejected,
         ExecutionStatus::ColdMiss => Outcome::ColdMiss,
-        // It was dropped before it began.
+        // The worker dropped it before execution began.
         ExecutionStatus::Dropped => Outcome::CancelledBeforeStart,
     }
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// A worker's load report as the decision module sees it.
+/// Converts a worker's load report for the decision module.
 pub(super) fn load_report(report: &wire::LoadReport) -> LoadReport {
     LoadReport {
         in_flight: report.in_flight,
@@ -77,31 +77,31 @@
     }
 }
 
-/// The message that has a worker execute an attempt within a time limit.
+/// Builds the message that makes a worker execute an attempt within a time limit.
 fn execute_message(
     functions: &Functions,
     request: &PendingRequest,
     attempt: AttemptId,
     time_limit: Micros,
 ) -> wire::Execute {
-    let call = &request.call;
-    let function = functions.get(call.function);
+    let spec = &request.spec;
+    let function = functions.get(spec.function);
     wire::Execute {
         id: attempt.0,
-        workload: functions.workload_name(call.workload).to_string(),
+        workload: functions.workload_name(spec.workload).to_string(),
         function: function.map_or_else(String::new, |function| function.name.clone()),
         time_limit_us: time_limit,
         memory_mb: function.map_or(0.0, |function| function.spec.memory_mb),
         concurrency: function.map_or(1, |function| function.spec.concurrency),
-        idempotency_key: call.idempotency_key.clone(),
-        trace: call.trace.clone(),
-        body: call.body.clone(),
-        customer: call.customer.clone(),
+        idempotency_key: spec.idempotency_key.clone(),
+        trace: spec.trace.clone(),
+        body: spec.body.clone(),
+        customer: spec.customer.clone(),
     }
 }
 
 impl EdgeState {
-    /// Dispatches a further attempt of a request.
+    /// Dispatches the next attempt of a request.
     pub(super) fn dispatch_attempt(
         &mut self,
         now: Micros,
@@ -115,10 +115,10 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let customer = request.call.customer_id;
-        let call_id = request.call.call_id;
-        let retry_after = request.last_outcome.map(outcome_label);
-        if let Some(reason) = retry_after {
+        let customer = request.spec.customer_id;
+        let call_id = request.spec.call_id;
+        let previous_outcome = request.last_outcome.map(outcome_label);
+        if let Some(reason) = previous_outcome {
             self.context.counts.record(CountedEvent::Retried, reason);
         }
         let time_limit = time_limit.min(request.deadline - now).max(0);
@@ -138,7 +138,7 @@
             request = id.0,
             call = %format_args!("{call_id:016x}"),
             attempt = index,
-            retry_after,
+            retry_after = previous_outcome,
             worker = self.worker_connections.worker_name(worker),
             limit_us = time_limit,
             "attempt dispatched"
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Queues an attempt for a worker, or returns the outcome where it was not sent.
+    /// Queues an attempt for a worker. The error is the outcome of an attempt that was not queued.
     fn send_attempt(
         &mut self,
         now: Micros,
@@ -167,7 +167,7 @@
             .get_open(id)
             .ok_or(Outcome::CancelledBeforeStart)?;
         let protocol = self.worker_connections.protocol();
-        let call_id = request.call.call_id;
+        let call_id = request.spec.call_id;
         let execute = execute_message(&self.functions, request, attempt, time_limit);
         let message = OutboundMessage {
             key: MessageKey::Attempt(attempt),
@@ -184,7 +184,7 @@
             .map_err(|error| error.outcome())
     }
 
-    /// Encodes an attempt that is not written yet with the time limit that is left by now.
+    /// Re-encodes an attempt that is not written yet with its remaining time limit.
     pub(super) fn refresh_time_limit(
         &mut self,
         now: Micros,
@@ -200,14 +200,14 @@
         let time_left = (attempt.deadline - now).max(0);
         let message = execute_message(&self.functions, request, id, time_left);
         let protocol = self.worker_connections.protocol();
-        let bytes = protocol.execute(message, request.call.call_id);
+        let bytes = protocol.execute(message, request.spec.call_id);
         self.requests.set_deadline_encoded_at(id, now);
         let key = MessageKey::Attempt(id);
         self.worker_connections
             .replace_unwritten(connection, key, &bytes);
     }
 
-    /// A worker has answered an attempt.
+    /// Handles a worker's answer to an attempt.
     pub(super) fn attempt_answered(
         &mut self,
         now: Micros,
@@ -220,19 +220,20 @@
             .attempt(id)
             .filter(|attempt| attempt.connection == Some(connection));
         let Some(attempt) = attempt else {
-            // Answered after a timeout or a cancellation, twice, or never sent: it changes nothing any more.
+            // A duplicate answer, one that came after a timeout or a cancellation, or one to an attempt that was never
+            // sent on this connection.
             self.context.metrics.unmatched_answers.increment(1);
             tracing::debug!(
                 attempt = done.id,
                 reason = "stray-answer",
-                "answer without a waiting attempt"
+                "unmatched answer ignored"
             );
             return;
         };
         let request = attempt.request;
         if let (Some(customer_rate), Some(total_rate)) = (done.customer_rate, done.total_rate) {
             if let Some(pending) = self.requests.get(request) {
-                let customer = pending.call.customer_id;
+                let customer = pending.spec.customer_id;
                 self.admission
                     .rates_reported(customer, customer_rate, total_rate);
             }
@@ -244,7 +245,7 @@
         self.finish_attempt(now, id, end);
     }
 
-    /// An attempt has ended; the decision module is notified once.
+    /// Ends an attempt and reports its result to the decision module, once.
     pub(super) fn finish_attempt(&mut self, now: Micros, id: AttemptId, end: AttemptOutcome) {
         let Some(attempt) = self.requests.remove_attempt(id) else {
             return;
@@ -286,8 +287,8 @@
         });
     }
 
-    /// An attempt was not answered within its time limit. One that was never written has not run and is retracted. On the
-    /// platform's protocol it is cancelled; native workers have its time limit.
+    /// Ends an attempt that was not answered within its time limit. An unwritten attempt is retracted and has not run. A
+    /// written one is cancelled on the platform's protocol; native workers enforce the time limit themselves.
     pub(super) fn attempt_timed_out(&mut self, now: Micros, id: AttemptId) {
         let Some(connection) = self.requests.connection_of(id) else {
             return;
@@ -302,7 +303,7 @@
         self.finish_attempt(now, id, Outcome::TimedOut.into());
     }
 
-    /// The decision module stops waiting for an attempt.
+    /// Cancels an attempt on behalf of the decision module.
     pub(super) fn cancel_attempt(&mut self, now: Micros, request: RequestId, index: usize) {
         let Some(id) = self.requests.attempt_at(request, index) else {
             return;
@@ -318,7 +319,7 @@
         self.finish_attempt(now, id, Outcome::Cancelled.into());
     }
 
-    /// Has a worker drop an attempt, behind all that was sent to it before.
+    /// Queues a cancellation of an attempt to its worker, after all earlier messages.
     fn send_cancel(&mut self, connection: WorkerConnectionId, id: AttemptId) {
         let Some(attempt) = self.requests.attempt(id) else {
             return;
@@ -327,7 +328,7 @@
             return;
         };
         let protocol = self.worker_connections.protocol();
-        let bytes = protocol.cancel(id, request.call.call_id);
+        let bytes = protocol.cancel(id, request.spec.call_id);
         self.worker_connections.send_cancel(connection, &bytes);
     }
 }
--- a/crates/sanddrum-edge/src/edge_state/clients.rs
+++ b/crates/sanddrum-edge/src/edge_state/clients.rs
@@ -1,4 +1,4 @@
-//! Events of clients' connections, for either listener.
+//! Events of client connections, for both listeners.
 
 use super::EdgeState;
 use crate::invariants::CloseReason;
@@ -9,7 +9,7 @@
 use sanddrum_upstream::{ClientConnectionId, OutdatedConnection, RotationRequest};
 
 impl EdgeState {
-    /// A client has connected.
+    /// Accepts a client connection, or resets it if the limit is reached and no connection can be evicted.
     pub(super) fn accept_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         if !self.evict_at_limit(now, io) {
             if !self.is_on_platform() {
@@ -24,7 +24,7 @@
         self.http.accept(&mut self.context, now, conn);
     }
 
-    /// Closes an idle connection where as many are open as may be. Returns whether there is room for one more.
+    /// Closes an idle connection if the limit is reached. Returns whether another connection can be accepted.
     fn evict_at_limit(&mut self, now: Micros, io: &mut dyn Io) -> bool {
         let limits = &self.context.limits;
         let (max_clients, first_request_timeout) =
@@ -56,7 +56,7 @@
         true
     }
 
-    /// A client's connection is closed; nobody waits for its requests any more.
+    /// Handles a closed client connection and cancels its open requests.
     pub(super) fn client_closed(&mut self, now: Micros, closed: Option<ClosedClient>) {
         let Some(ClosedClient { conn, cancelled }) = closed else {
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// An event of a client's connection.
+    /// Handles an event of a client connection.
     pub(super) fn on_client_event(
         &mut self,
         now: Micros,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// The credentials of a client's connection have changed since its handshake; denied, nothing new is accepted on it.
+    /// Handles a change of credentials since the handshake of a client connection. If its certificate was denied, no new
+    /// requests are authorized on it.
     pub(super) fn client_credentials_changed(
         &mut self,
         now: Micros,
@@ -116,13 +117,13 @@
         }
     }
 
-    /// The connection policy has a client's connection replaced.
+    /// Retires a client connection on behalf of the connection policy.
     pub(super) fn retire_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let closed = self.http.retire(&mut self.context, conn, io);
         self.client_closed(now, closed);
     }
 
-    /// Closes a client's connection that is idle, slow or does not read.
+    /// Runs the timeout check of a client connection.
     pub(super) fn check_client(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let closed = if self.is_on_platform() {
             self.fastcgi.check(&mut self.context, now, conn, io)
@@ -132,7 +133,7 @@
         self.client_closed(now, closed);
     }
 
-    /// Sends a client the final response to one of its requests.
+    /// Queues the final response to a request.
     pub(super) fn respond(&mut self, conn: ConnectionId, slot: u64, response: &FinalResponse<'_>) {
         if self.is_on_platform() {
             self.respond_fastcgi(conn, slot, response);
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Writes what is queued for clients.
+    /// Writes queued responses to clients.
     pub(super) fn flush_clients(&mut self, now: Micros, io: &mut dyn Io) {
         self.flush_http(now, io);
         for closed in self.fastcgi.flush(&mut self.context, now, io) {
--- a/crates/sanddrum-edge/src/edge_state/dispatcher.rs
+++ b/crates/sanddrum-edge/src/edge_state/dispatcher.rs
@@ -1,16 +1,16 @@
-//! Carries out the decisions of the decision module as it makes them.
+//! Executes the decisions of the decision module as it makes them.
 
 use super::EdgeState;
 use sanddrum::{AnswerReason, Decisions, FunctionId, Micros, PeerId, RequestId, WorkerId};
 
-/// Receives the decisions of one run.
+/// Executes the decisions of one run.
 pub(crate) struct Dispatcher<'a> {
     state: &'a mut EdgeState,
     now: Micros,
 }
 
 impl<'a> Dispatcher<'a> {
-    /// A dispatcher for a run at this instant.
+    /// Creates a dispatcher for a run at `now`.
     pub fn new(state: &'a mut EdgeState, now: Micros) -> Self {
         Dispatcher { state, now }
     }
@@ -51,7 +51,7 @@
     }
 
     fn gossip(&mut self, _: Option<PeerId>, _: &[u8]) {
-        // Edges have no connections to each other; the settings never allow gossip.
+        // Edges have no connections to each other, and their settings never enable gossip.
     }
 
     fn wake_at(&mut self, at: Micros) {
@@ -60,6 +60,6 @@
     }
 
     fn log(&mut self, text: &str) {
-        tracing::info!(note = text, "decision module");
+        tracing::info!(note = text, "note from the decision module");
     }
 }
--- a/crates/sanddrum-edge/src/edge_state/fastcgi.rs
+++ b/crates/sanddrum-edge/src/edge_state/fastcgi.rs
@@ -1,22 +1,22 @@
-//! Requests of web servers.
+//! Requests from web servers over FastCGI.
 
 use super::EdgeState;
 use crate::arrival_time;
 use crate::fastcgi_listener::{
-    encode_error, encode_health, encode_success, CallParams, FastCgiEvent,
+    encode_error, encode_health, encode_success, FastCgiEvent, RequestParams,
 };
-use crate::requests::Call;
-use crate::responses::{CallError, ErrorKind, FinalResponse};
+use crate::requests::RequestSpec;
+use crate::responses::{ErrorKind, FinalResponse, RequestError};
 use sanddrum::Micros;
 use sanddrum_fastcgi::Request;
 use sanddrum_net::{ConnectionId, Io};
 
-/// An edge that has no endpoint list and can't reach the feed is ready all the same after half of the ten seconds within
-/// which nine in ten have to be: it answers, if only that clients are to retry.
+/// An edge without an endpoint list reports ready after this time, even if it can't reach the control feed: it answers
+/// requests, if only by asking clients to retry. This is half of the 10 s within which 9 of 10 edges have to be ready.
 const READY_WITHOUT_LIST_AFTER: Micros = 5_000_000;
 
 impl EdgeState {
-    /// Bytes were received on a web server's connection.
+    /// Handles bytes received on a FastCGI connection.
     pub(super) fn receive_fastcgi(
         &mut self,
         now: Micros,
@@ -41,7 +41,7 @@
         self.fastcgi.limit_partial_bytes(&mut self.context, conn);
     }
 
-    /// Answers a request at once, or accepts it. Its client's time counts from `received_at`.
+    /// Answers a request at once, or accepts it. Its time limit counts from `received_at`.
     fn handle_fastcgi_request(
         &mut self,
         now: Micros,
@@ -54,13 +54,13 @@
             let response = encode_health(id, self.is_ready(now));
             return self.fastcgi.respond(&mut self.context, conn, id, &response);
         }
-        match self.accept_fastcgi_call(now, request) {
-            Ok(mut call) => {
-                call.time_limit = (call.time_limit - (now - received_at)).max(1);
-                let request = self.accept_request(now, conn, u64::from(id), call);
+        match self.validate_fastcgi_request(now, request) {
+            Ok(mut spec) => {
+                spec.time_limit = (spec.time_limit - (now - received_at)).max(1);
+                let request = self.accept_request(now, conn, u64::from(id), spec);
                 self.fastcgi.request_accepted(conn, id, request);
             }
-            Err(error) => self.reject_fastcgi_call(conn, id, &error),
+            Err(error) => self.reject_fastcgi_request(conn, id, &error),
         }
     }
 
@@ -68,7 +68,7 @@
         !self.endpoints.is_empty() || now >= self.started_at + READY_WITHOUT_LIST_AFTER
     }
 
-    fn reject_fastcgi_call(&mut self, conn: ConnectionId, id: u16, error: &CallError) {
+    fn reject_fastcgi_request(&mut self, conn: ConnectionId, id: u16, error: &RequestError) {
         let (kind, retry_after) = match error.status {
             503 => (
                 ErrorKind::Rejected,
@@ -83,17 +83,21 @@
         self.fastcgi.respond(&mut self.context, conn, id, &response);
     }
 
-    /// The call that a request makes, if the edge has capacity for it.
-    fn accept_fastcgi_call(&mut self, now: Micros, request: Request) -> Result<Call, CallError> {
+    /// Validates a request and checks that the edge has capacity for it.
+    fn validate_fastcgi_request(
+        &mut self,
+        now: Micros,
+        request: Request,
+    ) -> Result<RequestSpec, RequestError> {
         let limits = &self.context.limits;
-        let params = CallParams::parse(&request, &self.functions, limits)?;
-        if self.requests.is_call_open(params.call_id) {
+        let params = RequestParams::parse(&request, &self.functions, limits)?;
+        if self.requests.is_call_id_open(params.call_id) {
             let detail = "a call of this id is open";
-            return Err(CallError::new(409, "call-open", detail));
+            return Err(RequestError::new(409, "call-open", detail));
         }
         self.check_capacity(request.body.len())?;
         let limits = &self.context.limits;
-        let function = self.functions.observe(
+        let function = self.functions.upsert(
             now,
             params.function,
             params.workload,
@@ -102,44 +106,44 @@
         );
         let Some(function) = function else {
             self.context.metrics.record_limit_hit("max-functions");
-            return Err(CallError::too_many_functions());
+            return Err(RequestError::too_many_functions());
         };
-        Ok(Call {
+        Ok(RequestSpec {
             call_id: params.call_id,
             workload: params.workload,
             function,
             memory_mb: params.memory_mb,
             concurrency: params.concurrency,
             load_time: params.load_time,
-            time_limit: (params.patience - limits.response_lead_time).max(1),
+            time_limit: (params.time_limit - limits.response_lead_time).max(1),
             idempotency_key: params.idempotency_key,
             body: request.body,
-            ..Call::default()
+            ..RequestSpec::default()
         })
     }
 
-    fn check_capacity(&self, body_bytes: usize) -> Result<(), CallError> {
+    fn check_capacity(&self, body_bytes: usize) -> Result<(), RequestError> {
         let limits = &self.context.limits;
         if self.requests.open_count() >= limits.max_open_requests {
             self.context.metrics.record_limit_hit("max-open");
-            return Err(CallError::too_many_requests());
+            return Err(RequestError::too_many_requests());
         }
         if self.requests.body_bytes() + body_bytes > limits.max_buffered_body_bytes {
             self.context.metrics.record_limit_hit("held-bodies");
             let detail = "this edge holds as much as it may; nothing was done";
-            return Err(CallError::new(503, "held-bodies", detail));
+            return Err(RequestError::new(503, "held-bodies", detail));
         }
         Ok(())
     }
 
-    /// Sends a web server the final response to one of its requests.
+    /// Queues the final response to a FastCGI request.
     pub(super) fn respond_fastcgi(
         &mut self,
         conn: ConnectionId,
         slot: u64,
         response: &FinalResponse<'_>,
     ) {
-        // The slot is the request's FastCGI id.
+        // The slot of a FastCGI request is its FastCGI id.
         let id = slot as u16;
         if !self.fastcgi.take_open_request(conn, id) {
             return;
--- a/crates/sanddrum-edge/src/edge_state/http.rs
+++ b/crates/sanddrum-edge/src/edge_state/http.rs
@@ -1,11 +1,11 @@
-//! Requests of HTTP clients.
+//! Requests from HTTP clients.
 
 use super::EdgeState;
 use crate::functions::{FunctionLookupError, FunctionSpec};
-use crate::http_listener::Flushed;
+use crate::http_listener::FlushResult;
 use crate::identity::CallTarget;
-use crate::requests::Call;
-use crate::responses::{CallError, ErrorKind};
+use crate::requests::RequestSpec;
+use crate::responses::{ErrorKind, RequestError};
 use sanddrum::{CustomerId, FunctionId, Micros, RequestId, WorkloadId};
 use sanddrum_net::{ConnectionId, Io};
 use sanddrum_wire::http::{self, Request};
@@ -13,15 +13,15 @@
 const MICROS_PER_MILLI: Micros = 1_000;
 const MAX_FIELD_VALUE: i64 = 1_000_000_000_000;
 
-/// The function that a call names.
-struct CalledFunction {
+/// The function that a request names.
+struct RequestedFunction {
     id: FunctionId,
     workload: WorkloadId,
     spec: FunctionSpec,
 }
 
 impl EdgeState {
-    /// Bytes were received on an HTTP client's connection.
+    /// Handles bytes received on an HTTP connection.
     pub(super) fn receive_http(
         &mut self,
         now: Micros,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Writes what is queued for HTTP clients, and reads requests that waited for their responses to be written.
+    /// Writes queued responses to HTTP clients, and processes received requests that waited for pipeline capacity.
     pub(super) fn flush_http(&mut self, now: Micros, io: &mut dyn Io) {
         while let Some(conn) = self.http.next_dirty() {
             match self.http.flush(&mut self.context, now, conn, io) {
-                Flushed::Done => {}
-                Flushed::Closed(closed) => self.client_closed(now, Some(closed)),
-                Flushed::ReadOn(conn) => self.read_http_requests(now, conn, io),
+                FlushResult::Done => {}
+                FlushResult::Closed(closed) => self.client_closed(now, Some(closed)),
+                FlushResult::ResumeReading(conn) => self.read_http_requests(now, conn, io),
             }
         }
     }
@@ -65,9 +65,9 @@
         let response = match (request.method.as_str(), path) {
             ("GET", "/metrics") => self.metrics_response(keep_alive),
             ("GET", "/health") => self.health_response(keep_alive),
-            _ => match self.accept_http_call(now, conn, &request, path, io) {
-                Ok(call) => return self.accept_http_request(now, conn, request, call, keep_alive),
-                Err(error) => return self.reject_http_call(conn, &error, keep_alive),
+            _ => match self.validate_http_request(now, conn, &request, path, io) {
+                Ok(spec) => return self.accept_http_request(now, conn, request, spec, keep_alive),
+                Err(error) => return self.reject_http_request(conn, &error, keep_alive),
             },
         };
         self.http.push_response(conn, response, keep_alive);
@@ -80,7 +80,8 @@
         http::encode_response(200, &fields, body.as_bytes(), keep_alive)
     }
 
-    /// An edge that knows no worker can only reject: clients are better served elsewhere.
+    /// An edge without an endpoint list can only reject requests, so it reports that it is not ready and clients can use
+    /// another one.
     fn health_response(&self, keep_alive: bool) -> Vec<u8> {
         let (status, text) = if self.discovery.is_healthy() {
             (200, "ok\n".to_string())
@@ -97,18 +98,18 @@
         now: Micros,
         conn: ConnectionId,
         request: Request,
-        mut call: Call,
+        mut spec: RequestSpec,
         keep_alive: bool,
     ) {
-        call.body = request.body;
+        spec.body = request.body;
         let slot = self.http.next_slot(conn).unwrap_or_default();
-        let request: RequestId = self.accept_request(now, conn, slot, call);
+        let request: RequestId = self.accept_request(now, conn, slot, spec);
         self.http.push_pending(conn, request, keep_alive);
     }
 
-    fn reject_http_call(&mut self, conn: ConnectionId, error: &CallError, keep_alive: bool) {
+    fn reject_http_request(&mut self, conn: ConnectionId, error: &RequestError, keep_alive: bool) {
         let (status, reason) = (error.status, error.reason);
-        // A call that was not authorized has not run either, and is rejected as one over a limit is.
+        // An unauthorized request has not run, so it counts as rejected, like a request over a limit.
         let kind = match status {
             401 | 403 | 503 => ErrorKind::Rejected,
             _ => ErrorKind::Invalid,
@@ -124,21 +125,23 @@
         self.http.push_response(conn, response, keep_alive);
     }
 
-    /// The call that a request makes, all but its body, if it is authorized and the edge has capacity for it.
-    fn accept_http_call(
+    /// Validates and authorizes a request, and checks that the edge has capacity for it. The body is left empty.
+    fn validate_http_request(
         &mut self,
         now: Micros,
         conn: ConnectionId,
         request: &Request,
         path: &str,
         io: &mut dyn Io,
-    ) -> Result<Call, CallError> {
+    ) -> Result<RequestSpec, RequestError> {
         let target = call_target(request, path)?;
-        self.check_accepts_calls()?;
+        self.check_accepts_requests()?;
         let customer = self
             .identity
             .authorize(now, conn, request, target, io)
-            .map_err(|error| CallError::new(error.status(), error.reason(), error.to_string()))?;
+            .map_err(|error| {
+                RequestError::new(error.status(), error.reason(), error.to_string())
+            })?;
         let time_limit = number_field(request, "sanddrum-time-limit-ms")?;
         let expected_work = number_field(request, "sanddrum-work-us")?;
         let is_retry = number_field(request, "sanddrum-repeat")?.is_some_and(|count| count > 0);
@@ -146,10 +149,10 @@
         let longest = self.functions.time_limit(function.workload);
         let requested = time_limit.map_or(longest, |millis| millis * MICROS_PER_MILLI);
         let Some(read_delay) = self.http.read_delay(now, conn) else {
-            return Err(CallError::new(400, "client-left", "its client has left"));
+            return Err(RequestError::new(400, "client-left", "its client has left"));
         };
         let field = |name: &str| request.field(name).map(String::from);
-        Ok(Call {
+        Ok(RequestSpec {
             call_id: 0,
             workload: function.workload,
             function: function.id,
@@ -169,42 +172,42 @@
         })
     }
 
-    fn check_accepts_calls(&self) -> Result<(), CallError> {
+    fn check_accepts_requests(&self) -> Result<(), RequestError> {
         if self.shutdown.is_requested() {
             let detail = "this edge ends; nothing was done, ask another one";
-            return Err(CallError::new(503, "stopping", detail));
+            return Err(RequestError::new(503, "stopping", detail));
         }
         if self.requests.open_count() >= self.context.limits.max_open_requests {
-            return Err(CallError::too_many_requests());
+            return Err(RequestError::too_many_requests());
         }
         Ok(())
     }
 
-    fn find_function(&mut self, target: CallTarget<'_>) -> Result<CalledFunction, CallError> {
+    fn find_function(&mut self, target: CallTarget<'_>) -> Result<RequestedFunction, RequestError> {
         let CallTarget { workload, function } = target;
         let max_functions = self.context.limits.max_functions;
         let found = self.functions.find(workload, function, max_functions);
         let (id, function) = found.map_err(|error| match error {
-            FunctionLookupError::UnknownWorkload => CallError::new(
+            FunctionLookupError::UnknownWorkload => RequestError::new(
                 404,
                 "no-such-workload",
                 format!("no workload {workload:?} is set here"),
             ),
-            FunctionLookupError::UnknownFunction => CallError::new(
+            FunctionLookupError::UnknownFunction => RequestError::new(
                 404,
                 "no-such-function",
                 format!("no function {function:?} is set for it"),
             ),
-            FunctionLookupError::TooManyFunctions => CallError::too_many_functions(),
+            FunctionLookupError::TooManyFunctions => RequestError::too_many_functions(),
         })?;
-        Ok(CalledFunction {
+        Ok(RequestedFunction {
             id,
             workload: function.workload,
             spec: function.spec,
         })
     }
 
-    /// The place of a customer in the settings; behind the last one where it is not set.
+    /// The index of a customer in the settings; the number of customers if it is unknown.
     fn customer_id(&self, customer: Option<&str>) -> CustomerId {
         let mut names = self.customers.iter();
         let position = names.position(|name| name.as_deref() == customer);
@@ -212,24 +215,24 @@
     }
 }
 
-/// The function that a request calls, by its path.
-fn call_target<'a>(request: &Request, path: &'a str) -> Result<CallTarget<'a>, CallError> {
+/// Parses the workload and function from the path of a request.
+fn call_target<'a>(request: &Request, path: &'a str) -> Result<CallTarget<'a>, RequestError> {
     let (workload, function) = path
         .strip_prefix("/v1/calls/")
         .and_then(|names| names.split_once('/'))
         .filter(|(_, function)| !function.is_empty() && !function.contains('/'))
         .ok_or_else(|| {
             let detail = "calls go to POST /v1/calls/{workload}/{function}";
-            CallError::new(404, "no-such-path", detail)
+            RequestError::new(404, "no-such-path", detail)
         })?;
     if request.method != "POST" {
-        return Err(CallError::new(405, "method", "calls are made with POST"));
+        return Err(RequestError::new(405, "method", "calls are made with POST"));
     }
     Ok(CallTarget { workload, function })
 }
 
-/// A field with a whole number, if the request has it.
-fn number_field(request: &Request, name: &'static str) -> Result<Option<i64>, CallError> {
+/// Parses a header field with a non-negative integer, if the request has it.
+fn number_field(request: &Request, name: &'static str) -> Result<Option<i64>, RequestError> {
     let Some(text) = request.field(name) else {
         return Ok(None);
     };
@@ -237,5 +240,7 @@
     value
         .filter(|value| (0..=MAX_FIELD_VALUE).contains(value))
         .map(Some)
-        .ok_or_else(|| CallError::bad_field(format!("{name}: a whole number from 0 on is wanted")))
+        .ok_or_else(|| {
+            RequestError::bad_field(format!("{name}: a whole number from 0 on is wanted"))
+        })
 }
--- a/crates/sanddrum-edge/src/edge_state/requests.rs
+++ b/crates/sanddrum-edge/src/edge_state/requests.rs
@@ -1,52 +1,52 @@
-//! The life of a request: accepted, then closed with exactly one final response or cancelled by its client.
+//! The lifecycle of a request: it is accepted, then closed by exactly one final response or by its client's cancellation.
 
 use super::EdgeState;
 use crate::event_counts::CountedEvent;
 use crate::message::{AttemptId, MessageKey};
-use crate::requests::{Call, PendingRequest};
+use crate::requests::{PendingRequest, RequestSpec};
 use crate::responses::{ErrorKind, ErrorResponse, FinalResponse};
 use sanddrum::{AnswerReason, Micros, Outcome, RequestId, Warmth};
 use sanddrum_net::ConnectionId;
 
 impl EdgeState {
-    /// Accepts a call as a request, whatever protocol it came by. During the shutdown it has no longer than that.
+    /// Accepts a validated request. During a shutdown its deadline is at most that of the shutdown.
     pub(super) fn accept_request(
         &mut self,
         now: Micros,
         client: ConnectionId,
         slot: u64,
-        call: Call,
+        spec: RequestSpec,
     ) -> RequestId {
         let shutdown_deadline = self.shutdown.deadline().unwrap_or(Micros::MAX);
-        let deadline = (now + call.time_limit.max(0)).min(shutdown_deadline);
-        let id = self.requests.reserve_id();
+        let deadline = (now + spec.time_limit.max(0)).min(shutdown_deadline);
+        let id = self.requests.allocate_id();
         let submitted = sanddrum::Request {
             id,
-            function: call.function,
-            workload: call.workload,
-            customer: call.customer_id,
+            function: spec.function,
+            workload: spec.workload,
+            customer: spec.customer_id,
             deadline,
-            memory_mb: call.memory_mb,
-            concurrency: call.concurrency,
-            load_time: call.load_time,
-            expected_work: call.expected_work,
-            is_retry: call.is_retry,
+            memory_mb: spec.memory_mb,
+            concurrency: spec.concurrency,
+            load_time: spec.load_time,
+            expected_work: spec.expected_work,
+            is_retry: spec.is_retry,
         };
         self.context.metrics.requests_accepted.increment(1);
         tracing::debug!(
             request = id.0,
-            call = %format_args!("{:016x}", call.call_id),
-            workload = call.workload.0,
-            limit_us = call.time_limit,
+            call = %format_args!("{:016x}", spec.call_id),
+            workload = spec.workload.0,
+            limit_us = spec.time_limit,
             "request accepted"
         );
-        let request = PendingRequest::new(client, slot, deadline, call);
+        let request = PendingRequest::new(client, slot, deadline, spec);
         self.requests.insert(id, request);
         self.admission.submit(submitted);
         id
     }
 
-    /// Closes a request with the answer of an attempt.
+    /// Closes a request with the result of an attempt.
     pub(super) fn complete_request(
         &mut self,
         now: Micros,
@@ -83,7 +83,7 @@
         self.retract_attempts(now, id);
     }
 
-    /// Closes a request that did not finish.
+    /// Closes a request with an error response.
     pub(super) fn respond_with_error(
         &mut self,
         now: Micros,
@@ -99,7 +99,7 @@
         let end = response.kind.name();
         tracing::debug!(
             request = id.0,
-            call = %format_args!("{:016x}", request.call.call_id),
+            call = %format_args!("{:016x}", request.spec.call_id),
             status,
             reason,
             end,
@@ -113,7 +113,7 @@
         self.requests.remove_if_done(id);
     }
 
-    /// Closes a request whose client has disconnected or cancelled it; nothing is answered.
+    /// Closes a request whose client has disconnected or cancelled it. No response is sent.
     pub(super) fn cancel_request(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.close(id) else {
             return;
@@ -130,8 +130,7 @@
         self.requests.remove_if_done(id);
     }
 
-    /// Does not send attempts of a closed request that are not written yet. Guards against a connection that takes long
-    /// to be opened and would be sent them all then.
+    /// Retracts the unwritten attempts of a closed request, which would otherwise be sent once a slow connection opens.
     fn retract_attempts(&mut self, now: Micros, id: RequestId) {
         for attempt in self.requests.attempts_of(id) {
             let Some(connection) = self.requests.connection_of(attempt) else {
@@ -141,7 +140,7 @@
             if self.worker_connections.retract(connection, key) {
                 self.finish_attempt(now, attempt, Outcome::CancelledBeforeStart.into());
             } else {
-                self.worker_connections.bound_partial_write(
+                self.worker_connections.schedule_partial_write_timeout(
                     &mut self.context,
                     now,
                     connection,
@@ -151,7 +150,7 @@
         }
     }
 
-    /// Fails all open requests, as the shutdown's deadline has passed and the decision module has ended what it had.
+    /// Fails the requests that the decision module has left open when the shutdown's deadline passes.
     pub(super) fn fail_open_requests(&mut self, now: Micros) {
         for id in self.requests.open_ids() {
             let response = ErrorResponse {
@@ -167,21 +166,21 @@
         }
     }
 
-    /// Why the decision module ends a request without another attempt.
+    /// Logs and counts why the decision module makes no further attempt of a request.
     pub(super) fn explain_answer(&mut self, id: RequestId, reason: AnswerReason) {
         let cause = reason.name();
         self.context.counts.record(CountedEvent::NotFinished, cause);
         let request = self.requests.get(id);
         tracing::debug!(
             request = id.0,
-            call = %format_args!("{:016x}", request.map_or(0, |request| request.call.call_id)),
+            call = %format_args!("{:016x}", request.map_or(0, |request| request.spec.call_id)),
             attempts = request.map_or(0, |request| request.attempts.len()),
             cause,
             "request is not attempted any more"
         );
     }
 
-    /// Closes a request for which the decision module found no time.
+    /// Rejects a request that the decision module does not expect to finish in time.
     pub(super) fn reject_request(&mut self, now: Micros, id: RequestId, retry_after: Micros) {
         let response = ErrorResponse {
             status: 503,
@@ -195,7 +194,7 @@
         self.respond_with_error(now, id, &response);
     }
 
-    /// Closes a request that the decision module gave up.
+    /// Fails a request on behalf of the decision module.
     pub(super) fn fail_request(&mut self, now: Micros, id: RequestId) {
         let request = self.requests.get(id);
         let is_late = request.is_some_and(|request| request.deadline <= now);
@@ -218,7 +217,7 @@
     }
 }
 
-/// The name on the wire of what a worker reports of the instance that ran a request.
+/// The name on the wire of the instance state that a worker reported.
 fn instance_label(warmth: Warmth) -> &'static str {
     match warmth {
         Warmth::StartedLoad => "loaded",
--- a/crates/sanddrum-edge/src/edge_state/send_checks.rs
+++ b/crates/sanddrum-edge/src/edge_state/send_checks.rs
@@ -1,6 +1,6 @@
-//! The last checks of attempts before their first byte is written. What may not be sent any more is retracted and reported
-//! as a violation, as every path should have retracted it before. What may be sent gets the time limit that is left by now:
-//! a frame is encoded with the time limit of that moment, and until its connection is open or takes bytes, time passes.
+//! Final checks of attempts before their first byte is written. An attempt that may no longer be sent is retracted and
+//! reported as an invariant violation, as it should have been retracted earlier. The others get their remaining time
+//! limit: a frame holds the time limit at its encoding and may have waited for its connection to open or to take bytes.
 
 use super::EdgeState;
 use crate::invariants::{may_send, AttemptFacts};
@@ -8,11 +8,11 @@
 use sanddrum::{Micros, Outcome};
 use sanddrum_upstream::WorkerConnectionId;
 
-/// A frame that has waited for longer than this is encoded again.
-const TIME_LIMIT_VALID_FOR: Micros = 10_000;
+/// Frames that have waited for longer than this are re-encoded.
+const MAX_TIME_LIMIT_AGE: Micros = 10_000;
 
 impl EdgeState {
-    /// Checks all attempts on an open connection of which nothing is written yet.
+    /// Checks all attempts queued on an open connection of which no byte has been written.
     pub(super) fn check_unwritten_attempts(&mut self, now: Micros, id: WorkerConnectionId) {
         self.retract_disallowed(now, id);
         self.refresh_time_limits(now, id);
@@ -29,7 +29,7 @@
             .collect();
         for (attempt, invariant) in disallowed {
             let violations = &mut self.context.violations;
-            violations.report(invariant, "an attempt that may not be sent is retracted");
+            violations.report(invariant, "a queued attempt may not be sent");
             if violations.are_allowed() {
                 continue;
             }
@@ -48,7 +48,7 @@
             time_left: attempt.map_or(0, |attempt| attempt.deadline - now),
             endpoint: attempt.and_then(|attempt| self.endpoints.phase(attempt.worker)),
             runs_once: request
-                .is_some_and(|request| self.functions.runs_once(request.call.workload)),
+                .is_some_and(|request| self.functions.runs_once(request.spec.workload)),
             another_may_run: request
                 .is_some_and(|request| request.may_have_run || request.in_flight > 1),
             is_past_shutdown: self.shutdown.is_past_deadline(),
@@ -60,7 +60,7 @@
         let is_outdated = |attempt: &AttemptId| {
             self.requests
                 .attempt(*attempt)
-                .is_some_and(|attempt| now - attempt.deadline_encoded_at > TIME_LIMIT_VALID_FOR)
+                .is_some_and(|attempt| now - attempt.deadline_encoded_at > MAX_TIME_LIMIT_AGE)
         };
         let outdated: Vec<AttemptId> = attempts.into_iter().filter(is_outdated).collect();
         for attempt in outdated {
--- a/crates/sanddrum-edge/src/edge_state/workers.rs
+++ b/crates/sanddrum-edge/src/edge_state/workers.rs
@@ -1,4 +1,4 @@
-//! Events of connections to workers, and what is written to them.
+//! Events of worker connections, and writing of queued messages.
 
 use super::attempts::load_report;
 use super::EdgeState;
@@ -11,7 +11,7 @@
 use sanddrum_wire::{ExecutionStatus, FromWorker, Hello, LoadDone};
 
 impl EdgeState {
-    /// An event of a connection to a worker.
+    /// Handles an event of a worker connection.
     pub(super) fn on_worker_event(
         &mut self,
         now: Micros,
@@ -51,12 +51,12 @@
                 Err(error) => Err(error),
             };
             if let Err(error) = result {
-                return self.reset_malformed(now, id, worker, &error, io);
+                return self.reset_after_violation(now, id, worker, &error, io);
             }
         }
     }
 
-    fn reset_malformed(
+    fn reset_after_violation(
         &mut self,
         now: Micros,
         id: WorkerConnectionId,
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Verifies a worker's greeting. One that was listed as gone meanwhile has no name to compare.
+    /// Verifies a worker's greeting. It is ignored if the worker has been removed since, as no name is listed to compare.
     fn on_hello(
         &mut self,
         now: Micros,
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Messages have ended without an answer.
+    /// Ends messages that got no answer.
     pub(super) fn finish_messages(&mut self, now: Micros, outcomes: Vec<MessageOutcome>) {
         for MessageOutcome { key, outcome } in outcomes {
             match key {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The connection policy does not let a connection be opened.
+    /// Handles the refusal of the connection policy to open a connection.
     pub(super) fn worker_connection_rejected(
         &mut self,
         now: Micros,
@@ -155,12 +155,12 @@
         self.finish_messages(now, outcomes);
     }
 
-    /// The connection policy replaces a connection.
+    /// Retires a worker connection on behalf of the connection policy.
     pub(super) fn retire_worker_connection(&mut self, now: Micros, id: WorkerConnectionId) {
         self.worker_connections.retire(&mut self.context, now, id);
     }
 
-    /// Closes a connection that did not come up in time, is idle for too long, or is retired with nothing in flight.
+    /// Runs the timeout check of a worker connection.
     pub(super) fn check_worker_connection(
         &mut self,
         now: Micros,
@@ -173,8 +173,8 @@
         self.finish_messages(now, outcomes);
     }
 
-    /// Resets a connection on which an attempt that nobody waits for is still written only in part.
-    pub(super) fn end_partial_write(
+    /// Resets a connection if the attempt, whose request is closed, is still only partially written.
+    pub(super) fn reset_partial_write(
         &mut self,
         now: Micros,
         id: WorkerConnectionId,
@@ -183,13 +183,13 @@
     ) {
         let outcomes =
             self.worker_connections
-                .end_partial_write(&mut self.context, now, id, attempt, io);
+                .reset_partial_write(&mut self.context, now, id, attempt, io);
         self.finish_messages(now, outcomes);
     }
 
-    /// Writes what is queued for workers, cancellations first.
+    /// Writes queued messages to workers, cancellations first.
     pub(super) fn flush_workers(&mut self, now: Micros, io: &mut dyn Io) {
-        for id in self.worker_connections.take_with_cancels() {
+        for id in self.worker_connections.take_with_queued_cancels() {
             self.check_unwritten_attempts(now, id);
             let outcomes = self
                 .worker_connections
@@ -202,20 +202,20 @@
         }
     }
 
-    /// A worker is draining, gone or has moved: what is not written to it yet is retracted.
+    /// Retracts the unwritten messages to a worker that is draining, gone or has moved.
     pub(super) fn retract_from_worker(&mut self, now: Micros, worker: WorkerId) {
         let retracted = self.worker_connections.retract_all(worker);
         self.finish_messages(now, retracted);
     }
 
-    /// The connections to a worker get nothing new, and are closed once their answers have come.
+    /// Retracts the unwritten messages to a worker and retires its connections.
     pub(super) fn retire_worker(&mut self, now: Micros, worker: WorkerId) {
         self.retract_from_worker(now, worker);
         self.worker_connections
             .retire_all(&mut self.context, now, worker);
     }
 
-    /// A worker is gone.
+    /// Removes a worker that is gone. Answers in flight on its connections are still awaited.
     pub(super) fn remove_worker(&mut self, now: Micros, worker: WorkerId) {
         self.retire_worker(now, worker);
         self.worker_connections.remove_endpoint(worker);
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -1,17 +1,17 @@
-//! The listener for web servers: FastCGI 1.0 in the role of a Responder, with many requests open on a connection and
-//! responses in any order. All that is buffered of a client is bounded, and an invalid request is answered at once.
+//! The FastCGI 1.0 listener for web servers, in the Responder role. Requests are multiplexed on a connection and
+//! answered in any order. Buffers are bounded, and invalid requests are answered at once.
 
-mod call_params;
 mod closing;
+mod request_params;
 mod response;
 
-pub(crate) use call_params::CallParams;
+pub(crate) use request_params::RequestParams;
 pub(crate) use response::{encode_error, encode_health, encode_success};
 
 use crate::context::{ConnectionOwner, EdgeContext};
 use crate::invariants::CloseReason;
 use crate::listener::{ClosedClient, EvictionRank};
-use crate::responses::{CallError, ErrorKind};
+use crate::responses::{ErrorKind, RequestError};
 use crate::timers::Timer;
 use sanddrum::{Micros, RequestId};
 use sanddrum_fastcgi::{
@@ -21,15 +21,15 @@
 use sanddrum_net::{ConnectionId, Io, Outbox};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a connection is from being closed by the edge.
+/// Whether and when the edge closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
     /// It is open.
     Open,
-    /// It gets no new requests, and is closed once all responses are written.
+    /// New requests are rejected, and it is closed once all responses are written.
     AfterResponses,
-    /// The same, at this instant at the latest. The rest of a request that is too large is not read.
-    By(Micros),
+    /// The same, but at this instant at the latest: the rest of a request that is too large is not read.
+    ByDeadline(Micros),
     /// The client does not read its responses: the connection is reset.
     NotReading,
 }
@@ -42,11 +42,11 @@
     accepted_at: Micros,
     /// When bytes were last received or written.
     last_active: Micros,
-    /// A valid request was received.
+    /// Whether a complete request was received.
     has_sent_request: bool,
-    /// Since when a request is received in part.
+    /// When the partially received request began, if there is one.
     partial_since: Option<Micros>,
-    /// Bytes buffered of requests that are received in part.
+    /// Buffered bytes of partially received requests.
     partial_bytes: usize,
     close_state: CloseState,
 }
@@ -59,7 +59,7 @@
             max_open_requests: limits.max_pipelined_requests,
             max_params_bytes: limits.max_head_bytes,
             max_body_bytes: limits.max_body_bytes,
-            // All of them may be received at a time; what all connections buffer together is bounded besides.
+            // All open requests may be in transfer at a time. `limit_partial_bytes` bounds the total of all connections.
             max_buffered_bytes: limits.max_pipelined_requests * largest_request,
         };
         FastCgiConnection {
@@ -80,16 +80,16 @@
     }
 }
 
-/// What a client has sent that the edge has to act on.
+/// An event on a client connection that the edge has to handle.
 pub(crate) enum FastCgiEvent {
     /// A complete request.
     Request {
-        /// Its id on the connection.
+        /// Its FastCGI request id.
         id: u16,
         /// The request.
         request: Request,
     },
-    /// Requests that the client has cancelled.
+    /// Requests cancelled by the client or by the reset of its connection.
     Cancelled(Vec<RequestId>),
 }
 
@@ -99,7 +99,7 @@
     connections: BTreeMap<ConnectionId, FastCgiConnection>,
     /// Connections with something to write.
     dirty: BTreeSet<ConnectionId>,
-    /// Bytes buffered of requests that are received in part, on all connections.
+    /// Buffered bytes of partially received requests, on all connections.
     partial_bytes: usize,
 }
 
@@ -109,21 +109,21 @@
         self.connections.len()
     }
 
-    /// Whether all requests are answered and all responses are written.
+    /// Whether all requests have been answered and all responses written.
     pub fn is_flushed(&self) -> bool {
         self.connections.values().all(FastCgiConnection::is_flushed)
     }
 
-    /// Whether a request is received in part.
+    /// Whether any request has been received only in part.
     pub fn has_partial_request(&self) -> bool {
         self.connections
             .values()
             .any(|connection| connection.partial_since.is_some())
     }
 
-    /// The connection that is closed where there is no room for one more, if any may be: one without open requests, by
-    /// its [`EvictionRank`], of these the one that has been idle for longest. Guards against clients that connect by the
-    /// hundred and send nothing, or call once and stay.
+    /// The connection to close at the connection limit: the longest idle one of the lowest [`EvictionRank`]. `None` if no
+    /// connection is idle. Clients that open hundreds of connections and send no request, or only one, thus do not lock
+    /// out others.
     pub fn eviction_candidate(
         &self,
         now: Micros,
@@ -154,7 +154,7 @@
         context.timers.schedule(check_at, timer);
     }
 
-    /// Bytes were received on a connection.
+    /// Buffers received bytes.
     pub fn push_bytes(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.last_active = now;
@@ -162,7 +162,7 @@
         }
     }
 
-    /// A connection takes bytes again.
+    /// Handles a connection that has become writable.
     pub fn writable(&mut self, now: Micros, conn: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.outbox.unblock();
@@ -171,8 +171,8 @@
         }
     }
 
-    /// The next event of what was received on a connection. What needs no decision of the edge is answered here. A
-    /// connection with a malformed record is reset; its open requests are returned as cancelled.
+    /// Takes the next event from the bytes received on a connection. Records that the edge need not handle are answered
+    /// here. A malformed record resets the connection, and its open requests are returned as cancelled.
     pub fn next_event(
         &mut self,
         context: &mut EdgeContext,
@@ -185,15 +185,15 @@
             let event = match connection.responder.next_event() {
                 Ok(Some(event)) => event,
                 Ok(None) => {
-                    self.note_partial_request(context, now, conn);
+                    self.track_partial_request(context, now, conn);
                     return None;
                 }
-                Err(error) => return self.reset_unreadable(context, conn, &error, io),
+                Err(error) => return self.reset_malformed(context, conn, &error, io),
             };
             match event {
                 ResponderEvent::Reply(bytes) => self.write(context, conn, &bytes),
                 ResponderEvent::Reject { id, reason } => {
-                    self.reject_unread(context, now, conn, id, reason, io);
+                    self.reject_unparsed(context, now, conn, id, reason, io);
                 }
                 ResponderEvent::Abort { id } => {
                     let request = connection.open_requests.remove(&id);
@@ -206,7 +206,7 @@
                         return Some(FastCgiEvent::Cancelled(vec![request]));
                     }
                 }
-                // The connection is closed with what is open on it; a request that is cancelled there still counts.
+                // A closing connection rejects new requests. Cancellations of its open requests are still handled above.
                 ResponderEvent::Request { id, .. }
                     if connection.close_state != CloseState::Open =>
                 {
@@ -225,7 +225,12 @@
         }
     }
 
-    fn note_partial_request(&mut self, context: &mut EdgeContext, now: Micros, conn: ConnectionId) {
+    fn track_partial_request(
+        &mut self,
+        context: &mut EdgeContext,
+        now: Micros,
+        conn: ConnectionId,
+    ) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -241,7 +246,7 @@
         }
     }
 
-    fn reset_unreadable(
+    fn reset_malformed(
         &mut self,
         context: &mut EdgeContext,
         conn: ConnectionId,
@@ -252,13 +257,13 @@
         context
             .metrics
             .record_error_response(ErrorKind::Invalid, reason);
-        tracing::debug!(conn = conn.0, reason, problem = %error, "malformed client connection");
+        tracing::debug!(conn = conn.0, reason, problem = %error, "malformed FastCGI record; connection reset");
         let closed = self.close(context, conn, io, CloseReason::Unreadable)?;
         Some(FastCgiEvent::Cancelled(closed.cancelled))
     }
 
-    /// Bounds what all connections together buffer of requests that are received in part: those of this connection,
-    /// which has just received more, are rejected where it is too much. They were never accepted.
+    /// Bounds the bytes buffered for partially received requests over all connections. Beyond the limit, the partial
+    /// requests of this connection, which has just received more, are rejected; none of them was accepted yet.
     pub fn limit_partial_bytes(&mut self, context: &mut EdgeContext, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -280,8 +285,8 @@
         }
     }
 
-    /// Answers a request that the responder rejected.
-    fn reject_unread(
+    /// Answers a request that the responder rejected before it was complete.
+    fn reject_unparsed(
         &mut self,
         context: &mut EdgeContext,
         now: Micros,
@@ -305,7 +310,7 @@
             RejectReason::BodyTooLong => (413, "body-too-large"),
         };
         let detail = "the request can't be read; see the client door's page";
-        let error = CallError::new(status, reason, detail);
+        let error = RequestError::new(status, reason, detail);
         let response = encode_error(id, &error.response(ErrorKind::Invalid, None));
         self.write(context, conn, &response);
         if reject_reason != RejectReason::Params {
@@ -316,8 +321,9 @@
         }
     }
 
-    /// Does not read the rest of a request that is too large, as it may be endless. Where other requests are open on the
-    /// connection the rest is skipped instead. Guards against one client that sends too much and ends them all.
+    /// Stops reading from a connection with a request that is too large, as the rest of it may be endless. If other
+    /// requests are open on the connection, the rest is read and discarded instead, so that one oversized request does
+    /// not end them all.
     fn stop_reading(
         &mut self,
         context: &mut EdgeContext,
@@ -332,20 +338,20 @@
             return;
         }
         let close_at = now + context.limits.linger_time;
-        connection.close_state = CloseState::By(close_at);
+        connection.close_state = CloseState::ByDeadline(close_at);
         let timer = Timer::ClientConnection(conn);
         context.timers.schedule(close_at, timer);
         io.pause(conn, true);
     }
 
-    /// Records that a request was accepted under its id on the connection.
+    /// Records that a request was accepted.
     pub fn request_accepted(&mut self, conn: ConnectionId, id: u16, request: RequestId) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.open_requests.insert(id, request);
         }
     }
 
-    /// Whether a request is open under this id; it is not any more then.
+    /// Removes an open request by its FastCGI id. Returns whether there was one.
     pub fn take_open_request(&mut self, conn: ConnectionId, id: u16) -> bool {
         self.connections
             .get_mut(&conn)
@@ -380,7 +386,7 @@
         self.dirty.insert(conn);
     }
 
-    /// Writes what all connections take, and closes those that are done. Returns the connections that were closed.
+    /// Writes as much as the connections take, and closes those that are due. Returns the closed connections.
     pub fn flush(
         &mut self,
         context: &mut EdgeContext,
@@ -399,7 +405,9 @@
             }
             let reason = match connection.close_state {
                 CloseState::NotReading => CloseReason::NotReading,
-                CloseState::AfterResponses | CloseState::By(_) if connection.is_flushed() => {
+                CloseState::AfterResponses | CloseState::ByDeadline(_)
+                    if connection.is_flushed() =>
+                {
                     CloseReason::Answered
                 }
                 _ => continue,
--- a/crates/sanddrum-edge/src/fastcgi_listener/closing.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener/closing.rs
@@ -1,4 +1,4 @@
-//! When and how connections of web servers are closed.
+//! Closing of FastCGI connections.
 
 use super::{CloseState, FastCgiConnection, FastCgiListener};
 use crate::context::EdgeContext;
@@ -9,20 +9,21 @@
 use sanddrum::Micros;
 use sanddrum_net::{ConnectionId, Io};
 
-/// What a check of a connection comes to.
-enum Check {
+/// The result of checking a connection.
+enum CheckResult {
+    /// Close it for this reason.
     Close(CloseReason),
-    /// Nothing new is accepted on it, as a request that is received in part takes too long.
+    /// Reject new requests on it and close it after its responses, as a request was not received in time.
     Drain,
-    /// It is to be checked again at this instant.
-    At(Micros),
+    /// Check it again at this instant.
+    RecheckAt(Micros),
 }
 
 impl FastCgiConnection {
-    fn check(&self, context: &EdgeContext, now: Micros) -> Check {
+    fn check(&self, context: &EdgeContext, now: Micros) -> CheckResult {
         let unwritten = self.outbox.pending_bytes();
         if self.is_close_due(now) {
-            return Check::Close(match self.is_flushed() {
+            return CheckResult::Close(match self.is_flushed() {
                 true => CloseReason::Answered,
                 false => CloseReason::NotReading,
             });
@@ -34,21 +35,21 @@
             .partial_since
             .filter(|_| self.close_state == CloseState::Open)
             .map(|since| since + request_timeout);
-        let is_over = |until: Micros| until <= now;
-        if partial_until.is_some_and(is_over) && !self.open_requests.is_empty() {
-            return Check::Drain;
+        let has_passed = |until: Micros| until <= now;
+        if partial_until.is_some_and(has_passed) && !self.open_requests.is_empty() {
+            return CheckResult::Drain;
         }
         let waits_for_client = self.open_requests.is_empty() || unwritten > 0;
         let idle_until = waits_for_client.then_some(self.last_active + client_idle_timeout);
         let instants = [silent_until, partial_until, idle_until];
         let next_check = instants.into_iter().flatten().min();
-        if !next_check.is_some_and(is_over) {
+        if !next_check.is_some_and(has_passed) {
             let check_at = next_check.unwrap_or(now + client_idle_timeout);
-            return Check::At(check_at.max(now + 1));
+            return CheckResult::RecheckAt(check_at.max(now + 1));
         }
-        Check::Close(if unwritten > 0 {
+        CheckResult::Close(if unwritten > 0 {
             CloseReason::NotReading
-        } else if silent_until.or(partial_until).is_some_and(is_over) {
+        } else if silent_until.or(partial_until).is_some_and(has_passed) {
             CloseReason::RequestTimeout
         } else {
             CloseReason::Idle
@@ -58,14 +59,15 @@
     fn is_close_due(&self, now: Micros) -> bool {
         match self.close_state {
             CloseState::Open | CloseState::AfterResponses => false,
-            CloseState::By(at) => at <= now,
+            CloseState::ByDeadline(at) => at <= now,
             CloseState::NotReading => true,
         }
     }
 }
 
 impl FastCgiListener {
-    /// Closes a connection that has sent nothing valid, is slow with a request, is idle or does not read.
+    /// Closes a connection that has been idle for too long, does not read its responses, or has not sent a complete
+    /// request in time. Otherwise schedules the next check.
     pub fn check(
         &mut self,
         context: &mut EdgeContext,
@@ -76,11 +78,11 @@
         let connection = self.connections.get_mut(&conn)?;
         let timer = Timer::ClientConnection(conn);
         match connection.check(context, now) {
-            Check::Close(reason) => return self.close(context, conn, io, reason),
-            Check::At(at) => context.timers.schedule(at, timer),
-            Check::Drain => {
-                // Guards against a request that is never received completely and ends all that are open beside it: the
-                // connection is closed behind their responses.
+            CheckResult::Close(reason) => return self.close(context, conn, io, reason),
+            CheckResult::RecheckAt(at) => context.timers.schedule(at, timer),
+            CheckResult::Drain => {
+                // A request that is never completed must not end the other open requests: the connection is closed
+                // after their responses.
                 connection.close_state = CloseState::AfterResponses;
                 connection.partial_since = None;
                 let check_at = now + context.limits.request_timeout;
@@ -90,7 +92,7 @@
         None
     }
 
-    /// Closes a connection: in order, unless the client could not read what is left.
+    /// Closes a connection gracefully, or resets it if it is malformed or its client does not read.
     pub fn close(
         &mut self,
         context: &mut EdgeContext,
@@ -125,7 +127,7 @@
         self.remove(context, conn)
     }
 
-    /// Removes a connection that is closed.
+    /// Removes the state of a closed connection.
     pub fn remove(&mut self, context: &EdgeContext, conn: ConnectionId) -> Option<ClosedClient> {
         let connection = self.connections.remove(&conn)?;
         self.dirty.remove(&conn);
--- a/crates/sanddrum-edge/src/fastcgi_listener/call_params.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener/request_params.rs
@@ -1,8 +1,8 @@
-//! The call that a FastCGI request makes, as its parameters describe it.
+//! Validation of the parameters of a FastCGI request.
 
 use crate::functions::{FunctionSpec, Functions};
 use crate::limits::Limits;
-use crate::responses::CallError;
+use crate::responses::RequestError;
 use sanddrum::{Micros, WorkloadId};
 use sanddrum_fastcgi::Request;
 use std::ops::RangeInclusive;
@@ -11,53 +11,54 @@
 const MAX_MEMORY_MB: f64 = 1e9;
 const MAX_CONCURRENCY: f64 = 1e4;
 
-/// The parameters of a valid call.
-pub(crate) struct CallParams<'a> {
-    /// The workload, by the path.
+/// The validated parameters of a request.
+pub(crate) struct RequestParams<'a> {
+    /// The workload that the path names.
     pub workload: WorkloadId,
-    /// The caller's id of the call.
+    /// The id that the client assigned to the request.
     pub call_id: u64,
-    /// The function's name: 16 hex digits.
+    /// The name of the function, 16 hex digits.
     pub function: &'a str,
-    /// How long the caller waits.
-    pub patience: Micros,
+    /// How long the client waits for the response.
+    pub time_limit: Micros,
     /// Memory of one instance, in megabytes.
     pub memory_mb: f64,
-    /// Requests that one instance serves at a time.
+    /// Requests that one instance serves concurrently.
     pub concurrency: f64,
-    /// How long a load of the function takes, where the caller knows it.
+    /// How long the function takes to load, if the client states it.
     pub load_time: Option<Micros>,
-    /// Calls with the same key have the effect of one.
+    /// Requests with the same key take effect once.
     pub idempotency_key: Option<String>,
 }
 
-impl<'a> CallParams<'a> {
-    /// Reads the parameters of a request.
+impl<'a> RequestParams<'a> {
+    /// Parses and validates the parameters of a request.
     ///
     /// # Errors
-    /// The workload is not set, or a parameter is missing or out of its bounds.
+    /// The workload is unknown, or a parameter is missing, malformed or out of bounds.
     pub fn parse(
         request: &'a Request,
         functions: &Functions,
         limits: &Limits,
-    ) -> Result<Self, CallError> {
+    ) -> Result<Self, RequestError> {
         let workload = workload(request, functions)?;
         check_content_length(request)?;
         let call_id = hex_id(request, "HTTP_X_CALL_ID")?;
         let function = request.param("HTTP_X_ENTITY").unwrap_or_default();
         hex_id(request, "HTTP_X_ENTITY")?;
-        // Callers round, and count from before the request was sent: a little beyond what is set is still valid.
+        // Clients round their values and measure from before they send, so values slightly above the limits are valid.
         let tolerance = limits.parameter_tolerance;
-        let max_patience_ms = tolerance * functions.time_limit(workload) as f64 / MICROS_PER_MILLI;
-        let patience = request.param("HTTP_X_PATIENCE_MS");
-        let patience_ms = number(patience, "HTTP_X_PATIENCE_MS", 1.0..=max_patience_ms)?;
+        let max_time_limit_ms =
+            tolerance * functions.time_limit(workload) as f64 / MICROS_PER_MILLI;
+        let time_limit = request.param("HTTP_X_PATIENCE_MS");
+        let time_limit_ms = number(time_limit, "HTTP_X_PATIENCE_MS", 1.0..=max_time_limit_ms)?;
         let info = FunctionInfo::parse(request.param("HTTP_X_INFO").unwrap_or_default());
         let max_load_ms = tolerance * limits.load_timeout as f64 / MICROS_PER_MILLI;
-        Ok(CallParams {
+        Ok(RequestParams {
             workload,
             call_id,
             function,
-            patience: micros(patience_ms),
+            time_limit: micros(time_limit_ms),
             memory_mb: number(info.get("memory_mb"), "memory_mb", 0.0..=MAX_MEMORY_MB)?,
             concurrency: number(info.get("lanes"), "lanes", 1.0..=MAX_CONCURRENCY)?,
             load_time: info.load_time(max_load_ms)?,
@@ -65,7 +66,7 @@
         })
     }
 
-    /// What an instance of the function needs.
+    /// The resource needs of an instance of the function.
     pub fn function_spec(&self) -> FunctionSpec {
         FunctionSpec {
             memory_mb: self.memory_mb,
@@ -75,48 +76,48 @@
     }
 }
 
-fn workload(request: &Request, functions: &Functions) -> Result<WorkloadId, CallError> {
+fn workload(request: &Request, functions: &Functions) -> Result<WorkloadId, RequestError> {
     request
         .param("SCRIPT_NAME")
         .and_then(|path| path.strip_prefix("/rpc/"))
         .and_then(|name| functions.workload(name))
         .ok_or_else(|| {
             let detail = "jobs go to /rpc/ and a workload that is set";
-            CallError::new(404, "no-such-workload", detail)
+            RequestError::new(404, "no-such-workload", detail)
         })
 }
 
-fn check_content_length(request: &Request) -> Result<(), CallError> {
+fn check_content_length(request: &Request) -> Result<(), RequestError> {
     let length = request.param("CONTENT_LENGTH").unwrap_or_default();
     if length.is_empty() || length.parse().ok() == Some(request.body.len()) {
         return Ok(());
     }
     let detail = "CONTENT_LENGTH is not the body's";
-    Err(CallError::new(400, "bad-length", detail))
+    Err(RequestError::new(400, "bad-length", detail))
 }
 
-/// A parameter of 16 hex digits.
-fn hex_id(request: &Request, name: &'static str) -> Result<u64, CallError> {
+/// Parses a parameter of 16 hex digits.
+fn hex_id(request: &Request, name: &'static str) -> Result<u64, RequestError> {
     let is_hex = |text: &&str| text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     request
         .param(name)
         .filter(is_hex)
         .and_then(|text| u64::from_str_radix(text, 16).ok())
-        .ok_or_else(|| CallError::bad_field(format!("{name}: 16 hex digits are wanted")))
+        .ok_or_else(|| RequestError::bad_field(format!("{name}: 16 hex digits are wanted")))
 }
 
-/// A number within bounds.
+/// Parses a number within bounds.
 fn number(
     text: Option<&str>,
     name: &'static str,
     bounds: RangeInclusive<f64>,
-) -> Result<f64, CallError> {
+) -> Result<f64, RequestError> {
     text.and_then(|text| text.trim().parse().ok())
         .filter(|value| bounds.contains(value))
         .ok_or_else(|| {
-            let (least, most) = (bounds.start(), bounds.end());
-            CallError::bad_field(format!(
-                "{name}: {text:?} is not a number from {least} to {most}"
+            let (min, max) = (bounds.start(), bounds.end());
+            RequestError::bad_field(format!(
+                "{name}: {text:?} is not a number from {min} to {max}"
             ))
         })
 }
@@ -125,20 +126,20 @@
     (millis * MICROS_PER_MILLI) as Micros
 }
 
-/// A key without the characters that separate fields on the way to the worker.
-fn idempotency_key(request: &Request) -> Result<Option<String>, CallError> {
+/// Returns the idempotency key. Characters that separate fields in frames to workers are not allowed in it.
+fn idempotency_key(request: &Request) -> Result<Option<String>, RequestError> {
     let key = request
         .param("HTTP_X_DEDUPE_KEY")
         .filter(|key| !key.is_empty());
     let is_invalid = |c: char| matches!(c, ',' | '=') || c.is_control();
     if key.is_some_and(|key| key.chars().any(is_invalid)) {
         let detail = "HTTP_X_DEDUPE_KEY: a key without commas and equals signs";
-        return Err(CallError::bad_field(detail));
+        return Err(RequestError::bad_field(detail));
     }
     Ok(key.map(String::from))
 }
 
-/// What the caller says of the function: `name:value` pairs, separated by semicolons.
+/// The client's description of the function: `name:value` pairs separated by semicolons.
 struct FunctionInfo<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> FunctionInfo<'a> {
@@ -157,7 +158,7 @@
         Some(value)
     }
 
-    fn load_time(&self, max_load_ms: f64) -> Result<Option<Micros>, CallError> {
+    fn load_time(&self, max_load_ms: f64) -> Result<Option<Micros>, RequestError> {
         let Some(load_ms) = self.get("load_ms") else {
             return Ok(None);
         };
--- a/crates/sanddrum-edge/src/fastcgi_listener/response.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener/response.rs
@@ -1,4 +1,4 @@
-//! CGI responses (RFC 3875, section 6).
+//! Encoding of CGI responses (RFC 3875, section 6).
 
 use crate::responses::ErrorResponse;
 use sanddrum::Micros;
@@ -6,7 +6,7 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// Encodes the response to a request that has run.
+/// Encodes the response to a finished request.
 pub(crate) fn encode_success(id: u16, body: &[u8]) -> Vec<u8> {
     encode(id, 200, None, body)
 }
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -1,4 +1,4 @@
-//! The functions that calls name: what each needs and which workload it belongs to.
+//! Known functions: their resource needs and the workloads they belong to.
 
 use sanddrum::{FunctionId, Micros, WorkloadId};
 use sanddrum_settings::LoadedSettings;
@@ -7,36 +7,36 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// A function that only calls describe is remembered for so many keep-alives after the last one.
-const KEEP_ALIVES_RETAINED: Micros = 8;
+/// Functions that are described only by requests are kept for this many keep-alive periods after the last request.
+const RETENTION_KEEP_ALIVES: Micros = 8;
 
-/// What an instance of a function needs.
+/// The resource needs of an instance of a function.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FunctionSpec {
     /// Memory of one instance, in megabytes.
     pub memory_mb: f64,
-    /// Requests that one instance serves at a time.
+    /// Requests that one instance serves concurrently.
     pub concurrency: u32,
-    /// How long a load takes, where that is known.
+    /// How long a load takes, if known.
     pub load_time: Option<Micros>,
 }
 
-/// A function that a call has named.
+/// A known function.
 #[derive(Clone, Debug)]
 pub(crate) struct Function {
-    /// `workload/function`, as workers know it.
+    /// The name sent to workers: `workload/function` over HTTP, 16 hex digits over FastCGI.
     pub name: String,
     /// The workload that it belongs to.
     pub workload: WorkloadId,
-    /// What an instance needs.
+    /// The needs of an instance.
     pub spec: FunctionSpec,
-    /// When a call last described it.
+    /// When a request last described it.
     last_used: Micros,
 }
 
-/// The settings of all functions whose name matches.
+/// A function entry in the settings, which applies to all functions with a matching name.
 struct Pattern {
-    /// The name, or its prefix.
+    /// The exact name, or the prefix without the trailing `*`.
     name: String,
     is_prefix: bool,
     workload: String,
@@ -72,43 +72,43 @@
     }
 }
 
-/// A workload as set.
+/// A workload in the settings.
 struct Workload {
     name: String,
-    /// Its requests may run only once.
+    /// Whether its requests may run only once.
     runs_once: bool,
-    /// The longest time that a client may wait.
+    /// The maximum time limit of a request.
     time_limit: Micros,
 }
 
-/// Why a call names nothing that can run.
+/// Why the function that a request names was not found.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum FunctionLookupError {
-    /// No workload of this name is set.
-    #[error("no such workload is set")]
+    /// The settings have no workload of this name.
+    #[error("unknown workload")]
     UnknownWorkload,
     /// No function of the workload matches the name.
-    #[error("no such function is set for the workload")]
+    #[error("the workload has no function of this name")]
     UnknownFunction,
-    /// The bound on remembered functions is reached.
-    #[error("as many functions are remembered as may be")]
+    /// The limit of known functions is reached.
+    #[error("the limit of known functions is reached")]
     TooManyFunctions,
 }
 
-/// The workloads as set, and the functions that calls have named.
+/// The workloads and functions of the settings, and the functions that requests have named.
 #[derive(Default)]
 pub(crate) struct Functions {
-    /// Exact names first, then the longest prefix first.
+    /// Exact names first, then prefixes from the longest to the shortest.
     patterns: Vec<Pattern>,
     workloads: Vec<Workload>,
     known: BTreeMap<FunctionId, Function>,
-    /// How long a function that no call names is remembered.
+    /// How long a function is kept after a request last described it.
     retention: Micros,
     next_sweep: Micros,
 }
 
 impl Functions {
-    /// The workloads and functions as set.
+    /// Reads the workloads and functions from the settings.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
         let mut patterns: Vec<Pattern> = (0..settings.count("functions"))
             .map(|index| Pattern::read(settings, index))
@@ -124,51 +124,51 @@
             patterns,
             workloads: names.map(workload).collect(),
             known: BTreeMap::new(),
-            // The decision module forgets a function well before, so that it never names one that is unknown here.
-            retention: KEEP_ALIVES_RETAINED * settings.duration_us("copies.keep-alive-us"),
+            // The decision module discards a function well before that, so it never names one that is unknown here.
+            retention: RETENTION_KEEP_ALIVES * settings.duration_us("copies.keep-alive-us"),
             next_sweep: 0,
         }
     }
 
-    /// The workload of this name.
+    /// Looks up a workload by name.
     pub fn workload(&self, name: &str) -> Option<WorkloadId> {
         let is_named = |workload: &Workload| workload.name == name;
         self.workloads.iter().position(is_named).map(WorkloadId)
     }
 
-    /// The name of a workload; empty where it is not set.
+    /// The name of a workload; empty if the settings do not have it.
     pub fn workload_name(&self, workload: WorkloadId) -> &str {
         self.workloads
             .get(workload.0)
             .map_or("", |workload| workload.name.as_str())
     }
 
-    /// The longest time that a client of a workload may wait.
+    /// The maximum time limit of a workload's requests; zero if the settings do not have the workload.
     pub fn time_limit(&self, workload: WorkloadId) -> Micros {
         self.workloads
             .get(workload.0)
             .map_or(0, |workload| workload.time_limit)
     }
 
-    /// Whether requests of a workload may run only once; so may those of one that is not set.
+    /// Whether requests of a workload may run only once. Defaults to true for a workload that the settings do not have.
     pub fn runs_once(&self, workload: WorkloadId) -> bool {
         self.workloads
             .get(workload.0)
             .is_none_or(|workload| workload.runs_once)
     }
 
-    /// The number of functions that are remembered.
+    /// The number of known functions.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// A function that is remembered.
+    /// Returns a known function.
     pub fn get(&self, id: FunctionId) -> Option<&Function> {
         self.known.get(&id)
     }
 
-    /// Remembers a function as a call describes it; none where `max_functions` are remembered already.
-    pub fn observe(
+    /// Adds or updates a function that a request describes. Returns `None` if it is new and `max_functions` are known.
+    pub fn upsert(
         &mut self,
         now: Micros,
         name: &str,
@@ -192,21 +192,21 @@
         Some(id)
     }
 
-    /// Forgets functions that no call has named for the retention, now and then.
+    /// Removes functions that no request has described for the retention time. Runs at most once per keep-alive period.
     fn sweep(&mut self, now: Micros) {
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + self.retention / KEEP_ALIVES_RETAINED;
+        self.next_sweep = now + self.retention / RETENTION_KEEP_ALIVES;
         let retention = self.retention;
         self.known
             .retain(|_, function| now < function.last_used + retention);
     }
 
-    /// The function that a call names, by the settings.
+    /// Finds a function by name, adding it from the settings at its first use.
     ///
     /// # Errors
-    /// The workload or the function is not set, or `max_functions` are remembered already.
+    /// The settings have no such workload or function, or `max_functions` are known already.
     pub fn find(
         &mut self,
         workload: &str,
@@ -216,7 +216,7 @@
         let name = format!("{workload}/{function}");
         let id = FunctionId(stable_id(&name));
         if !self.known.contains_key(&id) {
-            let found = self.configured(name, workload, function)?;
+            let found = self.find_in_settings(name, workload, function)?;
             if self.known.len() >= max_functions {
                 return Err(FunctionLookupError::TooManyFunctions);
             }
@@ -228,7 +228,7 @@
             .ok_or(FunctionLookupError::UnknownFunction)
     }
 
-    fn configured(
+    fn find_in_settings(
         &self,
         name: String,
         workload: &str,
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -1,37 +1,37 @@
-//! The HTTP/1.1 listener: keep-alive and bounded pipelining. Responses are written in the order of the requests.
+//! The HTTP/1.1 listener, with keep-alive and bounded pipelining. Responses are written in request order.
 
 mod closing;
 
 use crate::arrival_time;
 use crate::context::{ConnectionOwner, EdgeContext};
 use crate::listener::{ClosedClient, EvictionRank};
-use crate::responses::{CallError, ErrorKind, FinalResponse};
+use crate::responses::{ErrorKind, FinalResponse, RequestError};
 use crate::timers::Timer;
 use sanddrum::{Micros, RequestId};
 use sanddrum_net::{ConnectionId, Io, Outbox};
 use sanddrum_wire::http::{self, Parsed, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The place of a response among those of its connection.
+/// The response to a request in the pipeline of its connection.
 enum ResponseSlot {
     /// The request has no final response yet.
     Pending {
         request: RequestId,
         keep_alive: bool,
     },
-    /// The response can be written once those before it are.
+    /// The response is written after those before it.
     Ready { response: Vec<u8>, keep_alive: bool },
 }
 
-/// How far a connection is from being closed by the edge.
+/// Whether and when the edge closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
     /// It is open.
     Open,
     /// It is closed once all responses are written.
     AfterFlush,
-    /// What is received is dropped until then, so that an early response is not lost to unread bytes (RFC 9112,
-    /// section 9.6).
+    /// It stays open until this instant, and received bytes are dropped: closing it with unread bytes could reset it
+    /// before the client has read the response (RFC 9112, section 9.6).
     Lingering(Micros),
 }
 
@@ -39,19 +39,19 @@
     received: Vec<u8>,
     outbox: Outbox<()>,
     slots: VecDeque<ResponseSlot>,
-    /// The number of the first slot.
+    /// The sequence number of the first slot.
     first_slot: u64,
-    /// Since when a request is received in part.
+    /// When the partially received request began, if there is one.
     partial_since: Option<Micros>,
     accepted_at: Micros,
     /// When bytes were last received or written.
     last_active: Micros,
-    /// The instant from which the time of what was received last counts.
+    /// The arrival time assumed for the bytes received last; see [`arrival_time`].
     received_at: Micros,
     close_state: CloseState,
     is_paused: bool,
     continue_sent: bool,
-    /// It is closed with its next response, or at once where no request is open.
+    /// It is closed after its next response, or at once if it is idle.
     is_retired: bool,
 }
 
@@ -77,12 +77,11 @@
         self.slots.is_empty() && self.outbox.pending_bytes() == 0
     }
 
-    fn is_quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.is_flushed() && self.received.is_empty()
     }
 
-    /// Moves responses to the outbox as far as they are ready in order. Returns false where the client does not read
-    /// them.
+    /// Moves ready responses to the outbox, in order. Returns false if the outbox is full, as the client does not read.
     fn queue_ready_responses(&mut self) -> bool {
         while let Some(ResponseSlot::Ready {
             response,
@@ -102,14 +101,14 @@
     }
 }
 
-/// What follows on writing to a connection.
-pub(crate) enum Flushed {
-    /// Nothing.
+/// The result of writing to a connection.
+pub(crate) enum FlushResult {
+    /// Nothing is left to do.
     Done,
-    /// It was closed.
+    /// The connection was closed.
     Closed(ClosedClient),
-    /// Requests that were received may be read on.
-    ReadOn(ConnectionId),
+    /// Received requests can be processed again, as the pipeline has capacity.
+    ResumeReading(ConnectionId),
 }
 
 /// All connections of HTTP clients.
@@ -126,20 +125,20 @@
         self.connections.len()
     }
 
-    /// Whether all requests are answered and all responses are written.
+    /// Whether all requests have been answered and all responses written.
     pub fn is_flushed(&self) -> bool {
         self.connections.values().all(HttpConnection::is_flushed)
     }
 
-    /// Whether a request is received in part.
+    /// Whether any request has been received only in part.
     pub fn has_partial_request(&self) -> bool {
         self.connections
             .values()
             .any(|connection| connection.partial_since.is_some())
     }
 
-    /// The connection that is closed where there is no room for one more, if any may be: one without open requests, by
-    /// its [`EvictionRank`], of these the one that has been idle for longest.
+    /// The connection to close at the connection limit: the longest idle one of the lowest [`EvictionRank`]. `None` if no
+    /// connection is idle.
     pub fn eviction_candidate(
         &self,
         now: Micros,
@@ -148,7 +147,7 @@
         let idle = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.is_quiet());
+            .filter(|(_, connection)| connection.is_idle());
         let rank = |connection: &HttpConnection| {
             let had_time_to_send = now - connection.accepted_at >= first_request_timeout;
             EvictionRank::new(connection.first_slot > 0, had_time_to_send)
@@ -173,7 +172,7 @@
         context.timers.schedule(now + check_in, timer);
     }
 
-    /// Bytes were received on a connection. Returns false for one that is being closed: its bytes are dropped.
+    /// Buffers received bytes. Returns false, dropping them, if the connection is unknown or being closed.
     pub fn push_bytes(
         &mut self,
         now: Micros,
@@ -197,7 +196,7 @@
         true
     }
 
-    /// A connection takes bytes again.
+    /// Handles a connection that has become writable.
     pub fn writable(&mut self, now: Micros, conn: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.outbox.unblock();
@@ -206,33 +205,33 @@
         }
     }
 
-    /// The number of requests on a connection that have no final response or whose response is not written.
+    /// The number of requests on a connection whose responses are not in the outbox yet.
     pub fn open_requests(&self, conn: ConnectionId) -> usize {
         self.connections
             .get(&conn)
             .map_or(0, |connection| connection.slots.len())
     }
 
-    /// Whether a connection is to be closed with its next response.
+    /// Whether a connection is closed after its next response.
     pub fn is_retired(&self, conn: ConnectionId) -> bool {
         self.connections
             .get(&conn)
             .is_some_and(|connection| connection.is_retired)
     }
 
-    /// How long the last bytes of a connection had waited before they were read; none where it is closed.
+    /// How long the last bytes of a connection waited before they were read. `None` if it is closed.
     pub fn read_delay(&self, now: Micros, conn: ConnectionId) -> Option<Micros> {
         let connection = self.connections.get(&conn)?;
         Some((now - connection.received_at).max(0))
     }
 
-    /// The slot of the next response on a connection.
+    /// The sequence number of the next request on a connection.
     pub fn next_slot(&self, conn: ConnectionId) -> Option<u64> {
         let connection = self.connections.get(&conn)?;
         Some(connection.first_slot + connection.slots.len() as u64)
     }
 
-    /// The next complete request of a connection, if there is one. A malformed one is answered here.
+    /// Takes the next complete request of a connection. A malformed request is answered here.
     pub fn next_request(
         &mut self,
         context: &mut EdgeContext,
@@ -248,8 +247,8 @@
         }
         if connection.slots.len() >= limits.max_pipelined_requests {
             connection.partial_since = None;
-            // Read on within a bound. Guards against a client that disconnects unnoticed, for which what it had called
-            // would still be sent: of a connection that is not read the end is not notified.
+            // Reading is paused only beyond this bound: the closing of a paused connection goes unnoticed, so attempts
+            // would still be sent for a client that has disconnected.
             if connection.received.len() > limits.max_head_bytes + limits.max_body_bytes {
                 connection.is_paused = true;
                 io.pause(conn, true);
@@ -275,20 +274,20 @@
             }
             Err(error) => {
                 let detail = "the request can't be read; see the client door's page";
-                let error = CallError::new(error.status(), error.reason(), detail);
-                self.reject_unreadable(context, now, conn, &error);
+                let error = RequestError::new(error.status(), error.reason(), detail);
+                self.reject_and_close(context, now, conn, &error);
                 None
             }
         }
     }
 
-    /// Answers a request that can't be read on, and closes its connection once the response is written.
-    fn reject_unreadable(
+    /// Answers a request that is malformed or timed out, and closes its connection after lingering.
+    fn reject_and_close(
         &mut self,
         context: &mut EdgeContext,
         now: Micros,
         conn: ConnectionId,
-        error: &CallError,
+        error: &RequestError,
     ) {
         let (status, reason) = (error.status, error.reason);
         context
@@ -311,7 +310,7 @@
         self.dirty.insert(conn);
     }
 
-    /// Adds the response to a request that was answered at once.
+    /// Queues the response to a request that is answered at once.
     pub fn push_response(&mut self, conn: ConnectionId, response: Vec<u8>, keep_alive: bool) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.slots.push_back(ResponseSlot::Ready {
@@ -322,7 +321,7 @@
         }
     }
 
-    /// Adds the slot of a request that was accepted.
+    /// Reserves the response slot of an accepted request.
     pub fn push_pending(&mut self, conn: ConnectionId, request: RequestId, keep_alive: bool) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.slots.push_back(ResponseSlot::Pending {
@@ -332,7 +331,7 @@
         }
     }
 
-    /// Fills the slot of a request with its final response.
+    /// Sets the final response to a request.
     pub fn respond(&mut self, conn: ConnectionId, slot: u64, response: &FinalResponse<'_>) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -358,16 +357,16 @@
         self.dirty.pop_first()
     }
 
-    /// Writes what a connection takes, and closes it where it is done or its client does not read.
+    /// Writes as much as a connection takes, and closes it if all is written or its client reads too slowly.
     pub fn flush(
         &mut self,
         context: &mut EdgeContext,
         now: Micros,
         conn: ConnectionId,
         io: &mut dyn Io,
-    ) -> Flushed {
+    ) -> FlushResult {
         let Some(connection) = self.connections.get_mut(&conn) else {
-            return Flushed::Done;
+            return FlushResult::Done;
         };
         let is_reading = connection.queue_ready_responses();
         let before = connection.outbox.pending_bytes();
@@ -389,12 +388,12 @@
         }
         let has_capacity = connection.slots.len() < context.limits.max_pipelined_requests;
         if connection.received.is_empty() || !has_capacity {
-            return Flushed::Done;
+            return FlushResult::Done;
         }
         if std::mem::take(&mut connection.is_paused) {
             io.pause(conn, false);
         }
-        Flushed::ReadOn(conn)
+        FlushResult::ResumeReading(conn)
     }
 
     fn close_or_done(
@@ -403,8 +402,8 @@
         conn: ConnectionId,
         io: &mut dyn Io,
         is_orderly: bool,
-    ) -> Flushed {
+    ) -> FlushResult {
         self.close(context, conn, io, is_orderly)
-            .map_or(Flushed::Done, Flushed::Closed)
+            .map_or(FlushResult::Done, FlushResult::Closed)
     }
 }
--- a/crates/sanddrum-edge/src/http_listener/closing.rs
+++ b/crates/sanddrum-edge/src/http_listener/closing.rs
@@ -1,15 +1,15 @@
-//! When and how connections of HTTP clients are closed.
+//! Closing of HTTP connections.
 
 use super::{CloseState, HttpConnection, HttpListener, ResponseSlot};
 use crate::context::EdgeContext;
 use crate::listener::ClosedClient;
-use crate::responses::CallError;
+use crate::responses::RequestError;
 use crate::timers::Timer;
 use sanddrum::Micros;
 use sanddrum_net::{ConnectionId, Io};
 
 impl HttpListener {
-    /// Has a connection closed with its next response, or at once where no request is open.
+    /// Closes a connection after its next response, or at once if it is idle.
     pub fn retire(
         &mut self,
         context: &mut EdgeContext,
@@ -18,13 +18,13 @@
     ) -> Option<ClosedClient> {
         let connection = self.connections.get_mut(&conn)?;
         connection.is_retired = true;
-        if !connection.is_quiet() {
+        if !connection.is_idle() {
             return None;
         }
         self.close(context, conn, io, true)
     }
 
-    /// Closes a connection in order, or resets it.
+    /// Closes a connection gracefully, or resets it.
     pub fn close(
         &mut self,
         context: &mut EdgeContext,
@@ -41,7 +41,7 @@
         self.remove(context, conn)
     }
 
-    /// Removes a connection that is closed.
+    /// Removes the state of a closed connection.
     pub fn remove(&mut self, context: &EdgeContext, conn: ConnectionId) -> Option<ClosedClient> {
         let connection = self.connections.remove(&conn)?;
         self.dirty.remove(&conn);
@@ -56,7 +56,8 @@
         })
     }
 
-    /// Closes a connection that lingers, is slow with a request, is idle or does not read.
+    /// Closes a connection that has lingered or been idle for too long, or rejects its request that was not received in
+    /// time. Otherwise schedules the next check.
     pub fn check(
         &mut self,
         context: &mut EdgeContext,
@@ -66,13 +67,13 @@
     ) -> Option<ClosedClient> {
         let connection = self.connections.get(&conn)?;
         match connection.check(context, now) {
-            Check::Close { is_orderly } => return self.close(context, conn, io, is_orderly),
-            Check::RejectPartialRequest => {
+            CheckResult::Close { is_orderly } => return self.close(context, conn, io, is_orderly),
+            CheckResult::RejectPartialRequest => {
                 let detail = "the request did not come whole in time";
-                let error = CallError::new(408, "head-time-out", detail);
-                self.reject_unreadable(context, now, conn, &error);
+                let error = RequestError::new(408, "head-time-out", detail);
+                self.reject_and_close(context, now, conn, &error);
             }
-            Check::At(at) => {
+            CheckResult::RecheckAt(at) => {
                 let timer = Timer::ClientConnection(conn);
                 context.timers.schedule(at, timer);
             }
@@ -81,37 +82,37 @@
     }
 }
 
-/// What a check of a connection comes to.
-enum Check {
-    /// It is closed in order, or reset.
+/// The result of checking a connection.
+enum CheckResult {
+    /// Close it gracefully, or reset it.
     Close { is_orderly: bool },
-    /// A request that is received in part takes too long.
+    /// Reject its request that was not received in time.
     RejectPartialRequest,
-    /// It is to be checked again at this instant.
-    At(Micros),
+    /// Check it again at this instant.
+    RecheckAt(Micros),
 }
 
 impl HttpConnection {
-    fn check(&self, context: &EdgeContext, now: Micros) -> Check {
+    fn check(&self, context: &EdgeContext, now: Micros) -> CheckResult {
         let limits = &context.limits;
         let is_orderly = self.outbox.pending_bytes() == 0;
         if let CloseState::Lingering(until) = self.close_state {
-            // Guards against a request that can't be read and ends those before it on its connection.
+            // A malformed request does not end the requests before it on its connection: they are answered first.
             if until <= now && self.slots.is_empty() {
-                return Check::Close { is_orderly };
+                return CheckResult::Close { is_orderly };
             }
-            return Check::At(until.max(now + limits.linger_time.max(1)));
+            return CheckResult::RecheckAt(until.max(now + limits.linger_time.max(1)));
         }
         let request_until = self
             .partial_since
             .map(|since| since + limits.request_timeout);
         if request_until.is_some_and(|until| until <= now) {
-            return Check::RejectPartialRequest;
+            return CheckResult::RejectPartialRequest;
         }
         let waits_for_client = self.slots.is_empty() || !is_orderly;
         let idle_until = self.last_active + limits.client_idle_timeout;
         if waits_for_client && idle_until <= now {
-            return Check::Close { is_orderly };
+            return CheckResult::Close { is_orderly };
         }
         let idle_check = if waits_for_client {
             idle_until
@@ -123,6 +124,6 @@
             .unwrap_or(next_request_check)
             .min(next_request_check)
             .min(idle_check);
-        Check::At(next_check.max(now + 1))
+        CheckResult::RecheckAt(next_check.max(now + 1))
     }
 }
--- a/crates/sanddrum-edge/src/listener.rs
+++ b/crates/sanddrum-edge/src/listener.rs
@@ -1,29 +1,29 @@
-//! What the listeners have in common.
+//! Types shared by the HTTP and FastCGI listeners.
 
 use sanddrum::RequestId;
 use sanddrum_net::ConnectionId;
 
-/// A client's connection that was closed.
+/// A client connection that was closed.
 pub(crate) struct ClosedClient {
     /// The connection.
     pub conn: ConnectionId,
-    /// The requests that were open on it; nobody waits for them any more.
+    /// The requests that were open on it.
     pub cancelled: Vec<RequestId>,
 }
 
-/// Which idle connections are closed first where there is no room for one more, in the order of the variants.
+/// The order in which idle connections are closed at the connection limit: lowest variant first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionRank {
-    /// It had time to send a request and has sent none.
+    /// It has sent no request within the first-request timeout.
     Silent,
     /// It has sent a request.
     Idle,
-    /// It was accepted only just now and may have its first request under way.
+    /// It was accepted recently, and its first request may still arrive.
     New,
 }
 
 impl EvictionRank {
-    /// The rank of a connection without open requests.
+    /// Ranks a connection without open requests.
     pub fn new(has_sent_request: bool, had_time_to_send: bool) -> Self {
         match (has_sent_request, had_time_to_send) {
             (true, _) => EvictionRank::Idle,
--- a/crates/sanddrum-edge/src/message.rs
+++ b/crates/sanddrum-edge/src/message.rs
@@ -1,14 +1,14 @@
-//! Messages to workers before they are written, and the ids under which the edge waits for their answers.
+//! Messages to workers, and the ids that match answers to them.
 
-/// An attempt of a request, unique for the life of the process.
+/// The id of an attempt, unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId(pub u64);
 
-/// A load command or a health check, unique for the life of the process.
+/// The id of a load command or a health check, unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CommandId(pub u64);
 
-/// What a message to a worker is about. Messages that end together are reported in the order of the variants.
+/// Identifies a message to a worker. Messages of a connection that are lost together are reported in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum MessageKey {
     /// A request to be executed.
@@ -17,17 +17,18 @@
     Load(CommandId),
     /// A health check.
     HealthCheck(CommandId),
-    /// The cancellation of an attempt. It is written at once or its connection is closed, which cancels as well.
+    /// The cancellation of an attempt, which has no answer. On the platform's protocol a connection that does not take
+    /// it at once is reset, which cancels the attempt as well.
     Cancel,
-    /// A message that is not answered.
+    /// A message without an answer.
     Untracked,
 }
 
 /// A message to a worker.
 pub(crate) struct OutboundMessage {
-    /// What it is about.
+    /// Identifies the message.
     pub key: MessageKey,
-    /// The id under which the worker answers it.
+    /// The id that the worker's answer carries.
     pub wire_id: u64,
     /// The encoded message.
     pub bytes: Vec<u8>,
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -1,4 +1,5 @@
-//! The requests that this edge holds and their attempts. Each request gets exactly one final response.
+//! Pending requests and their attempts. Each request gets exactly one final response unless its client disconnects or
+//! cancels it.
 
 use crate::message::AttemptId;
 use sanddrum::{CustomerId, FunctionId, Outcome, RequestId, WorkerId, WorkloadId};
@@ -6,34 +7,34 @@
 use sanddrum_upstream::WorkerConnectionId;
 use std::collections::BTreeMap;
 
-/// A call as a client made it, whatever protocol it came by.
+/// A validated request, independent of the protocol it was received over.
 #[derive(Default)]
-pub(crate) struct Call {
-    /// The caller's own id of the call; zero where the protocol has none.
+pub(crate) struct RequestSpec {
+    /// The id that the client assigned; zero over HTTP, which has none.
     pub call_id: u64,
     /// The workload that the function belongs to.
     pub workload: WorkloadId,
-    /// The function that is called.
+    /// The function to run.
     pub function: FunctionId,
-    /// Memory of one instance, in megabytes.
+    /// Memory of one instance of the function, in megabytes.
     pub memory_mb: f64,
-    /// Requests that one instance serves at a time.
+    /// Requests that one instance serves concurrently.
     pub concurrency: f64,
-    /// How long a load of the function takes, where that is known.
+    /// How long the function takes to load, if known.
     pub load_time: Option<Micros>,
-    /// The time that is left for the answer.
+    /// The time left until the response is due.
     pub time_limit: Micros,
-    /// The processor time that the call is expected to take, where that is known.
+    /// The expected processor time, if the client states it.
     pub expected_work: Option<Micros>,
-    /// The client has made this call before.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Calls with the same key have the effect of one.
+    /// Requests with the same key take effect once.
     pub idempotency_key: Option<String>,
-    /// The client's trace id.
+    /// The trace id, if the client sent one.
     pub trace: Option<String>,
-    /// The customer's name, where it is known.
+    /// The customer's name, if known.
     pub customer: Option<String>,
-    /// The customer by its place in the settings.
+    /// The customer's index in the settings.
     pub customer_id: CustomerId,
     /// The payload.
     pub body: Vec<u8>,
@@ -41,36 +42,36 @@
 
 /// A request that has no final response yet, or that still has attempts in flight.
 pub(crate) struct PendingRequest {
-    /// The client's connection.
+    /// The connection of the client.
     pub client: ConnectionId,
-    /// The request's place among those of its connection.
+    /// Identifies the request on its connection: its sequence number over HTTP, its request id over FastCGI.
     pub slot: u64,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// The call. Its body is dropped with the final response.
-    pub call: Call,
-    /// It was admitted by the customer limits and counts among them until it is closed.
+    /// The validated request. Its body is dropped when the request is closed.
+    pub spec: RequestSpec,
+    /// Whether it counts against the customer limits until it is closed.
     pub is_admitted: bool,
-    /// All attempts, in the order in which they were dispatched.
+    /// All attempts, in dispatch order.
     pub attempts: Vec<AttemptId>,
-    /// The number of attempts that have not ended.
+    /// The number of attempts in flight.
     pub in_flight: usize,
-    /// An attempt that has ended has run, or may have.
+    /// Whether an attempt that has ended may have run.
     pub may_have_run: bool,
-    /// How the last attempt that has ended did so; the reason of a retry.
+    /// The outcome of the attempt that ended last; logged as the reason for a retry.
     pub last_outcome: Option<Outcome>,
-    /// It has its final response, or its client has disconnected.
+    /// Whether it has its final response or its client has disconnected or cancelled it.
     pub is_closed: bool,
 }
 
 impl PendingRequest {
-    /// A request without attempts.
-    pub fn new(client: ConnectionId, slot: u64, deadline: Micros, call: Call) -> Self {
+    /// Creates an open request without attempts.
+    pub fn new(client: ConnectionId, slot: u64, deadline: Micros, spec: RequestSpec) -> Self {
         PendingRequest {
             client,
             slot,
             deadline,
-            call,
+            spec,
             is_admitted: false,
             attempts: Vec::new(),
             in_flight: 0,
@@ -89,11 +90,11 @@
     pub index: usize,
     /// The worker that it was dispatched to.
     pub worker: WorkerId,
-    /// The connection that it was dispatched on; none where it could not be dispatched.
+    /// The connection that it was queued on; `None` if it could not be sent.
     pub connection: Option<WorkerConnectionId>,
     /// When it was dispatched.
     pub sent_at: Micros,
-    /// When the time limit in its frame was computed.
+    /// When the time limit in its encoded frame was computed.
     pub deadline_encoded_at: Micros,
     /// When it times out.
     pub deadline: Micros,
@@ -107,24 +108,24 @@
     next_request: u64,
     last_attempt: u64,
     open_count: usize,
-    /// Open requests by their callers' ids.
+    /// Open requests by client-assigned id.
     by_call_id: BTreeMap<u64, RequestId>,
     /// Bytes of the bodies of all open requests.
     body_bytes: usize,
 }
 
 impl Requests {
-    /// The number of requests that are remembered, open or not.
+    /// The number of requests, including closed ones with attempts in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The number of requests without a final response.
+    /// The number of open requests.
     pub fn open_count(&self) -> usize {
         self.open_count
     }
 
-    /// The ids of all requests without a final response.
+    /// The ids of all open requests.
     pub fn open_ids(&self) -> Vec<RequestId> {
         let open = self
             .requests
@@ -133,8 +134,8 @@
         open.map(|(id, _)| *id).collect()
     }
 
-    /// Whether a call with this id of the caller's is open.
-    pub fn is_call_open(&self, call_id: u64) -> bool {
+    /// Whether a request with this client-assigned id is open.
+    pub fn is_call_id_open(&self, call_id: u64) -> bool {
         self.by_call_id.contains_key(&call_id)
     }
 
@@ -143,39 +144,39 @@
         self.body_bytes
     }
 
-    /// A request that is remembered, open or not.
+    /// Returns a request, open or closed with attempts in flight.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A request without a final response.
+    /// Returns an open request.
     pub fn get_open(&self, id: RequestId) -> Option<&PendingRequest> {
         self.get(id).filter(|request| !request.is_closed)
     }
 
-    /// Reserves the id of a further request.
-    pub fn reserve_id(&mut self) -> RequestId {
+    /// Allocates a request id.
+    pub fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         id
     }
 
-    /// Adds a request under an id that was reserved for it.
+    /// Adds a request under an id from [`allocate_id`](Self::allocate_id).
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.open_count += 1;
-        self.body_bytes += request.call.body.len();
-        self.by_call_id.insert(request.call.call_id, id);
+        self.body_bytes += request.spec.body.len();
+        self.by_call_id.insert(request.spec.call_id, id);
         self.requests.insert(id, request);
     }
 
-    /// Records whether a request counts among those that the customer limits admitted.
+    /// Sets whether a request counts against the customer limits.
     pub fn set_admitted(&mut self, id: RequestId, is_admitted: bool) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_admitted = is_admitted;
         }
     }
 
-    /// Closes an open request and drops its body; none where it is closed already.
+    /// Closes an open request and drops its body. Returns `None` if it is closed already or unknown.
     pub fn close(&mut self, id: RequestId) -> Option<&PendingRequest> {
         let request = self.requests.get_mut(&id)?;
         if request.is_closed {
@@ -183,15 +184,15 @@
         }
         request.is_closed = true;
         self.open_count -= 1;
-        self.body_bytes -= std::mem::take(&mut request.call.body).len();
-        let call_id = request.call.call_id;
+        self.body_bytes -= std::mem::take(&mut request.spec.body).len();
+        let call_id = request.spec.call_id;
         if self.by_call_id.get(&call_id) == Some(&id) {
             self.by_call_id.remove(&call_id);
         }
         Some(request)
     }
 
-    /// Removes a request that is closed and has no attempt in flight.
+    /// Removes a request if it is closed and has no attempt in flight.
     pub fn remove_if_done(&mut self, id: RequestId) {
         let is_done = |request: &PendingRequest| request.is_closed && request.in_flight == 0;
         if self.requests.get(&id).is_some_and(is_done) {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Reserves the id of a further attempt and returns it with its index; none where the request is unknown.
+    /// Allocates the id of the request's next attempt and returns it with its index, or `None` if the request is unknown.
     pub fn begin_attempt(&mut self, id: RequestId) -> Option<(AttemptId, usize)> {
         self.last_attempt += 1;
         let attempt = AttemptId(self.last_attempt);
@@ -210,12 +211,12 @@
         Some((attempt, index))
     }
 
-    /// Adds an attempt under an id that was reserved for it.
+    /// Adds an attempt under an id from [`begin_attempt`](Self::begin_attempt).
     pub fn insert_attempt(&mut self, id: AttemptId, attempt: Attempt) {
         self.attempts.insert(id, attempt);
     }
 
-    /// An attempt in flight.
+    /// Returns an attempt in flight.
     pub fn attempt(&self, id: AttemptId) -> Option<&Attempt> {
         self.attempts.get(&id)
     }
@@ -225,7 +226,7 @@
         self.attempt(id)?.connection
     }
 
-    /// The id of the attempt at this index of a request.
+    /// The id of a request's attempt, by its index.
     pub fn attempt_at(&self, id: RequestId, index: usize) -> Option<AttemptId> {
         self.get(id)?.attempts.get(index).copied()
     }
@@ -237,7 +238,7 @@
             .unwrap_or_default()
     }
 
-    /// Records that the frame of an attempt was encoded again.
+    /// Records that the frame of an attempt was re-encoded with its current time limit.
     pub fn set_deadline_encoded_at(&mut self, id: AttemptId, now: Micros) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.deadline_encoded_at = now;
@@ -249,7 +250,8 @@
         self.attempts.remove(&id)
     }
 
-    /// Records in the request how one of its attempts ended. Returns whether the request is closed.
+    /// Records the outcome of an attempt in its request, and removes the request if it is done. Returns whether the
+    /// request is closed.
     pub fn record_outcome(&mut self, id: RequestId, outcome: Outcome) -> bool {
         let Some(request) = self.requests.get_mut(&id) else {
             return true;
@@ -263,7 +265,7 @@
     }
 }
 
-/// Whether an attempt with this outcome has run, or may have.
+/// Whether an attempt with this outcome may have run.
 fn may_have_run(outcome: Outcome) -> bool {
     !matches!(
         outcome,
--- a/crates/sanddrum-edge/src/responses.rs
+++ b/crates/sanddrum-edge/src/responses.rs
@@ -8,10 +8,10 @@
 const MICROS_PER_MILLI: Micros = 1_000;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// What an unsuccessful final response says of the request.
+/// What an error response states about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ErrorKind {
-    /// The request has not run, or running it again is harmless.
+    /// The request has not run, or retrying it is harmless.
     Rejected,
     /// The request failed and may have run.
     Failed,
@@ -32,18 +32,18 @@
 
 /// A final response.
 pub(crate) enum FinalResponse<'a> {
-    /// The request has run.
+    /// The request finished.
     Finished {
         /// The request.
         request: RequestId,
         /// The name of the worker that ran it.
         worker: &'a str,
-        /// What the worker reports of the instance, by its name on the wire.
+        /// The state of the instance that the worker reported, as written on the wire.
         instance: &'static str,
         /// The result.
         body: &'a [u8],
     },
-    /// The request has not run, failed or is not valid.
+    /// The request did not finish.
     Error(&'a ErrorResponse<'a>),
 }
 
@@ -72,25 +72,25 @@
     }
 }
 
-/// A final response to a request that did not finish.
+/// A final response to a request that was rejected, failed or is invalid.
 pub(crate) struct ErrorResponse<'a> {
     /// The HTTP status code.
     pub status: u16,
-    /// Whether the request was rejected, failed or is not valid.
+    /// Whether the request was rejected, failed or is invalid.
     pub kind: ErrorKind,
     /// The name of the reason on the wire and in metrics.
     pub reason: &'static str,
-    /// The reason for people.
+    /// A human-readable explanation.
     pub detail: &'a str,
     /// How long the client is asked to wait before it retries.
     pub retry_after: Option<Micros>,
-    /// The request, where the call became one.
+    /// The request, if it was accepted.
     pub request: Option<RequestId>,
 }
 
 impl ErrorResponse<'_> {
-    /// Encodes the response for HTTP/1.1: problem details (RFC 9457) with the time to wait before a retry (RFC 9110,
-    /// section 10.2.3), in seconds for clients that know only these and in milliseconds for those that read our field.
+    /// Encodes the response for HTTP/1.1 as problem details (RFC 9457). The retry delay is given in whole seconds in the
+    /// standard `Retry-After` field (RFC 9110, section 10.2.3) and in milliseconds in a field of its own.
     pub fn encode_http(&self, keep_alive: bool) -> Vec<u8> {
         let mut body = json!({
             "type": format!("urn:sanddrum:{}", self.reason),
@@ -113,7 +113,7 @@
             ]);
         }
         if self.status == 401 {
-            // RFC 6750, section 3.
+            // A 401 response has to carry a challenge (RFC 6750, section 3).
             fields.push(("www-authenticate", "Bearer error=\"invalid_token\""));
         }
         if let Some(request) = self.request {
@@ -128,46 +128,46 @@
     (wait + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND
 }
 
-/// Why a call did not become a request.
+/// Why a client's request was not accepted.
 #[derive(Debug, Error)]
 #[error("{reason}: {detail}")]
-pub(crate) struct CallError {
+pub(crate) struct RequestError {
     /// The HTTP status code.
     pub status: u16,
     /// The name of the reason on the wire and in metrics.
     pub reason: &'static str,
-    /// The reason for people.
+    /// A human-readable explanation.
     pub detail: String,
 }
 
-impl CallError {
-    /// An error with these parts.
+impl RequestError {
+    /// Creates an error.
     pub fn new(status: u16, reason: &'static str, detail: impl Into<String>) -> Self {
-        CallError {
+        RequestError {
             status,
             reason,
             detail: detail.into(),
         }
     }
 
-    /// A field of the call is missing or malformed.
+    /// A field or parameter is missing or malformed.
     pub fn bad_field(detail: impl Into<String>) -> Self {
-        CallError::new(400, "bad-field", detail)
+        RequestError::new(400, "bad-field", detail)
     }
 
-    /// The edge holds as many open requests as it may.
+    /// The limit of open requests is reached.
     pub fn too_many_requests() -> Self {
         let detail = "this edge holds as many jobs as it may; nothing was done";
-        CallError::new(503, "max-open", detail)
+        RequestError::new(503, "max-open", detail)
     }
 
-    /// The edge remembers as many functions as it may.
+    /// The limit of known functions is reached.
     pub fn too_many_functions() -> Self {
         let detail = "this edge knows as many functions as it may";
-        CallError::new(503, "max-functions", detail)
+        RequestError::new(503, "max-functions", detail)
     }
 
-    /// The response that tells the client. A rejection asks it to wait for `retry_after`.
+    /// The response to the client, with the time to wait before a retry, if any.
     pub fn response(&self, kind: ErrorKind, retry_after: Option<Micros>) -> ErrorResponse<'_> {
         ErrorResponse {
             status: self.status,
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to workers: opened on demand, bounded in number and closed when idle. Whatever was in flight on one that
-//! is closed is returned to the caller with its outcome.
+//! Connections to workers: opened on demand, bounded in number and closed when idle. Messages in flight on a lost
+//! connection are returned to the caller with their outcomes.
 
 mod closing;
 mod endpoints;
@@ -20,18 +20,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// An attempt that nobody waits for any more begins no later than this: the tenth of a second that the users allow,
-/// less a fifth of it for the network.
+/// How long an attempt whose request is closed may stay partially written. The requirement is that such an attempt begins
+/// at most 100 ms after the request was closed; 20 ms of that are left for the network.
 const PARTIAL_WRITE_TIMEOUT: Micros = 80_000;
 
-/// How far the transport connection has come.
+/// The state of the transport connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Transport {
     /// The connection policy has not opened it yet.
     Pending,
     /// It is being opened.
     Connecting(ConnectionId),
-    /// It is open, its handshake done.
+    /// It is open and its handshake is complete.
     Connected(ConnectionId),
 }
 
@@ -53,20 +53,21 @@
     transport: Transport,
     outbox: Outbox<MessageKey>,
     decoder: MessageDecoder,
-    /// Messages that were sent and wait for their answers.
+    /// Messages that await their answers.
     in_flight: BTreeSet<MessageKey>,
-    /// The same by the ids that answers name, where those are the callers'.
+    /// The same messages by the ids that answers carry, on the platform's protocol only.
     keys_by_wire_id: BTreeMap<u64, MessageKey>,
-    /// Ids whose message has ended, and until when an answer under them may still come. Guards against a second
-    /// answer to one attempt that is taken for the answer to a later one: what runs then would count as never run.
+    /// Ids of messages that have ended, with the time until which a late answer may arrive. They are not reused before:
+    /// a duplicate answer to an earlier attempt would be taken for the answer to a later one, which would then count as
+    /// not run although it runs.
     retired_wire_ids: BTreeMap<u64, Micros>,
-    /// It gets no new messages, and is closed once nothing is in flight.
+    /// Whether it takes no new messages and is closed once nothing is in flight.
     is_retired: bool,
-    /// Since when nothing is in flight.
+    /// When it last became idle.
     idle_since: Micros,
-    /// How long nothing had been in flight before it became busy.
+    /// How long it was idle before it last became busy.
     idle_before: Micros,
-    /// Since when something is in flight.
+    /// When it last became busy.
     busy_since: Micros,
 }
 
@@ -75,12 +76,12 @@
         self.in_flight.is_empty()
     }
 
-    /// Whether a message under this id could be confused with another one.
+    /// Whether this id is in flight, or retired and not reusable yet.
     fn uses_wire_id(&self, wire_id: u64) -> bool {
         self.keys_by_wire_id.contains_key(&wire_id) || self.retired_wire_ids.contains_key(&wire_id)
     }
 
-    /// Records that a message waits for its answer.
+    /// Records that a message is in flight.
     fn track(&mut self, now: Micros, message: &OutboundMessage, uses_call_ids: bool) {
         if self.is_idle() {
             self.idle_before = now - self.idle_since;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Records that a message has ended. Its id is not used again here before `reusable_at`.
+    /// Records that a message has ended. Its id is not reused on this connection before `reusable_at`.
     fn untrack(&mut self, now: Micros, key: MessageKey, reusable_at: Micros) {
         self.in_flight.remove(&key);
         self.retired_wire_ids.retain(|_, until| *until > now);
@@ -110,7 +111,7 @@
     }
 }
 
-/// A message whose connection has ended, or that was not sent.
+/// The outcome of a message whose connection was lost or that was not sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MessageOutcome {
     /// The message.
@@ -122,9 +123,9 @@
 /// How a connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionLoss {
-    /// It was closed, by either side.
+    /// It was closed by either side or could not be opened.
     Closed(CloseCause),
-    /// The worker violated the protocol, so that the edge reset it.
+    /// The edge reset it after a protocol violation by the worker.
     ProtocolError,
 }
 
@@ -137,32 +138,32 @@
     }
 }
 
-/// Why a message was not sent. Nothing of it was written.
+/// Why a message was not queued. No part of it was written.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// The worker is not listed, or no connection to it may be opened.
     #[error("no connection to the worker can be opened")]
     NoConnection,
-    /// All connections that one worker may have are full.
+    /// All connections to the worker are full, and no further one is allowed.
     #[error("all connections to the worker are full")]
     ConnectionsFull,
-    /// The worker does not read what was sent before.
+    /// The worker does not read earlier messages.
     #[error("the worker reads too slowly")]
     OutboxFull,
 }
 
 impl SendError {
-    /// The outcome that the message is reported with.
+    /// The outcome to report for the message.
     pub fn outcome(self) -> Outcome {
         match self {
             SendError::ConnectionsFull => Outcome::Rejected,
-            // A worker that does not read is as good as unreachable.
+            // A worker that does not read counts as unreachable.
             SendError::NoConnection | SendError::OutboxFull => Outcome::NoConnection,
         }
     }
 }
 
-/// All connections to workers, and the workers as last listed.
+/// All connections to workers, and the workers of the endpoint list.
 pub(crate) struct WorkerConnections {
     protocol: WorkerProtocol,
     edge_name: String,
@@ -172,13 +173,13 @@
     last_connection: u64,
     /// Connections with something to write.
     dirty: BTreeSet<WorkerConnectionId>,
-    /// Connections with a cancellation to write; they are written first.
-    with_cancels: BTreeSet<WorkerConnectionId>,
+    /// Connections with a queued cancellation; they are written first.
+    with_queued_cancels: BTreeSet<WorkerConnectionId>,
     idle_timeout: IdleTimeoutEstimate,
 }
 
 impl WorkerConnections {
-    /// No connections. The edge greets workers with its name and incarnation.
+    /// Creates an empty set of connections. The greeting to workers states the edge's name and incarnation.
     pub fn new(
         protocol: WorkerProtocol,
         edge_name: &str,
@@ -193,7 +194,7 @@
             endpoints: BTreeMap::new(),
             last_connection: 0,
             dirty: BTreeSet::new(),
-            with_cancels: BTreeSet::new(),
+            with_queued_cancels: BTreeSet::new(),
             idle_timeout: IdleTimeoutEstimate::new(connect_timeout),
         }
     }
@@ -203,17 +204,17 @@
         self.protocol
     }
 
-    /// The number of connections, open or not.
+    /// The number of connections in any state.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The worker at the other end of a connection.
+    /// The worker that a connection leads to.
     pub fn worker_of(&self, id: WorkerConnectionId) -> Option<WorkerId> {
         Some(self.connections.get(&id)?.worker)
     }
 
-    /// The greeting that a connection begins with.
+    /// The greeting sent first on each connection.
     fn hello(&self) -> Hello {
         Hello {
             version: VERSION,
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Opens the transport of a connection that waited for the connection policy.
+    /// Opens the transport of a pending connection, as the connection policy has decided.
     pub fn open(
         &mut self,
         context: &mut EdgeContext,
@@ -251,7 +252,7 @@
             .schedule(timeout_at, Timer::WorkerConnection(id));
     }
 
-    /// The transport of a connection is open.
+    /// Handles the opening of a connection's transport.
     pub fn connected(
         &mut self,
         context: &mut EdgeContext,
@@ -274,7 +275,7 @@
         self.dirty.insert(id);
     }
 
-    /// The transport of a connection takes bytes again.
+    /// Handles a connection whose transport has become writable.
     pub fn writable(&mut self, id: WorkerConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.outbox.unblock();
@@ -282,14 +283,14 @@
         }
     }
 
-    /// Bytes were received on a connection.
+    /// Buffers bytes received on a connection.
     pub fn push_bytes(&mut self, id: WorkerConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.decoder.push_bytes(bytes);
         }
     }
 
-    /// The next complete message received on a connection, if there is one.
+    /// Takes the next complete message received on a connection.
     ///
     /// # Errors
     /// The worker violated the protocol.
@@ -303,7 +304,8 @@
         }
     }
 
-    /// The credentials of a connection have changed since its handshake; denied, its worker is trusted no more.
+    /// Handles a change of credentials since the handshake of a connection. If the worker's certificate was denied, the
+    /// connection is retired at once; otherwise the connection policy rotates it.
     pub fn credentials_changed(
         &self,
         context: &mut EdgeContext,
@@ -325,7 +327,7 @@
         }
     }
 
-    /// Passes a worker's load report on to the connection policy.
+    /// Forwards a worker's load report to the connection policy.
     pub fn record_load_report(context: &mut EdgeContext, worker: WorkerId, report: &LoadReport) {
         if let (Some(in_flight), Some(queued)) = (report.in_flight, report.queued) {
             let requests = in_flight + queued;
@@ -334,7 +336,7 @@
         }
     }
 
-    /// A message has ended: its answer came, or nobody waits for it any more.
+    /// Ends the tracking of a message that was answered or is no longer waited for.
     pub fn release(
         &mut self,
         context: &mut EdgeContext,
@@ -351,7 +353,7 @@
         }
     }
 
-    /// Attempts on an open connection of which nothing was written yet.
+    /// Attempts queued on an open connection of which no byte has been written.
     pub fn unwritten_attempts(&self, id: WorkerConnectionId) -> Vec<AttemptId> {
         let Some(connection) = self.connections.get(&id) else {
             return Vec::new();
@@ -366,24 +368,24 @@
         attempts.collect()
     }
 
-    /// Replaces a message of which nothing was written yet.
+    /// Replaces the bytes of a message of which no byte has been written.
     pub fn replace_unwritten(&mut self, id: WorkerConnectionId, key: MessageKey, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.outbox.replace_unwritten(&key, bytes);
         }
     }
 
-    /// Removes a message of which nothing was written yet; false where that is too late.
+    /// Removes a message from the outbox. Returns false if any byte of it has been written.
     pub fn retract(&mut self, id: WorkerConnectionId, key: MessageKey) -> bool {
         self.connections
             .get_mut(&id)
             .is_some_and(|connection| connection.outbox.remove_unwritten(&key))
     }
 
-    /// Bounds how long an attempt that nobody waits for may stay written in part: it is written to its end soon, or its
-    /// connection is closed. Guards against one that begins long after its client has disconnected, at a worker that
-    /// reads nothing.
-    pub fn bound_partial_write(
+    /// Bounds how long an attempt whose request is closed may stay partially written: unless the rest is written soon,
+    /// its connection is reset. Otherwise a worker that stops reading could begin it long after the client has
+    /// disconnected.
+    pub fn schedule_partial_write_timeout(
         &self,
         context: &mut EdgeContext,
         now: Micros,
@@ -396,7 +398,7 @@
         }
     }
 
-    /// Whether a message is not written to its last byte.
+    /// Whether a message has not been written completely.
     fn is_pending(&self, id: WorkerConnectionId, key: MessageKey) -> bool {
         self.connections
             .get(&id)
--- a/crates/sanddrum-edge/src/worker_connections/closing.rs
+++ b/crates/sanddrum-edge/src/worker_connections/closing.rs
@@ -1,4 +1,4 @@
-//! How connections to workers end, and with which outcome what was in flight on them.
+//! Closing of worker connections, and the outcomes of messages in flight on them.
 
 use super::{ConnectionLoss, MessageOutcome, Transport, WorkerConnection, WorkerConnections};
 use crate::context::EdgeContext;
@@ -11,7 +11,7 @@
 use sanddrum_upstream::{RejectReason, WorkerConnectionId};
 
 impl WorkerConnections {
-    /// A connection is gone. What was not written to its last byte cannot have been read; what was may have run.
+    /// Removes a lost connection. Messages that were not written completely have not run; the others may have.
     pub fn lost(
         &mut self,
         context: &mut EdgeContext,
@@ -58,7 +58,7 @@
         );
     }
 
-    /// The connection policy does not let a connection be opened.
+    /// Removes a connection that the connection policy does not allow to be opened.
     pub fn reject(
         &mut self,
         context: &mut EdgeContext,
@@ -98,15 +98,15 @@
         }
     }
 
-    /// Whether the end of a connection says that the next one would fail as well. A malformed answer does not, but another
-    /// worker's name in the greeting does, which only the native protocol has. Nor does a dial that was given up because
-    /// its worker has moved.
+    /// Whether the loss of a connection predicts that the next one fails as well. A failed connect does, unless the
+    /// connection was retired, for example because its worker has moved. A protocol error counts on the native protocol
+    /// only, where the greeting may show another worker's name; on the platform's protocol it is just a malformed answer.
     fn counts_as_failed(&self, connection: &WorkerConnection, loss: ConnectionLoss) -> bool {
         let is_native = self.protocol == WorkerProtocol::Native;
-        let is_wrong_worker = loss == ConnectionLoss::ProtocolError && is_native;
-        let is_failed_dial =
+        let may_be_wrong_worker = loss == ConnectionLoss::ProtocolError && is_native;
+        let is_failed_connect =
             matches!(connection.transport, Transport::Connecting(_)) && !connection.is_retired;
-        is_wrong_worker || is_failed_dial
+        may_be_wrong_worker || is_failed_connect
     }
 
     /// Resets the transport of a connection.
@@ -126,8 +126,8 @@
         self.lost(context, now, id, loss)
     }
 
-    /// Resets a connection on which an attempt that nobody waits for is still written only in part.
-    pub fn end_partial_write(
+    /// Resets a connection if the attempt, whose request is closed, is still only partially written.
+    pub fn reset_partial_write(
         &mut self,
         context: &mut EdgeContext,
         now: Micros,
@@ -142,7 +142,8 @@
         self.reset(context, now, id, loss, io)
     }
 
-    /// Closes a connection that did not come up in time, is idle for too long, or is retired with nothing in flight.
+    /// Closes a connection that was not opened in time, has been idle for too long, or is retired and idle. Otherwise
+    /// schedules the next check.
     pub fn check(
         &mut self,
         context: &mut EdgeContext,
@@ -183,7 +184,7 @@
     }
 }
 
-/// The name in the status line of how a connection was lost.
+/// The name of a cause of loss in the status line.
 fn loss_label(cause: CloseCause) -> &'static str {
     match cause {
         CloseCause::Orderly => "closed",
--- a/crates/sanddrum-edge/src/worker_connections/endpoints.rs
+++ b/crates/sanddrum-edge/src/worker_connections/endpoints.rs
@@ -1,4 +1,4 @@
-//! Workers as the endpoint list last named them, and which connections each has.
+//! The workers of the endpoint list and their connections.
 
 use super::{MessageOutcome, WorkerConnections};
 use crate::context::EdgeContext;
@@ -8,10 +8,10 @@
 use sanddrum_wire::{stable_id, EndpointRecord};
 use std::collections::BTreeSet;
 
-/// A worker as last listed.
+/// A worker as listed last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkerEndpoint {
-    /// Its name, which its greeting has to state.
+    /// Its name, which its greeting must match.
     pub name: String,
     /// Its `host:port`.
     pub address: String,
@@ -26,14 +26,14 @@
         Some(endpoint.name.as_str())
     }
 
-    /// Whether a listed worker has another address than this record says.
+    /// Whether a known worker has another address than this record states.
     pub fn has_moved(&self, record: &EndpointRecord) -> bool {
         self.endpoints
             .get(&WorkerId(stable_id(&record.name)))
             .is_some_and(|endpoint| endpoint.address != record.address)
     }
 
-    /// Other workers that are listed at the address of this record.
+    /// Other workers listed at the address of this record.
     pub fn workers_sharing_address(&self, record: &EndpointRecord) -> Vec<WorkerId> {
         let others = self.endpoints.iter().filter(|(_, endpoint)| {
             endpoint.address == record.address && endpoint.name != record.name
@@ -41,7 +41,7 @@
         others.map(|(worker, _)| *worker).collect()
     }
 
-    /// Workers that have an endpoint and are not among the listed ones.
+    /// Known workers that are not in `listed`.
     pub fn workers_except(&self, listed: &BTreeSet<WorkerId>) -> Vec<WorkerId> {
         let workers = self.endpoints.keys();
         workers
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// Records a worker as listed.
+    /// Adds or updates a worker from the endpoint list.
     pub fn update_endpoint(
         &mut self,
         context: &mut EdgeContext,
@@ -82,7 +82,7 @@
             .unwrap_or_default()
     }
 
-    /// Removes all messages to a worker of which nothing was written yet. To be used where it drains, is gone or has
+    /// Removes all messages to a worker of which no byte has been written. Used when the worker is draining, gone or has
     /// moved.
     pub fn retract_all(&mut self, worker: WorkerId) -> Vec<MessageOutcome> {
         let mut retracted = Vec::new();
@@ -99,20 +99,21 @@
         retracted
     }
 
-    /// Retires all connections to a worker: answers that are still to come there are awaited, and nothing new is sent.
+    /// Retires all connections to a worker: they take no new messages, and are closed once nothing is in flight.
     pub fn retire_all(&mut self, context: &mut EdgeContext, now: Micros, worker: WorkerId) {
         for id in self.connections_of(worker) {
             self.retire(context, now, id);
         }
     }
 
-    /// Forgets a worker, so that no connection to it is opened.
+    /// Removes a worker, so that no connection to it is opened.
     pub fn remove_endpoint(&mut self, worker: WorkerId) {
         self.endpoints.remove(&worker);
     }
 }
 
-/// A message that was retracted for its worker's sake. A load command can't be cancelled: it counts as rejected.
+/// The outcome of a message retracted because of a change of its worker. A load command counts as rejected, as load
+/// commands can't be cancelled.
 fn retracted_message(key: MessageKey) -> MessageOutcome {
     let outcome = match key {
         MessageKey::Load(_) => Outcome::Rejected,
--- a/crates/sanddrum-edge/src/worker_connections/sending.rs
+++ b/crates/sanddrum-edge/src/worker_connections/sending.rs
@@ -1,4 +1,4 @@
-//! Choosing or creating the connection for a message, and writing what is queued.
+//! Selects or creates the connection for a message, and writes queued messages.
 
 use super::{
     ConnectionLoss, MessageOutcome, SendError, Transport, WorkerConnection, WorkerConnections,
@@ -14,10 +14,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl WorkerConnections {
-    /// Queues a message for a worker. `deadline` is when its answer is given up.
+    /// Queues a message for a worker. Its answer is awaited until `deadline`.
     ///
     /// # Errors
-    /// No connection takes the message; nothing of it is written.
+    /// No connection accepts the message; no part of it is written.
     pub fn send(
         &mut self,
         context: &mut EdgeContext,
@@ -64,18 +64,19 @@
         Ok(id)
     }
 
-    /// Queues the cancellation of an attempt behind all that was sent on its connection, if that is still there.
+    /// Queues the cancellation of an attempt on its connection, after all earlier messages. Does nothing if the
+    /// connection is closed or its outbox is full.
     pub fn send_cancel(&mut self, id: WorkerConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         if connection.outbox.push(MessageKey::Cancel, bytes).is_ok() {
             self.dirty.insert(id);
-            self.with_cancels.insert(id);
+            self.with_queued_cancels.insert(id);
         }
     }
 
-    /// A connection to a worker with capacity for a message; a new one where all are full.
+    /// Returns a connection to a worker with capacity for a message, or creates one if all are full.
     fn connection_for(
         &mut self,
         context: &mut EdgeContext,
@@ -97,7 +98,7 @@
         self.create(context, now, worker)
     }
 
-    /// The connection to a worker with the fewest messages in flight, if one has capacity.
+    /// Returns the connection to a worker with the fewest messages in flight, if it has capacity.
     fn least_loaded(
         &self,
         now: Micros,
@@ -110,14 +111,15 @@
             .connections
             .iter()
             .filter_map(|id| Some((id, self.connections.get(id)?)));
-        // One id stands for one message on a connection.
+        // An id identifies at most one message in flight on a connection.
         let is_free = |connection: &WorkerConnection| {
             message.key == MessageKey::Untracked || !connection.uses_wire_id(message.wire_id)
         };
         let usable = connections.filter(|(_, connection)| {
             is_free(connection) && !self.is_idle_too_long(now, connection)
         });
-        // Of idle ones the most recently used: the longest idle may be dead without notice.
+        // Prefers the most recently used of idle connections: the longer one has been idle, the likelier it is dead
+        // without notice.
         let load = usable.map(|(id, connection)| {
             let in_flight = connection.in_flight.len();
             (in_flight, Reverse(connection.idle_since), *id)
@@ -126,7 +128,7 @@
         (in_flight < max_in_flight).then_some(id)
     }
 
-    /// Whether an open connection has been idle for so long that it may be dead.
+    /// Whether an open connection has been idle so long that it may be dead.
     fn is_idle_too_long(&self, now: Micros, connection: &WorkerConnection) -> bool {
         connection.is_idle()
             && connection.transport.is_connected()
@@ -175,8 +177,8 @@
         Ok(id)
     }
 
-    /// Retires the longest idle connection where as many are open as may be. Guards against workers' connections that
-    /// leave no file descriptor for clients': their requests would lie unaccepted until their time is up.
+    /// Retires the longest idle connection if the limit of worker connections is reached. The limit keeps file
+    /// descriptors for client connections, whose requests would otherwise time out without being accepted.
     fn retire_idle_at_limit(
         &mut self,
         context: &mut EdgeContext,
@@ -207,7 +209,7 @@
     ) -> WorkerConnection {
         let mut outbox = Outbox::new(context.limits.max_outbox_bytes_per_worker);
         if let Some(hello) = self.protocol.hello(self.hello()) {
-            // An empty outbox always takes one message.
+            // An empty outbox accepts a message of any size.
             let _ = outbox.push(MessageKey::Untracked, &hello);
         }
         WorkerConnection {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Creates a connection that no message waits for yet.
+    /// Creates a connection ahead of demand, unless a limit is reached or one is being opened already.
     pub fn prewarm(&mut self, context: &mut EdgeContext, now: Micros, worker: WorkerId) {
         let connections = self.connections_of(worker);
         let is_full = self.len() >= context.limits.max_worker_connections
@@ -248,20 +250,20 @@
         }
     }
 
-    /// The connections with a cancellation to write; they are to be written first, with
-    /// [`flush_cancels`](Self::flush_cancels). Guards against a further attempt that is sent on one connection before
-    /// the first one is cancelled on another.
-    pub fn take_with_cancels(&mut self) -> BTreeSet<WorkerConnectionId> {
-        std::mem::take(&mut self.with_cancels)
+    /// Takes the connections with queued cancellations. They must be written first, with
+    /// [`flush_cancels`](Self::flush_cancels), so that no further attempt of a request is sent on one connection before
+    /// the first is cancelled on another.
+    pub fn take_with_queued_cancels(&mut self) -> BTreeSet<WorkerConnectionId> {
+        std::mem::take(&mut self.with_queued_cancels)
     }
 
-    /// The connections with something to write.
+    /// Takes the connections with something to write.
     pub fn take_dirty(&mut self) -> BTreeSet<WorkerConnectionId> {
         std::mem::take(&mut self.dirty)
     }
 
-    /// Writes a connection up to its last cancellation. On the platform's protocol one that does not take it is reset,
-    /// as the attempt would otherwise run beside the next one.
+    /// Writes a connection up to its last cancellation. On the platform's protocol, a connection that does not take it
+    /// is reset, as the cancelled attempt could otherwise run concurrently with the next one.
     pub fn flush_cancels(
         &mut self,
         context: &mut EdgeContext,
@@ -278,8 +280,8 @@
         connection
             .outbox
             .flush_through(&MessageKey::Cancel, conn, io);
-        let is_stuck = connection.outbox.is_pending(&MessageKey::Cancel);
-        if self.protocol == WorkerProtocol::Platform && is_stuck {
+        let is_blocked = connection.outbox.is_pending(&MessageKey::Cancel);
+        if self.protocol == WorkerProtocol::Platform && is_blocked {
             return self.reset(
                 context,
                 now,
@@ -291,7 +293,7 @@
         Vec::new()
     }
 
-    /// Writes what an open connection takes.
+    /// Writes as much as an open connection takes.
     pub fn flush(&mut self, id: WorkerConnectionId, io: &mut dyn Io) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -301,7 +303,7 @@
         }
     }
 
-    /// Retires a connection: it gets no new messages, and is closed once nothing is in flight.
+    /// Retires a connection: it takes no new messages, and is closed once nothing is in flight.
     pub fn retire(&mut self, context: &mut EdgeContext, now: Micros, id: WorkerConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -1,5 +1,5 @@
-//! The protocol spoken with workers: the native one or the platform's, chosen at the start. Answers of both are decoded to
-//! the same messages.
+//! The worker protocol: native or the platform's, chosen at startup. Answers in either protocol are decoded to the same
+//! messages.
 
 use crate::message::{AttemptId, CommandId, MessageKey};
 use sanddrum_platform::frames;
@@ -11,41 +11,41 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// No attempt has this id: an answer under it is counted as unmatched.
+/// An id that no attempt has. Answers with this id are counted as unmatched.
 const NO_ATTEMPT: AttemptId = AttemptId(0);
 
-/// The protocol that an edge speaks with its workers.
+/// The protocol between an edge and its workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerProtocol {
-    /// Sanddrum's own frames.
+    /// Sanddrum's native frames.
     Native,
     /// The platform's frames.
     Platform,
 }
 
-/// Why a worker's connection can't be used any more.
+/// A protocol violation that makes a worker connection unusable.
 #[derive(Debug, Error)]
 pub(crate) enum WorkerProtocolError {
     /// A native frame can't be decoded.
     #[error(transparent)]
     NativeFrame(#[from] wire::FrameError),
-    /// A frame of the platform can't be decoded.
+    /// A platform frame can't be decoded.
     #[error(transparent)]
     PlatformFrame(#[from] sanddrum_platform::FrameError),
-    /// Another worker answers at the address.
-    #[error("{answering:?} answers where {listed:?} is listed")]
+    /// The address belongs to another worker than the endpoint list states.
+    #[error("worker {answering:?} answered at the address listed for {listed:?}")]
     WrongWorker {
         /// The name in the worker's greeting.
         answering: String,
         /// The name in the endpoint list.
         listed: String,
     },
-    /// The greeting names a version that was never defined.
-    #[error("version 0 of the protocol does not exist")]
+    /// The greeting states version 0, which does not exist.
+    #[error("unsupported protocol version 0")]
     UnsupportedVersion,
 }
 
-/// Decodes what a worker writes.
+/// Decodes messages from a worker.
 pub(crate) enum MessageDecoder {
     /// Decodes native frames.
     Native(FrameDecoder),
@@ -54,12 +54,12 @@
 }
 
 impl WorkerProtocol {
-    /// Whether answers name the caller's id of a request; otherwise they name the attempt's.
+    /// Whether answers carry the client-assigned id of the request rather than the id of the attempt.
     pub fn uses_call_ids(self) -> bool {
         self == WorkerProtocol::Platform
     }
 
-    /// A decoder for one connection that accepts frames of up to so many bytes.
+    /// Creates a decoder for one connection that accepts frames of up to `max_frame_bytes`.
     pub fn decoder(self, max_frame_bytes: usize) -> MessageDecoder {
         match self {
             WorkerProtocol::Native => MessageDecoder::Native(FrameDecoder::new(max_frame_bytes)),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The greeting at the begin of a connection, where the protocol has one.
+    /// Encodes the greeting that opens a connection, if the protocol has one.
     pub fn hello(self, hello: Hello) -> Option<Vec<u8>> {
         (self == WorkerProtocol::Native).then(|| encode_frame(&ToWorker::Hello(hello)))
     }
@@ -129,7 +129,7 @@
 }
 
 impl MessageDecoder {
-    /// Adds bytes that were received.
+    /// Buffers received bytes.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         match self {
             MessageDecoder::Native(frames) => frames.push_bytes(bytes),
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The next complete message, if there is one. `keys_by_wire_id` holds what is in flight on the connection, by the
-    /// ids that the platform's answers name.
+    /// Takes the next complete message. `keys_by_wire_id` holds the messages in flight on the connection, by the ids that
+    /// the platform's answers carry.
     ///
     /// # Errors
     /// A frame can't be decoded.
@@ -156,7 +156,7 @@
     }
 }
 
-/// Translates an answer in the platform's protocol to a native message.
+/// Converts an answer in the platform's protocol to a native message.
 fn native_message(
     answer: frames::Response,
     keys_by_wire_id: &BTreeMap<u64, MessageKey>,
--- a/crates/sanddrum-edge/tests/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/tests/fastcgi_listener.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::fastcgi::{call_params, call_params_with, request, CALL_ID, OTHER_CALL_ID};
+use harness::fastcgi::{request, request_params, request_params_with, CALL_ID, OTHER_CALL_ID};
 use harness::scripted_module::Decision;
 use harness::{EdgeHarness, SECOND};
 use rstest::rstest;
@@ -13,10 +13,10 @@
 fn a_request_in_the_turn_of_the_idle_timeout_is_accepted() {
     let mut harness = EdgeHarness::on_platform(&[("limits.client-idle", "4 s")]);
     let client = harness.accept_client();
-    harness.send_call(client, 1, CALL_ID);
+    harness.send_request(client, 1, CALL_ID);
     harness.decide_on_event(2, [Decision::Reject(0)]);
     harness.now += 4 * SECOND + 1;
-    harness.send_call(client, 2, OTHER_CALL_ID);
+    harness.send_request(client, 2, OTHER_CALL_ID);
     assert_eq!(harness.request_count(), 2);
     assert!(!harness.io.has_closed(client));
 }
@@ -24,14 +24,14 @@
 #[rstest]
 fn a_request_that_is_too_large_leaves_others_on_its_connection_open() {
     let mut harness = EdgeHarness::on_platform(&[("limits.largest-body", "16 KB")]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(
         client,
-        &request(2, &call_params(OTHER_CALL_ID), &vec![7; 40_000]),
+        &request(2, &request_params(OTHER_CALL_ID), &vec![7; 40_000]),
     );
     harness.advance(SECOND);
     assert_eq!(harness.fastcgi_statuses(client), [(2, 413)]);
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client).last().unwrap(), &(1, 200));
     assert!(!harness.io.has_closed(client));
 }
@@ -39,14 +39,14 @@
 #[rstest]
 fn a_request_that_is_never_completed_leaves_others_on_its_connection_open() {
     let mut harness = EdgeHarness::on_platform(&[("limits.head-time-out", "500 ms")]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(
         client,
-        &request(2, &call_params(OTHER_CALL_ID), b"in")[..40],
+        &request(2, &request_params(OTHER_CALL_ID), b"in")[..40],
     );
     harness.advance(SECOND);
     assert!(!harness.io.has_closed(client));
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert!(harness.io.has_closed_in_order(client), "after the response");
 }
@@ -56,13 +56,13 @@
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
     // The second request is the last on its connection, and is answered first.
-    harness.send_call(client, 1, CALL_ID);
-    let mut last = request(2, &call_params(OTHER_CALL_ID), b"in");
+    harness.send_request(client, 1, CALL_ID);
+    let mut last = request(2, &request_params(OTHER_CALL_ID), b"in");
     last[HEADER_BYTES + 2] = 0;
     harness.plan([Decision::Reject(1)]);
     harness.receive(client, &last);
     assert_eq!(harness.fastcgi_statuses(client), [(2, 503)]);
-    harness.send_call(client, 3, "00000000000000bb");
+    harness.send_request(client, 3, "00000000000000bb");
     assert_eq!(
         harness.fastcgi_responses(client).last().unwrap().2,
         2,
@@ -78,9 +78,9 @@
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
     harness.plan([Decision::Reject(0)]);
-    harness.send_call(client, 1, CALL_ID);
+    harness.send_request(client, 1, CALL_ID);
     harness.plan([Decision::Fail(1)]);
-    harness.send_call(client, 2, CALL_ID);
+    harness.send_request(client, 2, CALL_ID);
     let responses = harness.fastcgi_responses(client);
     assert!(
         responses[0].1.starts_with("Status: 503\r\n")
@@ -106,11 +106,11 @@
 ) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
-    let params = call_params_with(name, value);
+    let params = request_params_with(name, value);
     harness.receive(client, &request(1, &params, b"in"));
     assert_eq!(harness.fastcgi_statuses(client), [(1, status)]);
     assert!(harness.script.borrow().requests.is_empty());
-    harness.send_call(client, 2, OTHER_CALL_ID);
+    harness.send_request(client, 2, OTHER_CALL_ID);
     assert_eq!(harness.request_count(), 1);
 }
 
@@ -126,7 +126,7 @@
 ) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
-    let params = call_params_with(name, value);
+    let params = request_params_with(name, value);
     harness.receive(client, &request(1, &params, b"in"));
     assert_eq!(harness.request_count(), 1);
 }
@@ -134,11 +134,14 @@
 #[rstest]
 fn a_call_with_an_open_call_id_is_rejected_and_the_first_goes_on() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     let second = harness.accept_client();
-    harness.receive(second, &request(1, &call_params(CALL_ID), b"another body"));
+    harness.receive(
+        second,
+        &request(1, &request_params(CALL_ID), b"another body"),
+    );
     assert_eq!(harness.fastcgi_statuses(second), [(1, 409)]);
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
 }
 
@@ -146,7 +149,7 @@
 fn a_body_that_is_too_large_is_rejected_without_being_read() {
     let mut harness = EdgeHarness::on_platform(&[("limits.largest-body", "16 KB")]);
     let client = harness.accept_client();
-    let complete = request(1, &call_params(CALL_ID), &vec![7; 60_000]);
+    let complete = request(1, &request_params(CALL_ID), &vec![7; 60_000]);
     harness.receive(client, &complete[..40_000]);
     // The record is incomplete: nothing beyond it is buffered, and the rest is not awaited.
     harness.receive(client, &complete[40_000..]);
@@ -170,12 +173,12 @@
 #[rstest]
 fn eviction_takes_silent_connections_first_and_never_one_with_an_open_request() {
     let mut harness = EdgeHarness::on_platform(&[("limits.max-clients", "2")]);
-    let (busy, _) = harness.dispatch_fastcgi_call();
+    let (busy, _) = harness.dispatch_fastcgi_request();
     let silent = harness.accept_client();
     harness.advance(SECOND / 4);
     let third = harness.accept_client();
     assert_eq!(harness.io.closed, [(silent, Some(CloseCause::Orderly))]);
-    harness.send_call(third, 1, OTHER_CALL_ID);
+    harness.send_request(third, 1, OTHER_CALL_ID);
     harness.accept_client();
     assert!(harness
         .io
@@ -192,17 +195,17 @@
     let new_client = harness.accept_client();
     harness.accept_client();
     assert_eq!(harness.io.closed, [(idle, Some(CloseCause::Orderly))]);
-    harness.send_call(new_client, 1, CALL_ID);
+    harness.send_request(new_client, 1, CALL_ID);
     assert_eq!(harness.request_count(), 1);
 }
 
 #[rstest]
 fn a_cancelled_request_gets_no_response_and_a_late_answer_is_ignored() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(client, &encode_header(RecordType::AbortRequest, 1, 0));
     assert_eq!(harness.script.borrow().cancelled.len(), 1);
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_responses(client), [(1, String::new(), 0)]);
 }
 
@@ -211,7 +214,7 @@
     let mut harness = EdgeHarness::on_platform(&[("limits.pipelined", "32")]);
     let client = harness.accept_client();
     let bytes: Vec<u8> = (1..=40)
-        .flat_map(|id| request(id, &call_params(&format!("{id:016x}")), b"in"))
+        .flat_map(|id| request(id, &request_params(&format!("{id:016x}")), b"in"))
         .collect();
     harness.event(Event::Bytes {
         conn: client,
@@ -241,7 +244,7 @@
         ("limits.largest-body", "16KB"),
     ]);
     let (first, second) = (harness.accept_client(), harness.accept_client());
-    let complete = |id, call| request(id, &call_params(call), &[b'x'; 16 * 1024]);
+    let complete = |id, call| request(id, &request_params(call), &[b'x'; 16 * 1024]);
     let (one, other) = (complete(1, CALL_ID), complete(1, OTHER_CALL_ID));
     harness.receive(first, &one[..one.len() - HEADER_BYTES]);
     harness.receive(second, &other[..other.len() - HEADER_BYTES]);
@@ -258,7 +261,7 @@
     harness.receive(first, &one[one.len() - HEADER_BYTES..]);
     assert_eq!(harness.request_count(), 1);
     // Its share of the buffer is free again.
-    let again = request(2, &call_params(OTHER_CALL_ID), b"in");
+    let again = request(2, &request_params(OTHER_CALL_ID), b"in");
     harness.receive(second, &again);
     assert_eq!(harness.request_count(), 2);
 }
--- a/crates/sanddrum-edge/tests/harness/fastcgi.rs
+++ b/crates/sanddrum-edge/tests/harness/fastcgi.rs
@@ -23,7 +23,7 @@
 }
 
 /// The parameters of a valid call.
-pub fn call_params(call_id: &str) -> Vec<(&'static str, String)> {
+pub fn request_params(call_id: &str) -> Vec<(&'static str, String)> {
     vec![
         ("SCRIPT_NAME", "/rpc/job".into()),
         ("HTTP_X_CALL_ID", call_id.into()),
@@ -34,8 +34,8 @@
 }
 
 /// The same with another value of one parameter.
-pub fn call_params_with(name: &'static str, value: &str) -> Vec<(&'static str, String)> {
-    let mut params = call_params(CALL_ID);
+pub fn request_params_with(name: &'static str, value: &str) -> Vec<(&'static str, String)> {
+    let mut params = request_params(CALL_ID);
     params.retain(|(other, _)| *other != name);
     params.push((name, value.into()));
     params
@@ -64,8 +64,8 @@
 
 impl EdgeHarness {
     /// A web server sends a call.
-    pub fn send_call(&mut self, client: ConnectionId, id: u16, call_id: &str) {
-        self.receive(client, &request(id, &call_params(call_id), b"in"));
+    pub fn send_request(&mut self, client: ConnectionId, id: u16, call_id: &str) {
+        self.receive(client, &request(id, &request_params(call_id), b"in"));
     }
 
     /// A web server with a call that is dispatched while the worker's connection is being opened; its connection and
@@ -73,12 +73,12 @@
     pub fn dispatch_while_connecting(&mut self) -> (ConnectionId, ConnectionId) {
         let client = self.accept_client();
         self.plan([Decision::Dispatch(0, TIME_LIMIT)]);
-        self.send_call(client, 1, CALL_ID);
+        self.send_request(client, 1, CALL_ID);
         (client, self.last_connection())
     }
 
     /// The same, with the worker's connection open.
-    pub fn dispatch_fastcgi_call(&mut self) -> (ConnectionId, ConnectionId) {
+    pub fn dispatch_fastcgi_request(&mut self) -> (ConnectionId, ConnectionId) {
         let (client, worker) = self.dispatch_while_connecting();
         self.connect(worker);
         (client, worker)
--- a/crates/sanddrum-edge/tests/harness/platform_worker.rs
+++ b/crates/sanddrum-edge/tests/harness/platform_worker.rs
@@ -14,7 +14,7 @@
 
 impl EdgeHarness {
     /// A worker answers that a call has finished.
-    pub fn finish_call(&mut self, worker: ConnectionId, call_id: &str, body: &[u8]) {
+    pub fn finish_request(&mut self, worker: ConnectionId, call_id: &str, body: &[u8]) {
         let answer = frames::response(FINISHED, id_number(call_id), "", body);
         self.receive(worker, &answer);
     }
--- a/crates/sanddrum-edge/tests/platform_attempts.rs
+++ b/crates/sanddrum-edge/tests/platform_attempts.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::fastcgi::{
-    call_params, id_number, request, CALL_ID, FUNCTION, OTHER_CALL_ID, TIME_LIMIT,
+    id_number, request, request_params, CALL_ID, FUNCTION, OTHER_CALL_ID, TIME_LIMIT,
 };
 use harness::feed::member;
 use harness::platform_worker::{COLD_MISS, FINISHED, REJECTED};
@@ -32,7 +32,7 @@
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
     harness.plan([Decision::Dispatch(0, TIME_LIMIT)]);
-    let bytes = request(1, &call_params(CALL_ID), b"in");
+    let bytes = request(1, &request_params(CALL_ID), b"in");
     harness.deliver(Event::Bytes {
         conn: client,
         bytes: &bytes,
@@ -50,7 +50,7 @@
 #[rstest]
 fn no_retry_is_sent_for_a_client_that_left() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
+    let (client, first) = harness.dispatch_fastcgi_request();
     harness.receive(
         first,
         &frames::response(REJECTED, id_number(CALL_ID), "", b""),
@@ -103,7 +103,7 @@
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
 }
 
@@ -113,7 +113,7 @@
     let client = harness.accept_client();
     for (id, call) in [(0, CALL_ID), (1, OTHER_CALL_ID)] {
         harness.plan([Decision::Dispatch(id, TIME_LIMIT)]);
-        harness.send_call(client, id as u16 + 1, call);
+        harness.send_request(client, id as u16 + 1, call);
         let conn = harness.last_connection();
         harness.connect(conn);
     }
@@ -144,7 +144,7 @@
 #[rstest]
 fn a_duplicate_answer_does_not_answer_the_next_attempt() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
+    let (client, first) = harness.dispatch_fastcgi_request();
     let rejected = frames::response(REJECTED, id_number(CALL_ID), "", b"");
     harness.receive(first, &rejected);
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
@@ -157,25 +157,25 @@
         [Outcome::Rejected],
         "the second attempt is in flight"
     );
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
 }
 
 #[rstest]
 fn a_late_answer_does_not_answer_another_client_with_the_same_call_id() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
+    let (client, first) = harness.dispatch_fastcgi_request();
     harness.leave(client, true);
-    harness.finish_call(first, CALL_ID, b"the first one's");
+    harness.finish_request(first, CALL_ID, b"the first one's");
     let other = harness.accept_client();
     harness.plan([Decision::Dispatch(1, TIME_LIMIT)]);
-    harness.send_call(other, 1, CALL_ID);
+    harness.send_request(other, 1, CALL_ID);
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
-    harness.finish_call(first, CALL_ID, b"the first one's");
+    harness.finish_request(first, CALL_ID, b"the first one's");
     assert!(harness.fastcgi_responses(other).is_empty());
-    harness.finish_call(second, CALL_ID, b"its own");
+    harness.finish_request(second, CALL_ID, b"its own");
     assert!(harness.fastcgi_responses(other)[0].1.ends_with("its own"));
 }
 
@@ -185,17 +185,17 @@
         ("limits.idle-close", "1000 s"),
         ("limits.client-idle", "1000 s"),
     ]);
-    let (_, first) = harness.dispatch_fastcgi_call();
-    harness.finish_call(first, CALL_ID, b"out");
+    let (_, first) = harness.dispatch_fastcgi_request();
+    harness.finish_request(first, CALL_ID, b"out");
     // The time limit is 10 s.
     harness.advance(21 * SECOND);
     let client = harness.accept_client();
     harness.plan([Decision::Dispatch(1, TIME_LIMIT)]);
-    harness.send_call(client, 1, OTHER_CALL_ID);
+    harness.send_request(client, 1, OTHER_CALL_ID);
     let before = harness.io.connects.len();
-    harness.finish_call(first, OTHER_CALL_ID, b"out");
+    harness.finish_request(first, OTHER_CALL_ID, b"out");
     harness.plan([Decision::Dispatch(2, TIME_LIMIT)]);
-    harness.send_call(client, 2, CALL_ID);
+    harness.send_request(client, 2, CALL_ID);
     assert_eq!(harness.io.connects.len(), before);
 }
 
@@ -220,9 +220,9 @@
 #[rstest]
 fn an_answer_in_the_turn_of_the_deadline_counts() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.now += TIME_LIMIT;
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert_eq!(harness.outcomes(), [Outcome::Finished]);
 }
@@ -230,10 +230,10 @@
 #[rstest]
 fn an_attempt_sent_as_its_connection_closes_may_have_run() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
-    harness.finish_call(worker, CALL_ID, b"out");
+    let (client, worker) = harness.dispatch_fastcgi_request();
+    harness.finish_request(worker, CALL_ID, b"out");
     harness.plan([Decision::Dispatch(1, 1_000_000)]);
-    let bytes = request(2, &call_params(OTHER_CALL_ID), b"in");
+    let bytes = request(2, &request_params(OTHER_CALL_ID), b"in");
     harness.deliver(Event::Bytes {
         conn: client,
         bytes: &bytes,
@@ -256,7 +256,7 @@
     let before = harness.io.connects.len();
     harness.plan([Decision::Dispatch(1, 1_000_000)]);
     let other = harness.accept_client();
-    harness.send_call(other, 1, OTHER_CALL_ID);
+    harness.send_request(other, 1, OTHER_CALL_ID);
     assert_eq!(harness.io.connects.len(), before);
     assert!(harness.io.written.contains_key(&worker));
 }
@@ -265,7 +265,7 @@
 fn each_attempt_has_the_idempotency_key_of_its_request() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
-    let mut params = call_params(CALL_ID);
+    let mut params = request_params(CALL_ID);
     params.push(("HTTP_X_DEDUPE_KEY", "order-17".into()));
     harness.plan([Decision::Dispatch(0, TIME_LIMIT)]);
     harness.receive(client, &request(1, &params, b"in"));
@@ -289,7 +289,7 @@
 #[rstest]
 fn a_request_and_its_answer_are_forwarded_unchanged() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     let sent = frames::request(id_number(CALL_ID), "job", FUNCTION, TIME_LIMIT, b"in");
     assert_eq!(harness.io.written[&worker], sent);
     harness.receive(
@@ -324,7 +324,7 @@
 #[case::three_gigabytes({ let mut f = frames::response(FINISHED, id_number(CALL_ID), "", b"out"); f[4] = 0xc0; f })]
 fn a_malformed_answer_resets_the_connection_and_is_not_forwarded(#[case] bytes: Vec<u8>) {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(worker, &bytes);
     assert_eq!(harness.outcomes(), [Outcome::Reset], "it may have run");
     assert_eq!(harness.io.closed, [(worker, Some(CloseCause::Reset))]);
@@ -334,7 +334,7 @@
 #[rstest]
 fn answers_that_match_no_attempt_are_ignored() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(worker, &frames::response(FINISHED, 77, "", b"for nobody"));
     let out = frames::response(FINISHED, id_number(CALL_ID), "", b"out");
     harness.receive(worker, &[out.clone(), out].concat());
@@ -345,7 +345,7 @@
 #[rstest]
 fn a_retry_is_sent_on_another_connection_after_the_cancellation() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (_, first) = harness.dispatch_fastcgi_call();
+    let (_, first) = harness.dispatch_fastcgi_request();
     harness.decide_on_event(
         2,
         [Decision::Cancel(0, 0), Decision::Dispatch(0, 1_000_000)],
@@ -360,14 +360,14 @@
         &frames::response(COLD_MISS, id_number(CALL_ID), "", b""),
     );
     assert_eq!(harness.outcomes(), [Outcome::Cancelled]);
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.outcomes(), [Outcome::Cancelled, Outcome::Finished]);
 }
 
 #[rstest]
 fn an_attempt_that_times_out_is_cancelled_at_the_worker() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (_, worker) = harness.dispatch_fastcgi_call();
+    let (_, worker) = harness.dispatch_fastcgi_request();
     harness.advance(2 * SECOND);
     assert_eq!(harness.outcomes(), [Outcome::TimedOut]);
     assert!(harness.io.written[&worker].ends_with(&frames::cancel(id_number(CALL_ID))));
@@ -376,7 +376,7 @@
 #[rstest]
 fn a_load_command_is_answered_under_its_own_id() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (_, worker) = harness.dispatch_fastcgi_call();
+    let (_, worker) = harness.dispatch_fastcgi_request();
     harness.decide_on_event(2, [Decision::Load(2)]);
     let load = frames::load(1, FUNCTION, 2);
     assert!(harness.io.written[&worker].ends_with(&load));
@@ -393,7 +393,7 @@
     ]);
     for n in 0..3_000u64 {
         let client = harness.accept_client();
-        let mut params = call_params(&format!("{n:016x}"));
+        let mut params = request_params(&format!("{n:016x}"));
         params.retain(|(name, _)| *name != "HTTP_X_ENTITY");
         params.push(("HTTP_X_ENTITY", format!("{:016x}", n / 2)));
         let phase = if n % 2 == 0 {
@@ -425,13 +425,13 @@
 #[rstest]
 fn a_retry_after_a_malformed_answer_connects_at_once() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
+    let (client, first) = harness.dispatch_fastcgi_request();
     harness.receive(first, b"noise");
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert_eq!(harness.outcomes(), [Outcome::Reset, Outcome::Finished]);
 }
@@ -441,5 +441,5 @@
 fn an_attempt_to_a_draining_worker_is_a_violation() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.receive_member(2, member("w", "terminating"));
-    harness.dispatch_fastcgi_call();
+    harness.dispatch_fastcgi_request();
 }
--- a/crates/sanddrum-edge/tests/shutdown.rs
+++ b/crates/sanddrum-edge/tests/shutdown.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use harness::fastcgi::{call_params, request, CALL_ID};
+use harness::fastcgi::{request, request_params, CALL_ID};
 use harness::scripted_module::Decision;
 use harness::{EdgeHarness, SECOND};
 use rstest::rstest;
@@ -40,7 +40,7 @@
 fn shutdown_waits_for_a_request_that_is_received_in_part() {
     let mut harness = EdgeHarness::on_platform(&[("limits.late-arrivals", "700 ms")]);
     let client = harness.accept_client();
-    let bytes = request(1, &call_params(CALL_ID), b"in");
+    let bytes = request(1, &request_params(CALL_ID), b"in");
     let now = harness.now;
     harness.edge.shut_down(now, &mut harness.io);
     harness.advance(SECOND / 2);
@@ -61,7 +61,7 @@
     ]);
     let client = harness.accept_client();
     let now = harness.now;
-    harness.receive(client, &request(1, &call_params(CALL_ID), b"in")[..40]);
+    harness.receive(client, &request(1, &request_params(CALL_ID), b"in")[..40]);
     harness.edge.shut_down(now, &mut harness.io);
     harness.advance(SECOND + 1);
     assert!(harness.edge.is_done());
@@ -76,7 +76,7 @@
     let now = harness.now;
     harness.edge.shut_down(now, &mut harness.io);
     let client = harness.accept_client();
-    harness.send_call(client, 1, CALL_ID);
+    harness.send_request(client, 1, CALL_ID);
     assert_eq!(harness.script.borrow().requests[0].deadline, now + SECOND);
 }
 
@@ -87,10 +87,10 @@
     harness.edge.shut_down(now, &mut harness.io);
     assert!(harness.edge.accepts_while_draining() && !harness.edge.is_done());
     harness.advance(SECOND / 2);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.advance(SECOND / 2);
     assert!(!harness.edge.is_done(), "a request is open");
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert!(harness.edge.is_done());
 }
