--- a/crates/sanddrum-edge/src/edge_state/admission.rs
+++ b/crates/sanddrum-edge/src/edge_state/admission.rs
@@ -7,7 +7,7 @@
 use sanddrum_limits::{RejectReason, Rejection};
 
 impl EdgeState {
-    /// Decides on all requests accepted since the last run. Admitted ones are added to the decision module's next batch.
+    /// Decides on all requests accepted since the last run. Admitted ones join the decision module's next batch.
     pub fn run_admission(&mut self, now: Micros) {
         let is_limited = self.admission.is_limited();
         let requests = &self.requests;
--- a/crates/sanddrum-edge/src/edge_state/attempts.rs
+++ b/crates/sanddrum-edge/src/edge_state/attempts.rs
@@ -287,8 +287,8 @@
         });
     }
 
-    /// Ends an attempt that was not answered within its time limit. An unwritten attempt is retracted and has not run. A
-    /// written one is cancelled on the platform's protocol; native workers enforce the time limit themselves.
+    /// Ends an attempt that was not answered within its time limit. An unwritten attempt is retracted and has not run.
+    /// A written one is cancelled on the platform's protocol; native workers enforce the time limit themselves.
     pub(super) fn attempt_timed_out(&mut self, now: Micros, id: AttemptId) {
         let Some(connection) = self.requests.connection_of(id) else {
             return;
--- a/crates/sanddrum-edge/src/edge_state/clients.rs
+++ b/crates/sanddrum-edge/src/edge_state/clients.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Handles a change of credentials since the handshake of a client connection. If its certificate was denied, no new
-    /// requests are authorized on it.
+    /// Handles a change of credentials since the handshake of a client connection. If its certificate was denied, no
+    /// new requests are authorized on it.
     pub(super) fn client_credentials_changed(
         &mut self,
         now: Micros,
--- a/crates/sanddrum-edge/src/edge_state/http.rs
+++ b/crates/sanddrum-edge/src/edge_state/http.rs
@@ -80,8 +80,8 @@
         http::encode_response(200, &fields, body.as_bytes(), keep_alive)
     }
 
-    /// An edge without an endpoint list can only reject requests, so it reports that it is not ready and clients can use
-    /// another one.
+    /// An edge without an endpoint list can only reject requests, so it reports that it is not ready and clients can
+    /// use another one.
     fn health_response(&self, keep_alive: bool) -> Vec<u8> {
         let (status, text) = if self.discovery.is_healthy() {
             (200, "ok\n".to_string())
--- a/crates/sanddrum-edge/src/edge_state/requests.rs
+++ b/crates/sanddrum-edge/src/edge_state/requests.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a request: it is accepted, then closed by exactly one final response or by its client's cancellation.
+//! The lifecycle of a request: it is accepted, then closed by exactly one final response or cancelled by its client.
 
 use super::EdgeState;
 use crate::event_counts::CountedEvent;
@@ -130,7 +130,7 @@
         self.requests.remove_if_done(id);
     }
 
-    /// Retracts the unwritten attempts of a closed request, which would otherwise be sent once a slow connection opens.
+    /// Retracts the unwritten attempts of a closed request, which would otherwise be sent when their connection opens.
     fn retract_attempts(&mut self, now: Micros, id: RequestId) {
         for attempt in self.requests.attempts_of(id) {
             let Some(connection) = self.requests.connection_of(attempt) else {
--- a/crates/sanddrum-edge/src/edge_state/send_checks.rs
+++ b/crates/sanddrum-edge/src/edge_state/send_checks.rs
@@ -1,6 +1,6 @@
 //! Final checks of attempts before their first byte is written. An attempt that may no longer be sent is retracted and
 //! reported as an invariant violation, as it should have been retracted earlier. The others get their remaining time
-//! limit: a frame holds the time limit at its encoding and may have waited for its connection to open or to take bytes.
+//! limit: a frame holds the time limit at its encoding and may have waited until its connection opened or took bytes.
 
 use super::EdgeState;
 use crate::invariants::{may_send, AttemptFacts};
--- a/crates/sanddrum-edge/src/edge_state/workers.rs
+++ b/crates/sanddrum-edge/src/edge_state/workers.rs
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Verifies a worker's greeting. It is ignored if the worker has been removed since, as no name is listed to compare.
+    /// Verifies a worker's greeting. It is ignored if the worker was removed meanwhile, as no name is listed for it.
     fn on_hello(
         &mut self,
         now: Micros,
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -59,7 +59,7 @@
             max_open_requests: limits.max_pipelined_requests,
             max_params_bytes: limits.max_head_bytes,
             max_body_bytes: limits.max_body_bytes,
-            // All open requests may be in transfer at a time. `limit_partial_bytes` bounds the total of all connections.
+            // All open requests may be in transfer at a time. `limit_partial_bytes` bounds the sum over connections.
             max_buffered_bytes: limits.max_pipelined_requests * largest_request,
         };
         FastCgiConnection {
@@ -121,9 +121,9 @@
             .any(|connection| connection.partial_since.is_some())
     }
 
-    /// The connection to close at the connection limit: the longest idle one of the lowest [`EvictionRank`]. `None` if no
-    /// connection is idle. Clients that open hundreds of connections and send no request, or only one, thus do not lock
-    /// out others.
+    /// The connection to close at the connection limit: the longest idle one of the lowest [`EvictionRank`]. `None` if
+    /// no connection is idle. Clients that open hundreds of connections and send no request, or only one, thus do not
+    /// lock out others.
     pub fn eviction_candidate(
         &self,
         now: Micros,
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Takes the next event from the bytes received on a connection. Records that the edge need not handle are answered
-    /// here. A malformed record resets the connection, and its open requests are returned as cancelled.
+    /// Takes the next event from the bytes received on a connection. Records that the edge need not handle are
+    /// answered here. A malformed record resets the connection, and its open requests are returned as cancelled.
     pub fn next_event(
         &mut self,
         context: &mut EdgeContext,
@@ -206,7 +206,7 @@
                         return Some(FastCgiEvent::Cancelled(vec![request]));
                     }
                 }
-                // A closing connection rejects new requests. Cancellations of its open requests are still handled above.
+                // A closing connection rejects new requests but still handles cancellations of open ones.
                 ResponderEvent::Request { id, .. }
                     if connection.close_state != CloseState::Open =>
                 {
@@ -257,7 +257,12 @@
         context
             .metrics
             .record_error_response(ErrorKind::Invalid, reason);
-        tracing::debug!(conn = conn.0, reason, problem = %error, "malformed FastCGI record; connection reset");
+        tracing::debug!(
+            conn = conn.0,
+            reason,
+            problem = %error,
+            "malformed FastCGI record; connection reset"
+        );
         let closed = self.close(context, conn, io, CloseReason::Unreadable)?;
         Some(FastCgiEvent::Cancelled(closed.cancelled))
     }
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Functions that are described only by requests are kept for this many keep-alive periods after the last request.
+/// Functions described only by requests are kept for this many keep-alive periods after the last one.
 const RETENTION_KEEP_ALIVES: Micros = 8;
 
 /// The resource needs of an instance of a function.
@@ -150,7 +150,7 @@
             .map_or(0, |workload| workload.time_limit)
     }
 
-    /// Whether requests of a workload may run only once. Defaults to true for a workload that the settings do not have.
+    /// Whether requests of a workload may run only once. True for a workload that the settings do not have.
     pub fn runs_once(&self, workload: WorkloadId) -> bool {
         self.workloads
             .get(workload.0)
@@ -192,7 +192,7 @@
         Some(id)
     }
 
-    /// Removes functions that no request has described for the retention time. Runs at most once per keep-alive period.
+    /// Removes functions past their retention time. Runs at most once per keep-alive period.
     fn sweep(&mut self, now: Micros) {
         if now < self.next_sweep {
             return;
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -81,7 +81,7 @@
         self.is_flushed() && self.received.is_empty()
     }
 
-    /// Moves ready responses to the outbox, in order. Returns false if the outbox is full, as the client does not read.
+    /// Moves ready responses to the outbox, in order. Returns false if it is full because the client reads too slowly.
     fn queue_ready_responses(&mut self) -> bool {
         while let Some(ResponseSlot::Ready {
             response,
@@ -137,8 +137,8 @@
             .any(|connection| connection.partial_since.is_some())
     }
 
-    /// The connection to close at the connection limit: the longest idle one of the lowest [`EvictionRank`]. `None` if no
-    /// connection is idle.
+    /// The connection to close at the connection limit: the longest idle one of the lowest [`EvictionRank`]. `None` if
+    /// no connection is idle.
     pub fn eviction_candidate(
         &self,
         now: Micros,
--- a/crates/sanddrum-edge/src/http_listener/closing.rs
+++ b/crates/sanddrum-edge/src/http_listener/closing.rs
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Closes a connection that has lingered or been idle for too long, or rejects its request that was not received in
-    /// time. Otherwise schedules the next check.
+    /// Closes a connection that has lingered or been idle for too long, or rejects its request that was not received
+    /// in time. Otherwise schedules the next check.
     pub fn check(
         &mut self,
         context: &mut EdgeContext,
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Allocates the id of the request's next attempt and returns it with its index, or `None` if the request is unknown.
+    /// Allocates the id of a request's next attempt and returns it with its index. `None` if the request is unknown.
     pub fn begin_attempt(&mut self, id: RequestId) -> Option<(AttemptId, usize)> {
         self.last_attempt += 1;
         let attempt = AttemptId(self.last_attempt);
--- a/crates/sanddrum-edge/src/responses.rs
+++ b/crates/sanddrum-edge/src/responses.rs
@@ -89,8 +89,8 @@
 }
 
 impl ErrorResponse<'_> {
-    /// Encodes the response for HTTP/1.1 as problem details (RFC 9457). The retry delay is given in whole seconds in the
-    /// standard `Retry-After` field (RFC 9110, section 10.2.3) and in milliseconds in a field of its own.
+    /// Encodes the response for HTTP/1.1 as problem details (RFC 9457). The retry delay is given in whole seconds in
+    /// the standard `Retry-After` field (RFC 9110, section 10.2.3) and in milliseconds in a field of its own.
     pub fn encode_http(&self, keep_alive: bool) -> Vec<u8> {
         let mut body = json!({
             "type": format!("urn:sanddrum:{}", self.reason),
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -20,8 +20,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// How long an attempt whose request is closed may stay partially written. The requirement is that such an attempt begins
-/// at most 100 ms after the request was closed; 20 ms of that are left for the network.
+/// How long an attempt whose request is closed may stay partially written. The requirement is that such an attempt
+/// begins at most 100 ms after the request was closed; 20 ms of that are left for the network.
 const PARTIAL_WRITE_TIMEOUT: Micros = 80_000;
 
 /// The state of the transport connection.
@@ -57,9 +57,9 @@
     in_flight: BTreeSet<MessageKey>,
     /// The same messages by the ids that answers carry, on the platform's protocol only.
     keys_by_wire_id: BTreeMap<u64, MessageKey>,
-    /// Ids of messages that have ended, with the time until which a late answer may arrive. They are not reused before:
-    /// a duplicate answer to an earlier attempt would be taken for the answer to a later one, which would then count as
-    /// not run although it runs.
+    /// Ids of messages that have ended, with the time until which a late answer may arrive. They are not reused
+    /// before: a duplicate answer to an earlier attempt would be taken for the answer to a later one, which would then
+    /// count as not run although it runs.
     retired_wire_ids: BTreeMap<u64, Micros>,
     /// Whether it takes no new messages and is closed once nothing is in flight.
     is_retired: bool,
@@ -304,8 +304,8 @@
         }
     }
 
-    /// Handles a change of credentials since the handshake of a connection. If the worker's certificate was denied, the
-    /// connection is retired at once; otherwise the connection policy rotates it.
+    /// Handles a change of credentials since the handshake of a connection. If the worker's certificate was denied,
+    /// the connection is retired at once; otherwise the connection policy rotates it.
     pub fn credentials_changed(
         &self,
         context: &mut EdgeContext,
--- a/crates/sanddrum-edge/src/worker_connections/closing.rs
+++ b/crates/sanddrum-edge/src/worker_connections/closing.rs
@@ -99,8 +99,9 @@
     }
 
     /// Whether the loss of a connection predicts that the next one fails as well. A failed connect does, unless the
-    /// connection was retired, for example because its worker has moved. A protocol error counts on the native protocol
-    /// only, where the greeting may show another worker's name; on the platform's protocol it is just a malformed answer.
+    /// connection was retired, for example because its worker has moved. A protocol error counts on the native
+    /// protocol only, where the greeting may show another worker's name; on the platform's protocol it is just a
+    /// malformed answer.
     fn counts_as_failed(&self, connection: &WorkerConnection, loss: ConnectionLoss) -> bool {
         let is_native = self.protocol == WorkerProtocol::Native;
         let may_be_wrong_worker = loss == ConnectionLoss::ProtocolError && is_native;
--- a/crates/sanddrum-edge/src/worker_connections/endpoints.rs
+++ b/crates/sanddrum-edge/src/worker_connections/endpoints.rs
@@ -82,8 +82,8 @@
             .unwrap_or_default()
     }
 
-    /// Removes all messages to a worker of which no byte has been written. Used when the worker is draining, gone or has
-    /// moved.
+    /// Removes all messages to a worker of which no byte has been written. Used when the worker is draining, gone or
+    /// has moved.
     pub fn retract_all(&mut self, worker: WorkerId) -> Vec<MessageOutcome> {
         let mut retracted = Vec::new();
         for id in self.connections_of(worker) {
--- a/crates/sanddrum-edge/src/worker_connections/sending.rs
+++ b/crates/sanddrum-edge/src/worker_connections/sending.rs
@@ -118,8 +118,7 @@
         let usable = connections.filter(|(_, connection)| {
             is_free(connection) && !self.is_idle_too_long(now, connection)
         });
-        // Prefers the most recently used of idle connections: the longer one has been idle, the likelier it is dead
-        // without notice.
+        // Prefers the most recently used idle connection: the longest idle one may have died unnoticed.
         let load = usable.map(|(id, connection)| {
             let in_flight = connection.in_flight.len();
             (in_flight, Reverse(connection.idle_since), *id)
@@ -251,8 +250,8 @@
     }
 
     /// Takes the connections with queued cancellations. They must be written first, with
-    /// [`flush_cancels`](Self::flush_cancels), so that no further attempt of a request is sent on one connection before
-    /// the first is cancelled on another.
+    /// [`flush_cancels`](Self::flush_cancels), so that no further attempt of a request is sent on one connection
+    /// before the first is cancelled on another.
     pub fn take_with_queued_cancels(&mut self) -> BTreeSet<WorkerConnectionId> {
         std::mem::take(&mut self.with_queued_cancels)
     }
--- a/crates/sanddrum-edge/src/worker_protocol.rs
+++ b/crates/sanddrum-edge/src/worker_protocol.rs
@@ -1,5 +1,5 @@
-//! The worker protocol: native or the platform's, chosen at startup. Answers in either protocol are decoded to the same
-//! messages.
+//! The worker protocol: native or the platform's, chosen at startup. Answers in either protocol are decoded to the
+//! same messages.
 
 use crate::message::{AttemptId, CommandId, MessageKey};
 use sanddrum_platform::frames;
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Takes the next complete message. `keys_by_wire_id` holds the messages in flight on the connection, by the ids that
-    /// the platform's answers carry.
+    /// Takes the next complete message. `keys_by_wire_id` holds the messages in flight on the connection, by the ids
+    /// that the platform's answers carry.
     ///
     /// # Errors
     /// A frame can't be decoded.
--- a/crates/sanddrum-edge/tests/attempt_outcomes.rs
+++ b/crates/sanddrum-edge/tests/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts, load commands and health checks end, and whether an attempt may have run.
+//! Outcomes of attempts, load commands and health checks.
 
 mod harness;
 
@@ -11,9 +11,9 @@
 
 #[rstest]
 #[case::refused(0, CloseCause::Refused, Outcome::NoConnection)]
-#[case::partly_written(60, CloseCause::Reset, Outcome::NoConnection)]
+#[case::partially_written(60, CloseCause::Reset, Outcome::NoConnection)]
 #[case::completely_written(10_000, CloseCause::Reset, Outcome::Reset)]
-#[case::closed_in_order_without_an_answer(10_000, CloseCause::Orderly, Outcome::Reset)]
+#[case::closed_gracefully_without_an_answer(10_000, CloseCause::Orderly, Outcome::Reset)]
 fn a_lost_connection_reports_whether_the_attempt_may_have_run(
     #[case] capacity: usize,
     #[case] cause: CloseCause,
@@ -76,7 +76,7 @@
     assert_eq!(
         harness.outcomes(),
         [Outcome::CancelledBeforeStart, Outcome::NoConnection],
-        "its time limit was over before it could be sent"
+        "the time limit of the second attempt expired before it could be sent"
     );
     harness.connect(worker);
     assert_eq!(harness.attempts_to(worker), [] as [u64; 0]);
@@ -94,7 +94,7 @@
     assert_eq!(
         harness.statuses(client),
         [] as [u16; 0],
-        "an attempt that timed out answers no client"
+        "an answer to an attempt that timed out is not forwarded"
     );
 }
 
@@ -183,10 +183,10 @@
     );
 }
 
-/// The connection takes long to be opened, and meanwhile the request is rejected or its client disconnects: no attempt of
-/// it is sent once the connection is open.
+/// The request is rejected or its client disconnects while the connection to the worker is being opened. Its attempt
+/// must not be sent once the connection is open.
 #[rstest]
-fn an_attempt_that_waits_for_its_connection_is_not_sent_after_the_final_response(
+fn an_attempt_that_waits_for_its_connection_is_not_sent_after_its_request_is_closed(
     #[values(true, false)] disconnects: bool,
 ) {
     let mut harness = EdgeHarness::new(&[("limits.connect-time-out", "4s")]);
--- a/crates/sanddrum-edge/tests/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/tests/fastcgi_listener.rs
@@ -1,4 +1,4 @@
-//! Web servers that call over FastCGI.
+//! The FastCGI listener: multiplexed, invalid and cancelled requests, timeouts and limits.
 
 mod harness;
 
@@ -10,7 +10,7 @@
 use sanddrum_net::{CloseCause, Event};
 
 #[rstest]
-fn a_request_in_the_turn_of_the_idle_timeout_is_accepted() {
+fn a_request_received_at_the_idle_timeout_of_its_connection_is_accepted() {
     let mut harness = EdgeHarness::on_platform(&[("limits.client-idle", "4 s")]);
     let client = harness.accept_client();
     harness.send_request(client, 1, CALL_ID);
@@ -48,14 +48,17 @@
     assert!(!harness.io.has_closed(client));
     harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
-    assert!(harness.io.has_closed_in_order(client), "after the response");
+    assert!(
+        harness.io.has_closed_gracefully(client),
+        "it is closed after the response"
+    );
 }
 
 #[rstest]
-fn a_cancellation_on_a_closing_connection_counts() {
+fn a_cancellation_on_a_closing_connection_is_handled() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
-    // The second request is the last on its connection, and is answered first.
+    // The second request lacks the keep-connection flag, so it is the last on the connection. It is answered first.
     harness.send_request(client, 1, CALL_ID);
     let mut last = request(2, &request_params(OTHER_CALL_ID), b"in");
     last[HEADER_BYTES + 2] = 0;
@@ -68,9 +71,9 @@
         2,
         "a further request is rejected at once"
     );
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     assert_eq!(harness.script.borrow().cancelled.len(), 1);
-    assert!(harness.io.has_closed_in_order(client));
+    assert!(harness.io.has_closed_gracefully(client));
 }
 
 #[rstest]
@@ -91,15 +94,15 @@
 
 #[rstest]
 #[case::no_such_workload("SCRIPT_NAME", "/rpc/other", 404)]
-#[case::no_id("HTTP_X_CALL_ID", "", 400)]
-#[case::an_id_too_long("HTTP_X_CALL_ID", "9b1f03aa5c7e2d4100", 400)]
-#[case::no_number("HTTP_X_PATIENCE_MS", "soon", 400)]
-#[case::not_a_number("HTTP_X_PATIENCE_MS", "NaN", 400)]
-#[case::a_negative_number("HTTP_X_PATIENCE_MS", "-5", 400)]
-#[case::a_huge_number("HTTP_X_PATIENCE_MS", "1e12", 400)]
-#[case::no_lanes("HTTP_X_INFO", "memory_mb:512;lanes:0;load_ms:640", 400)]
+#[case::missing_id("HTTP_X_CALL_ID", "", 400)]
+#[case::too_long_id("HTTP_X_CALL_ID", "9b1f03aa5c7e2d4100", 400)]
+#[case::non_numeric_time_limit("HTTP_X_PATIENCE_MS", "soon", 400)]
+#[case::nan_time_limit("HTTP_X_PATIENCE_MS", "NaN", 400)]
+#[case::negative_time_limit("HTTP_X_PATIENCE_MS", "-5", 400)]
+#[case::huge_time_limit("HTTP_X_PATIENCE_MS", "1e12", 400)]
+#[case::zero_concurrency("HTTP_X_INFO", "memory_mb:512;lanes:0;load_ms:640", 400)]
 #[case::wrong_content_length("CONTENT_LENGTH", "700", 400)]
-fn an_invalid_call_is_answered_at_once_and_its_connection_stays_open(
+fn an_invalid_request_is_answered_at_once_and_its_connection_stays_open(
     #[case] name: &'static str,
     #[case] value: &str,
     #[case] status: u16,
@@ -115,12 +118,9 @@
 }
 
 #[rstest]
-#[case::a_load_longer_than_the_command_timeout(
-    "HTTP_X_INFO",
-    "memory_mb:512;lanes:2;load_ms:11500"
-)]
-#[case::a_patience_just_beyond_the_time_limit("HTTP_X_PATIENCE_MS", "10001")]
-fn parameters_slightly_beyond_their_limit_are_accepted(
+#[case::load_time_above_the_load_timeout("HTTP_X_INFO", "memory_mb:512;lanes:2;load_ms:11500")]
+#[case::time_limit_just_above_the_workloads("HTTP_X_PATIENCE_MS", "10001")]
+fn parameters_slightly_above_their_limit_are_accepted(
     #[case] name: &'static str,
     #[case] value: &str,
 ) {
@@ -132,7 +132,7 @@
 }
 
 #[rstest]
-fn a_call_with_an_open_call_id_is_rejected_and_the_first_goes_on() {
+fn a_request_with_an_open_call_id_is_rejected_and_the_first_continues() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_fastcgi_request();
     let second = harness.accept_client();
@@ -151,15 +151,15 @@
     let client = harness.accept_client();
     let complete = request(1, &request_params(CALL_ID), &vec![7; 60_000]);
     harness.receive(client, &complete[..40_000]);
-    // The record is incomplete: nothing beyond it is buffered, and the rest is not awaited.
+    // The rest of the request is neither buffered nor awaited.
     harness.receive(client, &complete[40_000..]);
     assert_eq!(harness.fastcgi_statuses(client), [(1, 413)]);
     assert_eq!(harness.io.closed, [(client, Some(CloseCause::Orderly))]);
 }
 
 #[rstest]
-#[case::silent(vec![])]
-#[case::half_a_request(encode_header(RecordType::BeginRequest, 1, 8).to_vec())]
+#[case::nothing_sent(vec![])]
+#[case::incomplete_record(encode_header(RecordType::BeginRequest, 1, 8).to_vec())]
 fn a_connection_without_a_complete_request_is_closed_within_its_timeout(#[case] bytes: Vec<u8>) {
     let mut harness = EdgeHarness::on_platform(&[("limits.head-time-out", "2 s")]);
     let client = harness.accept_client();
@@ -244,11 +244,11 @@
         ("limits.largest-body", "16KB"),
     ]);
     let (first, second) = (harness.accept_client(), harness.accept_client());
-    let complete = |id, call| request(id, &request_params(call), &[b'x'; 16 * 1024]);
+    let complete = |id, call_id| request(id, &request_params(call_id), &[b'x'; 16 * 1024]);
     let (one, other) = (complete(1, CALL_ID), complete(1, OTHER_CALL_ID));
     harness.receive(first, &one[..one.len() - HEADER_BYTES]);
     harness.receive(second, &other[..other.len() - HEADER_BYTES]);
-    // The request that exceeds the bound is rejected; the other one is completed and decided on.
+    // The request that exceeds the bound is rejected; the other one is completed and accepted.
     assert_eq!(
         harness
             .fastcgi_responses(second)
@@ -260,7 +260,7 @@
     harness.receive(second, &other[other.len() - HEADER_BYTES..]);
     harness.receive(first, &one[one.len() - HEADER_BYTES..]);
     assert_eq!(harness.request_count(), 1);
-    // Its share of the buffer is free again.
+    // The buffered bytes of the rejected request no longer count.
     let again = request(2, &request_params(OTHER_CALL_ID), b"in");
     harness.receive(second, &again);
     assert_eq!(harness.request_count(), 2);
--- a/crates/sanddrum-edge/tests/harness/fake_io.rs
+++ b/crates/sanddrum-edge/tests/harness/fake_io.rs
@@ -1,36 +1,36 @@
-//! Connections as the edge sees them, with all that it has done to them.
+//! A fake transport that records the edge's operations on its connections.
 
 use sanddrum_net::{CloseCause, ConnectionId, Io, PeerIdentity};
 use std::collections::BTreeMap;
 
-/// Ids of connections that the edge begins follow on this; those of clients are smaller.
+/// Connections opened by the edge have ids above this; those of clients are not larger.
 const LAST_CLIENT: u64 = 1000;
 
-/// The transport of a test.
+/// A fake [`Io`].
 pub struct FakeIo {
-    /// All bytes that were written to each connection.
+    /// All bytes written to each connection.
     pub written: BTreeMap<ConnectionId, Vec<u8>>,
-    /// The same in the order in which it was written.
+    /// All writes in order.
     pub writes: Vec<(ConnectionId, Vec<u8>)>,
-    /// Connections that the edge has begun, with their addresses.
+    /// Connections that the edge has opened, with their addresses.
     pub connects: Vec<(ConnectionId, String)>,
-    /// Connections that the edge has closed.
+    /// Connections that the edge has closed or reset.
     pub closed: Vec<(ConnectionId, Option<CloseCause>)>,
-    /// Connections that were paused or resumed.
+    /// Whether reading is paused, for each connection that was paused or resumed.
     pub paused: BTreeMap<ConnectionId, bool>,
-    /// Bytes that a connection still takes; no bound where it has no entry.
+    /// How many more bytes a connection takes; unbounded without an entry.
     pub capacity: BTreeMap<ConnectionId, usize>,
-    /// The state that was saved last.
+    /// The state saved last.
     pub saved: Option<Vec<u8>>,
-    /// All audit lines.
+    /// All audit lines written.
     pub audit_lines: Vec<String>,
-    /// What the next client proves.
-    pub next_peer: Option<PeerIdentity>,
+    /// The identity reported for every peer, clients and workers alike.
+    pub peer_identity: Option<PeerIdentity>,
     last_connection: u64,
 }
 
 impl FakeIo {
-    /// No connections.
+    /// Creates a transport without connections.
     pub fn new() -> Self {
         FakeIo {
             written: BTreeMap::new(),
@@ -41,18 +41,18 @@
             capacity: BTreeMap::new(),
             saved: None,
             audit_lines: Vec::new(),
-            next_peer: None,
+            peer_identity: None,
             last_connection: LAST_CLIENT,
         }
     }
 
-    /// Whether the edge has closed a connection.
+    /// Whether the edge has closed or reset a connection.
     pub fn has_closed(&self, conn: ConnectionId) -> bool {
         self.closed.iter().any(|(closed, _)| *closed == conn)
     }
 
-    /// Whether the edge has closed a connection in order.
-    pub fn has_closed_in_order(&self, conn: ConnectionId) -> bool {
+    /// Whether the edge has closed a connection gracefully.
+    pub fn has_closed_gracefully(&self, conn: ConnectionId) -> bool {
         self.closed.contains(&(conn, Some(CloseCause::Orderly)))
     }
 
@@ -76,7 +76,7 @@
     }
 
     fn peer(&self, _: ConnectionId) -> Option<PeerIdentity> {
-        self.next_peer.clone()
+        self.peer_identity.clone()
     }
 
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
--- a/crates/sanddrum-edge/tests/harness/fastcgi.rs
+++ b/crates/sanddrum-edge/tests/harness/fastcgi.rs
@@ -1,4 +1,4 @@
-//! Web servers that call the edge on the platform.
+//! Web servers that send FastCGI requests to the edge.
 
 use super::scripted_module::Decision;
 use super::EdgeHarness;
@@ -8,21 +8,21 @@
 use sanddrum_net::{CloseCause, ConnectionId, Event, Micros};
 use std::collections::BTreeMap;
 
-/// A caller's id of a call.
+/// A client-assigned request id.
 pub const CALL_ID: &str = "9b1f03aa5c7e2d41";
-/// Another one.
+/// Another client-assigned request id.
 pub const OTHER_CALL_ID: &str = "00000000000000aa";
-/// The function that all calls name.
+/// The function that all requests name.
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
-/// The time limit of attempts whose call waits for 1.5 s.
+/// A time limit for attempts of requests whose client waits for 1.5 s.
 pub const TIME_LIMIT: Micros = 1_400_000;
 
-/// The number of a caller's id.
-pub fn id_number(call_id: &str) -> u64 {
+/// Parses a client-assigned request id.
+pub fn parse_call_id(call_id: &str) -> u64 {
     u64::from_str_radix(call_id, 16).unwrap()
 }
 
-/// The parameters of a valid call.
+/// The parameters of a valid request.
 pub fn request_params(call_id: &str) -> Vec<(&'static str, String)> {
     vec![
         ("SCRIPT_NAME", "/rpc/job".into()),
@@ -33,7 +33,7 @@
     ]
 }
 
-/// The same with another value of one parameter.
+/// The parameters of a request in which one parameter has another value.
 pub fn request_params_with(name: &'static str, value: &str) -> Vec<(&'static str, String)> {
     let mut params = request_params(CALL_ID);
     params.retain(|(other, _)| *other != name);
@@ -41,7 +41,7 @@
     params
 }
 
-/// The records of a request.
+/// Encodes the records of a request.
 pub fn request(id: u16, params: &[(&'static str, String)], body: &[u8]) -> Vec<u8> {
     let params: Vec<(&str, &str)> = params
         .iter()
@@ -59,17 +59,17 @@
     records
 }
 
-/// A response: the request's id, the CGI response and the protocol status.
+/// A response: the request id, the CGI response and the protocol status.
 pub type Response = (u16, String, u8);
 
 impl EdgeHarness {
-    /// A web server sends a call.
+    /// Sends a valid request from a web server.
     pub fn send_request(&mut self, client: ConnectionId, id: u16, call_id: &str) {
         self.receive(client, &request(id, &request_params(call_id), b"in"));
     }
 
-    /// A web server with a call that is dispatched while the worker's connection is being opened; its connection and
-    /// the worker's.
+    /// Sends a request that is dispatched while the connection to the worker is being opened. Returns the connections
+    /// of the web server and the worker.
     pub fn dispatch_while_connecting(&mut self) -> (ConnectionId, ConnectionId) {
         let client = self.accept_client();
         self.plan([Decision::Dispatch(0, TIME_LIMIT)]);
@@ -77,21 +77,22 @@
         (client, self.last_connection())
     }
 
-    /// The same, with the worker's connection open.
+    /// Sends a request that is dispatched, and opens the connection to the worker. Returns the connections of the web
+    /// server and the worker.
     pub fn dispatch_fastcgi_request(&mut self) -> (ConnectionId, ConnectionId) {
         let (client, worker) = self.dispatch_while_connecting();
         self.connect(worker);
         (client, worker)
     }
 
-    /// A web server sends a health check as its first request.
+    /// Sends a health check from a web server as its first request.
     pub fn send_health_check(&mut self, client: ConnectionId) {
         let params = [("SCRIPT_NAME", "/health".into())];
         self.receive(client, &request(1, &params, b""));
     }
 
-    /// A web server cancels its first request, or disconnects.
-    pub fn leave(&mut self, client: ConnectionId, cancels: bool) {
+    /// Cancels the first request of a web server, or disconnects the web server.
+    pub fn cancel_or_disconnect(&mut self, client: ConnectionId, cancels: bool) {
         if cancels {
             self.receive(client, &encode_header(RecordType::AbortRequest, 1, 0));
         } else {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The complete responses that were written to a web server.
+    /// The complete responses written to a web server.
     pub fn fastcgi_responses(&self, client: ConnectionId) -> Vec<Response> {
         let bytes = self.io.written.get(&client).cloned().unwrap_or_default();
         let mut rest = &bytes[..];
@@ -125,7 +126,7 @@
         complete
     }
 
-    /// Their status codes, with the requests' ids.
+    /// The request ids and status codes of the complete responses written to a web server.
     pub fn fastcgi_statuses(&self, client: ConnectionId) -> Vec<(u16, u16)> {
         self.fastcgi_responses(client)
             .iter()
@@ -134,7 +135,7 @@
     }
 }
 
-/// The status code in the first line of a CGI response.
+/// Parses the status code in the first line of a CGI response.
 fn status_code(response: &str) -> u16 {
     let first_line = response.lines().next().unwrap_or_default();
     let code = first_line.strip_prefix("Status: ");
--- a/crates/sanddrum-edge/tests/harness/scripted_module.rs
+++ b/crates/sanddrum-edge/tests/harness/scripted_module.rs
@@ -1,4 +1,4 @@
-//! A module in the decision module's place that makes the decisions of a test and records its events.
+//! A fake decision module that makes the decisions of a test and records the events it receives.
 
 use super::worker_id;
 use sanddrum::{
@@ -10,12 +10,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A decision that the module is to make.
+/// A decision for the module to make. Requests are named by id.
 #[derive(Clone, Copy, Debug)]
 pub enum Decision {
     /// Dispatches a request to the worker `w` within a time limit.
     Dispatch(u64, Micros),
-    /// The same, to the worker of this name.
+    /// Dispatches a request within a time limit to the worker of this name.
     DispatchTo(u64, Micros, &'static str),
     /// Cancels an attempt of a request, by its index.
     Cancel(u64, usize),
@@ -23,13 +23,13 @@
     Reject(u64),
     /// Fails a request.
     Fail(u64),
-    /// Has so many instances of the last request's function loaded at `w`.
+    /// Loads this many instances of the last request's function at `w`.
     Load(u32),
     /// Checks the health of `w`.
     CheckHealth,
 }
 
-/// The decisions to be made, and all events of the module so far.
+/// The decisions to make, and all events received so far.
 #[derive(Default)]
 pub struct Script {
     pub planned: Vec<Decision>,
@@ -55,7 +55,7 @@
             .extend(batch.endpoint_lists.iter().cloned());
     }
 
-    /// The function of the last request; `f1` before the first one.
+    /// The function of the last request; `job/f1` before the first one.
     fn last_function(&self) -> FunctionId {
         self.requests
             .last()
@@ -63,11 +63,11 @@
     }
 }
 
-/// The module.
+/// A decision module that follows a [`Script`].
 pub struct ScriptedModule(Rc<RefCell<Script>>);
 
 impl ScriptedModule {
-    /// A module that follows a script.
+    /// Creates a module that follows a script.
     pub fn new(script: Rc<RefCell<Script>>) -> Self {
         ScriptedModule(script)
     }
--- a/crates/sanddrum-edge/tests/http_listener.rs
+++ b/crates/sanddrum-edge/tests/http_listener.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of every kind.
+//! The HTTP listener: pipelining, malformed requests, timeouts, limits and error responses.
 
 mod harness;
 
@@ -50,7 +50,7 @@
 #[rstest]
 #[case::little_is_buffered(5, false)]
 #[case::more_than_a_request_is_buffered(50, true)]
-fn pipelining_is_bounded_and_resumes_with_capacity(#[case] calls: usize, #[case] paused: bool) {
+fn pipelining_is_bounded_and_resumes_with_capacity(#[case] requests: usize, #[case] paused: bool) {
     let mut harness = EdgeHarness::new(&[
         ("limits.pipelined", "2"),
         ("limits.largest-head", "1KB"),
@@ -58,16 +58,16 @@
     ]);
     let client = harness.accept_client();
     let one = http::encode_request("POST", "/v1/calls/job/f1", &[], b"");
-    harness.receive(client, &one.repeat(calls));
+    harness.receive(client, &one.repeat(requests));
     assert_eq!(harness.request_count(), 2);
-    // The end of a connection that is not paused is reported.
+    // Only a connection that is not paused notifies the edge when it is closed.
     assert_eq!(harness.io.is_paused(client), paused);
-    for id in 0..calls as u64 {
+    for id in 0..requests as u64 {
         harness.decide(Decision::Reject(id));
         harness.advance(0);
     }
-    assert_eq!(harness.request_count(), calls);
-    assert_eq!(harness.statuses(client).len(), calls);
+    assert_eq!(harness.request_count(), requests);
+    assert_eq!(harness.statuses(client).len(), requests);
     assert!(!harness.io.is_paused(client));
 }
 
@@ -88,7 +88,7 @@
     assert_eq!(
         deadline,
         harness.now + 700_000 - 20_000,
-        "the time limit less the time for the response"
+        "the time limit minus the time reserved for the response"
     );
     harness.receive(slow, b"POST /v1/calls/job/f1 HTTP/1.1\r\nx");
     harness.advance(SECOND / 2);
@@ -98,13 +98,13 @@
 }
 
 #[rstest]
-#[case::head(
+#[case::head_too_large(
     "GET /health HTTP/1.1\r\nx: yyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyy",
     431
 )]
-#[case::body("POST /v1/calls/job/f1 HTTP/1.1\r\ncontent-length: 999\r\n\r\n", 413)]
-#[case::noise("\u{1}\u{2}\u{3}\r\n\r\n", 400)]
-#[case::chunked("POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n", 411)]
+#[case::body_too_large("POST /v1/calls/job/f1 HTTP/1.1\r\ncontent-length: 999\r\n\r\n", 413)]
+#[case::invalid_bytes("\u{1}\u{2}\u{3}\r\n\r\n", 400)]
+#[case::chunked_body("POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n", 411)]
 fn a_malformed_request_is_answered_and_its_connection_closed_after_lingering(
     #[case] text: &str,
     #[case] status: u16,
@@ -124,7 +124,7 @@
 }
 
 #[rstest]
-#[case::noise("\u{1}\u{2}\r\n\r\n", 400)]
+#[case::invalid_bytes("\u{1}\u{2}\r\n\r\n", 400)]
 #[case::never_completed("POST /v1/calls/job/f1 HT", 408)]
 fn a_malformed_request_leaves_earlier_requests_on_its_connection_open(
     #[case] text: &str,
@@ -150,12 +150,12 @@
 }
 
 #[rstest]
-#[case::path("POST", "/v1/calls/job", 404)]
-#[case::workload("POST", "/v1/calls/jib/f1", 404)]
-#[case::function("POST", "/v1/calls/job/g", 404)]
-#[case::method("GET", "/v1/calls/job/f1", 405)]
-#[case::health("GET", "/health", 200)]
-fn a_request_that_names_no_function_is_not_dispatched(
+#[case::incomplete_path("POST", "/v1/calls/job", 404)]
+#[case::unknown_workload("POST", "/v1/calls/jib/f1", 404)]
+#[case::unknown_function("POST", "/v1/calls/job/g", 404)]
+#[case::wrong_method("GET", "/v1/calls/job/f1", 405)]
+#[case::health_check("GET", "/health", 200)]
+fn a_request_that_calls_no_function_is_answered_without_a_decision(
     #[case] method: &str,
     #[case] path: &str,
     #[case] status: u16,
@@ -194,7 +194,7 @@
     assert_eq!(
         harness.io.closed[1..],
         [(fourth, Some(CloseCause::Reset))],
-        "both wait for a response"
+        "the other two connections have open requests"
     );
     harness.advance(9 * SECOND);
     assert!(
@@ -203,7 +203,7 @@
             .closed
             .iter()
             .any(|(conn, _)| [calling, third].contains(conn)),
-        "both still wait"
+        "a connection with an open request does not time out"
     );
 }
 
@@ -249,7 +249,7 @@
 }
 
 #[rstest]
-fn a_request_gets_one_response_however_often_it_is_decided() {
+fn a_request_that_is_decided_more_than_once_gets_one_response() {
     let mut harness = EdgeHarness::new(&[]);
     let (client, _) = harness.dispatch_call(5 * SECOND);
     for decision in [Decision::Fail(0), Decision::Reject(0), Decision::Fail(0)] {
@@ -289,7 +289,7 @@
     }
     let other = harness.accept_client();
     harness.call(other, &[("sanddrum-customer", "b")]);
-    assert_eq!(harness.request_count(), 2, "one of a's and b's");
+    assert_eq!(harness.request_count(), 2, "one request of each customer");
     harness.decide(Decision::Reject(0));
     let responses = harness.responses(client);
     let last = responses.last().unwrap();
@@ -301,7 +301,7 @@
         .unwrap();
     assert!(
         (150..=250).contains(&wait),
-        "a permit comes every 250 ms: {wait}"
+        "a permit is issued every 250 ms: {wait}"
     );
     harness.advance(wait * 1000 + 1000);
     harness.call(client, &[("sanddrum-customer", "a")]);
--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -88,7 +88,7 @@
 }
 fn accept_with_certificate(harness: &mut EdgeHarness, name: &str) -> ConnectionId {
     let names = vec![name.to_string()];
-    harness.io.next_peer = Some(PeerIdentity {
+    harness.io.peer_identity = Some(PeerIdentity {
         names,
         key_fingerprint: "sha256:ab".into(),
         resumed: false,
@@ -264,7 +264,7 @@
     for _ in 0..3 {
         assert_eq!(call_status(&mut harness, client, "Bearer x.y.z"), Some(401));
     }
-    assert!(harness.io.has_closed_in_order(client));
+    assert!(harness.io.has_closed_gracefully(client));
     assert!(
         harness.io.audit_lines.len() <= 3,
         "{:?}",
--- a/crates/sanddrum-edge/tests/platform_attempts.rs
+++ b/crates/sanddrum-edge/tests/platform_attempts.rs
@@ -1,9 +1,10 @@
-//! Attempts in the platform's protocol, also in unlucky orders of events: between decision and write, within a write, between an answer and its duplicate.
+//! Attempts on the platform's protocol, including races: events between a decision and its write, within a write, and
+//! between an answer and its duplicate.
 
 mod harness;
 
 use harness::fastcgi::{
-    id_number, request, request_params, CALL_ID, FUNCTION, OTHER_CALL_ID, TIME_LIMIT,
+    parse_call_id, request, request_params, CALL_ID, FUNCTION, OTHER_CALL_ID, TIME_LIMIT,
 };
 use harness::feed::member;
 use harness::platform_worker::{COLD_MISS, FINISHED, REJECTED};
@@ -15,10 +16,12 @@
 use sanddrum_platform::frames;
 
 #[rstest]
-fn no_attempt_is_sent_for_a_client_that_left_during_the_dial(#[values(false, true)] cancels: bool) {
+fn no_attempt_is_sent_for_a_client_that_left_before_the_worker_connection_opened(
+    #[values(false, true)] cancels: bool,
+) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_while_connecting();
-    harness.leave(client, cancels);
+    harness.cancel_or_disconnect(client, cancels);
     harness.connect(worker);
     harness.advance(SECOND);
     assert_eq!(harness.io.written.get(&worker), None);
@@ -26,7 +29,7 @@
 }
 
 #[rstest]
-fn no_attempt_is_sent_for_a_client_that_left_in_the_turn_of_its_request(
+fn no_attempt_is_sent_for_a_client_that_left_in_the_same_turn_as_its_request(
     #[values(false, true)] cancels: bool,
 ) {
     let mut harness = EdgeHarness::on_platform(&[]);
@@ -38,11 +41,11 @@
         bytes: &bytes,
     });
     let before = harness.io.connects.len();
-    harness.leave(client, cancels);
+    harness.cancel_or_disconnect(client, cancels);
     assert_eq!(
         harness.io.connects.len(),
         before,
-        "no connection is opened for it either"
+        "no connection is opened for it"
     );
     assert_eq!(harness.request_count(), 0);
 }
@@ -53,9 +56,9 @@
     let (client, first) = harness.dispatch_fastcgi_request();
     harness.receive(
         first,
-        &frames::response(REJECTED, id_number(CALL_ID), "", b""),
+        &frames::response(REJECTED, parse_call_id(CALL_ID), "", b""),
     );
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     let written = harness.io.written[&first].len();
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
     harness.advance(SECOND);
@@ -64,7 +67,7 @@
 }
 
 #[rstest]
-fn a_partly_written_attempt_without_a_client_is_completed_soon_or_reset(
+fn a_partially_written_attempt_without_a_client_is_completed_soon_or_reset(
     #[values(false, true)] is_reading: bool,
 ) {
     let mut harness = EdgeHarness::on_platform(&[]);
@@ -72,14 +75,14 @@
     harness.io.capacity.insert(worker, 20);
     harness.connect(worker);
     assert_eq!(harness.io.written[&worker].len(), 20);
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     if is_reading {
         harness.io.capacity.insert(worker, 10_000);
         harness.event(Event::Writable { conn: worker });
         harness.advance(SECOND);
         assert!(
             !harness.io.has_closed(worker),
-            "other attempts may be in flight on it"
+            "the connection is kept, as other attempts may be in flight on it"
         );
         return;
     }
@@ -89,7 +92,7 @@
 }
 
 #[rstest]
-fn a_retry_resets_the_connection_of_a_partly_written_attempt() {
+fn a_retry_resets_the_connection_of_a_partially_written_attempt() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, first) = harness.dispatch_while_connecting();
     harness.io.capacity.insert(first, 20);
@@ -98,7 +101,7 @@
         2,
         [Decision::Cancel(0, 0), Decision::Dispatch(0, 1_000_000)],
     );
-    // The rest of the first attempt can't be written any more, wherever the second is sent.
+    // The first attempt can never be completed, so it can't run concurrently with the second.
     assert!(harness.io.has_reset(first));
     let second = harness.last_connection();
     assert_ne!(first, second);
@@ -108,17 +111,17 @@
 }
 
 #[rstest]
-fn a_retry_is_written_after_the_cancellation_of_the_attempt_before() {
+fn a_retry_is_written_after_the_cancellation_of_the_previous_attempt() {
     let mut harness = EdgeHarness::on_platform(&[("limits.streams", "1")]);
     let client = harness.accept_client();
-    for (id, call) in [(0, CALL_ID), (1, OTHER_CALL_ID)] {
+    for (id, call_id) in [(0, CALL_ID), (1, OTHER_CALL_ID)] {
         harness.plan([Decision::Dispatch(id, TIME_LIMIT)]);
-        harness.send_request(client, id as u16 + 1, call);
+        harness.send_request(client, id as u16 + 1, call_id);
         let conn = harness.last_connection();
         harness.connect(conn);
     }
     let (first, second) = (harness.io.connects[1].0, harness.io.connects[2].0);
-    // Both are cancelled, and the second is retried on the first one's connection, which is written before its own.
+    // Both are cancelled, and the second is retried on the connection of the first, which is flushed before its own.
     let decisions = [
         Decision::Cancel(0, 0),
         Decision::Cancel(1, 0),
@@ -130,7 +133,7 @@
         .iter()
         .map(|(conn, _)| *conn)
         .collect();
-    let other = id_number(OTHER_CALL_ID);
+    let other = parse_call_id(OTHER_CALL_ID);
     let cancelled = harness.io.writes[before..]
         .iter()
         .position(|(conn, bytes)| *conn == second && bytes.ends_with(&frames::cancel(other)));
@@ -145,7 +148,7 @@
 fn a_duplicate_answer_does_not_answer_the_next_attempt() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, first) = harness.dispatch_fastcgi_request();
-    let rejected = frames::response(REJECTED, id_number(CALL_ID), "", b"");
+    let rejected = frames::response(REJECTED, parse_call_id(CALL_ID), "", b"");
     harness.receive(first, &rejected);
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
     let second = harness.last_connection();
@@ -155,7 +158,7 @@
     assert_eq!(
         harness.outcomes(),
         [Outcome::Rejected],
-        "the second attempt is in flight"
+        "the second attempt is still in flight"
     );
     harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
@@ -165,7 +168,7 @@
 fn a_late_answer_does_not_answer_another_client_with_the_same_call_id() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, first) = harness.dispatch_fastcgi_request();
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     harness.finish_request(first, CALL_ID, b"the first one's");
     let other = harness.accept_client();
     harness.plan([Decision::Dispatch(1, TIME_LIMIT)]);
@@ -218,7 +221,7 @@
 }
 
 #[rstest]
-fn an_answer_in_the_turn_of_the_deadline_counts() {
+fn an_answer_received_at_the_deadline_is_accepted() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_fastcgi_request();
     harness.now += TIME_LIMIT;
@@ -250,7 +253,7 @@
 fn a_connection_opened_after_its_request_was_cancelled_is_used_by_the_next() {
     let mut harness = EdgeHarness::on_platform(&[("limits.connect-time-out", "2 s")]);
     let (client, worker) = harness.dispatch_while_connecting();
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     harness.advance(SECOND);
     harness.connect(worker);
     let before = harness.io.connects.len();
@@ -271,7 +274,7 @@
     harness.receive(client, &request(1, &params, b"in"));
     let first = harness.last_connection();
     harness.connect(first);
-    let (id, key) = (id_number(CALL_ID), Some("order-17"));
+    let (id, key) = (parse_call_id(CALL_ID), Some("order-17"));
     assert_eq!(
         harness.io.written[&first],
         frames::request_with_key(id, "job", FUNCTION, TIME_LIMIT, key, b"in")
@@ -290,13 +293,13 @@
 fn a_request_and_its_answer_are_forwarded_unchanged() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_fastcgi_request();
-    let sent = frames::request(id_number(CALL_ID), "job", FUNCTION, TIME_LIMIT, b"in");
+    let sent = frames::request(parse_call_id(CALL_ID), "job", FUNCTION, TIME_LIMIT, b"in");
     assert_eq!(harness.io.written[&worker], sent);
     harness.receive(
         worker,
         &frames::response(
             FINISHED,
-            id_number(CALL_ID),
+            parse_call_id(CALL_ID),
             "remark=started,report=rif:3",
             b"\x00out",
         ),
@@ -319,9 +322,9 @@
 }
 
 #[rstest]
-#[case::noise(b"noise".to_vec())]
-#[case::wrong_checksum({ let mut f = frames::response(FINISHED, id_number(CALL_ID), "", b"out"); f[17] ^= 1; f })]
-#[case::three_gigabytes({ let mut f = frames::response(FINISHED, id_number(CALL_ID), "", b"out"); f[4] = 0xc0; f })]
+#[case::not_a_frame(b"noise".to_vec())]
+#[case::wrong_checksum({ let mut f = frames::response(FINISHED, parse_call_id(CALL_ID), "", b"out"); f[17] ^= 1; f })]
+#[case::length_of_three_gigabytes({ let mut f = frames::response(FINISHED, parse_call_id(CALL_ID), "", b"out"); f[4] = 0xc0; f })]
 fn a_malformed_answer_resets_the_connection_and_is_not_forwarded(#[case] bytes: Vec<u8>) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_fastcgi_request();
@@ -336,7 +339,7 @@
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(worker, &frames::response(FINISHED, 77, "", b"for nobody"));
-    let out = frames::response(FINISHED, id_number(CALL_ID), "", b"out");
+    let out = frames::response(FINISHED, parse_call_id(CALL_ID), "", b"out");
     harness.receive(worker, &[out.clone(), out].concat());
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert_eq!(harness.outcomes(), [Outcome::Finished]);
@@ -350,14 +353,14 @@
         2,
         [Decision::Cancel(0, 0), Decision::Dispatch(0, 1_000_000)],
     );
-    assert!(harness.io.written[&first].ends_with(&frames::cancel(id_number(CALL_ID))));
+    assert!(harness.io.written[&first].ends_with(&frames::cancel(parse_call_id(CALL_ID))));
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
     // A late answer to the first attempt does not answer the second.
     harness.receive(
         first,
-        &frames::response(COLD_MISS, id_number(CALL_ID), "", b""),
+        &frames::response(COLD_MISS, parse_call_id(CALL_ID), "", b""),
     );
     assert_eq!(harness.outcomes(), [Outcome::Cancelled]);
     harness.finish_request(second, CALL_ID, b"out");
@@ -370,7 +373,7 @@
     let (_, worker) = harness.dispatch_fastcgi_request();
     harness.advance(2 * SECOND);
     assert_eq!(harness.outcomes(), [Outcome::TimedOut]);
-    assert!(harness.io.written[&worker].ends_with(&frames::cancel(id_number(CALL_ID))));
+    assert!(harness.io.written[&worker].ends_with(&frames::cancel(parse_call_id(CALL_ID))));
 }
 
 #[rstest]
@@ -386,7 +389,7 @@
 }
 
 #[rstest]
-fn memory_is_bounded_however_many_requests_are_served() {
+fn memory_does_not_grow_with_the_number_of_requests_served() {
     let mut harness = EdgeHarness::on_platform(&[
         ("copies.keep-alive", "1 s"),
         ("limits.head-time-out", "100 ms"),
--- a/crates/sanddrum-edge/tests/shutdown.rs
+++ b/crates/sanddrum-edge/tests/shutdown.rs
@@ -19,7 +19,7 @@
     harness.edge.shut_down(harness.now, &mut harness.io);
     harness.call(late, &[]);
     assert_eq!(harness.statuses(late), [503]);
-    assert!(harness.io.has_closed_in_order(late));
+    assert!(harness.io.has_closed_gracefully(late));
     harness.answer_attempt(
         worker,
         harness.attempts_to(worker)[0],
--- a/crates/sanddrum-edge/tests/worker_connections.rs
+++ b/crates/sanddrum-edge/tests/worker_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: opened, bounded, replaced and avoided.
+//! Connections to workers: opening, limits, protocol violations, rotation and backoff.
 
 mod harness;
 
@@ -10,7 +10,7 @@
 use sanddrum_wire::{ExecutionStatus, Phase};
 
 #[rstest]
-fn a_connection_that_is_not_open_in_time_is_reset() {
+fn a_connection_that_is_not_opened_in_time_is_reset() {
     let mut harness = EdgeHarness::new(&[("limits.connect-time-out", "100ms")]);
     let (_, worker) = harness.dispatch_call(5 * SECOND);
     harness.advance(SECOND / 5);
@@ -19,7 +19,7 @@
 }
 
 #[rstest]
-fn an_idle_connection_is_retired_at_the_limit_of_all_connections() {
+fn an_idle_connection_is_retired_at_the_limit_of_worker_connections() {
     let mut harness = EdgeHarness::new(&[("limits.all-connections", "1")]);
     harness.receive_update(&full_update(
         2,
@@ -32,29 +32,29 @@
     harness.connect(first);
     let connects = harness.io.connects.len();
     let client = harness.accept_client();
-    let call_at_v = |harness: &mut EdgeHarness, id: u64| {
+    let dispatch_to_v = |harness: &mut EdgeHarness, id: u64| {
         harness.plan([Decision::DispatchTo(id, 5 * SECOND, "v")]);
         harness.call(client, &[]);
         harness.process();
     };
-    call_at_v(&mut harness, 1);
+    dispatch_to_v(&mut harness, 1);
     assert_eq!(
         (harness.outcomes(), harness.io.connects.len()),
         (vec![Outcome::NoConnection], connects),
-        "none is idle"
+        "no connection is idle"
     );
     let id = harness.attempts_to(first)[0];
     harness.answer_attempt(first, id, ExecutionStatus::Finished);
-    call_at_v(&mut harness, 2);
+    dispatch_to_v(&mut harness, 2);
     harness.advance(SECOND / 100);
     assert_eq!(harness.io.connects.len(), connects + 1);
     assert!(harness.io.has_closed(first));
 }
 
 #[rstest]
-#[case::noise(&[0, 0, 0, 2, 0xff, 0xff])]
+#[case::undecodable_content(&[0, 0, 0, 2, 0xff, 0xff])]
 #[case::too_large(&[0x7f, 0xff, 0xff, 0xff])]
-#[case::part_of_a_frame_then_noise(&[0, 0, 0, 1, 0x00])]
+#[case::single_zero_byte(&[0, 0, 0, 1, 0x00])]
 fn a_malformed_frame_resets_the_connection(#[case] bytes: &[u8]) {
     let mut harness = EdgeHarness::new(&[]);
     let (_, worker) = harness.dispatch_call(5 * SECOND);
@@ -96,7 +96,7 @@
         ExecutionStatus::Finished,
     );
     harness.advance(4 * SECOND);
-    assert!(harness.io.has_closed_in_order(worker));
+    assert!(harness.io.has_closed_gracefully(worker));
 }
 
 #[rstest]
@@ -112,8 +112,8 @@
     assert!(harness.outcomes().contains(&Outcome::NoConnection));
 }
 
-/// The certificates have changed while an attempt is in flight: it is answered on its connection, a new connection takes
-/// what follows, and the old one is closed once nothing is in flight on it.
+/// The certificates change while an attempt is in flight. The attempt is answered on its connection, later ones are
+/// sent on a new connection, and the old one is closed once nothing is in flight on it.
 #[rstest]
 fn a_connection_with_outdated_credentials_is_drained_and_replaced() {
     let mut harness = EdgeHarness::new(&[("limits.retire-within", "1s")]);
@@ -141,7 +141,7 @@
     assert!(!harness.io.has_closed(old), "an attempt is in flight on it");
     harness.answer_attempt(old, first, ExecutionStatus::Finished);
     harness.advance(SECOND);
-    assert!(harness.io.has_closed_in_order(old));
+    assert!(harness.io.has_closed_gracefully(old));
     let second = harness.attempts_to(new)[0];
     harness.answer_attempt(new, second, ExecutionStatus::Finished);
     assert_eq!(
@@ -164,7 +164,7 @@
     assert_eq!(harness.attempts_to(old).len(), 1);
 }
 
-/// After a refused connection attempts fail at once, and no connection is opened before the backoff is over.
+/// After a connection was refused, attempts fail at once and no connection is opened until the backoff has elapsed.
 #[rstest]
 fn an_unreachable_worker_is_not_connected_to_during_its_backoff() {
     let mut harness = EdgeHarness::new(&[("limits.left-alone-least", "400ms")]);
