--- a/crates/sanddrum-edge/tests/identity.rs
+++ b/crates/sanddrum-edge/tests/identity.rs
@@ -97,7 +97,7 @@
 
 fn accept_with_certificate(harness: &mut EdgeHarness, name: &str) -> ConnectionId {
     let names = vec![name.to_string()];
-    harness.io.next_peer = Some(PeerIdentity {
+    harness.io.peer_identity = Some(PeerIdentity {
         names,
         key_fingerprint: "sha256:ab".into(),
         resumed: false,
@@ -285,7 +285,7 @@
             Some(401)
         );
     }
-    assert!(harness.io.has_closed_in_order(client));
+    assert!(harness.io.has_closed_gracefully(client));
     assert!(
         harness.io.audit_lines.len() <= 3,
         "{:?}",
--- a/crates/sanddrum-edge/tests/platform_attempts.rs
+++ b/crates/sanddrum-edge/tests/platform_attempts.rs
@@ -1,9 +1,10 @@
-//! Attempts in the platform's protocol, also in unlucky orders of events: between decision and write, within a write, between an answer and its duplicate.
+//! Attempts on the platform's protocol, including races: events between a decision and its write, within a write, and
+//! between an answer and its duplicate.
 
 mod harness;
 
 use harness::fastcgi::{
-    call_params, id_number, request, CALL_ID, FUNCTION, OTHER_CALL_ID, TIME_LIMIT,
+    parse_call_id, request, request_params, CALL_ID, FUNCTION, OTHER_CALL_ID, TIME_LIMIT,
 };
 use harness::feed::member;
 use harness::platform_worker::{COLD_MISS, FINISHED, REJECTED};
@@ -15,10 +16,12 @@
 use sanddrum_platform::frames;
 
 #[rstest]
-fn no_attempt_is_sent_for_a_client_that_left_during_the_dial(#[values(false, true)] cancels: bool) {
+fn no_attempt_is_sent_for_a_client_that_left_before_the_worker_connection_opened(
+    #[values(false, true)] cancels: bool,
+) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, worker) = harness.dispatch_while_connecting();
-    harness.leave(client, cancels);
+    harness.cancel_or_disconnect(client, cancels);
     harness.connect(worker);
     harness.advance(SECOND);
     assert_eq!(harness.io.written.get(&worker), None);
@@ -26,23 +29,23 @@
 }
 
 #[rstest]
-fn no_attempt_is_sent_for_a_client_that_left_in_the_turn_of_its_request(
+fn no_attempt_is_sent_for_a_client_that_left_in_the_same_turn_as_its_request(
     #[values(false, true)] cancels: bool,
 ) {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
     harness.plan([Decision::Dispatch(0, TIME_LIMIT)]);
-    let bytes = request(1, &call_params(CALL_ID), b"in");
+    let bytes = request(1, &request_params(CALL_ID), b"in");
     harness.deliver(Event::Bytes {
         conn: client,
         bytes: &bytes,
     });
     let before = harness.io.connects.len();
-    harness.leave(client, cancels);
+    harness.cancel_or_disconnect(client, cancels);
     assert_eq!(
         harness.io.connects.len(),
         before,
-        "no connection is opened for it either"
+        "no connection is opened for it"
     );
     assert_eq!(harness.request_count(), 0);
 }
@@ -50,12 +53,12 @@
 #[rstest]
 fn no_retry_is_sent_for_a_client_that_left() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
+    let (client, first) = harness.dispatch_fastcgi_request();
     harness.receive(
         first,
-        &frames::response(REJECTED, id_number(CALL_ID), "", b""),
+        &frames::response(REJECTED, parse_call_id(CALL_ID), "", b""),
     );
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     let written = harness.io.written[&first].len();
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
     harness.advance(SECOND);
@@ -64,7 +67,7 @@
 }
 
 #[rstest]
-fn a_partly_written_attempt_without_a_client_is_completed_soon_or_reset(
+fn a_partially_written_attempt_without_a_client_is_completed_soon_or_reset(
     #[values(false, true)] is_reading: bool,
 ) {
     let mut harness = EdgeHarness::on_platform(&[]);
@@ -72,14 +75,14 @@
     harness.io.capacity.insert(worker, 20);
     harness.connect(worker);
     assert_eq!(harness.io.written[&worker].len(), 20);
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     if is_reading {
         harness.io.capacity.insert(worker, 10_000);
         harness.event(Event::Writable { conn: worker });
         harness.advance(SECOND);
         assert!(
             !harness.io.has_closed(worker),
-            "other attempts may be in flight on it"
+            "the connection is kept, as other attempts may be in flight on it"
         );
         return;
     }
@@ -89,7 +92,7 @@
 }
 
 #[rstest]
-fn a_retry_resets_the_connection_of_a_partly_written_attempt() {
+fn a_retry_resets_the_connection_of_a_partially_written_attempt() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let (client, first) = harness.dispatch_while_connecting();
     harness.io.capacity.insert(first, 20);
@@ -98,27 +101,27 @@
         2,
         [Decision::Cancel(0, 0), Decision::Dispatch(0, 1_000_000)],
     );
-    // The rest of the first attempt can't be written any more, wherever the second is sent.
+    // The first attempt can never be completed, so it can't run concurrently with the second.
     assert!(harness.io.has_reset(first));
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
 }
 
 #[rstest]
-fn a_retry_is_written_after_the_cancellation_of_the_attempt_before() {
+fn a_retry_is_written_after_the_cancellation_of_the_previous_attempt() {
     let mut harness = EdgeHarness::on_platform(&[("limits.streams", "1")]);
     let client = harness.accept_client();
-    for (id, call) in [(0, CALL_ID), (1, OTHER_CALL_ID)] {
+    for (id, call_id) in [(0, CALL_ID), (1, OTHER_CALL_ID)] {
         harness.plan([Decision::Dispatch(id, TIME_LIMIT)]);
-        harness.send_call(client, id as u16 + 1, call);
+        harness.send_request(client, id as u16 + 1, call_id);
         let conn = harness.last_connection();
         harness.connect(conn);
     }
     let (first, second) = (harness.io.connects[1].0, harness.io.connects[2].0);
-    // Both are cancelled, and the second is retried on the first one's connection, which is written before its own.
+    // Both are cancelled, and the second is retried on the connection of the first, which is flushed before its own.
     let decisions = [
         Decision::Cancel(0, 0),
         Decision::Cancel(1, 0),
@@ -130,7 +133,7 @@
         .iter()
         .map(|(conn, _)| *conn)
         .collect();
-    let other = id_number(OTHER_CALL_ID);
+    let other = parse_call_id(OTHER_CALL_ID);
     let cancelled = harness.io.writes[before..]
         .iter()
         .position(|(conn, bytes)| *conn == second && bytes.ends_with(&frames::cancel(other)));
@@ -144,8 +147,8 @@
 #[rstest]
 fn a_duplicate_answer_does_not_answer_the_next_attempt() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
-    let rejected = frames::response(REJECTED, id_number(CALL_ID), "", b"");
+    let (client, first) = harness.dispatch_fastcgi_request();
+    let rejected = frames::response(REJECTED, parse_call_id(CALL_ID), "", b"");
     harness.receive(first, &rejected);
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
     let second = harness.last_connection();
@@ -155,27 +158,27 @@
     assert_eq!(
         harness.outcomes(),
         [Outcome::Rejected],
-        "the second attempt is in flight"
+        "the second attempt is still in flight"
     );
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
 }
 
 #[rstest]
 fn a_late_answer_does_not_answer_another_client_with_the_same_call_id() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
-    harness.leave(client, true);
-    harness.finish_call(first, CALL_ID, b"the first one's");
+    let (client, first) = harness.dispatch_fastcgi_request();
+    harness.cancel_or_disconnect(client, true);
+    harness.finish_request(first, CALL_ID, b"the first one's");
     let other = harness.accept_client();
     harness.plan([Decision::Dispatch(1, TIME_LIMIT)]);
-    harness.send_call(other, 1, CALL_ID);
+    harness.send_request(other, 1, CALL_ID);
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
-    harness.finish_call(first, CALL_ID, b"the first one's");
+    harness.finish_request(first, CALL_ID, b"the first one's");
     assert!(harness.fastcgi_responses(other).is_empty());
-    harness.finish_call(second, CALL_ID, b"its own");
+    harness.finish_request(second, CALL_ID, b"its own");
     assert!(harness.fastcgi_responses(other)[0].1.ends_with("its own"));
 }
 
@@ -185,17 +188,17 @@
         ("limits.idle-close", "1000 s"),
         ("limits.client-idle", "1000 s"),
     ]);
-    let (_, first) = harness.dispatch_fastcgi_call();
-    harness.finish_call(first, CALL_ID, b"out");
+    let (_, first) = harness.dispatch_fastcgi_request();
+    harness.finish_request(first, CALL_ID, b"out");
     // The time limit is 10 s.
     harness.advance(21 * SECOND);
     let client = harness.accept_client();
     harness.plan([Decision::Dispatch(1, TIME_LIMIT)]);
-    harness.send_call(client, 1, OTHER_CALL_ID);
+    harness.send_request(client, 1, OTHER_CALL_ID);
     let before = harness.io.connects.len();
-    harness.finish_call(first, OTHER_CALL_ID, b"out");
+    harness.finish_request(first, OTHER_CALL_ID, b"out");
     harness.plan([Decision::Dispatch(2, TIME_LIMIT)]);
-    harness.send_call(client, 2, CALL_ID);
+    harness.send_request(client, 2, CALL_ID);
     assert_eq!(harness.io.connects.len(), before);
 }
 
@@ -218,11 +221,11 @@
 }
 
 #[rstest]
-fn an_answer_in_the_turn_of_the_deadline_counts() {
+fn an_answer_received_at_the_deadline_is_accepted() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.now += TIME_LIMIT;
-    harness.finish_call(worker, CALL_ID, b"out");
+    harness.finish_request(worker, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert_eq!(harness.outcomes(), [Outcome::Finished]);
 }
@@ -230,10 +233,10 @@
 #[rstest]
 fn an_attempt_sent_as_its_connection_closes_may_have_run() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
-    harness.finish_call(worker, CALL_ID, b"out");
+    let (client, worker) = harness.dispatch_fastcgi_request();
+    harness.finish_request(worker, CALL_ID, b"out");
     harness.plan([Decision::Dispatch(1, 1_000_000)]);
-    let bytes = request(2, &call_params(OTHER_CALL_ID), b"in");
+    let bytes = request(2, &request_params(OTHER_CALL_ID), b"in");
     harness.deliver(Event::Bytes {
         conn: client,
         bytes: &bytes,
@@ -250,13 +253,13 @@
 fn a_connection_opened_after_its_request_was_cancelled_is_used_by_the_next() {
     let mut harness = EdgeHarness::on_platform(&[("limits.connect-time-out", "2 s")]);
     let (client, worker) = harness.dispatch_while_connecting();
-    harness.leave(client, true);
+    harness.cancel_or_disconnect(client, true);
     harness.advance(SECOND);
     harness.connect(worker);
     let before = harness.io.connects.len();
     harness.plan([Decision::Dispatch(1, 1_000_000)]);
     let other = harness.accept_client();
-    harness.send_call(other, 1, OTHER_CALL_ID);
+    harness.send_request(other, 1, OTHER_CALL_ID);
     assert_eq!(harness.io.connects.len(), before);
     assert!(harness.io.written.contains_key(&worker));
 }
@@ -265,13 +268,13 @@
 fn each_attempt_has_the_idempotency_key_of_its_request() {
     let mut harness = EdgeHarness::on_platform(&[]);
     let client = harness.accept_client();
-    let mut params = call_params(CALL_ID);
+    let mut params = request_params(CALL_ID);
     params.push(("HTTP_X_DEDUPE_KEY", "order-17".into()));
     harness.plan([Decision::Dispatch(0, TIME_LIMIT)]);
     harness.receive(client, &request(1, &params, b"in"));
     let first = harness.last_connection();
     harness.connect(first);
-    let (id, key) = (id_number(CALL_ID), Some("order-17"));
+    let (id, key) = (parse_call_id(CALL_ID), Some("order-17"));
     assert_eq!(
         harness.io.written[&first],
         frames::request_with_key(id, "job", FUNCTION, TIME_LIMIT, key, b"in")
@@ -289,14 +292,14 @@
 #[rstest]
 fn a_request_and_its_answer_are_forwarded_unchanged() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
-    let sent = frames::request(id_number(CALL_ID), "job", FUNCTION, TIME_LIMIT, b"in");
+    let (client, worker) = harness.dispatch_fastcgi_request();
+    let sent = frames::request(parse_call_id(CALL_ID), "job", FUNCTION, TIME_LIMIT, b"in");
     assert_eq!(harness.io.written[&worker], sent);
     harness.receive(
         worker,
         &frames::response(
             FINISHED,
-            id_number(CALL_ID),
+            parse_call_id(CALL_ID),
             "remark=started,report=rif:3",
             b"\x00out",
         ),
@@ -319,12 +322,12 @@
 }
 
 #[rstest]
-#[case::noise(b"noise".to_vec())]
-#[case::wrong_checksum({ let mut f = frames::response(FINISHED, id_number(CALL_ID), "", b"out"); f[17] ^= 1; f })]
-#[case::three_gigabytes({ let mut f = frames::response(FINISHED, id_number(CALL_ID), "", b"out"); f[4] = 0xc0; f })]
+#[case::not_a_frame(b"noise".to_vec())]
+#[case::wrong_checksum({ let mut f = frames::response(FINISHED, parse_call_id(CALL_ID), "", b"out"); f[17] ^= 1; f })]
+#[case::length_of_three_gigabytes({ let mut f = frames::response(FINISHED, parse_call_id(CALL_ID), "", b"out"); f[4] = 0xc0; f })]
 fn a_malformed_answer_resets_the_connection_and_is_not_forwarded(#[case] bytes: Vec<u8>) {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(worker, &bytes);
     assert_eq!(harness.outcomes(), [Outcome::Reset], "it may have run");
     assert_eq!(harness.io.closed, [(worker, Some(CloseCause::Reset))]);
@@ -334,9 +337,9 @@
 #[rstest]
 fn answers_that_match_no_attempt_are_ignored() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, worker) = harness.dispatch_fastcgi_call();
+    let (client, worker) = harness.dispatch_fastcgi_request();
     harness.receive(worker, &frames::response(FINISHED, 77, "", b"for nobody"));
-    let out = frames::response(FINISHED, id_number(CALL_ID), "", b"out");
+    let out = frames::response(FINISHED, parse_call_id(CALL_ID), "", b"out");
     harness.receive(worker, &[out.clone(), out].concat());
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert_eq!(harness.outcomes(), [Outcome::Finished]);
@@ -345,38 +348,38 @@
 #[rstest]
 fn a_retry_is_sent_on_another_connection_after_the_cancellation() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (_, first) = harness.dispatch_fastcgi_call();
+    let (_, first) = harness.dispatch_fastcgi_request();
     harness.decide_on_event(
         2,
         [Decision::Cancel(0, 0), Decision::Dispatch(0, 1_000_000)],
     );
-    assert!(harness.io.written[&first].ends_with(&frames::cancel(id_number(CALL_ID))));
+    assert!(harness.io.written[&first].ends_with(&frames::cancel(parse_call_id(CALL_ID))));
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
     // A late answer to the first attempt does not answer the second.
     harness.receive(
         first,
-        &frames::response(COLD_MISS, id_number(CALL_ID), "", b""),
+        &frames::response(COLD_MISS, parse_call_id(CALL_ID), "", b""),
     );
     assert_eq!(harness.outcomes(), [Outcome::Cancelled]);
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.outcomes(), [Outcome::Cancelled, Outcome::Finished]);
 }
 
 #[rstest]
 fn an_attempt_that_times_out_is_cancelled_at_the_worker() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (_, worker) = harness.dispatch_fastcgi_call();
+    let (_, worker) = harness.dispatch_fastcgi_request();
     harness.advance(2 * SECOND);
     assert_eq!(harness.outcomes(), [Outcome::TimedOut]);
-    assert!(harness.io.written[&worker].ends_with(&frames::cancel(id_number(CALL_ID))));
+    assert!(harness.io.written[&worker].ends_with(&frames::cancel(parse_call_id(CALL_ID))));
 }
 
 #[rstest]
 fn a_load_command_is_answered_under_its_own_id() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (_, worker) = harness.dispatch_fastcgi_call();
+    let (_, worker) = harness.dispatch_fastcgi_request();
     harness.decide_on_event(2, [Decision::Load(2)]);
     let load = frames::load(1, FUNCTION, 2);
     assert!(harness.io.written[&worker].ends_with(&load));
@@ -386,14 +389,14 @@
 }
 
 #[rstest]
-fn memory_is_bounded_however_many_requests_are_served() {
+fn memory_does_not_grow_with_the_number_of_requests_served() {
     let mut harness = EdgeHarness::on_platform(&[
         ("copies.keep-alive", "1 s"),
         ("limits.head-time-out", "100 ms"),
     ]);
     for n in 0..3_000u64 {
         let client = harness.accept_client();
-        let mut params = call_params(&format!("{n:016x}"));
+        let mut params = request_params(&format!("{n:016x}"));
         params.retain(|(name, _)| *name != "HTTP_X_ENTITY");
         params.push(("HTTP_X_ENTITY", format!("{:016x}", n / 2)));
         let phase = if n % 2 == 0 {
@@ -425,13 +428,13 @@
 #[rstest]
 fn a_retry_after_a_malformed_answer_connects_at_once() {
     let mut harness = EdgeHarness::on_platform(&[]);
-    let (client, first) = harness.dispatch_fastcgi_call();
+    let (client, first) = harness.dispatch_fastcgi_request();
     harness.receive(first, b"noise");
     harness.decide_on_event(2, [Decision::Dispatch(0, 1_000_000)]);
     let second = harness.last_connection();
     assert_ne!(first, second);
     harness.connect(second);
-    harness.finish_call(second, CALL_ID, b"out");
+    harness.finish_request(second, CALL_ID, b"out");
     assert_eq!(harness.fastcgi_statuses(client), [(1, 200)]);
     assert_eq!(harness.outcomes(), [Outcome::Reset, Outcome::Finished]);
 }
@@ -441,5 +444,5 @@
 fn an_attempt_to_a_draining_worker_is_a_violation() {
     let mut harness = EdgeHarness::on_platform(&[]);
     harness.receive_member(2, member("w", "terminating"));
-    harness.dispatch_fastcgi_call();
+    harness.dispatch_fastcgi_request();
 }
