--- a/crates/sanddrum-cli/src/call.rs
+++ b/crates/sanddrum-cli/src/call.rs
@@ -3,7 +3,7 @@
 use crate::{exit, fail};
 use clap::Args;
 use rustls::{ClientConnection, Stream};
-use sanddrum_tls::{Papers, Rules, Terms};
+use sanddrum_tls::{TlsConfig, TlsMaterial, TlsOptions};
 use sanddrum_wire::http;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -107,12 +107,12 @@
         (Some(chain), Some(key)) => Some((read(chain)?, read(key)?)),
         _ => None,
     };
-    let papers = Papers {
+    let papers = TlsMaterial {
         roots: read(roots)?,
-        own,
-        ..Papers::default()
+        certified_key: own,
+        ..TlsMaterial::default()
     };
-    let terms = Terms::new(&papers, &Rules::default()).map_err(|e| e.to_string())?;
+    let terms = TlsConfig::new(&papers, &TlsOptions::default()).map_err(|e| e.to_string())?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -122,7 +122,7 @@
         .rsplit_once(':')
         .map_or(args.edge.as_str(), |(host, _)| host);
     terms
-        .call(now, args.name.as_deref().unwrap_or(host))
+        .client_connection(now, args.name.as_deref().unwrap_or(host))
         .map_err(|e| e.to_string())
 }
 
--- a/crates/sanddrum-cli/src/certs.rs
+++ b/crates/sanddrum-cli/src/certs.rs
@@ -8,7 +8,7 @@
     GeneralSubtree, IsCa, Issuer, KeyIdMethod, KeyPair, KeyUsagePurpose, NameConstraints,
     RevokedCertParams, SerialNumber,
 };
-use sanddrum_tls::{describe, read_denied, Described};
+use sanddrum_tls::{describe_certificates, parse_denied_keys, CertificateInfo};
 use std::fs::{self, OpenOptions};
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
@@ -182,25 +182,25 @@
 
 fn show(file: &Path) -> Result<String, String> {
     let mut text = String::new();
-    for described in
-        describe(read(file)?.as_bytes()).map_err(|e| format!("{}: {e}", file.display()))?
+    for described in describe_certificates(read(file)?.as_bytes())
+        .map_err(|e| format!("{}: {e}", file.display()))?
     {
-        let Described {
+        let CertificateInfo {
             names,
-            authority,
-            signs_for_others,
-            until,
-            key,
+            issuer,
+            is_ca,
+            not_after,
+            key_fingerprint,
             ..
         } = described;
-        let days = (until - now() as i64) as f64 / 86_400e6;
-        let what = if signs_for_others { "authority" } else { "for" };
-        text += &format!("{what} {}\n  signed by {authority}\n", names.join(", "));
+        let days = (not_after - now() as i64) as f64 / 86_400e6;
+        let what = if is_ca { "authority" } else { "for" };
+        text += &format!("{what} {}\n  signed by {issuer}\n", names.join(", "));
         text += &match days < 0.0 {
             true => format!("  ended {:.1} days ago\n", -days),
             false => format!("  ends in {days:.1} days\n"),
         };
-        text += &format!("  {key}\n");
+        text += &format!("  {key_fingerprint}\n");
     }
     Ok(text)
 }
@@ -215,7 +215,7 @@
     }
     let issuer = authority(folder, 0, "", None)?;
     let pem = read(&folder.join(format!("{name}.pem")))?;
-    let serial = sanddrum_tls::serial(pem.as_bytes()).map_err(told)?;
+    let serial = sanddrum_tls::serial_number(pem.as_bytes()).map_err(told)?;
     let record = folder.join("revoked.txt");
     let mut lines = read(&record).unwrap_or_default();
     if !lines.lines().any(|line| line.starts_with(&serial)) {
@@ -261,9 +261,14 @@
 }
 
 fn deny(file: &Path, certificate: &Path, remark: &str) -> Result<String, String> {
-    let described = describe(read(certificate)?.as_bytes())
+    let described = describe_certificates(read(certificate)?.as_bytes())
         .map_err(|e| format!("{}: {e}", certificate.display()))?;
-    let Some(Described { key, names, .. }) = described.first() else {
+    let Some(CertificateInfo {
+        key_fingerprint: key,
+        names,
+        ..
+    }) = described.first()
+    else {
         return Err("no certificate".into());
     };
     let mut text = if file.exists() {
@@ -271,7 +276,8 @@
     } else {
         String::new()
     };
-    let denied = read_denied(text.as_bytes()).map_err(|e| format!("{}: {e}", file.display()))?;
+    let denied =
+        parse_denied_keys(text.as_bytes()).map_err(|e| format!("{}: {e}", file.display()))?;
     if !denied.contains(key) {
         if !text.is_empty() && !text.ends_with('\n') {
             text.push('\n');
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -8,7 +8,10 @@
 use sanddrum_edge::{endpoint_cache, Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, NullObserver, Shutdown};
 use sanddrum_settings::{LoadedSettings, SettingsError};
-use sanddrum_tls::{Asks, Layer, Limited, Papers, Rules, Side, CALL_FILES, DOOR_FILES};
+use sanddrum_tls::{
+    ClientAuth, NameConstraint, ReloadableConfig, TlsLayer, TlsMaterial, TlsOptions, INBOUND_FILES,
+    OUTBOUND_FILES,
+};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -166,7 +169,11 @@
 ];
 
 /// What an edge starts on; it does not start on papers that are not good.
-fn side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
+fn side(
+    l: &LoadedSettings,
+    keys: [&str; 5],
+    rules: TlsOptions,
+) -> Result<ReloadableConfig, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
         match l.contains(key) {
             true => std::fs::read(l.text(key)).map_err(|e| format!("{} ({key}): {e}", l.text(key))),
@@ -177,26 +184,26 @@
         true => Some((read(keys[1])?, read(keys[2])?)),
         false => None,
     };
-    let papers = Papers {
+    let papers = TlsMaterial {
         roots: read(keys[0])?,
-        own,
-        revoked: read(keys[3])?,
-        denied: read(keys[4])?,
+        certified_key: own,
+        revocation_lists: read(keys[3])?,
+        denied_keys: read(keys[4])?,
     };
-    let side = Side::new(papers, rules).map_err(|e| e.to_string())?;
+    let side = ReloadableConfig::new(papers, rules).map_err(|e| e.to_string())?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros() as i64;
-    side.terms()
-        .hold(now)
+    side.config()
+        .check_validity(now)
         .map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
     Ok(side)
 }
-fn limited(l: &LoadedSettings) -> Vec<Limited> {
+fn limited(l: &LoadedSettings) -> Vec<NameConstraint> {
     let authorities = l.names("authorities").into_iter().enumerate();
     authorities
-        .map(|(n, authority)| Limited {
+        .map(|(n, authority)| NameConstraint {
             authority,
             names: l.names(&format!("authorities.{n}.names")),
         })
@@ -224,29 +231,29 @@
     if !workers && !clients {
         return Ok(Box::new(edge));
     }
-    let mut layer = Layer::new(edge, sanddrum_lab::tls_bounds(l));
+    let mut layer = TlsLayer::new(edge, sanddrum_lab::tls_bounds(l));
     let sessions = l.integer("tls.sessions");
     if workers {
-        let rules = Rules {
-            sessions,
-            limited: limited(l),
-            ..Rules::default()
+        let rules = TlsOptions {
+            session_cache_size: sessions,
+            name_constraints: limited(l),
+            ..TlsOptions::default()
         };
-        layer = layer.with_calls(side(l, CALL_KEYS, rules)?);
+        layer = layer.with_outbound(side(l, CALL_KEYS, rules)?);
     }
     if clients {
         let callers = match l.text("door.certificates") {
-            "required" => Asks::Must,
-            "optional" => Asks::May,
-            _ => Asks::No,
+            "required" => ClientAuth::Required,
+            "optional" => ClientAuth::Optional,
+            _ => ClientAuth::Disabled,
         };
-        layer = layer.with_doors(side(
+        layer = layer.with_inbound(side(
             l,
             DOOR_KEYS,
-            Rules {
-                callers,
-                sessions,
-                ..Rules::default()
+            TlsOptions {
+                client_auth: callers,
+                session_cache_size: sessions,
+                ..TlsOptions::default()
             },
         )?);
     }
@@ -312,10 +319,10 @@
     let host = driver
         .add(core, vec![door], state_file)
         .map_err(|e| e.to_string())?;
-    let files = CALL_FILES
+    let files = OUTBOUND_FILES
         .into_iter()
         .zip(CALL_KEYS)
-        .chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
+        .chain(INBOUND_FILES.into_iter().zip(DOOR_KEYS));
     for (name, key) in files.filter(|(_, key)| settings.contains(key)) {
         driver.watch_file(
             host,
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -7,7 +7,7 @@
 use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_emulator::{GroundTruth, Shared};
 use sanddrum_net::{Core, HostId, LinkFault, LinkModel, Micros, VirtualNet};
-use sanddrum_tls::{CALL_FILES, DOOR_FILES};
+use sanddrum_tls::{INBOUND_FILES, OUTBOUND_FILES};
 use std::collections::BTreeMap;
 use std::io;
 
@@ -221,14 +221,18 @@
         let roots = self.fleet.roots();
         for n in 0..self.fleet.scenario.edges {
             if let Some(host) = self.hosts.get(&Who::Edge(n)) {
-                self.net.deliver_file(*host, CALL_FILES[0], Ok(&roots));
+                self.net.deliver_file(*host, OUTBOUND_FILES[0], Ok(&roots));
             }
         }
         for n in 0..self.fleet.scenario.workers {
-            let (chain, key) = self.fleet.worker_papers(n)?.own.unwrap_or_default();
+            let (chain, key) = self
+                .fleet
+                .worker_papers(n)?
+                .certified_key
+                .unwrap_or_default();
             if let Some(host) = self.hosts.get(&Who::Worker(n)) {
-                self.net.deliver_file(*host, DOOR_FILES[1], Ok(&chain));
-                self.net.deliver_file(*host, DOOR_FILES[2], Ok(&key));
+                self.net.deliver_file(*host, INBOUND_FILES[1], Ok(&chain));
+                self.net.deliver_file(*host, INBOUND_FILES[2], Ok(&key));
             }
         }
         Ok(())
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -11,7 +11,7 @@
 };
 use sanddrum_net::{Core, HostId, Micros};
 use sanddrum_settings::{LoadedSettings, SettingsError};
-use sanddrum_tls::{Layer, Papers, Rules, Side};
+use sanddrum_tls::{ReloadableConfig, TlsLayer, TlsMaterial, TlsOptions};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -186,13 +186,13 @@
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
         self.recording.0.borrow_mut().role(host, Role::Worker(n));
-        let rules = Rules {
-            sessions: l.integer("tls.sessions"),
-            ..Rules::default()
+        let rules = TlsOptions {
+            session_cache_size: l.integer("tls.sessions"),
+            ..TlsOptions::default()
         };
-        let door = Side::new(papers, rules).map_err(std::io::Error::other)?;
+        let door = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
         let tapped = PlaintextCapture::new(worker, host, self.recording.clone());
-        let layer = Layer::new(tapped, bounds(l)).with_doors(door);
+        let layer = TlsLayer::new(tapped, bounds(l)).with_inbound(door);
         let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
         Ok(if costs {
             Box::new(HandshakeQueue::new(layer, work, started, cold, from))
@@ -204,9 +204,9 @@
     ///
     /// # Errors
     /// No certificate can be made for it.
-    pub fn worker_papers(&mut self, n: usize) -> std::io::Result<Papers> {
+    pub fn worker_papers(&mut self, n: usize) -> std::io::Result<TlsMaterial> {
         let Some(authority) = &self.authority else {
-            return Ok(Papers::default());
+            return Ok(TlsMaterial::default());
         };
         let name = Scenario::worker_name(n);
         if self.impostors.contains(&n) {
@@ -216,10 +216,10 @@
         if let std::collections::btree_map::Entry::Vacant(leaf) = self.leaves.entry(n) {
             leaf.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
         }
-        Ok(Papers {
+        Ok(TlsMaterial {
             roots: self.roots(),
-            own: self.leaves.get(&n).cloned(),
-            ..Papers::default()
+            certified_key: self.leaves.get(&n).cloned(),
+            ..TlsMaterial::default()
         })
     }
     /// Whose word edges believe now.
@@ -258,16 +258,18 @@
             return Ok(edge);
         }
         let l = &self.scenario.settings;
-        let papers = Papers {
+        let papers = TlsMaterial {
             roots: self.roots(),
-            ..Papers::default()
+            ..TlsMaterial::default()
         };
-        let rules = Rules {
-            sessions: l.integer("tls.sessions"),
-            ..Rules::default()
+        let rules = TlsOptions {
+            session_cache_size: l.integer("tls.sessions"),
+            ..TlsOptions::default()
         };
-        let calls = Side::new(papers, rules).map_err(std::io::Error::other)?;
-        Ok(Box::new(Layer::new(edge, bounds(l)).with_calls(calls)))
+        let calls = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
+        Ok(Box::new(
+            TlsLayer::new(edge, bounds(l)).with_outbound(calls),
+        ))
     }
     pub fn store(&self) -> Box<dyn Core> {
         Box::new(Store::new(self.scenario.store(), self.store.clone()))
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -9,7 +9,7 @@
 use sanddrum_identity::{token, Claims, KeySet, SecretKey};
 use sanddrum_net::{ConnectionId, Core, Event, EventLoop, Io, NullObserver};
 use sanddrum_settings::LoadedSettings;
-use sanddrum_tls::{Asks, Bounds, Layer, Rules, Side};
+use sanddrum_tls::{ClientAuth, ReloadableConfig, TlsLayer, TlsLimits, TlsOptions};
 use sanddrum_wire::frame::encode_frame;
 use sanddrum_wire::{
     Done, EndpointRecord, ExecutionStatus, FrameDecoder, FromWorker, HealthStatus, Hello,
@@ -23,11 +23,11 @@
     Arc,
 };
 
-const TLS_BOUNDS: Bounds = Bounds {
-    handshake_time_out: 2_000_000,
-    handshakes: 256,
-    waiting: 256 * 1024,
-    warn_ahead: 0,
+const TLS_BOUNDS: TlsLimits = TlsLimits {
+    handshake_timeout: 2_000_000,
+    max_handshakes: 256,
+    max_buffered: 256 * 1024,
+    expiry_warning: 0,
 };
 const TLS_SESSIONS: usize = 4096;
 /// The name of the client door.
@@ -344,7 +344,8 @@
     let authority = Authority::new().map_err(|e| e.to_string())?;
     let worker_terms = match spec.tls {
         true => {
-            let terms = |n| authority.for_door(&format!("worker-{n}"), Asks::No, TLS_SESSIONS);
+            let terms =
+                |n| authority.for_door(&format!("worker-{n}"), ClientAuth::Disabled, TLS_SESSIONS);
             Some(
                 (0..spec.workers)
                     .map(terms)
@@ -361,18 +362,20 @@
         Speaks::Plain => (None, None),
         speaks => {
             let asks = if speaks == Speaks::Certificate {
-                Asks::Must
+                ClientAuth::Required
             } else {
-                Asks::No
+                ClientAuth::Disabled
             };
             let mut papers = authority.papers("gw-1")?;
-            papers.own = papers.own.filter(|_| speaks == Speaks::Certificate);
+            papers.certified_key = papers
+                .certified_key
+                .filter(|_| speaks == Speaks::Certificate);
             let sessions = if spec.resumes { TLS_SESSIONS } else { 0 };
-            let client = Side::new(
+            let client = ReloadableConfig::new(
                 papers,
-                Rules {
-                    sessions,
-                    ..Rules::default()
+                TlsOptions {
+                    session_cache_size: sessions,
+                    ..TlsOptions::default()
                 },
             )
             .map_err(|e| e.to_string())?;
@@ -401,14 +404,14 @@
                 .map(drop);
         };
         for (first, (door, terms)) in doors.into_iter().zip(terms).enumerate() {
-            let core = Layer::new(
+            let core = TlsLayer::new(
                 Instant {
                     first,
                     ..Instant::default()
                 },
                 TLS_BOUNDS,
             )
-            .with_doors(terms);
+            .with_inbound(terms);
             driver.add(Box::new(core), vec![door], None)?;
         }
         Ok(())
@@ -469,8 +472,8 @@
                 (calls, doors) => {
                     let layer = calls
                         .into_iter()
-                        .fold(Layer::new(core, TLS_BOUNDS), Layer::with_calls);
-                    Box::new(doors.into_iter().fold(layer, Layer::with_doors))
+                        .fold(TlsLayer::new(core, TLS_BOUNDS), TlsLayer::with_outbound);
+                    Box::new(doors.into_iter().fold(layer, TlsLayer::with_inbound))
                 }
             };
             let core = Keyed { core, keys };
@@ -536,7 +539,7 @@
     let seen = hammer.seen.clone();
     let host = match client_side {
         Some(side) => driver.add(
-            Box::new(Layer::new(hammer, TLS_BOUNDS).with_calls(side)),
+            Box::new(TlsLayer::new(hammer, TLS_BOUNDS).with_outbound(side)),
             vec![],
             None,
         ),
--- a/crates/sanddrum-lab/src/plaintext_capture.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -7,7 +7,7 @@
     TrafficObserver,
 };
 use sanddrum_settings::LoadedSettings;
-use sanddrum_tls::{Asks, Bounds, Papers, Rules, Side};
+use sanddrum_tls::{ClientAuth, ReloadableConfig, TlsLimits, TlsMaterial, TlsOptions};
 
 pub struct PlaintextCapture<C> {
     core: C,
@@ -199,16 +199,16 @@
     ///
     /// # Errors
     /// The authority's certificate can't be read back.
-    pub fn for_edge(&self, sessions: usize) -> Result<Side, String> {
-        let papers = Papers {
+    pub fn for_edge(&self, sessions: usize) -> Result<ReloadableConfig, String> {
+        let papers = TlsMaterial {
             roots: self.roots().into_bytes(),
-            ..Papers::default()
+            ..TlsMaterial::default()
         };
-        Side::new(
+        ReloadableConfig::new(
             papers,
-            Rules {
-                sessions,
-                ..Rules::default()
+            TlsOptions {
+                session_cache_size: sessions,
+                ..TlsOptions::default()
             },
         )
         .map_err(|e| e.to_string())
@@ -234,32 +234,37 @@
     ///
     /// # Errors
     /// The name can't stand in a certificate.
-    pub fn papers(&self, name: &str) -> Result<Papers, String> {
-        Ok(Papers {
+    pub fn papers(&self, name: &str) -> Result<TlsMaterial, String> {
+        Ok(TlsMaterial {
             roots: self.roots().into_bytes(),
-            own: Some(self.leaf(name)?),
-            ..Papers::default()
+            certified_key: Some(self.leaf(name)?),
+            ..TlsMaterial::default()
         })
     }
     /// What callers of this name's doors are met with.
     ///
     /// # Errors
     /// The name can't stand in a certificate.
-    pub fn for_door(&self, name: &str, callers: Asks, sessions: usize) -> Result<Side, String> {
-        let rules = Rules {
-            callers,
-            sessions,
-            ..Rules::default()
+    pub fn for_door(
+        &self,
+        name: &str,
+        callers: ClientAuth,
+        sessions: usize,
+    ) -> Result<ReloadableConfig, String> {
+        let rules = TlsOptions {
+            client_auth: callers,
+            session_cache_size: sessions,
+            ..TlsOptions::default()
         };
-        Side::new(self.papers(name)?, rules).map_err(|e| e.to_string())
+        ReloadableConfig::new(self.papers(name)?, rules).map_err(|e| e.to_string())
     }
 }
 
-pub fn bounds(l: &LoadedSettings) -> Bounds {
-    Bounds {
-        handshake_time_out: l.duration_us("tls.handshake-time-out-us"),
-        handshakes: l.integer("tls.handshakes"),
-        waiting: l.integer("tls.waiting-bytes"),
-        warn_ahead: l.duration_us("tls.warn-ahead-us"),
+pub fn bounds(l: &LoadedSettings) -> TlsLimits {
+    TlsLimits {
+        handshake_timeout: l.duration_us("tls.handshake-time-out-us"),
+        max_handshakes: l.integer("tls.handshakes"),
+        max_buffered: l.integer("tls.waiting-bytes"),
+        expiry_warning: l.duration_us("tls.warn-ahead-us"),
     }
 }
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -8,7 +8,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 use sanddrum_edge::{Edge, EdgeOptions, KEYS_FILE};
 use sanddrum_net::{Core, EventLoop, HostId, Micros};
-use sanddrum_tls::{CALL_FILES, DOOR_FILES};
+use sanddrum_tls::{INBOUND_FILES, OUTBOUND_FILES};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::PathBuf;
@@ -169,21 +169,23 @@
                 let name = Scenario::worker_name(n);
                 self.driver.watch_file(
                     host,
-                    DOOR_FILES[1],
+                    INBOUND_FILES[1],
                     self.folder.join(format!("{name}.pem")),
                     every,
                 );
                 self.driver.watch_file(
                     host,
-                    DOOR_FILES[2],
+                    INBOUND_FILES[2],
                     self.folder.join(format!("{name}.key")),
                     every,
                 );
             }
-            Who::Edge(_) => {
-                self.driver
-                    .watch_file(host, CALL_FILES[0], self.folder.join("roots.pem"), every)
-            }
+            Who::Edge(_) => self.driver.watch_file(
+                host,
+                OUTBOUND_FILES[0],
+                self.folder.join("roots.pem"),
+                every,
+            ),
             _ => {}
         }
     }
@@ -389,7 +391,11 @@
         };
         write("roots.pem".into(), &self.fleet.roots())?;
         for n in 0..self.fleet.scenario.workers {
-            let (chain, key) = self.fleet.worker_papers(n)?.own.unwrap_or_default();
+            let (chain, key) = self
+                .fleet
+                .worker_papers(n)?
+                .certified_key
+                .unwrap_or_default();
             write(format!("{}.pem", Scenario::worker_name(n)), &chain)?;
             write(format!("{}.key", Scenario::worker_name(n)), &key)?;
         }
--- a/crates/sanddrum-tls/src/certificates.rs
+++ b/crates/sanddrum-tls/src/certificates.rs
@@ -1,4 +1,4 @@
-//! What terms are made of, as PEM texts (RFC 7468), and what can be read from certificates without judging them.
+//! The PEM texts (RFC 7468) that a configuration is made of, and parsing of certificates without verification.
 
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, CertificateRevocationListDer, PrivateKeyDer};
@@ -8,146 +8,159 @@
 use std::fmt;
 use x509_parser::prelude::{CertificateRevocationList, FromDer, GeneralName, X509Certificate};
 
-/// Why terms can't be had: a certificate, a key, a root or a list is not good, or a name is none.
+/// Why no configuration can be made: a certificate, key, root or list is invalid, or a server name is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TermsError(pub(crate) String);
+pub struct TlsConfigError(pub(crate) String);
 
-impl fmt::Display for TermsError {
+impl fmt::Display for TlsConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for TermsError {}
+impl std::error::Error for TlsConfigError {}
 
-pub(crate) fn error(e: impl fmt::Display) -> TermsError {
-    TermsError(e.to_string())
+pub(crate) fn config_error(e: impl fmt::Display) -> TlsConfigError {
+    TlsConfigError(e.to_string())
 }
 
-/// The texts that one side's terms are made of.
+/// The contents of the files that a configuration is made of.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Papers {
-    /// Trusted authorities.
+pub struct TlsMaterial {
+    /// Certificates of the trusted authorities.
     pub roots: Vec<u8>,
-    /// The chain that is shown, and its key.
-    pub own: Option<(Vec<u8>, Vec<u8>)>,
+    /// The certificate chain to present, and its private key.
+    pub certified_key: Option<(Vec<u8>, Vec<u8>)>,
     /// Revocation lists (RFC 5280, section 5).
-    pub revoked: Vec<u8>,
-    /// Keys that are not believed whoever signed for them, one line each; see [`KeyPrint`].
-    pub denied: Vec<u8>,
+    pub revocation_lists: Vec<u8>,
+    /// Fingerprints of keys that are rejected whoever signed their certificates, one a line; see [`KeyFingerprint`].
+    pub denied_keys: Vec<u8>,
 }
 
 /// The SHA-256 digest of a key's SubjectPublicKeyInfo (RFC 5280, section 4.1.2.7).
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KeyPrint([u8; 32]);
+pub struct KeyFingerprint([u8; 32]);
 
-impl fmt::Display for KeyPrint {
+impl fmt::Display for KeyFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("sha256:")?;
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
-impl fmt::Debug for KeyPrint {
+impl fmt::Debug for KeyFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-impl KeyPrint {
+impl KeyFingerprint {
+    /// Parses the form that `Display` writes.
+    ///
     /// # Errors
-    /// It is not `sha256:` and 64 hexadecimal digits.
-    pub fn read(text: &str) -> Result<Self, TermsError> {
-        let wrong = || {
-            TermsError(format!(
-                "{text:?}: sha256: and 64 hexadecimal digits are wanted"
+    /// It is not `sha256:` followed by 64 hexadecimal digits.
+    pub fn parse(text: &str) -> Result<Self, TlsConfigError> {
+        let invalid = || {
+            TlsConfigError(format!(
+                "{text:?}: expected sha256: followed by 64 hexadecimal digits"
             ))
         };
         let digits = text
             .strip_prefix("sha256:")
             .filter(|d| d.len() == 64 && d.is_ascii())
-            .ok_or_else(wrong)?;
-        let mut print = [0; 32];
-        for (n, byte) in print.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).map_err(|_| wrong())?;
+            .ok_or_else(invalid)?;
+        let mut digest = [0; 32];
+        for (n, byte) in digest.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).map_err(|_| invalid())?;
         }
-        Ok(KeyPrint(print))
+        Ok(KeyFingerprint(digest))
     }
+    /// The fingerprint of a certificate's key.
+    ///
     /// # Errors
-    /// It is no certificate.
-    pub fn of_certificate(der: &[u8]) -> Result<Self, TermsError> {
-        let certificate = parsed(der)?;
-        Ok(KeyPrint(
+    /// The certificate can't be parsed.
+    pub fn of_certificate(der: &[u8]) -> Result<Self, TlsConfigError> {
+        let certificate = parse_certificate(der)?;
+        Ok(KeyFingerprint(
             Sha256::digest(certificate.tbs_certificate.subject_pki.raw).into(),
         ))
     }
 }
 
-/// Reads a list of denied keys: a print in each line, with a remark behind it or a `#` before.
+/// Parses a list of denied keys: a fingerprint a line, with an optional remark behind it. Empty lines and lines that
+/// start with `#` are skipped.
 ///
 /// # Errors
-/// A line is neither; it is named.
-pub fn read_denied(text: &[u8]) -> Result<BTreeSet<KeyPrint>, TermsError> {
-    let text = std::str::from_utf8(text).map_err(|_| error("denied keys: not UTF-8"))?;
+/// A line is neither of these; the error gives its number.
+pub fn parse_denied_keys(text: &[u8]) -> Result<BTreeSet<KeyFingerprint>, TlsConfigError> {
+    let text = std::str::from_utf8(text).map_err(|_| config_error("denied keys: not UTF-8"))?;
     let mut denied = BTreeSet::new();
     for (n, line) in text.lines().enumerate() {
         match line.split_whitespace().next() {
             None => {}
             Some(word) if word.starts_with('#') => {}
             Some(word) => {
-                let print = KeyPrint::read(word);
-                denied.insert(
-                    print.map_err(|e| TermsError(format!("denied keys, line {}: {e}", n + 1)))?,
-                );
+                let fingerprint = KeyFingerprint::parse(word);
+                denied
+                    .insert(fingerprint.map_err(|e| {
+                        TlsConfigError(format!("denied keys, line {}: {e}", n + 1))
+                    })?);
             }
         }
     }
     Ok(denied)
 }
 
-pub(crate) fn parsed(der: &[u8]) -> Result<X509Certificate<'_>, TermsError> {
+pub(crate) fn parse_certificate(der: &[u8]) -> Result<X509Certificate<'_>, TlsConfigError> {
     X509Certificate::from_der(der)
         .map(|(_, certificate)| certificate)
-        .map_err(|e| error(format!("no certificate: {e}")))
+        .map_err(|e| config_error(format!("invalid certificate: {e}")))
 }
 
-pub(crate) fn certificates(
+/// Reads at least one certificate from a PEM text; `label` names the text in errors.
+pub(crate) fn read_certificates(
     pem: &[u8],
-    what: &str,
-) -> Result<Vec<CertificateDer<'static>>, TermsError> {
+    label: &str,
+) -> Result<Vec<CertificateDer<'static>>, TlsConfigError> {
     let read: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
-    let read = read.map_err(|e| TermsError(format!("{what}: {e}")))?;
+    let read = read.map_err(|e| TlsConfigError(format!("{label}: {e}")))?;
     if read.is_empty() {
-        return Err(TermsError(format!("{what}: no certificate is in it")));
+        return Err(TlsConfigError(format!("{label}: contains no certificate")));
     }
     Ok(read)
 }
-pub(crate) fn key(pem: &[u8]) -> Result<PrivateKeyDer<'static>, TermsError> {
-    // What is wrong with a key is told without any of its content.
-    PrivateKeyDer::from_pem_slice(pem).map_err(|_| error("key: no private key is in it"))
+pub(crate) fn read_private_key(pem: &[u8]) -> Result<PrivateKeyDer<'static>, TlsConfigError> {
+    // The parser's own error is dropped, so that no part of a key gets into a message.
+    PrivateKeyDer::from_pem_slice(pem)
+        .map_err(|_| config_error("key: contains no readable private key"))
 }
-pub(crate) fn lists(pem: &[u8]) -> Result<Vec<CertificateRevocationListDer<'static>>, TermsError> {
+/// Reads the revocation lists of a PEM text; there are none only if it is empty.
+pub(crate) fn read_revocation_lists(
+    pem: &[u8],
+) -> Result<Vec<CertificateRevocationListDer<'static>>, TlsConfigError> {
     let read: Result<Vec<_>, _> = CertificateRevocationListDer::pem_slice_iter(pem).collect();
-    let read = read.map_err(|e| TermsError(format!("revocation lists: {e}")))?;
+    let read = read.map_err(|e| TlsConfigError(format!("revocation lists: {e}")))?;
     if read.is_empty() && !pem.is_empty() {
-        return Err(error("revocation lists: none is in it"));
+        return Err(config_error(
+            "revocation lists: contains no revocation list",
+        ));
     }
     Ok(read)
 }
 
 const SECOND: Micros = 1_000_000;
 
-/// From when to when a certificate holds.
-pub(crate) fn holds(der: &[u8]) -> Result<(Micros, Micros), TermsError> {
-    let certificate = parsed(der)?;
+/// The validity period of a certificate: its first and its last instant.
+pub(crate) fn validity(der: &[u8]) -> Result<(Micros, Micros), TlsConfigError> {
+    let certificate = parse_certificate(der)?;
     let validity = certificate.validity();
     Ok((
         validity.not_before.timestamp().saturating_mul(SECOND),
         validity.not_after.timestamp().saturating_mul(SECOND),
     ))
 }
-/// The name that an authority gives itself.
-pub(crate) fn authority_name(der: &[u8]) -> Result<String, TermsError> {
-    let certificate = parsed(der)?;
+/// The common name of a certificate's subject; empty if it has none.
+pub(crate) fn subject_common_name(der: &[u8]) -> Result<String, TlsConfigError> {
+    let certificate = parse_certificate(der)?;
     let name = certificate
         .subject()
         .iter_common_name()
@@ -155,9 +168,9 @@
         .and_then(|name| name.as_str().ok());
     Ok(name.unwrap_or_default().to_string())
 }
-/// The names that a certificate is for, as they stand in it (RFC 5280, section 4.2.1.6): none is made of a wildcard.
-pub(crate) fn names(der: &[u8]) -> Vec<String> {
-    let Ok(certificate) = parsed(der) else {
+/// The DNS names of a certificate in lower case (RFC 5280, section 4.2.1.6). Wildcards are not expanded.
+pub(crate) fn dns_names(der: &[u8]) -> Vec<String> {
+    let Ok(certificate) = parse_certificate(der) else {
         return Vec::new();
     };
     let Ok(Some(alternative)) = certificate.subject_alternative_name() else {
@@ -175,42 +188,42 @@
         .collect()
 }
 
-/// When each authority's list was last made and when the next is due.
-pub(crate) fn list_ages(
+/// When each authority's revocation list was issued, and when its next one is due, by the authority's name.
+pub(crate) fn revocation_list_updates(
     pem: &[u8],
-) -> Result<BTreeMap<String, (Micros, Option<Micros>)>, TermsError> {
-    let mut ages = BTreeMap::new();
-    for der in lists(pem)? {
+) -> Result<BTreeMap<String, (Micros, Option<Micros>)>, TlsConfigError> {
+    let mut updates = BTreeMap::new();
+    for der in read_revocation_lists(pem)? {
         let (_, list) = CertificateRevocationList::from_der(&der)
-            .map_err(|e| error(format!("revocation list: {e}")))?;
+            .map_err(|e| config_error(format!("revocation list: {e}")))?;
         let next = list
             .next_update()
             .map(|at| at.timestamp().saturating_mul(SECOND));
-        ages.insert(
+        updates.insert(
             list.issuer().to_string(),
             (list.last_update().timestamp().saturating_mul(SECOND), next),
         );
     }
-    Ok(ages)
+    Ok(updates)
 }
 
-/// Whether lists may take the place of others: none is missing and none is older, or a revoked certificate would be
-/// good again.
+/// Checks that revocation lists may replace others: a list that is missing or older would make a revoked certificate
+/// valid again.
 ///
 /// # Errors
-/// Which one is older or missing.
-pub(crate) fn may_follow(old: &[u8], new: &[u8]) -> Result<(), TermsError> {
-    let new = list_ages(new)?;
-    for (issuer, (made, _)) in list_ages(old).unwrap_or_default() {
+/// A list is older or missing; the error names its issuer.
+pub(crate) fn check_not_rolled_back(old: &[u8], new: &[u8]) -> Result<(), TlsConfigError> {
+    let new = revocation_list_updates(new)?;
+    for (issuer, (old_issued, _)) in revocation_list_updates(old).unwrap_or_default() {
         match new.get(&issuer) {
             None => {
-                return Err(TermsError(format!(
-                    "revocation lists: the one of {issuer} is missing"
+                return Err(TlsConfigError(format!(
+                    "revocation lists: the list of {issuer} is missing"
                 )))
             }
-            Some((again, _)) if *again < made => {
-                return Err(TermsError(format!(
-                    "revocation lists: the one of {issuer} is older than what is in force"
+            Some((issued, _)) if *issued < old_issued => {
+                return Err(TlsConfigError(format!(
+                    "revocation lists: the list of {issuer} is older than the one in force"
                 )))
             }
             Some(_) => {}
@@ -219,49 +232,49 @@
     Ok(())
 }
 
-/// What a certificate says of itself.
+/// What a certificate contains; nothing of it is verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Described {
-    /// The DNS names and addresses that it is for.
+pub struct CertificateInfo {
+    /// The DNS names that it is for; the common name of its subject if there are none.
     pub names: Vec<String>,
-    /// The name of the authority that signed it.
-    pub authority: String,
-    /// Whether it is an authority itself.
-    pub signs_for_others: bool,
-    /// From when on it holds, in microseconds since 1970.
-    pub from: Micros,
-    /// Until when it holds, in microseconds since 1970.
-    pub until: Micros,
-    /// The digest of its key.
-    pub key: KeyPrint,
+    /// The common name of the authority that signed it.
+    pub issuer: String,
+    /// Whether it is the certificate of an authority.
+    pub is_ca: bool,
+    /// Since when it is valid, in microseconds since 1970.
+    pub not_before: Micros,
+    /// Until when it is valid, in microseconds since 1970.
+    pub not_after: Micros,
+    /// The fingerprint of its key.
+    pub key_fingerprint: KeyFingerprint,
 }
 
-/// Describes each certificate of a PEM text, judging none.
+/// Describes each certificate of a PEM text, without verifying any.
 ///
 /// # Errors
-/// None is in it, or one can't be read.
-pub fn describe(pem: &[u8]) -> Result<Vec<Described>, TermsError> {
-    let describe = |der: &CertificateDer<'_>| -> Result<Described, TermsError> {
-        let (certificate, (from, until)) = (parsed(der)?, holds(der)?);
-        let mut names = names(der);
+/// The text contains no certificate, or one can't be read.
+pub fn describe_certificates(pem: &[u8]) -> Result<Vec<CertificateInfo>, TlsConfigError> {
+    let describe = |der: &CertificateDer<'_>| -> Result<CertificateInfo, TlsConfigError> {
+        let (certificate, (not_before, not_after)) = (parse_certificate(der)?, validity(der)?);
+        let mut names = dns_names(der);
         if names.is_empty() {
-            names.extend(Some(authority_name(der)?).filter(|name| !name.is_empty()));
+            names.extend(Some(subject_common_name(der)?).filter(|name| !name.is_empty()));
         }
         let issuer = certificate
             .issuer()
             .iter_common_name()
             .next()
             .and_then(|name| name.as_str().ok());
-        Ok(Described {
+        Ok(CertificateInfo {
             names,
-            authority: issuer.unwrap_or_default().to_string(),
-            signs_for_others: certificate.is_ca(),
-            from,
-            until,
-            key: KeyPrint::of_certificate(der)?,
+            issuer: issuer.unwrap_or_default().to_string(),
+            is_ca: certificate.is_ca(),
+            not_before,
+            not_after,
+            key_fingerprint: KeyFingerprint::of_certificate(der)?,
         })
     };
-    certificates(pem, "certificate")?
+    read_certificates(pem, "certificate")?
         .iter()
         .map(describe)
         .collect()
@@ -270,10 +283,10 @@
 /// The serial number of the first certificate of a PEM text, in hexadecimal digits.
 ///
 /// # Errors
-/// None is in it, or it can't be read.
-pub fn serial(pem: &[u8]) -> Result<String, TermsError> {
-    let certificates = certificates(pem, "certificate")?;
-    Ok(parsed(&certificates[0])?
+/// The text contains no certificate, or the first one can't be read.
+pub fn serial_number(pem: &[u8]) -> Result<String, TlsConfigError> {
+    let certificates = read_certificates(pem, "certificate")?;
+    Ok(parse_certificate(&certificates[0])?
         .raw_serial()
         .iter()
         .map(|byte| format!("{byte:02x}"))
--- a/crates/sanddrum-tls/src/config.rs
+++ b/crates/sanddrum-tls/src/config.rs
@@ -1,7 +1,7 @@
-//! On which terms connections are made: what this side shows, whom it trusts, and what time it is.
+//! The TLS configuration of connections: the certificate to present, whom to trust, and the time for validity checks.
 
-use crate::certificates::{self, error, KeyPrint, Papers, TermsError};
-use crate::verify::{Belief, Callers, Limited, Workers};
+use crate::certificates::{self, config_error, KeyFingerprint, TlsConfigError, TlsMaterial};
+use crate::verify::{ClientVerifier, NameConstraint, TrustAnchors, WorkerVerifier};
 use rustls::client::danger::ServerCertVerifier;
 use rustls::client::Resumption;
 use rustls::crypto::ring::default_provider;
@@ -17,139 +17,148 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The driver's clock, for judging certificates by.
+/// The driver's clock, by which the validity of certificates is checked.
 #[derive(Debug)]
 struct Clock(AtomicI64);
 
 impl TimeProvider for Clock {
     fn current_time(&self) -> Option<UnixTime> {
-        Some(instant(self.0.load(Ordering::Relaxed)))
+        Some(unix_time(self.0.load(Ordering::Relaxed)))
     }
 }
-fn instant(now: Micros) -> UnixTime {
+fn unix_time(now: Micros) -> UnixTime {
     UnixTime::since_unix_epoch(Duration::from_micros(now.max(0) as u64))
 }
 
-/// Whether callers are asked for a certificate.
+/// Whether clients are requested to present a certificate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Asks {
-    /// They are not asked.
+pub enum ClientAuth {
+    /// No certificate is requested.
     #[default]
-    No,
-    /// They may show one.
-    May,
-    /// Without one there is no connection.
-    Must,
+    Disabled,
+    /// A client may present one.
+    Optional,
+    /// A client that presents none is rejected.
+    Required,
 }
 
-/// What terms are to be, besides the papers.
+/// The parts of a configuration that do not come from its files.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
-    /// Whether callers are asked for a certificate.
-    pub callers: Asks,
-    /// Sessions that are remembered to be taken up again, in all.
-    pub sessions: usize,
-    /// Authorities that may speak for some names only.
-    pub limited: Vec<Limited>,
+pub struct TlsOptions {
+    /// Whether clients present certificates.
+    pub client_auth: ClientAuth,
+    /// Sessions that are cached for resumption; zero disables it.
+    pub session_cache_size: usize,
+    /// Authorities that may issue certificates for some names only.
+    pub name_constraints: Vec<NameConstraint>,
 }
 
-/// Something with an end, and when that is.
+/// The expiry of a certificate or a revocation list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expiry {
-    /// What ends, for logs.
-    pub what: String,
+    /// What expires, for logs and metrics.
+    pub item: String,
     /// When, in microseconds since 1970.
     pub at: Micros,
 }
 
-/// TLS 1.3 only; both ends may show certificates. Sessions are remembered within one set of terms only, so what was
-/// believed before a change of roots, lists or denied keys is asked for anew.
+/// The configuration of connections, with TLS 1.3 only; both peers may present certificates. Each configuration has a
+/// session cache of its own: after a change of roots, revocation lists or denied keys no session is resumed that was
+/// verified by the old ones.
 #[derive(Clone)]
-pub struct Terms {
+pub struct TlsConfig {
     clock: Arc<Clock>,
     client: Arc<ClientConfig>,
     server: Option<Arc<ServerConfig>>,
-    workers: Arc<Workers>,
-    callers: Option<Arc<Callers>>,
-    own: Option<(Micros, Micros)>,
+    worker_verifier: Arc<WorkerVerifier>,
+    client_verifier: Option<Arc<ClientVerifier>>,
+    /// The validity period of the certificate to present.
+    validity: Option<(Micros, Micros)>,
     expiries: Vec<Expiry>,
 }
 
-/// A chain of certificates with its key.
-type OwnChain = (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>);
+/// A certificate chain with its private key.
+type CertifiedKey = (Vec<CertificateDer<'static>>, PrivateKeyDer<'static>);
 
-/// The roots that are trusted. A denied authority signs for nobody.
+/// The roots that are trusted: those whose key is not denied.
 fn trusted_roots(
-    papers: &Papers,
-    denied: &BTreeSet<KeyPrint>,
-) -> Result<Vec<CertificateDer<'static>>, TermsError> {
-    let mut roots = certificates::certificates(&papers.roots, "roots")?;
-    roots.retain(|root| KeyPrint::of_certificate(root).is_ok_and(|print| !denied.contains(&print)));
+    material: &TlsMaterial,
+    denied_keys: &BTreeSet<KeyFingerprint>,
+) -> Result<Vec<CertificateDer<'static>>, TlsConfigError> {
+    let mut roots = certificates::read_certificates(&material.roots, "roots")?;
+    roots.retain(|root| {
+        KeyFingerprint::of_certificate(root)
+            .is_ok_and(|fingerprint| !denied_keys.contains(&fingerprint))
+    });
     Ok(roots)
 }
 
-/// What this side shows, if anything.
-fn own_chain(papers: &Papers) -> Result<Option<OwnChain>, TermsError> {
-    let Some((chain, key)) = &papers.own else {
+/// The certificate chain to present, if any, and its key.
+fn certified_key(material: &TlsMaterial) -> Result<Option<CertifiedKey>, TlsConfigError> {
+    let Some((chain, key)) = &material.certified_key else {
         return Ok(None);
     };
-    let chain = certificates::certificates(chain, "certificate")?;
-    Ok(Some((chain, certificates::key(key)?)))
+    let chain = certificates::read_certificates(chain, "certificate")?;
+    Ok(Some((chain, certificates::read_private_key(key)?)))
 }
 
-/// What ends, and when: authorities, revocation lists and this side's own certificate.
+/// When authorities, revocation lists and the certificate to present expire.
 fn expiries(
-    papers: &Papers,
+    material: &TlsMaterial,
     roots: &[CertificateDer<'static>],
-    own: Option<(Micros, Micros)>,
-) -> Result<Vec<Expiry>, TermsError> {
+    validity: Option<(Micros, Micros)>,
+) -> Result<Vec<Expiry>, TlsConfigError> {
     let mut expiries = Vec::new();
     for root in roots {
-        let name = certificates::authority_name(root)?;
-        let (_, at) = certificates::holds(root)?;
+        let name = certificates::subject_common_name(root)?;
+        let (_, at) = certificates::validity(root)?;
         expiries.push(Expiry {
-            what: format!("authority {name}"),
+            item: format!("authority {name}"),
             at,
         });
     }
-    for (issuer, (_, next)) in certificates::list_ages(&papers.revoked)? {
+    for (issuer, (_, next)) in certificates::revocation_list_updates(&material.revocation_lists)? {
         expiries.extend(next.map(|at| Expiry {
-            what: format!("revocation list of {issuer}"),
+            item: format!("revocation list of {issuer}"),
             at,
         }));
     }
-    expiries.extend(own.map(|(_, at)| Expiry {
-        what: "certificate".into(),
+    expiries.extend(validity.map(|(_, at)| Expiry {
+        item: "certificate".into(),
         at,
     }));
     Ok(expiries)
 }
 
-/// What the configurations of both ends have in common.
+/// Builds the library's configurations for clients and servers.
 struct Builder {
     clock: Arc<Clock>,
     provider: Arc<CryptoProvider>,
-    sessions: usize,
+    session_cache_size: usize,
 }
 
 impl Builder {
     fn client(
         &self,
-        workers: Arc<Workers>,
-        own: Option<&OwnChain>,
-    ) -> Result<ClientConfig, TermsError> {
+        verifier: Arc<WorkerVerifier>,
+        certified_key: Option<&CertifiedKey>,
+    ) -> Result<ClientConfig, TlsConfigError> {
         let client = ClientConfig::builder_with_details(self.provider.clone(), self.clock.clone());
-        let client = client.with_protocol_versions(&[&TLS13]).map_err(error)?;
-        let client = client.dangerous().with_custom_certificate_verifier(workers);
-        let mut client = match own {
+        let client = client
+            .with_protocol_versions(&[&TLS13])
+            .map_err(config_error)?;
+        let client = client
+            .dangerous()
+            .with_custom_certificate_verifier(verifier);
+        let mut client = match certified_key {
             Some((chain, key)) => client
                 .with_client_auth_cert(chain.clone(), key.clone_key())
-                .map_err(error)?,
+                .map_err(config_error)?,
             None => client.with_no_client_auth(),
         };
-        client.resumption = match self.sessions {
+        client.resumption = match self.session_cache_size {
             0 => Resumption::disabled(),
-            most => Resumption::in_memory_sessions(most),
+            size => Resumption::in_memory_sessions(size),
         };
         Ok(client)
     }
@@ -158,133 +167,151 @@
         &self,
         chain: Vec<CertificateDer<'static>>,
         key: PrivateKeyDer<'static>,
-        callers: Option<Arc<Callers>>,
-    ) -> Result<ServerConfig, TermsError> {
+        verifier: Option<Arc<ClientVerifier>>,
+    ) -> Result<ServerConfig, TlsConfigError> {
         let server = ServerConfig::builder_with_details(self.provider.clone(), self.clock.clone());
-        let server = server.with_protocol_versions(&[&TLS13]).map_err(error)?;
-        let server = match callers {
+        let server = server
+            .with_protocol_versions(&[&TLS13])
+            .map_err(config_error)?;
+        let server = match verifier {
             None => server.with_no_client_auth(),
             Some(verifier) => server.with_client_cert_verifier(verifier),
         };
-        let mut server = server.with_single_cert(chain, key).map_err(error)?;
-        match self.sessions {
+        let mut server = server.with_single_cert(chain, key).map_err(config_error)?;
+        match self.session_cache_size {
             0 => server.send_tls13_tickets = 0,
-            most => server.session_storage = ServerSessionMemoryCache::new(most),
+            size => server.session_storage = ServerSessionMemoryCache::new(size),
         }
         Ok(server)
     }
 }
 
-impl Terms {
-    /// Trusts what these roots signed. With a chain and its key this side shows them, and can serve callers.
+impl TlsConfig {
+    /// A configuration that trusts what the given roots signed. A certificate chain and its key are needed to accept
+    /// connections; outbound connections present them too.
     ///
     /// # Errors
-    /// A paper can't be read or holds nothing of its kind, as a file that is half written does, or the chain and the
-    /// key do not go together.
-    pub fn new(papers: &Papers, rules: &Rules) -> Result<Self, TermsError> {
+    /// A part can't be read or contains nothing of its kind, as a partly written file does, or the key does not match
+    /// the chain.
+    pub fn new(material: &TlsMaterial, options: &TlsOptions) -> Result<Self, TlsConfigError> {
         let clock = Arc::new(Clock(AtomicI64::new(0)));
         let provider = Arc::new(default_provider());
-        let denied = certificates::read_denied(&papers.denied)?;
-        let roots = trusted_roots(papers, &denied)?;
-        let lists = certificates::lists(&papers.revoked)?;
-        let own = own_chain(papers)?;
-        let holds = own
+        let denied_keys = certificates::parse_denied_keys(&material.denied_keys)?;
+        let roots = trusted_roots(material, &denied_keys)?;
+        let revocation_lists = certificates::read_revocation_lists(&material.revocation_lists)?;
+        let certified_key = certified_key(material)?;
+        let validity = certified_key
             .as_ref()
-            .map(|(chain, _)| certificates::holds(&chain[0]))
+            .map(|(chain, _)| certificates::validity(&chain[0]))
             .transpose()?;
-        let expiries = expiries(papers, &roots, holds)?;
-        let belief = Belief {
+        let expiries = expiries(material, &roots, validity)?;
+        let anchors = TrustAnchors {
             provider: provider.clone(),
             roots,
-            lists,
-            denied,
+            revocation_lists,
+            denied_keys,
         };
-        let workers = Arc::new(belief.of_workers(&rules.limited)?);
+        let worker_verifier = Arc::new(anchors.worker_verifier(&options.name_constraints)?);
         let builder = Builder {
             clock: clock.clone(),
             provider,
-            sessions: rules.sessions,
+            session_cache_size: options.session_cache_size,
         };
-        let client = builder.client(workers.clone(), own.as_ref())?;
-        let callers = match rules.callers {
-            Asks::May | Asks::Must if own.is_some() => {
-                Some(Arc::new(belief.of_callers(rules.callers == Asks::Must)?))
-            }
+        let client = builder.client(worker_verifier.clone(), certified_key.as_ref())?;
+        let client_verifier = match options.client_auth {
+            ClientAuth::Optional | ClientAuth::Required if certified_key.is_some() => Some(
+                Arc::new(anchors.client_verifier(options.client_auth == ClientAuth::Required)?),
+            ),
             _ => None,
         };
-        let server = own
-            .map(|(chain, key)| builder.server(chain, key, callers.clone()))
+        let server = certified_key
+            .map(|(chain, key)| builder.server(chain, key, client_verifier.clone()))
             .transpose()?;
-        Ok(Terms {
+        Ok(TlsConfig {
             clock,
             client: Arc::new(client),
             server: server.map(Arc::new),
-            workers,
-            callers,
-            own: holds,
+            worker_verifier,
+            client_verifier,
+            validity,
             expiries,
         })
     }
 
-    /// Whether what this side shows holds now.
+    /// Checks that the certificate to present, if any, is valid now.
     ///
     /// # Errors
-    /// It has expired, or does not hold yet.
-    pub fn hold(&self, now: Micros) -> Result<(), TermsError> {
-        match self.own {
-            Some((from, _)) if now < from => Err(error("certificate: it does not hold yet")),
-            Some((_, until)) if now > until => Err(error("certificate: it has expired")),
+    /// It has expired, or is not valid yet.
+    pub fn check_validity(&self, now: Micros) -> Result<(), TlsConfigError> {
+        match self.validity {
+            Some((from, _)) if now < from => Err(config_error("certificate: not valid yet")),
+            Some((_, until)) if now > until => Err(config_error("certificate: has expired")),
             _ => Ok(()),
         }
     }
-    /// What ends, and when.
+    /// When authorities, revocation lists and the certificate to present expire.
     pub fn expiries(&self) -> &[Expiry] {
         &self.expiries
     }
     pub(crate) fn set_time(&self, now: Micros) {
         self.clock.0.store(now, Ordering::Relaxed);
     }
-    pub(crate) fn serve(&self, now: Micros) -> Result<ServerConnection, TermsError> {
+    /// The server end of a new connection.
+    ///
+    /// # Errors
+    /// There is no certificate to present.
+    pub(crate) fn server_connection(
+        &self,
+        now: Micros,
+    ) -> Result<ServerConnection, TlsConfigError> {
         self.set_time(now);
         let server = self
             .server
             .clone()
-            .ok_or_else(|| error("no certificate of its own is set"))?;
-        ServerConnection::new(server).map_err(error)
+            .ok_or_else(|| config_error("no certificate is configured"))?;
+        ServerConnection::new(server).map_err(config_error)
     }
-    /// The other side has to own this name.
+    /// The client end of a new connection to a server whose certificate must contain `name`.
     ///
     /// # Errors
-    /// It is no name.
-    pub fn call(&self, now: Micros, name: &str) -> Result<ClientConnection, TermsError> {
+    /// It is not a valid server name.
+    pub fn client_connection(
+        &self,
+        now: Micros,
+        name: &str,
+    ) -> Result<ClientConnection, TlsConfigError> {
         self.set_time(now);
-        let name = ServerName::try_from(name.to_string()).map_err(error)?;
-        ClientConnection::new(self.client.clone(), name).map_err(error)
+        let name = ServerName::try_from(name.to_string()).map_err(config_error)?;
+        ClientConnection::new(self.client.clone(), name).map_err(config_error)
     }
-    /// Judges anew what a peer has shown before: a worker by its name, a caller without.
-    pub(crate) fn judge(
+    /// Verifies again the certificate chain of an established connection's peer: a worker's with its name, a client's
+    /// without one. A peer without certificates passes.
+    ///
+    /// # Errors
+    /// This configuration would reject the peer.
+    pub(crate) fn verify_peer(
         &self,
         now: Micros,
         name: Option<&str>,
         chain: &[CertificateDer<'_>],
-    ) -> Result<(), TermsError> {
-        let Some((leaf, others)) = chain.split_first() else {
+    ) -> Result<(), TlsConfigError> {
+        let Some((leaf, intermediates)) = chain.split_first() else {
             return Ok(());
         };
-        let judged = match name {
+        let verified = match name {
             Some(name) => {
-                let name = ServerName::try_from(name.to_string()).map_err(error)?;
-                self.workers
-                    .verify_server_cert(leaf, others, &name, &[], instant(now))
+                let name = ServerName::try_from(name.to_string()).map_err(config_error)?;
+                self.worker_verifier
+                    .verify_server_cert(leaf, intermediates, &name, &[], unix_time(now))
                     .map(|_| ())
             }
-            None => match &self.callers {
-                Some(callers) => callers
-                    .verify_client_cert(leaf, others, instant(now))
+            None => match &self.client_verifier {
+                Some(verifier) => verifier
+                    .verify_client_cert(leaf, intermediates, unix_time(now))
                     .map(|_| ()),
-                None => return Err(error("callers' certificates are not asked for any more")),
+                None => return Err(config_error("client certificates are no longer requested")),
             },
         };
-        judged.map_err(error)
+        verified.map_err(config_error)
     }
 }
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -1,156 +1,183 @@
-//! TLS 1.3 (RFC 8446) as a layer around a core. The core inside sees plain bytes and connections that are up once their
-//! handshake is done; the driver outside sees ciphertext. It runs on the event loop and on the virtual network alike.
+//! TLS 1.3 (RFC 8446) as a layer between a core and its driver, on the event loop and on the virtual network alike.
+//! The core sees plaintext, and connections as established once their handshake has completed; the driver sees
+//! ciphertext.
 //!
-//! What the layer takes from its core may reach the other side, as a driver's `write` promises. A connection whose
-//! handshake fails never was: its core hears *refused*. One that ends without a close-notify was cut short, and its core
-//! hears *reset*, whatever the socket said (RFC 8446, section 6.1).
+//! The contract of `Io::write` holds for the layer too: bytes that it takes from the core may reach the peer, bytes
+//! not taken never do. A connection whose handshake fails was never established: its core gets `Refused`. The data of
+//! one that ends without a close_notify may be truncated: its core gets `Reset`, even if the driver reported an orderly
+//! close (RFC 8446, section 6.1).
 
 mod certificates;
 mod config;
-mod role;
-mod session;
+mod connection;
+mod reloadable;
 mod verify;
 
-pub use certificates::{describe, read_denied, serial, Described, KeyPrint, Papers, TermsError};
-pub use config::{Asks, Expiry, Rules, Terms};
-use role::Took;
-pub use role::{Side, CALL_FILES, DOOR_FILES};
-use session::{End, Step};
-pub use verify::Limited;
+pub use certificates::{
+    describe_certificates, parse_denied_keys, serial_number, CertificateInfo, KeyFingerprint,
+    TlsConfigError, TlsMaterial,
+};
+pub use config::{ClientAuth, Expiry, TlsConfig, TlsOptions};
+use connection::{TlsConnection, TlsEvent};
+use reloadable::Reload;
+pub use reloadable::{ReloadableConfig, INBOUND_FILES, OUTBOUND_FILES};
+pub use verify::NameConstraint;
 
 use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, ListenerId, Micros, PeerIdentity};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bounds on handshakes and on what waits for a socket.
+/// Limits of a [`TlsLayer`].
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// A handshake that is not done by then is given up.
-    pub handshake_time_out: Micros,
-    /// Handshakes under way with callers; more are closed at once.
-    pub handshakes: usize,
-    /// Ciphertext that waits for one socket before its core has to.
-    pub waiting: usize,
-    /// From so long before something ends on there are warnings.
-    pub warn_ahead: Micros,
+pub struct TlsLimits {
+    /// A handshake that takes longer fails.
+    pub handshake_timeout: Micros,
+    /// Inbound handshakes in flight; further connections are reset at once.
+    pub max_handshakes: usize,
+    /// Ciphertext that is buffered for one socket; the core's writes are short beyond it.
+    pub max_buffered: usize,
+    /// How long before an expiry warnings begin.
+    pub expiry_warning: Micros,
 }
 
-/// A core with TLS on its doors, on the connections that it opens by name, or on both.
-pub struct Layer<C> {
+/// A core with TLS on the connections that it accepts, on those that it opens by name, or on both.
+pub struct TlsLayer<C> {
     core: C,
-    inner: Inner,
+    state: LayerState,
 }
 
-struct Inner {
-    calls: Option<Side>,
-    doors: Option<Side>,
-    bounds: Bounds,
-    ends: BTreeMap<ConnectionId, End>,
-    due: BTreeSet<(Micros, ConnectionId)>,
-    /// Ends that may have news for the core, looked at once it is not being called.
-    news: BTreeSet<ConnectionId>,
-    /// Made on terms that are not in force any more, and not judged by the new ones yet.
-    stale: BTreeSet<ConnectionId>,
+struct LayerState {
+    outbound: Option<ReloadableConfig>,
+    inbound: Option<ReloadableConfig>,
+    limits: TlsLimits,
+    connections: BTreeMap<ConnectionId, TlsConnection>,
+    /// Deadlines of handshakes, kept until they have passed.
+    handshake_deadlines: BTreeSet<(Micros, ConnectionId)>,
+    /// Connections that may have events for the core; delivered once the core is not being called.
+    pending: BTreeSet<ConnectionId>,
+    /// Connections established under an earlier configuration, and not verified again by the one in force yet.
+    outdated: BTreeSet<ConnectionId>,
+    /// Inbound handshakes in flight.
     handshakes: usize,
-    look_at_ends: Micros,
+    next_expiry_check: Micros,
 }
 
-/// Connections that are judged anew in one turn after a change of terms, so that sockets are served in between.
-const JUDGED_A_TURN: usize = 64;
-/// How often it is looked what ends soon.
-const LOOK_EVERY: Micros = 3_600_000_000;
+/// Connections that are verified again in one call of `process` after a change of the configuration. Sockets are
+/// served in between.
+const REVERIFY_BATCH: usize = 64;
+/// How often expiries are checked.
+const EXPIRY_CHECK_INTERVAL: Micros = 3_600_000_000;
 
-impl<C: Core> Layer<C> {
+impl<C: Core> TlsLayer<C> {
     /// A layer around a core, with TLS on none of its connections yet.
-    pub fn new(core: C, bounds: Bounds) -> Self {
-        let (ends, due, news, stale) = (
+    pub fn new(core: C, limits: TlsLimits) -> Self {
+        let (connections, handshake_deadlines, pending, outdated) = (
             BTreeMap::new(),
             BTreeSet::new(),
             BTreeSet::new(),
             BTreeSet::new(),
         );
-        let (calls, doors) = (None, None);
-        let inner = Inner {
-            calls,
-            doors,
-            bounds,
-            ends,
-            due,
-            news,
-            stale,
+        let (outbound, inbound) = (None, None);
+        let state = LayerState {
+            outbound,
+            inbound,
+            limits,
+            connections,
+            handshake_deadlines,
+            pending,
+            outdated,
             handshakes: 0,
-            look_at_ends: 0,
+            next_expiry_check: 0,
         };
-        Layer { core, inner }
+        TlsLayer { core, state }
     }
-    /// Speaks TLS to whom the core calls by name.
-    pub fn with_calls(mut self, side: Side) -> Self {
-        self.inner.calls = Some(side);
+    /// Uses TLS on the connections that the core opens by name.
+    pub fn with_outbound(mut self, config: ReloadableConfig) -> Self {
+        self.state.outbound = Some(config);
         self
     }
-    /// Speaks TLS with whom the core's doors accept.
-    pub fn with_doors(mut self, side: Side) -> Self {
-        self.inner.doors = Some(side);
+    /// Uses TLS on the connections that the core's listeners accept.
+    pub fn with_inbound(mut self, config: ReloadableConfig) -> Self {
+        self.state.inbound = Some(config);
         self
     }
 
-    /// A watched file came. What is not good leaves the last good terms in force; the next file may make it whole.
-    fn take_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &FileError>) -> bool {
-        let inner = &mut self.inner;
-        let place = |names: [&str; 5]| names.iter().position(|n| *n == name);
-        let (side, file, accepted) = match (place(CALL_FILES), place(DOOR_FILES)) {
-            (Some(file), _) => (&mut inner.calls, file, false),
-            (_, Some(file)) => (&mut inner.doors, file, true),
+    /// Reloads a watched file. While the files make up no valid configuration, the last valid one stays in force; the
+    /// next file may complete a new one. Returns whether the file is one of the layer's.
+    fn reload_file(&mut self, now: Micros, name: &str, content: Result<&[u8], &FileError>) -> bool {
+        let state = &mut self.state;
+        let index = |names: [&str; 5]| names.iter().position(|n| *n == name);
+        let (config, file, is_inbound) = match (index(OUTBOUND_FILES), index(INBOUND_FILES)) {
+            (Some(file), _) => (&mut state.outbound, file, false),
+            (_, Some(file)) => (&mut state.inbound, file, true),
             _ => return false,
         };
-        let Some(side) = side else { return true };
-        match side.take(now, file, content) {
-            Ok(Took::Nothing) => {}
-            Ok(Took::Half) => {
+        let Some(config) = config else { return true };
+        match config.update_file(now, file, content) {
+            Ok(Reload::Unchanged) => {}
+            Ok(Reload::AwaitingPair) => {
                 tracing::warn!(
                     reason = "tls-half",
                     name,
-                    "the other file of the pair is waited for; the last good terms stay in force"
+                    "certificate and key do not match until both files are replaced; \
+                     the last valid TLS configuration stays in force"
                 );
             }
-            Ok(Took::New) => {
+            Ok(Reload::Applied) => {
                 tracing::info!(
                     name,
-                    "new connections are made on new terms; jobs on old ones end there"
+                    "TLS configuration replaced; established connections are verified again"
                 );
-                let old = inner
-                    .ends
-                    .iter()
-                    .filter(|(_, end)| end.is_up() && end.is_accepted() == accepted);
-                inner.stale.extend(old.map(|(conn, _)| *conn));
-                inner.look_at_ends = 0;
+                let established = state.connections.iter().filter(|(_, connection)| {
+                    connection.is_established() && connection.is_inbound() == is_inbound
+                });
+                state.outdated.extend(established.map(|(conn, _)| *conn));
+                state.next_expiry_check = 0;
             }
             Err(e) => {
                 metrics::counter!("sanddrum_tls_files_refused_total", "file" => name.to_string())
                     .increment(1);
-                tracing::error!(reason = "tls-terms", error = %e, name, "the last good terms stay in force");
+                tracing::error!(
+                    reason = "tls-terms",
+                    error = %e,
+                    name,
+                    "TLS file rejected; the last valid configuration stays in force"
+                );
             }
         }
         true
     }
 
-    /// Tells the core which connections were made on terms that are past, and whether it would be made on the new ones.
-    fn judge_stale(&mut self, now: Micros, io: &mut dyn Io) {
-        for _ in 0..JUDGED_A_TURN {
-            let Some(conn) = self.inner.stale.pop_first() else {
+    /// Notifies the core of connections established under an earlier configuration, and whether the one in force
+    /// rejects their peer.
+    fn reverify_outdated(&mut self, now: Micros, io: &mut dyn Io) {
+        for _ in 0..REVERIFY_BATCH {
+            let Some(conn) = self.state.outdated.pop_first() else {
                 return;
             };
-            let Some(end) = self.inner.ends.get(&conn).filter(|end| end.is_up()) else {
+            let Some(connection) = self
+                .state
+                .connections
+                .get(&conn)
+                .filter(|connection| connection.is_established())
+            else {
                 continue;
             };
-            let side = if end.is_accepted() {
-                &self.inner.doors
+            let config = if connection.is_inbound() {
+                &self.state.inbound
             } else {
-                &self.inner.calls
+                &self.state.outbound
             };
-            let judged = side.as_ref().map(|side| end.judge(now, side.terms()));
-            let denied = match judged {
-                Some(Err(why)) => {
-                    tracing::warn!(reason = "tls-denied", name = end.name(), %why, "a peer is not believed any more");
+            let verified = config
+                .as_ref()
+                .map(|config| connection.verify_again(now, config.config()));
+            let revoked = match verified {
+                Some(Err(e)) => {
+                    tracing::warn!(
+                        reason = "tls-denied",
+                        name = connection.peer_name(),
+                        why = %e,
+                        "the credentials of a connected peer are no longer accepted"
+                    );
                     true
                 }
                 _ => false,
@@ -158,9 +185,9 @@
             self.core.on_credentials_changed(
                 now,
                 conn,
-                denied,
-                &mut Inside {
-                    inner: &mut self.inner,
+                revoked,
+                &mut LayerIo {
+                    state: &mut self.state,
                     io,
                     now,
                 },
@@ -168,71 +195,78 @@
         }
     }
 
-    fn look_at_ends(&mut self, now: Micros) {
-        if now < self.inner.look_at_ends {
+    /// Exports the time to each expiry, and warns of those that are near.
+    fn check_expiries(&mut self, now: Micros) {
+        if now < self.state.next_expiry_check {
             return;
         }
-        self.inner.look_at_ends = now + LOOK_EVERY;
-        for (side, what) in [(&self.inner.calls, "calls"), (&self.inner.doors, "door")] {
-            let Some(side) = side else { continue };
-            for Expiry { what: of, at } in side.terms().expiries() {
-                let left = (at - now) / 1_000_000;
-                metrics::gauge!("sanddrum_tls_ends_in_seconds", "side" => what, "of" => of.clone())
-                    .set(left as f64);
-                if at - now < self.inner.bounds.warn_ahead {
+        self.state.next_expiry_check = now + EXPIRY_CHECK_INTERVAL;
+        for (config, side) in [
+            (&self.state.outbound, "calls"),
+            (&self.state.inbound, "door"),
+        ] {
+            let Some(config) = config else { continue };
+            for Expiry { item, at } in config.config().expiries() {
+                let seconds = (at - now) / 1_000_000;
+                metrics::gauge!("sanddrum_tls_ends_in_seconds", "side" => side, "of" => item.clone())
+                    .set(seconds as f64);
+                if at - now < self.state.limits.expiry_warning {
                     tracing::warn!(
                         reason = "tls-ends",
-                        side = what,
-                        of,
-                        hours = left / 3600,
-                        "this ends soon, or has"
+                        side,
+                        of = item,
+                        hours = seconds / 3600,
+                        "a certificate or revocation list expires soon or has expired"
                     );
                 }
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
+    fn deliver(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         self.core.on_event(
             now,
             event,
-            &mut Inside {
-                inner: &mut self.inner,
+            &mut LayerIo {
+                state: &mut self.state,
                 io,
                 now,
             },
         );
     }
-    /// Carries what an end has for its core, until there is nothing more.
-    fn settle(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some(conn) = self.inner.news.pop_first() {
-            while let Some(step) = self
-                .inner
-                .ends
+    /// Delivers the events of pending connections to the core, until there are none.
+    fn deliver_pending(&mut self, now: Micros, io: &mut dyn Io) {
+        while let Some(conn) = self.state.pending.pop_first() {
+            while let Some(event) = self
+                .state
+                .connections
                 .get_mut(&conn)
-                .and_then(|end| end.step(conn, io))
+                .and_then(|connection| connection.next_event(conn, io))
             {
-                match step {
-                    Step::Up(door) => {
-                        self.inner.handshake_over(conn);
-                        let resumed = self.inner.ends.get(&conn).is_some_and(End::is_resumed);
+                match event {
+                    TlsEvent::Established(listener) => {
+                        self.state.handshake_ended(conn);
+                        let resumed = self
+                            .state
+                            .connections
+                            .get(&conn)
+                            .is_some_and(TlsConnection::is_resumed);
                         let kind = if resumed { "resumed" } else { "full" };
-                        let with = if door.is_some() { "callers" } else { "workers" };
+                        let with = if listener.is_some() {
+                            "callers"
+                        } else {
+                            "workers"
+                        };
                         metrics::counter!("sanddrum_handshakes_total", "with" => with, "kind" => kind)
                             .increment(1);
-                        match door {
-                            Some(door) => self.tell(
-                                now,
-                                Event::Accepted {
-                                    conn,
-                                    listener: door,
-                                },
-                                io,
-                            ),
-                            None => self.tell(now, Event::Connected { conn }, io),
+                        match listener {
+                            Some(listener) => {
+                                self.deliver(now, Event::Accepted { conn, listener }, io)
+                            }
+                            None => self.deliver(now, Event::Connected { conn }, io),
                         }
                     }
-                    Step::Bytes(bytes) => self.tell(
+                    TlsEvent::Plaintext(bytes) => self.deliver(
                         now,
                         Event::Bytes {
                             conn,
@@ -240,16 +274,20 @@
                         },
                         io,
                     ),
-                    Step::Room => self.tell(now, Event::Writable { conn }, io),
-                    Step::Over { how, tells, why } => {
-                        self.inner.handshake_over(conn);
-                        if let Some(why) = why {
+                    TlsEvent::Writable => self.deliver(now, Event::Writable { conn }, io),
+                    TlsEvent::Closed {
+                        cause,
+                        notify_core,
+                        error,
+                    } => {
+                        self.state.handshake_ended(conn);
+                        if let Some(error) = error {
                             metrics::counter!("sanddrum_tls_ended_total").increment(1);
-                            tracing::warn!(reason = "tls", why, "a connection is ended");
+                            tracing::warn!(reason = "tls", why = error, "TLS connection failed");
                         }
-                        self.inner.ends.remove(&conn);
-                        if tells {
-                            self.tell(now, Event::Closed { conn, cause: how }, io);
+                        self.state.connections.remove(&conn);
+                        if notify_core {
+                            self.deliver(now, Event::Closed { conn, cause }, io);
                         }
                     }
                 }
@@ -258,65 +296,72 @@
     }
 }
 
-impl Inner {
-    fn handshake_over(&mut self, conn: ConnectionId) {
-        if let Some(end) = self.ends.get_mut(&conn).filter(|end| end.counts) {
-            end.counts = false;
+impl LayerState {
+    /// Stops counting an inbound handshake as in flight.
+    fn handshake_ended(&mut self, conn: ConnectionId) {
+        if let Some(connection) = self
+            .connections
+            .get_mut(&conn)
+            .filter(|connection| connection.is_counted)
+        {
+            connection.is_counted = false;
             self.handshakes -= 1;
         }
     }
-    fn begin(&mut self, now: Micros, conn: ConnectionId, end: End) {
-        self.ends.insert(conn, end);
-        self.due
-            .insert((now + self.bounds.handshake_time_out, conn));
+    fn start_handshake(&mut self, now: Micros, conn: ConnectionId, connection: TlsConnection) {
+        self.connections.insert(conn, connection);
+        self.handshake_deadlines
+            .insert((now + self.limits.handshake_timeout, conn));
     }
-    fn accept(&mut self, now: Micros, conn: ConnectionId, door: ListenerId, io: &mut dyn Io) {
-        if self.handshakes >= self.bounds.handshakes {
+    fn accept(&mut self, now: Micros, conn: ConnectionId, listener: ListenerId, io: &mut dyn Io) {
+        if self.handshakes >= self.limits.max_handshakes {
             tracing::warn!(
                 reason = "handshakes",
-                "a caller is closed at once: too many handshakes are under way"
+                "client connection rejected: too many handshakes in flight"
             );
             return io.reset(conn);
         }
-        let Some(side) = &self.doors else { return };
-        match side.terms().serve(now) {
+        let Some(config) = &self.inbound else { return };
+        match config.config().server_connection(now) {
             Ok(tls) => {
                 self.handshakes += 1;
-                self.begin(now, conn, End::accepted(tls, door, self.bounds.waiting));
+                let connection = TlsConnection::inbound(tls, listener, self.limits.max_buffered);
+                self.start_handshake(now, conn, connection);
             }
             Err(e) => {
-                tracing::error!(reason = "tls-terms", error = %e, "no caller can be served");
+                tracing::error!(
+                    reason = "tls-terms",
+                    error = %e,
+                    "client connection rejected: the handshake can't be started"
+                );
                 io.reset(conn);
             }
         }
     }
 }
 
-impl<C: Core> Core for Layer<C> {
+impl<C: Core> Core for TlsLayer<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(
             now,
-            &mut Inside {
-                inner: &mut self.inner,
+            &mut LayerIo {
+                state: &mut self.state,
                 io,
                 now,
             },
         );
-        self.settle(now, io);
+        self.deliver_pending(now, io);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
-        for side in self.inner.calls.iter().chain(&self.inner.doors) {
-            side.terms().set_time(now);
+        for config in self.state.outbound.iter().chain(&self.state.inbound) {
+            config.config().set_time(now);
         }
         let conn = match event {
-            Event::Accepted { .. } if self.inner.doors.is_none() => {
-                return self.tell(now, event, io)
+            Event::Accepted { .. } if self.state.inbound.is_none() => {
+                return self.deliver(now, event, io)
             }
-            Event::Accepted {
-                conn,
-                listener: door,
-            } => {
-                self.inner.accept(now, conn, door, io);
+            Event::Accepted { conn, listener } => {
+                self.state.accept(now, conn, listener, io);
                 conn
             }
             Event::Connected { conn }
@@ -324,53 +369,59 @@
             | Event::Writable { conn }
             | Event::Closed { conn, .. } => conn,
         };
-        let Some(end) = self.inner.ends.get_mut(&conn) else {
-            // A connection without TLS, opened without a name.
+        let Some(connection) = self.state.connections.get_mut(&conn) else {
+            // A plaintext connection, or an inbound one that was just rejected.
             if !matches!(event, Event::Accepted { .. }) {
-                self.tell(now, event, io);
+                self.deliver(now, event, io);
             }
             return;
         };
         match event {
-            Event::Accepted { .. } | Event::Connected { .. } => end.connected(),
-            Event::Bytes { bytes, .. } => end.came(bytes),
-            Event::Writable { .. } => end.has_room(),
-            Event::Closed { cause: how, .. } => end.closed(how),
+            Event::Accepted { .. } | Event::Connected { .. } => connection.on_connected(),
+            Event::Bytes { bytes, .. } => connection.on_ciphertext(bytes),
+            Event::Writable { .. } => connection.on_writable(),
+            Event::Closed { cause, .. } => connection.on_closed(cause),
         }
-        self.inner.news.insert(conn);
-        self.settle(now, io);
+        self.state.pending.insert(conn);
+        self.deliver_pending(now, io);
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some((at, conn)) = self.inner.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.inner.due.remove(&(at, conn));
-            if let Some(end) = self.inner.ends.get_mut(&conn) {
-                end.is_late();
-                self.inner.news.insert(conn);
+        while let Some((at, conn)) = self
+            .state
+            .handshake_deadlines
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= now)
+        {
+            self.state.handshake_deadlines.remove(&(at, conn));
+            if let Some(connection) = self.state.connections.get_mut(&conn) {
+                connection.on_handshake_timeout();
+                self.state.pending.insert(conn);
             }
         }
-        self.settle(now, io);
-        self.judge_stale(now, io);
-        self.look_at_ends(now);
-        self.settle(now, io);
+        self.deliver_pending(now, io);
+        self.reverify_outdated(now, io);
+        self.check_expiries(now);
+        self.deliver_pending(now, io);
         self.core.process(
             now,
-            &mut Inside {
-                inner: &mut self.inner,
+            &mut LayerIo {
+                state: &mut self.state,
                 io,
                 now,
             },
         );
-        self.settle(now, io);
+        self.deliver_pending(now, io);
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        let due = self.inner.due.first().map(|(at, _)| *at);
-        let stale = (!self.inner.stale.is_empty()).then_some(0);
+        let handshake = self.state.handshake_deadlines.first().map(|(at, _)| *at);
+        let outdated = (!self.state.outdated.is_empty()).then_some(0);
         self.core
             .next_wakeup()
             .into_iter()
-            .chain(due)
-            .chain(stale)
-            .chain([self.inner.look_at_ends])
+            .chain(handshake)
+            .chain(outdated)
+            .chain([self.state.next_expiry_check])
             .min()
     }
     fn on_file(
@@ -380,86 +431,91 @@
         content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
-        if self.take_file(now, name, content) {
+        if self.reload_file(now, name, content) {
             return;
         }
         self.core.on_file(
             now,
             name,
             content,
-            &mut Inside {
-                inner: &mut self.inner,
+            &mut LayerIo {
+                state: &mut self.state,
                 io,
                 now,
             },
         );
-        self.settle(now, io);
+        self.deliver_pending(now, io);
     }
     fn on_credentials_changed(
         &mut self,
         now: Micros,
         conn: ConnectionId,
-        denied: bool,
+        revoked: bool,
         io: &mut dyn Io,
     ) {
         self.core.on_credentials_changed(
             now,
             conn,
-            denied,
-            &mut Inside {
-                inner: &mut self.inner,
+            revoked,
+            &mut LayerIo {
+                state: &mut self.state,
                 io,
                 now,
             },
         );
-        self.settle(now, io);
+        self.deliver_pending(now, io);
     }
     fn shut_down(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.shut_down(
             now,
-            &mut Inside {
-                inner: &mut self.inner,
+            &mut LayerIo {
+                state: &mut self.state,
                 io,
                 now,
             },
         );
-        self.settle(now, io);
+        self.deliver_pending(now, io);
     }
     fn log_status(&mut self, now: Micros) {
         self.core.log_status(now);
     }
     fn is_done(&self) -> bool {
-        self.core.is_done() && self.inner.ends.values().all(End::is_flushed)
+        self.core.is_done()
+            && self
+                .state
+                .connections
+                .values()
+                .all(TlsConnection::is_flushed)
     }
 }
 
-/// The core's own view of its driver.
-struct Inside<'a> {
-    inner: &'a mut Inner,
+/// The driver as the core sees it.
+struct LayerIo<'a> {
+    state: &'a mut LayerState,
     io: &'a mut dyn Io,
     now: Micros,
 }
 
-impl Io for Inside<'_> {
+impl Io for LayerIo<'_> {
     fn connect(&mut self, to: &str) -> ConnectionId {
         self.io.connect(to)
     }
     fn connect_named(&mut self, to: &str, name: &str) -> ConnectionId {
-        let Some(side) = &self.inner.calls else {
+        let Some(config) = &self.state.outbound else {
             return self.io.connect_named(to, name);
         };
         let conn = self.io.connect(to);
-        let end = match side.terms().call(self.now, name) {
-            Ok(tls) => End::called(tls, name, self.inner.bounds.waiting),
-            Err(e) => End::never(format!("{name}: {e}")),
+        let connection = match config.config().client_connection(self.now, name) {
+            Ok(tls) => TlsConnection::outbound(tls, name, self.state.limits.max_buffered),
+            Err(e) => TlsConnection::failed(format!("{name}: {e}")),
         };
-        self.inner.begin(self.now, conn, end);
-        self.inner.news.insert(conn);
+        self.state.start_handshake(self.now, conn, connection);
+        self.state.pending.insert(conn);
         conn
     }
     fn peer(&self, conn: ConnectionId) -> Option<PeerIdentity> {
-        match self.inner.ends.get(&conn) {
-            Some(end) => Some(end.peer()),
+        match self.state.connections.get(&conn) {
+            Some(connection) => Some(connection.peer()),
             None => self.io.peer(conn),
         }
     }
@@ -473,12 +529,12 @@
         self.io.is_delayed()
     }
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
-        match self.inner.ends.get_mut(&conn) {
-            Some(end) => {
-                let taken = end.write(conn, bytes, self.io);
-                // The socket may have taken it all already, and will then tell of no room by itself.
+        match self.state.connections.get_mut(&conn) {
+            Some(connection) => {
+                let taken = connection.write(conn, bytes, self.io);
+                // The driver may have taken all ciphertext already. It reports no `Writable` then, but the layer has to.
                 if taken < bytes.len() {
-                    self.inner.news.insert(conn);
+                    self.state.pending.insert(conn);
                 }
                 taken
             }
@@ -486,17 +542,17 @@
         }
     }
     fn close(&mut self, conn: ConnectionId) {
-        match self.inner.ends.get_mut(&conn) {
-            Some(end) => {
-                end.close();
-                self.inner.news.insert(conn);
+        match self.state.connections.get_mut(&conn) {
+            Some(connection) => {
+                connection.close();
+                self.state.pending.insert(conn);
             }
             None => self.io.close(conn),
         }
     }
     fn reset(&mut self, conn: ConnectionId) {
-        self.inner.handshake_over(conn);
-        self.inner.ends.remove(&conn);
+        self.state.handshake_ended(conn);
+        self.state.connections.remove(&conn);
         self.io.reset(conn);
     }
     fn pause(&mut self, conn: ConnectionId, paused: bool) {
--- a/crates/sanddrum-tls/src/verify.rs
+++ b/crates/sanddrum-tls/src/verify.rs
@@ -1,8 +1,8 @@
-//! Whom a side believes: what the library checks (chains, times, revocation lists, key usage), and beyond it that a
-//! worker's name stands in its certificate to the letter, that its authority may speak for that name, and that no key in
-//! the chain is denied.
+//! Verification of peer certificates. The TLS library checks chains, validity periods, revocation lists and key usage.
+//! This module also checks that a worker's certificate contains its name literally, that its authority may issue
+//! certificates for that name, and that no key in the chain is denied.
 
-use crate::certificates::{self, KeyPrint, TermsError};
+use crate::certificates::{self, KeyFingerprint, TlsConfigError};
 use rustls::client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier};
 use rustls::client::WebPkiServerVerifier;
 use rustls::crypto::{verify_tls12_signature, verify_tls13_signature, CryptoProvider};
@@ -16,131 +16,142 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Names that one authority may speak for, and no others.
+/// The only names for which an authority may issue certificates.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limited {
+pub struct NameConstraint {
     /// The authority's common name.
     pub authority: String,
-    /// Whole names, or with a dot in front all below it.
+    /// Full names; one that begins with a dot permits all names below it.
     pub names: Vec<String>,
 }
 
-impl Limited {
-    fn covers(&self, name: &str) -> bool {
-        let fits = |limit: &String| match limit.starts_with('.') {
-            true => name.ends_with(limit.as_str()) && name.len() > limit.len(),
-            false => name == limit,
+impl NameConstraint {
+    fn permits(&self, name: &str) -> bool {
+        let matches = |permitted: &String| match permitted.starts_with('.') {
+            true => name.ends_with(permitted.as_str()) && name.len() > permitted.len(),
+            false => name == permitted,
         };
-        self.names.iter().any(fits)
+        self.names.iter().any(matches)
     }
 }
 
-/// What is believed, from one set of papers.
-pub(crate) struct Belief {
+/// What peers are verified against.
+pub(crate) struct TrustAnchors {
     pub provider: Arc<CryptoProvider>,
     pub roots: Vec<CertificateDer<'static>>,
-    pub lists: Vec<CertificateRevocationListDer<'static>>,
-    pub denied: BTreeSet<KeyPrint>,
+    pub revocation_lists: Vec<CertificateRevocationListDer<'static>>,
+    pub denied_keys: BTreeSet<KeyFingerprint>,
 }
 
-impl Belief {
-    fn store<'a>(
+impl TrustAnchors {
+    fn root_store<'a>(
         roots: impl Iterator<Item = &'a CertificateDer<'static>>,
-    ) -> Result<Arc<RootCertStore>, TermsError> {
+    ) -> Result<Arc<RootCertStore>, TlsConfigError> {
         let mut store = RootCertStore::empty();
         for root in roots {
-            store.add(root.clone()).map_err(certificates::error)?;
+            store
+                .add(root.clone())
+                .map_err(certificates::config_error)?;
         }
         Ok(Arc::new(store))
     }
-    /// What workers are judged by.
-    pub fn of_workers(&self, limits: &[Limited]) -> Result<Workers, TermsError> {
+    /// A verifier for workers: one group of authorities without a constraint, and one for each constraint.
+    pub fn worker_verifier(
+        &self,
+        constraints: &[NameConstraint],
+    ) -> Result<WorkerVerifier, TlsConfigError> {
         let mut groups = Vec::new();
         let named: Vec<(String, &CertificateDer<'static>)> = self
             .roots
             .iter()
-            .map(|root| Ok((certificates::authority_name(root)?, root)))
-            .collect::<Result<_, TermsError>>()?;
-        let free = named
-            .iter()
-            .filter(|(name, _)| limits.iter().all(|limit| limit.authority != *name));
-        let free: Vec<_> = free.map(|(_, root)| *root).collect();
-        let limited = limits.iter().map(|limit| {
+            .map(|root| Ok((certificates::subject_common_name(root)?, root)))
+            .collect::<Result<_, TlsConfigError>>()?;
+        let unconstrained = named.iter().filter(|(name, _)| {
+            constraints
+                .iter()
+                .all(|constraint| constraint.authority != *name)
+        });
+        let unconstrained: Vec<_> = unconstrained.map(|(_, root)| *root).collect();
+        let constrained = constraints.iter().map(|constraint| {
             (
-                Some(limit.clone()),
+                Some(constraint.clone()),
                 named
                     .iter()
-                    .filter(|(name, _)| *name == limit.authority)
+                    .filter(|(name, _)| *name == constraint.authority)
                     .map(|(_, root)| *root)
                     .collect::<Vec<_>>(),
             )
         });
-        for (limit, roots) in [(None, free)]
+        for (constraint, roots) in [(None, unconstrained)]
             .into_iter()
-            .chain(limited)
+            .chain(constrained)
             .filter(|(_, roots)| !roots.is_empty())
         {
             let builder = WebPkiServerVerifier::builder_with_provider(
-                Self::store(roots.into_iter())?,
+                Self::root_store(roots.into_iter())?,
                 self.provider.clone(),
             );
             let builder = builder
-                .with_crls(self.lists.clone())
+                .with_crls(self.revocation_lists.clone())
                 .allow_unknown_revocation_status();
-            groups.push((limit, builder.build().map_err(certificates::error)?));
+            groups.push((
+                constraint,
+                builder.build().map_err(certificates::config_error)?,
+            ));
         }
-        Ok(Workers {
+        Ok(WorkerVerifier {
             provider: self.provider.clone(),
             groups,
-            denied: self.denied.clone(),
+            denied_keys: self.denied_keys.clone(),
         })
     }
-    /// What callers are judged by.
-    pub fn of_callers(&self, have_to: bool) -> Result<Callers, TermsError> {
+    /// A verifier for clients; `required`: a client without a certificate is rejected.
+    pub fn client_verifier(&self, required: bool) -> Result<ClientVerifier, TlsConfigError> {
         let builder = WebPkiClientVerifier::builder_with_provider(
-            Self::store(self.roots.iter())?,
+            Self::root_store(self.roots.iter())?,
             self.provider.clone(),
         );
         let builder = builder
-            .with_crls(self.lists.clone())
+            .with_crls(self.revocation_lists.clone())
             .allow_unknown_revocation_status();
-        let builder = if have_to {
+        let builder = if required {
             builder
         } else {
             builder.allow_unauthenticated()
         };
-        Ok(Callers {
-            inner: builder.build().map_err(certificates::error)?,
-            denied: self.denied.clone(),
+        Ok(ClientVerifier {
+            inner: builder.build().map_err(certificates::config_error)?,
+            denied_keys: self.denied_keys.clone(),
         })
     }
 }
 
-fn none_is_denied<'a>(
-    denied: &BTreeSet<KeyPrint>,
+fn check_not_denied<'a>(
+    denied_keys: &BTreeSet<KeyFingerprint>,
     chain: impl Iterator<Item = &'a CertificateDer<'a>>,
 ) -> Result<(), Error> {
-    if denied.is_empty() {
+    if denied_keys.is_empty() {
         return Ok(());
     }
     for certificate in chain {
-        let print = KeyPrint::of_certificate(certificate)
+        let fingerprint = KeyFingerprint::of_certificate(certificate)
             .map_err(|_| Error::InvalidCertificate(CertificateError::BadEncoding))?;
-        if denied.contains(&print) {
-            return Err(Error::General(format!("key {print} is denied")));
+        if denied_keys.contains(&fingerprint) {
+            return Err(Error::General(format!("key {fingerprint} is denied")));
         }
     }
     Ok(())
 }
 
 #[derive(Debug)]
-pub(crate) struct Workers {
+pub(crate) struct WorkerVerifier {
     provider: Arc<CryptoProvider>,
-    groups: Vec<(Option<Limited>, Arc<WebPkiServerVerifier>)>,
-    denied: BTreeSet<KeyPrint>,
+    /// The library's verifier for each group of authorities, with their constraint.
+    groups: Vec<(Option<NameConstraint>, Arc<WebPkiServerVerifier>)>,
+    denied_keys: BTreeSet<KeyFingerprint>,
 }
 
-impl ServerCertVerifier for Workers {
+impl ServerCertVerifier for WorkerVerifier {
     fn verify_server_cert(
         &self,
         end_entity: &CertificateDer<'_>,
@@ -149,45 +160,45 @@
         ocsp_response: &[u8],
         now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
-        none_is_denied(
-            &self.denied,
+        check_not_denied(
+            &self.denied_keys,
             std::iter::once(end_entity).chain(intermediates),
         )?;
         let name = server_name.to_str().to_ascii_lowercase();
-        let mut judged = Err(Error::InvalidCertificate(CertificateError::UnknownIssuer));
-        for (limit, verifier) in &self.groups {
-            let verdict = verifier.verify_server_cert(
+        let mut result = Err(Error::InvalidCertificate(CertificateError::UnknownIssuer));
+        for (constraint, verifier) in &self.groups {
+            let verified = verifier.verify_server_cert(
                 end_entity,
                 intermediates,
                 server_name,
                 ocsp_response,
                 now,
             );
-            match (verdict, limit) {
-                (Ok(_), Some(limit)) if !limit.covers(&name) => {
-                    judged = Err(Error::General(format!(
-                        "authority {:?} may not speak for {name}",
-                        limit.authority
+            match (verified, constraint) {
+                (Ok(_), Some(constraint)) if !constraint.permits(&name) => {
+                    result = Err(Error::General(format!(
+                        "authority {:?} may not issue certificates for {name}",
+                        constraint.authority
                     )));
                 }
-                (Ok(good), _) => {
-                    judged = Ok(good);
+                (Ok(verified), _) => {
+                    result = Ok(verified);
                     break;
                 }
-                // An authority that is not the one says the least.
+                // Another group's error is more specific.
                 (Err(Error::InvalidCertificate(CertificateError::UnknownIssuer)), _) => {}
-                (Err(e), _) => judged = Err(e),
+                (Err(e), _) => result = Err(e),
             }
         }
-        let good = judged?;
-        let owned = certificates::names(end_entity);
-        if !owned.contains(&name) {
-            let owned = owned.join(", ");
+        let verified = result?;
+        let names = certificates::dns_names(end_entity);
+        if !names.contains(&name) {
+            let names = names.join(", ");
             return Err(Error::General(format!(
-                "{name} is listed and {owned} is shown: a wildcard is not its own name"
+                "the certificate is for {names}, not for {name}; wildcards do not match"
             )));
         }
-        Ok(good)
+        Ok(verified)
     }
     fn verify_tls12_signature(
         &self,
@@ -223,12 +234,12 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Callers {
+pub(crate) struct ClientVerifier {
     inner: Arc<dyn ClientCertVerifier>,
-    denied: BTreeSet<KeyPrint>,
+    denied_keys: BTreeSet<KeyFingerprint>,
 }
 
-impl ClientCertVerifier for Callers {
+impl ClientCertVerifier for ClientVerifier {
     fn offer_client_auth(&self) -> bool {
         self.inner.offer_client_auth()
     }
@@ -244,8 +255,8 @@
         intermediates: &[CertificateDer<'_>],
         now: UnixTime,
     ) -> Result<ClientCertVerified, Error> {
-        none_is_denied(
-            &self.denied,
+        check_not_denied(
+            &self.denied_keys,
             std::iter::once(end_entity).chain(intermediates),
         )?;
         self.inner
