--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -195,7 +195,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros() as i64;
-    side.config()
+    side.current()
         .check_validity(now)
         .map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
     Ok(side)
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -169,7 +169,7 @@
             };
             let verified = config
                 .as_ref()
-                .map(|config| connection.verify_again(now, config.config()));
+                .map(|config| connection.verify_again(now, config.current()));
             let revoked = match verified {
                 Some(Err(e)) => {
                     tracing::warn!(
@@ -206,7 +206,7 @@
             (&self.state.inbound, "door"),
         ] {
             let Some(config) = config else { continue };
-            for Expiry { item, at } in config.config().expiries() {
+            for Expiry { item, at } in config.current().expiries() {
                 let seconds = (at - now) / 1_000_000;
                 metrics::gauge!("sanddrum_tls_ends_in_seconds", "side" => side, "of" => item.clone())
                     .set(seconds as f64);
@@ -322,7 +322,7 @@
             return io.reset(conn);
         }
         let Some(config) = &self.inbound else { return };
-        match config.config().server_connection(now) {
+        match config.current().server_connection(now) {
             Ok(tls) => {
                 self.handshakes += 1;
                 let connection = TlsConnection::inbound(tls, listener, self.limits.max_buffered);
@@ -354,7 +354,7 @@
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         for config in self.state.outbound.iter().chain(&self.state.inbound) {
-            config.config().set_time(now);
+            config.current().set_time(now);
         }
         let conn = match event {
             Event::Accepted { .. } if self.state.inbound.is_none() => {
@@ -505,7 +505,7 @@
             return self.io.connect_named(to, name);
         };
         let conn = self.io.connect(to);
-        let connection = match config.config().client_connection(self.now, name) {
+        let connection = match config.current().client_connection(self.now, name) {
             Ok(tls) => TlsConnection::outbound(tls, name, self.state.limits.max_buffered),
             Err(e) => TlsConnection::failed(format!("{name}: {e}")),
         };
--- a/crates/sanddrum-tls/src/reloadable.rs
+++ b/crates/sanddrum-tls/src/reloadable.rs
@@ -24,9 +24,9 @@
 
 /// The configuration of all outbound or all inbound connections, reloaded when its files change.
 pub struct ReloadableConfig {
-    config: TlsConfig,
+    current: TlsConfig,
     options: TlsOptions,
-    /// What `config` was made from.
+    /// What `current` was made from.
     in_force: TlsMaterial,
     /// The latest contents of the files. They are replaced one after the other, so they need not match each other yet.
     latest: TlsMaterial,
@@ -42,20 +42,22 @@
 }
 
 impl ReloadableConfig {
+    /// Makes the first configuration from the contents of its files.
+    ///
     /// # Errors
     /// As [`TlsConfig::new`].
     pub fn new(material: TlsMaterial, options: TlsOptions) -> Result<Self, TlsConfigError> {
-        let config = TlsConfig::new(&material, &options)?;
+        let current = TlsConfig::new(&material, &options)?;
         Ok(ReloadableConfig {
-            config,
+            current,
             options,
             in_force: material.clone(),
             latest: material,
         })
     }
     /// The configuration in force.
-    pub fn config(&self) -> &TlsConfig {
-        &self.config
+    pub fn current(&self) -> &TlsConfig {
+        &self.current
     }
     /// Takes the content of a watched file, given by its index in [`OUTBOUND_FILES`].
     ///
@@ -108,7 +110,7 @@
             result => result?,
         };
         config.check_validity(now)?;
-        self.config = config;
+        self.current = config;
         self.in_force = self.latest.clone();
         Ok(Reload::Applied)
     }
--- a/crates/sanddrum-tls/tests/tls_layer.rs
+++ b/crates/sanddrum-tls/tests/tls_layer.rs
@@ -977,7 +977,7 @@
     let config = config(material, ClientAuth::Disabled);
     let year = |year: i64| (year - 2025) * 365 * 86_400 * 1_000_000 + 1_735_689_600_000_000;
     let expiries: Vec<(&str, bool)> = config
-        .config()
+        .current()
         .expiries()
         .iter()
         .map(|e| (e.item.as_str(), e.at < year(2027)))
@@ -988,7 +988,7 @@
     );
     assert_eq!(expiries.len(), 3, "and the revocation list");
     for (at, valid) in [(year(2019), false), (year(2025), true), (year(2030), false)] {
-        assert_eq!(config.config().check_validity(at).is_ok(), valid);
+        assert_eq!(config.current().check_validity(at).is_ok(), valid);
     }
 }
 
