--- a/crates/sanddrum-tls/src/connection.rs
+++ b/crates/sanddrum-tls/src/connection.rs
@@ -21,10 +21,11 @@
     },
 }
 
+/// A connection of the layer, from the start of its handshake to its last event.
 pub(crate) struct TlsConnection {
     /// None where the handshake could not be started.
     tls: Option<Connection>,
-    /// The name that an outbound connection's peer must have.
+    /// The name that an outbound peer's certificate must contain; for an inbound peer a general term for messages.
     peer_name: String,
     listener: Option<ListenerId>,
     /// The limit of `ciphertext`.
@@ -35,9 +36,9 @@
     connected: bool,
     /// Whether the core was notified that the connection is established.
     established: bool,
-    /// Whether the driver's last write was short.
+    /// Whether the last write to the driver was short.
     driver_blocked: bool,
-    /// Whether the core's last write was short.
+    /// Whether the core's last write to the layer was short.
     core_blocked: bool,
     /// Whether the core has closed the connection.
     closing: bool,
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! The contract of `Io::write` holds for the layer too: bytes that it takes from the core may reach the peer, bytes
 //! not taken never do. A connection whose handshake fails was never established: its core gets `Refused`. The data of
-//! one that ends without a close_notify may be truncated: its core gets `Reset`, even if the driver reported an orderly
-//! close (RFC 8446, section 6.1).
+//! one that ends without a close_notify may be truncated: its core gets `Reset`, even if the driver reported an
+//! orderly close (RFC 8446, section 6.1).
 
 mod certificates;
 mod config;
@@ -532,7 +532,7 @@
         match self.state.connections.get_mut(&conn) {
             Some(connection) => {
                 let taken = connection.write(conn, bytes, self.io);
-                // The driver may have taken all ciphertext already. It reports no `Writable` then, but the layer has to.
+                // The driver may have taken all ciphertext already. It then reports no `Writable`: the layer must.
                 if taken < bytes.len() {
                     self.state.pending.insert(conn);
                 }
--- a/crates/sanddrum-upstream/src/backoff.rs
+++ b/crates/sanddrum-upstream/src/backoff.rs
@@ -2,8 +2,8 @@
 
 use sanddrum::Micros;
 
-/// A delay that doubles with each failure in a row. Up to half of it is random, so that many who failed at the same time
-/// do not retry at the same time.
+/// A delay that doubles with each consecutive failure. Up to half of it is random, so that attempts that failed at the
+/// same time are not all retried at the same time.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min: Micros,
@@ -23,8 +23,9 @@
             until: Micros::MIN,
         }
     }
-    /// Records an attempt that failed after `elapsed`, which is the least delay within the bounds: what takes long to
-    /// fail would otherwise be retried all the time. `jitter` is a random number in `[0, 1)`. Returns when to retry.
+    /// Records an attempt that failed after `elapsed`, and returns when to retry. Within the bounds the delay before
+    /// jitter is at least `elapsed`: attempts that take long to fail would otherwise be made almost continuously.
+    /// `jitter` is a random number in `[0, 1)`.
     pub fn record_failure(&mut self, now: Micros, elapsed: Micros, jitter: f64) -> Micros {
         self.delay = (self.delay * 2).max(elapsed).clamp(self.min, self.max);
         self.until = now + (self.delay as f64 * (1.0 - jitter / 2.0)) as Micros;
--- a/crates/sanddrum-upstream/src/config.rs
+++ b/crates/sanddrum-upstream/src/config.rs
@@ -9,7 +9,7 @@
     pub max_handshakes: usize,
     /// Handshakes in flight at a time to one worker.
     pub max_handshakes_per_worker: usize,
-    /// How many of the most used workers keep a connection ahead of need.
+    /// How many workers, the most used ones, are prewarmed.
     pub prewarmed_workers: usize,
     /// Edges that share the workers.
     pub router_count: f64,
@@ -18,17 +18,17 @@
     /// The fraction of its capacity that a worker has at its start; it grows linearly during slow start.
     pub initial_capacity: f64,
     /// The fraction of its capacity that a worker may spend on handshakes of all edges while they are throttled; zero
-    /// or less: no bound.
-    pub handshake_share: f64,
+    /// or less means no limit.
+    pub handshake_fraction: f64,
     /// How long a connection may take to be established.
     pub connect_timeout: Micros,
     /// A worker that was not used for this long is not prewarmed.
     pub idle_timeout: Micros,
-    /// Retries a second at workers that were unreachable; one second's worth is the burst.
+    /// Connection attempts per second to workers that were unreachable; the burst is one second's worth.
     pub retries_per_second: f64,
     /// Outdated connections are replaced within this period.
     pub rotation_period: Micros,
-    /// Outdated connections that are replaced at a time.
+    /// How many outdated connections are replaced at a time.
     pub rotation_batch: f64,
     /// The backoff of a worker that has not failed.
     pub backoff: Backoff,
@@ -45,7 +45,7 @@
             router_count: number("routers", 1.0).max(1.0),
             slow_start: duration("rules.cold-us", 0.0),
             initial_capacity: number("rules.cold-from", 1.0),
-            handshake_share: number("limits.handshake-part", 0.25),
+            handshake_fraction: number("limits.handshake-part", 0.25),
             connect_timeout: duration("limits.connect-time-out-us", 1e6),
             idle_timeout: duration("limits.idle-close-us", 60e6),
             retries_per_second: number("limits.connect-again", 20.0),
--- a/crates/sanddrum-upstream/src/events.rs
+++ b/crates/sanddrum-upstream/src/events.rs
@@ -17,7 +17,7 @@
     Request,
     /// A load command or a health check.
     Control,
-    /// Nothing yet: it is opened ahead of need.
+    /// Nothing yet: it is opened in advance.
     Prewarm,
 }
 
@@ -43,7 +43,7 @@
     pub worker: WorkerId,
     /// What it is needed for.
     pub purpose: Purpose,
-    /// The connection is of no use after this instant.
+    /// The instant after which the connection is of no use.
     pub deadline: Micros,
 }
 
@@ -56,7 +56,7 @@
     pub resumed: bool,
 }
 
-/// How far a connection is used after something was sent on it.
+/// The utilization of a connection after something was sent on it.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionUtilization {
     /// The worker at its other end.
@@ -107,13 +107,13 @@
     pub failed: Vec<WorkerConnectionId>,
     /// Connections that ended after they were established, or that are no longer needed.
     pub closed: Vec<WorkerConnectionId>,
-    /// How far connections are used.
+    /// Utilization of connections on which something was sent.
     pub utilization: Vec<ConnectionUtilization>,
     /// What workers reported about their load.
     pub load_reports: Vec<WorkerLoad>,
     /// Connections to replace within the rotation period.
     pub outdated: Vec<RotationRequest>,
-    /// Connections to retire at once, as the peer's credentials were revoked.
+    /// Connections to retire at once because the peer's credentials were revoked.
     pub revoked: Vec<OutdatedConnection>,
 }
 
@@ -140,7 +140,8 @@
     BackingOff,
     /// The worker was unreachable, and the budget for retries is exhausted.
     RetryBudget,
-    /// The worker is warming up or congested, and this edge's share of its handshakes is used.
+    /// Handshakes to the worker are throttled, as it is warming up or they queue there, and this edge's next one would
+    /// be too late.
     HandshakeBudget,
 }
 
@@ -159,9 +160,9 @@
 pub trait Decisions {
     /// Open this requested connection now.
     fn open(&mut self, connection: WorkerConnectionId);
-    /// Request a connection to this worker ahead of need.
+    /// Request a connection to this worker in advance.
     fn prewarm(&mut self, worker: WorkerId);
-    /// Fail what waits for this requested connection.
+    /// Fail everything that waits for this requested connection.
     fn reject(&mut self, connection: WorkerConnectionId, reason: RejectReason);
     /// Send nothing new on this connection and close it once nothing is in flight.
     fn retire(&mut self, connection: OutdatedConnection);
--- a/crates/sanddrum-upstream/src/handshake_costs.rs
+++ b/crates/sanddrum-upstream/src/handshake_costs.rs
@@ -4,10 +4,10 @@
 
 /// The weight of one more handshake in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// The estimate before the first handshake, as a fraction of the time-out for one.
+/// The estimate before the first handshake, as a fraction of the connect timeout.
 const INITIAL_FRACTION: f64 = 0.002;
 /// A sample counts for at most this multiple of the estimate: a worker that is slow for other reasons says little about
-/// handshakes.
+/// the cost of handshakes.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
 
 /// Moving averages of how long handshakes take, in microseconds.
--- a/crates/sanddrum-upstream/src/idle_timeout.rs
+++ b/crates/sanddrum-upstream/src/idle_timeout.rs
@@ -1,7 +1,6 @@
 //! How long a connection may have been idle and still be used for a request.
 //!
-//! Guards against connections that a middlebox dropped while they were idle, which shows only as a reset under the next
-//! request.
+//! A middlebox may drop an idle connection without notice. That shows only as a reset once the next request is sent.
 
 use sanddrum::Micros;
 
@@ -9,10 +8,10 @@
 const DECREASE: Micros = 2;
 /// The limit doubles each time it has held for this multiple of itself.
 const HOLD_MULTIPLE: Micros = 100;
-/// Idle times below the connect time-out divided by this say nothing, nor do resets later than that after a write: those
-/// have other causes.
+/// A reset counts only where the connection was idle for at least the connect timeout divided by this, and only within
+/// that time after the write: other resets have other causes.
 const SIGNIFICANT_DIVISOR: Micros = 25;
-/// After so many doublings there is no limit.
+/// After this many doublings there is no limit.
 const MAX_DOUBLINGS: Micros = 20;
 
 /// The estimated idle time after which connections may have been dropped.
@@ -25,7 +24,7 @@
 }
 
 impl IdleTimeoutEstimate {
-    /// An estimate without a limit. `connect_timeout` is the time within which a connection is established or given up.
+    /// An estimate without a limit. `connect_timeout` is how long a connection may take to be established.
     pub fn new(connect_timeout: Micros) -> Self {
         IdleTimeoutEstimate {
             min_significant: (connect_timeout / SIGNIFICANT_DIVISOR).max(1),
@@ -34,8 +33,8 @@
         }
     }
     /// Records that a connection was reset under an unanswered request, which was written `since_write` ago after the
-    /// connection had been idle for `idle`. A dropped connection shows at once; a later reset has another cause, such
-    /// as a worker that crashed.
+    /// connection had been idle for `idle`. A dropped connection is reset at once; a later reset has another cause,
+    /// such as a worker that crashed.
     pub fn record_reset(&mut self, now: Micros, idle: Micros, since_write: Micros) {
         if idle >= self.min_significant && since_write <= self.min_significant {
             let bound = self.current_limit(now).unwrap_or(idle).min(idle);
--- a/crates/sanddrum-upstream/src/lib.rs
+++ b/crates/sanddrum-upstream/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! The host creates one [`ConnectionPolicy`] per edge and calls [`ConnectionPolicy::handle`] with the events since the
 //! last call ([`ConnectionEvents`]) and a receiver for the decisions ([`Decisions`]). All events are recorded before
-//! anything is decided. The policy selects no worker: the decision module does, and this package decides what happens
-//! to the connections which its choices need.
+//! anything is decided. The policy selects no worker: the decision module does, and this package decides about the
+//! connections that its choices require.
 //!
 //! - **Handshakes** cost CPU time at both ends, and the policy learns how much. Their number in flight is limited. A
-//!   worker that has just started spends at most a share of its capacity on them, summed over all edges. The edges do
-//!   not communicate: each one keeps an interval between its own handshakes and starts at a random point in it.
+//!   worker that has just started spends at most a fraction of its capacity on them, summed over all edges. The edges
+//!   do not communicate: each one keeps an interval between its own handshakes and starts at a random point in it.
 //! - **Unreachable workers** are retried after an exponential backoff, and all retries share one budget, so that a lost
 //!   zone costs little.
 //! - **Outdated connections**, made with credentials or settings that have changed, are replaced a few at a time within
--- a/crates/sanddrum-upstream/src/policy.rs
+++ b/crates/sanddrum-upstream/src/policy.rs
@@ -32,12 +32,12 @@
     requested: BTreeMap<WorkerConnectionId, ConnectionRequest>,
     handshakes: BTreeMap<WorkerConnectionId, Handshake>,
     established: BTreeMap<WorkerConnectionId, WorkerId>,
-    /// Workers to which a connection was nearly full since prewarming was last decided.
+    /// Workers to which a nearly full connection was reported since prewarming was last decided.
     nearly_full: BTreeSet<WorkerId>,
-    /// Whether something changed by which a prewarmed connection may be missing.
+    /// Whether workers or connections have changed, so that a prewarmed connection may be missing.
     prewarm_is_due: bool,
     handshake_costs: HandshakeCosts,
-    /// Retries at workers that were unreachable, shared by all requests.
+    /// Limits attempts to connect to workers that were unreachable; shared by all requests.
     retry_budget: TokenBucket,
     rotation: Rotation,
 }
--- a/crates/sanddrum-upstream/src/policy/observations.rs
+++ b/crates/sanddrum-upstream/src/policy/observations.rs
@@ -9,9 +9,9 @@
 use sanddrum::{Micros, WorkerId};
 use std::collections::BTreeSet;
 
-/// A handshake that takes this multiple of the usual time was queued at the worker.
+/// A handshake that takes longer than this multiple of the expected time is taken to have queued at the worker.
 const QUEUED_HANDSHAKE_RATIO: Micros = 4;
-/// A connection utilized to this fraction is nearly full: a further one is prewarmed.
+/// A connection with at least this utilization is nearly full: another one is prewarmed.
 const NEARLY_FULL: f64 = 0.75;
 
 impl ConnectionPolicy {
@@ -68,7 +68,7 @@
         worker.is_ready = listed.is_ready;
     }
 
-    /// A repeated request has the more urgent purpose and the later deadline of the two.
+    /// Queues a request. A repeated one takes the more urgent purpose and the later deadline of the two.
     fn record_request(&mut self, request: &ConnectionRequest) {
         let connection = request.connection;
         if self.handshakes.contains_key(&connection) || self.established.contains_key(&connection) {
@@ -84,13 +84,13 @@
             return;
         };
         let elapsed = now - handshake.started_at;
-        let usual = if established.resumed {
+        let expected = if established.resumed {
             self.handshake_costs.resumed()
         } else {
             self.handshake_costs.full()
         };
         self.handshake_costs.record(elapsed, established.resumed);
-        if elapsed > QUEUED_HANDSHAKE_RATIO * usual {
+        if elapsed > QUEUED_HANDSHAKE_RATIO * expected {
             self.throttle_handshakes(now, handshake.worker);
         }
         self.established
--- a/crates/sanddrum-upstream/src/policy/opening.rs
+++ b/crates/sanddrum-upstream/src/policy/opening.rs
@@ -4,12 +4,12 @@
 use crate::{ConnectionRequest, Decisions, Purpose, RejectReason, WorkerConnectionId};
 use sanddrum::{Micros, WorkerId};
 
-/// A request is rejected where waiting for a throttled worker would take more than this fraction of the time to its
+/// A request is rejected if waiting for a throttled worker would take more than this fraction of the time to its
 /// deadline.
 const MAX_WAIT_FRACTION: f64 = 0.25;
 
-/// What happens to a requested connection now.
-enum Verdict {
+/// What to do now about a requested connection.
+enum Action {
     Open,
     /// It stays queued until another handshake completes.
     Queue,
@@ -19,8 +19,8 @@
 }
 
 impl ConnectionPolicy {
-    /// Opens requested connections as far as the limits allow, by purpose and then by deadline, and rejects those that
-    /// had better use another worker.
+    /// Opens requested connections as far as the limits allow, by purpose and then by deadline, and rejects those for
+    /// which another worker should be used.
     pub(super) fn open_requested(&mut self, now: Micros, decisions: &mut impl Decisions) {
         let mut queue: Vec<(Purpose, Micros, WorkerConnectionId)> = self
             .requested
@@ -32,15 +32,15 @@
             let Some(request) = self.requested.get(&connection).copied() else {
                 continue;
             };
-            match self.judge(now, &request) {
-                Verdict::Open => {
+            match self.decide(now, &request) {
+                Action::Open => {
                     self.requested.remove(&connection);
                     self.start_handshake(now, connection, request.worker);
                     decisions.open(connection);
                 }
-                Verdict::Queue => {}
-                Verdict::WaitUntil(at) => decisions.wake_at(at),
-                Verdict::Reject(reason) => {
+                Action::Queue => {}
+                Action::WaitUntil(at) => decisions.wake_at(at),
+                Action::Reject(reason) => {
                     self.requested.remove(&connection);
                     decisions.reject(connection, reason);
                 }
@@ -48,33 +48,33 @@
         }
     }
 
-    fn judge(&mut self, now: Micros, request: &ConnectionRequest) -> Verdict {
+    fn decide(&mut self, now: Micros, request: &ConnectionRequest) -> Action {
         let next_handshake_at = self.next_handshake_at(now, request.worker);
         let Some(worker) = self
             .workers
             .get(&request.worker)
             .filter(|worker| !worker.backoff.is_backing_off(now))
         else {
-            return Verdict::Reject(RejectReason::BackingOff);
+            return Action::Reject(RejectReason::BackingOff);
         };
         if let Some(at) = next_handshake_at.filter(|at| *at > now) {
-            let patience = MAX_WAIT_FRACTION * (request.deadline - now).max(0) as f64;
-            let is_too_late = request.purpose < Purpose::Prewarm && (at - now) as f64 > patience;
+            let max_wait = MAX_WAIT_FRACTION * (request.deadline - now).max(0) as f64;
+            let is_too_late = request.purpose < Purpose::Prewarm && (at - now) as f64 > max_wait;
             return if is_too_late {
-                Verdict::Reject(RejectReason::HandshakeBudget)
+                Action::Reject(RejectReason::HandshakeBudget)
             } else {
-                Verdict::WaitUntil(at)
+                Action::WaitUntil(at)
             };
         }
         if worker.handshakes >= self.handshake_limit(worker)
             || self.handshakes.len() >= self.config.max_handshakes
         {
-            return Verdict::Queue;
+            return Action::Queue;
         }
         if worker.backoff.has_failed() && !self.take_retry(now) {
-            return Verdict::Reject(RejectReason::RetryBudget);
+            return Action::Reject(RejectReason::RetryBudget);
         }
-        Verdict::Open
+        Action::Open
     }
 
     fn take_retry(&mut self, now: Micros) -> bool {
--- a/crates/sanddrum-upstream/src/policy/prewarming.rs
+++ b/crates/sanddrum-upstream/src/policy/prewarming.rs
@@ -1,18 +1,19 @@
-//! Connections opened ahead of need.
+//! Connections opened in advance.
 
 use super::ConnectionPolicy;
 use crate::Decisions;
 use sanddrum::{Micros, WorkerId};
 use std::collections::BTreeSet;
 
-/// Prewarming leaves the rest of the handshakes in flight to connections that requests wait for.
+/// Connections are prewarmed only while handshakes in flight and queued requests are fewer than this fraction of the
+/// limit on handshakes. The rest is left to connections that requests wait for.
 const MAX_PREWARM_FRACTION: f64 = 0.5;
 /// A worker with fewer recent uses is neither prewarmed nor given a successor for an outdated connection.
 pub(super) const MIN_RECENT_USES: f64 = 1.0;
 
 impl ConnectionPolicy {
-    /// Keeps a connection to each of the most used workers, and opens a further one where those there are nearly full.
-    /// The host requests them as it does any other connection.
+    /// Keeps a connection open to each of the most used workers, and opens another one to workers whose connections
+    /// are nearly full. The host requests them as it does any other connection.
     pub(super) fn prewarm(&mut self, now: Micros, decisions: &mut impl Decisions) {
         if !self.prewarm_is_due && self.nearly_full.is_empty() {
             return;
@@ -42,7 +43,7 @@
             .collect()
     }
 
-    /// Those of the most used workers to which no connection is established.
+    /// Those of the most used workers to which no connection is established or requested.
     fn used_but_unconnected(&self, now: Micros, requested: &BTreeSet<WorkerId>) -> Vec<WorkerId> {
         let window = self.config.idle_timeout;
         let mut by_use: Vec<(f64, WorkerId)> = self
--- a/crates/sanddrum-upstream/src/rotation.rs
+++ b/crates/sanddrum-upstream/src/rotation.rs
@@ -4,13 +4,13 @@
 use sanddrum::{Micros, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A successor is awaited for at most the rotation period divided by this.
+/// A connection waits for its successor for at most the rotation period divided by this.
 const SUCCESSOR_DIVISOR: Micros = 10;
 
 /// A connection that is retired once a new one to the same worker is established.
 struct AwaitedSuccessor {
     worker: WorkerId,
-    /// It is retired without a successor then.
+    /// The instant at which it is retired without a successor.
     deadline: Micros,
 }
 
@@ -48,7 +48,7 @@
             .map(|request| (request.in_flight, request.connection))
             .collect();
         added.sort_unstable();
-        // Those that are scheduled already keep their order before these.
+        // Connections that are scheduled already stay ahead of the new ones, in the same order.
         let before = std::mem::take(&mut self.scheduled);
         let connections: Vec<OutdatedConnection> = before
             .into_iter()
@@ -63,7 +63,7 @@
             self.scheduled.insert((at, connection));
         }
     }
-    /// These are retired at once and without a successor.
+    /// Has these connections retired at once and without a successor.
     pub fn revoke(&mut self, connections: &[OutdatedConnection]) {
         for connection in connections {
             self.remove(*connection);
@@ -74,7 +74,7 @@
     pub fn take_revoked(&mut self) -> Vec<OutdatedConnection> {
         std::mem::take(&mut self.revoked)
     }
-    /// The connection has ended.
+    /// Forgets a connection that has ended.
     pub fn remove(&mut self, connection: OutdatedConnection) {
         self.scheduled.retain(|(_, other)| *other != connection);
         self.awaiting_successor.remove(&connection);
@@ -88,7 +88,7 @@
             .map(|(_, connection)| connection)
             .collect()
     }
-    /// Retires this connection once its successor, which is to be opened now, is established.
+    /// Schedules this connection to be retired once its successor, which is to be opened now, is established.
     pub fn await_successor(
         &mut self,
         connection: OutdatedConnection,
@@ -100,27 +100,27 @@
         self.awaiting_successor
             .insert(connection, AwaitedSuccessor { worker, deadline });
     }
-    /// A connection to this worker was established.
+    /// Records that a connection to this worker was established.
     pub fn record_established(&mut self, worker: WorkerId) {
         self.newly_established.insert(worker);
     }
-    /// Takes the connections whose successor is established or has not been in time.
+    /// Takes the connections whose successor is established or whose deadline for one has passed.
     pub fn take_succeeded(&mut self, now: Micros) -> Vec<OutdatedConnection> {
         let established = std::mem::take(&mut self.newly_established);
-        let is_over = |awaited: &AwaitedSuccessor| {
+        let is_done = |awaited: &AwaitedSuccessor| {
             established.contains(&awaited.worker) || awaited.deadline <= now
         };
         let succeeded: Vec<OutdatedConnection> = self
             .awaiting_successor
             .iter()
-            .filter(|(_, awaited)| is_over(awaited))
+            .filter(|(_, awaited)| is_done(awaited))
             .map(|(connection, _)| *connection)
             .collect();
         self.awaiting_successor
             .retain(|connection, _| !succeeded.contains(connection));
         succeeded
     }
-    /// When something is next due.
+    /// When a connection is next due to be retired or replaced.
     pub fn next_deadline(&self) -> Option<Micros> {
         let successor = self
             .awaiting_successor
--- a/crates/sanddrum-upstream/src/worker.rs
+++ b/crates/sanddrum-upstream/src/worker.rs
@@ -17,7 +17,7 @@
     pub backoff: Backoff,
     /// While handshakes are throttled: the earliest instant of the next one from this edge.
     pub next_handshake_at: Option<Micros>,
-    /// Handshakes are throttled until then, as they queued there.
+    /// Handshakes are throttled until this instant, because they queued at the worker.
     pub throttled_until: Micros,
     /// Uses at `last_used_at`, each weighted by its age.
     uses: f64,
@@ -40,7 +40,7 @@
             last_used_at: 0,
         }
     }
-    /// The process was restarted: failures of the one before say nothing about it.
+    /// Clears what earlier failures have set: the process was restarted, and they say nothing about the new one.
     pub fn reset(&mut self) {
         self.backoff.reset();
         self.next_handshake_at = None;
@@ -60,7 +60,7 @@
     pub fn is_overloaded(&self) -> bool {
         self.load >= self.size
     }
-    /// Whether a connection may be opened ahead of need.
+    /// Whether a connection may be opened in advance.
     pub fn accepts_prewarm(&self) -> bool {
         self.is_ready && !self.backoff.has_failed() && self.load < self.size && self.handshakes == 0
     }
--- a/crates/sanddrum-upstream/tests/connection_policy.rs
+++ b/crates/sanddrum-upstream/tests/connection_policy.rs
@@ -10,7 +10,7 @@
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// A connection that is far from full.
+/// The utilization of a connection that is far from full.
 const LIGHT_USE: f64 = 0.1;
 
 /// The decisions of one call, with plain numbers for the ids of connections and workers.
@@ -167,7 +167,7 @@
 }
 
 #[rstest]
-fn requests_come_first_and_handshakes_in_flight_are_limited() {
+fn handshakes_in_flight_are_limited_and_requests_take_priority() {
     let mut edge = Edge::new(&[("limits.handshakes-out", 2.0)]);
     edge.list_workers(9, 0);
     assert_eq!(edge.request(1, 1, Purpose::Request).opened, [1]);
@@ -242,7 +242,7 @@
 }
 
 #[rstest]
-fn retries_at_all_unreachable_workers_share_one_budget() {
+fn retries_to_all_unreachable_workers_share_one_budget() {
     let mut edge = Edge::new(&[
         ("limits.connect-again", 5.0),
         ("limits.handshakes-out", 1000.0),
@@ -270,7 +270,7 @@
     );
 }
 
-/// A zone has restarted, and every edge connects to every worker of it at the same instant.
+/// A zone has restarted, and every edge connects to each of its workers at the same instant.
 #[rstest]
 fn edges_that_do_not_communicate_limit_handshakes_to_a_warming_worker(
     #[values(40, 150, 300)] edges: u64,
@@ -318,7 +318,7 @@
 }
 
 #[rstest]
-fn the_most_used_workers_are_prewarmed_and_nearly_full_connections_supplemented() {
+fn the_most_used_workers_and_those_with_nearly_full_connections_are_prewarmed() {
     let mut edge = Edge::new(&[("limits.connections-ahead", 2.0)]);
     edge.list_workers(5, 0);
     for (worker, times) in [(1, 3), (2, 1), (3, 2)] {
@@ -378,7 +378,7 @@
 }
 
 #[rstest]
-fn a_connection_in_use_waits_for_its_successor_and_a_revoked_one_for_nothing() {
+fn a_connection_in_use_is_retired_after_its_successor_is_established_and_a_revoked_one_at_once() {
     let mut edge = Edge::new(&[]);
     edge.list_workers(2, 0);
     for n in 0..2 {
@@ -398,8 +398,8 @@
     assert_eq!(decisions.prewarmed, []);
 }
 
-/// Handshakes queue at a warm worker, so that one takes far longer than usual or times out: every edge keeps an interval
-/// between its handshakes there until the queue is gone.
+/// Handshakes queue at a warm worker, so that one takes far longer than usual or times out. Every edge then keeps an
+/// interval between its handshakes there until the queue is gone.
 #[rstest]
 #[case::slow(false)]
 #[case::timed_out(true)]
@@ -426,7 +426,7 @@
     } else {
         edge.establish(100)
     };
-    // This edge requests one every 10 ms for ten seconds; with 300 edges each has a share of a few.
+    // This edge requests one every 10 ms for ten seconds; with 300 edges each one may start only a few.
     let mut opened = 0;
     for n in 0..1000 {
         edge.now += 10 * MILLISECOND;
@@ -455,7 +455,7 @@
 }
 
 #[rstest]
-fn a_timed_out_handshake_does_not_overflow_where_the_handshake_share_is_zero() {
+fn a_timed_out_handshake_causes_no_overflow_if_the_handshake_fraction_is_zero() {
     let mut edge = Edge::new(&[("limits.handshake-part", 0.0)]);
     edge.list_workers(1, 0);
     let first = edge.request_within(SECOND, 1, 0, Purpose::Request);
--- a/crates/sanddrum-upstream/tests/idle_timeout.rs
+++ b/crates/sanddrum-upstream/tests/idle_timeout.rs
@@ -15,7 +15,7 @@
     estimate.record_reset(0, 200_000, 60_000);
     assert!(
         estimate.is_trusted(0, 60_000_000),
-        "long after the write: so has this one"
+        "long after the write: the reset has another cause"
     );
     estimate.record_reset(0, 200_000, 100);
     assert!(estimate.is_trusted(1_000_000, 100_000) && !estimate.is_trusted(1_000_000, 150_000));
