--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,10 +1,12 @@
-//! Every decision is in this module and those below it. The host creates one [`Router`] for an instance and calls
-//! [`Router::handle`] with each batch of events and a writer for the decisions; `state` has what is remembered.
-//! All events of a batch are recorded first, endpoint lists before the rest; only then are requests placed.
+//! All decisions are made in this module and its submodules. The host creates one [`Router`] per router of the fleet
+//! and calls [`Router::handle`] with each batch of events and a writer for the decisions; `state` defines the data
+//! retained between batches. All events of a batch are recorded first, endpoint lists before the rest; requests are
+//! placed only afterwards.
 //!
-//! The ordinary path is warm-first: a request goes to the worker that is believed to have an instance with capacity and
-//! has the fewest requests of this router in flight, local zone first; failing that, the function is loaded on the ready
-//! worker with the fewest. Each departure is marked "Exception" below; docs/design.md states when it acts.
+//! Placement is normally warm-first: a request goes to the worker that is believed to have an instance with free
+//! capacity and has the fewest requests of this router in flight, local zone first. If there is none, the function is
+//! loaded on the ready worker with the fewest requests in flight. Each deviation is marked "Exception" in the code;
+//! docs/design.md states when it applies.
 
 mod admission;
 mod attempt_outcomes;
@@ -48,58 +50,58 @@
     settings: Settings,
     config: Config,
     seed: u64,
-    /// Random draws made so far.
-    random_draw_count: u64,
-    /// The instant of the batch that is being handled.
+    /// Random numbers generated so far.
+    random_count: u64,
+    /// The time of the batch that is being handled.
     now: Micros,
 
     workers: BTreeMap<WorkerId, Worker>,
-    /// Workers listed as ready, from which preferred endpoints are ranked.
+    /// Workers listed as ready; preferred endpoints are ranked among these.
     ready_workers: RendezvousTree,
-    /// Listed workers, by when they reported.
+    /// Listed workers, ordered by the time of their last load report.
     by_report_time: BTreeSet<(Micros, WorkerId)>,
     ejected_workers: BTreeSet<WorkerId>,
-    /// As of the last sweep: for each request it would cost too much.
+    /// State of the fleet as of the last sweep; recomputing it for each request would be too expensive.
     fleet: FleetView,
 
-    /// How recent the endpoint list is; none where the host does not state it.
+    /// How recent the endpoint list is; `None` if the host does not report it.
     endpoint_confirmation: Option<EndpointConfirmation>,
-    /// The dispatch of the newest attempt that any worker accepted.
+    /// The dispatch time of the newest attempt that any worker accepted.
     last_accepted_at: Micros,
-    /// Workers' readiness leases that have ended are extended until then.
+    /// Workers' expired readiness leases are extended until this time.
     leases_extended_until: Micros,
 
     functions: Functions,
     requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests to be placed in this batch.
     unplaced: BTreeSet<RequestId>,
-    /// Requests that wait for an instance or for capacity.
+    /// Requests that are waiting for an instance or for capacity.
     waiting: BTreeSet<RequestId>,
 
-    /// All timers but the sweep's.
+    /// All timers except that of the sweep.
     timers: BTreeSet<(Micros, Timer)>,
     next_sweep_at: Micros,
-    /// The instant at which the host was last asked to call again.
+    /// The wake-up time last requested from the host.
     wake_at: Micros,
 
-    /// The share of new requests that is admitted under overload.
+    /// The fraction of new requests that is admitted under overload.
     admitted_fraction: f64,
 
-    /// Retries that rejected requests may still have under overload.
+    /// Retries that are still allowed for rejected requests under overload.
     retry_budget: f64,
-    /// Queries for instances that may still be made.
+    /// Queries for loaded instances that are still allowed.
     query_budget: f64,
     load_budget: LoadBudget,
 
-    /// Work that arrives, in microseconds a microsecond, and when that was last updated.
+    /// Incoming work, in microseconds of work per microsecond, and when it was last updated.
     work_rate: f64,
     work_rate_at: Micros,
-    /// Requests of late, decayed over a keep-alive, and when that was last updated.
+    /// The number of recent requests, decayed over one keep-alive, and when it was last updated.
     recent_requests: f64,
     recent_requests_at: Micros,
-    /// The mean of requests' value for their work.
+    /// The moving average of requests' value per unit of work.
     mean_value: f64,
-    /// The work of each workload's requests without congestion, in microseconds.
+    /// The uncongested work per request of each workload, in microseconds.
     workload_work: BTreeMap<WorkloadId, RunningMean>,
     hint_calibration: HintCalibration,
 
@@ -107,7 +109,7 @@
 }
 
 impl Router {
-    /// A router whose random draws follow from the seed.
+    /// Creates a router whose random numbers are derived from the seed.
     pub fn new(seed: u64, settings: &Settings) -> Self {
         let config = Config::read(settings);
         let mut router = Router {
@@ -130,14 +132,14 @@
             config,
             ..Router::default()
         };
-        // Where nothing comes by itself, a drain would never be heard of.
+        // Endpoint lists are sent to subscribers only; without a subscription the router would miss every drain.
         if router.config.subscribes_to_endpoints {
             router.timers.insert((0, Timer::Subscribe));
         }
         router
     }
 
-    /// Records a batch of events and writes the decisions that follow from it. `now` must not decrease.
+    /// Records a batch of events and writes the resulting decisions. `now` must not decrease.
     pub fn handle(&mut self, now: Micros, batch: &EventBatch, out: &mut impl Decisions) {
         self.now = now;
         self.record_events(batch);
@@ -152,7 +154,7 @@
         if batch.shutting_down {
             let pending: Vec<_> = self.requests.keys().copied().collect();
             for id in pending {
-                self.answer_now(id, AnswerReason::ShuttingDown, out);
+                self.answer_unfinished(id, AnswerReason::ShuttingDown, out);
             }
         }
         self.schedule_wake(out);
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Updates what is too costly to compute for each request, and reconsiders the requests that wait.
+    /// Updates state that is too expensive to compute for each request, and reconsiders waiting requests.
     fn sweep(&mut self) {
         self.next_sweep_at = self.now + self.config.tightest_objective / SWEEPS_PER_OBJECTIVE;
         let idle_since = self.now - EVICTION_KEEP_ALIVES * self.config.keep_alive;
@@ -231,9 +233,9 @@
         self.workload(id).latency_objective
     }
 
-    /// The next random draw.
-    fn random_draw(&mut self) -> u64 {
-        self.random_draw_count += 1;
-        hash_of((self.seed, self.random_draw_count))
+    /// Returns the next pseudo-random number.
+    fn next_random(&mut self) -> u64 {
+        self.random_count += 1;
+        hash_of((self.seed, self.random_count))
     }
 }
--- a/src/logic/attempt_outcomes.rs
+++ b/src/logic/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! Learns from the outcome of an attempt: instances, latencies, work, and the worker's concurrency limit.
+//! Learns from the outcome of an attempt: loaded instances, latencies, work, and the worker's concurrency limit.
 
 use super::constants::{
     CONGESTION_FACTOR, EWMA_WEIGHT, INITIAL_WORK_FRACTION, IN_TIME_MARGIN, LIMIT_INCREASE,
@@ -9,8 +9,8 @@
 use crate::state::{Attempt, Function, HintCalibration, InstanceState, RunningMean, Worker};
 use crate::{AttemptResult, Micros, Outcome, Request, Warmth};
 
-/// The latency of a request that was served by a loaded instance without waiting for others.
-struct ServedRequest {
+/// The latency of an attempt and what was expected of it.
+struct AttemptTiming {
     now: Micros,
     latency_us: f64,
     expected_us: f64,
@@ -20,7 +20,7 @@
 }
 
 impl Router {
-    /// Learns from the outcome of an attempt that was in flight.
+    /// Updates estimates and limits from the outcome of an attempt that was in flight.
     pub(super) fn learn_from_result(
         &mut self,
         request: &Request,
@@ -30,7 +30,7 @@
         let now = self.now;
         let latency_us = result.latency as f64;
         let expected_us = self.expected_work(request);
-        let served = ServedRequest {
+        let timing = AttemptTiming {
             now,
             latency_us,
             expected_us,
@@ -61,17 +61,17 @@
                 } else if is_work_only(result, attempt) {
                     let usual = self.workload_work.entry(request.workload).or_default();
                     let calibration = &mut self.hint_calibration;
-                    learn_work(&served, worker, function, usual, calibration);
-                    adjust_concurrency_limit(&served, worker, function);
+                    learn_work(&timing, worker, function, usual, calibration);
+                    adjust_concurrency_limit(&timing, worker, function);
                 }
             }
-            // Waited for a load that did not come. Guards against load queues that are not reported.
+            // The attempt waited for a load that did not complete: the worker may have an unreported load queue.
             Outcome::TimedOut if instance.instances == 0 => {
                 instance.is_loading = false;
                 instance.missing_until = now + function.load_us as Micros;
                 observed_load_us = Some(latency_us);
             }
-            _ => learn_failure(&served, result, worker, function, request, &mut instance),
+            _ => learn_failure(&timing, result, worker, function, request, &mut instance),
         }
         self.functions
             .set_instance(request.function, result.worker, instance);
@@ -81,25 +81,26 @@
     }
 }
 
-/// Whether an attempt's latency is that of the work, without waiting for a load or for other requests.
+/// Whether an attempt's latency consists of work only, without waiting for a load or for other requests.
 fn is_work_only(result: &AttemptResult, attempt: &Attempt) -> bool {
     matches!(result.warmth, Warmth::Warm | Warmth::Unknown) && !attempt.was_queued
 }
 
-/// Learns what the work takes: what answers take beyond their baseline is the worker's, the rest the function's.
+/// Updates the work estimates. Latency beyond the worker's baseline is attributed to the worker, the rest to the
+/// function.
 fn learn_work(
-    served: &ServedRequest,
+    timing: &AttemptTiming,
     worker: &mut Worker,
     function: &mut Function,
     usual: &mut RunningMean,
     calibration: &mut HintCalibration,
 ) {
-    // The initial guess is no baseline: all workers would look fast, and then congested.
+    // The initial estimate is no usable baseline: all workers would look fast at first, and congested later.
     if usual.count * EWMA_WEIGHT >= 1.0 {
-        let speed_factor = served.latency_us / served.expected_us.max(1.0);
-        worker.observe_speed_factor(served.now, speed_factor.min(MAX_SPEED_FACTOR));
+        let speed_factor = timing.latency_us / timing.expected_us.max(1.0);
+        worker.observe_speed_factor(timing.now, speed_factor.min(MAX_SPEED_FACTOR));
     }
-    let work_us = served.latency_us / worker.congestion(served.now).max(1.0);
+    let work_us = timing.latency_us / worker.congestion(timing.now).max(1.0);
     usual.count += 1.0;
     usual.mean += (work_us - usual.mean) * (1.0 / usual.count).max(EWMA_WEIGHT / 10.0);
     if !function.is_work_observed {
@@ -107,46 +108,47 @@
         function.is_work_observed = true;
     }
     function.work_us += EWMA_WEIGHT / 2.0 * (work_us - function.work_us);
-    if served.has_hint {
-        // A ratio of sums, as the mean of ratios is ruled by requests with hints far too low.
-        let kept = 1.0 - EWMA_WEIGHT / 4.0;
-        calibration.actual_us = kept * calibration.actual_us + work_us;
-        calibration.expected_us = kept * calibration.expected_us + served.uncorrected_us;
+    if timing.has_hint {
+        // A ratio of sums: a mean of ratios would be dominated by requests whose hints are far too low.
+        let decay = 1.0 - EWMA_WEIGHT / 4.0;
+        calibration.actual_us = decay * calibration.actual_us + work_us;
+        calibration.expected_us = decay * calibration.expected_us + timing.uncorrected_us;
     }
 }
 
-/// The concurrency limit grows while answers fit their latency objective, and shrinks otherwise.
-fn adjust_concurrency_limit(served: &ServedRequest, worker: &mut Worker, function: &Function) {
+/// Cuts the concurrency limit if answers show congestion or are too slow for the latency objective; otherwise raises
+/// it while it is in use.
+fn adjust_concurrency_limit(timing: &AttemptTiming, worker: &mut Worker, function: &Function) {
     let typical_us = function.work_us * worker.speed_factor * IN_TIME_MARGIN;
-    let is_too_slow = typical_us > served.objective_us;
-    let congestion = worker.congestion(served.now);
-    // Guards against heavy requests that look like congestion where nothing is reported to be queued.
+    let is_too_slow = typical_us > timing.objective_us;
+    let congestion = worker.congestion(timing.now);
+    // Heavy requests look like congestion, so a worker that reports an empty queue does not count as congested.
     let may_have_queue = worker.report.queued.is_none_or(|queued| queued > 0.0);
     let is_in_use = f64::from(worker.in_flight + 1) > worker.concurrency_limit / 2.0;
     if (congestion > CONGESTION_FACTOR && may_have_queue) || is_too_slow {
-        worker.cut_concurrency_limit(served.now, served.expected_us);
+        worker.cut_concurrency_limit(timing.now, timing.expected_us);
     } else if congestion <= OVERLOAD_FACTOR && is_in_use {
         worker.concurrency_limit += LIMIT_INCREASE / worker.concurrency_limit;
     }
 }
 
-/// Learns from an attempt that did not succeed, other than one that waited in vain for a load.
+/// Updates instance and worker after an attempt that failed, other than by a timeout while waiting for a load.
 fn learn_failure(
-    served: &ServedRequest,
+    timing: &AttemptTiming,
     result: &AttemptResult,
     worker: &mut Worker,
     function: &Function,
     request: &Request,
     instance: &mut InstanceState,
 ) {
-    let now = served.now;
-    let expected = served.expected_us as Micros;
+    let now = timing.now;
+    let expected = timing.expected_us as Micros;
     let load_failed = result.warmth == Warmth::LoadFailed;
     match result.outcome {
         Outcome::Rejected => {
             instance.backoff_until = now + expected;
             worker.backoff_until = now + expected / 4;
-            worker.cut_concurrency_limit(now, served.expected_us);
+            worker.cut_concurrency_limit(now, timing.expected_us);
         }
         Outcome::ColdMiss | Outcome::Error if load_failed => {
             instance.instances = 0;
@@ -161,7 +163,7 @@
         Outcome::Error => {
             instance.is_loading = false;
             instance.backoff_until = now + expected;
-            worker.record_error(now, request.function, served.expected_us);
+            worker.record_error(now, request.function, timing.expected_us);
         }
         _ => instance.is_loading = false,
     }
--- a/src/logic/cold_start.rs
+++ b/src/logic/cold_start.rs
@@ -1,4 +1,4 @@
-//! Cold start: no instance has capacity, so the request waits for one, or the function is loaded.
+//! Cold start: no instance has free capacity, so the request waits for one, or the function is loaded.
 
 use super::candidates::Candidates;
 use super::constants::{POLLS_PER_OBJECTIVE, PREFERRED_ENDPOINTS, QUERIES_PER_KEEP_ALIVE};
@@ -7,54 +7,55 @@
 use crate::state::{InstanceCommand, InstanceState, Worker};
 use crate::{AnswerReason, Decisions, FunctionId, Micros, WorkerId};
 
-/// Where the function would be loaded.
+/// The worker on which the function would be loaded.
 #[derive(Clone, Copy)]
 struct LoadTarget {
     worker: WorkerId,
-    /// Whether the request would still end within its time budget.
+    /// Whether the request would still finish within its time budget.
     is_in_time: bool,
 }
 
-/// What can be done for a request without a free instance.
+/// The options for a request when no instance has a free slot.
 pub(super) struct ColdStart {
-    /// A worker with an instance whose queue is short enough to be better than a load.
+    /// A worker with an instance at which waiting is predicted to be faster than a load.
     short_queue: Option<WorkerId>,
     load_target: Option<LoadTarget>,
-    /// Endpoints to be queried for an instance.
-    unknown: Vec<WorkerId>,
-    /// Whether the loads under way will serve this request, too.
-    is_load_underway: bool,
-    /// Whether the function is to be loaded for the requests that follow.
-    loads_for_followers: bool,
-    /// The expected time of a load, in microseconds.
+    /// Endpoints to query for a loaded instance.
+    endpoints_to_query: Vec<WorkerId>,
+    /// Whether the loads in progress will serve this request, too.
+    is_covered_by_pending_loads: bool,
+    /// Whether the function is loaded for later requests if this one cannot wait for the load.
+    loads_for_later_requests: bool,
+    /// The expected load time, in microseconds.
     load_us: f64,
 }
 
 impl Candidates<'_> {
-    /// Lists what can be done for the request, before anything is changed.
+    /// Determines the options for the request without changing any state.
     pub(super) fn plan_cold_start(&self) -> ColdStart {
         let load_target = self.load_target();
         let load_target_in_time = load_target.filter(|t| t.is_in_time).map(|t| t.worker);
-        let underway = self.load_capacity_underway();
-        let ahead = self.function.waiting.range(..self.placement.request.id);
+        let pending_capacity = self.pending_load_capacity();
+        let earlier = self.function.waiting.range(..self.placement.request.id);
         ColdStart {
             short_queue: self.short_queue(),
             load_target,
-            unknown: self.unknown_endpoints(load_target_in_time),
-            is_load_underway: ahead.count() < underway,
-            loads_for_followers: self.function.recent_requests > 1.0
-                && underway == 0
+            endpoints_to_query: self.endpoints_to_query(load_target_in_time),
+            is_covered_by_pending_loads: earlier.count() < pending_capacity,
+            loads_for_later_requests: self.function.recent_requests > 1.0
+                && pending_capacity == 0
                 && !self.router.are_loads_congested(),
             load_us: self.load_us,
         }
     }
 
-    /// Exception: where all instances are in use, a short wait at a warm worker that is in time beats a load.
+    /// Exception: if all instances are in use, a wait at a warm worker is preferred to a load, provided that it is
+    /// shorter and within the latency objective.
     fn short_queue(&self) -> Option<WorkerId> {
-        let open = self.warm.iter().filter(|c| self.is_open(c));
-        let waits = open.map(|c| {
-            let parallel = self.function.concurrency * c.instance.instances;
-            let rounds = f64::from(c.instance.in_flight + 1) / f64::from(parallel);
+        let eligible = self.warm.iter().filter(|c| self.is_eligible(c));
+        let waits = eligible.map(|c| {
+            let slots = self.function.concurrency * c.instance.instances;
+            let rounds = f64::from(c.instance.in_flight + 1) / f64::from(slots);
             let wait = (self.work_at(c.worker) * rounds) as Micros;
             (wait, c.worker.endpoint.worker)
         });
@@ -64,7 +65,8 @@
         (is_in_time && beats_load).then_some(worker)
     }
 
-    /// The emptiest ready worker, uncongested, preferred and local ones first; ties by rank.
+    /// The worker on which to load the function: uncongested workers first, then preferred endpoints, then local
+    /// ones, then those with the fewest requests in flight; ties are broken by rank.
     fn load_target(&self) -> Option<LoadTarget> {
         let endpoints = self.preferred.first(2 * PREFERRED_ENDPOINTS).enumerate();
         let loadable = endpoints.filter(|(_, worker)| self.can_load(worker));
@@ -95,20 +97,21 @@
             && self.has_capacity(worker)
     }
 
-    /// The inspected endpoints without a believed instance, except one: the load target's own answer will show it.
-    fn unknown_endpoints(&self, except: Option<WorkerId>) -> Vec<WorkerId> {
+    /// The inspected endpoints that are not believed to have an instance. The load target is excluded, since its
+    /// answer to the load shows whether it has one.
+    fn endpoints_to_query(&self, excluded: Option<WorkerId>) -> Vec<WorkerId> {
         let endpoints = self.preferred.first(self.fan_out.inspected);
-        let unknown = endpoints.filter(|worker| !self.router.is_warm(&self.instance_at(worker)));
-        unknown
+        let not_warm = endpoints.filter(|worker| !self.router.is_warm(&self.instance_at(worker)));
+        not_warm
             .map(|worker| worker.endpoint.worker)
-            .filter(|worker| Some(*worker) != except)
+            .filter(|worker| Some(*worker) != excluded)
             .collect()
     }
 }
 
 impl Router {
-    /// Does the first that is possible of: query, short queue, wait for a load under way, load, give up.
-    pub(super) fn start_cold(
+    /// Takes the first possible option: query, wait in a short queue, wait for a load in progress, load, or answer.
+    pub(super) fn handle_cold_start(
         &mut self,
         placement: &PlacementRequest,
         plan: &ColdStart,
@@ -116,39 +119,42 @@
     ) {
         let id = placement.request.id;
         let function = placement.request.function;
-        // Exception: before a load, the other endpoints are queried, as other routers' loads are not announced.
-        if self.config.may_command_loads && self.query_instances(function, &plan.unknown, out) {
+        // Exception: the other endpoints are queried before a load, since other routers' loads are not announced.
+        if self.config.may_command_loads
+            && self.query_instances(function, &plan.endpoints_to_query, out)
+        {
             return self.wait(id);
         }
         if let Some(worker) = plan.short_queue {
             return self.dispatch(id, worker, placement.work_us, out);
         }
-        // Exception: a load under way is waited for, one request for each it can serve, before another is begun.
-        if plan.is_load_underway {
+        // Exception: a request waits for a load in progress that can serve it, instead of starting another one.
+        if plan.is_covered_by_pending_loads {
             let is_late = placement.time_budget < placement.median_work_us as Micros;
             if !placement.is_hedge && is_late {
-                return self.give_up(id, AnswerReason::WaitTooLong, out);
+                return self.answer_unless_in_flight(id, AnswerReason::WaitTooLong, out);
             }
             return self.wait(id);
         }
         match plan.load_target {
-            None => self.wait_or_give_up(id, out),
+            None => self.wait_or_answer(id, out),
             Some(target) if target.is_in_time => {
-                self.load_for(placement, target.worker, plan.load_us, out);
+                self.load_for_request(placement, target.worker, plan.load_us, out);
             }
             Some(target) => {
-                // Exception: what is called again is loaded, or loads longer than requests wait would never end.
-                if plan.loads_for_followers {
+                // Exception: a function that is requested repeatedly is loaded anyway. Otherwise a function whose
+                // loads take longer than its requests can wait would never be loaded.
+                if plan.loads_for_later_requests {
                     self.command_load(target.worker, function, 1, out);
                 }
-                self.give_up(id, AnswerReason::LoadTooLong, out);
+                self.answer_unless_in_flight(id, AnswerReason::LoadTooLong, out);
             }
         }
     }
 
-    /// Loads the function for a request. Where a miss is answered and nothing may be commanded, other routers load: an
-    /// instance may be there, and the worker is tried.
-    fn load_for(
+    /// Loads the function for a request. If workers answer cold misses and load commands are not allowed, the request
+    /// is dispatched all the same: other routers may have had an instance loaded there.
+    fn load_for_request(
         &mut self,
         placement: &PlacementRequest,
         worker: WorkerId,
@@ -161,7 +167,7 @@
             if self.command_load(worker, function, 1, out) {
                 return self.wait(id);
             }
-            return self.wait_or_give_up(id, out);
+            return self.wait_or_answer(id, out);
         }
         if !self.config.workers_answer_misses {
             self.functions
@@ -170,7 +176,7 @@
         self.dispatch(id, worker, placement.work_us + load_us, out);
     }
 
-    /// Queries workers for instances of a function, if that is due; true while answers are outstanding.
+    /// Queries workers for instances of a function, if a query is due; returns whether answers are outstanding.
     fn query_instances(
         &mut self,
         id: FunctionId,
@@ -198,7 +204,7 @@
         now < function.query_deadline && function.pending_workers.iter().any(is_queried)
     }
 
-    /// Queries one worker, if the query budget allows it and nothing is under way there.
+    /// Queries one worker, if the query budget allows it and no command or load is in progress there.
     fn query_instance(&mut self, id: FunctionId, worker: WorkerId, out: &mut impl Decisions) {
         let instance = self.functions.instance(id, worker);
         if instance.command.is_some() || instance.is_loading || self.query_budget < 1.0 {
--- a/src/logic/constants.rs
+++ b/src/logic/constants.rs
@@ -1,8 +1,8 @@
-//! Every constant that the decisions rest on, each with its reason. Most are ratios to settings.
+//! All constants that decisions depend on, each with its reason. Most are relative to a setting.
 
 use crate::Micros;
 
-// ---- Defaults where the settings say nothing and zero would make no sense
+// ---- Defaults of settings that are absent and for which zero would make no sense
 
 /// Latency objective of a workload.
 pub(crate) const DEFAULT_LATENCY_OBJECTIVE: Micros = 1_000_000;
@@ -15,114 +15,122 @@
 
 // ---- Readiness leases
 
-/// A readiness lease is at least this part of the time after which changes count as told: a shorter one would end between
-/// two attempts of a router with little traffic.
-pub(super) const SHORTEST_LEASE_DIVISOR: Micros = 2;
+/// A readiness lease lasts at least the notification delay divided by this: a shorter one would expire between two
+/// attempts of a router with little traffic.
+pub(super) const MIN_LEASE_DIVISOR: Micros = 2;
 
 // ---- Intervals
 
-/// Waiting requests are reconsidered, and the fleet's medians updated, this often in the tightest latency objective.
+/// Sweeps in one tightest latency objective; a sweep reconsiders waiting requests and updates the fleet medians.
 pub(super) const SWEEPS_PER_OBJECTIVE: Micros = 20;
-/// A worker answers a query or a health check, which never waits for work, well within this part of that objective.
+/// Queries and health checks time out after the tightest latency objective divided by this: workers answer them well
+/// within that time, since they never wait for work.
 pub(super) const POLLS_PER_OBJECTIVE: Micros = 10;
-/// Health checks of an ejected worker become rarer up to this multiple of their first interval.
+/// The interval of health checks of an ejected worker grows up to this multiple of the first one.
 pub(super) const MAX_CHECK_BACKOFF: u32 = 10;
-/// Instances of a function are queried again after this part of the keep-alive, as they come and go no faster.
+/// Instances of a function are queried at most this often in one keep-alive, since they are loaded and unloaded no
+/// faster.
 pub(super) const QUERIES_PER_KEEP_ALIVE: Micros = 4;
-/// A queried instance is trusted for this part of the keep-alive: it may have been idle for a while.
-pub(super) const QUERIED_INSTANCE_LIFE_DIVISOR: Micros = 2;
-/// Instances are renewed at this part of their keep-alive.
-pub(super) const RENEWAL_POINT: f64 = 0.8;
-/// A failed subscription is retried within this part of the interval at which endpoint lists are polled.
+/// An instance found by a query is trusted for the keep-alive divided by this: it may have been idle for a while.
+pub(super) const QUERIED_INSTANCE_KEEP_ALIVE_DIVISOR: Micros = 2;
+/// Instances are renewed after this fraction of their keep-alive.
+pub(super) const RENEWAL_FRACTION: f64 = 0.8;
+/// A failed subscription is retried within the poll interval of endpoint lists divided by this.
 pub(super) const SUBSCRIBE_RETRIES_PER_POLL_INTERVAL: Micros = 4;
-/// A function that is not called for this many keep-alives is evicted.
+/// A function without requests for this many keep-alives is evicted.
 pub(super) const EVICTION_KEEP_ALIVES: Micros = 4;
 
 // ---- Observations
 
-/// Before anything is observed, work takes this part of the latency objective and a load the whole of it.
+/// Initial estimate of a request's work as a fraction of the latency objective; a load is estimated at all of it.
 pub(super) const INITIAL_WORK_FRACTION: f64 = 0.25;
-/// Weight of the newest value in an exponentially weighted mean: about the last ten count.
+/// Weight of the newest value in an exponentially weighted moving average: it covers about the last ten values.
 pub(super) const EWMA_WEIGHT: f64 = 0.2;
-/// An attempt is overdue once its answer takes this many times longer than expected.
+/// An attempt is overdue once it has taken this many times its expected latency.
 pub(super) const OVERDUE_FACTOR: f64 = 2.0;
-/// The speed factor of a worker, or of loads, decays at this rate, so that a slow one is tried again.
+/// Time constant with which the speed factor of a worker, or of loads, decays, so that a slow one is tried again.
 pub(super) const SPEED_FACTOR_DECAY_US: f64 = 2e6;
-/// A load report decays at this rate: of hundreds of routers each receives a worker's every ten seconds or so.
+/// Time constant with which a load report decays: with hundreds of routers, each receives a worker's report about
+/// every ten seconds.
 pub(super) const REPORT_DECAY_US: f64 = 1e7;
-/// One answer counts for no more than this speed factor: a request that was itself long shows little of its worker.
+/// Upper bound of the speed factor observed in one answer: a long request in itself says little about its worker.
 pub(super) const MAX_SPEED_FACTOR: f64 = 10.0;
-/// A baseline is the least mean seen; it may rise this slowly, should the work change.
+/// A baseline is the lowest mean observed; it may rise with this time constant, in case the work changes.
 pub(super) const BASELINE_RISE_US: f64 = 3e7;
-/// Workers, of those that reported last, over which medians are taken.
+/// The number of workers, those that reported last, over which medians are computed.
 pub(super) const SAMPLED_REPORTS: usize = 128;
 
 // ---- Congestion and overload
 
-/// A worker this many times slower than the fleet median is congested.
+/// A worker is congested above this multiple of the fleet median speed factor.
 pub(super) const SLOW_FACTOR: f64 = 2.5;
-/// A worker this many times slower than its baseline has more requests than cores, and instances for each of them.
+/// A worker is congested above this multiple of its own baseline: it then has more requests than cores, and an
+/// instance for each of them.
 pub(super) const CONGESTION_FACTOR: f64 = 2.0;
-/// A worker with this many times the median of requests in flight has more than its part.
-pub(super) const UNEVEN_FACTOR: f64 = 1.5;
-/// Workers, or loads, count as overloaded once they take this many times their baseline.
+/// A worker is congested above this multiple of the median requests in flight, relative to its size.
+pub(super) const EXCESS_IN_FLIGHT_FACTOR: f64 = 1.5;
+/// Workers count as overloaded, and loads as congested, above this multiple of their baseline.
 pub(super) const OVERLOAD_FACTOR: f64 = 1.5;
-/// Workers count as overloaded, too, once this share of the median worker's requests is queued.
+/// Workers also count as overloaded once more than this fraction of the median worker's requests is queued.
 pub(super) const QUEUED_FRACTION_LIMIT: f64 = 0.4;
-/// Loads in progress at the median worker from which on they wait for each other: few run at a time.
-pub(super) const CONGESTED_LOADS: f64 = 2.0;
-/// Reports by which overload is judged at least: of fewer, one congested worker would decide too much.
+/// Loads count as congested above this number in progress at the median worker: few run at a time, the others queue.
+pub(super) const CONGESTED_LOAD_COUNT: f64 = 2.0;
+/// The least number of reports by which overload is detected: among fewer, one congested worker would weigh too much.
 pub(super) const MIN_REPORTS: f64 = 5.0;
-/// Cores busy for more than this share leave requests queued.
-pub(super) const BUSY_CORES: f64 = 0.95;
+/// Requests are assumed to be queued for cores above this fraction of busy cores.
+pub(super) const BUSY_CORES_THRESHOLD: f64 = 0.95;
 
 // ---- Admission, load shedding and concurrency limits
 
-/// A request is in time if this many times its expected time fits: times scatter about as widely as their mean.
+/// A request is predicted to be in time if this many times its expected time fits: latencies vary by about their mean.
 pub(super) const IN_TIME_MARGIN: f64 = 2.0;
-/// A late answer cuts the share of requests admitted under overload by this part.
+/// A late answer reduces the fraction of requests admitted under overload by this fraction of itself.
 pub(super) const LATE_DECREASE: f64 = 0.1;
-/// A first attempt that is rejected cuts it by this part.
+/// A rejected first attempt reduces it by this fraction of itself.
 pub(super) const REJECTION_DECREASE: f64 = 2.0 * LATE_DECREASE;
-/// An answer in time raises it by this much. Not by a part of itself, or nothing would make many routers converge.
+/// An answer in time raises it by this much. With an increase relative to itself, many routers would not converge.
 pub(super) const IN_TIME_INCREASE: f64 = LATE_DECREASE / 10.0;
 /// An answer in time from a worker without a queue raises it by this much.
 pub(super) const IDLE_INCREASE: f64 = 5.0 * IN_TIME_INCREASE;
-/// The least share admitted, so that some answers come back by which it can rise again.
+/// The least fraction admitted, so that there are answers by which it can rise again.
 pub(super) const MIN_ADMITTED_FRACTION: f64 = 0.01;
 /// What an answer in time adds to the retry budget of rejected requests.
 pub(super) const RETRY_CREDIT: f64 = 0.1;
 /// What an answer in time adds to the query budget, and so does a query that finds an instance: together no more
 /// queries than requests in time.
 pub(super) const QUERY_CREDIT: f64 = 0.5;
-/// Requests in flight that a worker gets before anything is observed of it, from all routers together.
+/// Concurrency limit of a worker before anything is observed of it, summed over all routers.
 pub(super) const INITIAL_CONCURRENCY_LIMIT: f64 = 24.0;
-/// What a full set of requests in time adds to a limit; less than one, as the other routers add to theirs, too.
+/// What a full concurrency limit of answers in time adds to it; less than one, since other routers raise theirs, too.
 pub(super) const LIMIT_INCREASE: f64 = 0.25;
-/// What is left of a worker's limit once its answers are too slow for their latency objectives.
+/// Factor by which a cut reduces a worker's concurrency limit: when it is congested, rejects a request or is too slow
+/// for the latency objective.
 pub(super) const LIMIT_DECREASE: f64 = 0.8;
-/// Requests of less value for their work than the mean fill this share of a worker's limit.
+/// Requests of below-average value per unit of work may use this fraction of a worker's concurrency limit.
 pub(super) const LOW_VALUE_LIMIT_FRACTION: f64 = 0.6;
-/// Failures that count, each of which doubles the time for which a worker is left alone.
+/// Upper bound of the failure score, each point of which doubles the backoff from a worker.
 pub(super) const MAX_FAILURE_SCORE: u32 = 6;
-/// A worker that warms up gets this part of its proportional share; the rest is for bursts and chance.
+/// The part of its proportional share of work that a worker receives while it warms up; the rest is headroom for
+/// bursts and random variation.
 pub(super) const SLOW_START_HEADROOM: f64 = 0.7;
 
 // ---- Candidates
 
-/// Preferred endpoints inspected for a request, and as many fallbacks beyond them: a few random choices find the
-/// emptier ones nearly as well as all do. A function with more than both is split into parts, each with its own.
+/// Preferred endpoints inspected for a request, and as many fallbacks: a few random choices find lightly loaded
+/// workers nearly as well as inspecting all. A function that needs more than both is partitioned, each partition with
+/// its own.
 pub(super) const PREFERRED_ENDPOINTS: usize = 4;
-/// They are looked for among this many times as many workers: more where half of them may not be called.
+/// Workers inspected for each preferred endpoint or fallback: there are enough even if half of them may not be used.
 pub(super) const INSPECTED_PER_PREFERRED: usize = 4;
-/// Workers of a ranking that are inspected for preferred endpoints and fallbacks.
+/// Workers of a ranking that are inspected to find preferred endpoints and fallbacks.
 pub(super) const INSPECTED_ENDPOINTS: usize = 2 * PREFERRED_ENDPOINTS * INSPECTED_PER_PREFERRED;
-/// Instances inspected for a request: those of all preferred endpoints and fallbacks, each repeated at most once.
+/// Instances inspected for a request: those of all preferred endpoints and fallbacks, each listed at most twice.
 pub(super) const MAX_WARM_CANDIDATES: usize = 4 * PREFERRED_ENDPOINTS;
-/// Preferred endpoints of any function: with one, some workers would by chance get far more work than others.
+/// The least number of preferred endpoints of a function: with only one, random variation would give some workers far
+/// more work than others.
 pub(super) const MIN_PREFERRED: usize = 2;
-/// A function gets so many preferred endpoints that each bears this part of a mean worker's load from it; half of
-/// it where a wrong presumption costs a cold miss and not a load.
+/// A function gets enough preferred endpoints to add no more than this fraction of a mean worker's load to each; half
+/// of it where a wrong presumption costs a cold miss instead of a load.
 pub(super) const PREFERRED_LOAD_FRACTION: f64 = 0.5;
-/// Instances that a router keeps pre-warmed at one worker at most.
+/// The most instances that a router keeps pre-warmed at one worker.
 pub(super) const MAX_PREWARMED_INSTANCES: i64 = 16;
--- a/src/logic/dispatch.rs
+++ b/src/logic/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatches an attempt, or has a request wait.
+//! Dispatches an attempt, or makes a request wait.
 
 use super::constants::{IN_TIME_MARGIN, OVERDUE_FACTOR};
 use super::Router;
@@ -6,7 +6,7 @@
 use crate::{AnswerReason, Decisions, Micros, RequestId, WorkerId};
 
 impl Router {
-    /// Dispatches an attempt that is expected to take so many microseconds without congestion.
+    /// Dispatches an attempt that is expected to take `expected_us` microseconds without congestion.
     pub(super) fn dispatch(
         &mut self,
         id: RequestId,
@@ -31,7 +31,7 @@
         self.waiting.remove(&id);
         let mut instance = function.instance(worker_id);
         instance.in_flight += 1;
-        let parallel = function.concurrency * instance.instances.max(1);
+        let slots = function.concurrency * instance.instances.max(1);
         self.functions
             .set_instance(request.function, worker_id, instance);
         worker.in_flight += 1;
@@ -47,20 +47,20 @@
         });
         self.timers
             .insert((overdue_at, Timer::WorkerOverdue(worker_id)));
-        let is_charged = pending.was_last_rejected();
+        let uses_retry_budget = pending.was_last_rejected();
         pending.attempts.push(Attempt {
             worker: worker_id,
             dispatched_at: now,
             status: AttemptStatus::InFlight,
-            was_queued: instance.in_flight > parallel,
+            was_queued: instance.in_flight > slots,
         });
         out.dispatch(id, worker_id, request.deadline - now);
-        if is_charged {
+        if uses_retry_budget {
             self.retry_budget = (self.retry_budget - 1.0).max(0.0);
         }
     }
 
-    /// Has a request wait for an instance or for capacity.
+    /// Makes a request wait for an instance or for capacity.
     pub(super) fn wait(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Has a request wait while it can still be in time, and gives it up at once when it cannot.
-    pub(super) fn wait_or_give_up(&mut self, id: RequestId, out: &mut impl Decisions) {
+    /// Makes a request wait if it can still be in time; otherwise gives its final answer immediately.
+    pub(super) fn wait_or_answer(&mut self, id: RequestId, out: &mut impl Decisions) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
@@ -83,6 +83,6 @@
         if self.now + expected < objective_at {
             return self.wait(id);
         }
-        self.give_up(id, AnswerReason::WaitTooLong, out);
+        self.answer_unless_in_flight(id, AnswerReason::WaitTooLong, out);
     }
 }
--- a/src/logic/endpoint_list.rs
+++ b/src/logic/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Records endpoint lists: workers that come, go, drain or restart.
+//! Records endpoint lists: workers that are added, removed, draining or restarted.
 
 use super::constants::{INITIAL_CONCURRENCY_LIMIT, SUBSCRIBE_RETRIES_PER_POLL_INTERVAL};
 use super::Router;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Records a snapshot, a change or a failure of the endpoint list.
+    /// Records a full endpoint list, a delta, or a failure to receive one.
     pub(super) fn record_endpoint_list(&mut self, list: &EndpointList) {
         match list.kind {
             EndpointListKind::Failed => return self.retry_subscription(),
@@ -21,18 +21,18 @@
         }
     }
 
-    /// Subscribes again after a random time, so that routers that were rejected together do not come back together.
+    /// Subscribes again after a random delay, since the subscriptions of many routers may have failed together.
     fn retry_subscription(&mut self) {
         let interval = self.config.endpoint_poll_interval / SUBSCRIBE_RETRIES_PER_POLL_INTERVAL;
-        let longest = interval.max(2);
-        let jitter = self.random_draw() % (longest / 2) as u64;
-        let delay = longest / 2 + jitter as Micros;
+        let max_delay = interval.max(2);
+        let jitter = self.next_random() % (max_delay / 2) as u64;
+        let delay = max_delay / 2 + jitter as Micros;
         if !self.timers.iter().any(|(_, t)| *t == Timer::Subscribe) {
             self.timers.insert((self.now + delay, Timer::Subscribe));
         }
     }
 
-    /// Records as gone the workers that a full snapshot does not list.
+    /// Marks workers that a full snapshot does not list as gone.
     fn remove_unlisted(&mut self, listed: &[Endpoint]) {
         let listed: BTreeSet<_> = listed.iter().map(|endpoint| endpoint.worker).collect();
         let endpoints = self.workers.values().map(|worker| worker.endpoint);
@@ -68,11 +68,11 @@
             worker.slow_start_budget_at = now;
         }
         worker.endpoint = *endpoint;
-        // Live sizes would move the preferred endpoints with every list, so that no two routers agree on them.
+        // Live sizes would move the preferred endpoints with every list, and routers would not agree on them.
         if self.config.sizes_are_live {
             worker.endpoint.size = 1.0;
         }
-        // One that was away while ejected would otherwise never count among the ejected again.
+        // A worker that left and returned while ejected would otherwise not be counted as ejected again.
         self.ejected_workers.extend(worker.is_ejected.then_some(id));
         match endpoint.state {
             WorkerState::Ready => self.ready_workers.insert(id.0, worker.endpoint.size),
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates: the work of requests, their value, the rate at which work arrives and the time of loads.
+//! Estimates of requests' work and value, of the rate of incoming work, and of load times.
 
 use super::constants::{INITIAL_WORK_FRACTION, SPEED_FACTOR_DECAY_US};
 use super::Router;
@@ -6,14 +6,14 @@
 use crate::statistics::decayed;
 use crate::{Micros, Request, WorkloadId};
 
-/// The client's hint of the expected work; a hint of zero is none.
+/// The client's hint of the expected work; zero means that there is none.
 pub(super) fn work_hint(request: &Request) -> Option<Micros> {
     request.expected_work.filter(|hint| *hint > 0)
 }
 
 impl Router {
-    /// The work of a request without congestion, in microseconds: the geometric mean of its hint and of what its
-    /// function usually takes, both being rough, corrected by what hinted requests took.
+    /// A request's work without congestion, in microseconds: the geometric mean of its hint and of the function's
+    /// usual work, since both are rough, corrected by the actual work of earlier requests with hints.
     pub(super) fn expected_work(&self, request: &Request) -> f64 {
         let calibration = &self.hint_calibration;
         let is_calibrated = work_hint(request).is_some() && calibration.expected_us > 0.0;
@@ -25,8 +25,8 @@
         self.uncorrected_work(request) * correction
     }
 
-    /// The same without the correction for hints. Until a request of the function was answered, its workload's
-    /// usual work stands for it.
+    /// The same without the correction for hints. Until a request of the function has been answered, the usual work
+    /// of its workload is used.
     pub(super) fn uncorrected_work(&self, request: &Request) -> f64 {
         let function = self.functions.get(request.function);
         let observed = function.filter(|f| f.is_work_observed).map(|f| f.work_us);
@@ -42,9 +42,9 @@
         )
     }
 
-    /// The value of a request for its work. Uses the workload's work: what a function was seen to take under overload
-    /// would have it shed for ever.
-    pub(super) fn value_for_work(&self, request: &Request) -> f64 {
+    /// A request's value per unit of work. Uses the usual work of the workload: a function whose work was observed
+    /// under overload would be shed forever.
+    pub(super) fn value_per_work(&self, request: &Request) -> f64 {
         let weight = self.workload(request.workload).priority_weight;
         match self.config.priority_weight_unit {
             PriorityWeightUnit::Work => weight,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Work that arrives at this router, in microseconds a microsecond.
+    /// The rate of work arriving at this router, in microseconds of work per microsecond.
     pub(super) fn work_rate_now(&self) -> f64 {
         let elapsed = (self.now - self.work_rate_at) as f64;
         self.work_rate * (-elapsed / self.config.collapse_window_us).exp()
     }
 
-    /// The time of loads of late as a multiple of the usual.
+    /// The recent load time as a multiple of the usual one.
     pub(super) fn load_speed_factor_now(&self) -> f64 {
         decayed(
             self.load_times.speed_factor,
--- a/src/logic/keep_alive.rs
+++ b/src/logic/keep_alive.rs
@@ -1,27 +1,27 @@
-//! Instances that are kept longer than workers keep them, pre-warmed, or unloaded early: the `design.` options, off
-//! unless they are set.
+//! Renewal of instances beyond the workers' keep-alive, pre-warming and early unloading: the `design.` options, which
+//! are off unless they are set.
 
-use super::constants::{INSPECTED_ENDPOINTS, MAX_PREWARMED_INSTANCES, RENEWAL_POINT};
+use super::constants::{INSPECTED_ENDPOINTS, MAX_PREWARMED_INSTANCES, RENEWAL_FRACTION};
 use super::Router;
 use crate::config::design_option;
 use crate::state::{Function, Timer};
 use crate::statistics::hash_of;
 use crate::{Decisions, FunctionId, Micros, WorkerId};
 
-/// The options of one function.
+/// The keep-alive options of one function.
 struct KeepAliveOptions {
     /// How long instances are renewed after the last request.
     renew_for: Micros,
-    /// This router's share of the instances to be kept pre-warmed.
+    /// This router's part of the instances to be kept pre-warmed.
     prewarmed_quota: i64,
-    /// Idle instances are unloaded this long after the last request; zero or less if they are not.
+    /// Idle instances are unloaded this long after the last request; never if zero or less.
     unload_after: Micros,
-    /// Whether anything has to be done at all.
+    /// Whether any option is in effect.
     is_active: bool,
 }
 
 impl Router {
-    /// Renews, pre-warms and unloads instances of a function, as its options say.
+    /// Renews, pre-warms and unloads instances of a function according to its options.
     pub(super) fn maintain_instances(&mut self, id: FunctionId, out: &mut impl Decisions) {
         let options = self.keep_alive_options(id);
         let Some(function) = self.functions.get(id) else {
@@ -39,7 +39,7 @@
             Vec::new()
         };
         let prewarm_target = self.prewarm_target(id, function);
-        let next = self.now + (keep_alive as f64 * RENEWAL_POINT) as Micros;
+        let next = self.now + (keep_alive as f64 * RENEWAL_FRACTION) as Micros;
         self.timers.insert((next, Timer::KeepAlive(id)));
         if let Some(worker) = prewarm_target.filter(|_| options.prewarmed_quota > 0) {
             let instances = options.prewarmed_quota.min(MAX_PREWARMED_INSTANCES);
@@ -83,7 +83,8 @@
             .collect()
     }
 
-    /// Where the function was last found warm, else a worker hashed from the function and this router's number.
+    /// The worker where the function was last found warm, otherwise one chosen by a hash of the function and this
+    /// router's index.
     fn prewarm_target(&self, id: FunctionId, function: &Function) -> Option<WorkerId> {
         let seed = hash_of((id, i64::from(self.config.router_index)));
         let ranked = self.ready_workers.ranking(seed).map(WorkerId);
@@ -94,7 +95,7 @@
             .find(|worker| self.is_worker_ready(*worker))
     }
 
-    /// Unloads idle instances of a function that was not called for so long.
+    /// Unloads idle instances of a function that had no request for `unload_after`.
     fn unload_idle_instances(
         &mut self,
         id: FunctionId,
--- a/src/logic/load_budget.rs
+++ b/src/logic/load_budget.rs
@@ -6,8 +6,8 @@
 use crate::{Decisions, FunctionId, WorkerId};
 
 impl Router {
-    /// Commands a worker to load, if its readiness lease and the load budget allow it and no command for the function is
-    /// in flight there.
+    /// Sends a load command if the worker holds a readiness lease, the load budget allows it, no command for the
+    /// function is in flight there, and no backoff after failed loads applies. Returns whether it was sent.
     pub(super) fn command_load(
         &mut self,
         worker: WorkerId,
@@ -15,11 +15,11 @@
         instances: u32,
         out: &mut impl Decisions,
     ) -> bool {
-        let is_ready = self
+        let holds_lease = self
             .workers
             .get(&worker)
             .is_some_and(|w| self.holds_readiness_lease(w));
-        if !self.config.may_command_loads || !is_ready || !self.has_load_budget() {
+        if !self.config.may_command_loads || !holds_lease || !self.has_load_budget() {
             return false;
         }
         let mut instance = self.functions.instance(id, worker);
@@ -43,7 +43,7 @@
         window <= 0 || (self.load_budget.commands.len() + 1) as f64 <= budget
     }
 
-    /// Counts a new request, by which the load budget grows.
+    /// Counts a new request, which raises the load budget.
     pub(super) fn count_request_for_load_budget(&mut self) {
         let window = self.config.load_budget_window;
         if self.config.may_command_loads && window > 0 {
--- a/src/logic/load_results.rs
+++ b/src/logic/load_results.rs
@@ -1,7 +1,7 @@
 //! Records the outcomes of load commands and queries, and learns how long loads take.
 
 use super::constants::{
-    EWMA_WEIGHT, INITIAL_WORK_FRACTION, MAX_SPEED_FACTOR, QUERIED_INSTANCE_LIFE_DIVISOR,
+    EWMA_WEIGHT, INITIAL_WORK_FRACTION, MAX_SPEED_FACTOR, QUERIED_INSTANCE_KEEP_ALIVE_DIVISOR,
     QUERY_CREDIT,
 };
 use super::Router;
@@ -10,7 +10,7 @@
 use crate::{FunctionId, LoadResult, Micros, Outcome};
 
 impl Router {
-    /// Records the outcome of a load command or query; it also shows how many instances are loaded.
+    /// Records the outcome of a load command or query, which also states the number of loaded instances.
     pub(super) fn record_load_result(&mut self, result: &LoadResult) {
         let now = self.now;
         let has_answered = !matches!(
@@ -38,7 +38,7 @@
             let trusted_for = if is_load {
                 self.config.keep_alive
             } else {
-                self.config.keep_alive / QUERIED_INSTANCE_LIFE_DIVISOR
+                self.config.keep_alive / QUERIED_INSTANCE_KEEP_ALIVE_DIVISOR
             };
             instance.expires_at = instance.expires_at.max(now + trusted_for);
         }
@@ -55,21 +55,22 @@
         }
         self.functions
             .set_instance(result.function, result.worker, instance);
-        let has_found = !is_load && is_loaded;
-        self.credit_query_budget(if has_found { QUERY_CREDIT } else { 0.0 });
+        let found_instance = !is_load && is_loaded;
+        self.credit_query_budget(if found_instance { QUERY_CREDIT } else { 0.0 });
     }
 
-    /// Guards against a store that rejects loads: what failed for several functions is not commanded again at once by
-    /// all routers. A single function that fails may itself be at fault.
+    /// Records a failed load. Once loads of different functions fail, the function store may be rejecting them, and
+    /// load commands back off, with jitter so that routers do not resume together. A single function that fails may
+    /// itself be at fault.
     fn record_failed_load(&mut self, id: FunctionId, load_us: f64) {
         let last_failed = self.load_times.last_failed.replace(id);
         if last_failed.is_some_and(|other| other != id) {
-            let jitter = 0.5 + unit_interval(self.random_draw());
+            let jitter = 0.5 + unit_interval(self.next_random());
             self.load_times.backoff_until = self.now + (load_us * jitter) as Micros;
         }
     }
 
-    /// Records the time of one load.
+    /// Updates the load time estimates from one load.
     pub(super) fn learn_load(&mut self, id: FunctionId, observed_us: f64) {
         let speed_factor = self.load_speed_factor_now();
         let Some(function) = self.functions.get_mut(id) else {
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -1,4 +1,4 @@
-//! Records requests, the outcomes of their attempts and health checks; adjusts admission and budgets by them.
+//! Records requests and the outcomes of attempts and health checks, and adjusts admission and budgets accordingly.
 
 use super::constants::{
     EWMA_WEIGHT, IDLE_INCREASE, INITIAL_WORK_FRACTION, IN_TIME_INCREASE, LATE_DECREASE,
@@ -10,21 +10,21 @@
 use crate::statistics::decayed;
 use crate::{AttemptResult, HealthCheckResult, Micros, Outcome, Request, RequestId, Warmth};
 
-/// How an attempt ended, as far as admission is concerned.
+/// The result of an attempt as far as it matters for admission.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Timeliness {
     /// It succeeded within the latency objective.
     InTime,
     /// It ended after the latency objective.
     Late,
-    /// It failed before.
+    /// It failed within the latency objective.
     Failed,
 }
 
 impl Router {
-    /// Records a new request, which is then to be placed.
+    /// Records a new request and schedules its placement.
     pub(super) fn record_request(&mut self, request: &Request) {
-        self.record_call(request);
+        self.record_function_request(request);
         let pending = PendingRequest {
             request: *request,
             arrived_at: self.now,
@@ -38,12 +38,12 @@
         let added_rate = self.expected_work(request) / self.config.collapse_window_us;
         self.work_rate = self.work_rate_now() + added_rate;
         self.work_rate_at = self.now;
-        let value = self.value_for_work(request);
+        let value = self.value_per_work(request);
         self.mean_value += EWMA_WEIGHT / 10.0 * (value - self.mean_value);
     }
 
-    /// Records that a function was called.
-    fn record_call(&mut self, request: &Request) {
+    /// Updates the function, and the request rates, for a new request.
+    fn record_function_request(&mut self, request: &Request) {
         let now = self.now;
         let keep_alive_us = self.config.keep_alive as f64;
         let objective_us = self.latency_objective(request.workload) as f64;
@@ -70,10 +70,10 @@
         self.recent_requests_at = now;
     }
 
-    /// Records the outcome of an attempt. Its request, unless it is answered, and those that wait for the function are
-    /// then to be placed.
+    /// Records the outcome of an attempt. Its request, unless it has its final answer, and those waiting for the
+    /// function are then placed again.
     pub(super) fn record_attempt_result(&mut self, result: &AttemptResult) {
-        self.record_at_worker(result);
+        self.record_result_at_worker(result);
         let Some(pending) = self.requests.get_mut(&result.request) else {
             return;
         };
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Records what an attempt's end shows of the worker: a slot is free, it reported load, it answers or not.
-    fn record_at_worker(&mut self, result: &AttemptResult) {
+    /// Updates the worker after an attempt ended: requests in flight, readiness, load report and reachability.
+    fn record_result_at_worker(&mut self, result: &AttemptResult) {
         let now = self.now;
         let id = result.worker;
         let Some(worker) = self.workers.get_mut(&id) else {
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Adjusts the share of requests admitted under overload: cut by a part, raised by a constant.
+    /// Adjusts the fraction of requests admitted under overload: multiplicative decrease, additive increase.
     fn adjust_admission(&mut self, result: &AttemptResult, timeliness: Timeliness) {
-        // What waited for a load shows nothing of overload; a cold fleet would later shed nearly all.
+        // Waiting for a load does not indicate overload; otherwise a cold fleet would later shed nearly all requests.
         let waited_for_load = matches!(
             result.warmth,
             Warmth::StartedLoad | Warmth::WaitedForLoad | Warmth::LoadFailed
@@ -177,22 +177,23 @@
             (self.admitted_fraction + change).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
-    /// Answers in time pay for retries and queries.
+    /// Credits the retry and query budgets for an answer in time.
     fn credit_budgets(&mut self, timeliness: Timeliness) {
         let is_in_time = timeliness == Timeliness::InTime;
         let credit = |credit| if is_in_time { credit } else { 0.0 };
-        let largest_budget = (self.recent_requests * RETRY_CREDIT).max(1.0);
-        self.retry_budget = (self.retry_budget + credit(RETRY_CREDIT)).min(largest_budget);
+        let max_budget = (self.recent_requests * RETRY_CREDIT).max(1.0);
+        self.retry_budget = (self.retry_budget + credit(RETRY_CREDIT)).min(max_budget);
         self.credit_query_budget(credit(QUERY_CREDIT));
     }
 
-    /// The budget of queries is earned by answers: a function without instances costs no more than others pay.
+    /// Credits the query budget. It is earned by answers, so that queries for functions without instances stay in
+    /// proportion to the requests that are served.
     pub(super) fn credit_query_budget(&mut self, credit: f64) {
-        let largest_budget = (self.recent_requests * QUERY_CREDIT).max(MIN_PREFERRED as f64);
-        self.query_budget = (self.query_budget + credit).min(largest_budget);
+        let max_budget = (self.recent_requests * QUERY_CREDIT).max(MIN_PREFERRED as f64);
+        self.query_budget = (self.query_budget + credit).min(max_budget);
     }
 
-    /// Records the outcome of a health check; only a success shows anything.
+    /// Records the outcome of a health check; only a success is conclusive.
     pub(super) fn record_health_check_result(&mut self, result: &HealthCheckResult) {
         if result.outcome != Outcome::Finished {
             return;
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Forgets a request that has its final answer.
+    /// Removes a request that has its final answer or was cancelled by its client.
     pub(super) fn forget_request(&mut self, id: RequestId) {
         let Some(pending) = self.requests.remove(&id) else {
             return;
--- a/src/logic/outlier_detection.rs
+++ b/src/logic/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: workers that take requests and answer nothing are checked, ejected, and lose their requests.
+//! Outlier detection: workers that accept requests but do not answer are checked and ejected, and their requests are
+//! retried elsewhere.
 
 use super::constants::{MAX_CHECK_BACKOFF, POLLS_PER_OBJECTIVE};
 use super::Router;
@@ -6,8 +7,8 @@
 use crate::{Decisions, Micros, RequestId, WorkerId, WorkerState};
 
 impl Router {
-    /// Guards against workers that hang, are cut off or dead. One that owes an answer for long is checked; one that does
-    /// not answer the check is ejected and checked again, ever less often.
+    /// Detects workers that hang, are unreachable or have crashed. One with an overdue answer is checked; if it does
+    /// not answer the check, it is ejected and checked again at increasing intervals.
     pub(super) fn check_overdue_worker(&mut self, id: WorkerId, out: &mut impl Decisions) {
         let now = self.now;
         let check_interval = self.config.tightest_objective / POLLS_PER_OBJECTIVE;
@@ -25,7 +26,7 @@
         {
             return;
         }
-        // Where nothing can be checked, silence proves nothing, and a failed worker is retried by the next request.
+        // Without any means to check a worker, silence proves nothing; later requests try the ejected worker again.
         if has_failed_check && !can_check {
             worker.is_ejected = false;
             worker.unanswered_check_at = None;
@@ -44,11 +45,11 @@
             .insert((now + check_interval * backoff, Timer::WorkerOverdue(id)));
         self.check_worker(id, out);
         for attempt in stuck {
-            self.move_request(attempt.request, attempt.attempt, out);
+            self.retry_stuck_request(attempt.request, attempt.attempt, out);
         }
     }
 
-    /// Starts a health check or, where there is none, a query for the instances of any function.
+    /// Starts a health check or, if these are not available, a query for the instances of any function.
     fn check_worker(&mut self, id: WorkerId, out: &mut impl Decisions) {
         if self.config.may_check_health {
             out.check_health(id);
@@ -66,14 +67,20 @@
         }
     }
 
-    /// Another attempt for a request that is stuck at an ejected worker, if the retry policy allows one and the time
-    /// left exceeds what it is expected to take: a hedged one where that is allowed, else in place of the first.
-    fn move_request(&mut self, id: RequestId, number: usize, out: &mut impl Decisions) {
+    /// Starts another attempt for a request that is stuck at an ejected worker, if the retry policy allows one and
+    /// the time left exceeds the expected work: as a hedged request where that is allowed, else after cancelling the
+    /// stuck attempt.
+    fn retry_stuck_request(
+        &mut self,
+        id: RequestId,
+        attempt_index: usize,
+        out: &mut impl Decisions,
+    ) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
         let request = pending.request;
-        let attempt = pending.attempts.get(number);
+        let attempt = pending.attempts.get(attempt_index);
         let is_stuck = attempt.is_some_and(|a| a.status == AttemptStatus::InFlight);
         let has_time = request.deadline - self.now > self.expected_work(&request) as Micros;
         if !is_stuck || pending.in_flight() > 1 || !has_time || !self.has_allowed_worker(pending) {
@@ -82,14 +89,14 @@
         if self.may_hedge(&request) {
             self.unplaced.insert(id);
         } else if self.config.may_cancel {
-            self.set_cancelling(id, number);
-            out.cancel(id, number);
+            self.mark_cancelling(id, attempt_index);
+            out.cancel(id, attempt_index);
         }
     }
 
-    fn set_cancelling(&mut self, id: RequestId, number: usize) {
+    fn mark_cancelling(&mut self, id: RequestId, attempt_index: usize) {
         let pending = self.requests.get_mut(&id);
-        if let Some(attempt) = pending.and_then(|p| p.attempts.get_mut(number)) {
+        if let Some(attempt) = pending.and_then(|p| p.attempts.get_mut(attempt_index)) {
             attempt.status = AttemptStatus::Cancelling;
         }
     }
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of one request, step by step: admission, candidates, the warm-first choice, a cold start, or rejection.
+//! Placement of one request: admission, candidates, the warm-first choice, a cold start, or a final answer.
 
 use super::candidates::Candidates;
 use super::cold_start::ColdStart;
@@ -8,13 +8,13 @@
 use crate::state::PendingRequest;
 use crate::{AnswerReason, Decisions, Micros, Request, RequestId};
 
-/// A request to be placed, with what its placement depends on.
+/// A request to be placed, with the inputs of its placement.
 pub(super) struct PlacementRequest {
     /// The request.
     pub request: Request,
     /// When it arrived.
     pub arrived_at: Micros,
-    /// Attempts that it has had.
+    /// The number of attempts so far.
     pub attempts: usize,
     /// Whether an attempt is in flight, so that another one is a hedge.
     pub is_hedge: bool,
@@ -22,62 +22,64 @@
     pub was_last_rejected: bool,
     /// Its work without congestion, in microseconds.
     pub work_us: f64,
-    /// Its work at the median worker, in microseconds.
+    /// Its expected time at the median worker, in microseconds.
     pub median_work_us: f64,
-    /// The time left until its client gives up.
+    /// The time left until its deadline.
     pub time_left: Micros,
     /// The time left of its latency objective.
     pub objective_left: Micros,
-    /// The time within which it must be predicted to end in order to be placed.
+    /// The time within which it must be predicted to finish in order to be placed.
     pub time_budget: Micros,
-    /// Whether its value for its work is not below the mean.
+    /// Whether its value per unit of work is not clearly below the mean.
     pub is_valuable: bool,
 }
 
-/// The choice made among the candidates.
+/// The result of choosing among the candidates.
 pub(super) enum Choice {
-    /// The endpoint list is stale and no worker holds a readiness lease.
+    /// The endpoint list is stale and all readiness leases have expired.
     EndpointsStale,
-    /// No worker may get an attempt.
+    /// No worker may receive an attempt.
     NoWorker,
-    /// An instance with capacity.
+    /// An instance has free capacity.
     Warm(WarmChoice),
-    /// No instance has capacity.
+    /// No instance has free capacity.
     Cold(ColdStart),
 }
 
 impl Router {
-    /// Dispatches a request, has it wait, or answers it.
+    /// Dispatches a request, makes it wait, or gives its final answer.
     pub(super) fn place_request(&mut self, id: RequestId, out: &mut impl Decisions) {
         let pending = self.requests.get(&id);
         let Some(placement) = pending.and_then(|p| self.placement_request(p)) else {
             return;
         };
         if !self.admits(&placement) {
-            return self.give_up(id, AnswerReason::Overloaded, out);
+            return self.answer_unless_in_flight(id, AnswerReason::Overloaded, out);
         }
-        let draw = self.random_draw();
+        let random = self.next_random();
         let now = self.now;
         let function = placement.request.function;
         self.functions
-            .remove_expired(function, draw, MAX_WARM_CANDIDATES, |instance| {
+            .remove_expired(function, random, MAX_WARM_CANDIDATES, |instance| {
                 instance.in_flight == 0 && instance.expires_at <= now
             });
-        let Some(choice) = self.choose(&placement, draw) else {
+        let Some(choice) = self.choose(&placement, random) else {
             return;
         };
         match choice {
             Choice::EndpointsStale if self.may_be_confirmed_soon() => {
-                self.wait_or_give_up(id, out);
+                self.wait_or_answer(id, out);
             }
-            Choice::EndpointsStale => self.give_up(id, AnswerReason::EndpointsStale, out),
-            Choice::NoWorker => self.give_up(id, AnswerReason::NoWorker, out),
+            Choice::EndpointsStale => {
+                self.answer_unless_in_flight(id, AnswerReason::EndpointsStale, out)
+            }
+            Choice::NoWorker => self.answer_unless_in_flight(id, AnswerReason::NoWorker, out),
             Choice::Warm(choice) => self.dispatch_warm(&placement, &choice, out),
-            Choice::Cold(cold_start) => self.start_cold(&placement, &cold_start, out),
+            Choice::Cold(cold_start) => self.handle_cold_start(&placement, &cold_start, out),
         }
     }
 
-    /// What a request's placement depends on; none if no other attempt may be in flight beside those that are.
+    /// The inputs of a request's placement; `None` if it already has as many attempts in flight as it may have.
     fn placement_request(&self, pending: &PendingRequest) -> Option<PlacementRequest> {
         let request = pending.request;
         let in_flight = pending.in_flight();
@@ -100,20 +102,20 @@
             time_left,
             objective_left,
             time_budget: self.time_budget(time_left, objective_left),
-            is_valuable: self.value_for_work(&request) >= least_value,
+            is_valuable: self.value_per_work(&request) >= least_value,
         })
     }
 
-    fn choose(&self, placement: &PlacementRequest, draw: u64) -> Option<Choice> {
+    fn choose(&self, placement: &PlacementRequest, random: u64) -> Option<Choice> {
         let pending = self.requests.get(&placement.request.id)?;
         let function = self.functions.get(placement.request.function)?;
-        if self.has_no_lease() {
+        if self.have_all_leases_expired() {
             return Some(Choice::EndpointsStale);
         }
         if placement.attempts > 0 && !self.has_allowed_worker(pending) {
             return Some(Choice::NoWorker);
         }
-        let candidates = Candidates::new(self, placement, pending, function, draw);
+        let candidates = Candidates::new(self, placement, pending, function, random);
         let choice = match candidates.choose_warm() {
             Some(choice) => Choice::Warm(choice),
             None => Choice::Cold(candidates.plan_cold_start()),
--- a/src/logic/readiness_lease.rs
+++ b/src/logic/readiness_lease.rs
@@ -1,23 +1,25 @@
-//! Readiness leases (rule 3 while discovery is out of reach): how long a worker may be taken for ready without news of it.
+//! Readiness leases (rule 3 while the discovery service is unavailable): how long a worker is considered ready without
+//! confirmation.
 //!
-//! An endpoint list says nothing of what has happened since. Where the host states until when its list is confirmed, three
-//! phases follow each other until the next confirmation:
+//! An endpoint list says nothing about later changes. If the host reports until when its list is confirmed, the list
+//! goes through three phases until the next confirmation:
 //!
-//! 1. *Current*: changes can't count as told yet.
-//! 2. *Overdue*, once changes may count as told (`notified_after`): a worker that rejects what it is sent may be
-//!    draining, and gets nothing more unless it has accepted something later.
-//! 3. *Stale*, once they count as told at the latest (`notified_within`): a worker has to hold a lease of its own,
-//!    which it gets with each attempt that it accepts, counted from the dispatch.
+//! 1. *Current*: this router cannot count as notified of later changes yet.
+//! 2. *Overdue*, once it may count as notified of them (`notified_after`): a worker that rejects an attempt may be
+//!    draining, and receives nothing more unless it has accepted a later attempt.
+//! 3. *Stale*, once it counts as notified of them at the latest (`notified_within`): a worker has to hold a lease of
+//!    its own, which is renewed by each attempt that it accepts, from the time of the dispatch.
 //!
-//! Only accepted attempts count: a draining worker answers queries and load commands of loaded instances like any other.
+//! Only accepted attempts renew a lease: a draining worker still answers queries, and load commands for loaded
+//! instances.
 
-use super::constants::SHORTEST_LEASE_DIVISOR;
+use super::constants::MIN_LEASE_DIVISOR;
 use super::Router;
 use crate::state::{InFlightAttempt, Worker};
 use crate::{EndpointConfirmation, Micros, Outcome, WorkerId};
 
 impl Router {
-    /// Records until when the host's endpoint list is confirmed. What waited for that is to be placed again.
+    /// Records until when the host's endpoint list is confirmed; requests that waited for this are placed again.
     pub(super) fn record_confirmation(&mut self, confirmation: EndpointConfirmation) {
         if self.are_endpoints_overdue() {
             self.unplaced.extend(&self.waiting);
@@ -25,26 +27,27 @@
         self.endpoint_confirmation = Some(confirmation);
     }
 
-    /// Until when the endpoint list is confirmed; zero where the host does not state it.
+    /// Until when the endpoint list is confirmed; zero if the host does not report it.
     pub(super) fn endpoints_confirmed_at(&self) -> Micros {
         self.endpoint_confirmation
             .map_or(0, |confirmation| confirmation.confirmed_at)
     }
 
-    /// Whether changes of the endpoint list may count as told that this router has not received.
+    /// Whether this router may count as notified of changes that it has not received.
     pub(super) fn are_endpoints_overdue(&self) -> bool {
         self.is_list_older_than(|confirmation| confirmation.notified_after)
     }
 
-    /// Whether changes of the endpoint list count as told that this router has not received.
+    /// Whether this router counts as notified of changes that it has not received.
     pub(super) fn are_endpoints_stale(&self) -> bool {
-        self.is_list_older_than(|confirmation| self.lease(confirmation.notified_within))
+        self.is_list_older_than(|confirmation| self.lease_duration(confirmation.notified_within))
     }
 
-    /// Whether the list is stale before a worker's lease that begins now ends.
+    /// Whether the list becomes stale before a worker's lease that starts now expires.
     pub(super) fn will_need_leases(&self) -> bool {
         self.is_list_older_than(|confirmation| {
-            self.lease(confirmation.notified_within) - self.lease(confirmation.notified_after)
+            self.lease_duration(confirmation.notified_within)
+                - self.lease_duration(confirmation.notified_after)
         })
     }
 
@@ -53,31 +56,33 @@
             .is_some_and(|confirmation| self.now >= confirmation.confirmed_at + age(&confirmation))
     }
 
-    /// How long what was known stays good, where changes count as told after such a time. An attempt may take as long as a
-    /// connection to be written; what the grace does not cover of that is left out.
-    fn lease(&self, notified: Micros) -> Micros {
+    /// How long information stays valid if this router counts as notified of changes after `notification_delay`. An
+    /// attempt may be sent as late as the connect timeout after its dispatch; the part that the drain grace does not
+    /// cover is subtracted.
+    fn lease_duration(&self, notification_delay: Micros) -> Micros {
         let uncovered = (self.config.connect_timeout - self.config.drain_grace).max(0);
-        (notified - uncovered).max(notified / SHORTEST_LEASE_DIVISOR)
+        (notification_delay - uncovered).max(notification_delay / MIN_LEASE_DIVISOR)
     }
 
-    /// How long a worker is taken for ready after it accepted an attempt, where the list is stale.
-    fn worker_lease(&self) -> Micros {
-        self.endpoint_confirmation
-            .map_or(0, |confirmation| self.lease(confirmation.notified_after))
+    /// How long a worker is considered ready after it accepted an attempt, while the list is stale.
+    fn worker_lease_duration(&self) -> Micros {
+        self.endpoint_confirmation.map_or(0, |confirmation| {
+            self.lease_duration(confirmation.notified_after)
+        })
     }
 
-    /// Whether a worker may get something new, as far as news of it are recent enough.
+    /// Whether a worker may receive new attempts and load commands, by the age of what is known of it.
     pub(super) fn holds_readiness_lease(&self, worker: &Worker) -> bool {
         if !self.are_endpoints_overdue() {
             return true;
         }
         if self.may_be_draining(worker) {
-            // A drain that began after the last accepted attempt has the grace still.
+            // A drain that began after the last accepted attempt is still within its grace period.
             return self.now < worker.accepted_at + self.config.drain_grace;
         }
         !self.are_endpoints_stale()
-            || self.now < worker.accepted_at + self.worker_lease()
-            || (self.now < self.leases_extended_until && self.is_lease_extensible(worker))
+            || self.now < worker.accepted_at + self.worker_lease_duration()
+            || (self.now < self.leases_extended_until && self.can_extend_lease(worker))
     }
 
     /// Whether a worker has rejected an attempt since the list was confirmed, and accepted none since.
@@ -86,19 +91,19 @@
             && worker.rejected_at > worker.accepted_at
     }
 
-    /// Records what the outcome of an attempt shows of its worker's readiness as it was dispatched.
+    /// Records what an attempt's outcome shows of the worker's readiness at the time of its dispatch.
     pub(super) fn record_readiness(
         &mut self,
         id: WorkerId,
         attempt: &InFlightAttempt,
-        end: Outcome,
+        outcome: Outcome,
     ) {
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
         let dispatched_at = attempt.dispatched_at;
-        match end {
-            // A worker that drains rejects without looking at the function.
+        match outcome {
+            // A cold miss, too: a draining worker rejects requests before it checks whether the function is loaded.
             Outcome::Finished | Outcome::ColdMiss => {
                 worker.accepted_at = worker.accepted_at.max(dispatched_at);
                 self.last_accepted_at = self.last_accepted_at.max(dispatched_at);
@@ -108,39 +113,39 @@
         }
     }
 
-    /// Extends workers' leases where all of them have ended. Guards against a router that had no traffic, or stood
-    /// still, and would serve nothing until discovery is back.
+    /// Extends workers' leases once all of them have expired. Otherwise a router that had no traffic, or was
+    /// suspended, would serve nothing until the discovery service is available again.
     pub(super) fn extend_leases(&mut self) {
-        let have_all_ended = self.now >= self.last_accepted_at + self.worker_lease();
+        let have_all_expired = self.now >= self.last_accepted_at + self.worker_lease_duration();
         let is_extended = self.now < self.leases_extended_until;
-        if !self.are_endpoints_stale() || !have_all_ended || is_extended {
+        if !self.are_endpoints_stale() || !have_all_expired || is_extended {
             return;
         }
-        let is_any_extensible = self.workers.values().any(|w| self.is_lease_extensible(w));
-        if is_any_extensible {
-            self.leases_extended_until = self.now + self.worker_lease();
+        let can_extend_any = self.workers.values().any(|w| self.can_extend_lease(w));
+        if can_extend_any {
+            self.leases_extended_until = self.now + self.worker_lease_duration();
         }
     }
 
-    /// Whether a lease may be extended: not one from before changes could count as told, as a drain that began with the
-    /// outage may have come after it.
-    fn is_lease_extensible(&self, worker: &Worker) -> bool {
-        let counts_from = self.endpoint_confirmation.map_or(0, |confirmation| {
+    /// Whether a worker's lease may be extended. It may not if its last accepted attempt precedes the overdue phase:
+    /// a drain that began together with the outage may have followed it.
+    fn can_extend_lease(&self, worker: &Worker) -> bool {
+        let overdue_from = self.endpoint_confirmation.map_or(0, |confirmation| {
             confirmation.confirmed_at + confirmation.notified_after
         });
-        worker.is_ready() && worker.accepted_at > counts_from && !self.may_be_draining(worker)
+        worker.is_ready() && worker.accepted_at > overdue_from && !self.may_be_draining(worker)
     }
 
     /// Whether the list is stale and no worker holds a lease, so that nothing can be dispatched.
-    pub(super) fn has_no_lease(&self) -> bool {
-        let have_all_ended = self.now >= self.last_accepted_at + self.worker_lease();
-        self.are_endpoints_stale() && have_all_ended && self.now >= self.leases_extended_until
+    pub(super) fn have_all_leases_expired(&self) -> bool {
+        let have_all_expired = self.now >= self.last_accepted_at + self.worker_lease_duration();
+        self.are_endpoints_stale() && have_all_expired && self.now >= self.leases_extended_until
     }
 
-    /// Whether the list has been stale for so short that its next confirmation may be under way.
+    /// Whether the list became stale so recently that its next confirmation may be on its way.
     pub(super) fn may_be_confirmed_soon(&self) -> bool {
         !self.is_list_older_than(|confirmation| {
-            self.lease(confirmation.notified_within) + self.config.drain_grace
+            self.lease_duration(confirmation.notified_within) + self.config.drain_grace
         })
     }
 }
--- a/src/logic/rejection.rs
+++ b/src/logic/rejection.rs
@@ -5,8 +5,8 @@
 use crate::{AnswerReason, Decisions, Micros, Request, RequestId};
 
 impl Router {
-    /// The final answer of a request that is not going to be in time, at once, unless an attempt is in flight.
-    pub(super) fn give_up(
+    /// Gives the final answer to a request that can't be served in time, unless an attempt of it is in flight.
+    pub(super) fn answer_unless_in_flight(
         &mut self,
         id: RequestId,
         reason: AnswerReason,
@@ -14,12 +14,12 @@
     ) {
         let pending = self.requests.get(&id);
         if !pending.is_some_and(|pending| pending.is_in_flight()) {
-            self.answer_now(id, reason, out);
+            self.answer_unfinished(id, reason, out);
         }
     }
 
-    /// The final answer of a request that has not finished: rejected if the client may safely repeat it, else failed.
-    pub(super) fn answer_now(
+    /// Gives the final answer to an unfinished request: rejected if the client may safely retry it, otherwise failed.
+    pub(super) fn answer_unfinished(
         &mut self,
         id: RequestId,
         reason: AnswerReason,
@@ -30,7 +30,7 @@
         };
         let request = pending.request;
         out.explain(id, reason);
-        if self.is_repeatable_by_client(pending) {
+        if self.is_retryable_by_client(pending) {
             let retry_after = self.retry_after(&request);
             out.reject(id, retry_after);
         } else {
@@ -39,8 +39,8 @@
         self.forget_request(id);
     }
 
-    /// The Retry-After of a rejected request: under overload the longer the less is admitted, else the time of a load.
-    /// It has random jitter, so that rejected requests do not come back together.
+    /// The Retry-After of a rejected request: under overload it grows as less is admitted, otherwise it is a load
+    /// time. Random jitter prevents rejected requests from returning together.
     fn retry_after(&mut self, request: &Request) -> Micros {
         let function = self.functions.get(request.function);
         let base_us = if self.is_overloaded() {
@@ -50,7 +50,7 @@
             function.map_or(0.0, |f| f.load_us * self.load_speed_factor_now())
         };
         let base_us = base_us.max(self.expected_work(request));
-        let jitter = 0.5 + unit_interval(self.random_draw());
+        let jitter = 0.5 + unit_interval(self.next_random());
         let retry_after = (base_us * jitter) as Micros;
         retry_after.min(self.config.max_retry_after)
     }
--- a/src/logic/retry_policy.rs
+++ b/src/logic/retry_policy.rs
@@ -1,4 +1,5 @@
-//! Retry policy (rules 2 and 3): where a request may have another attempt, and whether it may be hedged or repeated.
+//! Retry policy (rules 2 and 3): where a request may have another attempt, whether it may be hedged, and whether its
+//! client may retry it.
 
 use super::Router;
 use crate::config::{Idempotency, KeyScope};
@@ -6,31 +7,32 @@
 use crate::{Endpoint, Request, WorkerState};
 
 impl Router {
-    /// Whether an attempt of the request may be dispatched to a worker: it is ready by news that are recent enough, not
-    /// ejected, has no other attempt of the request in flight, and the request may run there again if it may have run before.
+    /// Whether an attempt of the request may be dispatched to a worker: the worker is ready by sufficiently recent
+    /// information, not ejected, and has no other attempt of the request in flight; if the request may have run
+    /// before, it must be allowed to run again there.
     pub(super) fn allows_attempt(&self, pending: &PendingRequest, to: &Worker) -> bool {
         let is_healthy = !to.is_ejected || self.fleet.is_in_panic_mode;
-        let is_there = |a: &Attempt| a.is_in_flight() && a.worker == to.endpoint.worker;
+        let is_in_flight_there = |a: &Attempt| a.is_in_flight() && a.worker == to.endpoint.worker;
         if to.endpoint.state != WorkerState::Ready
             || !is_healthy
             || !self.holds_readiness_lease(to)
-            || pending.attempts.iter().any(is_there)
+            || pending.attempts.iter().any(is_in_flight_there)
         {
             return false;
         }
         let first_run = pending.attempts.iter().find(|a| a.may_have_run());
-        first_run.is_none_or(|first| self.allows_repetition(&pending.request, first, &to.endpoint))
+        first_run.is_none_or(|first| self.allows_rerun(&pending.request, first, &to.endpoint))
     }
 
-    /// Whether a request that may have run in an attempt may run again at an endpoint.
-    fn allows_repetition(&self, request: &Request, first: &Attempt, to: &Endpoint) -> bool {
+    /// Whether a request that may have run in an earlier attempt may run again at an endpoint.
+    fn allows_rerun(&self, request: &Request, first: &Attempt, to: &Endpoint) -> bool {
         let workload = self.workload(request.workload);
         match workload.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::ByKey => {
-                let is_key_kept = self.now - first.dispatched_at < workload.key_window;
-                is_key_kept && self.is_in_key_scope(workload.key_scope, first, to)
+                let is_within_key_window = self.now - first.dispatched_at < workload.key_window;
+                is_within_key_window && self.is_in_key_scope(workload.key_scope, first, to)
             }
         }
     }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Whether any worker may get another attempt of the request.
+    /// Whether any worker may receive another attempt of the request.
     pub(super) fn has_allowed_worker(&self, pending: &PendingRequest) -> bool {
         self.workers
             .values()
@@ -62,8 +64,8 @@
         self.config.may_hedge && idempotency == Idempotency::Idempotent
     }
 
-    /// Whether the client may safely repeat a request that gets no answer from this router.
-    pub(super) fn is_repeatable_by_client(&self, pending: &PendingRequest) -> bool {
+    /// Whether the client may safely retry a request that this router did not finish.
+    pub(super) fn is_retryable_by_client(&self, pending: &PendingRequest) -> bool {
         let workload = self.workload(pending.request.workload);
         let may_have_run = pending.attempts.iter().any(Attempt::may_have_run);
         match workload.idempotency {
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start (rule 4): a worker that restarted gets a growing share of the work while it warms up.
+//! Slow start (rule 4): a restarted worker receives a growing fraction of the work while it warms up.
 
 use super::constants::SLOW_START_HEADROOM;
 use super::Router;
@@ -7,12 +7,13 @@
 use crate::{Micros, RequestId, WorkerId};
 
 impl Router {
-    /// Whether a request's work fits the worker's slow-start budget. What is saved up for a part only is enough with a
-    /// probability in proportion, or many routers would each save up for a request and dispatch them together.
+    /// Whether a request fits the worker's slow-start budget. A budget that covers only part of its work admits it
+    /// with a proportional probability; otherwise many routers would each save up for one request and dispatch it at
+    /// the same time.
     pub(super) fn slow_start_admits(&self, to: &Worker, request: RequestId, work_us: f64) -> bool {
-        let draw = || unit_interval(hash_of((self.seed, to.endpoint.worker, request)));
+        let random = || unit_interval(hash_of((self.seed, to.endpoint.worker, request)));
         self.slow_start_budget(to)
-            .is_none_or(|budget_us| budget_us > draw() * work_us)
+            .is_none_or(|budget_us| budget_us > random() * work_us)
     }
 
     /// When a worker started: as listed or, until the list is confirmed again, as presumed.
@@ -25,9 +26,9 @@
         }
     }
 
-    /// A worker that was lost and answers again, while the endpoint list is too old to tell of a restart, is presumed to
-    /// have restarted: it is cold and has no instances. Guards against overloading a worker that comes back while discovery
-    /// is out of reach.
+    /// Presumes that a worker has restarted if it was lost and answers again while the endpoint list is too old to
+    /// show a restart: it is then cold and has no instances. Otherwise a worker that returns while the discovery
+    /// service is unavailable would be overloaded.
     pub(super) fn presume_restart(&mut self, id: WorkerId) {
         let is_overdue = self.are_endpoints_overdue();
         let confirmed_at = self.endpoints_confirmed_at();
@@ -45,9 +46,9 @@
         self.functions.forget_instances(id);
     }
 
-    /// Work, in microseconds, that may be dispatched to a worker now; none if it is warm. It accrues at the worker's
-    /// share of an even share of the work that arrives here, over no more than the collapse window; so all routers
-    /// together stay near what the worker can do.
+    /// Work, in microseconds, that may be dispatched to a worker now; `None` if it is warm. The budget accrues at a
+    /// growing fraction of the worker's part of the work that arrives here, over no more than the collapse window, so
+    /// that all routers together stay near the worker's capacity.
     pub(super) fn slow_start_budget(&self, worker: &Worker) -> Option<f64> {
         let endpoint = &worker.endpoint;
         let started_at = self.started_at(worker);
@@ -60,7 +61,7 @@
         let fleet_fraction = endpoint.size / self.ready_workers.total_weight().max(endpoint.size);
         let rate = self.work_rate_now() * fleet_fraction * warm_fraction * SLOW_START_HEADROOM;
         let elapsed = (self.now - worker.slow_start_budget_at).max(0) as f64;
-        let saved = worker.slow_start_budget_us + rate * elapsed;
-        Some(saved.min(rate * self.config.collapse_window_us))
+        let accrued = worker.slow_start_budget_us + rate * elapsed;
+        Some(accrued.min(rate * self.config.collapse_window_us))
     }
 }
--- a/src/logic/warm_first.rs
+++ b/src/logic/warm_first.rs
@@ -1,4 +1,4 @@
-//! The warm-first choice: an instance with capacity, believed or presumed to be loaded.
+//! Warm-first choice: an instance with free capacity that is believed or presumed to be loaded.
 
 use super::candidates::{Candidate, Candidates};
 use super::constants::{MIN_PREFERRED, PREFERRED_ENDPOINTS};
@@ -7,22 +7,22 @@
 use crate::state::{InstanceCommand, InstanceState, Worker};
 use crate::{Decisions, Micros, WorkerId};
 
-/// The worker that gets a request.
+/// The worker chosen for a request.
 pub(super) struct WarmChoice {
     worker: WorkerId,
-    /// Another worker that is to load the function for the requests that follow.
-    load_ahead_at: Option<WorkerId>,
+    /// Another worker that is commanded to load the function for later requests.
+    preload_worker: Option<WorkerId>,
 }
 
 impl Router {
-    /// Dispatches a request to the chosen instance, after the load command for later requests.
+    /// Dispatches a request to the chosen worker, after the load command for later requests.
     pub(super) fn dispatch_warm(
         &mut self,
         placement: &PlacementRequest,
         choice: &WarmChoice,
         out: &mut impl Decisions,
     ) {
-        if let Some(worker) = choice.load_ahead_at {
+        if let Some(worker) = choice.preload_worker {
             self.command_load(worker, placement.request.function, 1, out);
         }
         self.dispatch(placement.request.id, choice.worker, placement.work_us, out);
@@ -30,16 +30,16 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// The instance with capacity at an uncongested worker, in the local zone, with the fewest requests of this router in
-    /// flight, in this order. Ties are random in proportion to a worker's size and to how little it reports to have in
-    /// flight: with hundreds of routers most are ties.
+    /// Chooses an instance with free capacity: one at an uncongested worker, in the local zone, and with the fewest
+    /// requests of this router in flight, in this order. Ties, which most choices are with hundreds of routers, are
+    /// broken at random, in favor of large workers and of those that report few requests in flight.
     pub(super) fn choose_warm(&self) -> Option<WarmChoice> {
-        let is_frequent = self.has_frequent_calls_elsewhere();
+        let is_frequent = self.is_requested_often_elsewhere();
         let presumed = self.presumed_instances(is_frequent);
-        let free = self.warm.iter().chain(&presumed);
-        let free = free.filter(|c| self.is_open(c) && self.is_free(c));
-        let best = free.map(|c| c.worker).min_by_key(|worker| {
-            let tie_break = self.router.weighted_random(self.draw, worker).to_bits();
+        let candidates = self.warm.iter().chain(&presumed);
+        let candidates = candidates.filter(|c| self.is_eligible(c) && self.has_free_slot(c));
+        let best = candidates.map(|c| c.worker).min_by_key(|worker| {
+            let tie_break = self.router.weighted_random(self.random, worker).to_bits();
             (
                 self.router.is_congested(worker),
                 self.is_remote(worker),
@@ -50,12 +50,12 @@
         })?;
         Some(WarmChoice {
             worker: best.endpoint.worker,
-            load_ahead_at: self.load_ahead_target(best, is_frequent),
+            preload_worker: self.preload_target(best, is_frequent),
         })
     }
 
-    /// Exception: where readiness leases will be needed, ties go to the worker whose readiness lease ends first, so that use
-    /// renews as many leases as it can.
+    /// Exception: if readiness leases will be needed, ties go to the worker whose lease expires first, so that
+    /// traffic renews as many leases as possible.
     fn lease_rank(&self, worker: &Worker) -> Micros {
         if self.router.will_need_leases() {
             worker.accepted_at
@@ -64,44 +64,51 @@
         }
     }
 
-    /// Whether the other routers, if they dispatch as this one does, call each preferred endpoint many times in a
-    /// keep-alive.
-    fn has_frequent_calls_elsewhere(&self) -> bool {
+    /// Whether the other routers, if they dispatch as this one does, send many requests to each preferred endpoint in
+    /// one keep-alive.
+    fn is_requested_often_elsewhere(&self) -> bool {
         let other_routers = f64::from(self.router.config.router_count) - 1.0;
         let partitions = self.fan_out.partitions as f64;
-        let calls = other_routers * self.function.recent_requests / partitions;
-        calls >= (self.fan_out.preferred * self.fan_out.preferred) as f64
+        let requests = other_routers * self.function.recent_requests / partitions;
+        requests >= (self.fan_out.preferred * self.fan_out.preferred) as f64
     }
 
-    /// Exception: preferred endpoints that are presumed to have an instance. Guards against each router's knowing little
-    /// where there are many. Preferred endpoints of a function that is called often here are queried instead.
+    /// Exception: preferred endpoints that are presumed to have an instance, since among many routers each knows of
+    /// few instances. Preferred endpoints of a function that other routers rarely request are queried instead.
     fn presumed_instances(&self, is_frequent: bool) -> Vec<Candidate<'a>> {
         let router = self.router;
-        let width = self.fan_out.preferred;
-        let is_spread =
-            width > MIN_PREFERRED || self.warm.iter().all(|c| router.is_congested(c.worker));
-        // Under overload, a wrong presumption costs more than the congestion of a believed instance.
-        let has_believed = self.warm.iter().any(|c| self.is_open(c) && self.is_free(c));
-        let presumes = is_frequent && is_spread && !(has_believed && router.is_overloaded());
-        // A wrong presumption costs a miss, or else a load, which must end in time as well.
-        let with_load = (self.load_us + self.placement.work_us) as Micros;
-        let has_time = router.config.workers_answer_misses || with_load <= self.placement.time_left;
-        if !presumes || !has_time {
+        let preferred_count = self.fan_out.preferred;
+        let needs_spreading = preferred_count > MIN_PREFERRED
+            || self.warm.iter().all(|c| router.is_congested(c.worker));
+        // Under overload, a wrong presumption costs more than the congestion of an instance believed to be loaded.
+        let has_believed_instance = self
+            .warm
+            .iter()
+            .any(|c| self.is_eligible(c) && self.has_free_slot(c));
+        let should_presume =
+            is_frequent && needs_spreading && !(has_believed_instance && router.is_overloaded());
+        // A wrong presumption costs a cold miss or else a load, which must finish in time as well.
+        let load_and_work = (self.load_us + self.placement.work_us) as Micros;
+        let has_time =
+            router.config.workers_answer_misses || load_and_work <= self.placement.time_left;
+        if !should_presume || !has_time {
             return Vec::new();
         }
-        // A congested endpoint with a queue does not count: the next one stands in. Guards against all routers filling a
-        // hot function's first two endpoints.
+        // A congested endpoint with a queue does not count, and the next one is added in its place. Otherwise all
+        // routers would fill the first two endpoints of a hot function.
         let mut uncongested = 0;
         let endpoints = self.preferred.first(self.presumption_limit());
         let endpoints = endpoints.take_while(|worker| {
-            let is_full = router.is_congested(worker) && router.may_have_queue(worker);
-            uncongested += usize::from(!is_full);
-            uncongested <= width
+            let is_congested_with_queue =
+                router.is_congested(worker) && router.may_have_queue(worker);
+            uncongested += usize::from(!is_congested_with_queue);
+            uncongested <= preferred_count
         });
         endpoints.filter_map(|w| self.presume_instance(w)).collect()
     }
 
-    /// Endpoints inspected for presumed instances: at most one fallback for each where a wrong presumption costs a load.
+    /// Endpoints inspected for presumed instances: where a wrong presumption costs a load, at most one fallback for
+    /// each preferred endpoint.
     fn presumption_limit(&self) -> usize {
         if self.router.config.workers_answer_misses {
             self.fan_out.inspected
@@ -110,7 +117,7 @@
         }
     }
 
-    /// A warm worker of which nothing to the contrary is known is presumed to have one instance.
+    /// Presumes one instance at a worker that has warmed up, unless something to the contrary is known.
     fn presume_instance(&self, worker: &'a Worker) -> Option<Candidate<'a>> {
         let instance = self.instance_at(worker);
         let may_be_loaded = instance.missing_until <= self.router.now
@@ -126,37 +133,38 @@
         })
     }
 
-    /// Exception: a preferred endpoint that was found without an instance is to load one for the requests that follow; so
-    /// is the next uncongested one if the best worker is congested.
-    fn load_ahead_target(&self, best: &Worker, is_frequent: bool) -> Option<WorkerId> {
+    /// Exception: a preferred endpoint that was found without an instance loads one for later requests; so does the
+    /// next uncongested endpoint if the best worker is congested.
+    fn preload_target(&self, best: &Worker, is_frequent: bool) -> Option<WorkerId> {
         let router = self.router;
         if !is_frequent || router.are_loads_congested() {
             return None;
         }
-        let width = self.fan_out.preferred;
-        let spreads = router.is_congested(best)
+        let preferred_count = self.fan_out.preferred;
+        let needs_another_instance = router.is_congested(best)
             && self.function.recent_requests > 2.0
-            && self.load_capacity_underway() == 0;
-        let limit = if spreads {
+            && self.pending_load_capacity() == 0;
+        let limit = if needs_another_instance {
             2 * PREFERRED_ENDPOINTS
         } else {
-            width
+            preferred_count
         };
         let mut endpoints = self.preferred.first(limit).enumerate();
         let target = endpoints.find(|(rank, worker)| {
             let instance = self.instance_at(worker);
             let was_missing = instance.missing_until > router.now;
-            let is_needed = *rank < width && width > MIN_PREFERRED && was_missing;
+            let is_needed =
+                *rank < preferred_count && preferred_count > MIN_PREFERRED && was_missing;
             let can_load = instance.command.is_none()
                 && instance.backoff_until <= router.now
                 && !router.is_warm(&instance);
-            (is_needed || spreads) && can_load && !router.is_congested(worker)
+            (is_needed || needs_another_instance) && can_load && !router.is_congested(worker)
         });
         target.map(|(_, worker)| worker.endpoint.worker)
     }
 
-    /// Requests that the loads under way will serve at a time, counting one instance a load.
-    pub(super) fn load_capacity_underway(&self) -> usize {
+    /// Requests that the loads in progress will serve at a time, assuming one instance per load.
+    pub(super) fn pending_load_capacity(&self) -> usize {
         let pending = self.function.pending_workers.iter();
         let loads = pending.filter(|id| {
             let instance = self.function.instance(**id);
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -1,8 +1,8 @@
-//! What is known of one worker at this instant: readiness, speed factor, load report and concurrency limit.
+//! What is known of one worker at present: readiness, speed factor, load report and concurrency limit.
 
 use super::constants::{
-    BASELINE_RISE_US, BUSY_CORES, EWMA_WEIGHT, LIMIT_DECREASE, MAX_FAILURE_SCORE, REPORT_DECAY_US,
-    SPEED_FACTOR_DECAY_US,
+    BASELINE_RISE_US, BUSY_CORES_THRESHOLD, EWMA_WEIGHT, LIMIT_DECREASE, MAX_FAILURE_SCORE,
+    REPORT_DECAY_US, SPEED_FACTOR_DECAY_US,
 };
 use crate::state::Worker;
 use crate::statistics::decayed;
@@ -14,12 +14,12 @@
         self.endpoint.state == WorkerState::Ready && !self.is_ejected
     }
 
-    /// Its size, as a divisor.
+    /// Its size as a divisor, never zero.
     pub(super) fn positive_size(&self) -> f64 {
         self.endpoint.size.max(f64::MIN_POSITIVE)
     }
 
-    /// The speed factor, decayed towards its baseline.
+    /// The speed factor at present, decayed towards its baseline.
     pub(super) fn speed_factor_now(&self, now: Micros) -> f64 {
         decayed(
             self.speed_factor,
@@ -29,12 +29,12 @@
         )
     }
 
-    /// How many times longer than without congestion requests take here of late.
+    /// Recent latency as a multiple of the latency without congestion.
     pub(super) fn congestion(&self, now: Micros) -> f64 {
         self.speed_factor_now(now) / self.baseline_speed_factor
     }
 
-    /// Records the speed factor of one answer.
+    /// Records the speed factor observed in one answer.
     pub(super) fn observe_speed_factor(&mut self, now: Micros, observed: f64) {
         let elapsed = (now - self.speed_factor_at) as f64;
         let risen_baseline = self.baseline_speed_factor * (1.0 + elapsed / BASELINE_RISE_US);
@@ -51,33 +51,37 @@
         };
     }
 
-    /// Requests of all routers in flight here, for a size of one; an old report decays towards the fleet median.
+    /// Requests of all routers in flight here, per unit of size; an old report decays towards the fleet median.
     pub(super) fn in_flight_per_size(&self, now: Micros, median: f64) -> f64 {
         let unknown = median * self.endpoint.size;
         let reported = self.report.in_flight.unwrap_or(unknown) / self.positive_size();
         decayed(reported, median, now - self.reported_at, REPORT_DECAY_US)
     }
 
-    /// The share of reported requests that is queued or, if that is not reported, whether all cores are busy. Where
-    /// requests start loads, a load in progress is a request that waits, but not for a core.
+    /// The fraction of reported requests that is queued or, if that is not reported, whether all cores are busy. If
+    /// requests start loads, a load in progress is a queued request that does not wait for a core, and is subtracted.
     pub(super) fn queued_fraction(&self, requests_start_loads: bool) -> Option<f64> {
         let loads = self.report.loads_in_progress;
         let loads = loads.filter(|_| requests_start_loads).unwrap_or(0.0);
         let queued = self.report.queued.zip(self.report.in_flight);
-        let share = queued.map(|(queued, in_flight)| (queued - loads) / in_flight.max(1.0));
-        let busy = self.report.busy.map(|busy| busy > BUSY_CORES);
-        share.or(busy.map(|busy| f64::from(u8::from(busy))))
+        let fraction = queued.map(|(queued, in_flight)| (queued - loads) / in_flight.max(1.0));
+        let busy = self.report.busy.map(|busy| busy > BUSY_CORES_THRESHOLD);
+        fraction.or(busy.map(|busy| f64::from(u8::from(busy))))
     }
 
-    /// The share of requests that waits for a core. Guards against taking a cold fleet for an overloaded one: with
-    /// idle cores, requests wait for an instance or a load, and rejecting others frees nothing.
+    /// The fraction of requests that wait for a core. Zero while cores are idle, so that a cold fleet does not count
+    /// as overloaded: its requests wait for an instance or a load, and rejecting others would free nothing.
     pub(super) fn fraction_queued_for_cores(&self, requests_start_loads: bool) -> Option<f64> {
-        let has_idle_cores = self.report.busy.is_some_and(|busy| busy <= BUSY_CORES);
+        let has_idle_cores = self
+            .report
+            .busy
+            .is_some_and(|busy| busy <= BUSY_CORES_THRESHOLD);
         self.queued_fraction(requests_start_loads)
-            .map(|share| if has_idle_cores { 0.0 } else { share })
+            .map(|fraction| if has_idle_cores { 0.0 } else { fraction })
     }
 
-    /// Cuts the concurrency limit, at most once in the time of a request, as what was dispatched before still shows.
+    /// Cuts the concurrency limit, at most once in the duration of a request, since requests dispatched before the
+    /// cut still affect latencies.
     pub(super) fn cut_concurrency_limit(&mut self, now: Micros, work_us: f64) {
         if now >= self.limit_cut_at + (work_us * self.speed_factor) as Micros {
             self.limit_cut_at = now;
@@ -85,8 +89,8 @@
         }
     }
 
-    /// Records an error. Guards against a worker that fails at once all it gets, and so always has the fewest requests
-    /// in flight: it backs off ever longer. A single function that fails may itself be at fault.
+    /// Records an error. Repeated errors lead to an exponential backoff: a worker that fails all requests immediately
+    /// would otherwise always have the fewest in flight. A single function that fails may itself be at fault.
     pub(super) fn record_error(&mut self, now: Micros, function: FunctionId, work_us: f64) {
         if self.failure_score != 1 || self.last_failed_function != function {
             self.failure_score = (self.failure_score + 1).min(MAX_FAILURE_SCORE);
@@ -100,7 +104,7 @@
         self.backoff_until = self.backoff_until.max(now + backoff_us as Micros);
     }
 
-    /// Records any sign of life.
+    /// Records that the worker has responded in any way.
     pub(super) fn record_response(&mut self, now: Micros) {
         self.last_response_at = now;
         self.unanswered_check_at = None;
