--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -46,7 +46,7 @@
 }
 
 #[rstest]
-fn overloaded_fleet_sheds_requests_of_little_value_first() {
+fn overloaded_fleet_sheds_low_value_requests_first() {
     let settings = [
         ("workloads.count", Value::Number(2.0)),
         ("workloads.1.start-target-us", Value::Number(1e6)),
@@ -144,7 +144,7 @@
 }
 
 #[rstest]
-fn admitted_share_keeps_falling_while_a_quarter_of_answers_is_late() {
+fn admitted_fraction_keeps_falling_while_a_quarter_of_answers_is_late() {
     let mut host = FakeHost::new(6, &[router_count(200.0)]);
     host.report = report(40.0, 30.0);
     let mut rejected = Vec::new();
@@ -156,6 +156,9 @@
             host.succeed(id, Warmth::Warm, latency);
         }
     }
-    let of_last = rejected[600..].iter().sum::<usize>();
-    assert!(of_last >= 150, "{of_last} of the last 200 rejected");
+    let rejected_of_last_200 = rejected[600..].iter().sum::<usize>();
+    assert!(
+        rejected_of_last_200 >= 150,
+        "{rejected_of_last_200} of the last 200 rejected"
+    );
 }
--- a/tests/candidates.rs
+++ b/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! The bounded set of workers that a request is placed among, in fleets of any size.
+//! The bounded set of workers considered for a request, in fleets of any size.
 
 mod common;
 
@@ -17,7 +17,7 @@
 /// The preferred endpoints of each function.
 type PreferredEndpoints = BTreeMap<u64, BTreeSet<u64>>;
 
-/// The preferred endpoints of functions, by where routers with such a list dispatch the first request.
+/// The preferred endpoints of functions: where routers with this endpoint list dispatch the first request.
 fn preferred_endpoints(
     endpoints: &[Endpoint],
     functions: std::ops::Range<u64>,
@@ -38,7 +38,7 @@
     preferred
 }
 
-/// How many functions have a preferred endpoint in both.
+/// The number of functions that have a preferred endpoint in common.
 fn count_shared(one: &PreferredEndpoints, other: &PreferredEndpoints) -> usize {
     one.iter()
         .filter(|(function, endpoints)| !endpoints.is_disjoint(&other[function]))
@@ -48,7 +48,7 @@
 #[rstest]
 #[case::draining(WorkerState::Draining)]
 #[case::gone(WorkerState::Gone)]
-fn requests_go_elsewhere_when_preferred_endpoints_leave(#[case] state: WorkerState) {
+fn requests_go_to_other_workers_when_preferred_endpoints_leave(#[case] state: WorkerState) {
     let mut host = FakeHost::new(400, &MANY_ROUTERS);
     let mut left = BTreeSet::new();
     for id in 0..60 {
@@ -63,7 +63,7 @@
 }
 
 #[rstest]
-fn unreachable_endpoints_are_passed_over() {
+fn unreachable_endpoints_are_skipped() {
     let health_checks = [("limits.probes", Value::Flag(true))];
     let mut host = FakeHost::new(400, &[&MANY_ROUTERS[..], &health_checks[..]].concat());
     let mut unreachable = BTreeSet::new();
@@ -73,7 +73,7 @@
         host.end_attempt(id, Outcome::NoConnection, Warmth::Unknown, 1_000);
         assert!(
             !unreachable.contains(&host.dispatched_to(id).expect("another worker")),
-            "not where it could not be reached"
+            "retried at an unreachable worker"
         );
         host.succeed(id, Warmth::Warm, 10_000);
     }
@@ -82,11 +82,11 @@
 
 #[rstest]
 fn loss_of_a_zone_moves_only_its_own_preferred_endpoints() {
-    let zoned = |worker: u64| Endpoint {
+    let in_zone = |worker: u64| Endpoint {
         zone: ZoneId(worker as usize % 19),
         ..ready_endpoint(worker)
     };
-    let all: Vec<_> = (0..1_900).map(zoned).collect();
+    let all: Vec<_> = (0..1_900).map(in_zone).collect();
     let rest: Vec<_> = all
         .iter()
         .copied()
@@ -104,7 +104,7 @@
 }
 
 #[rstest]
-fn tenfold_growth_in_one_step_leaves_believed_instances_in_use() {
+fn instances_stay_in_use_when_the_fleet_grows_tenfold_in_one_step() {
     let mut host = FakeHost::new(30, &[]);
     for id in 0..40 {
         host.send(id, id);
@@ -130,7 +130,7 @@
 }
 
 #[rstest]
-fn function_with_a_third_of_all_requests_spreads_over_its_share_of_the_fleet() {
+fn function_with_a_third_of_all_requests_spreads_over_a_proportional_part_of_the_fleet() {
     let mut host = FakeHost::new(600, &MANY_ROUTERS);
     for id in 0..600 {
         host.send(id, if id % 3 == 0 { 7 } else { 1_000 + id });
@@ -154,7 +154,7 @@
 #[case::one(1)]
 #[case::two(2)]
 #[case::five(5)]
-fn fewer_workers_than_are_inspected_are_all_used(#[case] workers: u64) {
+fn fleet_smaller_than_the_number_of_inspected_workers_is_used_completely(#[case] workers: u64) {
     let mut host = FakeHost::new(workers, &[]);
     let ids = 0..workers * 3;
     let requests: Vec<Request> = ids.clone().map(|id| host.request(id, 7)).collect();
@@ -164,15 +164,17 @@
 }
 
 #[rstest]
-fn preferred_endpoints_follow_sizes_that_differ_by_sixteen_and_change() {
-    let sized = |worker: u64, large: u64| Endpoint {
+fn preferred_endpoints_follow_changed_sizes_that_differ_by_a_factor_of_sixteen() {
+    let with_size = |worker: u64, large: u64| Endpoint {
         size: if worker % 2 == large { 16.0 } else { 1.0 },
         ..ready_endpoint(worker)
     };
     for large in [0, 1] {
         let mut host = FakeHost::new(0, &MANY_ROUTERS);
-        let before = (0..200).map(|worker| sized(worker, 1 - large)).collect();
-        let after = (0..200).map(|worker| sized(worker, large)).collect();
+        let before = (0..200)
+            .map(|worker| with_size(worker, 1 - large))
+            .collect();
+        let after = (0..200).map(|worker| with_size(worker, large)).collect();
         host.update_endpoints(EndpointListKind::Full, before);
         host.update_endpoints(EndpointListKind::Delta, after);
         let mut at_large = 0;
@@ -194,11 +196,11 @@
         ("workloads.0.repeat-window-us", Value::Number(2e6)),
     ];
     let mut host = FakeHost::new(0, &[&MANY_ROUTERS[..], &by_key[..]].concat());
-    let celled = |worker: u64| Endpoint {
+    let in_cell = |worker: u64| Endpoint {
         cell: CellId(worker as usize / 2),
         ..ready_endpoint(worker)
     };
-    host.update_endpoints(EndpointListKind::Full, (0..2_000).map(celled).collect());
+    host.update_endpoints(EndpointListKind::Full, (0..2_000).map(in_cell).collect());
     for id in 0..20 {
         host.send(id, id);
         let first = host.dispatched_to(id).expect("a worker");
@@ -213,7 +215,7 @@
 }
 
 #[rstest]
-fn full_snapshots_in_any_order_move_no_preferred_endpoint() {
+fn order_of_endpoints_in_full_snapshots_moves_no_preferred_endpoint() {
     let endpoints = ready_endpoints(0..500);
     let mut preferred = PreferredEndpoints::new();
     for seed in 0..12 {
@@ -249,7 +251,7 @@
     assert!(shared >= 194, "{shared} of 200");
 }
 
-/// Queries a request, for functions called now and then by few routers: each miss would query.
+/// Queries per request, for functions that few routers request now and then, so that each miss would cause queries.
 fn queries_per_request(workers: u64) -> f64 {
     const REQUESTS: u64 = 600;
     let mut host = FakeHost::new(workers, &[LOAD_COMMANDS, router_count(2.0)]);
@@ -264,7 +266,7 @@
 }
 
 #[rstest]
-fn queries_are_earned_by_answers_and_do_not_grow_with_the_fleet() {
+fn queries_stay_within_their_budget_and_do_not_grow_with_the_fleet() {
     let queries = [30, 300, 3_000].map(queries_per_request);
     assert!(
         queries.iter().all(|rate| *rate > 0.1 && *rate <= 1.0),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fake host: it keeps what the module decided, and reports the outcomes that a test chooses.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A fake host: it records the module's decisions, and reports the outcomes that a test chooses.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use sanddrum::{
     AttemptResult, CellId, CustomerId, Decisions, Endpoint, EndpointList, EndpointListKind,
@@ -19,24 +19,24 @@
     Reject(u64),
     /// A request failed.
     Fail(u64),
-    /// A worker was to load instances of a function; a query if zero.
+    /// A load command for instances of a function, or a query if `instances` is zero.
     Load {
         worker: u64,
         function: u64,
         instances: u32,
     },
-    /// A worker was to unload a function's idle instances.
+    /// A command to unload a function's idle instances.
     Unload { worker: u64, function: u64 },
-    /// A worker was checked.
+    /// A health check of a worker.
     CheckHealth(u64),
-    /// The endpoint list was subscribed to.
+    /// A subscription to the endpoint list.
     Subscribe,
 }
 
-/// Keeps all decisions.
+/// Records all decisions.
 pub struct DecisionLog {
     pub actions: Vec<Action>,
-    /// The instant at which the module wants to be called again.
+    /// The wake-up time last requested by the module.
     pub wake_at: Micros,
     /// The Retry-After of each rejected request, oldest first.
     pub retry_afters: Vec<Micros>,
@@ -88,7 +88,7 @@
 /// Load commands are allowed.
 pub const LOAD_COMMANDS: Setting = ("copies.orders", Value::Flag(true));
 
-/// Workers answer a cold miss instead of loading for a request.
+/// Workers answer a cold miss instead of loading the function for the request.
 pub fn workers_answer_misses() -> Setting {
     ("copies.on-miss", text("miss"))
 }
@@ -101,7 +101,7 @@
     Value::Text(text.into())
 }
 
-/// One router with its clock, and the decisions that it has made.
+/// A router with its clock, and the decisions that it has made.
 pub struct FakeHost {
     pub router: Router,
     pub now: Micros,
@@ -113,7 +113,7 @@
 }
 
 impl FakeHost {
-    /// Workers 0 to `workers` - 1, one idempotent workload, and the settings of the test.
+    /// A host with workers 0 to `workers` - 1, one idempotent workload and the settings of the test.
     pub fn new(workers: u64, settings: &[(&str, Value)]) -> FakeHost {
         FakeHost::with_seed(1, workers, settings)
     }
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Lets time pass, calling the module whenever it asked for that. Tells how often.
+    /// Advances the clock by `span`, calling the module at each wake-up that it requested; returns the number of
+    /// calls.
     pub fn advance(&mut self, span: Micros) -> usize {
         let until = self.now + span;
         let mut calls = 0;
@@ -178,7 +179,7 @@
 
     // ---- Events
 
-    /// A request of the only workload, to be answered within three seconds.
+    /// A request of the only workload, with a deadline in three seconds.
     pub fn request(&self, id: u64, function: u64) -> Request {
         Request {
             id: RequestId(id),
@@ -198,7 +199,7 @@
         self.send_all(vec![self.request(id, function)]);
     }
 
-    /// Requests that arrive in one batch.
+    /// Sends requests in one batch.
     pub fn send_all(&mut self, requests: Vec<Request>) {
         self.handle(EventBatch {
             requests,
@@ -213,23 +214,23 @@
         });
     }
 
-    /// One endpoint changes.
+    /// Reports a change of one endpoint.
     pub fn update_endpoint(&mut self, endpoint: Endpoint) {
         self.update_endpoints(EndpointListKind::Delta, vec![endpoint]);
     }
 
-    /// The newest attempt of a request ends after some time.
+    /// Advances the clock by `latency` and ends the newest attempt of a request.
     pub fn end_attempt(&mut self, id: u64, outcome: Outcome, warmth: Warmth, latency: Micros) {
         self.now += latency;
         self.report_outcome(id, outcome, warmth, latency);
     }
 
-    /// The newest attempt of a request ends after some time by success.
+    /// Advances the clock by `latency` and ends the newest attempt of a request with success.
     pub fn succeed(&mut self, id: u64, warmth: Warmth, latency: Micros) {
         self.end_attempt(id, Outcome::Finished, warmth, latency);
     }
 
-    /// The outcome of the newest attempt of a request is reported at this instant.
+    /// Reports the outcome of the newest attempt of a request without advancing the clock.
     pub fn report_outcome(&mut self, id: u64, outcome: Outcome, warmth: Warmth, latency: Micros) {
         let result = AttemptResult {
             request: RequestId(id),
@@ -248,7 +249,7 @@
         });
     }
 
-    /// A load command or query ends.
+    /// Reports the outcome of a load command or query.
     pub fn end_load(&mut self, worker: u64, function: u64, outcome: Outcome, instances: u32) {
         let result = LoadResult {
             worker: WorkerId(worker),
@@ -263,7 +264,7 @@
         });
     }
 
-    /// Answers all queries made so far with so many instances.
+    /// Answers all queries made so far with this number of instances.
     pub fn answer_queries(&mut self, instances: u32) {
         for action in self.log.actions.clone() {
             if let Action::Load {
@@ -277,15 +278,15 @@
         }
     }
 
-    /// The first load command for a function succeeds after some time; tells where.
+    /// Advances the clock by `latency` and completes the first load command for a function; returns its worker.
     pub fn complete_first_load(&mut self, function: u64, latency: Micros) -> u64 {
         self.now += latency;
         let command = self.log.actions.iter().find_map(|action| match action {
             Action::Load {
                 worker,
-                function: of,
+                function: commanded,
                 instances,
-            } if *of == function && *instances > 0 => Some((*worker, *instances)),
+            } if *commanded == function && *instances > 0 => Some((*worker, *instances)),
             _ => None,
         });
         let (worker, instances) = command.unwrap_or((99, 0));
@@ -300,17 +301,17 @@
         actions.filter(|action| is_counted(action)).count()
     }
 
-    /// Rejected requests.
+    /// The number of rejected requests.
     pub fn rejections(&self) -> usize {
         self.count(|action| matches!(action, Action::Reject(_)))
     }
 
-    /// Final answers given to a request.
+    /// The number of final answers (rejection or failure) given to a request.
     pub fn final_answers(&self, id: u64) -> usize {
         self.count(|action| *action == Action::Fail(id) || *action == Action::Reject(id))
     }
 
-    /// The worker that got the newest attempt of a request.
+    /// The worker of the newest attempt of a request.
     pub fn dispatched_to(&self, id: u64) -> Option<u64> {
         self.log
             .actions
@@ -326,27 +327,27 @@
         self.dispatched_to(id).is_some()
     }
 
-    /// Commands to load so many instances, queries if zero; of one function or of all.
+    /// The number of commands to load this many instances, or of queries if zero; of one function or of all.
     pub fn load_commands(&self, function: impl Into<Option<u64>>, instances: u32) -> usize {
         let function = function.into();
         self.count(|action| match action {
             Action::Load {
-                function: of,
+                function: commanded,
                 instances: wanted,
                 ..
-            } => *wanted == instances && function.is_none_or(|function| *of == function),
+            } => *wanted == instances && function.is_none_or(|function| *commanded == function),
             _ => false,
         })
     }
 
-    /// Workers that were queried for a function.
+    /// Workers queried for instances of a function.
     pub fn queried_workers(&self, function: u64) -> Vec<u64> {
         let queries = self.log.actions.iter().filter_map(|action| match action {
             Action::Load {
                 worker,
-                function: of,
+                function: commanded,
                 instances: 0,
-            } if *of == function => Some(*worker),
+            } if *commanded == function => Some(*worker),
             _ => None,
         });
         queries.collect()
@@ -374,7 +375,7 @@
     workers.map(ready_endpoint).collect()
 }
 
-/// A load report of requests in flight, of which some are queued.
+/// A load report with these numbers of requests in flight and queued.
 pub fn report(in_flight: f64, queued: f64) -> Option<LoadReport> {
     Some(LoadReport {
         in_flight: Some(in_flight),
--- a/tests/concurrency_limits.rs
+++ b/tests/concurrency_limits.rs
@@ -1,4 +1,4 @@
-//! The learned limits of requests in flight at a worker.
+//! The learned concurrency limits of workers.
 
 mod common;
 
@@ -35,6 +35,6 @@
     let requests: Vec<Request> = (100..130).map(parallel).collect();
     host.send_all(requests);
     let dispatched = (100..130).filter(|id| host.is_dispatched(*id)).count();
-    // Six tenths of the initial limit, as requests of less value than the mean get.
+    // 14 is 0.6 of the initial limit of 24, which is what requests of below-average value may use.
     assert_eq!(dispatched >= 14, has_capacity, "{dispatched}");
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -7,9 +7,9 @@
 use sanddrum::{EndpointListKind, Value};
 
 #[rstest]
-#[case::that_needs_a_subscription("subscribe", 1)]
-#[case::that_comes_by_itself("automatic", 0)]
-fn endpoint_list_is_subscribed_to_and_retried_after_a_failure(
+#[case::subscription_required("subscribe", 1)]
+#[case::sent_without_a_subscription("automatic", 0)]
+fn endpoint_list_is_subscribed_to_again_after_a_failure(
     #[case] mode: &str,
     #[case] subscriptions: usize,
 ) {
@@ -27,7 +27,7 @@
         assert_eq!(
             count(&host),
             subscriptions,
-            "not at once, with all other routers"
+            "the retry is delayed, so that not all routers retry together"
         );
         host.advance(1_200_000);
         assert_eq!(count(&host), 2 * subscriptions);
--- a/tests/keep_alive.rs
+++ b/tests/keep_alive.rs
@@ -1,4 +1,4 @@
-//! The options by which instances are pre-warmed, renewed or unloaded early.
+//! The options to pre-warm instances, to renew them, and to unload them early.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use sanddrum::{Value, Warmth};
 
 #[rstest]
-fn pre_warmed_share_is_loaded_ahead_and_renewed() {
+fn pre_warmed_quota_is_loaded_in_advance_and_renewed() {
     let settings = [
         LOAD_COMMANDS,
         router_count(2.0),
@@ -15,7 +15,11 @@
     ];
     let mut host = FakeHost::new(3, &settings);
     host.send(1, 7);
-    assert_eq!(host.load_commands(7, 2), 1, "its share of three");
+    assert_eq!(
+        host.load_commands(7, 2),
+        1,
+        "this router's quota of three instances"
+    );
     host.answer_queries(0);
     host.complete_first_load(7, 500_000);
     host.advance(6_500_000);
@@ -24,8 +28,11 @@
 
 #[rstest]
 #[case::set_for_the_function("design.7.keep-alive-us", 1)]
-#[case::set_for_another("design.8.keep-alive-us", 0)]
-fn longer_keep_alive_is_renewed_by_load_commands(#[case] name: &str, #[case] renewals: usize) {
+#[case::set_for_another_function("design.8.keep-alive-us", 0)]
+fn load_commands_renew_instances_for_a_longer_keep_alive(
+    #[case] name: &str,
+    #[case] renewals: usize,
+) {
     let mut host = FakeHost::new(3, &[LOAD_COMMANDS, (name, Value::Number(2e7))]);
     host.send(1, 7);
     host.answer_queries(0);
--- a/tests/load_commands.rs
+++ b/tests/load_commands.rs
@@ -1,4 +1,4 @@
-//! Load commands: one load for a burst, the load budget, and what follows failed or long loads.
+//! Load commands: loads for a burst of requests, the load budget, and failed or long loads.
 
 mod common;
 
@@ -12,12 +12,16 @@
 }
 
 #[rstest]
-fn burst_commands_one_load_for_each_request_that_it_serves() {
+fn burst_causes_one_load_command_per_request() {
     let mut host = FakeHost::new(3, &misses_and_load_commands());
     host.send(1, 7);
     host.answer_queries(0);
     host.send(2, 7);
-    assert_eq!(host.load_commands(7, 1), 2, "an instance runs one request");
+    assert_eq!(
+        host.load_commands(7, 1),
+        2,
+        "an instance runs one request at a time"
+    );
     host.send(3, 7);
     host.send(3, 7);
     host.complete_first_load(7, 900_000);
@@ -25,7 +29,7 @@
     assert_eq!(
         host.load_commands(None, 1),
         3,
-        "another load for another request, no more"
+        "one more load for one more request"
     );
 }
 
@@ -36,13 +40,13 @@
     let mut tried = BTreeSet::new();
     while let Some(worker) = host.dispatched_to(1).filter(|w| tried.insert(*w)) {
         host.end_attempt(1, Outcome::ColdMiss, Warmth::Unknown, 1_000);
-        assert!(tried.len() <= 3, "{worker} again");
+        assert!(tried.len() <= 3, "worker {worker} was tried again");
     }
     assert_eq!(tried.len(), 3);
     assert_eq!(
         host.final_answers(1),
         0,
-        "it waits while it can still be in time"
+        "the request waits while it can still be in time"
     );
     assert_eq!(host.count(|a| matches!(a, Action::Load { .. })), 0);
 }
@@ -61,14 +65,14 @@
     assert_eq!(
         host.load_commands(None, 1),
         3,
-        "two, and a tenth of ten requests"
+        "two, plus a tenth of ten requests"
     );
 }
 
 #[rstest]
 #[case::of_several_functions([1, 2], 0)]
 #[case::of_one_function([1, 1], 1)]
-fn failed_loads_of_several_functions_stop_load_commands_for_a_while(
+fn failed_loads_of_several_functions_suspend_load_commands(
     #[case] failing: [u64; 2],
     #[case] loads: usize,
 ) {
@@ -101,11 +105,14 @@
     assert_eq!(host.load_commands(3, 1), loads);
     host.advance(1_600_000);
     host.send(10, 3);
-    assert!(host.load_commands(3, 1) >= 1, "and then again");
+    assert!(
+        host.load_commands(3, 1) >= 1,
+        "load commands resume after the backoff"
+    );
 }
 
 #[rstest]
-fn function_whose_load_outlasts_its_requests_is_loaded_for_later_ones() {
+fn function_whose_load_exceeds_the_deadline_is_loaded_for_later_requests() {
     let mut host = FakeHost::new(3, &misses_and_load_commands());
     for id in [1, 2] {
         host.send_all(vec![Request {
@@ -116,13 +123,13 @@
         assert_eq!(
             host.final_answers(id),
             1,
-            "it can't be in time and is rejected at once"
+            "the request can't be in time and is rejected immediately"
         );
     }
     assert_eq!(
         host.load_commands(7, 1),
         1,
-        "one load, for the second request"
+        "one load, caused by the second request"
     );
     host.complete_first_load(7, 4_000_000);
     host.send(3, 7);
@@ -132,7 +139,7 @@
 #[rstest]
 #[case::where_requests_start_loads("load", 1)]
 #[case::where_workers_answer_misses("miss", 0)]
-fn congested_loads_alone_reject_requests_only_where_these_wait_at_workers(
+fn congested_loads_cause_rejections_only_where_requests_wait_at_workers(
     #[case] on_miss: &str,
     #[case] rejections: usize,
 ) {
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: workers that do not answer are checked and ejected, and their requests move.
+//! Outlier detection: workers that do not answer are checked and ejected, and their requests are retried elsewhere.
 
 mod common;
 
@@ -9,23 +9,26 @@
 const HEALTH_CHECKS: (&str, Value) = ("limits.probes", Value::Flag(true));
 
 #[rstest]
-fn silent_worker_is_checked_and_ejected_and_its_requests_are_hedged() {
+fn unresponsive_worker_is_checked_and_ejected_and_its_requests_are_hedged() {
     let hedging = ("limits.second-copies", Value::Flag(true));
     let mut host = FakeHost::new(2, &[HEALTH_CHECKS, hedging]);
     host.send(0, 7);
     host.succeed(0, Warmth::StartedLoad, 900_000);
     host.send(1, 7);
-    let silent = host.dispatched_to(1).unwrap_or(9);
+    let unresponsive = host.dispatched_to(1).unwrap_or(9);
     host.advance(1_000_000);
-    assert!(host.count(|action| *action == Action::CheckHealth(silent)) > 1);
-    assert_eq!(host.attempts[&1], 2, "a second attempt beside the first");
-    assert_ne!(host.dispatched_to(1), Some(silent));
+    assert!(host.count(|action| *action == Action::CheckHealth(unresponsive)) > 1);
+    assert_eq!(
+        host.attempts[&1], 2,
+        "a hedged attempt besides the first one"
+    );
+    assert_ne!(host.dispatched_to(1), Some(unresponsive));
     host.send(2, 8);
-    assert_ne!(host.dispatched_to(2), Some(silent));
+    assert_ne!(host.dispatched_to(2), Some(unresponsive));
 }
 
 #[rstest]
-fn run_once_request_at_a_silent_worker_fails_at_its_deadline() {
+fn run_once_request_at_an_unresponsive_worker_fails_at_its_deadline() {
     let mut host = FakeHost::new(
         2,
         &[HEALTH_CHECKS, ("workloads.0.effect", text("run-once"))],
@@ -42,11 +45,11 @@
 #[rstest]
 #[case::one_of_three(1, 0, false)]
 #[case::two_of_three(2, 1, false)]
-#[case::two_of_three_that_were_away_meanwhile(2, 1, true)]
+#[case::two_of_three_that_left_and_returned(2, 1, true)]
 fn ejections_are_ignored_while_most_workers_are_ejected(
     #[case] unreachable: u64,
     #[case] used: usize,
-    #[case] leave_meanwhile: bool,
+    #[case] leave_and_return: bool,
 ) {
     let mut host = FakeHost::new(3, &[HEALTH_CHECKS]);
     for id in 0..unreachable {
@@ -58,7 +61,7 @@
     let ejected: Vec<u64> = (0..3)
         .filter(|worker| host.count(|action| *action == Action::CheckHealth(*worker)) > 0)
         .collect();
-    if leave_meanwhile {
+    if leave_and_return {
         let gone = |worker: &u64| endpoint(*worker, WorkerState::Gone, 0);
         host.update_endpoints(EndpointListKind::Delta, ejected.iter().map(gone).collect());
         for id in 50..60 {
@@ -79,7 +82,7 @@
 }
 
 #[rstest]
-fn long_request_is_not_moved_where_nothing_can_be_checked() {
+fn long_request_is_not_retried_elsewhere_where_workers_cannot_be_checked() {
     let mut host = FakeHost::new(2, &[]);
     host.send(0, 7);
     host.succeed(0, Warmth::StartedLoad, 900_000);
@@ -88,11 +91,15 @@
     assert_eq!(host.attempts[&1], 1);
     assert_eq!(host.count(|a| matches!(a, Action::Cancel { .. })), 0);
     host.succeed(1, Warmth::Warm, 0);
-    assert_eq!(host.final_answers(1), 0, "its answer is its client's");
+    assert_eq!(
+        host.final_answers(1),
+        0,
+        "it succeeded, and is neither rejected nor failed"
+    );
 }
 
 #[rstest]
-fn unreachable_worker_is_ejected_and_later_retried_by_requests() {
+fn unreachable_worker_is_ejected_and_later_tried_again_by_requests() {
     let mut host = FakeHost::new(5, &[]);
     host.send(0, 0);
     let unreachable = host.dispatched_to(0).unwrap();
@@ -112,6 +119,6 @@
     host.advance(1_000_000);
     assert!(
         dispatched_there(&mut host, 4..40) > 0,
-        "it may be back, and only a request can show that"
+        "only a request can show that the worker is back"
     );
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,4 @@
-//! An overloaded router among many: admission, retries, Retry-After, and how the end of the overload is noticed.
+//! Overload as seen by one router of many: admission, retries, Retry-After, and the detection of its end.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use sanddrum::{Micros, Outcome, Request, Value, Warmth};
 use std::collections::BTreeSet;
 
-/// The client's time limit of three seconds, by which retries are recognized as late.
+/// The client's time limit of three seconds, by which the router knows how much time a retry has already used up.
 const TIME_LIMIT: (&str, Value) = ("workloads.0.time-limit-us", Value::Number(3e6));
 
-/// Twelve workers that have answered in time, with so many of forty requests queued at each.
+/// A host with twelve workers that have answered in time and report `queued` of 40 requests as queued.
 fn host_with_queues(queued: f64, routers: f64) -> FakeHost {
     let mut host = FakeHost::new(12, &[router_count(routers), TIME_LIMIT]);
     host.report = report(40.0, queued);
@@ -21,7 +21,7 @@
     host
 }
 
-/// A client's retry of which so much time is left.
+/// Sends a client's retry that has `time_left` until its deadline.
 fn send_retry(host: &mut FakeHost, id: u64, function: u64, time_left: Micros) {
     host.send_all(vec![Request {
         is_retry: true,
@@ -30,7 +30,7 @@
     }]);
 }
 
-/// Sends requests that all end alike; tells how many were rejected.
+/// Sends requests whose attempts all have the same outcome; returns how many were rejected.
 fn count_rejected(host: &mut FakeHost, ids: std::ops::Range<u64>, outcome: Outcome) -> usize {
     let before = host.log.retry_afters.len();
     for id in ids {
@@ -43,7 +43,7 @@
     host.log.retry_afters.len() - before
 }
 
-/// Sends requests that all end by rejection unless the router itself rejects them.
+/// Sends requests whose attempts are all rejected, unless the router itself rejects them.
 fn reject_all(host: &mut FakeHost, ids: std::ops::Range<u64>) {
     for id in ids {
         host.send(id, id % 12);
@@ -55,8 +55,8 @@
 
 #[rstest]
 #[case::under_overload(30.0, 1..=15)]
-#[case::not_after_a_crash(0.0, 25..=500)]
-fn requests_rejected_by_full_workers_have_few_retries(
+#[case::without_overload_as_after_a_crash(0.0, 25..=500)]
+fn requests_rejected_by_full_workers_get_few_retries_under_overload(
     #[case] queued: f64,
     #[case] expected: std::ops::RangeInclusive<usize>,
 ) {
@@ -79,7 +79,7 @@
 }
 
 #[rstest]
-fn admitted_share_falls_with_rejections_and_rises_fast_without_queues() {
+fn admitted_fraction_falls_with_rejections_and_rises_fast_without_queues() {
     let mut host = host_with_queues(30.0, 200.0);
     count_rejected(&mut host, 200..260, Outcome::Rejected);
     let rejected = count_rejected(&mut host, 300..400, Outcome::Finished);
@@ -89,12 +89,12 @@
     assert_eq!(
         count_rejected(&mut host, 500..600, Outcome::Finished),
         0,
-        "it is over"
+        "the overload is over"
     );
 }
 
 #[rstest]
-fn end_of_an_overload_is_noticed_by_the_newest_reports() {
+fn end_of_an_overload_is_detected_from_the_newest_reports() {
     let mut host = host_with_queues(30.0, 200.0);
     host.report = report(1.0, 0.0);
     host.advance(1_100_000);
@@ -115,8 +115,8 @@
 
 #[rstest]
 #[case::objective_has_passed(1_500_000, true)]
-#[case::objective_is_not_over(2_500_000, false)]
-fn retry_is_admitted_under_overload_while_its_objective_lasts(
+#[case::objective_has_not_passed(2_500_000, false)]
+fn retry_is_admitted_under_overload_until_its_objective_has_passed(
     #[case] time_left: Micros,
     #[case] is_rejected: bool,
 ) {
@@ -131,7 +131,7 @@
 }
 
 #[rstest]
-fn retry_after_is_random_and_grows_with_what_is_shed() {
+fn retry_after_has_jitter_and_grows_with_rejections() {
     let by_rejections = [0, 30].map(|rejections| {
         let mut host = host_with_queues(30.0, 200.0);
         reject_all(&mut host, 200..200 + rejections);
@@ -147,17 +147,17 @@
         assert_eq!(
             retry_afters.iter().collect::<BTreeSet<_>>().len(),
             retry_afters.len(),
-            "they differ: {retry_afters:?}"
+            "not all different: {retry_afters:?}"
         );
         assert!(
             retry_afters.iter().all(|span| *span <= 1_000_000),
-            "within the latency objective"
+            "not within the latency objective: {retry_afters:?}"
         );
     }
     let mean = |spans: &[Micros]| spans.iter().sum::<Micros>() / spans.len() as Micros;
     assert!(
         3 * mean(&by_rejections[0]) < mean(&by_rejections[1]),
-        "they grow: {by_rejections:?}"
+        "not three times as long after 30 rejections: {by_rejections:?}"
     );
 }
 
@@ -169,7 +169,10 @@
         ids.clone().for_each(|id| host.send(id, id % 12));
         ids.filter(|id| host.is_dispatched(*id)).count()
     };
-    assert!(admitted(&mut host, 300..320) <= 2, "hardly any is admitted");
+    assert!(
+        admitted(&mut host, 300..320) <= 2,
+        "hardly any request is admitted"
+    );
     host.advance(1_500_000);
     host.send(400, 0);
     assert!(host.is_dispatched(400));
--- a/tests/readiness_lease.rs
+++ b/tests/readiness_lease.rs
@@ -1,4 +1,5 @@
-//! Readiness leases: what a router sends, and where, while its endpoint list is not confirmed any more (incident 624c95).
+//! Readiness leases: what a router dispatches, and where, while its endpoint list is no longer confirmed (incident
+//! 624c95).
 
 mod common;
 
@@ -7,23 +8,29 @@
 use sanddrum::{EndpointConfirmation, EventBatch, Micros, Outcome, Value, Warmth};
 
 const SECOND: Micros = 1_000_000;
-/// Changes may count as told this long after the last confirmation, and do so within the other.
+/// The router may count as notified of changes this long after the last confirmation, and does after
+/// `NOTIFIED_WITHIN`.
 const NOTIFIED_AFTER: Micros = 2 * SECOND;
 const NOTIFIED_WITHIN: Micros = 7 * SECOND;
-const GRACE: Micros = 250_000;
-const WORK: Micros = 10_000;
+const DRAIN_GRACE: Micros = 250_000;
+const WORK_TIME: Micros = 10_000;
 const FUNCTION: u64 = 7;
 
-/// Two workers that have an instance each, and a list that is confirmed as of now.
+/// Two workers with one instance each, and an endpoint list that is confirmed as of now.
 fn two_warm_workers() -> FakeHost {
-    let grace = ("rules.drain-grace-us", Value::Number(GRACE as f64));
-    // Instances outlast each test.
+    let drain_grace = ("rules.drain-grace-us", Value::Number(DRAIN_GRACE as f64));
+    // Longer than any test, so that no instance expires.
     let keep_alive = ("copies.keep-alive-us", Value::Number(6e7));
-    let settings = [workers_answer_misses(), LOAD_COMMANDS, grace, keep_alive];
+    let settings = [
+        workers_answer_misses(),
+        LOAD_COMMANDS,
+        drain_grace,
+        keep_alive,
+    ];
     let mut host = FakeHost::new(2, &settings);
     host.send(1, FUNCTION);
     host.answer_queries(1);
-    host.succeed(1, Warmth::Warm, WORK);
+    host.succeed(1, Warmth::Warm, WORK_TIME);
     for worker in 0..2 {
         host.end_load(worker, FUNCTION, Outcome::Finished, 1);
     }
@@ -43,77 +50,80 @@
     });
 }
 
-/// Sends requests one after the other, each served at once, and tells the workers that they went to.
+/// Sends requests one after the other, each answered before the next; returns the workers that served them.
 fn serve(host: &mut FakeHost, ids: std::ops::Range<u64>) -> Vec<u64> {
     let mut workers = Vec::new();
     for id in ids {
         host.send(id, FUNCTION);
         if host.final_answers(id) == 0 {
             workers.extend(host.dispatched_to(id));
-            host.succeed(id, Warmth::Warm, WORK);
+            host.succeed(id, Warmth::Warm, WORK_TIME);
         }
     }
     workers
 }
 
-/// A request that one worker rejects and the other one serves. Tells which rejected it.
+/// Sends a request that one worker rejects and the other one serves; returns the worker that rejected it.
 fn reject_once(host: &mut FakeHost, id: u64) -> u64 {
     host.send(id, FUNCTION);
     let rejecting = host.dispatched_to(id).unwrap();
     host.end_attempt(id, Outcome::Rejected, Warmth::Unknown, 1_000);
     assert_ne!(host.dispatched_to(id), Some(rejecting));
-    host.succeed(id, Warmth::Warm, WORK);
+    host.succeed(id, Warmth::Warm, WORK_TIME);
     rejecting
 }
 
 #[rstest]
-#[case::before_changes_may_count_as_told(NOTIFIED_AFTER - SECOND, true)]
-#[case::once_they_may(NOTIFIED_AFTER + SECOND / 2, false)]
-#[case::once_they_do(NOTIFIED_WITHIN + SECOND, false)]
-fn a_worker_that_rejects_gets_nothing_more_while_its_drain_may_be_missed(
+#[case::list_is_current(NOTIFIED_AFTER - SECOND, true)]
+#[case::list_is_overdue(NOTIFIED_AFTER + SECOND / 2, false)]
+#[case::list_is_stale(NOTIFIED_WITHIN + SECOND, false)]
+fn rejecting_worker_gets_no_requests_once_its_drain_may_be_missed(
     #[case] age: Micros,
     #[case] is_used: bool,
 ) {
     let mut host = two_warm_workers();
     let rejecting = reject_once(&mut host, 2);
-    // Requests that fill the other worker, until the list has that age.
+    // The other worker serves requests until the list has reached this age.
     let mut id = 10;
     while host.now < two_warm_workers().now + age {
         host.advance(SECOND / 4);
         serve(&mut host, id..id + 2);
         id += 2;
     }
-    let crowd: Vec<_> = (100..106).map(|id| host.request(id, FUNCTION)).collect();
-    host.send_all(crowd);
-    host.advance(GRACE);
-    let sent = (100..106).filter(|id| host.dispatched_to(*id) == Some(rejecting));
-    assert_eq!(sent.count() > 0, is_used);
+    let burst: Vec<_> = (100..106).map(|id| host.request(id, FUNCTION)).collect();
+    host.send_all(burst);
+    host.advance(DRAIN_GRACE);
+    let dispatched = (100..106).filter(|id| host.dispatched_to(*id) == Some(rejecting));
+    assert_eq!(dispatched.count() > 0, is_used);
 }
 
 #[rstest]
-fn an_attempt_that_is_accepted_after_a_rejection_shows_that_the_worker_was_full() {
+fn attempt_accepted_after_a_rejection_rules_out_a_drain() {
     let mut host = two_warm_workers();
     let rejecting = reject_once(&mut host, 2);
     for first in [10, 20] {
         host.advance(NOTIFIED_AFTER / 2);
-        // More at once than the other worker runs.
+        // More requests at a time than the other worker can run.
         let pair: Vec<_> = (first..first + 2)
             .map(|id| host.request(id, FUNCTION))
             .collect();
         host.send_all(pair);
-        let sent: Vec<_> = (first..first + 2)
+        let dispatched: Vec<_> = (first..first + 2)
             .filter_map(|id| host.dispatched_to(id))
             .collect();
-        assert!(sent.contains(&rejecting), "at {first}: {sent:?}");
-        (first..first + 2).for_each(|id| host.succeed(id, Warmth::Warm, WORK));
+        assert!(
+            dispatched.contains(&rejecting),
+            "at {first}: {dispatched:?}"
+        );
+        (first..first + 2).for_each(|id| host.succeed(id, Warmth::Warm, WORK_TIME));
     }
 }
 
 #[rstest]
-fn with_a_stale_list_only_workers_that_accepted_something_lately_are_used() {
+fn with_a_stale_list_only_workers_that_recently_accepted_an_attempt_are_used() {
     let mut host = two_warm_workers();
     let begun = host.now;
-    // One worker accepts requests all the time; the other one has too many in flight to get any.
+    // One worker accepts requests all the time; the other one has a long request in flight and gets no more.
     host.send(2, FUNCTION);
     let other = host.dispatched_to(2).unwrap();
     let mut id = 10;
@@ -125,11 +135,11 @@
     // The long request is answered now, but was dispatched seven seconds ago.
     host.succeed(2, Warmth::Warm, 0);
     let loads_before = host.load_commands(None, 1);
-    let crowd: Vec<_> = (100..110).map(|id| host.request(id, FUNCTION)).collect();
-    host.send_all(crowd);
-    host.advance(GRACE);
-    let sent = (100..110).filter(|id| host.dispatched_to(*id) == Some(other));
-    assert_eq!(sent.count(), 0, "no attempt without a lease");
+    let burst: Vec<_> = (100..110).map(|id| host.request(id, FUNCTION)).collect();
+    host.send_all(burst);
+    host.advance(DRAIN_GRACE);
+    let dispatched = (100..110).filter(|id| host.dispatched_to(*id) == Some(other));
+    assert_eq!(dispatched.count(), 0, "no attempt without a lease");
     let commands = host.log.actions.iter().filter(
         |action| matches!(action, Action::Load { worker, instances, .. } if *worker == other && *instances > 0),
     );
@@ -138,7 +148,7 @@
 }
 
 #[rstest]
-fn with_a_stale_list_and_no_lease_requests_are_rejected_at_once() {
+fn with_a_stale_list_and_no_lease_requests_are_rejected_immediately() {
     let mut host = two_warm_workers();
     host.advance(NOTIFIED_WITHIN + SECOND);
     let before = host.attempts.len();
@@ -146,13 +156,13 @@
     assert_eq!(host.final_answers(2), 1);
     assert!(host.log.retry_afters.last().is_some_and(|after| *after > 0));
     assert_eq!(host.attempts.len(), before);
-    // The list is confirmed again: all is as before.
+    // A confirmed list is current again.
     confirm(&mut host);
     assert_eq!(serve(&mut host, 3..4).len(), 1);
 }
 
 #[rstest]
-fn leases_that_have_all_ended_are_extended_for_workers_that_accepted_during_the_outage() {
+fn expired_leases_are_extended_for_workers_that_accepted_attempts_during_the_outage() {
     let mut host = two_warm_workers();
     host.advance(NOTIFIED_AFTER + SECOND);
     let accepting = serve(&mut host, 2..3);
@@ -161,7 +171,7 @@
 }
 
 #[rstest]
-fn a_list_whose_age_is_not_stated_does_not_become_stale() {
+fn list_without_confirmations_does_not_become_stale() {
     let mut host = FakeHost::new(2, &[]);
     serve(&mut host, 1..3);
     host.advance(60 * SECOND);
@@ -171,7 +181,7 @@
 #[rstest]
 #[case::list_is_overdue(NOTIFIED_AFTER + SECOND, true)]
 #[case::list_is_current(0, false)]
-fn a_worker_that_was_lost_and_is_back_is_cold_while_a_restart_would_be_missed(
+fn lost_worker_that_answers_again_is_cold_while_its_restart_may_be_missed(
     #[case] age: Micros,
     #[case] is_cold: bool,
 ) {
@@ -182,27 +192,27 @@
     let lost = host.dispatched_to(4).unwrap();
     host.end_attempt(4, Outcome::Reset, Warmth::Unknown, 1_000);
     host.answer_queries(1);
-    // It answers its check: what is sent to it at once is bounded if it may have restarted.
-    let crowd: Vec<_> = (100..160).map(|id| host.request(id, FUNCTION)).collect();
-    host.send_all(crowd);
+    // The worker answers its check. The number of requests dispatched to it is limited if it may have restarted.
+    let burst: Vec<_> = (100..160).map(|id| host.request(id, FUNCTION)).collect();
+    host.send_all(burst);
     for _ in 0..20 {
         host.answer_queries(1);
         host.advance(20_000);
     }
-    let sent = (100..160).filter(|id| host.dispatched_to(*id) == Some(lost));
-    assert_eq!(sent.count() < 3, is_cold);
+    let dispatched = (100..160).filter(|id| host.dispatched_to(*id) == Some(lost));
+    assert_eq!(dispatched.count() < 3, is_cold);
 }
 
 #[rstest]
-#[case::confirmed(true)]
-#[case::stale(false)]
-fn instances_are_kept_pre_warmed_at_workers_that_hold_a_lease_only(#[case] is_confirmed: bool) {
+#[case::list_is_confirmed(true)]
+#[case::list_is_stale(false)]
+fn instances_are_kept_pre_warmed_only_at_workers_that_hold_a_lease(#[case] is_confirmed: bool) {
     let prewarmed = ("design.pre-warmed", Value::Number(1.0));
     let mut host = FakeHost::new(1, &[workers_answer_misses(), LOAD_COMMANDS, prewarmed]);
     confirm(&mut host);
     host.send(1, FUNCTION);
-    host.complete_first_load(FUNCTION, WORK);
-    host.succeed(1, Warmth::Warm, WORK);
+    host.complete_first_load(FUNCTION, WORK_TIME);
+    host.succeed(1, Warmth::Warm, WORK_TIME);
     host.advance(NOTIFIED_WITHIN);
     let before = host.load_commands(FUNCTION, 1);
     for _ in 0..10 {
--- a/tests/rendezvous.rs
+++ b/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Weighted rendezvous hashing: compared with sorting all keys, and how much of a ranking a change moves.
+//! Weighted rendezvous hashing, compared with sorting all keys, and the part of a ranking that a change moves.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Every key with its time, computed by a pass over all keys for each level.
+/// The time of each key, computed by a pass over all keys for each level.
 fn reference_times(keys: &[(u64, u64)], seed: u64, level: u32, time: f64) -> Vec<(f64, u64)> {
     let mut children: BTreeMap<u64, Vec<(u64, u64)>> = BTreeMap::new();
     for (key, weight) in keys {
@@ -71,7 +71,7 @@
     times.into_iter().map(|(_, key)| key).collect()
 }
 
-/// The share of many seeds for which two trees rank different keys first.
+/// The fraction of many seeds for which two trees rank different keys first.
 fn fraction_moved(one: &RendezvousTree, other: &RendezvousTree) -> f64 {
     const SEEDS: u64 = 20_000;
     let moved = (0..SEEDS)
@@ -84,7 +84,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn ranking_is_that_of_all_keys_sorted_by_their_draws(
+    fn ranking_equals_all_keys_sorted_by_their_times(
         fleet in prop::collection::btree_map(any::<u64>(), 0.01f64..64.0, 0..600),
         seed in any::<u64>(),
     ) {
@@ -101,10 +101,10 @@
         fleet.iter().rev().for_each(|(key, weight)| changed.insert(*key, weight + 1.0));
         removed.keys().filter(|key| !fleet.contains_key(key)).for_each(|key| changed.remove(*key));
         fleet.iter().for_each(|(key, weight)| changed.insert(*key, *weight));
-        let fresh = tree_of(&fleet);
-        prop_assert_eq!(changed.ranking(seed).collect::<Vec<_>>(), fresh.ranking(seed).collect::<Vec<_>>());
-        prop_assert_eq!(changed.len(), fresh.len());
-        prop_assert_eq!(changed.total_weight().to_bits(), fresh.total_weight().to_bits());
+        let rebuilt = tree_of(&fleet);
+        prop_assert_eq!(changed.ranking(seed).collect::<Vec<_>>(), rebuilt.ranking(seed).collect::<Vec<_>>());
+        prop_assert_eq!(changed.len(), rebuilt.len());
+        prop_assert_eq!(changed.total_weight().to_bits(), rebuilt.total_weight().to_bits());
     }
 }
 
@@ -122,7 +122,7 @@
         let key = tree.ranking(seed).next().unwrap_or(u64::MAX);
         first_by_class[key as usize % 3] += 1.0 / SEEDS as f64;
     }
-    for (class, seen) in first_by_class.into_iter().enumerate() {
+    for (class, actual) in first_by_class.into_iter().enumerate() {
         let class_weight = fleet
             .iter()
             .filter(|(key, _)| **key as usize % 3 == class)
@@ -130,13 +130,13 @@
             .sum::<f64>();
         let expected = class_weight / total_weight;
         assert!(
-            (seen - expected).abs() < 0.015,
-            "{seen}, expected {expected}"
+            (actual - expected).abs() < 0.015,
+            "{actual}, expected {expected}"
         );
     }
 }
 
-/// Each inner level, and the keys below the last one, moves at most the share that was removed.
+/// Each level of inner nodes, and the keys below the last one, may move no more than the fraction that was removed.
 #[rstest]
 #[case::ten_of_a_thousand(1_000, 10)]
 #[case::a_zone(1_900, 100)]
@@ -163,7 +163,7 @@
 }
 
 #[rstest]
-fn tenfold_growth_keeps_a_tenth_in_place() {
+fn tenfold_growth_keeps_a_tenth_of_first_keys() {
     let moved = fraction_moved(
         &tree_of(&equal_weights(300)),
         &tree_of(&equal_weights(3_000)),
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -12,7 +12,10 @@
 #[rstest]
 #[case::idempotent("restartable", true)]
 #[case::run_once("run-once", false)]
-fn error_is_retried_only_where_that_is_harmless(#[case] effect: &str, #[case] is_retried: bool) {
+fn error_is_retried_only_if_the_request_is_idempotent(
+    #[case] effect: &str,
+    #[case] is_retried: bool,
+) {
     let mut host = FakeHost::new(3, &[("workloads.0.effect", text(effect))]);
     host.send(1, 7);
     host.end_attempt(1, Outcome::Error, Warmth::Unknown, 10_000);
@@ -20,15 +23,15 @@
     assert_eq!(
         host.count(|action| *action == Action::Fail(1)),
         usize::from(!is_retried),
-        "and at once"
+        "a request that is not retried fails immediately"
     );
     assert_eq!(host.count(|action| *action == Action::Reject(1)), 0);
 }
 
 #[rstest]
-#[case::in_its_zone(0, 100_000, true)]
+#[case::in_the_same_zone(0, 100_000, true)]
 #[case::in_another_zone(1, 100_000, false)]
-#[case::past_the_window(0, 600_000, false)]
+#[case::after_the_window(0, 600_000, false)]
 fn retry_by_idempotency_key_stays_in_scope_and_window(
     #[case] zone: usize,
     #[case] after: Micros,
@@ -52,14 +55,14 @@
     assert_eq!(
         host.count(|action| *action == Action::Reject(1)),
         0,
-        "it may have run"
+        "a request that may have run is not rejected"
     );
 }
 
 #[rstest]
 #[case::draining(WorkerState::Draining)]
 #[case::gone(WorkerState::Gone)]
-fn nothing_new_goes_to_a_worker_that_drains_in_the_same_batch(#[case] state: WorkerState) {
+fn worker_that_drains_or_leaves_in_the_same_batch_gets_nothing(#[case] state: WorkerState) {
     let mut host = FakeHost::new(1, &[]);
     let list = EndpointList {
         kind: EndpointListKind::Delta,
@@ -80,7 +83,7 @@
 #[rstest]
 #[case::of_several_functions([0, 1, 2], true)]
 #[case::of_one_function([0, 0, 2], false)]
-fn worker_that_fails_several_functions_backs_off(
+fn router_backs_off_from_a_worker_that_fails_several_functions(
     #[case] failing: [usize; 3],
     #[case] backs_off: bool,
 ) {
--- a/tests/robustness.rs
+++ b/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Settings and events that make little sense are handled without a panic and without losing requests.
+//! Implausible settings and events cause no panic and lose no requests.
 
 mod common;
 
@@ -18,7 +18,7 @@
 #[case::routers("routers")]
 #[case::key_window("workloads.0.repeat-window-us")]
 #[case::workloads("workloads.count")]
-fn setting_of_zero_loses_no_request_and_wakes_no_more_often(#[case] name: &str) {
+fn setting_of_zero_loses_no_request_and_causes_few_wake_ups(#[case] name: &str) {
     let mut host = FakeHost::new(5, &[(name, Value::Number(0.0)), LOAD_COMMANDS]);
     host.update_endpoint(endpoint(1, WorkerState::Ready, host.now));
     let mut wake_ups = 0;
@@ -39,7 +39,7 @@
 }
 
 #[rstest]
-fn odd_events_cause_no_panic() {
+fn implausible_events_cause_no_panic() {
     let mut host = FakeHost::new(0, &[]);
     host.send(1, 7);
     host.update_endpoints(EndpointListKind::Full, vec![]);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown: each request gets its final answer in that batch, a rejection where the client may safely repeat it.
+//! Shutdown: each request gets its final answer in the same batch: a rejection if the client may safely retry it.
 
 mod common;
 
@@ -16,7 +16,7 @@
 #[rstest]
 #[case::idempotent("restartable", Action::Reject(1))]
 #[case::run_once("run-once", Action::Fail(1))]
-fn request_in_flight_is_rejected_where_repeating_it_is_harmless(
+fn request_in_flight_is_rejected_only_if_a_retry_is_safe(
     #[case] effect: &str,
     #[case] answer: Action,
 ) {
@@ -26,11 +26,15 @@
     shut_down(&mut host);
     assert_eq!(host.log.actions.last(), Some(&answer));
     host.succeed(1, Warmth::Warm, 50_000);
-    assert_eq!(host.final_answers(1), 1, "one answer, and nothing after it");
+    assert_eq!(
+        host.final_answers(1),
+        1,
+        "a late outcome causes no second answer"
+    );
 }
 
 #[rstest]
-fn request_that_never_ran_is_rejected_whether_idempotent_or_not() {
+fn run_once_request_that_never_ran_is_rejected() {
     let mut host = FakeHost::new(1, &[("workloads.0.effect", text("run-once"))]);
     host.send(1, 7);
     host.end_attempt(1, Outcome::Rejected, Warmth::Unknown, 1_000);
@@ -39,7 +43,7 @@
 }
 
 #[rstest]
-fn waiting_requests_are_answered_at_once() {
+fn waiting_requests_are_answered_immediately() {
     let mut host = FakeHost::new(1, &[workers_answer_misses(), LOAD_COMMANDS]);
     (0..20).for_each(|id| host.send(id, id));
     shut_down(&mut host);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a worker gets while it warms up.
+//! Slow start: how much work a worker gets while it warms up.
 
 mod common;
 
@@ -11,7 +11,7 @@
 }
 
 #[rstest]
-fn worker_gets_nothing_before_its_budget_is_saved_up() {
+fn restarted_worker_gets_nothing_before_its_budget_has_accrued() {
     let mut host = FakeHost::new(2, &[]);
     host.update_endpoint(endpoint(1, WorkerState::Ready, host.now));
     for id in 0..8 {
@@ -23,7 +23,7 @@
 #[rstest]
 #[case::one_router(1.0)]
 #[case::two_hundred(200.0)]
-fn routers_together_give_a_worker_no_more_than_its_share(#[case] routers: f64) {
+fn routers_together_stay_within_the_budget_of_a_restarted_worker(#[case] routers: f64) {
     // One worker of four restarts; all routers together get the traffic of one, ten requests a second.
     let mut dispatched = 0;
     for router in 0..routers as u64 {
@@ -38,6 +38,6 @@
     }
     assert!(
         dispatched <= 3,
-        "of twenty requests in two seconds: {dispatched}"
+        "{dispatched} of twenty requests in two seconds"
     );
 }
--- a/tests/warm_first.rs
+++ b/tests/warm_first.rs
@@ -1,4 +1,4 @@
-//! Warm-first placement: which instances are believed, queried or presumed, and which of them is chosen.
+//! Warm-first placement: which instances are believed, queried or presumed, and which one is chosen.
 
 mod common;
 
@@ -24,16 +24,16 @@
 #[rstest]
 #[case::within_the_keep_alive(7_000_000, true)]
 #[case::after_the_keep_alive(8_100_000, false)]
-fn instance_is_believed_for_its_keep_alive(#[case] idle: Micros, #[case] is_believed: bool) {
-    // Queries show belief: a router that believes in an instance dispatches without them. Answers pay for queries.
+fn instance_is_believed_loaded_for_its_keep_alive(#[case] idle: Micros, #[case] is_believed: bool) {
+    // A router that believes an instance to be loaded does not query. The other requests earn the query budget.
     let mut host = FakeHost::new(3, &[LOAD_COMMANDS]);
     host.send(1, 7);
     host.answer_queries(0);
     host.succeed(1, Warmth::StartedLoad, 900_000);
-    for paying in 100..104 {
-        host.send(paying, 8);
+    for id in 100..104 {
+        host.send(id, 8);
         host.answer_queries(0);
-        host.succeed(paying, Warmth::Warm, 10_000);
+        host.succeed(id, Warmth::Warm, 10_000);
     }
     host.advance(idle);
     let queries = host.load_commands(7, 0);
@@ -42,7 +42,7 @@
 }
 
 #[rstest]
-fn restarted_worker_has_no_instances() {
+fn restarted_worker_is_known_to_have_no_instances() {
     let mut host = FakeHost::new(3, &[workers_answer_misses(), LOAD_COMMANDS]);
     host.send(1, 7);
     host.answer_queries(0);
@@ -55,7 +55,7 @@
 }
 
 #[rstest]
-fn instance_of_another_router_is_found_by_queries() {
+fn instance_loaded_for_another_router_is_found_by_queries() {
     let mut host = FakeHost::new(9, &[LOAD_COMMANDS]);
     host.send(1, 7);
     assert_eq!(host.dispatched_to(1), None);
@@ -63,7 +63,7 @@
     assert_eq!(
         queried.len(),
         2,
-        "other endpoints than the one where it would load, as far as the query budget of a new router allows"
+        "all inspected endpoints but the load target, up to the initial query budget"
     );
     host.end_load(queried[0], 7, Outcome::Finished, 0);
     host.end_load(queried[1], 7, Outcome::Finished, 1);
@@ -98,7 +98,7 @@
     assert_eq!(
         preferred[0].len(),
         2,
-        "few for a function that was called once"
+        "the minimum for a function that was requested once"
     );
 }
 
@@ -154,7 +154,7 @@
         host.succeed(id, Warmth::Warm, 50_000);
         worker
     };
-    // Enough others to know the median, then the one in question.
+    // Establishes the median from reports of enough other workers.
     for id in 0..30 {
         serve(id, id, 4.0);
     }
@@ -165,9 +165,9 @@
 }
 
 #[rstest]
-#[case::where_a_wrong_presumption_costs_a_miss("miss", 30.0, 5)]
-#[case::where_it_costs_a_load("load", 30.0, 4)]
-#[case::not_where_nothing_is_queued("load", 0.0, 2)]
+#[case::wrong_presumption_costs_a_miss("miss", 30.0, 5)]
+#[case::wrong_presumption_costs_a_load("load", 30.0, 4)]
+#[case::nothing_is_queued("load", 0.0, 2)]
 fn congested_preferred_endpoints_are_replaced_by_fallbacks(
     #[case] on_miss: &str,
     #[case] queued: f64,
@@ -178,7 +178,7 @@
         ("copies.on-miss", Value::Text(on_miss.into())),
     ];
     let mut host = FakeHost::new(25, &settings);
-    // Every worker reports its load, the endpoints of function 99 as soon as they are found.
+    // Every worker reports a low load; those that then serve function 99 report a high one.
     for id in 0..400 {
         host.send(id, 1_000 + id);
         host.report = report(4.0, 0.0);
