--- a/src/logic/cold_start.rs
+++ b/src/logic/cold_start.rs
@@ -1,7 +1,7 @@
 //! Cold start: no instance has free capacity, so the request waits for one, or the function is loaded.
 
 use super::candidates::Candidates;
-use super::constants::{POLLS_PER_OBJECTIVE, PREFERRED_ENDPOINTS, QUERIES_PER_KEEP_ALIVE};
+use super::constants::{CHECK_TIMEOUT_DIVISOR, PREFERRED_ENDPOINTS, QUERIES_PER_KEEP_ALIVE};
 use super::placement::PlacementRequest;
 use super::Router;
 use crate::state::{InstanceCommand, InstanceState, Worker};
@@ -184,7 +184,7 @@
         out: &mut impl Decisions,
     ) -> bool {
         let now = self.now;
-        let timeout = self.config.tightest_objective / POLLS_PER_OBJECTIVE;
+        let timeout = self.config.tightest_objective / CHECK_TIMEOUT_DIVISOR;
         let interval = (self.config.keep_alive / QUERIES_PER_KEEP_ALIVE).max(timeout);
         let Some(function) = self.functions.get_mut(id) else {
             return false;
--- a/src/logic/constants.rs
+++ b/src/logic/constants.rs
@@ -25,7 +25,7 @@
 pub(super) const SWEEPS_PER_OBJECTIVE: Micros = 20;
 /// Queries and health checks time out after the tightest latency objective divided by this: workers answer them well
 /// within that time, since they never wait for work.
-pub(super) const POLLS_PER_OBJECTIVE: Micros = 10;
+pub(super) const CHECK_TIMEOUT_DIVISOR: Micros = 10;
 /// The interval of health checks of an ejected worker grows up to this multiple of the first one.
 pub(super) const MAX_CHECK_BACKOFF: u32 = 10;
 /// Instances of a function are queried at most this often in one keep-alive, since they are loaded and unloaded no
--- a/src/logic/outlier_detection.rs
+++ b/src/logic/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: workers that accept requests but do not answer are checked and ejected, and their requests are
 //! retried elsewhere.
 
-use super::constants::{MAX_CHECK_BACKOFF, POLLS_PER_OBJECTIVE};
+use super::constants::{CHECK_TIMEOUT_DIVISOR, MAX_CHECK_BACKOFF};
 use super::Router;
 use crate::state::{AttemptStatus, InFlightAttempt, InstanceCommand, Timer};
 use crate::{Decisions, Micros, RequestId, WorkerId, WorkerState};
@@ -11,7 +11,7 @@
     /// not answer the check, it is ejected and checked again at increasing intervals.
     pub(super) fn check_overdue_worker(&mut self, id: WorkerId, out: &mut impl Decisions) {
         let now = self.now;
-        let check_interval = self.config.tightest_objective / POLLS_PER_OBJECTIVE;
+        let check_interval = self.config.tightest_objective / CHECK_TIMEOUT_DIVISOR;
         let can_check = self.config.may_check_health || self.config.may_command_loads;
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
--- a/src/logic/overload.rs
+++ b/src/logic/overload.rs
@@ -85,7 +85,7 @@
     }
 
     /// The queued fraction at the median worker; a mean over answers would be dominated by congested workers, which
-    /// send most of them. Only the newest reports count, so that the end of an overload is noticed early.
+    /// send most of them. Only the newest reports count, so that the end of an overload is noticed soon.
     fn median_queued_fraction(&self, reports: &[QueueReport], sample_size: usize) -> f64 {
         if reports.is_empty() {
             return 0.0;
