--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -30,7 +30,7 @@
     read.listen = variable("RELAY_LISTEN").unwrap_or(read.listen);
     // Guards against a configuration that promises more descriptors than there are: idle clients would take the last.
     let open_files = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    read.sockets = read.sockets.min(open_files.unwrap_or(u64::MAX));
+    read.max_descriptors = read.max_descriptors.min(open_files.unwrap_or(u64::MAX));
     Ok((file, read))
 }
 
--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -157,7 +157,7 @@
             .filter_map(|event| self.endpoint_change(clocks.now, event))
             .collect();
         if !self.missed_event {
-            self.start_times.finish_batch(clocks.now);
+            self.start_times.mark_caught_up(clocks.now);
         }
         changes
     }
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -4,18 +4,19 @@
 use sanddrum_wire::{EndpointRecord, Phase};
 use serde_json::Value as Json;
 
-/// The age in microseconds of a process that started long ago, or at an unknown time.
+/// The age, in microseconds, that stands for a process that started long ago or at an unknown time.
 pub(crate) const UNKNOWN_AGE_US: Micros = -1;
 
-/// The capacity of a worker whose size the feed does not state, relative to other workers.
+/// The relative capacity of a worker whose size the feed does not state.
 const DEFAULT_SIZE: f64 = 1.0;
 
-/// What the feed would have told may count as told this long after its connection broke, or after the end of the wait of a
-/// poll that it did not answer (the platform's page of the days that count, *Bad peers*), in microseconds.
+/// In microseconds: the platform may consider the router notified of a change that the feed could not deliver this long
+/// after the feed's connection broke, or after the wait of an unanswered poll ended (the platform's page on the
+/// days that count, section *Bad peers*).
 pub const NOTIFIED_AFTER: Micros = 2_000_000;
 
-/// What the feed would have told counts as told this long after it broke off or went silent, at the latest (the platform's
-/// protocol page, *Figures*), in microseconds.
+/// In microseconds: the platform considers the router notified of such a change at the latest this long after the feed
+/// broke off or went silent (the platform's protocol page, section *Figures*).
 pub const NOTIFIED_WITHIN: Micros = 7_000_000;
 
 /// A worker as the feed describes it.
@@ -23,14 +24,14 @@
 pub struct Member {
     /// The worker, without its incarnation and age, which [`StartTimes`](crate::start_times::StartTimes) derives.
     pub endpoint: EndpointRecord,
-    /// When its process started, in Unix milliseconds by the worker's wall clock; zero means long ago.
+    /// When its process started, in Unix milliseconds by the worker's wall clock; zero for long ago.
     pub up_since_ms: i64,
 }
 
-/// What an event changes in the list of workers.
+/// The change of the list of workers that an event brings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipUpdate {
-    /// Whether `members` is the complete list; otherwise it holds only the changes.
+    /// Whether `members` is the complete list; otherwise it holds only the changed workers.
     pub is_full_snapshot: bool,
     /// The workers.
     pub members: Vec<Member>,
@@ -39,9 +40,9 @@
 /// One event of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedEvent {
-    /// The event's number; numbers grow.
+    /// The event's number; numbers are increasing.
     pub number: u64,
-    /// What it changes; none where the event does not concern the list of workers.
+    /// The change of the list of workers; `None` if the event does not concern it.
     pub members: Option<MembershipUpdate>,
 }
 
@@ -58,20 +59,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FeedError {
     /// A value is missing or of another type.
-    #[error("{key}: {expected} is wanted")]
+    #[error("{key}: expected {expected}")]
     WrongType {
         /// The value's key.
         key: &'static str,
-        /// The type that the key has.
+        /// The type that the value must have.
         expected: &'static str,
     },
-    /// A worker is in a phase that is not known, or in none.
+    /// A worker's phase is unknown or missing.
     #[error("members: phase: unknown {0:?}")]
     UnknownPhase(Option<String>),
 }
 
-/// The request for the events that follow event `number`. The feed responds within `wait`, with no events if there are
-/// none by then.
+/// Encodes the poll for the events that follow event `number`. The feed responds within `wait`, without events if there
+/// are none by then.
 pub fn poll_request(address: &str, number: u64, wait: Micros) -> Vec<u8> {
     let wait_ms = wait / 1000;
     format!(
@@ -80,19 +81,19 @@
     .into_bytes()
 }
 
-/// Reads a response of the feed, or the `known` events of the startup configuration. A worker's kind of machine is
-/// numbered by its position in `kinds`.
+/// Parses a response of the feed, or the `known` events of the startup configuration. A worker's kind of machine becomes
+/// its index in `kinds`, or `kinds.len()` if it is not listed there.
 ///
 /// # Errors
 /// [`FeedError`], which names the key.
 pub fn parse(json: &Json, kinds: &[String]) -> Result<FeedEvents, FeedError> {
     let last_number = json["n"].as_u64().ok_or(FeedError::WrongType {
         key: "n",
-        expected: "a whole number",
+        expected: "a non-negative integer",
     })?;
     let events = match &json["events"] {
         Json::Null => &[],
-        events => list(events, "events")?,
+        events => expect_array(events, "events")?,
     };
     let events = events
         .iter()
@@ -104,18 +105,18 @@
     })
 }
 
-fn list<'a>(json: &'a Json, key: &'static str) -> Result<&'a [Json], FeedError> {
-    let list = json.as_array().ok_or(FeedError::WrongType {
+fn expect_array<'a>(json: &'a Json, key: &'static str) -> Result<&'a [Json], FeedError> {
+    let array = json.as_array().ok_or(FeedError::WrongType {
         key,
-        expected: "a list",
+        expected: "an array",
     })?;
-    Ok(list)
+    Ok(array)
 }
 
 fn read_event(event: &Json, kinds: &[String]) -> Result<FeedEvent, FeedError> {
     let number = event["n"].as_u64().ok_or(FeedError::WrongType {
         key: "events: n",
-        expected: "a whole number",
+        expected: "a non-negative integer",
     })?;
     let members = match &event["members"] {
         Json::Null => None,
@@ -125,7 +126,7 @@
 }
 
 fn read_update(update: &Json, kinds: &[String]) -> Result<MembershipUpdate, FeedError> {
-    let members = list(&update["members"], "members")?
+    let members = expect_array(&update["members"], "members")?
         .iter()
         .map(|member| read_member(member, kinds))
         .collect::<Result<_, _>>()?;
@@ -139,7 +140,7 @@
     let text = |key: &str| member[key].as_str().map(String::from);
     let name = text("id").ok_or(FeedError::WrongType {
         key: "members: id",
-        expected: "a text",
+        expected: "a string",
     })?;
     let kind = member["flavor"]
         .as_str()
--- a/crates/sanddrum-platform/src/deployment.rs
+++ b/crates/sanddrum-platform/src/deployment.rs
@@ -1,64 +1,66 @@
-//! Writes the edge's own settings from a startup configuration, as S-expressions. They are read and checked like those of
-//! a file. Values that the platform leaves out get its defaults, and values beyond the edge's bounds the nearest bound.
+//! Translates a startup configuration into the edge's own settings, written as S-expressions so that they are read and
+//! checked like those of a file. Values missing from the configuration get the platform's defaults; values outside the
+//! edge's bounds are clamped.
 
 use crate::StartupConfig;
 use sanddrum::Settings;
 
-/// Limits that the platform describes and has no settings for. docs/operating/platform.md gives the reason of each.
+/// Limits that the platform describes but has no settings for. docs/operating/platform.md gives the reason for each.
 const FIXED_LIMITS: &str = include_str!("limits.sx");
 
-/// Settings of the platform that the decision module has no names for.
+/// Keys of platform settings that have no name in the decision module.
 const STREAMS_PER_CONNECTION: &str = "limits.streams-per-conn";
 const KEEP_ALIVE_US: &str = "limits.keepalive-us";
 const CONNECT_TIMEOUT_US: &str = "limits.connect-timeout-us";
 
-/// Descriptors that are neither for clients nor for workers: the listener, the feed, the event loop's own, files, and
-/// connections that are about to close.
-const OWN_DESCRIPTORS: u64 = 32;
-/// The fewest connections of either side, where the descriptors would allow for fewer.
+/// Descriptors reserved for everything other than clients and workers: the listener, the feed, the event loop's own, files,
+/// and connections that are about to close.
+const RESERVED_DESCRIPTORS: u64 = 32;
+/// The minimum of both connection limits, even where the descriptors would allow for fewer.
 const MIN_CONNECTIONS: u64 = 8;
 
-/// The platform kills a router this long after SIGTERM, beyond the longest time limit.
+/// After SIGTERM the platform waits for the longest time limit, and this much longer, before it kills the router.
 const KILL_DELAY_US: f64 = 0.7e6;
-/// Time that is left for the last responses.
+/// The time reserved for sending the last responses.
 const STOP_MARGIN_US: f64 = 0.1e6;
 /// The longest time limit that the platform waits for after SIGTERM.
 const MAX_STOP_TIME_LIMIT_US: f64 = 3e6;
 
-/// The fraction of the platform's keep-alive time after which an idle connection is closed: before the worker closes it, so
-/// that no request is sent on a connection that is closing.
+/// The fraction of the platform's keep-alive time after which an idle connection is closed: earlier than the worker closes
+/// it, so that no request is sent on a closing connection.
 const IDLE_CLOSE_FRACTION: f64 = 0.8;
-/// The fraction of the router's memory for request bodies. Each is held twice: in the request and on its way to a worker.
+/// The fraction of the router's memory for request bodies. Each is held twice: in the request and while it is sent to a worker.
 const BODY_MEMORY_FRACTION: f64 = 1.0 / 8.0;
 
-/// The deployment's settings as S-expressions, one section a line.
+/// Writes the deployment's settings as S-expressions, one section per line.
 pub(crate) fn write(config: &StartupConfig, settings: &Settings) -> String {
-    let source = Source { config, settings };
+    let writer = SectionWriter { config, settings };
     let sections = [
-        source.deployment(),
-        source.workloads(),
-        source.instances(),
-        source.rules(),
-        source.limits(),
-        source.edge(),
+        writer.deployment(),
+        writer.workloads(),
+        writer.instances(),
+        writer.rules(),
+        writer.limits(),
+        writer.edge(),
     ];
     sections.concat()
 }
 
-/// Where the values come from.
-struct Source<'a> {
+/// Writes each section from the startup configuration.
+struct SectionWriter<'a> {
     config: &'a StartupConfig,
+    /// The configuration's settings under the decision module's names.
     settings: &'a Settings,
 }
 
-impl Source<'_> {
+impl SectionWriter<'_> {
     fn number(&self, name: &str, default: f64) -> f64 {
         self.settings.number(name).unwrap_or(default)
     }
 
-    /// A duration in microseconds, zero or more.
+    /// The text of a duration setting in microseconds, at least zero.
     fn duration(&self, name: &str, default_us: f64) -> String {
-        micros(self.number(name, default_us).max(0.0))
+        format_micros(self.number(name, default_us).max(0.0))
     }
 
     fn zones(&self) -> Vec<String> {
@@ -98,32 +100,36 @@
         let key = |key: &str| workload_key(index, key);
         let effect = self.settings.text(&key("effect")).unwrap_or("run-once");
         let time_limit_us = self.time_limit_us(index);
-        // An objective beyond the time limit can't be met later than the time limit.
+        // No response counts after the time limit, so a longer objective means the same; the settings' check rejects it.
         let start_target_us = self
             .number(&key("start-target-us"), 1e6)
             .clamp(1.0, time_limit_us);
         let deduplication = if effect == "fingerprinted" {
             let group = self.settings.text(&key("group")).unwrap_or("all");
             let window_us = self.number(&key("repeat-window-us"), 0.0).max(1.0);
-            format!(" (group {group}) (repeat-window {})", micros(window_us))
+            format!(
+                " (group {group}) (repeat-window {})",
+                format_micros(window_us)
+            )
         } else {
             String::new()
         };
         format!(
             "(workload {name:?} (start-target {}) (time-limit {}) (effect {effect}){deduplication})\n",
-            micros(start_target_us),
-            micros(time_limit_us),
+            format_micros(start_target_us),
+            format_micros(time_limit_us),
         )
     }
 
     fn instances(&self) -> String {
         let on_miss = self.settings.text("copies.on-miss").unwrap_or("load");
-        // The decision module reads by itself whether load commands are allowed. Here they always are where workers
-        // load nothing by themselves, as the check of the settings rejects a fleet that nothing could load functions in.
+        // The decision module is configured separately and knows whether load commands are allowed. Here they are also
+        // allowed where workers don't load functions themselves: the settings' check rejects a deployment in which
+        // nothing can load functions.
         let allows_load_commands =
             self.settings.flag("copies.orders") == Some(true) || on_miss == "miss";
         let orders = if allows_load_commands { "yes" } else { "no" };
-        let keep_alive = micros(self.number("copies.keep-alive-us", 8e6).max(1.0));
+        let keep_alive = format_micros(self.number("copies.keep-alive-us", 8e6).max(1.0));
         format!("(copies (keep-alive {keep_alive}) (on-miss {on_miss}) (orders {orders}))\n")
     }
 
@@ -139,15 +145,15 @@
     }
 
     fn limits(&self) -> String {
-        // Connections of web servers take at most a third of the descriptors, so that idle ones leave enough for workers.
-        let max_clients = (self.config.sockets / 3).max(MIN_CONNECTIONS);
+        // Web servers' connections get at most a third of the descriptors, so that idle ones leave enough for workers.
+        let max_clients = (self.config.max_descriptors / 3).max(MIN_CONNECTIONS);
         let max_worker_connections = self
             .config
-            .sockets
-            .saturating_sub(max_clients + OWN_DESCRIPTORS)
+            .max_descriptors
+            .saturating_sub(max_clients + RESERVED_DESCRIPTORS)
             .max(MIN_CONNECTIONS);
         let body_memory_mb = (self.config.memory_mb * BODY_MEMORY_FRACTION).max(1.0);
-        let idle_close = micros(self.number(KEEP_ALIVE_US, 3e7) * IDLE_CLOSE_FRACTION);
+        let idle_close = format_micros(self.number(KEEP_ALIVE_US, 3e7) * IDLE_CLOSE_FRACTION);
         format!(
             "(limits {FIXED_LIMITS} (streams {}) (connect-time-out {}) (idle-close {idle_close}) \
              (order-time-out {}) (max-retry-after {}) (max-executions {}) (max-open {}) \
@@ -159,11 +165,11 @@
             self.duration("limits.max-retry-after-us", 2e6),
             self.number("limits.max-executions", 5.0).clamp(1.0, 100.0) as i64,
             self.number("limits.max-open", 20e3).clamp(1.0, 1e7) as i64,
-            micros(self.stop_within_us()),
+            format_micros(self.stop_within_us()),
         )
     }
 
-    /// The time that a router has for its graceful shutdown, in microseconds.
+    /// The time that the router has for its graceful shutdown, in microseconds.
     fn stop_within_us(&self) -> f64 {
         let longest_time_limit_us = (0..self.workload_names().len())
             .map(|workload| self.time_limit_us(workload))
@@ -192,7 +198,7 @@
     format!("workloads.{workload}.{key}")
 }
 
-/// A duration as settings have it, in whole microseconds.
-fn micros(micros: f64) -> String {
+/// A duration as written in settings, in whole microseconds.
+fn format_micros(micros: f64) -> String {
     format!("{}us", micros as i64)
 }
--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -1,6 +1,6 @@
 //! Frames between routers and workers. A frame is a header of 16 bytes (marker, code, length of the fields in 2 bytes,
 //! length of the body in 4, id in 8), the fields, the body, and the CRC-32 of fields and body in 4 bytes. Numbers are
-//! unsigned, most significant byte first. Fields are UTF-8 text: `name=value` pairs separated by commas.
+//! unsigned and big-endian. Fields are UTF-8 text: `name=value` pairs separated by commas.
 
 mod decoder;
 
@@ -11,9 +11,9 @@
 const HEADER_BYTES: usize = 16;
 const CHECKSUM_BYTES: usize = 4;
 
-/// The marker of frames that routers send.
+/// The first byte of frames that routers send.
 const ROUTER_MARKER: u8 = 76;
-/// The marker of frames that workers send.
+/// The first byte of frames that workers send.
 const WORKER_MARKER: u8 = 108;
 
 /// Codes of the frames that routers send.
@@ -37,12 +37,12 @@
     frame
 }
 
-/// A request, which the worker executes if it can begin within `limit`.
+/// Encodes a request. The worker executes it if it can start within `limit`.
 pub fn request(id: u64, workload: &str, function: &str, limit: Micros, body: &[u8]) -> Vec<u8> {
     request_with_key(id, workload, function, limit, None, body)
 }
 
-/// A request with the client's idempotency key, by which workers drop its retries.
+/// Encodes a request with the client's idempotency key, by which workers recognize and drop retries.
 pub fn request_with_key(
     id: u64,
     workload: &str,
@@ -60,28 +60,29 @@
     encode_frame(ROUTER_MARKER, CODE_REQUEST, id, &fields, body)
 }
 
-/// Cancels a request; nothing answers this.
+/// Encodes the cancellation of a request; it has no response.
 pub fn cancel(id: u64) -> Vec<u8> {
     encode_frame(ROUTER_MARKER, CODE_CANCEL, id, "", &[])
 }
 
-/// A health check of the connection.
+/// Encodes a health check of the connection.
 pub fn ping(id: u64) -> Vec<u8> {
     encode_frame(ROUTER_MARKER, CODE_PING, id, "", &[])
 }
 
-/// A load command: at least `instances` instances of a function are to be loaded. Zero only queries how many there are.
+/// Encodes a load command: the worker is to have at least `instances` instances of the function loaded. Zero only
+/// queries how many are loaded.
 pub fn load(id: u64, function: &str, instances: u32) -> Vec<u8> {
     let fields = format!("thing={function},copies={instances}");
     encode_frame(ROUTER_MARKER, CODE_LOAD, id, &fields, &[])
 }
 
-/// Unloads the idle instances of a function; nothing answers this.
+/// Encodes the command to unload the idle instances of a function; it has no response.
 pub fn unload(function: u64) -> Vec<u8> {
     encode_frame(ROUTER_MARKER, CODE_UNLOAD, function, "", &[])
 }
 
-/// A response, as a worker encodes it; for tests and emulated workers.
+/// Encodes a response as a worker does; for tests and emulated workers.
 pub fn response(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
     encode_frame(WORKER_MARKER, code, id, fields, body)
 }
--- a/crates/sanddrum-platform/src/frames/decoder.rs
+++ b/crates/sanddrum-platform/src/frames/decoder.rs
@@ -3,44 +3,44 @@
 use super::{CHECKSUM_BYTES, HEADER_BYTES, WORKER_MARKER};
 use sanddrum_wire::{ExecutionStatus, InstanceState, LoadReport, ReceiveBuffer};
 
-/// What a worker responds to a request, a load command or a ping.
+/// A worker's response to a request, a load command or a ping.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Response {
-    /// The id of what it responds to.
+    /// The id of the frame that it responds to.
     pub id: u64,
-    /// How that ended; none in the response to a ping.
+    /// The outcome; `None` in the response to a ping.
     pub status: Option<ExecutionStatus>,
     /// The state of the function's instance when a request arrived.
     pub instance: Option<InstanceState>,
     /// The worker's load report.
     pub report: Option<LoadReport>,
-    /// Instances that are loaded, in the response to a load command.
+    /// The number of loaded instances, in the response to a load command.
     pub instances: Option<u32>,
     /// The response's body.
     pub body: Vec<u8>,
 }
 
-/// Why the rest of a worker's stream can't be decoded. The connection has to be closed.
+/// Why a worker's stream can't be decoded any further. The connection has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// A frame does not begin with the marker of a worker's frame.
-    #[error("a frame begins with {0}, not with the marker of a worker's frame")]
+    #[error("a frame begins with byte {0} instead of a worker's marker")]
     UnexpectedMarker(u8),
-    /// A frame's code is none of a response.
-    #[error("code {0} is no response")]
+    /// A frame's code is not the code of a response.
+    #[error("frame code {0} is not the code of a response")]
     UnknownCode(u8),
-    /// A frame of this many bytes, which exceeds the limit.
-    #[error("a frame of {0} bytes (limits largest-frame)")]
+    /// The fields and the body have this many bytes together, which exceeds the limit.
+    #[error("a frame of {0} bytes exceeds the limit (limits largest-frame)")]
     TooLarge(usize),
     /// The CRC-32 does not match the fields and the body.
     #[error("a frame's checksum does not match")]
     ChecksumMismatch,
-    /// The fields are no `name=value` pairs, or a value is malformed.
+    /// The fields are not `name=value` pairs, or a value is malformed.
     #[error("a frame's fields are malformed")]
     MalformedFields,
 }
 
-/// Cuts a worker's stream into responses. It buffers at most one frame and what was received together with its end.
+/// Splits a worker's stream into responses. It buffers at most one incomplete frame and the bytes received with its end.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: ReceiveBuffer,
@@ -48,8 +48,8 @@
 }
 
 impl FrameDecoder {
-    /// A decoder that rejects frames whose fields and body have more than `max_frame_bytes` bytes, as soon as their
-    /// header is received.
+    /// Creates a decoder that rejects a frame as soon as its header announces more than `max_frame_bytes` bytes of
+    /// fields and body.
     pub fn new(max_frame_bytes: usize) -> Self {
         FrameDecoder {
             buffer: ReceiveBuffer::default(),
@@ -62,7 +62,7 @@
         self.buffer.push(bytes);
     }
 
-    /// The next complete response, or `None` until more bytes are received.
+    /// Returns the next complete response, or `None` until more bytes are received.
     ///
     /// # Errors
     /// [`FrameError`]; the decoder can't be used any further.
@@ -103,8 +103,8 @@
 }
 
 impl Header {
-    /// The header at the front of `bytes`, or `None` until more bytes are received. A wrong marker is an error with the
-    /// first byte.
+    /// Decodes the header at the start of `bytes`, or returns `None` until more bytes are received. A wrong marker is
+    /// an error as soon as the first byte is there.
     fn decode(bytes: &[u8]) -> Result<Option<Header>, FrameError> {
         match bytes.first() {
             Some(marker) if *marker != WORKER_MARKER => {
@@ -124,7 +124,7 @@
         }))
     }
 
-    /// The response with this header; `content` is its fields and its body.
+    /// Decodes the response with this header; `content` is its fields followed by its body.
     fn decode_response(&self, content: &[u8]) -> Result<Response, FrameError> {
         let (fields, body) = content.split_at(self.fields_length);
         let mut response = Response {
@@ -150,7 +150,7 @@
     }
 }
 
-/// The status that a response's code stands for; none for the response to a ping.
+/// The status that a response's code means; `None` for the response to a ping.
 fn decode_status(code: u8) -> Result<Option<ExecutionStatus>, FrameError> {
     match code {
         97 => Ok(Some(ExecutionStatus::Finished)),
@@ -173,7 +173,7 @@
     }
 }
 
-/// A load report of `name:value` pairs separated by semicolons; values that are no finite numbers are left out.
+/// Decodes a load report: `name:value` pairs separated by semicolons. Values that aren't finite numbers count as absent.
 fn decode_load_report(text: &str) -> LoadReport {
     let values = text
         .split(';')
--- a/crates/sanddrum-platform/src/start_times.rs
+++ b/crates/sanddrum-platform/src/start_times.rs
@@ -1,19 +1,19 @@
-//! When the processes of workers started. The control feed dates a start by a wall clock, and wall clocks are stepped or
-//! wrong: the workers' and this machine's. A worker that is taken for older than it is would be overloaded in its slow
-//! start, so the lowest of the ages that a start may have is used:
+//! When the processes of workers started. The control feed dates a start by a wall clock, and wall clocks, the workers'
+//! as well as this machine's, may be wrong or stepped. A worker whose age is overestimated would be overloaded during its
+//! slow start, so the lowest plausible age is used:
 //!
-//! - by this machine's wall clock as it is now, and as it was before the last steps observed here;
-//! - by the feed: what a response did not contain started, or was reported, after that response.
+//! - by this machine's wall clock, as it is now and as it was before each of the last steps observed here;
+//! - by the feed: a start that a response did not contain took place, or was reported, after that response.
 //!
-//! An equal date is the same start, however often it is reported. A different date is a later start, even if the date is
-//! earlier.
+//! The same date means the same start, however often it is reported. A different date means a later start, even if the
+//! date is earlier.
 
 use crate::control_feed::{Member, UNKNOWN_AGE_US};
 use sanddrum::Micros;
 use sanddrum_wire::{EndpointRecord, Phase};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One instant by both clocks.
+/// The same instant by both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
     /// The driver's monotonic clock, in microseconds.
@@ -22,36 +22,37 @@
     pub wall: Micros,
 }
 
-/// How many offsets between the clocks are remembered, each from before a step of the wall clock.
+/// How many offsets between the clocks are kept: the current one, and those from before the last steps of the wall clock.
 const MAX_CLOCK_OFFSETS: usize = 4;
-/// An offset that differs by less is no step, as wall clocks are slewed, too.
+/// A smaller change of the offset is not a step: wall clocks are also slewed.
 const MIN_CLOCK_STEP: Micros = 500_000;
-/// A date that is ahead of a wall clock by up to this is taken for one by that clock, which is a little slow. A date
-/// further ahead is by another clock and tells nothing of the age.
+/// A date up to this far ahead of a wall clock is taken for a date by that clock, running a little slow. A date further
+/// ahead was set by a different clock and says nothing about the age.
 const MAX_CLOCK_LAG: Micros = 60_000_000;
 
 /// A start of a worker's process.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// Its date, in Unix milliseconds; zero means long ago.
+    /// Its date, in Unix milliseconds; zero for long ago.
     up_since_ms: i64,
     incarnation: u64,
 }
 
-/// The start times of the workers in the list.
+/// The start times of the listed workers.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     /// The last known start of each worker, by the worker's name.
     starts: BTreeMap<String, Start>,
-    /// Offsets of the wall clock from the driver's clock, the latest last.
+    /// Offsets of the wall clock from the driver's clock, the current one last.
     clock_offsets: VecDeque<Micros>,
-    /// When the last response was processed, by the driver's clock. What a later one adds had not been reported by then.
-    last_batch_at: Option<Micros>,
+    /// When all events of the feed were last known to be processed, by the driver's clock. Starts in later responses had
+    /// not been reported by then.
+    caught_up_at: Option<Micros>,
     last_incarnation: u64,
 }
 
 impl StartTimes {
-    /// Observes the wall clock. It has to be called with each response of the feed, before its events are processed.
+    /// Observes the wall clock. Must be called with each response of the feed, before its events are processed.
     pub fn observe_clocks(&mut self, clocks: ClockReading) {
         let offset = clocks.wall - clocks.now;
         let is_step = self
@@ -67,12 +68,12 @@
         }
     }
 
-    /// All that the feed had to report by `now` has been processed.
-    pub fn finish_batch(&mut self, now: Micros) {
-        self.last_batch_at = Some(now);
+    /// Records that all events that the feed had by `now` have been processed.
+    pub fn mark_caught_up(&mut self, now: Micros) {
+        self.caught_up_at = Some(now);
     }
 
-    /// The endpoints of one event, each with its incarnation and its age at `now`. A later start has a higher
+    /// Returns the endpoints of one event, each with its incarnation and its age at `now`. A later start gets a higher
     /// incarnation.
     pub fn endpoints(
         &mut self,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The lowest age that a start may have.
+    /// The lowest plausible age of a start.
     fn age(&self, now: Micros, start: Start) -> Micros {
         if start.up_since_ms <= 0 {
             return UNKNOWN_AGE_US;
@@ -142,8 +143,8 @@
             .min()
             .unwrap_or(0);
         let age_by_feed = self
-            .last_batch_at
-            .map_or(Micros::MAX, |last_batch_at| (now - last_batch_at).max(0));
+            .caught_up_at
+            .map_or(Micros::MAX, |caught_up_at| (now - caught_up_at).max(0));
         age_by_wall_clocks.min(age_by_feed)
     }
 }
--- a/crates/sanddrum-platform/src/startup_config.rs
+++ b/crates/sanddrum-platform/src/startup_config.rs
@@ -1,4 +1,4 @@
-//! The startup configuration that the platform gives a router: a JSON file.
+//! The startup configuration that the platform gives to a router: a JSON file.
 
 use crate::control_feed::{self, FeedError, FeedEvents};
 use crate::deployment;
@@ -18,57 +18,57 @@
     pub listen: String,
     /// The IP address and port of the control feed.
     pub feed: String,
-    /// The seed of the router's random draws.
+    /// The seed of the router's random number generator.
     pub seed: u64,
-    /// File descriptors that the router may have, at least one.
-    pub sockets: u64,
-    /// Memory that the router may have in MB (2^20 bytes), at least one.
+    /// The maximum number of open file descriptors, at least one.
+    pub max_descriptors: u64,
+    /// The memory that the router may use, in MB (2^20 bytes), at least one.
     pub memory_mb: f64,
-    /// The feed's events when the configuration was written; see [`StartupConfig::feed_events`].
+    /// The feed's events as of when the configuration was written, not parsed; see [`StartupConfig::feed_events`].
     pub known_events: Json,
-    /// The settings by the platform's names.
+    /// The settings under the platform's names.
     pub settings: Json,
-    /// The settings by the decision module's names.
+    /// The settings under the decision module's names.
     decision_settings: Settings,
 }
 
-/// Why a startup configuration can't be used. The text begins with the key.
+/// Why a startup configuration can't be used. Unless the text is not JSON, the message begins with the key.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupConfigError {
-    /// The text is no JSON.
+    /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A text is missing or empty.
-    #[error("{0}: a text is wanted")]
-    NoText(&'static str),
-    /// A text is no IP address with a port.
+    /// A string is missing or empty.
+    #[error("{0}: expected a non-empty string")]
+    MissingText(&'static str),
+    /// A string is not an IP address with a port.
     #[error("{key}: {value:?} is not an IP address and a port")]
     InvalidAddress {
         /// The key.
         key: &'static str,
         /// Its value.
         value: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// The seed is no hexadecimal number of 64 bits.
-    #[error("seed: {value:?} is not hex digits")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: {value:?} is not a hexadecimal 64-bit number")]
     InvalidSeed {
         /// The seed as it was given.
         value: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: ParseIntError,
     },
     /// One of the `limits` is missing or less than one.
-    #[error("limits.{0}: a number from 1 on is wanted")]
+    #[error("limits.{0}: expected a number of at least 1")]
     InvalidLimit(&'static str),
-    /// The settings are missing or no object.
-    #[error("settings: an object is wanted")]
-    NoSettings,
+    /// The settings are missing or not an object.
+    #[error("settings: expected an object")]
+    MissingSettings,
     /// One of the settings can't be used.
     #[error("settings.{0}")]
     InvalidSettings(#[source] PlatformSettingsError),
-    /// The known events can't be read.
+    /// The known events can't be parsed.
     #[error("known: {0}")]
     InvalidEvents(#[source] FeedError),
 }
@@ -82,7 +82,7 @@
         let json: Json = serde_json::from_str(text).map_err(StartupConfigError::NotJson)?;
         let seed = read_seed(&json)?;
         if !json["settings"].is_object() {
-            return Err(StartupConfigError::NoSettings);
+            return Err(StartupConfigError::MissingSettings);
         }
         let decision_settings = sanddrum_platform_config::decision_settings(&json["settings"])
             .map_err(StartupConfigError::InvalidSettings)?;
@@ -91,7 +91,7 @@
             listen: read_address(&json, "listen")?,
             feed: read_address(&json, "feed")?,
             seed,
-            sockets: read_limit(&json, "sockets")? as u64,
+            max_descriptors: read_limit(&json, "sockets")? as u64,
             memory_mb: read_limit(&json, "memory_mb")?,
             known_events: json["known"].clone(),
             settings: json["settings"].clone(),
@@ -103,10 +103,10 @@
         Ok(config)
     }
 
-    /// The feed's events when the configuration was written.
+    /// The feed's events as of when the configuration was written.
     ///
     /// # Errors
-    /// [`FeedError`]: they can't be read, which [`StartupConfig::read`] excludes.
+    /// [`FeedError`]: they can't be parsed, which [`StartupConfig::read`] rules out.
     pub fn feed_events(&self) -> Result<FeedEvents, FeedError> {
         control_feed::parse(&self.known_events, &self.worker_kinds())
     }
@@ -134,7 +134,7 @@
 fn read_text(json: &Json, key: &'static str) -> Result<String, StartupConfigError> {
     match json[key].as_str() {
         Some(text) if !text.is_empty() => Ok(text.to_string()),
-        _ => Err(StartupConfigError::NoText(key)),
+        _ => Err(StartupConfigError::MissingText(key)),
     }
 }
 
--- a/crates/sanddrum-platform/tests/control_feed.rs
+++ b/crates/sanddrum-platform/tests/control_feed.rs
@@ -1,4 +1,4 @@
-//! The events of the control feed.
+//! Parsing of the control feed's events.
 
 use rstest::rstest;
 use sanddrum_platform::control_feed::{self, MembershipUpdate};
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 #[rstest]
-fn events_report_phases_kinds_and_start_times_of_workers() {
+fn events_are_parsed_with_the_phases_kinds_and_start_times_of_workers() {
     let member = |id: &str, phase: &str, up_since_ms: i64| {
         json!({"id": id, "host_port": "10.1.0.9:8080", "locality": "here", "flavor": "fast", "cell": 2,
                "phase": phase, "size": 4, "up_since_ms": up_since_ms})
--- a/crates/sanddrum-platform/tests/frames.rs
+++ b/crates/sanddrum-platform/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between routers and workers: encoded as the platform describes them, decoded however the stream is split.
+//! Frames between routers and workers are encoded as the platform describes them, and decoded however the stream is split.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -8,7 +8,7 @@
 const MAX_FRAME_BYTES: usize = 4096;
 const HEADER_BYTES: usize = 16;
 const CHECKSUM_BYTES: usize = 4;
-/// The marker and the code of a worker's response that finished.
+/// The marker and the code of a worker's response to a request that finished.
 const WORKER_MARKER: u8 = 108;
 const FINISHED: u8 = 97;
 
@@ -39,7 +39,7 @@
 #[case(101, Some(ExecutionStatus::Error))]
 #[case(102, Some(ExecutionStatus::Dropped))]
 #[case(103, None)]
-fn a_response_has_a_status_an_instance_state_and_a_load_report(
+fn a_response_is_decoded_with_its_status_instance_state_and_load_report(
     #[case] code: u8,
     #[case] status: Option<ExecutionStatus>,
 ) {
@@ -77,10 +77,10 @@
 }
 
 #[rstest]
-#[case::no_frame(b"GET / HTTP/1.1".to_vec(), FrameError::UnexpectedMarker(b'G'))]
-#[case::marker_of_a_router(corrupted(b"", 0, |_| 76), FrameError::UnexpectedMarker(76))]
+#[case::not_a_frame(b"GET / HTTP/1.1".to_vec(), FrameError::UnexpectedMarker(b'G'))]
+#[case::router_marker(corrupted(b"", 0, |_| 76), FrameError::UnexpectedMarker(76))]
 #[case::unknown_code(frames::response(98, 1, "", b""), FrameError::UnknownCode(98))]
-#[case::three_gigabytes(corrupted(b"", 4, |_| 0xc0), FrameError::TooLarge(0xc000_0000))]
+#[case::three_gigabyte_body(corrupted(b"", 4, |_| 0xc0), FrameError::TooLarge(0xc000_0000))]
 #[case::flipped_bit(corrupted(b"out", 17, |byte| byte ^ 1), FrameError::ChecksumMismatch)]
 #[case::field_without_value(
     frames::response(FINISHED, 1, "remark", b""),
@@ -100,7 +100,7 @@
 
 proptest! {
     #[test]
-    fn responses_do_not_depend_on_how_the_bytes_are_split(
+    fn decoded_responses_do_not_depend_on_how_the_stream_is_split(
         bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..5),
         chunk_lengths in prop::collection::vec(1usize..90, 1..30),
     ) {
--- a/crates/sanddrum-platform/tests/start_times.rs
+++ b/crates/sanddrum-platform/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Start times of workers, as far as dates by stepped clocks and the order of the feed's responses reveal them.
+//! Start times of workers, derived from dates by clocks that may be stepped and from the order of the feed's responses.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -23,11 +23,11 @@
     }
 }
 
-/// Processes a response whose one event has one worker, and returns the worker's incarnation and age.
+/// Processes a response with one event and one worker, and returns the worker's incarnation and age.
 fn observe(starts: &mut StartTimes, clocks: ClockReading, up_since_us: i64) -> (u64, i64) {
     starts.observe_clocks(clocks);
     let endpoints = starts.endpoints(clocks.now, vec![member("a", up_since_us)], false);
-    starts.finish_batch(clocks.now);
+    starts.mark_caught_up(clocks.now);
     (endpoints[0].incarnation, endpoints[0].age_us)
 }
 
@@ -45,13 +45,13 @@
 #[case::all_clocks_forward(HOUR, HOUR)]
 #[case::only_this_clock_forward(HOUR, 0)]
 #[case::only_this_clock_back(-HOUR, 0)]
-fn a_start_reported_late_is_not_taken_for_an_older_one(
+fn the_age_of_a_start_reported_late_is_not_overestimated(
     #[case] own_step: i64,
     #[case] worker_step: i64,
 ) {
     let mut starts = StartTimes::default();
     starts.observe_clocks(clocks(BEGIN, 0));
-    starts.finish_batch(BEGIN);
+    starts.mark_caught_up(BEGIN);
     let started = BEGIN + 50 * SECOND;
     let now = BEGIN + 60 * SECOND;
     let (_, age_us) = observe(&mut starts, clocks(now, own_step), started + worker_step);
@@ -59,7 +59,7 @@
 }
 
 #[rstest]
-fn an_equal_date_is_the_same_start_and_an_earlier_one_a_later_start() {
+fn the_same_date_is_the_same_start_and_an_earlier_date_is_a_later_start() {
     let mut starts = StartTimes::default();
     let up_since = BEGIN - 5 * SECOND;
     let (first, _) = observe(&mut starts, clocks(BEGIN, 0), up_since);
@@ -77,7 +77,7 @@
 }
 
 #[rstest]
-fn a_date_slightly_ahead_of_the_wall_clock_is_a_start_at_this_moment() {
+fn a_date_slightly_ahead_of_the_wall_clock_means_an_age_of_zero() {
     let mut starts = StartTimes::default();
     starts.observe_clocks(clocks(BEGIN, HOUR));
     let now = BEGIN + 100 * SECOND;
@@ -86,7 +86,7 @@
 }
 
 #[rstest]
-fn a_worker_without_a_date_started_long_ago_by_any_clock() {
+fn a_worker_without_a_date_has_an_unknown_age_whatever_the_wall_clock_shows() {
     let mut starts = StartTimes::default();
     for step in [0, HOUR, -HOUR] {
         assert_eq!(
@@ -97,10 +97,10 @@
 }
 
 proptest! {
-    /// With steps of the common clock of any size, at any time before and after a start that is reported with a delay,
-    /// the age is at most the true one, or the time since the response before.
+    /// The wall clock that both sides share is stepped by any amount, at any time before or after a start that is
+    /// reported with a delay. The age is at most the true age or, if longer, the time since the previous response.
     #[test]
-    fn no_step_of_the_clocks_makes_a_start_older(
+    fn clock_steps_never_make_a_start_appear_older(
         steps in prop::collection::vec((-2 * HOUR..2 * HOUR, 1i64..20), 0..3),
         start_second in 0i64..60,
         delay_seconds in 0i64..5,
@@ -121,7 +121,7 @@
         for second in 0..report_second {
             let now = BEGIN + second * SECOND;
             starts.observe_clocks(clocks(now, offset_at(second)));
-            starts.finish_batch(now);
+            starts.mark_caught_up(now);
         }
         let up_since = BEGIN + start_second * SECOND + offset_at(start_second);
         let reported = clocks(BEGIN + report_second * SECOND, offset_at(report_second));
--- a/crates/sanddrum-platform/tests/startup_config.rs
+++ b/crates/sanddrum-platform/tests/startup_config.rs
@@ -1,4 +1,4 @@
-//! The startup configuration and the deployment's settings that follow from it.
+//! The startup configuration and the deployment settings derived from it.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn deployment_settings_follow_from_the_startup_configuration() {
+fn deployment_settings_are_derived_from_the_startup_configuration() {
     let config = StartupConfig::read(&valid_config().to_string()).unwrap();
     let settings = config.deployment_settings().unwrap();
     assert_eq!(settings.names("workloads"), ["job"]);
@@ -78,7 +78,7 @@
 #[case("classes", json!([{"name": "job", "effect": "thrice"}]))]
 #[case("family-info", json!({"if-cold": "perhaps"}))]
 #[case("limits", json!({"cancel": "yes"}))]
-fn invalid_settings_are_rejected_by_their_key(#[case] key: &str, #[case] value: Json) {
+fn an_error_in_the_settings_begins_with_the_rejected_key(#[case] key: &str, #[case] value: Json) {
     let mut config = valid_config();
     config["settings"][key] = value;
     let error = read_error(&config);
@@ -93,14 +93,17 @@
 #[case("limits", json!({"sockets": 0}))]
 #[case("settings", json!(null))]
 #[case("known", json!({"n": "x"}))]
-fn an_invalid_configuration_is_rejected_by_its_key(#[case] key: &str, #[case] value: Json) {
+fn an_error_in_the_configuration_begins_with_the_rejected_key(
+    #[case] key: &str,
+    #[case] value: Json,
+) {
     let mut config = valid_config();
     config[key] = value;
     let error = read_error(&config);
     assert!(error.starts_with(key), "{error}");
 }
 
-/// Names as an operator may choose them.
+/// Names that an operator may choose.
 fn name() -> impl Strategy<Value = String> {
     "[a-zA-Z0-9é][a-zA-Z0-9é _.\"'\\\\;()-]{0,20}"
 }
@@ -171,7 +174,7 @@
 
 proptest! {
     #[test]
-    fn a_router_starts_with_any_settings_that_are_valid_on_the_platform(
+    fn settings_that_are_valid_on_the_platform_are_valid_for_the_edge(
         classes in classes_with_unique_names(),
         zones in prop::collection::btree_set(name(), 1..4),
         family_info in family_info(),
