--- a/crates/sanddrum-platform-config/src/decision_settings.rs
+++ b/crates/sanddrum-platform-config/src/decision_settings.rs
@@ -1,36 +1,37 @@
-//! Translates the platform's settings into the decision module's.
+//! Translates the platform's settings into those of the decision module.
 
-use crate::vocabulary::{own_name, KeyType};
+use crate::vocabulary::{decision_key, KeyType};
 use sanddrum::{Settings, Value};
 use serde_json::Value as Json;
 
 /// Why the platform's settings can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformSettingsError {
-    /// The list of workload classes is empty or no list.
-    #[error("classes: a list with at least one entry is wanted")]
+    /// The list of workload classes is empty or not a list.
+    #[error("classes: expected a list with at least one entry")]
     NoClasses,
-    /// A value that its key can't have.
-    #[error("{key}: {value} can't be used; wanted: {expected}")]
+    /// A key has a value that it can't have.
+    #[error("{key}: {value} can't be used; expected: {expected}")]
     InvalidValue {
-        /// The key's dotted name on the platform.
+        /// The key's dotted name in the platform's settings.
         key: String,
         /// The value as JSON.
         value: String,
-        /// What values the key may have.
+        /// A description of the values that the key may have.
         expected: String,
     },
 }
 
-/// Prices are named after what they are for, perhaps like a key of another type, and are always numbers.
+/// The prefix of prices. They are named after what they price, possibly like a key of another type, and are always
+/// numbers.
 const PRICES_PREFIX: &str = "prices.";
 
-/// The platform's settings as dotted names with plain values, by the decision module's names. Unknown keys are kept under
-/// their own names; what is missing or null is left out. A list also has its `.count`.
+/// Translates the platform's settings into dotted names with scalar values, under the decision module's names. Unknown
+/// keys keep their names; null values are left out. A list also has its `.count`.
 ///
 /// # Errors
-/// [`PlatformSettingsError`]: an unknown code, or a value of another type than its key has. Guards against an unknown
-/// effect or an unknown answer to a cold miss being taken for another.
+/// [`PlatformSettingsError`]: an unknown code, or a value whose type is not that of its key. Otherwise an unknown
+/// effect or an unknown response to a cold miss would silently be treated as a different one.
 pub fn decision_settings(platform_settings: &Json) -> Result<Settings, PlatformSettingsError> {
     if let Some(classes) = platform_settings.get("classes") {
         if classes.as_array().is_none_or(Vec::is_empty) {
@@ -42,22 +43,22 @@
     Ok(settings)
 }
 
-/// A value's dotted name, by the platform's keys and by the decision module's.
+/// A value's dotted name in the platform's settings and in the decision module's.
 #[derive(Default)]
 struct Path {
     platform: String,
-    own: String,
+    decision: String,
 }
 
 impl Path {
-    fn child(&self, platform_key: &str, own_key: &str) -> Path {
+    fn child(&self, platform_key: &str, decision_key: &str) -> Path {
         Path {
             platform: join(&self.platform, platform_key),
-            own: join(&self.own, own_key),
+            decision: join(&self.decision, decision_key),
         }
     }
 
-    /// The last key on the platform.
+    /// The platform's name of the last key.
     fn key(&self) -> &str {
         self.platform.rsplit('.').next().unwrap_or_default()
     }
@@ -84,7 +85,7 @@
         Json::Null => {}
         Json::Object(map) => {
             for (key, value) in map {
-                flatten(&path.child(key, own_name(key)), value, settings)?;
+                flatten(&path.child(key, decision_key(key)), value, settings)?;
             }
         }
         Json::Array(list) => {
@@ -93,18 +94,18 @@
                 flatten(&path.child(&index, &index), value, settings)?;
             }
             let count = Value::Number(list.len() as f64);
-            settings.0.insert(join(&path.own, "count"), count);
+            settings.0.insert(join(&path.decision, "count"), count);
         }
-        plain => {
-            let value = plain_value(path, plain).ok_or_else(|| invalid_value(path, plain))?;
-            settings.0.insert(path.own.clone(), value);
+        scalar => {
+            let value = scalar_value(path, scalar).ok_or_else(|| invalid_value(path, scalar))?;
+            settings.0.insert(path.decision.clone(), value);
         }
     }
     Ok(())
 }
 
-/// A boolean, number or text as the decision module has it; `None` where its key can't have it.
-fn plain_value(path: &Path, value: &Json) -> Option<Value> {
+/// Translates a boolean, number or string for the decision module; `None` if its key can't have that value.
+fn scalar_value(path: &Path, value: &Json) -> Option<Value> {
     let key_type = KeyType::of(path.key());
     match value {
         Json::Bool(flag) => {
@@ -125,7 +126,7 @@
             KeyType::Code(codes) => codes
                 .iter()
                 .find(|(platform_code, _)| platform_code == text)
-                .map(|(_, own_code)| Value::Text(own_code.to_string())),
+                .map(|(_, decision_code)| Value::Text(decision_code.to_string())),
             KeyType::Flag | KeyType::Duration => None,
         },
         Json::Null | Json::Array(_) | Json::Object(_) => None,
--- a/crates/sanddrum-platform-config/src/lib.rs
+++ b/crates/sanddrum-platform-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Translates the settings and load reports of the users' platform into the decision module's. The simulator's adapter and
-//! the running router both translate them here, so that the decision module gets equal settings in both. This package
-//! knows names and nothing of policy.
+//! Translates the settings and load reports of the users' platform into those of the decision module. The simulator
+//! adapter and the running router share this package, so that the decision module gets the same settings in both. It
+//! maps names only and contains no policy.
 
 mod decision_settings;
 mod load_report;
@@ -12,8 +12,8 @@
 
 use serde_json::Value as Json;
 
-/// The names in a list of the platform's settings, as the platform spells them: `classes`, `kinds` or `azs`. Entries are
-/// texts or objects with a `name`; others are skipped.
+/// The names in a list of the platform's settings, such as `classes`, `kinds` or `azs`, unchanged. Entries are strings
+/// or objects with a `name`; others are skipped.
 pub fn list_names(platform_settings: &Json, list: &str) -> Vec<String> {
     let entries = platform_settings[list].as_array().into_iter().flatten();
     entries
--- a/crates/sanddrum-platform-config/src/load_report.rs
+++ b/crates/sanddrum-platform-config/src/load_report.rs
@@ -3,7 +3,7 @@
 use sanddrum::LoadReport;
 use serde_json::Value as Json;
 
-/// The name of each value of a load report, in the order of the values.
+/// The names of the values of a load report, in their order.
 pub fn load_report_fields(platform_settings: &Json) -> Vec<String> {
     let fields = platform_settings["stats"]["fields"].as_array();
     fields
@@ -13,7 +13,7 @@
         .collect()
 }
 
-/// A load report from names and values; values of unknown names are skipped.
+/// Builds a load report from names and values; unknown names are skipped.
 pub fn load_report<'a>(values: impl Iterator<Item = (&'a str, Option<f64>)>) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in values {
--- a/crates/sanddrum-platform-config/src/vocabulary.rs
+++ b/crates/sanddrum-platform-config/src/vocabulary.rs
@@ -1,9 +1,9 @@
-//! The platform's keys and codes, with the decision module's names for them.
+//! The platform's keys and codes, and the decision module's names for them.
 
-/// The values that a key may have, each with the decision module's name for it.
+/// The values that a key may have: the platform's code and the decision module's code.
 pub(crate) type Codes = &'static [(&'static str, &'static str)];
 
-/// Keys that the decision module has under another name: the platform's name and its own.
+/// Keys of the platform, each followed by the decision module's name for it. Other keys have the same name in both.
 const KEY_NAMES: [(&str, &str); 37] = [
     ("aim-us", "start-target-us"),
     ("answer-slack-us", "answer-slack-us"),
@@ -44,7 +44,7 @@
     ("worth", "importance"),
 ];
 
-/// Keys whose texts are codes. Texts of other keys are names and are kept unchanged.
+/// Keys whose strings are codes. Strings of other keys are names and stay unchanged.
 const CODED_KEYS: [(&str, Codes); 7] = [
     (
         "effect",
@@ -91,21 +91,21 @@
     "warm-notes",
 ];
 
-/// What values a key may have.
+/// The type of a key's values.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum KeyType {
     /// One of these codes.
     Code(Codes),
     /// A boolean.
     Flag,
-    /// Microseconds, zero or more.
+    /// Microseconds, at least zero.
     Duration,
     /// Any value.
     Any,
 }
 
 impl KeyType {
-    /// The type of a key by the platform's name.
+    /// The type of the key with this name on the platform.
     pub fn of(key: &str) -> KeyType {
         if let Some((_, codes)) = CODED_KEYS.iter().find(|(name, _)| *name == key) {
             KeyType::Code(codes)
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The values that a key of this type may have, for error messages.
+    /// Describes the values that a key of this type may have, for error messages.
     pub fn expected_values(self) -> String {
         match self {
             KeyType::Code(codes) => {
@@ -126,17 +126,15 @@
                 platform_codes.join(", ")
             }
             KeyType::Flag => "true, false".to_string(),
-            KeyType::Duration | KeyType::Any => {
-                "a number of microseconds, nought or more".to_string()
-            }
+            KeyType::Duration | KeyType::Any => "a number of microseconds, at least 0".to_string(),
         }
     }
 }
 
-/// The decision module's name for one of the platform's keys; unknown keys keep theirs.
-pub(crate) fn own_name(key: &str) -> &str {
+/// The decision module's name for a key of the platform; unknown keys keep their names.
+pub(crate) fn decision_key(key: &str) -> &str {
     KEY_NAMES
         .iter()
         .find(|(platform_name, _)| *platform_name == key)
-        .map_or(key, |(_, own_name)| own_name)
+        .map_or(key, |(_, decision_name)| decision_name)
 }
--- a/crates/sanddrum-platform-config/tests/translation.rs
+++ b/crates/sanddrum-platform-config/tests/translation.rs
@@ -1,4 +1,4 @@
-//! The translation of the platform's settings and load reports.
+//! Translation of the platform's settings and load reports.
 
 use rstest::rstest;
 use sanddrum::Value;
@@ -27,15 +27,15 @@
 
 #[rstest]
 #[case::unknown_effect("classes", json!([{"effect": "twice"}]), "classes.0.effect")]
-#[case::unknown_group("classes", json!([{"key-scope": "rack"}]), "classes.0.key-scope")]
-#[case::effect_of_another_type("classes", json!([{"effect": true}]), "classes.0.effect")]
-#[case::no_workload("classes", json!([]), "classes")]
-#[case::unknown_answer_to_a_cold_miss("family-info", json!({"if-cold": "fetch"}), "family-info.if-cold")]
-#[case::flag_that_is_a_text("limits", json!({"cancel": "true"}), "limits.cancel")]
+#[case::unknown_key_scope("classes", json!([{"key-scope": "rack"}]), "classes.0.key-scope")]
+#[case::effect_that_is_a_boolean("classes", json!([{"effect": true}]), "classes.0.effect")]
+#[case::no_classes("classes", json!([]), "classes")]
+#[case::unknown_response_to_a_cold_miss("family-info", json!({"if-cold": "fetch"}), "family-info.if-cold")]
+#[case::flag_that_is_a_string("limits", json!({"cancel": "true"}), "limits.cancel")]
 #[case::negative_duration("obligations", json!({"cold-us": -1}), "obligations.cold-us")]
-#[case::duration_that_is_a_text("obligations", json!({"cold-us": "5s"}), "obligations.cold-us")]
+#[case::duration_that_is_a_string("obligations", json!({"cold-us": "5s"}), "obligations.cold-us")]
 #[case::unknown_membership_mode("membership-mode", json!("ask"), "membership-mode")]
-fn an_invalid_value_is_rejected_by_its_key(
+fn an_error_begins_with_the_key_of_the_invalid_value(
     #[case] key: &str,
     #[case] value: Json,
     #[case] rejected_key: &str,
@@ -65,11 +65,11 @@
 }
 
 #[rstest]
-fn load_reports_are_read_by_either_name_and_unknown_values_are_skipped() {
+fn load_reports_accept_both_names_of_a_value_and_skip_unknown_names() {
     let values = [
         ("inflight", Some(7.0)),
         ("q", Some(2.0)),
-        ("fresh", Some(1.0)),
+        ("unknown", Some(1.0)),
     ];
     let report = load_report(values.into_iter());
     assert_eq!(
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -10,13 +10,13 @@
 /// The relative capacity of a worker whose size the feed does not state.
 const DEFAULT_SIZE: f64 = 1.0;
 
-/// In microseconds: the platform may consider the router notified of a change that the feed could not deliver this long
-/// after the feed's connection broke, or after the wait of an unanswered poll ended (the platform's page on the
-/// days that count, section *Bad peers*).
+/// How long after the feed's connection broke, or after the wait of an unanswered poll ended, the platform may
+/// consider the router notified of changes that the feed could not deliver, in microseconds (the platform's page on
+/// the days that count, section *Bad peers*).
 pub const NOTIFIED_AFTER: Micros = 2_000_000;
 
-/// In microseconds: the platform considers the router notified of such a change at the latest this long after the feed
-/// broke off or went silent (the platform's protocol page, section *Figures*).
+/// How long after the feed broke off or went silent, at the latest, the platform considers the router notified of such
+/// changes, in microseconds (the platform's protocol page, section *Figures*).
 pub const NOTIFIED_WITHIN: Micros = 7_000_000;
 
 /// A worker as the feed describes it.
@@ -71,8 +71,8 @@
     UnknownPhase(Option<String>),
 }
 
-/// Encodes the poll for the events that follow event `number`. The feed responds within `wait`, without events if there
-/// are none by then.
+/// Encodes the poll for the events that follow event `number`. The feed responds within `wait`, without events if
+/// there are none by then.
 pub fn poll_request(address: &str, number: u64, wait: Micros) -> Vec<u8> {
     let wait_ms = wait / 1000;
     format!(
@@ -81,8 +81,8 @@
     .into_bytes()
 }
 
-/// Parses a response of the feed, or the `known` events of the startup configuration. A worker's kind of machine becomes
-/// its index in `kinds`, or `kinds.len()` if it is not listed there.
+/// Parses a response of the feed, or the `known` events of the startup configuration. A worker's kind of machine
+/// becomes its index in `kinds`, or `kinds.len()` if it is not listed there.
 ///
 /// # Errors
 /// [`FeedError`], which names the key.
--- a/crates/sanddrum-platform/src/deployment.rs
+++ b/crates/sanddrum-platform/src/deployment.rs
@@ -13,8 +13,8 @@
 const KEEP_ALIVE_US: &str = "limits.keepalive-us";
 const CONNECT_TIMEOUT_US: &str = "limits.connect-timeout-us";
 
-/// Descriptors reserved for everything other than clients and workers: the listener, the feed, the event loop's own, files,
-/// and connections that are about to close.
+/// Descriptors reserved for everything other than clients and workers: the listener, the feed, the event loop's own,
+/// files, and connections that are about to close.
 const RESERVED_DESCRIPTORS: u64 = 32;
 /// The minimum of both connection limits, even where the descriptors would allow for fewer.
 const MIN_CONNECTIONS: u64 = 8;
@@ -26,10 +26,11 @@
 /// The longest time limit that the platform waits for after SIGTERM.
 const MAX_STOP_TIME_LIMIT_US: f64 = 3e6;
 
-/// The fraction of the platform's keep-alive time after which an idle connection is closed: earlier than the worker closes
-/// it, so that no request is sent on a closing connection.
+/// The fraction of the platform's keep-alive time after which an idle connection is closed: earlier than the worker
+/// closes it, so that no request is sent on a closing connection.
 const IDLE_CLOSE_FRACTION: f64 = 0.8;
-/// The fraction of the router's memory for request bodies. Each is held twice: in the request and while it is sent to a worker.
+/// The fraction of the router's memory for request bodies. Each is held twice: in the request and while it is sent to
+/// a worker.
 const BODY_MEMORY_FRACTION: f64 = 1.0 / 8.0;
 
 /// Writes the deployment's settings as S-expressions, one section per line.
@@ -100,7 +101,8 @@
         let key = |key: &str| workload_key(index, key);
         let effect = self.settings.text(&key("effect")).unwrap_or("run-once");
         let time_limit_us = self.time_limit_us(index);
-        // No response counts after the time limit, so a longer objective means the same; the settings' check rejects it.
+        // No response counts after the time limit, so a longer objective means the same, and the settings' check
+        // rejects it.
         let start_target_us = self
             .number(&key("start-target-us"), 1e6)
             .clamp(1.0, time_limit_us);
--- a/crates/sanddrum-platform/src/frames/decoder.rs
+++ b/crates/sanddrum-platform/src/frames/decoder.rs
@@ -40,7 +40,7 @@
     MalformedFields,
 }
 
-/// Splits a worker's stream into responses. It buffers at most one incomplete frame and the bytes received with its end.
+/// Splits a worker's stream into responses. It buffers at most one frame and the bytes received together with its end.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: ReceiveBuffer,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Decodes a load report: `name:value` pairs separated by semicolons. Values that aren't finite numbers count as absent.
+/// Decodes a load report: `name:value` pairs separated by semicolons. Non-finite values count as absent.
 fn decode_load_report(text: &str) -> LoadReport {
     let values = text
         .split(';')
--- a/crates/sanddrum-platform/src/start_times.rs
+++ b/crates/sanddrum-platform/src/start_times.rs
@@ -1,6 +1,6 @@
-//! When the processes of workers started. The control feed dates a start by a wall clock, and wall clocks, the workers'
-//! as well as this machine's, may be wrong or stepped. A worker whose age is overestimated would be overloaded during its
-//! slow start, so the lowest plausible age is used:
+//! When the processes of workers started. The control feed dates a start by a wall clock, and wall clocks, the
+//! workers' as well as this machine's, may be wrong or stepped. A worker whose age is overestimated would be
+//! overloaded during its slow start, so the lowest plausible age is used:
 //!
 //! - by this machine's wall clock, as it is now and as it was before each of the last steps observed here;
 //! - by the feed: a start that a response did not contain took place, or was reported, after that response.
@@ -22,12 +22,13 @@
     pub wall: Micros,
 }
 
-/// How many offsets between the clocks are kept: the current one, and those from before the last steps of the wall clock.
+/// How many offsets between the clocks are kept: the current one, and those from before the last steps of the wall
+/// clock.
 const MAX_CLOCK_OFFSETS: usize = 4;
 /// A smaller change of the offset is not a step: wall clocks are also slewed.
 const MIN_CLOCK_STEP: Micros = 500_000;
-/// A date up to this far ahead of a wall clock is taken for a date by that clock, running a little slow. A date further
-/// ahead was set by a different clock and says nothing about the age.
+/// A date up to this far ahead of a wall clock is taken for a date by that clock, running a little slow. A date
+/// further ahead was set by a different clock and says nothing about the age.
 const MAX_CLOCK_LAG: Micros = 60_000_000;
 
 /// A start of a worker's process.
@@ -45,8 +46,8 @@
     starts: BTreeMap<String, Start>,
     /// Offsets of the wall clock from the driver's clock, the current one last.
     clock_offsets: VecDeque<Micros>,
-    /// When all events of the feed were last known to be processed, by the driver's clock. Starts in later responses had
-    /// not been reported by then.
+    /// When all events of the feed were last known to be processed, by the driver's clock. Starts in later responses
+    /// had not been reported by then.
     caught_up_at: Option<Micros>,
     last_incarnation: u64,
 }
--- a/crates/sanddrum-platform/tests/frames.rs
+++ b/crates/sanddrum-platform/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames between routers and workers are encoded as the platform describes them, and decoded however the stream is split.
+//! Frames between routers and workers are encoded as the platform describes them, and decoded however the stream is
+//! split.
 
 use proptest::prelude::*;
 use rstest::rstest;
--- a/crates/sanddrum-platform/tests/start_times.rs
+++ b/crates/sanddrum-platform/tests/start_times.rs
@@ -1,4 +1,5 @@
-//! Start times of workers, derived from dates by clocks that may be stepped and from the order of the feed's responses.
+//! Start times of workers, derived from dates by clocks that may be stepped and from the order of the feed's
+//! responses.
 
 use proptest::prelude::*;
 use rstest::rstest;
