--- a/crates/sanddrum-cli/src/config.rs
+++ b/crates/sanddrum-cli/src/config.rs
@@ -25,7 +25,7 @@
 ) -> Result<sanddrum_settings::LoadedSettings, sanddrum_settings::SettingsError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|e| sanddrum_settings::SettingsError::of_file(&name, &e))?;
+        .map_err(|e| sanddrum_settings::SettingsError::from_io(&name, &e))?;
     if scenario {
         return sanddrum_lab::Scenario::read(&name, &text, 1).map(|s| s.settings);
     }
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -66,7 +66,7 @@
 pub fn settings(args: &EdgeArgs) -> Result<LoadedSettings, SettingsError> {
     let path = args.settings.clone().unwrap_or_default();
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(&path).map_err(|e| SettingsError::of_file(&file, &e))?;
+    let text = std::fs::read_to_string(&path).map_err(|e| SettingsError::from_io(&file, &e))?;
     let more = if args.scenario {
         sanddrum_lab::SCENARIO
     } else {
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -43,7 +43,7 @@
 impl Admission {
     /// The policies as set.
     pub fn from_settings(settings: &LoadedSettings) -> Self {
-        let settings = settings.values_for_module();
+        let settings = settings.decision_settings();
         Admission {
             quotas: QuotaPolicy::new(&settings),
             retry_budget: RetryBudget::new(&settings),
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -76,7 +76,7 @@
             address: settings.text("edge.list").to_string(),
             edge_name: settings.text("edge.name").to_string(),
             edge_incarnation,
-            bootstrap: Bootstrap::new(bootstrap_seed, &settings.values_for_module()),
+            bootstrap: Bootstrap::new(bootstrap_seed, &settings.decision_settings()),
             connection: None,
             version: DiscoveryVersion::default(),
             next_run: 0,
--- a/crates/sanddrum-edge/src/lib.rs
+++ b/crates/sanddrum-edge/src/lib.rs
@@ -85,7 +85,7 @@
 impl Edge<Router> {
     /// An edge with the decision module.
     pub fn new(options: EdgeOptions) -> Self {
-        let settings = options.settings.values_for_module();
+        let settings = options.settings.decision_settings();
         Edge::with_settings(options, &settings)
     }
 
--- a/crates/sanddrum-lab/src/capacity/discovery_environment.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -118,7 +118,7 @@
         let list = net.add(0, &[LIST], Box::new(Deaf));
         let mut stage = DiscoveryEnvironment {
             net,
-            module: settings.values_for_module(),
+            module: settings.decision_settings(),
             list,
             routers: Vec::new(),
             starts: 0,
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -139,7 +139,7 @@
     let (recording, shared) = (Recording::default(), seen.clone());
     let make_edge = move |start: EdgeOptions| -> Box<dyn Core> {
         shared.borrow_mut().seed = start.seed;
-        let module = Router::new(start.seed, &start.settings.values_for_module());
+        let module = Router::new(start.seed, &start.settings.decision_settings());
         let module = Watched {
             module,
             seen: shared.clone(),
@@ -204,7 +204,7 @@
         .map(numbered)
         .collect::<Result<Vec<Call>, String>>()?;
     Ok(Fleet::new(Spec {
-        modules: vec![(seen.seed, edge.values_for_module())],
+        modules: vec![(seen.seed, edge.decision_settings())],
         workers: scenario.workers,
         zones: scenario.zones.len(),
         model,
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -218,7 +218,7 @@
         l.override_value(name, value, "capacity")
             .map_err(|e| e.to_string())?;
     }
-    Ok(l.values_for_module())
+    Ok(l.decision_settings())
 }
 
 impl Way {
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -118,7 +118,7 @@
             Some(choice) => {
                 let truth = truth.clone();
                 Box::new(move |start| {
-                    let values = start.settings.values_for_module();
+                    let values = start.settings.decision_settings();
                     let module = Baseline::new(choice, start.seed, values, truth.clone());
                     Box::new(Edge::with_module(start, module))
                 })
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -459,7 +459,7 @@
             };
             let core: Box<dyn Core> = match decides {
                 Decides::Module => {
-                    let module = Router::new(1, &start.settings.values_for_module());
+                    let module = Router::new(1, &start.settings.decision_settings());
                     Box::new(Edge::with_module(start, module))
                 }
                 Decides::Forwarder => Box::new(Edge::with_module(start, Forwarder::default())),
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -90,7 +90,7 @@
 
 fn broken_edge(how: How) -> MakeEdge {
     Box::new(move |start| {
-        let mut settings = start.settings.values_for_module();
+        let mut settings = start.settings.decision_settings();
         match how {
             How::RepeatsRunOnceJobs => {
                 settings.0.insert(
--- a/crates/sanddrum-settings/src/checks.rs
+++ b/crates/sanddrum-settings/src/checks.rs
@@ -4,13 +4,13 @@
 use crate::loaded::LoadedSettings;
 use std::collections::BTreeMap;
 
-/// By how much the customers' shares may exceed one in total, for rounding.
+/// How far the sum of the customers' shares may exceed one, to allow for rounding.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Checks all combinations, in the order in which their errors are reported.
+/// Checks all combinations in order, and reports the first invalid one.
 ///
 /// # Errors
-/// The first combination that cannot work.
+/// A combination of values cannot work.
 pub(crate) fn check(settings: &LoadedSettings) -> Result<(), SettingsError> {
     check_workloads(settings)?;
     check_functions(settings)?;
@@ -22,8 +22,8 @@
     check_customer_certificates(settings)?;
     check_tokens(settings)?;
     check_authorization(settings)?;
-    check_backoff(settings, "list-retry", "as 100ms and 5s")?;
-    check_backoff(settings, "left-alone", "as 100ms and 2s")?;
+    check_backoff(settings, "list-retry", "for example 100ms and 5s")?;
+    check_backoff(settings, "left-alone", "for example 100ms and 2s")?;
     check_body_size(settings)
 }
 
@@ -37,7 +37,7 @@
     if count == 0 {
         return Err(settings.error_at(
             "",
-            "no workload is set",
+            "no workload is defined",
             "add (workload \"a-name\" (effect ...) ...)",
         ));
     }
@@ -54,8 +54,8 @@
     let target_us = settings.duration_us(&target_name);
     let time_limit_us = settings.duration_us(&format!("{workload}.time-limit-us"));
     if target_us == 0 || target_us > time_limit_us {
-        let message = "the start target must be above 0 and no longer than the time limit";
-        return Err(settings.error_at(&target_name, message, "as 1s and 3s"));
+        let message = "the start target must be above 0 and at most the time limit";
+        return Err(settings.error_at(&target_name, message, "for example 1s and 3s"));
     }
     Ok(())
 }
@@ -68,13 +68,14 @@
     let is_fingerprinted = settings.text(&effect_name) == "fingerprinted";
     if is_fingerprinted && !(has_group && has_window) {
         let message =
-            "a fingerprinted workload needs to say which workers drop its repeats and for how long";
-        let remedy = "add (group zone) and (repeat-window 2s), as the workers do it";
+            "a fingerprinted workload must state which workers drop its retries and for how long";
+        let remedy =
+            "add, for example, (group zone) (repeat-window 2s); both must match what workers do";
         return Err(settings.error_at(&effect_name, message, remedy));
     }
     if !is_fingerprinted && has_group {
         let message = "only fingerprinted workloads have a group";
-        let remedy = "take it out, or set (effect fingerprinted)";
+        let remedy = "remove it, or set (effect fingerprinted)";
         return Err(settings.error_at(&group_name, message, remedy));
     }
     Ok(())
@@ -91,13 +92,13 @@
         }
         let workload = settings.text(&workload_key);
         if !workloads.iter().any(|known| known == workload) {
-            let message = format!("no workload {workload:?} is set");
-            let remedy = format!("known are {}", workloads.join(", "));
+            let message = format!("workload {workload:?} is not defined");
+            let remedy = format!("known workloads: {}", workloads.join(", "));
             return Err(settings.error_at(&workload_key, message, remedy));
         }
         if !is_pattern(settings.text(&name_key)) {
-            let message = "a * may stand at the end only";
-            return Err(settings.error_at(&name_key, message, "as \"pick-*\""));
+            let message = "a * is allowed only at the end";
+            return Err(settings.error_at(&name_key, message, "for example \"pick-*\""));
         }
     }
     Ok(())
@@ -110,16 +111,20 @@
         .sum();
     if count > 1 && total > 1.0 + SHARE_TOLERANCE {
         let message = format!("the customers' shares add up to {total}");
-        return Err(settings.error_at("customers.0.share", message, "at most 1 in all"));
+        return Err(settings.error_at(
+            "customers.0.share",
+            message,
+            "they must add up to at most 1",
+        ));
     }
     Ok(())
 }
 
-/// Whether functions can be loaded at all, and stay loaded.
+/// Checks that functions can be loaded at all, and that loaded instances are kept.
 fn check_instances(settings: &LoadedSettings) -> Result<(), SettingsError> {
     if settings.text("copies.on-miss") == "miss" && !settings.flag("copies.orders") {
-        let message =
-            "nothing could ever be loaded: workers answer a miss and edges give no orders";
+        let message = "no function could ever be loaded: workers only report a cold miss, and \
+                       edges send no load commands";
         let remedy = "set (orders yes) or (on-miss load)";
         return Err(settings.error_at("copies.on-miss", message, remedy));
     }
@@ -127,12 +132,12 @@
     let free_loads = settings.number("copies.load-free");
     let loads_per_request = settings.number("copies.load-share");
     if has_load_budget && free_loads < 1.0 && loads_per_request <= 0.0 {
-        let message = "the ration of orders to load is nought";
+        let message = "the budget of load commands is zero";
         let remedy = "set load-free to 1 or more, or load-share above 0";
         return Err(settings.error_at("copies.load-window-us", message, remedy));
     }
     if settings.duration_us("copies.keep-alive-us") == 0 {
-        let message = "no copy would ever be found loaded";
+        let message = "no instance would ever be found loaded";
         return Err(settings.error_at("copies.keep-alive-us", message, "set it above 0s"));
     }
     Ok(())
@@ -145,8 +150,8 @@
     let zones = settings.names("zones");
     let zone = settings.text("edge.zone");
     if !zones.iter().any(|known| known == zone) {
-        let message = format!("no zone {zone:?} is set");
-        let remedy = format!("known are {}", zones.join(", "));
+        let message = format!("zone {zone:?} is not defined");
+        let remedy = format!("known zones: {}", zones.join(", "));
         return Err(settings.error_at("edge.zone", message, remedy));
     }
     Ok(())
@@ -154,12 +159,12 @@
 
 fn check_worker_tls(settings: &LoadedSettings) -> Result<(), SettingsError> {
     if settings.text("tls.workers") == "verified" && !settings.contains("tls.roots-file") {
-        let message = "workers' names can't be verified without roots";
-        let remedy = "add (roots-file \"roots.pem\"), as sanddrum certs make does";
+        let message = "workers' names can't be verified without trusted roots";
+        let remedy = "add (roots-file \"roots.pem\"); sanddrum certs make creates such a file";
         return Err(settings.error_at("tls.workers", message, remedy));
     }
     if settings.contains("tls.certificate-file") != settings.contains("tls.key-file") {
-        let message = "a certificate and its key go together";
+        let message = "a certificate and its private key can only be set together";
         let remedy = "set both certificate-file and key-file, or neither";
         return Err(settings.error_at("tls.certificate-file", message, remedy));
     }
@@ -171,34 +176,34 @@
     let has_certificate =
         settings.contains("door.certificate-file") && settings.contains("door.key-file");
     if uses_tls && !has_certificate {
-        let message = "the client door can't speak TLS without a certificate and its key";
+        let message = "the client listener can't use TLS without a certificate and its private key";
         let remedy = "add (certificate-file \"door.pem\") (key-file \"door.key\")";
         return Err(settings.error_at("door.speaks", message, remedy));
     }
     let verifies_clients = settings.text("door.certificates") != "off";
     if verifies_clients && !(uses_tls && settings.contains("door.roots-file")) {
-        let message = "clients' certificates can't be verified without TLS and roots";
+        let message = "clients' certificates can't be verified without TLS and trusted roots";
         let remedy = "add (speaks tls) and (roots-file \"clients.pem\")";
         return Err(settings.error_at("door.certificates", message, remedy));
     }
     Ok(())
 }
 
-/// Whether each name in a client certificate belongs to one customer.
+/// Checks that each name in client certificates belongs to only one customer.
 fn check_customer_certificates(settings: &LoadedSettings) -> Result<(), SettingsError> {
     let mut owners: BTreeMap<String, usize> = BTreeMap::new();
     for customer in 0..settings.count("customers") {
         let key = format!("customers.{customer}.certificates");
         for name in settings.names(&key) {
             if !is_pattern(&name) || name == "*" {
-                let message = format!("{name:?} is no certificate's name");
-                let remedy = "a * may stand at the end of a beginning only";
+                let message = format!("{name:?} is not a valid name in a certificate");
+                let remedy = "a * is allowed only at the end of a prefix";
                 return Err(settings.error_at(&key, message, remedy));
             }
             let owner = *owners.entry(name.clone()).or_insert(customer);
             if owner != customer {
-                let message = format!("{name:?} would be two customers'");
-                return Err(settings.error_at(&key, message, "take it out of one of them"));
+                let message = format!("{name:?} is set for two customers");
+                return Err(settings.error_at(&key, message, "remove it from one of them"));
             }
         }
     }
@@ -207,8 +212,8 @@
 
 fn check_tokens(settings: &LoadedSettings) -> Result<(), SettingsError> {
     if settings.text("identity.tokens") != "off" && !settings.contains("identity.keys-file") {
-        let message = "tokens can't be checked without keys";
-        let remedy = "add (keys-file \"keys.json\"), made with sanddrum keys new";
+        let message = "tokens can't be verified without keys";
+        let remedy = "add (keys-file \"keys.json\"); sanddrum keys new creates such a file";
         return Err(settings.error_at("identity.tokens", message, remedy));
     }
     Ok(())
@@ -221,8 +226,8 @@
             patterns.extend(settings.names(&format!("{section}.{index}.workloads")));
             patterns.push(customer);
             if let Some(invalid) = patterns.iter().find(|pattern| !is_pattern(pattern)) {
-                let message = format!("{invalid:?} is no pattern");
-                let remedy = "a * may stand at the end only, as \"pick-*\"";
+                let message = format!("{invalid:?} is not a valid pattern");
+                let remedy = "a * is allowed only at the end, as in \"pick-*\"";
                 return Err(settings.error_at(&format!("{section}.{index}.name"), message, remedy));
             }
         }
@@ -230,7 +235,7 @@
     Ok(())
 }
 
-/// Checks the first and the longest backoff of a limit.
+/// Checks the first and the longest backoff that a pair of limits sets.
 fn check_backoff(
     settings: &LoadedSettings,
     limit: &str,
@@ -240,7 +245,7 @@
     let first_us = settings.duration_us(&first_name);
     let longest_us = settings.duration_us(&format!("limits.{limit}-most-us"));
     if first_us > longest_us || first_us == 0 {
-        let message = format!("{limit}-least must be above 0 and no more than {limit}-most");
+        let message = format!("{limit}-least must be above 0 and at most {limit}-most");
         return Err(settings.error_at(&first_name, message, remedy));
     }
     Ok(())
@@ -250,7 +255,8 @@
     let max_body_bytes = settings.number("limits.largest-body-bytes");
     let max_frame_bytes = settings.number("limits.largest-frame-bytes");
     if max_body_bytes >= max_frame_bytes + 1.0 {
-        let message = "a body may be larger than a frame, so it could reach no worker";
+        let message =
+            "a body larger than a frame would be accepted but could not be sent to a worker";
         let remedy = "set largest-frame above largest-body";
         return Err(settings.error_at("limits.largest-body-bytes", message, remedy));
     }
--- a/crates/sanddrum-settings/src/deployment.rs
+++ b/crates/sanddrum-settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The schema of a deployment: what edges and the decision module are configured with.
+//! The schema of a deployment: the settings of edges and of the decision module.
 
 mod limits;
 mod security;
@@ -7,12 +7,12 @@
 use limits::{LIMITS, SHARING};
 use security::{ALLOW, AUTHORITY, DENY, DOOR, IDENTITY, RIGHTS, TLS};
 
-/// The upper bound of numbers that have none of their own.
+/// The upper bound of numbers without a specific one.
 const UNBOUNDED: f64 = 1e15;
 
 /// The sections of a deployment.
 pub const DEPLOYMENT: &[Section] = &[
-    WHOLE_DEPLOYMENT,
+    DEPLOYMENT_SECTION,
     WORKLOAD,
     CUSTOMER,
     FUNCTION,
@@ -31,7 +31,7 @@
     EDGE,
 ];
 
-const WHOLE_DEPLOYMENT: Section = Section {
+const DEPLOYMENT_SECTION: Section = Section {
     name: "deployment",
     prefix: "deployment",
     occurrence: Occurrence::Once,
@@ -41,22 +41,22 @@
             "name",
             ValueType::Text,
             Some("sanddrum"),
-            "shown in logs and metrics; nothing depends on it",
+            "the deployment's name in logs and metrics; nothing else depends on it",
         ),
         key(
             "zones",
             ValueType::Names,
             Some("here"),
-            "zones, in an order that all programs share",
+            "all zones, in the same order for all programs",
         )
-        .named("zones"),
+        .with_dotted_name("zones"),
         key(
             "importance-by",
             ValueType::Choice(&["request", "work"]),
             None,
-            "whether importance counts by request or by work",
+            "whether importance is the value of a request or of a unit of work",
         )
-        .named("importance-by"),
+        .with_dotted_name("importance-by"),
     ],
 };
 
@@ -70,19 +70,19 @@
             "start-target",
             ValueType::Duration,
             Some("1s"),
-            "the latency objective: a response is wanted within",
+            "the latency objective: the time within which a response has its full value",
         ),
         key(
             "time-limit",
             ValueType::Duration,
             Some("5s"),
-            "the deadline, where the client sets none",
+            "the deadline of a request whose client sets none",
         ),
         key(
             "effect",
             ValueType::Choice(&["restartable", "fingerprinted", "run-once"]),
             Some("run-once"),
-            "whether a request may be executed again",
+            "whether a request may be executed more than once",
         ),
         key(
             "group",
@@ -94,19 +94,19 @@
             "repeat-window",
             ValueType::Duration,
             None,
-            "for how long they do",
+            "how long workers drop retries of a fingerprinted request",
         ),
         key(
             "importance",
             ValueType::Number(0.0, 1e6),
             Some("1"),
-            "the value of a request answered within its target",
+            "the priority weight: the value of a request answered within its start target",
         ),
         key(
             "late-importance",
             ValueType::Number(0.0, 1.0),
             Some("0"),
-            "the share of it that a later response still has",
+            "the fraction of its importance that a request answered later still has",
         ),
     ],
 };
@@ -115,31 +115,31 @@
     name: "customer",
     prefix: "customers",
     occurrence: Occurrence::UniqueNames,
-    description: "whose requests they are",
+    description: "a customer, to which requests belong",
     keys: &[
         key(
             "share",
             ValueType::Number(0.0, 1.0),
             Some("1"),
-            "its share of the service",
+            "the fraction of the service that the customer is entitled to",
         ),
         key(
             "rate",
             ValueType::Number(0.0, 1e9),
             None,
-            "requests a second over all edges; more are rejected",
+            "requests per second at all edges together; more are rejected",
         ),
         key(
             "in-flight",
             ValueType::Integer(0.0, 1e9),
             None,
-            "requests in flight over all edges; more are rejected",
+            "requests in flight at all edges together; more are rejected",
         ),
         key(
             "certificates",
             ValueType::Names,
             None,
-            "names in client certificates that are this customer's; one may end in *",
+            "names in client certificates that identify this customer; a name may end in *",
         ),
     ],
 };
@@ -148,37 +148,38 @@
     name: "function",
     prefix: "functions",
     occurrence: Occurrence::UniqueNames,
-    description: "what requests call; a name may end in *, the longest match counts",
+    description:
+        "a function that requests execute; its name may end in *, and the longest match applies",
     keys: &[
         key(
             "workload",
             ValueType::Text,
             None,
-            "the workload that its requests belong to",
+            "the workload that the function's requests belong to",
         ),
         key(
             "memory",
             ValueType::Memory,
             Some("256MB"),
-            "of one instance",
+            "the memory of one instance",
         ),
         key(
             "lanes",
             ValueType::Integer(1.0, 1e4),
             Some("1"),
-            "requests that one instance executes at a time",
+            "the concurrency of an instance: requests that it executes at a time",
         ),
         key(
             "load",
             ValueType::Duration,
             None,
-            "the usual duration of a load, where known",
+            "the usual duration of a load, if known",
         ),
         key(
             "work",
             ValueType::Duration,
             None,
-            "the usual duration of an execution, where known",
+            "the usual duration of an execution, if known",
         ),
     ],
 };
@@ -187,13 +188,13 @@
     name: "copies",
     prefix: "copies",
     occurrence: Occurrence::Once,
-    description: "what workers do with instances of functions",
+    description: "how workers load and keep instances of functions",
     keys: &[
         key(
             "keep-alive",
             ValueType::Duration,
             Some("8s"),
-            "the least time that workers keep an idle instance",
+            "the minimum time that workers keep an idle instance",
         ),
         key(
             "on-miss",
@@ -205,25 +206,25 @@
             "orders",
             ValueType::Flag,
             Some("yes"),
-            "edges may send load and unload commands",
+            "whether edges may send load and unload commands",
         ),
         key(
             "load-window",
             ValueType::Duration,
             None,
-            "rule 5: the window of the budget of load commands",
+            "rule 5: the window of the budget for load commands",
         ),
         key(
             "load-free",
             ValueType::Number(0.0, UNBOUNDED),
             None,
-            "rule 5: load commands in a window that are free",
+            "rule 5: load commands that a window allows without any request",
         ),
         key(
             "load-share",
             ValueType::Number(0.0, 1.0),
             None,
-            "rule 5: and for each request admitted in it",
+            "rule 5: load commands that a window allows for each request admitted in it",
         ),
     ],
 };
@@ -232,25 +233,25 @@
     name: "design",
     prefix: "design",
     occurrence: Occurrence::Once,
-    description: "the design's options, for all functions",
+    description: "options of the decision module, for all functions",
     keys: &[
         key(
             "keep-alive",
             ValueType::Duration,
             None,
-            "renew idle instances for longer than workers keep them",
+            "how long idle instances are renewed after the last request, if longer than workers keep them",
         ),
         key(
             "pre-warmed",
             ValueType::Integer(0.0, 16.0),
             None,
-            "instances of each function that are kept warm, by all edges together",
+            "instances of each function that all edges together keep pre-warmed",
         ),
         key(
             "drop-after",
             ValueType::Duration,
             None,
-            "unload instances that have been idle for this long",
+            "instances that have been idle for this long are unloaded",
         ),
     ],
 };
@@ -265,31 +266,31 @@
             "drain-grace",
             ValueType::Duration,
             Some("2s"),
-            "rule 3: no new requests to a draining worker after",
+            "rule 3: how long a draining worker may still get new requests",
         ),
         key(
             "cold-from",
             ValueType::Number(0.01, 1.0),
             Some("0.2"),
-            "rule 4: a worker starts with this share of its capacity",
+            "rule 4: the fraction of its capacity that a worker has when it starts",
         ),
         key(
             "cold",
             ValueType::Duration,
             Some("10s"),
-            "rule 4: and is warmed up after",
+            "rule 4: how long a worker warms up after its start",
         ),
         key(
             "fall-multiple",
             ValueType::Number(1.0, 100.0),
             Some("3"),
-            "rule 4: it collapses at this multiple of its capacity",
+            "rule 4: a worker that is warming up collapses at this multiple of its current capacity",
         ),
         key(
             "fall",
             ValueType::Duration,
             Some("3s"),
-            "rule 4: sent for this long",
+            "rule 4: the time over which work sent to a worker counts toward its collapse",
         ),
     ],
 };
@@ -298,51 +299,51 @@
     name: "edge",
     prefix: "edge",
     occurrence: Occurrence::Once,
-    description: "one edge; the command line sets most of them where a file serves several",
+    description: "one edge; the command line sets most of these if several edges share a file",
     keys: &[
         key(
             "name",
             ValueType::Text,
             Some("edge-0"),
-            "as workers and logs know it",
+            "the edge's name, as shown to workers and in logs",
         ),
         key(
             "listen",
             ValueType::Address,
             Some("127.0.0.1:8080"),
-            "the client listener",
+            "the address of the client listener",
         ),
         key(
             "list",
             ValueType::Address,
             Some("127.0.0.1:8090"),
-            "the discovery service",
+            "the address of the discovery service",
         ),
         key(
             "zone",
             ValueType::Text,
             None,
-            "its zone; the first one where not set",
+            "the edge's zone; the first one if not set",
         ),
         key(
             "state-file",
             ValueType::Text,
             None,
-            "the file that caches the endpoint list over a restart",
+            "the file that caches the endpoint list across restarts",
         ),
         key(
             "number",
             ValueType::Integer(0.0, 1e6),
             Some("0"),
-            "its number among the edges",
+            "the edge's number among all edges, from 0",
         )
-        .named("me"),
+        .with_dotted_name("me"),
         key(
             "edges",
             ValueType::Integer(1.0, 1e6),
             Some("1"),
-            "how many edges there are",
+            "the number of edges",
         )
-        .named("routers"),
+        .with_dotted_name("routers"),
     ],
 };
--- a/crates/sanddrum-settings/src/deployment/limits.rs
+++ b/crates/sanddrum-settings/src/deployment/limits.rs
@@ -1,4 +1,4 @@
-//! The sections of limits.
+//! The sections of limits and of sharing under overload.
 
 use crate::schema::{key, Occurrence, Section, ValueType};
 
@@ -6,20 +6,20 @@
     name: "sharing",
     prefix: "sharing",
     occurrence: Occurrence::Once,
-    description: "limits under overload",
+    description: "sharing of the service under overload",
     keys: &[
         key(
             "shares",
             ValueType::Flag,
             Some("no"),
-            "while the fleet is overloaded, customers get their shares",
+            "whether each customer gets its share while the fleet is overloaded",
         ),
         key(
             "window",
             ValueType::Duration,
             Some("1s"),
-            "rates are measured over this time, as workers do; a lent share is back within \
-             twice this time",
+            "the window over which rates are measured, as workers do; a share lent to others is \
+             returned within twice this time",
         ),
     ],
 };
@@ -28,31 +28,31 @@
     name: "limits",
     prefix: "limits",
     occurrence: Occurrence::Once,
-    description: "bounds; each is reported by its name where it is hit",
+    description: "limits; each is reported under its name when it is hit",
     keys: &[
         key(
             "max-executions",
             ValueType::Integer(1.0, 100.0),
             Some("5"),
-            "attempts of one request",
+            "attempts per request",
         ),
         key(
             "second-copies",
             ValueType::Flag,
             Some("yes"),
-            "a restartable request may be hedged",
+            "whether restartable requests may be hedged",
         ),
         key(
             "cancel",
             ValueType::Flag,
             Some("yes"),
-            "edges may cancel executions",
+            "whether edges may cancel executions",
         ),
         key(
             "probes",
             ValueType::Flag,
             Some("yes"),
-            "edges may send health checks to workers",
+            "whether edges may send health checks to workers",
         ),
         key(
             "max-retry-after",
@@ -88,7 +88,7 @@
             "client-idle",
             ValueType::Duration,
             Some("60s"),
-            "an idle client connection is closed after",
+            "how long a client connection may be idle before it is closed",
         ),
         key(
             "time-to-speak",
@@ -100,31 +100,31 @@
             "head-time-out",
             ValueType::Duration,
             Some("10s"),
-            "a request that has begun must be complete within",
+            "how long a client may take to send a complete request",
         ),
         key(
             "linger",
             ValueType::Duration,
             Some("1s"),
-            "how long a rejected client is read on, so that it gets its response",
+            "how long the edge keeps reading from a rejected client, so that it gets its response",
         ),
         key(
             "largest-head",
             ValueType::Bytes,
             Some("16KB"),
-            "of a request",
+            "the largest head of a request",
         ),
         key(
             "largest-body",
             ValueType::Bytes,
             Some("8MB"),
-            "of a request",
+            "the largest body of a request",
         ),
         key(
             "pipelined",
             ValueType::Integer(1.0, 1e4),
             Some("16"),
-            "requests that one connection may have in flight",
+            "requests in flight on one client connection",
         ),
         key(
             "waiting-per-client",
@@ -142,13 +142,13 @@
             "largest-frame",
             ValueType::Bytes,
             Some("16MB"),
-            "of the worker protocol",
+            "the largest frame of the worker protocol",
         ),
         key(
             "largest-list",
             ValueType::Bytes,
             Some("16MB"),
-            "a response of the platform's control feed",
+            "the largest response of the platform's control feed",
         ),
         key(
             "streams",
@@ -160,8 +160,8 @@
             "streams-wanted",
             ValueType::Integer(1.0, 1e5),
             None,
-            "with this many on a connection another one is opened ahead, as one that breaks \
-             costs all on it; equals streams where not set",
+            "with this many requests in flight on a connection another one is opened ahead of \
+             need, as a connection that breaks fails all requests on it; equals streams if not set",
         ),
         key(
             "connections",
@@ -173,50 +173,50 @@
             "all-connections",
             ValueType::Integer(1.0, 1e6),
             Some("100000"),
-            "connections to all workers; at this many the one idle for longest is closed for \
-             a new one, and none is opened ahead",
+            "connections to all workers together; at this many the one that has been idle for \
+             longest is closed for a new one, and none is opened ahead of need",
         ),
         key(
             "connect-time-out",
             ValueType::Duration,
             Some("250ms"),
-            "a connection that is not established by then fails",
+            "how long a connection may take to be established",
         ),
         key(
             "idle-close",
             ValueType::Duration,
             Some("15s"),
-            "an idle connection to a worker is closed after",
+            "how long a connection to a worker may be idle before it is closed",
         ),
         key(
             "probe-time-out",
             ValueType::Duration,
             Some("250ms"),
-            "a health check unanswered by then fails",
+            "how long a worker may take to respond to a health check",
         ),
         key(
             "order-time-out",
             ValueType::Duration,
             Some("10s"),
-            "a load command unanswered by then fails",
+            "how long a worker may take to respond to a load command",
         ),
         key(
             "list-retry-least",
             ValueType::Duration,
             Some("100ms"),
-            "the first backoff before the discovery service is called again",
+            "the first backoff before the discovery service is retried",
         ),
         key(
             "list-retry-most",
             ValueType::Duration,
             Some("5s"),
-            "the longest backoff",
+            "the longest backoff before the discovery service is retried",
         ),
         key(
             "list-calls",
             ValueType::Number(0.1, 1e6),
             Some("100"),
-            "calls a second to the discovery service by all edges together",
+            "calls per second to the discovery service by all edges together",
         ),
         key(
             "list-check",
@@ -228,7 +228,7 @@
             "save-least",
             ValueType::Duration,
             Some("500ms"),
-            "the endpoint list is cached no more often than this",
+            "the minimum time between two writes of the cached endpoint list",
         ),
         key(
             "repeats",
@@ -241,20 +241,20 @@
             "handshakes-out",
             ValueType::Integer(1.0, 1e5),
             Some("32"),
-            "connections to workers that are opened at a time",
+            "handshakes with workers in flight at a time",
         ),
         key(
             "handshakes-per-worker",
             ValueType::Integer(1.0, 1e4),
             Some("2"),
-            "of them to one worker; one where it is overloaded or failed before",
+            "handshakes in flight with one worker; 1 if it is overloaded, throttled or failed before",
         ),
         key(
             "handshake-part",
             ValueType::Number(0.0, 1.0),
             Some("25%"),
-            "of a worker's capacity, for handshakes of all edges together while it is warming \
-             up or they queue there; 0: any number",
+            "the fraction of a worker's capacity for the handshakes of all edges together while \
+             it is warming up or they queue there; 0: any number",
         ),
         key(
             "connections-ahead",
@@ -266,50 +266,50 @@
             "connect-again",
             ValueType::Integer(1.0, 1e5),
             Some("20"),
-            "attempts a second, in total, to connect to workers that could not be reached \
+            "attempts per second, in total, to connect to workers that could not be reached \
              before",
         ),
         key(
             "left-alone-least",
             ValueType::Duration,
             Some("100ms"),
-            "the first backoff after a worker could not be reached; it doubles",
+            "the first backoff after a worker could not be reached; it doubles with each failure",
         ),
         key(
             "left-alone-most",
             ValueType::Duration,
             Some("2s"),
-            "the longest of these backoffs",
+            "the longest backoff after a worker could not be reached",
         ),
         key(
             "retire-within",
             ValueType::Duration,
             Some("30s"),
-            "connections made under an earlier configuration are replaced within",
+            "the time within which connections made under an earlier configuration are replaced",
         ),
         key(
             "retire-at-once",
             ValueType::Integer(1.0, 1e5),
             Some("4"),
-            "this many at a time",
+            "connections made under an earlier configuration that are replaced at a time",
         ),
         key(
             "late-arrivals",
             ValueType::Duration,
             Some("0s"),
-            "in a graceful shutdown an edge accepts connections and requests for this long",
+            "how long an edge still accepts connections and requests in a graceful shutdown",
         ),
         key(
             "held-bodies",
             ValueType::Bytes,
             Some("1GB"),
-            "bytes of the bodies of all requests in flight; more are shed unread",
+            "bytes of the bodies of all requests in flight; further requests are shed unread",
         ),
         key(
             "figures-beyond",
             ValueType::Number(1.0, 1e6),
             Some("10"),
-            "values that callers state may be this many times the setting; larger ones are \
+            "how many times its setting a value stated by a caller may be; larger values are \
              rejected",
         ),
         key(
@@ -322,13 +322,13 @@
             "feed-silence",
             ValueType::Duration,
             Some("500ms"),
-            "a feed that is later than that is reconnected",
+            "how long after feed-wait a control feed may take to respond before it is reconnected",
         ),
         key(
             "stop-within",
             ValueType::Duration,
             Some("10s"),
-            "a graceful shutdown has answered all requests by then",
+            "how long a graceful shutdown may take to answer all requests",
         ),
     ],
 };
--- a/crates/sanddrum-settings/src/deployment/security.rs
+++ b/crates/sanddrum-settings/src/deployment/security.rs
@@ -12,25 +12,25 @@
             "tokens",
             ValueType::Choice(&["off", "optional", "required"]),
             Some("off"),
-            "whether callers present tokens",
+            "whether callers may or must present tokens",
         ),
         key(
             "keys-file",
             ValueType::Text,
             None,
-            "the set of verification keys, watched for changes",
+            "the set of verification keys; watched",
         ),
         key(
             "audience",
             ValueType::Text,
             Some("sanddrum"),
-            "the audience that tokens have to name",
+            "the audience that tokens must name",
         ),
         key(
             "leeway",
             ValueType::Duration,
             Some("60s"),
-            "the largest accepted difference of clocks",
+            "the largest accepted difference between clocks",
         ),
         key(
             "longest-token",
@@ -42,13 +42,13 @@
             "largest-token",
             ValueType::Bytes,
             Some("4KB"),
-            "longer ones are rejected unread",
+            "the largest accepted token; larger ones are rejected unread",
         ),
         key(
             "token-checks",
             ValueType::Integer(1.0, 1e7),
             Some("2000"),
-            "signatures verified a second for known callers, and as many for unknown ones",
+            "signatures verified per second for known callers, and as many for unknown ones",
         ),
         key(
             "token-memory",
@@ -60,7 +60,7 @@
             "bad-tokens",
             ValueType::Integer(1.0, 1e6),
             Some("8"),
-            "a connection is closed after this many in a row",
+            "a connection is closed after this many invalid tokens in a row",
         ),
         key(
             "watch-every",
@@ -72,19 +72,19 @@
             "audit-file",
             ValueType::Text,
             None,
-            "one JSON line for each rejection and change of keys",
+            "the audit log: one JSON line per rejection and per change of keys",
         ),
         key(
             "audit-most",
             ValueType::Bytes,
             Some("64MB"),
-            "its largest size; one more file of that size is kept",
+            "the largest size of the audit log; one older file of that size is kept",
         ),
         key(
             "audit-rate",
             ValueType::Integer(1.0, 1e6),
             Some("200"),
-            "lines a second; the rest is only counted",
+            "audit lines per second; further ones are only counted",
         ),
     ],
 };
@@ -93,13 +93,13 @@
     name: "tls",
     prefix: "tls",
     occurrence: Occurrence::Once,
-    description: "TLS toward workers",
+    description: "TLS to workers",
     keys: &[
         key(
             "workers",
             ValueType::Choice(&["plain", "verified"]),
             Some("plain"),
-            "whether workers have to prove their names by certificates",
+            "whether workers must prove their names with certificates",
         ),
         key(
             "roots-file",
@@ -117,19 +117,19 @@
             "key-file",
             ValueType::Text,
             None,
-            "PEM: its private key; watched",
+            "PEM: the private key of the certificate presented to workers; watched",
         ),
         key(
             "revoked-file",
             ValueType::Text,
             None,
-            "PEM: the authorities' revocation lists; watched, never replaced by older ones",
+            "PEM: revocation lists for workers' certificates; watched, never replaced by older ones",
         ),
         key(
             "denied-file",
             ValueType::Text,
             None,
-            "fingerprints of rejected keys, one a line; watched",
+            "fingerprints of workers' keys that are rejected, one per line; watched",
         ),
         key(
             "handshake-time-out",
@@ -141,7 +141,7 @@
             "handshakes",
             ValueType::Integer(1.0, 1e6),
             Some("256"),
-            "handshakes with callers in progress; more are closed at once",
+            "handshakes with callers in progress at a time; further connections are closed at once",
         ),
         key(
             "sessions",
@@ -153,7 +153,7 @@
             "waiting",
             ValueType::Bytes,
             Some("256KB"),
-            "ciphertext that is buffered for one socket",
+            "bytes of ciphertext buffered for one socket",
         ),
         key(
             "watch-every",
@@ -165,7 +165,7 @@
             "warn-ahead",
             ValueType::Duration,
             Some("336h"),
-            "how long before a certificate or a list expires warnings begin",
+            "how long before a certificate or revocation list expires warnings begin",
         ),
     ],
 };
@@ -174,13 +174,13 @@
     name: "authority",
     prefix: "authorities",
     occurrence: Occurrence::UniqueNames,
-    description: "a trusted authority, by its common name, that may certify some workers' names \
-             only",
+    description: "a trusted authority, by its common name, that may certify only these names of \
+             workers",
     keys: &[key(
         "names",
         ValueType::Names,
         None,
-        "complete names, or .zone.example for all below it",
+        "complete names, or .zone.example for all names below it",
     )],
 };
 
@@ -194,7 +194,7 @@
             "speaks",
             ValueType::Choice(&["plain", "tls"]),
             Some("plain"),
-            "what clients have to use",
+            "whether clients must use TLS",
         ),
         key(
             "certificate-file",
@@ -206,31 +206,31 @@
             "key-file",
             ValueType::Text,
             None,
-            "PEM: its private key; watched",
+            "PEM: the private key of the certificate presented to clients; watched",
         ),
         key(
             "certificates",
             ValueType::Choice(&["off", "optional", "required"]),
             Some("off"),
-            "whether clients present certificates",
+            "whether clients may or must present certificates",
         ),
         key(
             "roots-file",
             ValueType::Text,
             None,
-            "PEM: authorities of the clients' certificates; watched",
+            "PEM: the trusted authorities of clients' certificates; watched",
         ),
         key(
             "revoked-file",
             ValueType::Text,
             None,
-            "PEM: their revocation lists; watched, never replaced by older ones",
+            "PEM: revocation lists for clients' certificates; watched, never replaced by older ones",
         ),
         key(
             "denied-file",
             ValueType::Text,
             None,
-            "fingerprints of clients' keys that are rejected; watched",
+            "fingerprints of clients' keys that are rejected, one per line; watched",
         ),
     ],
 };
@@ -239,12 +239,12 @@
     name: "rights",
     prefix: "rights",
     occurrence: Occurrence::Once,
-    description: "authorization where no rule matches",
+    description: "authorization if no rule matches",
     keys: &[key(
         "default",
         ValueType::Choice(&["allow", "deny"]),
         Some("allow"),
-        "what applies then",
+        "whether requests that match no rule are allowed",
     )],
 };
 
@@ -254,19 +254,19 @@
     occurrence: Occurrence::AnyNames,
     description:
         "a customer, or a prefix of names (a-*), may execute these; a matching (deny ...) \
-             outweighs it",
+             takes precedence",
     keys: &[
         key(
             "functions",
             ValueType::Names,
             None,
-            "functions, by name or prefix; any where not set",
+            "functions, by name or prefix; any if not set",
         ),
         key(
             "workloads",
             ValueType::Names,
             None,
-            "workloads; any where not set",
+            "workloads; any if not set",
         ),
     ],
 };
@@ -281,13 +281,13 @@
             "functions",
             ValueType::Names,
             None,
-            "functions, by name or prefix; any where not set",
+            "functions, by name or prefix; any if not set",
         ),
         key(
             "workloads",
             ValueType::Names,
             None,
-            "workloads; any where not set",
+            "workloads; any if not set",
         ),
     ],
 };
--- a/crates/sanddrum-settings/src/error.rs
+++ b/crates/sanddrum-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! The error of settings that can't be used.
+//! The error for settings that can't be used.
 
 use std::fmt;
 
@@ -11,24 +11,24 @@
     pub column: usize,
 }
 
-/// What is wrong with a file, where, and what to do about it.
+/// What is wrong with a file, where, and how to fix it.
 ///
-/// An error of the file system is kept as text, so that errors compare equal.
+/// File system errors are stored as text, so that errors can be compared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", Report(self))]
 pub struct SettingsError {
-    /// The file, or the command-line option that gave the value.
+    /// The file, or the command-line option that set the value.
     pub file: String,
-    /// The position in the file; none where no single position is at fault.
+    /// The position in the file; `None` if the error has no single position.
     pub position: Option<Position>,
     /// What is wrong.
     pub message: String,
-    /// What to do about it; may be empty.
+    /// How to fix it; may be empty.
     pub remedy: String,
 }
 
 impl SettingsError {
-    /// An error that concerns a file as a whole, or a command-line option.
+    /// Creates an error that concerns a file as a whole, or a command-line option.
     pub fn new(file: &str, message: impl Into<String>, remedy: impl Into<String>) -> Self {
         SettingsError {
             file: file.into(),
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The error of a file that can't be read.
-    pub fn of_file(file: &str, error: &std::io::Error) -> Self {
+    /// Creates the error for a file that can't be read.
+    pub fn from_io(file: &str, error: &std::io::Error) -> Self {
         let remedy = "give the path of a readable settings file";
         SettingsError::new(file, error.to_string(), remedy)
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Writes `file:line:column: message`, and the remedy on a line of its own.
+/// Displays an error as `file:line:column: message`, with the remedy on a line of its own.
 struct Report<'a>(&'a SettingsError);
 
 impl fmt::Display for Report<'_> {
--- a/crates/sanddrum-settings/src/lib.rs
+++ b/crates/sanddrum-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings files as S-expressions: read with the positions of their values, checked against a schema and for
-//! combinations that cannot work before anything starts, and kept as dotted names with plain values, which is how the
-//! decision module queries them.
+//! Settings files, written as S-expressions. They are parsed with the positions of their values, checked against a
+//! schema and for combinations that cannot work before anything starts, and stored as dotted names with scalar values,
+//! the form in which the decision module queries them.
 
 mod checks;
 mod deployment;
@@ -19,26 +19,26 @@
 
 use std::path::Path;
 
-/// Reads a deployment's settings from a file and checks them.
+/// Reads and checks a deployment's settings in a file.
 ///
 /// # Errors
-/// [`SettingsError`]: the file can't be read, or something in it is wrong.
+/// [`SettingsError`]: the file can't be read, or its content is invalid.
 pub fn load(path: &Path) -> Result<LoadedSettings, SettingsError> {
     let file = path.display().to_string();
     let text =
-        std::fs::read_to_string(path).map_err(|error| SettingsError::of_file(&file, &error))?;
+        std::fs::read_to_string(path).map_err(|error| SettingsError::from_io(&file, &error))?;
     read(&file, &text)
 }
 
-/// Reads a deployment's settings from the text of a file and checks them.
+/// Reads and checks a deployment's settings in the text of a file.
 ///
 /// # Errors
-/// [`SettingsError`]: something in the text is wrong.
+/// [`SettingsError`]: the text is invalid.
 pub fn read(file: &str, text: &str) -> Result<LoadedSettings, SettingsError> {
     read_with(file, text, &[])
 }
 
-/// Reads a text that has further sections beside a deployment's, and checks it.
+/// Reads and checks a text that has further sections in addition to those of a deployment.
 ///
 /// # Errors
 /// As [`read`].
@@ -53,10 +53,10 @@
     Ok(settings)
 }
 
-/// Checks combinations of values, as reading does; for settings with overridden values.
+/// Checks combinations of values again, after values have been overridden. Reading checks them as well.
 ///
 /// # Errors
-/// [`SettingsError`]: a combination cannot work.
+/// [`SettingsError`]: a combination of values cannot work.
 pub fn check(settings: &LoadedSettings) -> Result<(), SettingsError> {
     checks::check(settings)
 }
--- a/crates/sanddrum-settings/src/loaded.rs
+++ b/crates/sanddrum-settings/src/loaded.rs
@@ -1,4 +1,4 @@
-//! Settings that have been read, as dotted names with plain values.
+//! Settings that have been read, as dotted names with scalar values.
 
 use crate::error::{Position, SettingsError};
 use crate::reader;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Where a value came from.
+/// The origin of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A position in the file, counted from one.
@@ -20,8 +20,8 @@
     },
     /// The schema's default.
     Default,
-    /// Another source, as a command-line option.
-    Given(String),
+    /// An override from another source, such as a command-line option.
+    Override(String),
 }
 
 impl From<Position> for Origin {
@@ -38,7 +38,7 @@
         match self {
             Origin::File { line, column } => write!(f, "line {line}, column {column}"),
             Origin::Default => write!(f, "default"),
-            Origin::Given(by) => write!(f, "{by}"),
+            Origin::Override(source) => write!(f, "{source}"),
         }
     }
 }
@@ -48,9 +48,9 @@
 pub struct LoadedSettings {
     /// The file that they were read from.
     pub file: String,
-    /// Plain values by dotted names, as the decision module takes them.
+    /// Scalar values by dotted name, as the decision module expects them.
     pub values: Settings,
-    /// Where values came from, by dotted names.
+    /// The origins of values, by dotted name.
     pub origins: BTreeMap<String, Origin>,
     schema: Vec<Section>,
 }
@@ -64,33 +64,33 @@
         }
     }
 
-    /// Sets a value and returns its origin before, if it was set.
+    /// Sets a value and returns its previous origin, if it was already set.
     pub(crate) fn insert(&mut self, name: String, value: Value, origin: Origin) -> Option<Origin> {
         self.values.0.insert(name.clone(), value);
         self.origins.insert(name, origin)
     }
 
-    /// A number; zero where it is not set.
+    /// A number; zero if it is not set.
     pub fn number(&self, name: &str) -> f64 {
         self.values.number(name).unwrap_or_default()
     }
 
-    /// A duration in microseconds, under its name with `-us`; zero where it is not set.
+    /// A duration in microseconds, by its dotted name including `-us`; zero if it is not set.
     pub fn duration_us(&self, name: &str) -> Micros {
         self.number(name) as Micros
     }
 
-    /// A whole number; zero where it is not set.
+    /// A non-negative integer; zero if it is not set.
     pub fn integer(&self, name: &str) -> usize {
         self.number(name) as usize
     }
 
-    /// A text or a choice; empty where it is not set.
+    /// A string or a choice; empty if it is not set.
     pub fn text(&self, name: &str) -> &str {
         self.values.text(name).unwrap_or_default()
     }
 
-    /// A flag; false where it is not set.
+    /// A flag; false if it is not set.
     pub fn flag(&self, name: &str) -> bool {
         self.values.flag(name).unwrap_or_default()
     }
@@ -105,7 +105,7 @@
         self.integer(&format!("{name}.count"))
     }
 
-    /// A list of whole numbers.
+    /// A list of integers.
     pub fn integers(&self, name: &str) -> Vec<u64> {
         (0..self.count(name))
             .filter_map(|index| self.values.number(&format!("{name}.{index}")))
@@ -125,8 +125,9 @@
             .collect()
     }
 
-    /// Overrides one value of a section that occurs once. `name` is the section's and the key's, as `limits.max-open`;
-    /// `value` is written as in a file; `by` is the source of the value, as a command-line option.
+    /// Overrides one value of a section that occurs once. `name` consists of the names of the section and of the key,
+    /// such as `limits.max-open`; `value` is written as in a file; `source` names what overrides it, such as a
+    /// command-line option.
     ///
     /// # Errors
     /// The name is unknown, or the value is not of its type.
@@ -134,16 +135,16 @@
         &mut self,
         name: &str,
         value: &str,
-        by: &str,
+        source: &str,
     ) -> Result<(), SettingsError> {
-        let (section, key) = self.find_key(name, by)?;
-        let (dotted_name, value) = reader::read_written_value(by, section.prefix, &key, value)?;
-        self.insert(dotted_name, value, Origin::Given(by.to_string()));
+        let (section, key) = self.find_key(name, source)?;
+        let (dotted_name, value) = reader::read_literal(source, section.prefix, &key, value)?;
+        self.insert(dotted_name, value, Origin::Override(source.to_string()));
         Ok(())
     }
 
     /// The section and the key of a setting that may be overridden.
-    fn find_key(&self, name: &str, by: &str) -> Result<(Section, Key), SettingsError> {
+    fn find_key(&self, name: &str, source: &str) -> Result<(Section, Key), SettingsError> {
         let candidates: Vec<(String, Section, Key)> = self
             .schema
             .iter()
@@ -159,13 +160,13 @@
             None => {
                 let remedy = suggest(name, candidates.iter().map(|(known, _, _)| known.as_str()));
                 let message = format!("{name} is not a setting");
-                Err(SettingsError::new(by, message, remedy))
+                Err(SettingsError::new(source, message, remedy))
             }
         }
     }
 
-    /// The plain map that the decision module takes: all values, and the edge's zone as an index into the list of zones.
-    pub fn values_for_module(&self) -> Settings {
+    /// The settings for the decision module: all values, and the edge's zone as an index into the list of zones.
+    pub fn decision_settings(&self) -> Settings {
         let mut values = self.values.clone();
         let zone_index = self
             .names("zones")
@@ -178,7 +179,7 @@
         values
     }
 
-    /// An error that concerns a setting, with the setting's position in the file if it has one.
+    /// Creates an error that concerns a setting, with the setting's position in the file if it has one.
     pub fn error_at(
         &self,
         name: &str,
@@ -195,7 +196,7 @@
         SettingsError::new(&self.file, message, remedy).at(position)
     }
 
-    /// What a setting is for, by its dotted name; empty for names that are no settings.
+    /// The description of a setting, by its dotted name; empty if there is no such setting.
     pub fn description(&self, dotted_name: &str) -> &'static str {
         let last_segment = dotted_name.rsplit('.').next().unwrap_or_default();
         let is_named = |section: &Section, key: &Key| {
--- a/crates/sanddrum-settings/src/reader.rs
+++ b/crates/sanddrum-settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the forms of a settings file into plain values, as a schema describes them.
+//! Reads the forms of a settings file into scalar values according to a schema.
 
 use crate::error::{Position, SettingsError};
 use crate::loaded::{LoadedSettings, Origin};
@@ -9,10 +9,10 @@
 use sanddrum::Value;
 use std::collections::BTreeMap;
 
-/// The file named in errors of the schema's defaults.
+/// The file name in errors about the schema's defaults.
 const DEFAULTS_FILE: &str = "defaults";
 
-/// Reads a text as the schema describes it. Combinations of values are not checked.
+/// Reads a text according to a schema. Combinations of values are not checked.
 ///
 /// # Errors
 /// The text has unknown, repeated or malformed settings.
@@ -32,30 +32,30 @@
     Ok(reader.loaded)
 }
 
-/// Reads one value that is written as in a file, and returns it with its dotted name.
+/// Reads the value of a key from a literal as written in a file, and returns it with its dotted name.
 ///
 /// # Errors
 /// The value is not of the key's type.
-pub(crate) fn read_written_value(
+pub(crate) fn read_literal(
     file: &str,
     prefix: &str,
     key: &Key,
-    written: &str,
+    literal: &str,
 ) -> Result<(String, Value), SettingsError> {
-    let form = parse_form(file, &write_setting(key, written))?;
+    let form = parse_form(file, &format_setting(key, literal))?;
     read_value(file, prefix, key, &form)
 }
 
-/// A key with its value as in a file.
-fn write_setting(key: &Key, written: &str) -> String {
+/// Formats a key and its value as in a file.
+fn format_setting(key: &Key, literal: &str) -> String {
     if key.value_type.is_quoted() {
-        format!("({} {written:?})", key.name)
+        format!("({} {literal:?})", key.name)
     } else {
-        format!("({} {written})", key.name)
+        format!("({} {literal})", key.name)
     }
 }
 
-/// The dotted name and the plain value of a key that takes one value.
+/// Reads a key that takes one value, and returns its dotted name and the scalar value.
 fn read_value(
     file: &str,
     prefix: &str,
@@ -76,7 +76,7 @@
 
 struct Reader {
     loaded: LoadedSettings,
-    /// How often each section has occurred, by its name.
+    /// How often each section has occurred so far, by its name.
     counts: BTreeMap<&'static str, usize>,
 }
 
@@ -92,7 +92,7 @@
 
     fn read_form(&mut self, schema: &[Section], form: &Form) -> Result<(), SettingsError> {
         let Some(section) = schema.iter().find(|section| section.name == form.name) else {
-            let message = format!("({} ...) is not known", form.name);
+            let message = format!("unknown section ({} ...)", form.name);
             let remedy = suggest(&form.name, schema.iter().map(|section| section.name));
             return Err(self.error(form.position, message, remedy));
         };
@@ -103,8 +103,8 @@
             return self.read_named_section(section, form, index);
         }
         if index > 0 {
-            let message = format!("({} ...) stands twice", form.name);
-            return Err(self.error(form.position, message, "put all of it into one form"));
+            let message = format!("section ({} ...) occurs twice", form.name);
+            return Err(self.error(form.position, message, "merge them into one form"));
         }
         self.read_settings(section, section.prefix, &form.parts)
     }
@@ -117,12 +117,12 @@
     ) -> Result<(), SettingsError> {
         let Some(((Part::Word(name), position), settings)) = form.parts.split_first() else {
             let remedy = format!("write ({} \"a-name\" ...)", section.name);
-            return Err(self.error(form.position, "a name is wanted", remedy));
+            return Err(self.error(form.position, "expected a name", remedy));
         };
         let has_unique_names = section.occurrence == Occurrence::UniqueNames;
         if has_unique_names && self.has_named_section(section, name, index) {
-            let message = format!("{} {name:?} stands twice", section.name);
-            return Err(self.error(*position, message, "names of one kind differ"));
+            let message = format!("{} {name:?} occurs twice", section.name);
+            return Err(self.error(*position, message, "names must be unique"));
         }
         let prefix = format!("{}.{index}", section.prefix);
         let value = Value::Text(name.clone());
@@ -148,7 +148,7 @@
         for (part, position) in parts {
             let Part::Form(form) = part else {
                 let remedy = format!("write (name value) within ({} ...)", section.name);
-                return Err(self.error(*position, "a setting is wanted here", remedy));
+                return Err(self.error(*position, "expected a setting", remedy));
             };
             let Some(key) = section.keys.iter().find(|key| key.name == form.name) else {
                 let message = format!("{} is not a setting of {}", form.name, section.name);
@@ -167,13 +167,13 @@
         }
         let (dotted_name, value) = read_value(&self.loaded.file, prefix, key, form)?;
         if self.loaded.insert(dotted_name, value, origin).is_some() {
-            let message = format!("{} stands twice", form.name);
-            return Err(self.error(form.position, message, "say it once"));
+            let message = format!("{} is set twice", form.name);
+            return Err(self.error(form.position, message, "set it once"));
         }
         Ok(())
     }
 
-    /// Reads a list: its elements as `name.0`, `name.1` and so on, and their number as `name.count`.
+    /// Reads a list: its elements as `name.0`, `name.1` and so on, and its length as `name.count`.
     fn read_list(
         &mut self,
         key: &Key,
@@ -199,25 +199,25 @@
         Ok(())
     }
 
-    /// Sets what a section leaves out to the schema's defaults.
+    /// Sets the keys that a section leaves out to the schema's defaults.
     fn add_defaults(&mut self, section: &Section, prefix: &str) -> Result<(), SettingsError> {
         for key in section.keys {
             let Some(default) = key.default else { continue };
             let name = key.value_name(prefix);
             if key.value_type.is_list() {
                 if !self.loaded.contains(&format!("{name}.count")) {
-                    let form = parse_form(DEFAULTS_FILE, &write_setting(key, default))?;
+                    let form = parse_form(DEFAULTS_FILE, &format_setting(key, default))?;
                     self.read_list(key, &form, prefix, &Origin::Default)?;
                 }
             } else if !self.loaded.contains(&name) {
-                let (name, value) = read_written_value(DEFAULTS_FILE, prefix, key, default)?;
+                let (name, value) = read_literal(DEFAULTS_FILE, prefix, key, default)?;
                 self.loaded.insert(name, value, Origin::Default);
             }
         }
         Ok(())
     }
 
-    /// Counts the sections that may occur several times, and sets the defaults of those that are missing.
+    /// Sets the number of occurrences of each named section, and the defaults of other sections that are missing.
     fn finish(&mut self, schema: &[Section]) -> Result<(), SettingsError> {
         for section in schema {
             let count = self.counts.get(section.name).copied().unwrap_or_default();
--- a/crates/sanddrum-settings/src/schema.rs
+++ b/crates/sanddrum-settings/src/schema.rs
@@ -1,29 +1,29 @@
-//! The vocabulary of schemas: what sections and keys a settings file may have, and which values.
+//! The types of a schema, which states the sections, keys and values that a settings file may have.
 
-/// What values a key takes. Bounds are inclusive.
+/// The type of a key's values. Bounds are inclusive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueType {
-    /// A duration with a unit, as `250ms`. Kept in microseconds; its dotted name ends in `-us`.
+    /// A duration with a unit, such as `250ms`. Stored in microseconds; the dotted name ends in `-us`.
     Duration,
-    /// An amount of memory with a unit, as `300MB`. Kept in MB (2^20 bytes); its dotted name ends in `-mb`.
+    /// An amount of memory with a unit, such as `300MB`. Stored in MB (2^20 bytes); the dotted name ends in `-mb`.
     Memory,
-    /// A number of bytes with a unit, as `16KB`. Kept in bytes; its dotted name ends in `-bytes`.
+    /// A number of bytes with a unit, such as `16KB`. Stored in bytes; the dotted name ends in `-bytes`.
     Bytes,
-    /// A number, or a percentage, between a least and a greatest one.
+    /// A number or a percentage, with its lower and upper bound.
     Number(f64, f64),
-    /// A whole number between a least and a greatest one.
+    /// An integer, with its lower and upper bound.
     Integer(f64, f64),
-    /// Whole numbers between a least and a greatest one, one after the other.
+    /// A list of integers, with their lower and upper bound.
     Integers(f64, f64),
     /// `yes` or `no`.
     Flag,
-    /// A text.
+    /// A string.
     Text,
     /// One of these words.
     Choice(&'static [&'static str]),
     /// An IP address and a port.
     Address,
-    /// Names, one after the other.
+    /// A list of names.
     Names,
 }
 
@@ -33,12 +33,12 @@
         matches!(self, ValueType::Names | ValueType::Integers(..))
     }
 
-    /// Whether a value of this type is written as a quoted text.
+    /// Whether a value of this type is written as a quoted string.
     pub(crate) fn is_quoted(self) -> bool {
         matches!(self, ValueType::Text | ValueType::Address)
     }
 
-    /// What a dotted name of this type ends in: its unit.
+    /// The suffix of dotted names of this type, which is the unit.
     fn unit_suffix(self) -> &'static str {
         match self {
             ValueType::Duration => "-us",
@@ -54,19 +54,19 @@
 pub struct Key {
     /// Its name in the file.
     pub name: &'static str,
-    /// What values it takes.
+    /// The type of its value.
     pub value_type: ValueType,
-    /// The value where the file has none, written as in a file. Without one the setting is absent, and its reader's
-    /// default counts.
+    /// The value if the file has none, written as in a file. Without a default the setting is absent, and the code
+    /// that reads it uses a default of its own.
     pub default: Option<&'static str>,
-    /// What it is for, for a listing.
+    /// What it is for, as shown in listings of settings.
     pub description: &'static str,
-    /// The dotted name, where it is not made of the section's prefix and the key's name.
+    /// The dotted name, if it is not the section's prefix followed by the key's name.
     pub dotted_name: Option<&'static str>,
 }
 
 impl Key {
-    /// The key's name with its unit.
+    /// The key's name followed by its unit.
     pub(crate) fn name_with_unit(&self) -> String {
         format!("{}{}", self.name, self.value_type.unit_suffix())
     }
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The same key under another dotted name.
-    pub(crate) const fn named(self, dotted_name: &'static str) -> Key {
+    /// The same key with a different dotted name.
+    pub(crate) const fn with_dotted_name(self, dotted_name: &'static str) -> Key {
         Key {
             dotted_name: Some(dotted_name),
             ..self
@@ -93,9 +93,9 @@
 pub enum Occurrence {
     /// At most once, without a name.
     Once,
-    /// Any number of times; the first part is a name, and names are unique.
+    /// Any number of times; the first part is a name, which must be unique.
     UniqueNames,
-    /// Any number of times; the first part is a name, and names may be equal.
+    /// Any number of times; the first part is a name, which need not be unique.
     AnyNames,
 }
 
@@ -111,7 +111,7 @@
 pub struct Section {
     /// Its name in the file.
     pub name: &'static str,
-    /// What the dotted names of its keys begin with.
+    /// The prefix of the dotted names of its keys.
     pub prefix: &'static str,
     /// How often it may occur.
     pub occurrence: Occurrence,
@@ -121,7 +121,7 @@
     pub description: &'static str,
 }
 
-/// A key whose dotted name is made of its section's prefix and its name.
+/// Creates a key whose dotted name is its section's prefix followed by its name.
 pub const fn key(
     name: &'static str,
     value_type: ValueType,
--- a/crates/sanddrum-settings/src/suggestion.rs
+++ b/crates/sanddrum-settings/src/suggestion.rs
@@ -1,9 +1,9 @@
-//! Suggests what a misspelt word was meant to be.
+//! Suggests corrections of misspelled words.
 
-/// The least Jaro-Winkler similarity of two words of which one may be a misspelling of the other.
+/// Words with a Jaro-Winkler similarity above this may be misspellings of each other.
 const MIN_SIMILARITY: f64 = 0.8;
 
-/// The remedy for an unknown word: the most similar known one, or else all known ones.
+/// The remedy for an unknown word: the most similar known word, or all known words if none is similar.
 pub(crate) fn suggest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> String {
     let known: Vec<&str> = known.collect();
     let most_similar = known
@@ -14,6 +14,6 @@
         Some((similarity, candidate)) if similarity > MIN_SIMILARITY => {
             format!("did you mean {candidate}?")
         }
-        _ => format!("known here: {}", known.join(", ")),
+        _ => format!("expected one of: {}", known.join(", ")),
     }
 }
--- a/crates/sanddrum-settings/src/syntax.rs
+++ b/crates/sanddrum-settings/src/syntax.rs
@@ -21,17 +21,17 @@
     /// The symbol that it begins with.
     pub name: String,
     pub position: Position,
-    /// What follows the name.
+    /// The parts after the name, with their positions.
     pub parts: Vec<(Part, Position)>,
 }
 
-/// How deep forms may be nested. Deeper ones are rejected before the recursive parser sees them.
+/// The maximum nesting depth of forms. Deeper ones are rejected before the recursive parser sees them.
 const MAX_DEPTH: usize = 32;
 
 /// Parses all forms of a text, in order.
 ///
 /// # Errors
-/// The text is no sequence of forms.
+/// The text is not a sequence of forms.
 pub(crate) fn parse_forms(file: &str, text: &str) -> Result<Vec<Form>, SettingsError> {
     check_depth(file, text)?;
     let mut parser = Parser::from_str(text);
@@ -39,16 +39,16 @@
     loop {
         match parser.next_datum() {
             Ok(None) => return Ok(forms),
-            Ok(Some(datum)) => forms.push(form(file, datum.as_ref())?),
+            Ok(Some(datum)) => forms.push(convert_form(file, datum.as_ref())?),
             Err(error) => return Err(syntax_error(file, &error)),
         }
     }
 }
 
-/// Parses a single form, as `(name value)`.
+/// Parses a single form, such as `(name value)`.
 ///
 /// # Errors
-/// The text is no form.
+/// The text is not a form.
 pub(crate) fn parse_form(file: &str, text: &str) -> Result<Form, SettingsError> {
     let mut forms = parse_forms(file, text)?;
     if forms.is_empty() {
@@ -67,9 +67,9 @@
     };
     let message = error.to_string();
     let remedy = if message.contains("number") {
-        "write the number and its unit apart, as 500 B"
+        "separate the number and its unit by a space, as in 500 B"
     } else {
-        "look for a bracket or a quote that is not closed before this place"
+        "check for a bracket or a quote that is not closed before this position"
     };
     SettingsError::new(file, message, remedy).at(position)
 }
@@ -88,8 +88,11 @@
                     line: line_index + 1,
                     column: column_index + 1,
                 };
-                let error =
-                    SettingsError::new(file, "nested too deep", "settings need a few levels only");
+                let error = SettingsError::new(
+                    file,
+                    "forms are nested too deeply",
+                    "settings have only a few levels",
+                );
                 return Err(error.at(position));
             }
         }
@@ -106,18 +109,22 @@
 }
 
 fn not_a_form(file: &str) -> SettingsError {
-    let remedy = "write (name value), as (keep-alive 8s)";
-    SettingsError::new(file, "a form is wanted here", remedy)
+    let remedy = "write (name value), such as (keep-alive 8s)";
+    SettingsError::new(file, "expected a form", remedy)
 }
 
-fn form(file: &str, datum: Ref<'_>) -> Result<Form, SettingsError> {
+fn convert_form(file: &str, datum: Ref<'_>) -> Result<Form, SettingsError> {
     let position = position_of(datum);
-    let no_form = || not_a_form(file).at(position);
-    let mut items = datum.list_iter().ok_or_else(no_form)?;
-    let head = items.next().ok_or_else(no_form)?;
-    let name = head.value().as_symbol().ok_or_else(no_form)?.to_string();
+    let invalid_form = || not_a_form(file).at(position);
+    let mut items = datum.list_iter().ok_or_else(invalid_form)?;
+    let head = items.next().ok_or_else(invalid_form)?;
+    let name = head
+        .value()
+        .as_symbol()
+        .ok_or_else(invalid_form)?
+        .to_string();
     let parts = items
-        .map(|item| Ok((part(file, item)?, position_of(item))))
+        .map(|item| Ok((convert_part(file, item)?, position_of(item))))
         .collect::<Result<_, SettingsError>>()?;
     Ok(Form {
         name,
@@ -126,7 +133,7 @@
     })
 }
 
-fn part(file: &str, datum: Ref<'_>) -> Result<Part, SettingsError> {
+fn convert_part(file: &str, datum: Ref<'_>) -> Result<Part, SettingsError> {
     let value = datum.value();
     if let Some(number) = value.as_f64() {
         Ok(Part::Number(number))
@@ -135,6 +142,6 @@
     } else if let Some(flag) = value.as_bool() {
         Ok(Part::Word(if flag { "yes" } else { "no" }.to_string()))
     } else {
-        Ok(Part::Form(form(file, datum)?))
+        Ok(Part::Form(convert_form(file, datum)?))
     }
 }
--- a/crates/sanddrum-settings/src/value.rs
+++ b/crates/sanddrum-settings/src/value.rs
@@ -10,17 +10,17 @@
 const MEGABYTE: f64 = 1024.0 * KILOBYTE;
 const GIGABYTE: f64 = 1024.0 * MEGABYTE;
 
-/// The longest duration in microseconds: about 31 years.
+/// The longest duration, in microseconds: about 31 years.
 const MAX_DURATION_US: f64 = 1e15;
-/// The largest amount of memory in bytes.
+/// The largest amount of memory, in bytes.
 const MAX_BYTES: f64 = 1e18;
 
-/// Why a value is not one of its type.
+/// Why a value is not valid for its type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub(crate) struct ValueError {
     pub message: String,
-    /// What to write; may be empty.
+    /// What to write instead; may be empty.
     pub remedy: String,
 }
 
@@ -33,10 +33,10 @@
     }
 }
 
-/// The value of a setting that takes one value, from what follows its name.
+/// Parses the value of a setting that takes one value. `parts` is what follows the setting's name.
 ///
 /// # Errors
-/// The parts are no value of this type.
+/// The parts are not a value of this type.
 pub(crate) fn parse_value(value_type: ValueType, parts: &[&Part]) -> Result<Value, ValueError> {
     match value_type {
         ValueType::Duration => parse_duration(parts),
@@ -45,27 +45,27 @@
         ValueType::Number(min, max) => parse_number(parts, min, max),
         ValueType::Integer(min, max) => parse_integer(parts, min, max),
         ValueType::Integers(..) => Err(ValueError::new(
-            "whole numbers are wanted",
-            "as 10 100 1000",
+            "expected integers",
+            "for example 10 100 1000",
         )),
         ValueType::Flag => parse_flag(parts),
         ValueType::Choice(words) => parse_choice(parts, words),
         ValueType::Address => parse_address(parts),
         ValueType::Text => parse_text(parts),
-        ValueType::Names => Err(no_text()),
+        ValueType::Names => Err(not_a_text()),
     }
 }
 
-/// One element of a list.
+/// Parses one element of a list.
 ///
 /// # Errors
-/// The part is no element of a list of this type.
+/// The part is not an element of a list of this type.
 pub(crate) fn parse_element(value_type: ValueType, part: &Part) -> Result<Value, ValueError> {
     match (value_type, part) {
         (ValueType::Names, Part::Word(word)) => Ok(Value::Text(word.clone())),
         (ValueType::Names, _) => Err(ValueError::new(
-            "a name is wanted",
-            "write names one after the other",
+            "expected a name",
+            "write names separated by spaces",
         )),
         (ValueType::Integers(min, max), part) => parse_integer(&[part], min, max),
         (single, part) => parse_value(single, &[part]),
@@ -75,8 +75,8 @@
 fn parse_duration(parts: &[&Part]) -> Result<Value, ValueError> {
     let [Part::Number(number), Part::Word(unit)] = parts else {
         return Err(ValueError::new(
-            "a span of time is wanted",
-            "write a number and its unit, as 250ms",
+            "expected a duration",
+            "write a number and its unit, such as 250ms",
         ));
     };
     let unit_us = match unit.as_str() {
@@ -87,12 +87,15 @@
         "h" => 3.6e9,
         other => {
             let message = format!("{other:?} is not a unit of time");
-            return Err(ValueError::new(message, "us, ms, s, min or h"));
+            return Err(ValueError::new(message, "use us, ms, s, min or h"));
         }
     };
     let duration_us = (number * unit_us).round();
     if !(0.0..=MAX_DURATION_US).contains(&duration_us) {
-        return Err(ValueError::new("a span from 0 on is wanted", ""));
+        return Err(ValueError::new(
+            "expected a duration between 0 and about 31 years",
+            "",
+        ));
     }
     Ok(Value::Number(duration_us))
 }
@@ -101,8 +104,8 @@
 fn parse_bytes(parts: &[&Part]) -> Result<f64, ValueError> {
     let [Part::Number(number), Part::Word(unit)] = parts else {
         return Err(ValueError::new(
-            "an amount of memory is wanted",
-            "write a number and its unit, as 300MB",
+            "expected an amount of memory",
+            "write a number and its unit, such as 300MB",
         ));
     };
     let unit_bytes = match unit.as_str() {
@@ -112,12 +115,15 @@
         "GB" => GIGABYTE,
         other => {
             let message = format!("{other:?} is not a unit of memory");
-            return Err(ValueError::new(message, "B, KB, MB or GB"));
+            return Err(ValueError::new(message, "use B, KB, MB or GB"));
         }
     };
     let bytes = number * unit_bytes;
     if !(1.0..=MAX_BYTES).contains(&bytes) {
-        return Err(ValueError::new("more than 0 is wanted", ""));
+        return Err(ValueError::new(
+            "expected an amount between 1 B and 1e18 B",
+            "",
+        ));
     }
     Ok(bytes)
 }
@@ -128,14 +134,17 @@
         [Part::Number(number), Part::Word(sign)] if sign == "%" => {
             within_bounds(number / 100.0, min, max)
         }
-        _ => Err(ValueError::new("a number is wanted", "as 0.2 or 20%")),
+        _ => Err(ValueError::new(
+            "expected a number",
+            "for example 0.2 or 20%",
+        )),
     }
 }
 
 fn parse_integer(parts: &[&Part], min: f64, max: f64) -> Result<Value, ValueError> {
     match parts {
         [Part::Number(number)] if number.fract() == 0.0 => within_bounds(*number, min, max),
-        _ => Err(ValueError::new("a whole number is wanted", "")),
+        _ => Err(ValueError::new("expected an integer", "")),
     }
 }
 
@@ -151,7 +160,7 @@
     match parts {
         [Part::Word(word)] if word == "yes" => Ok(Value::Flag(true)),
         [Part::Word(word)] if word == "no" => Ok(Value::Flag(false)),
-        _ => Err(ValueError::new("yes or no is wanted", "write yes or no")),
+        _ => Err(ValueError::new("expected yes or no", "write yes or no")),
     }
 }
 
@@ -164,8 +173,8 @@
             suggest(word, words.iter().copied()),
         )),
         _ => Err(ValueError::new(
-            "a word is wanted",
-            format!("one of {choices}"),
+            "expected a word",
+            format!("use one of {choices}"),
         )),
     }
 }
@@ -174,7 +183,7 @@
     match parts {
         [Part::Word(word)] if word.parse::<SocketAddr>().is_err() => Err(ValueError::new(
             format!("{word:?} is not an address"),
-            "an IP address and a port, as \"127.0.0.1:8080\"; names are not looked up",
+            "write an IP address and a port, such as \"127.0.0.1:8080\"; host names are not resolved",
         )),
         _ => parse_text(parts),
     }
@@ -183,10 +192,10 @@
 fn parse_text(parts: &[&Part]) -> Result<Value, ValueError> {
     match parts {
         [Part::Word(word)] => Ok(Value::Text(word.clone())),
-        _ => Err(no_text()),
+        _ => Err(not_a_text()),
     }
 }
 
-fn no_text() -> ValueError {
-    ValueError::new("one text is wanted", "in quotes")
+fn not_a_text() -> ValueError {
+    ValueError::new("expected a single string", "write it in quotes")
 }
--- a/crates/sanddrum-settings/tests/settings.rs
+++ b/crates/sanddrum-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading and checking settings: values with their origin, errors with their position and remedy.
+//! Reading and checking settings: values have an origin, errors a position and a remedy.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -8,7 +8,7 @@
 
 const FILE: &str = "demo.sx";
 
-/// Valid settings of seven lines, the first of which is empty; what tests add begins in line 8.
+/// Valid settings of seven lines, the first of which is empty; text that tests append begins in line 8.
 const VALID: &str = r#"
 (deployment (name "demo") (zones "bat-a" "bat-b"))
 (workload "trace-pass" (start-target 1s) (time-limit 3s) (effect restartable))
@@ -19,7 +19,7 @@
 "#;
 const FIRST_ADDED_LINE: usize = 8;
 
-/// The error of the valid settings with something wrong added.
+/// The error for the valid settings with invalid text appended.
 fn error_with(added: &str, further_sections: &[Section]) -> SettingsError {
     read_with(FILE, &format!("{VALID}{added}"), further_sections).unwrap_err()
 }
@@ -47,29 +47,39 @@
 }
 
 #[rstest]
-#[case::misspelt("(copies (keep-alvie 3s))", 8, 9, "did you mean keep-alive?")]
-#[case::unit("(copies (keep-alive 8sec))", 8, 21, "us, ms, s, min or h")]
-#[case::no_unit("(copies (keep-alive 8))", 8, 21, "as 250ms")]
+#[case::misspelled_key("(copies (keep-alvie 3s))", 8, 9, "did you mean keep-alive?")]
+#[case::unknown_unit("(copies (keep-alive 8sec))", 8, 21, "us, ms, s, min or h")]
+#[case::missing_unit("(copies (keep-alive 8))", 8, 21, "such as 250ms")]
 #[case::unknown_section("(limit (max-open 3))", 8, 1, "did you mean limits?")]
-#[case::twice("(workload \"trace-pass\")", 8, 11, "differ")]
-#[case::open("(copies (orders yes)", 8, 0, "not closed")]
-#[case::no_load("(copies (on-miss miss) (orders no))", 8, 9, "on-miss load")]
-#[case::no_ration("(copies (load-window 5s))", 8, 9, "load-free")]
-#[case::choice(
+#[case::duplicate_name("(workload \"trace-pass\")", 8, 11, "names must be unique")]
+#[case::unclosed_form("(copies (orders yes)", 8, 0, "not closed")]
+#[case::no_way_to_load("(copies (on-miss miss) (orders no))", 8, 9, "on-miss load")]
+#[case::zero_load_budget("(copies (load-window 5s))", 8, 9, "load-free")]
+#[case::misspelled_choice(
     "(workload \"x\" (effect restartible))",
     8,
     23,
     "did you mean restartable?"
 )]
-#[case::target("(workload \"x\" (start-target 9s))", 8, 15, "as 1s and 3s")]
-#[case::fingerprint("(workload \"x\" (effect fingerprinted))", 8, 15, "repeat-window")]
-#[case::function(
+#[case::start_target_above_time_limit(
+    "(workload \"x\" (start-target 9s))",
+    8,
+    15,
+    "for example 1s and 3s"
+)]
+#[case::fingerprinted_without_window(
+    "(workload \"x\" (effect fingerprinted))",
+    8,
+    15,
+    "repeat-window"
+)]
+#[case::function_of_unknown_workload(
     "(function \"f\" (workload \"nope\"))",
     8,
     15,
-    "known are trace-pass, phase-pick"
+    "known workloads: trace-pass, phase-pick"
 )]
-#[case::share(
+#[case::shares_above_one(
     "(customer \"a\" (share 60%)) (customer \"b\" (share 60%))",
     8,
     15,
@@ -89,7 +99,7 @@
 }
 
 #[rstest]
-fn the_command_line_overrides_known_settings_only() {
+fn only_known_settings_can_be_overridden() {
     let mut settings = read(FILE, VALID).unwrap();
     settings
         .override_value("edge.listen", "127.0.0.1:0", "--listen")
@@ -115,7 +125,7 @@
 }];
 
 #[rstest]
-#[case::set("(sizes (workers 1 20 300))", &[1, 20, 300])]
+#[case::in_file("(sizes (workers 1 20 300))", &[1, 20, 300])]
 #[case::default("", &[10, 100])]
 #[case::empty("(sizes (workers))", &[])]
 fn a_list_of_integers_keeps_its_order(#[case] added: &str, #[case] expected: &[u64]) {
@@ -124,24 +134,24 @@
 }
 
 #[rstest]
-#[case::fraction("(sizes (workers 1 2.5))", 19, "workers: a whole number is wanted")]
-#[case::bound(
+#[case::fraction("(sizes (workers 1 2.5))", 19, "workers: expected an integer")]
+#[case::above_upper_bound(
     "(sizes (workers 1 20000))",
     19,
     "workers: 20000 is not between 1 and 10000"
 )]
-#[case::word("(sizes (workers many))", 17, "workers: a whole number is wanted")]
+#[case::word("(sizes (workers many))", 17, "workers: expected an integer")]
 fn an_invalid_element_of_a_list_is_rejected_at_its_position(
     #[case] added: &str,
     #[case] column: usize,
     #[case] message: &str,
 ) {
     let error = error_with(added, SIZES);
-    let expected_place = Position {
+    let expected_position = Position {
         line: FIRST_ADDED_LINE,
         column,
     };
-    assert_eq!(error.position, Some(expected_place), "{error}");
+    assert_eq!(error.position, Some(expected_position), "{error}");
     assert_eq!(error.message, message);
 }
 
