--- a/crates/sanddrum-platform/src/frames.rs
+++ b/crates/sanddrum-platform/src/frames.rs
@@ -70,7 +70,7 @@
     encode_frame(ROUTER_MARKER, CODE_PING, id, "", &[])
 }
 
-/// Encodes a load command: the worker is to have at least `instances` instances of the function loaded. Zero only
+/// Encodes a load command: the worker loads the function until it has at least `instances` instances. Zero only
 /// queries how many are loaded.
 pub fn load(id: u64, function: &str, instances: u32) -> Vec<u8> {
     let fields = format!("thing={function},copies={instances}");
--- a/crates/sanddrum-platform/src/start_times.rs
+++ b/crates/sanddrum-platform/src/start_times.rs
@@ -1,4 +1,4 @@
-//! When the processes of workers started. The control feed dates a start by a wall clock, and wall clocks, the
+//! The start times of workers' processes. The control feed dates a start by a wall clock, and wall clocks, the
 //! workers' as well as this machine's, may be wrong or stepped. A worker whose age is overestimated would be
 //! overloaded during its slow start, so the lowest plausible age is used:
 //!
@@ -22,13 +22,12 @@
     pub wall: Micros,
 }
 
-/// How many offsets between the clocks are kept: the current one, and those from before the last steps of the wall
-/// clock.
+/// How many offsets between the clocks are kept: the current one and those from before the wall clock's last steps.
 const MAX_CLOCK_OFFSETS: usize = 4;
 /// A smaller change of the offset is not a step: wall clocks are also slewed.
 const MIN_CLOCK_STEP: Micros = 500_000;
-/// A date up to this far ahead of a wall clock is taken for a date by that clock, running a little slow. A date
-/// further ahead was set by a different clock and says nothing about the age.
+/// A date up to this far ahead of a wall clock is attributed to that clock, running a little slow. A date further
+/// ahead was set by a different clock and says nothing about the age.
 const MAX_CLOCK_LAG: Micros = 60_000_000;
 
 /// A start of a worker's process.
