--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -111,8 +111,8 @@
     pub fn confirmation(&self) -> EndpointConfirmation {
         EndpointConfirmation {
             confirmed_at: self.freshness.confirmed_at(),
-            notified_after: NOTIFIED_AFTER,
-            notified_within: NOTIFIED_WITHIN,
+            min_notification_delay: NOTIFIED_AFTER,
+            max_notification_delay: NOTIFIED_WITHIN,
         }
     }
 
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,32 +1,34 @@
-//! The writer through which the decision module notifies its host of decisions.
+//! The interface through which the decision module returns its decisions to the host.
 
 use crate::{AnswerReason, FunctionId, Micros, PeerId, RequestId, WorkerId};
 
-/// Receives the module's decisions; they take effect in the order in which they are written.
+/// Receives the module's decisions. The host applies them in the order of the calls.
 pub trait Decisions {
-    /// Starts an attempt of a request at a worker; it is cut off after `time_limit`.
+    /// Starts an attempt of a request at a worker. The host ends it with [`TimedOut`](crate::Outcome::TimedOut) after
+    /// `time_limit`.
     fn dispatch(&mut self, request: RequestId, worker: WorkerId, time_limit: Micros);
-    /// Stops waiting for an attempt; its outcome is still reported.
+    /// Cancels an attempt in flight. Its outcome is still reported.
     fn cancel(&mut self, request: RequestId, attempt: usize);
-    /// Final answer: rejected. A retry is harmless, best after `retry_after`.
+    /// Final answer: rejected. The client may safely retry, preferably after `retry_after`.
     fn reject(&mut self, request: RequestId, retry_after: Micros);
-    /// Final answer: failed. The request may have run.
+    /// Final answer: failed. The request may have been executed.
     fn fail(&mut self, request: RequestId);
-    /// Why the final answer that follows is given; for logs and metrics only.
+    /// The reason for the final answer that follows; for logs and metrics only.
     fn explain(&mut self, _request: RequestId, _reason: AnswerReason) {}
-    /// Load command: at least so many instances are to be loaded at the worker; zero only queries how many are.
+    /// Load command: the worker loads the function until it has at least `instances`. Zero only queries the number of
+    /// loaded instances.
     fn load(&mut self, worker: WorkerId, function: FunctionId, instances: u32);
-    /// Has the idle instances of a function unloaded.
+    /// Unloads the idle instances of a function at a worker.
     fn unload(&mut self, worker: WorkerId, function: FunctionId);
     /// Starts a health check.
     fn check_health(&mut self, worker: WorkerId);
-    /// Subscribes to changes of the endpoint list; a list answers, or a failed one. Hosts that are always notified
-    /// need not do anything.
+    /// Subscribes to changes of the endpoint list. The host responds with a list, or with one of kind
+    /// [`Failed`](crate::EndpointListKind::Failed). Hosts that receive all changes without a subscription ignore this.
     fn subscribe(&mut self) {}
-    /// Sends a message to one other router, or to all.
+    /// Sends a message to one other router, or to all if `peer` is `None`.
     fn gossip(&mut self, peer: Option<PeerId>, payload: &[u8]);
-    /// Requests to be called again at this instant.
+    /// Requests a call of [`Router::handle`](crate::Router::handle) at this instant, in addition to those for events.
     fn wake_at(&mut self, at: Micros);
-    /// A line for the host's log.
+    /// Writes a line to the host's log.
     fn log(&mut self, text: &str);
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,42 +1,43 @@
-//! What a host reports to the decision module: requests, endpoint lists and the outcomes of what it carried out.
+//! Events that the host reports to the decision module: requests, endpoint lists and the outcomes of attempts, load
+//! commands and health checks.
 
 use crate::{
     CellId, CustomerId, FunctionId, KindId, Micros, PeerId, RequestId, WorkerId, WorkloadId, ZoneId,
 };
 
-/// A client's request as it is admitted by the host.
+/// A client's request that the host has admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Unique within the router.
     pub id: RequestId,
     /// The function that it calls.
     pub function: FunctionId,
-    /// Its class.
+    /// The workload that it belongs to.
     pub workload: WorkloadId,
-    /// On whose behalf it is made.
+    /// The customer that it is made for.
     pub customer: CustomerId,
-    /// The instant at which the client gives this attempt up.
+    /// The instant at which the client gives up waiting for the answer.
     pub deadline: Micros,
-    /// Memory of one loaded instance of the function, in megabytes.
+    /// Memory that one instance of the function occupies, in megabytes.
     pub memory_mb: f64,
-    /// Requests that one loaded instance runs at a time.
+    /// The number of requests that one instance runs concurrently.
     pub concurrency: f64,
-    /// The usual time of a load, where it is known.
+    /// The usual time to load the function, if known.
     pub load_time: Option<Micros>,
-    /// The expected work, where the client gives a hint.
+    /// The client's hint of the expected work, if it sent one.
     pub expected_work: Option<Micros>,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
 }
 
-/// Whether a worker takes new work.
+/// Whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes new work.
+    /// It accepts new work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its requests and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// It is no longer in the fleet.
     #[default]
     Gone,
 }
@@ -44,7 +45,7 @@
 /// One worker as the endpoint list describes it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// Which worker this is.
+    /// The worker's identifier.
     pub worker: WorkerId,
     /// Its availability zone.
     pub zone: ZoneId,
@@ -52,46 +53,46 @@
     pub cell: CellId,
     /// Its kind of machine.
     pub kind: KindId,
-    /// Its capacity relative to other workers.
+    /// Its capacity relative to that of other workers.
     pub size: f64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: WorkerState,
-    /// When it last started; zero or less means long ago.
+    /// When it last started; zero or less if that was long ago.
     pub started_at: Micros,
 }
 
-/// How an endpoint list relates to the one before it.
+/// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// A full snapshot.
     Full,
-    /// A full snapshot that this router had cached, perhaps stale.
+    /// A full snapshot from this router's cache, possibly stale.
     Cached,
     /// Only the endpoints that changed.
     Delta,
-    /// A poll failed or the watch broke; the list before holds, and there are no endpoints.
+    /// A poll failed or the watch was interrupted. The previous list stays in use; this one has no endpoints.
     Failed,
 }
 
-/// An endpoint list as it was received.
+/// An endpoint list received from the discovery service or from the cache.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// Whether it is a snapshot, a change or a failure.
+    /// Whether it is a snapshot, a delta or a failure.
     pub kind: EndpointListKind,
-    /// The endpoints that it names.
+    /// The endpoints that it contains.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Until when an endpoint list is confirmed, and from when on later changes count as told to this router though it has not
-/// received them.
+/// How current an endpoint list is known to be, and when this router counts as notified of a later change, whether or
+/// not it has received that change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointConfirmation {
-    /// All changes before this instant are known.
+    /// The list includes all changes before this instant.
     pub confirmed_at: Micros,
-    /// So long after that later changes may count as told.
-    pub notified_after: Micros,
-    /// So long after that they count as told at the latest.
-    pub notified_within: Micros,
+    /// The shortest time after a change at which this router may count as notified of it.
+    pub min_notification_delay: Micros,
+    /// The longest time after a change at which this router counts as notified of it.
+    pub max_notification_delay: Micros,
 }
 
 /// How an attempt, a load command or a health check ended.
@@ -99,45 +100,45 @@
 pub enum Outcome {
     /// It succeeded.
     Finished,
-    /// The worker answered with an error.
+    /// The worker responded with an error.
     Error,
-    /// The worker rejected it without looking at it: no capacity, or it is draining.
+    /// The worker rejected it without processing: it has no capacity, or it is draining.
     Rejected,
-    /// No answer came in time.
+    /// No answer arrived within the time limit.
     TimedOut,
-    /// No connection could be had, so that nothing was sent.
+    /// No connection could be established, so nothing was sent.
     NoConnection,
-    /// The connection broke; the request may have run.
+    /// The connection was reset; the request may have been executed.
     Reset,
-    /// It was cancelled by this router after it had been sent.
+    /// This router cancelled it after it had been sent.
     Cancelled,
-    /// It was cancelled before it was sent or begun, so that it has not run.
+    /// It was cancelled before it was sent or its execution began, so it has not been executed.
     CancelledBeforeStart,
-    /// The function is not loaded at that worker.
+    /// The function is not loaded at the worker.
     ColdMiss,
 }
 
 /// Why a request is rejected or fails without another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerReason {
-    /// Requests are shed, as the fleet is overloaded.
+    /// The request was shed because the fleet is overloaded.
     Overloaded,
-    /// No worker may get another attempt of it.
+    /// The retry policy allows no worker for another attempt.
     NoWorker,
-    /// The endpoint list is stale, and no worker has accepted anything lately.
+    /// The endpoint list is stale and no worker has accepted an attempt recently.
     EndpointsStale,
-    /// The wait for an instance or for capacity would be too long.
+    /// Waiting for an instance or for capacity would take too long.
     WaitTooLong,
-    /// A load would take too long.
+    /// Loading the function would take too long.
     LoadTooLong,
-    /// Its deadline has come.
+    /// The deadline has passed.
     DeadlinePassed,
-    /// The host shuts down.
+    /// The host is shutting down.
     ShuttingDown,
 }
 
 impl AnswerReason {
-    /// The name in logs and metrics.
+    /// The name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AnswerReason::Overloaded => "overloaded",
@@ -151,39 +152,39 @@
     }
 }
 
-/// What an attempt's answer reveals of the instance that served it.
+/// What an attempt's answer shows about the instance that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Warmth {
     /// The worker does not report it.
     Unknown,
-    /// A loaded instance was there.
+    /// An instance was already loaded.
     Warm,
-    /// This attempt started a load.
+    /// The attempt started a load.
     StartedLoad,
-    /// It waited for a load that was under way.
+    /// The attempt waited for a load that was already in progress.
     WaitedForLoad,
-    /// The load that it waited for failed.
+    /// The load that the attempt waited for failed.
     LoadFailed,
 }
 
-/// A worker's load report; what it does not report is absent.
+/// A worker's load report. Values that the worker does not report are absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests that it has accepted and not answered, of all routers.
+    /// Requests from all routers that it has accepted and not yet answered.
     pub in_flight: Option<f64>,
-    /// Of these, requests that wait.
+    /// Those of them that are queued.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, 0 to 1.
+    /// Fraction of its cores that is busy, 0 to 1.
     pub busy: Option<f64>,
-    /// Mean latency of late, in milliseconds.
+    /// Mean latency of recent requests, in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Requests finished a second.
+    /// Requests finished per second.
     pub finished_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
-    /// Share of its memory that can't be freed, 0 to 1.
+    /// Fraction of its memory that cannot be freed, 0 to 1.
     pub memory_pinned: Option<f64>,
-    /// Loads under way or waiting.
+    /// Loads that are in progress or queued.
     pub loads_in_progress: Option<f64>,
 }
 
@@ -192,7 +193,7 @@
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// Which attempt: counted from zero for each request, in the order in which they were dispatched.
+    /// The number of the attempt within the request: from zero, in the order of dispatch.
     pub attempt: usize,
     /// The worker that it was dispatched to.
     pub worker: WorkerId,
@@ -200,11 +201,11 @@
     pub outcome: Outcome,
     /// From dispatch to outcome.
     pub latency: Micros,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub is_final: bool,
-    /// What it reveals of the instance.
+    /// What the answer shows about the instance.
     pub warmth: Warmth,
-    /// Requests for the same function in flight at the worker as this one arrived, where it is reported.
+    /// Requests for the same function in flight at the worker when this one arrived, if reported.
     pub function_in_flight: Option<u32>,
     /// The load report that came with the answer.
     pub report: Option<LoadReport>,
@@ -213,7 +214,7 @@
 /// The outcome of a load command.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadResult {
-    /// The worker that got the command.
+    /// The worker that received the command.
     pub worker: WorkerId,
     /// The function.
     pub function: FunctionId,
@@ -221,7 +222,7 @@
     pub outcome: Outcome,
     /// From command to outcome.
     pub latency: Micros,
-    /// Instances that are loaded there now.
+    /// Instances now loaded at the worker.
     pub instances: u32,
 }
 
@@ -234,41 +235,41 @@
     pub outcome: Outcome,
     /// From check to outcome.
     pub latency: Micros,
-    /// The load report that came with it.
+    /// The load report that came with the answer.
     pub report: Option<LoadReport>,
 }
 
-/// A message of another router.
+/// A message from another router.
 #[derive(Clone, Debug)]
 pub struct GossipMessage {
-    /// Its sender.
+    /// The sender.
     pub from: PeerId,
-    /// Its content, which the host does not interpret.
+    /// The content, which the host does not interpret.
     pub payload: Vec<u8>,
 }
 
-/// Everything that came in since the last batch, one list for each kind of event.
+/// All events since the last batch, one list per kind of event.
 #[derive(Clone, Debug, Default)]
 pub struct EventBatch {
     /// Endpoint lists, oldest first.
     pub endpoint_lists: Vec<EndpointList>,
-    /// Until when the endpoint list, with the lists of this batch, is confirmed. Absent where there is nothing new to state,
-    /// and always where lists come by themselves and their age is not known.
+    /// How current the endpoint list is, including the lists of this batch. Absent if nothing has changed, and always
+    /// if the host does not know the age of its lists.
     pub endpoint_confirmation: Option<EndpointConfirmation>,
     /// New requests.
     pub requests: Vec<Request>,
-    /// Attempts that ended.
+    /// Outcomes of attempts.
     pub attempt_results: Vec<AttemptResult>,
-    /// Load commands that ended.
+    /// Outcomes of load commands.
     pub load_results: Vec<LoadResult>,
-    /// Health checks that ended.
+    /// Outcomes of health checks.
     pub health_check_results: Vec<HealthCheckResult>,
-    /// Messages of other routers.
+    /// Messages from other routers.
     pub gossip: Vec<GossipMessage>,
-    /// Requests whose client cancelled them or closed its connection.
+    /// Requests whose client cancelled them or disconnected.
     pub cancelled: Vec<RequestId>,
-    /// The instant requested by [`Decisions::wake_at`](crate::Decisions::wake_at) has come.
+    /// The instant requested through [`Decisions::wake_at`](crate::Decisions::wake_at) has been reached.
     pub timer: bool,
-    /// The host shuts down: every request in flight gets its final answer in this batch.
+    /// The host is shutting down: every request in flight gets its final answer in this batch.
     pub shutting_down: bool,
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each kind has a type of its own, so that one can't be passed for another.
+//! Identifiers. Each kind has its own type, so that the compiler rejects mix-ups.
 
 macro_rules! identifier {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
@@ -13,7 +13,7 @@
     RequestId(u64)
 );
 identifier!(
-    /// A worker; the same at every router and across restarts of the worker's process.
+    /// A worker. The identifier is the same at every router and across restarts of the worker.
     WorkerId(u64)
 );
 identifier!(
@@ -21,11 +21,11 @@
     FunctionId(u64)
 );
 identifier!(
-    /// A workload: the class of requests that a latency objective and a retry policy are set for.
+    /// A workload: a class of requests with a common latency objective and retry policy.
     WorkloadId(usize)
 );
 identifier!(
-    /// The customer (tenant) on whose behalf a request is made.
+    /// A customer (tenant) for whom requests are made.
     CustomerId(usize)
 );
 identifier!(
@@ -33,7 +33,7 @@
     ZoneId(usize)
 );
 identifier!(
-    /// A cell: a group of workers within which an idempotency key is honoured.
+    /// A cell: a group of workers that may share the scope of an idempotency key.
     CellId(usize)
 );
 identifier!(
--- a/src/lazy.rs
+++ b/src/lazy.rs
@@ -1,8 +1,8 @@
-//! A list that is read from an iterator only as far as it is needed.
+//! A list that is read from an iterator on demand.
 
 use std::cell::RefCell;
 
-/// The items of an iterator, each computed when it is first needed and cached from then on.
+/// The items of an iterator, each computed on first access and then cached.
 pub(crate) struct LazyList<I: Iterator> {
     source: RefCell<I>,
     cached: RefCell<Vec<I::Item>>,
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The first `limit` items, or fewer if the source ends before.
+    /// The first `limit` items, or fewer if the source has fewer.
     pub(crate) fn first(&self, limit: usize) -> impl Iterator<Item = I::Item> + '_ {
         (0..limit).map_while(|index| self.get(index))
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Routing decisions for workers that load functions on demand, and the interface through which a host (the simulator's
-//! adapter or the running edge) reports events and receives decisions.
+//! Routing decisions for workers that load functions on demand, and the interface through which a host (the simulator
+//! adapter or the edge) reports events and receives decisions.
 //!
-//! The crate does no I/O and reads no clock. Every decision is in [`logic`]; the other modules only describe what is
-//! decided about.
+//! The crate does no I/O and reads no clock. All decisions are made in [`logic`]; the other modules define the events,
+//! the settings and the state that it works on.
 
 mod config;
 mod decisions;
@@ -27,5 +27,5 @@
 pub use logic::Router;
 pub use settings::{Settings, Value};
 
-/// Whole microseconds, as an instant of the host's clock or as a span.
+/// Microseconds: an instant of the host's clock, or a duration.
 pub type Micros = i64;
--- a/src/logic/readiness_lease.rs
+++ b/src/logic/readiness_lease.rs
@@ -4,9 +4,9 @@
 //! phases follow each other until the next confirmation:
 //!
 //! 1. *Current*: changes can't count as told yet.
-//! 2. *Overdue*, once changes may count as told (`notified_after`): a worker that rejects what it is sent may be
+//! 2. *Overdue*, once changes may count as told (`min_notification_delay`): a worker that rejects what it is sent may be
 //!    draining, and gets nothing more unless it has accepted something later.
-//! 3. *Stale*, once they count as told at the latest (`notified_within`): a worker has to hold a lease of its own,
+//! 3. *Stale*, once they count as told at the latest (`max_notification_delay`): a worker has to hold a lease of its own,
 //!    which it gets with each attempt that it accepts, counted from the dispatch.
 //!
 //! Only accepted attempts count: a draining worker answers queries and load commands of loaded instances like any other.
@@ -33,18 +33,19 @@
 
     /// Whether changes of the endpoint list may count as told that this router has not received.
     pub(super) fn are_endpoints_overdue(&self) -> bool {
-        self.is_list_older_than(|confirmation| confirmation.notified_after)
+        self.is_list_older_than(|confirmation| confirmation.min_notification_delay)
     }
 
     /// Whether changes of the endpoint list count as told that this router has not received.
     pub(super) fn are_endpoints_stale(&self) -> bool {
-        self.is_list_older_than(|confirmation| self.lease(confirmation.notified_within))
+        self.is_list_older_than(|confirmation| self.lease(confirmation.max_notification_delay))
     }
 
     /// Whether the list is stale before a worker's lease that begins now ends.
     pub(super) fn will_need_leases(&self) -> bool {
         self.is_list_older_than(|confirmation| {
-            self.lease(confirmation.notified_within) - self.lease(confirmation.notified_after)
+            self.lease(confirmation.max_notification_delay)
+                - self.lease(confirmation.min_notification_delay)
         })
     }
 
@@ -62,8 +63,9 @@
 
     /// How long a worker is taken for ready after it accepted an attempt, where the list is stale.
     fn worker_lease(&self) -> Micros {
-        self.endpoint_confirmation
-            .map_or(0, |confirmation| self.lease(confirmation.notified_after))
+        self.endpoint_confirmation.map_or(0, |confirmation| {
+            self.lease(confirmation.min_notification_delay)
+        })
     }
 
     /// Whether a worker may get something new, as far as news of it are recent enough.
@@ -126,7 +128,7 @@
     /// outage may have come after it.
     fn is_lease_extensible(&self, worker: &Worker) -> bool {
         let counts_from = self.endpoint_confirmation.map_or(0, |confirmation| {
-            confirmation.confirmed_at + confirmation.notified_after
+            confirmation.confirmed_at + confirmation.min_notification_delay
         });
         worker.is_ready() && worker.accepted_at > counts_from && !self.may_be_draining(worker)
     }
@@ -140,7 +142,7 @@
     /// Whether the list has been stale for so short that its next confirmation may be under way.
     pub(super) fn may_be_confirmed_soon(&self) -> bool {
         !self.is_list_older_than(|confirmation| {
-            self.lease(confirmation.notified_within) + self.config.drain_grace
+            self.lease(confirmation.max_notification_delay) + self.config.drain_grace
         })
     }
 }
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,29 +1,30 @@
-//! Weighted rendezvous hashing over a tree: every router that knows the same keys ranks them alike for a seed, and finds
-//! the ranking a step at a time. The next key costs draws along one path of the tree, however many keys there are.
+//! Weighted rendezvous hashing over a tree. All routers that know the same keys rank them equally for a given seed. The
+//! ranking is computed lazily: the next key costs hashes along one path of the tree, regardless of the number of keys.
 //!
-//! A key's position in the tree of fixed shape follows from a hash of the key alone. Among siblings, the one with the
-//! least `-ln(draw) / weight` ranks first and the others later by the difference: a race of exponential clocks, in which
-//! what is left after the first is again a race. So each key ranks first with a probability in proportion to its weight,
-//! and changing one key's weight moves others only in that proportion, once for each level.
+//! The tree has a fixed shape, and a key's position in it depends only on a hash of the key. Among siblings, the one
+//! with the lowest exponential clock, `-ln(u) / weight` for a hash `u` in (0, 1), ranks first. The others rank later by
+//! the difference of their clocks. Exponential clocks are memoryless, so the remaining siblings are ordered by the same
+//! rule. Each key therefore ranks first with a probability proportional to its weight, and a change of one key's weight
+//! moves others only in that proportion, once per level.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Levels of inner nodes below the root; the keys themselves are below the last one.
+/// The number of levels of inner nodes below the root. The keys are the children of the last level's nodes.
 pub const LEVELS: u32 = 3;
-/// Bits of a key's hash that select a child: a node has 16 children.
+/// The number of bits of a key's hash that select a child: a node has 16 children.
 const BITS_PER_LEVEL: u32 = 4;
-/// Weights are kept as integral steps, so that sums do not depend on the order in which keys were inserted.
+/// Weights are stored as integers in this fraction of a unit, so that sums do not depend on the order of insertion.
 const STEPS_PER_UNIT: f64 = 65_536.0;
-/// The golden ratio as a fraction of 2^64 (Fibonacci hashing): spreads consecutive inputs.
+/// 2^64 divided by the golden ratio (Fibonacci hashing): spreads consecutive inputs.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Weighted keys in a tree from which rankings are drawn.
+/// Weighted keys in a tree, from which a ranking is computed for any seed.
 #[derive(Clone, Debug)]
 pub struct RendezvousTree {
-    /// Weights of all inner nodes in steps, level after level.
+    /// Weights of all inner nodes below the root, in steps, level by level.
     node_weights: Vec<u64>,
-    /// Weights in steps of the keys, by their node of the last level.
+    /// Weights of the keys, in steps, by their node of the last level and the key.
     keys: BTreeMap<(usize, u64), u64>,
     total_weight: u64,
 }
@@ -38,35 +39,35 @@
     }
 }
 
-/// The index in `node_weights` of a level's first node; the root is level zero and is not stored.
+/// The index of a level's first node in `node_weights`. The root is level 0 and is not stored.
 fn level_offset(level: u32) -> usize {
     (1..level).map(|l| 1usize << (BITS_PER_LEVEL * l)).sum()
 }
 
-/// The finalizer of SplitMix64: a bijection in which every input bit affects every output bit.
+/// The finalizer of SplitMix64, a bijection in which every input bit affects every output bit.
 fn mix(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^ (bits >> 31)
 }
 
-/// The node of a level, counted from its first one, that a key is below.
+/// The index, within its level, of the node that a key is below.
 pub fn node_of(key: u64, level: u32) -> usize {
     (mix(key.wrapping_add(GOLDEN_RATIO)) >> (64 - BITS_PER_LEVEL * level)) as usize
 }
 
-/// The seed of all draws on one level of the tree.
+/// The seed of all hashes on one level of the tree.
 pub fn level_seed(seed: u64, level: u32) -> u64 {
     mix(seed ^ u64::from(level).wrapping_mul(GOLDEN_RATIO))
 }
 
-/// The exponentially distributed clock of a node or key, with a rate in proportion to its weight.
+/// The exponentially distributed clock of a node or key, with a rate proportional to its weight.
 pub fn exponential_clock(level_seed: u64, node: u64, weight: u64) -> f64 {
-    let draw = mix(level_seed ^ mix(node));
-    -((draw as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / weight as f64
+    let hash = mix(level_seed ^ mix(node));
+    -((hash as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / weight as f64
 }
 
-/// A weight in whole steps, at least one.
+/// Converts a weight to steps; at least one.
 pub fn weight_steps(weight: f64) -> u64 {
     ((weight * STEPS_PER_UNIT) as u64).max(1)
 }
@@ -80,7 +81,7 @@
         self.change_weight(key, before, steps);
     }
 
-    /// Removes a key; does nothing if it is not there.
+    /// Removes a key, if it is present.
     pub fn remove(&mut self, key: u64) {
         if let Some(before) = self.keys.remove(&(node_of(key, LEVELS), key)) {
             self.change_weight(key, before, 0);
@@ -113,14 +114,14 @@
         self.total_weight as f64 / STEPS_PER_UNIT
     }
 
-    /// The keys in the order that the seed draws, each found when the iterator is advanced.
+    /// Iterates over the keys in the order of their rank for the seed. Each is found when the iterator advances.
     pub fn ranking(&self, seed: u64) -> Ranking<'_> {
-        let root = Contender {
+        let root = QueuedNode {
             time_bits: 0,
             level: 0,
             node: 0,
         };
-        let contenders = if self.is_empty() {
+        let queue = if self.is_empty() {
             Vec::new()
         } else {
             vec![Reverse(root)]
@@ -128,15 +129,16 @@
         Ranking {
             tree: self,
             seed,
-            contenders: contenders.into(),
+            queue: queue.into(),
             siblings: Vec::new(),
         }
     }
 }
 
-/// A node or key that ranks after those found so far. Ordered by time: the bits of a positive float sort as it does.
+/// A node or key that ranks after those yielded so far. The derived order is by time, as the bits of non-negative
+/// floats sort like their values.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Contender {
+struct QueuedNode {
     time_bits: u64,
     level: u32,
     node: u64,
@@ -154,13 +156,13 @@
 pub struct Ranking<'a> {
     tree: &'a RendezvousTree,
     seed: u64,
-    contenders: BinaryHeap<Reverse<Contender>>,
-    /// Scratch space of one descent, kept to save allocations.
+    queue: BinaryHeap<Reverse<QueuedNode>>,
+    /// Scratch space of one descent, reused to avoid allocations.
     siblings: Vec<Sibling>,
 }
 
 impl Ranking<'_> {
-    /// Lists the children of a node with their clocks; an only child needs no draw.
+    /// Fills `siblings` with the children of a node and their clocks. The clock of an only child stays 0.
     fn list_siblings(&mut self, level: u32, node: u64) {
         let tree = self.tree;
         let child_level = level + 1;
@@ -196,11 +198,11 @@
     type Item = u64;
 
     fn next(&mut self) -> Option<u64> {
-        let Reverse(Contender {
+        let Reverse(QueuedNode {
             time_bits,
             mut level,
             mut node,
-        }) = self.contenders.pop()?;
+        }) = self.queue.pop()?;
         let time = f64::from_bits(time_bits);
         while level <= LEVELS {
             self.list_siblings(level, node);
@@ -211,7 +213,7 @@
                 .min_by(|a, b| a.clock.total_cmp(&b.clock).then(a.node.cmp(&b.node)))?;
             level += 1;
             for sibling in self.siblings.iter().filter(|s| s.node != first.node) {
-                self.contenders.push(Reverse(Contender {
+                self.queue.push(Reverse(QueuedNode {
                     time_bits: (time + sibling.clock - first.clock).to_bits(),
                     level,
                     node: sibling.node,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,24 +1,24 @@
-//! Settings as the decision module receives them: dotted names and plain values, already validated by the host.
+//! Settings in the form that the decision module receives: dotted names and plain values, validated by the host.
 
 use std::collections::BTreeMap;
 
-/// One plain value of the settings.
+/// The value of a setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A number; spans are in microseconds where the name ends in `-us`.
+    /// A number. If the setting's name ends in `-us`, a duration in microseconds.
     Number(f64),
-    /// A word or a free text.
+    /// A keyword or free text.
     Text(String),
-    /// A switch.
+    /// A boolean.
     Flag(bool),
 }
 
-/// Dotted names and their values, for example `workloads.0.start-target-us`; a list also has its `.count`.
+/// Values by dotted name, for example `workloads.0.start-target-us`. The length of a list is its `.count`.
 #[derive(Clone, Debug, Default)]
 pub struct Settings(pub BTreeMap<String, Value>);
 
 impl Settings {
-    /// The number of this name; none if it is absent or of another type.
+    /// The number with this name; `None` if it is absent or of another type.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Value::Number(number)) => Some(*number),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The text of this name; none if it is absent or of another type.
+    /// The text with this name; `None` if it is absent or of another type.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
             Some(Value::Text(text)) => Some(text),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The flag of this name; none if it is absent or of another type.
+    /// The flag with this name; `None` if it is absent or of another type.
     pub fn flag(&self, name: &str) -> Option<bool> {
         match self.0.get(name) {
             Some(Value::Flag(flag)) => Some(*flag),
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decision module remembers, as plain data. The decisions, and every constant, are in `logic`.
+//! The state of the decision module, as plain data. Decisions and constants are in `logic`.
 
 mod function;
 mod request;
@@ -11,46 +11,46 @@
 use crate::{FunctionId, Micros, RequestId, WorkerId};
 use std::collections::VecDeque;
 
-/// What is to be done at an instant. Timers of one instant fire in the order of these variants.
+/// What to do at a scheduled instant. Timers of the same instant fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A request's deadline.
+    /// The deadline of the request passes.
     Deadline(RequestId),
-    /// An attempt at the worker is overdue, or a health check of it is.
+    /// An attempt or a health check at the worker becomes overdue.
     WorkerOverdue(WorkerId),
-    /// Instances of the function are to be renewed or unloaded.
+    /// Instances of the function are renewed, pre-warmed or unloaded.
     KeepAlive(FunctionId),
-    /// The endpoint list is to be subscribed to.
+    /// The router subscribes to the endpoint list.
     Subscribe,
 }
 
-/// Medians over the workers that reported last.
+/// Medians over the workers with the most recent load reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetMedians {
-    /// Latency over expected latency.
+    /// Latency divided by expected latency.
     pub speed_factor: f64,
-    /// Latency over the worker's own baseline.
+    /// Speed factor divided by the worker's own baseline.
     pub congestion: f64,
-    /// Loads under way or waiting at a worker.
+    /// Loads in progress or queued at a worker.
     pub loads_in_progress: f64,
-    /// Requests of all routers in flight at a worker of size one.
+    /// Requests from all routers in flight at a worker, divided by its size.
     pub in_flight: f64,
 }
 
-/// What is known of the fleet as a whole.
+/// What this router knows about the fleet as a whole.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetView {
-    /// Medians of the workers.
+    /// Medians over the workers.
     pub medians: FleetMedians,
-    /// The fraction of requests that waits for a core at the median worker.
+    /// The fraction of requests at the median worker that wait for a core.
     pub queued_fraction: f64,
-    /// Whether any load report is recent enough to judge overload by.
+    /// Whether any load report is recent enough to detect overload.
     pub has_recent_report: bool,
-    /// Most workers are ejected, which is then taken for a fault of this router's own view.
+    /// Most workers are ejected, which more likely shows a fault on this router's side; ejections are then ignored.
     pub is_in_panic_mode: bool,
 }
 
-/// What counts towards the load budget: the instants within its window.
+/// The requests and load commands that count towards the load budget: their instants within its window.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadBudget {
     /// New requests.
@@ -59,35 +59,35 @@
     pub commands: VecDeque<Micros>,
 }
 
-/// What is known of loads of any function at any worker.
+/// Observations of loads, over all functions and workers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadTimes {
-    /// The usual time of a load, in microseconds; zero if none was observed.
+    /// The usual time of a load, in microseconds; zero if no load has been observed.
     pub usual_us: f64,
-    /// The time of loads of late as a multiple of the usual.
+    /// The time of recent loads as a multiple of the usual time.
     pub speed_factor: f64,
     /// When a load was last observed.
     pub speed_factor_at: Micros,
     /// The function whose load failed last.
     pub last_failed: Option<FunctionId>,
-    /// No load is commanded before this instant.
+    /// No load of a function without an instance is commanded before this instant.
     pub backoff_until: Micros,
 }
 
-/// An arithmetic mean that can be continued as an exponentially weighted one.
+/// A mean that is updated incrementally: arithmetic at first, exponentially weighted later.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
-    /// The mean so far.
+    /// The current mean.
     pub mean: f64,
-    /// How many values it is of.
+    /// The number of values recorded.
     pub count: f64,
 }
 
-/// Decayed sums of the work of requests with a hint and of their hints; their ratio corrects later hints.
+/// Decayed sums of the actual and the expected work of requests with a hint. Their ratio corrects later estimates.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HintCalibration {
-    /// Work that the requests took, in microseconds.
+    /// The work that the requests took, in microseconds.
     pub actual_us: f64,
-    /// Work that was expected of them, in microseconds.
+    /// The work that was expected, in microseconds.
     pub expected_us: f64,
 }
--- a/src/state/function.rs
+++ b/src/state/function.rs
@@ -1,70 +1,70 @@
-//! What is remembered of functions and of their instances at workers, with the indexes by which it is found.
+//! The state of functions and of their instances at workers, and the indexes over it.
 
 use crate::statistics::tie_break;
 use crate::{FunctionId, Micros, RequestId, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A command for a function that a worker has not answered.
+/// An unanswered command to a worker about a function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InstanceCommand {
-    /// How many instances are loaded?
+    /// Report how many instances are loaded.
     Query,
-    /// Load.
+    /// Load the function.
     Load,
 }
 
-/// A function at one worker.
+/// What is known about a function at one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InstanceState {
     /// Loaded instances, as far as this router knows.
     pub instances: u32,
-    /// When they may be unloaded if none is in use.
+    /// When the worker may unload them if none is in use.
     pub expires_at: Micros,
-    /// Requests of this router in flight.
+    /// Requests from this router in flight.
     pub in_flight: u32,
-    /// Nothing is dispatched before this instant.
+    /// No request is dispatched before this instant.
     pub backoff_until: Micros,
-    /// No instance was found; there may be one from this instant on.
+    /// No instance was found there; until this instant, none is presumed to be loaded.
     pub missing_until: Micros,
     /// The command in flight.
     pub command: Option<InstanceCommand>,
-    /// A request of this router has started a load.
+    /// A request from this router has started a load.
     pub is_loading: bool,
 }
 
-/// A function that was called of late.
+/// A function that was called recently.
 #[derive(Debug, Default)]
 pub(crate) struct Function {
-    /// Requests that one instance runs at a time.
+    /// The number of requests that one instance runs concurrently.
     pub concurrency: u32,
-    /// Work of a request without congestion, in microseconds.
+    /// The work of a request without congestion, in microseconds.
     pub work_us: f64,
     /// Whether `work_us` has been observed.
     pub is_work_observed: bool,
-    /// Time of a load without congestion, in microseconds.
+    /// The time of a load without congestion, in microseconds.
     pub load_us: f64,
     /// When workers were last queried for instances.
     pub queried_at: Option<Micros>,
-    /// Until when the answers are waited for.
+    /// How long requests wait for the answers to that query.
     pub query_deadline: Micros,
-    /// What is known of it at workers.
+    /// What is known about it at each worker.
     pub workers: BTreeMap<WorkerId, InstanceState>,
-    /// Workers with an instance, by requests of this router in flight and then by a hash.
+    /// Workers with an instance, ordered by requests from this router in flight and then by a hash.
     warm_workers: BTreeSet<(u32, u64, WorkerId)>,
-    /// Workers with a command in flight or a load under way.
+    /// Workers with a command in flight or a load in progress.
     pub pending_workers: BTreeSet<WorkerId>,
     /// Requests that wait for an instance or for capacity.
     pub waiting: BTreeSet<RequestId>,
-    /// Requests of late, decayed over a keep-alive.
+    /// The number of recent requests, decayed over a keep-alive.
     pub recent_requests: f64,
     /// When it was last called.
     pub last_request_at: Micros,
-    /// The worker that last ran it or loaded it.
+    /// The worker that last ran or loaded it.
     pub last_warm_worker: Option<WorkerId>,
 }
 
 impl Function {
-    /// A function of which nothing was observed, with its expected work and time of a load in microseconds.
+    /// A function without observations, with its expected work and load time in microseconds.
     pub fn new(work_us: f64, load_us: f64) -> Self {
         Function {
             work_us,
@@ -73,24 +73,24 @@
         }
     }
 
-    /// What is known of the function at a worker.
+    /// What is known about the function at a worker.
     pub fn instance(&self, worker: WorkerId) -> InstanceState {
         self.workers.get(&worker).copied().unwrap_or_default()
     }
 
-    /// At most `limit` workers with an instance: idle ones in the order of their hashes from `draw` on, then all by
-    /// requests in flight. Some are repeated.
-    pub fn warm_workers(&self, draw: u64, limit: usize) -> impl Iterator<Item = WorkerId> + '_ {
+    /// At most `limit` workers with an instance: first the idle ones whose hash is at least `min_hash`, then all by
+    /// requests in flight. The same worker may occur twice.
+    pub fn warm_workers(&self, min_hash: u64, limit: usize) -> impl Iterator<Item = WorkerId> + '_ {
         let idle = self
             .warm_workers
-            .range((0, draw, WorkerId(0))..(1, 0, WorkerId(0)));
+            .range((0, min_hash, WorkerId(0))..(1, 0, WorkerId(0)));
         idle.chain(&self.warm_workers)
             .map(|(.., worker)| *worker)
             .take(limit)
     }
 }
 
-/// All functions called of late.
+/// All functions that were called recently.
 #[derive(Default)]
 pub(crate) struct Functions {
     by_id: BTreeMap<FunctionId, Function>,
@@ -99,17 +99,18 @@
 }
 
 impl Functions {
-    /// A function, if it was called of late.
+    /// A function, if it was called recently.
     pub fn get(&self, id: FunctionId) -> Option<&Function> {
         self.by_id.get(&id)
     }
 
-    /// A function to be changed, all but its instances (see [`set_instance`](Self::set_instance)) and its last request.
+    /// A function, for changes of everything but the indexed state: instances change through
+    /// [`set_instance`](Self::set_instance), the last request through [`record_request`](Self::record_request).
     pub fn get_mut(&mut self, id: FunctionId) -> Option<&mut Function> {
         self.by_id.get_mut(&id)
     }
 
-    /// Indexes a request for a function, which is created if it is not known yet.
+    /// Indexes a request for a function, which is created if it is unknown. The caller sets `last_request_at` to `now`.
     pub fn record_request(
         &mut self,
         id: FunctionId,
@@ -122,14 +123,14 @@
         function
     }
 
-    /// What is known of a function at a worker.
+    /// What is known about a function at a worker.
     pub fn instance(&self, id: FunctionId, worker: WorkerId) -> InstanceState {
         self.get(id)
             .map(|function| function.instance(worker))
             .unwrap_or_default()
     }
 
-    /// Replaces what is known of a function at a worker.
+    /// Replaces what is known about a function at a worker and updates the indexes.
     pub fn set_instance(&mut self, id: FunctionId, worker: WorkerId, instance: InstanceState) {
         let Some(function) = self.by_id.get_mut(&id) else {
             return;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Changes what is known of a function at a worker.
+    /// Applies a change to what is known about a function at a worker.
     pub fn update_instance(
         &mut self,
         id: FunctionId,
@@ -166,11 +167,12 @@
         self.set_instance(id, worker, instance);
     }
 
-    /// Removes expired instances from those that [`Function::warm_workers`] yields, where they would hide others.
+    /// Removes expired instances from the index of [`Function::warm_workers`] until it yields none for these arguments:
+    /// they would displace workers with valid ones.
     pub fn remove_expired(
         &mut self,
         id: FunctionId,
-        draw: u64,
+        min_hash: u64,
         limit: usize,
         is_expired: impl Fn(&InstanceState) -> bool,
     ) {
@@ -179,7 +181,7 @@
         };
         loop {
             let expired: Vec<_> = function
-                .warm_workers(draw, limit)
+                .warm_workers(min_hash, limit)
                 .filter(|worker| is_expired(&function.instance(*worker)))
                 .collect();
             if expired.is_empty() {
@@ -193,14 +195,14 @@
         }
     }
 
-    /// Functions of which something is known at a worker.
+    /// The functions with a known state at a worker.
     pub fn at_worker(&self, worker: WorkerId) -> impl Iterator<Item = FunctionId> + '_ {
         self.by_worker
             .range((worker, FunctionId(0))..=(worker, FunctionId(u64::MAX)))
             .map(|(_, id)| *id)
     }
 
-    /// Records that a worker has no instances any more, nor loads started by requests of this router.
+    /// Records that a worker no longer has instances or loads started by requests from this router.
     pub fn forget_instances(&mut self, worker: WorkerId) {
         for id in self.at_worker(worker).collect::<Vec<_>>() {
             self.update_instance(id, worker, |instance| {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Evicts functions without waiting requests whose last request came at `until` or before.
+    /// Evicts functions whose last request came at or before `until` and that have no waiting requests.
     pub fn evict_idle(&mut self, until: Micros) {
         let idle: Vec<_> = self
             .by_last_request
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,13 +1,13 @@
-//! What is remembered of a request until its final answer.
+//! The state of a request until its final answer.
 
 use crate::{Micros, Outcome, Request, WorkerId};
 
-/// How far an attempt has come.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptStatus {
     /// It has been dispatched.
     InFlight,
-    /// It has been cancelled; its outcome is still to come.
+    /// It has been cancelled; its outcome has not been reported yet.
     Cancelling,
     /// It has ended.
     Ended(Outcome),
@@ -20,19 +20,19 @@
     pub worker: WorkerId,
     /// When it was dispatched.
     pub dispatched_at: Micros,
-    /// How far it has come.
+    /// Its current state.
     pub status: AttemptStatus,
-    /// It was dispatched to wait for other requests, so its latency shows nothing of the worker.
+    /// It was dispatched behind other requests at a busy instance, so its latency does not measure the worker's speed.
     pub was_queued: bool,
 }
 
 impl Attempt {
-    /// Whether its outcome is still to come.
+    /// Whether its outcome has not been reported yet.
     pub fn is_in_flight(&self) -> bool {
         !matches!(self.status, AttemptStatus::Ended(_))
     }
 
-    /// Whether the request may have run, at least in part.
+    /// Whether the request may have been executed, at least in part.
     pub fn may_have_run(&self) -> bool {
         !matches!(
             self.status,
@@ -45,7 +45,7 @@
         )
     }
 
-    /// Whether the worker rejected it without looking at it.
+    /// Whether the worker rejected it without processing.
     pub fn was_rejected(&self) -> bool {
         self.status == AttemptStatus::Ended(Outcome::Rejected)
     }
@@ -57,17 +57,17 @@
     pub request: Request,
     /// When it arrived.
     pub arrived_at: Micros,
-    /// Its attempts, in the order in which they were dispatched.
+    /// Its attempts, in the order of dispatch.
     pub attempts: Vec<Attempt>,
 }
 
 impl PendingRequest {
-    /// The number of attempts whose outcome is still to come.
+    /// The number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.is_in_flight()).count()
     }
 
-    /// Whether an attempt's outcome is still to come.
+    /// Whether any attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -1,14 +1,14 @@
-//! What is remembered of one worker.
+//! The state of one worker.
 
 use crate::{Endpoint, FunctionId, LoadReport, Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// An attempt of this router in flight at a worker; the oldest sorts first.
+/// An attempt by this router in flight at a worker; the oldest sorts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InFlightAttempt {
     /// When it was dispatched.
     pub dispatched_at: Micros,
-    /// From when on its answer is late.
+    /// When it becomes overdue.
     pub overdue_at: Micros,
     /// The request.
     pub request: RequestId,
@@ -19,56 +19,56 @@
 /// A worker as this router knows it.
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// Its row of the endpoint list.
+    /// Its entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Requests of this router in flight.
+    /// Requests from this router in flight.
     pub in_flight: u32,
-    /// Attempts of this router in flight, oldest first.
+    /// Attempts by this router in flight, oldest first.
     pub attempts: BTreeSet<InFlightAttempt>,
-    /// Latency over expected latency of late; above one is slower.
+    /// Recent latency divided by expected latency; above 1 is slower.
     pub speed_factor: f64,
     /// When a latency was last observed.
     pub speed_factor_at: Micros,
-    /// The speed factor in the long run.
+    /// The long-run mean of the speed factor.
     pub long_run_speed_factor: f64,
     /// The speed factor without congestion.
     pub baseline_speed_factor: f64,
-    /// Latencies observed since it started.
+    /// The number of latencies observed since it started.
     pub observation_count: f64,
-    /// Requests of this router that it may have in flight.
+    /// The number of requests from this router that it may have in flight.
     pub concurrency_limit: f64,
-    /// When the concurrency limit was last cut.
+    /// When the concurrency limit was last reduced.
     pub limit_cut_at: Micros,
-    /// Nothing is dispatched to it before this instant.
+    /// No request is dispatched to it before this instant.
     pub backoff_until: Micros,
     /// Its last load report.
     pub report: LoadReport,
-    /// When that came; zero if there is none.
+    /// When that report arrived; zero if there is none.
     pub reported_at: Micros,
-    /// The dispatch of the newest attempt that it accepted.
+    /// When the newest attempt that it accepted was dispatched.
     pub accepted_at: Micros,
-    /// The dispatch of the newest attempt or load command that it rejected.
+    /// When the newest attempt or load command that it rejected was dispatched.
     pub rejected_at: Micros,
-    /// When it last could not be reached or its connection broke.
+    /// When a connection to it last failed or was reset; zero once it has answered again.
     pub lost_at: Micros,
-    /// When it was back after that, while the endpoint list was stale and could not tell of a restart.
+    /// When it answered again after that while the endpoint list was too old to show a restart.
     pub presumed_restart_at: Micros,
-    /// When it last answered anything.
+    /// When it last answered a request, a command or a health check.
     pub last_response_at: Micros,
-    /// When the health check was sent that it has not answered.
+    /// When the last unanswered health check was sent.
     pub unanswered_check_at: Option<Micros>,
-    /// Health checks in a row that it has not answered.
+    /// The number of consecutive unanswered health checks.
     pub unanswered_checks: u32,
-    /// It did not answer, or could not be reached, and gets nothing new until it answers.
+    /// It did not answer or could not be reached, and gets no new requests until it answers.
     pub is_ejected: bool,
-    /// Counts errors, halved by each success.
+    /// The number of errors, halved by each success.
     pub failure_score: u32,
-    /// The function of the last error.
+    /// The function that failed last.
     pub last_failed_function: FunctionId,
-    /// It counts as congested until then.
+    /// It counts as congested until this instant.
     pub congested_until: Micros,
-    /// Work, in microseconds, that may be dispatched while it warms up; negative if that was overdrawn.
+    /// The work, in microseconds, that may be dispatched while it warms up; negative if overdrawn.
     pub slow_start_budget_us: f64,
-    /// When that budget was last brought up to date.
+    /// When that budget was last updated.
     pub slow_start_budget_at: Micros,
 }
--- a/tests/readiness_lease.rs
+++ b/tests/readiness_lease.rs
@@ -34,8 +34,8 @@
 fn confirm(host: &mut FakeHost) {
     let confirmation = EndpointConfirmation {
         confirmed_at: host.now,
-        notified_after: NOTIFIED_AFTER,
-        notified_within: NOTIFIED_WITHIN,
+        min_notification_delay: NOTIFIED_AFTER,
+        max_notification_delay: NOTIFIED_WITHIN,
     };
     host.handle(EventBatch {
         endpoint_confirmation: Some(confirmation),
