--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes messages of the simulator's wire into the events of the decision module.
+//! Decodes messages of the simulator's protocol into events of the decision module.
 
 use crate::error::{DecodeError, ValueKind};
 use crate::fields::{unknown_value, wrong_type, Fields};
@@ -14,23 +14,23 @@
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
-/// Bit of a request's options: the hint of its work is valid.
+/// Bit of a request's options: the work hint is valid.
 const OPTION_WORK_HINT: u64 = 1;
-/// Bit of a request's options: it is a retry by the client.
+/// Bit of a request's options: the request is a retry by the client.
 const OPTION_CLIENT_RETRY: u64 = 2;
-/// An outcome's note is the warmth below this, and the function's requests in flight above.
+/// The note of an attempt's outcome is the warmth code plus this times the function's requests in flight.
 const WARMTH_CODES: u32 = 8;
 
-/// How far a batch of messages has come.
+/// Whether a batch of messages is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchProgress {
     /// More messages follow.
     Incomplete,
-    /// It is to be answered.
+    /// The batch has ended and must be answered.
     Complete,
 }
 
-/// A message to one instance.
+/// The kind of a message to one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum InstanceMessage {
     Start,
@@ -47,8 +47,8 @@
 }
 
 impl InstanceMessage {
-    /// The message of this name; none if the adapter has no use for it.
-    fn of(name: &str) -> Option<Self> {
+    /// The kind for a message name; `None` if the adapter ignores such messages.
+    fn from_name(name: &str) -> Option<Self> {
         Some(match name {
             "power-on" => InstanceMessage::Start,
             "killed" => InstanceMessage::Stop,
@@ -67,16 +67,16 @@
 }
 
 impl Host {
-    /// Reads one message.
+    /// Decodes one message and records its event.
     pub fn read_message(&mut self, text: &str) -> Result<BatchProgress, DecodeError> {
         let json: Json = serde_json::from_str(text)?;
-        let fields = Fields::of(&json).ok_or(DecodeError::NoList)?;
+        let fields = Fields::from_json(&json).ok_or(DecodeError::NotAnArray)?;
         match fields.text(0, "message name")? {
             "clock" => self.now = fields.number(1, "clock")? as Micros,
             "end" => return Ok(BatchProgress::Complete),
             "snapshot-rows" => self.read_endpoint_rows(fields)?,
             name => {
-                if let Some(message) = InstanceMessage::of(name) {
+                if let Some(message) = InstanceMessage::from_name(name) {
                     self.read_instance_message(message, fields)?;
                 }
             }
@@ -84,9 +84,9 @@
         Ok(BatchProgress::Incomplete)
     }
 
-    /// Reads a numbered list of endpoints, to which messages refer.
+    /// Stores a list of endpoints under its number, by which later messages refer to it.
     fn read_endpoint_rows(&mut self, fields: Fields) -> Result<(), DecodeError> {
-        let rows = fields.list(2, "lines")?.iter().map(read_endpoint);
+        let rows = fields.array(2, "lines")?.iter().map(read_endpoint);
         let rows = rows.collect::<Result<Vec<_>, _>>()?;
         let number = fields.number(1, "ref")? as u64;
         self.endpoint_lists.insert(number, rows);
@@ -103,8 +103,8 @@
             self.instances.remove(name);
             return Ok(());
         }
-        if !self.called.iter().any(|called| called == name) {
-            self.called.push(name.to_string());
+        if !self.batch_instances.iter().any(|other| other == name) {
+            self.batch_instances.push(name.to_string());
         }
         if message == InstanceMessage::Start {
             let instance = read_start(fields)?;
@@ -207,7 +207,7 @@
             outcome: read_outcome(fields.text(5, "state-code")?)?,
             latency: fields.number_or_zero(6, "latency-us")? as Micros,
             is_final,
-            warmth: warmth_of(note),
+            warmth: read_warmth(note),
             function_in_flight: self
                 .reports_function_in_flight
                 .then_some(function_in_flight),
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// The client has the beginning of its answer: nothing further is owed, and its deadline no longer applies.
+    /// The client has received the start of its answer: the deadline no longer applies and no final answer is needed.
     fn read_answer_begun(&mut self, fields: Fields) -> Result<(), DecodeError> {
         let request = self.names.request_id(fields.text(2, "rid")?);
         self.batch.cancelled.extend(request);
@@ -242,14 +242,14 @@
     }
 }
 
-/// The settings that an instance's first message gives the decision module.
+/// The settings that the decision module of an instance gets from its start message.
 ///
 /// # Errors
 ///
-/// If the text is no such message, or its settings can't be used.
+/// If the text is not a start message, or its settings are invalid.
 pub fn start_settings(message: &str) -> Result<Settings, DecodeError> {
     let json: Json = serde_json::from_str(message)?;
-    let fields = Fields::of(&json).ok_or(DecodeError::NoList)?;
+    let fields = Fields::from_json(&json).ok_or(DecodeError::NotAnArray)?;
     read_settings(read_start_info(fields)?)
 }
 
@@ -282,7 +282,7 @@
 }
 
 fn read_endpoint(json: &Json) -> Result<NamedEndpoint, DecodeError> {
-    let fields = Fields::of(json).ok_or_else(|| wrong_type("lines", ValueKind::List))?;
+    let fields = Fields::from_json(json).ok_or_else(|| wrong_type("lines", ValueKind::Array))?;
     let state = match fields.text(2, "phase")? {
         "IN" => WorkerState::Ready,
         "LAME" => WorkerState::Draining,
@@ -344,7 +344,7 @@
     Some(platform_config::load_report(names.zip(values)))
 }
 
-fn warmth_of(note: u32) -> Warmth {
+fn read_warmth(note: u32) -> Warmth {
     match note % WARMTH_CODES {
         1 => Warmth::Warm,
         2 => Warmth::StartedLoad,
--- a/crates/sanddrum-simulator-adapter/src/encode.rs
+++ b/crates/sanddrum-simulator-adapter/src/encode.rs
@@ -1,18 +1,18 @@
-//! Encodes the module's decisions as messages of the simulator's wire.
+//! Encodes the decision module's decisions as messages of the simulator's protocol.
 
 use crate::names::Names;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use sanddrum::{Decisions, FunctionId, Micros, PeerId, RequestId, WorkerId};
 use serde_json::Value as Json;
 
-/// Writes the decisions of one instance.
+/// Encodes the decisions of one instance.
 pub(crate) struct Encoder<'a> {
     pub out: &'a mut Vec<u8>,
     pub instance: &'a str,
     pub names: &'a mut Names,
 }
 
-/// Writes a message as one line.
+/// Appends a message as one line.
 pub(crate) fn write_message(out: &mut Vec<u8>, fields: &[Json]) {
     out.extend_from_slice(Json::from(fields).to_string().as_bytes());
     out.push(b'\n');
--- a/crates/sanddrum-simulator-adapter/src/error.rs
+++ b/crates/sanddrum-simulator-adapter/src/error.rs
@@ -33,58 +33,58 @@
     },
 }
 
-/// Why a message could not be decoded. Fields have the names of the simulator's wire.
+/// Why a message could not be decoded. Fields are named as in the simulator's protocol.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The line is no JSON.
+    /// The line is not valid JSON.
     #[error("{0}")]
     Syntax(#[from] serde_json::Error),
-    /// The message is no list.
-    #[error("a list is wanted")]
-    NoList,
+    /// The message is not a JSON array.
+    #[error("expected an array")]
+    NotAnArray,
     /// A field is absent or of another type.
-    #[error("{field}: {expected} is wanted")]
+    #[error("{field}: expected {expected}")]
     WrongType {
         /// The field.
         field: &'static str,
-        /// The type that it should have.
+        /// The expected type.
         expected: ValueKind,
     },
-    /// A field has a value that the adapter does not know.
-    #[error("{field}: unknown {value:?}")]
+    /// A field has an unknown value.
+    #[error("{field}: unknown value {value:?}")]
     UnknownValue {
         /// The field.
         field: &'static str,
-        /// Its value.
+        /// The value.
         value: String,
     },
-    /// The settings of an instance can't be used.
+    /// The settings of an instance are invalid.
     #[error("boot-info: {0}")]
     Settings(#[from] PlatformSettingsError),
-    /// A message names an instance that was not started.
-    #[error("i: no instance {0:?}")]
+    /// A message is addressed to an instance that is not running.
+    #[error("i: unknown instance {0:?}")]
     UnknownInstance(String),
-    /// A message refers to an endpoint list that was not sent.
-    #[error("ref: no list {0}")]
+    /// A message refers to an endpoint list that has not been sent.
+    #[error("ref: endpoint list {0} has not been sent")]
     UnknownList(u64),
-    /// The payload of a gossip message is no base64.
+    /// The payload of a gossip message is not valid base64.
     #[error("content: {0}")]
     Payload(#[from] base64::DecodeError),
 }
 
-/// The type of a message's field.
+/// The type of a message field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueKind {
     /// A string.
-    Text,
+    String,
     /// A number.
     Number,
-    /// A number without a fraction.
+    /// A number without a fractional part.
     Integer,
     /// True or false.
     Bool,
     /// An array.
-    List,
+    Array,
     /// An object.
     Object,
 }
@@ -92,11 +92,11 @@
 impl fmt::Display for ValueKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            ValueKind::Text => "a text",
+            ValueKind::String => "a string",
             ValueKind::Number => "a number",
-            ValueKind::Integer => "a whole number",
-            ValueKind::Bool => "a bool",
-            ValueKind::List => "a list",
+            ValueKind::Integer => "an integer",
+            ValueKind::Bool => "a boolean",
+            ValueKind::Array => "an array",
             ValueKind::Object => "an object",
         })
     }
--- a/crates/sanddrum-simulator-adapter/src/fields.rs
+++ b/crates/sanddrum-simulator-adapter/src/fields.rs
@@ -3,13 +3,13 @@
 use crate::error::{DecodeError, ValueKind};
 use serde_json::Value as Json;
 
-/// The fields of a message, read by index; the name is for errors. A field that is absent is null.
+/// The fields of a message, accessed by index. The name of a field is used in errors only. Absent fields are null.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(&'a [Json]);
 
 impl<'a> Fields<'a> {
-    /// The fields of a message; none if it is no array.
-    pub fn of(json: &'a Json) -> Option<Self> {
+    /// The fields of a message; `None` if it is not an array.
+    pub fn from_json(json: &'a Json) -> Option<Self> {
         json.as_array().map(|fields| Fields(fields))
     }
 
@@ -21,7 +21,7 @@
     /// A string.
     pub fn text(&self, index: usize, name: &'static str) -> Result<&'a str, DecodeError> {
         let text = self.get(index).as_str();
-        text.ok_or_else(|| wrong_type(name, ValueKind::Text))
+        text.ok_or_else(|| wrong_type(name, ValueKind::String))
     }
 
     /// A number, or null.
@@ -50,17 +50,18 @@
         Ok(self.optional_number(index, name)?.unwrap_or(0.0))
     }
 
-    /// True or false.
+    /// A boolean.
     pub fn flag(&self, index: usize, name: &'static str) -> Result<bool, DecodeError> {
         let flag = self.get(index).as_bool();
         flag.ok_or_else(|| wrong_type(name, ValueKind::Bool))
     }
 
     /// An array.
-    pub fn list(&self, index: usize, name: &'static str) -> Result<&'a [Json], DecodeError> {
-        let list = self.get(index).as_array();
-        list.map(Vec::as_slice)
-            .ok_or_else(|| wrong_type(name, ValueKind::List))
+    pub fn array(&self, index: usize, name: &'static str) -> Result<&'a [Json], DecodeError> {
+        let array = self.get(index).as_array();
+        array
+            .map(Vec::as_slice)
+            .ok_or_else(|| wrong_type(name, ValueKind::Array))
     }
 }
 
@@ -69,7 +70,7 @@
     DecodeError::WrongType { field, expected }
 }
 
-/// The error for a value that the adapter does not know.
+/// The error for an unknown value.
 pub(crate) fn unknown_value(field: &'static str, value: &str) -> DecodeError {
     DecodeError::UnknownValue {
         field,
--- a/crates/sanddrum-simulator-adapter/src/host.rs
+++ b/crates/sanddrum-simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The routers that the adapter hosts, and the loop that answers each batch of messages.
+//! The hosted routers and the loop that reads batches of messages and writes the answers.
 
 use crate::decode::BatchProgress;
 use crate::encode::{self, Encoder};
@@ -17,14 +17,14 @@
     pub router: Router,
     /// The events of the batch that is being read.
     pub batch: EventBatch,
-    /// The names of the values in a load report, in their order.
+    /// The names of the values in a load report, in order.
     pub report_fields: Vec<String>,
-    /// Workers report the requests in flight of an attempt's function.
+    /// Whether workers report the requests in flight for an attempt's function.
     pub reports_function_in_flight: bool,
     pub names: Names,
 }
 
-/// A row of an endpoint list with the worker's name.
+/// An endpoint and the worker's name on the wire.
 pub(crate) struct NamedEndpoint {
     pub endpoint: Endpoint,
     pub name: String,
@@ -34,17 +34,17 @@
 #[derive(Default)]
 pub(crate) struct Host {
     pub instances: BTreeMap<String, Instance>,
-    /// Instances with a message in this batch, in the order of their first.
-    pub called: Vec<String>,
+    /// Instances with a message in the current batch, in the order of their first message.
+    pub batch_instances: Vec<String>,
     /// The endpoint lists by their number.
     pub endpoint_lists: HashMap<u64, Vec<NamedEndpoint>>,
     pub now: Micros,
 }
 
 impl Host {
-    /// Calls each router that has a message in the batch, and writes the decisions.
+    /// Passes the batch to each router that has a message in it, and writes the decisions.
     fn answer_batch(&mut self, out: &mut Vec<u8>) {
-        for name in std::mem::take(&mut self.called) {
+        for name in std::mem::take(&mut self.batch_instances) {
             if let Some(instance) = self.instances.get_mut(&name) {
                 instance.answer_batch(&name, self.now, out);
             }
@@ -54,7 +54,8 @@
 }
 
 impl Instance {
-    /// Calls the router. If it panics, only that is reported.
+    /// Passes the batch to the router and writes its decisions. If it panics, the decisions are discarded and only the
+    /// panic is reported.
     fn answer_batch(&mut self, name: &str, now: Micros, out: &mut Vec<u8>) {
         let batch = std::mem::take(&mut self.batch);
         let start = out.len();
@@ -75,11 +76,12 @@
     }
 }
 
-/// Reads messages until the input ends, and answers each batch as it is complete.
+/// Reads messages until the end of the input and answers each batch once it is complete.
 ///
 /// # Errors
 ///
-/// If the input can't be read or decoded, or the output can't be written. The answers to earlier batches were written.
+/// If the input cannot be read or decoded, or the output cannot be written. Answers to earlier batches have been
+/// written by then.
 pub fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut answer = Vec::new();
--- a/crates/sanddrum-simulator-adapter/src/lib.rs
+++ b/crates/sanddrum-simulator-adapter/src/lib.rs
@@ -1,5 +1,6 @@
-//! Hosts sanddrum routers on the simulator's wire: decodes each batch of messages into events, calls the decision module
-//! of each router once, and encodes what it decided. It knows the wire and nothing of policy.
+//! Hosts sanddrum routers behind the simulator's protocol, one JSON array per line. Each batch of messages is decoded
+//! into events, the decision module of each addressed router is called once, and its decisions are encoded. The adapter
+//! contains no policy.
 
 mod decode;
 mod encode;
--- a/crates/sanddrum-simulator-adapter/src/main.rs
+++ b/crates/sanddrum-simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter as a process: messages on standard input, decisions on standard output.
+//! Runs the simulator adapter as a process: messages on standard input, decisions on standard output.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/sanddrum-simulator-adapter/src/names.rs
+++ b/crates/sanddrum-simulator-adapter/src/names.rs
@@ -1,18 +1,18 @@
-//! The wire's names of requests, workers and functions, and the identifiers that stand for them.
+//! Maps the names of requests, workers and functions on the wire to identifiers and back.
 
 use sanddrum::{FunctionId, RequestId, WorkerId};
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
-/// A request that has an identifier as long as messages may refer to it.
+/// The name of a request, kept as long as messages may refer to the request.
 struct RequestName {
     text: String,
     attempts_in_flight: usize,
     is_finished: bool,
 }
 
-/// The names of one instance. Identifiers of workers and functions are the same at every instance; those of requests
-/// count up.
+/// The names known to one instance. Identifiers of workers and functions are the same at every instance; those of
+/// requests are numbered consecutively per instance.
 #[derive(Default)]
 pub(crate) struct Names {
     request_ids: HashMap<String, RequestId>,
@@ -23,7 +23,7 @@
 }
 
 impl Names {
-    /// Gives a new request an identifier.
+    /// Assigns an identifier to a new request.
     pub fn add_request(&mut self, text: &str) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -37,7 +37,7 @@
         id
     }
 
-    /// The identifier of a request; none if it was forgotten.
+    /// The identifier of a request; `None` if it has been removed.
     pub fn request_id(&self, text: &str) -> Option<RequestId> {
         self.request_ids.get(text).copied()
     }
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Records that an attempt ended, and with it perhaps the request.
+    /// Records that an attempt ended. `is_final` states whether the request ended with it.
     pub fn record_attempt_end(&mut self, id: RequestId, is_final: bool) {
         if let Some(name) = self.requests.get_mut(&id) {
             name.attempts_in_flight = name.attempts_in_flight.saturating_sub(1);
             name.is_finished |= is_final;
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
     /// Records that a request ended; attempts may still be in flight.
@@ -63,11 +63,11 @@
         if let Some(name) = self.requests.get_mut(&id) {
             name.is_finished = true;
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// Forgets a request that no message can refer to any more.
-    fn forget_if_done(&mut self, id: RequestId) {
+    /// Removes a request that no message can refer to any more.
+    fn remove_if_done(&mut self, id: RequestId) {
         let name = self.requests.get(&id);
         if !name.is_some_and(|name| name.is_finished && name.attempts_in_flight == 0) {
             return;
@@ -87,19 +87,19 @@
         self.functions.entry(id).or_insert_with(|| text.to_string());
     }
 
-    /// The name of a request on the wire; null if it was forgotten.
+    /// The name of a request on the wire; null if it has been removed.
     pub fn request(&self, id: RequestId) -> Json {
         let name = self.requests.get(&id);
         name.map_or(Json::Null, |name| name.text.as_str().into())
     }
 
-    /// The name of a worker on the wire; null if it is not known.
+    /// The name of a worker on the wire; null if unknown.
     pub fn worker(&self, id: WorkerId) -> Json {
         let name = self.workers.get(&id);
         name.map_or(Json::Null, |name| name.as_str().into())
     }
 
-    /// The name of a function on the wire; null if it is not known.
+    /// The name of a function on the wire; null if unknown.
     pub fn function(&self, id: FunctionId) -> Json {
         let name = self.functions.get(&id);
         name.map_or(Json::Null, |name| name.as_str().into())
--- a/crates/sanddrum-simulator-adapter/tests/settings.rs
+++ b/crates/sanddrum-simulator-adapter/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The settings that an instance starts with, compared with those of a router that is started by the platform.
+//! The adapter must pass the same settings to the decision module as an edge that the platform starts.
 
 use sanddrum_simulator_adapter::start_settings;
 use serde_json::json;
 
 #[test]
-fn adapter_and_router_give_the_decision_module_equal_settings() {
+fn adapter_and_edge_pass_equal_settings_to_the_decision_module() {
     let settings = json!({
         "azs": ["here"], "az": 0, "me": 1, "balancers": 3, "kinds": ["fast"], "value-by": "request",
         "classes": [{"name": "job", "aim-us": 700000, "deadline-us": 2000000, "effect": "by_key",
@@ -16,14 +16,17 @@
         "stats": {"fields": ["q", "rif"], "via": "answers"},
     });
     let message = json!(["power-on", "router_1", 7, settings]);
-    let of_adapter = start_settings(&message.to_string()).unwrap();
+    let adapter_settings = start_settings(&message.to_string()).unwrap();
     let configuration = json!({
         "name": "n1", "listen": "127.0.0.1:80", "feed": "127.0.0.1:81", "seed": "7", "settings": settings,
         "limits": {"sockets": 256, "memory_mb": 32}, "known": {"n": 0, "events": []},
     });
-    let of_router = sanddrum_platform::StartupConfig::read(&configuration.to_string())
+    let edge_settings = sanddrum_platform::StartupConfig::read(&configuration.to_string())
         .unwrap()
         .decision_settings();
-    assert_eq!(of_adapter.0, of_router.0);
-    assert_eq!(of_adapter.text("workloads.0.effect"), Some("fingerprinted"));
+    assert_eq!(adapter_settings.0, edge_settings.0);
+    assert_eq!(
+        adapter_settings.text("workloads.0.effect"),
+        Some("fingerprinted")
+    );
 }
--- a/crates/sanddrum-simulator-adapter/tests/wire.rs
+++ b/crates/sanddrum-simulator-adapter/tests/wire.rs
@@ -1,11 +1,11 @@
-//! The adapter as a process: what it answers to messages of the simulator's wire.
+//! Runs the adapter as a process and checks its answers to messages of the simulator's protocol.
 
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the adapter on batches of messages, each at its clock, until it exits.
+/// Runs the adapter until it exits. Its input is a list of batches, each with its clock time and its messages.
 fn run_adapter(batches: &[(i64, Vec<Value>)]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sanddrum-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -27,7 +27,7 @@
     child.wait_with_output().unwrap()
 }
 
-/// The messages of one name that the adapter wrote.
+/// The messages with this name in the adapter's output.
 fn messages(output: &Output, name: &str) -> Vec<Value> {
     let text = String::from_utf8_lossy(&output.stdout);
     let lines = text
@@ -36,7 +36,7 @@
     lines.filter(|line| line[0] == name).collect()
 }
 
-/// The messages that start a router among one worker.
+/// The messages that start a router with one worker.
 fn start(mode: &str, effect: &str) -> Vec<Value> {
     let settings = json!({
         "me": 0, "balancers": 1, "membership-mode": mode, "obligations": {"ask-every-us": 8000000},
@@ -52,9 +52,9 @@
 }
 
 #[rstest]
-#[case::that_needs_a_subscription("subscribe", 2)]
-#[case::that_comes_by_itself("automatic", 0)]
-fn endpoint_list_is_subscribed_to_at_the_start_and_after_a_failure(
+#[case::subscribe_mode("subscribe", 2)]
+#[case::automatic_mode("automatic", 0)]
+fn router_subscribes_at_start_and_after_a_failed_list_in_subscribe_mode_only(
     #[case] mode: &str,
     #[case] subscriptions: usize,
 ) {
@@ -74,7 +74,7 @@
 }
 
 #[rstest]
-fn request_whose_answer_has_begun_does_not_fail_at_its_deadline() {
+fn request_does_not_fail_at_its_deadline_once_its_answer_has_begun() {
     let request = json!([
         "incoming",
         "router_0",
@@ -103,13 +103,13 @@
     assert_eq!(
         messages(&with(vec![]), "abort").len(),
         1,
-        "its deadline has passed"
+        "a request without an answer fails at its deadline"
     );
     assert_eq!(messages(&with(vec![begun]), "abort").len(), 0);
 }
 
 #[rstest]
-fn unusable_setting_is_reported_by_its_key() {
+fn invalid_setting_is_reported_with_its_key() {
     let output = run_adapter(&[(1_000, start("automatic", "twice"))]);
     assert!(!output.status.success());
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
