--- a/crates/sanddrum-bootstrap/src/discovery_client.rs
+++ b/crates/sanddrum-bootstrap/src/discovery_client.rs
@@ -6,19 +6,19 @@
 use sanddrum::{Micros, Settings};
 use sanddrum_limits::TokenBucket;
 
-/// An edge without endpoints makes its first call within this fraction of the time over which all are spread: it rejects
-/// its requests meanwhile, while edges with a cached list lose nothing.
+/// An edge without endpoints makes its first call within this fraction of the time over which all first calls are
+/// spread: it rejects its requests until then, while edges with a cached list serve theirs.
 const NO_CACHE_SPREAD: f64 = 0.25;
-/// A retry delay is drawn between the least delay and this multiple of the last one (decorrelated jitter).
+/// A retry delay is random between the minimum delay and this multiple of the previous one (decorrelated jitter).
 const MAX_DELAY_GROWTH: f64 = 3.0;
-/// The burst of an edge's call budget: more would cause a second burst of all edges once the first has failed.
+/// The burst of an edge's call budget. A larger one would let all edges call again at once after a failed first call.
 const CALL_BURST: f64 = 1.0;
-/// Calls are spread over ten minutes at most, however wrong the number of edges is configured.
+/// Calls are spread over at most ten minutes, even if the configured number of edges is far too large.
 const MAX_SPREAD: Micros = 600_000_000;
-/// The time-out for an answer doubles with each unanswered call, this many times at most.
+/// The maximum number of times that the answer time-out doubles, once for each unanswered call.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
-/// A check follows after a random time between this many check intervals and one more, so that edges that were answered
-/// together do not check together.
+/// The next check follows after a random time between this many check intervals and one more, so that edges that were
+/// answered at the same time do not check at the same time.
 const MIN_CHECK_INTERVALS: f64 = 0.5;
 
 /// The state of the connection to the discovery service.
@@ -26,22 +26,22 @@
 enum ConnectionState {
     /// There is no connection; the next one is opened at `retry_at`.
     Disconnected { retry_at: Micros },
-    /// A call or poll has not been answered; the connection is given up at `deadline`.
+    /// A call or poll has not been answered; the connection is closed at `deadline`.
     AwaitingAnswer { deadline: Micros },
-    /// Up to date. The service is polled at `check_at`, as a silent one may be gone.
+    /// Up to date. The service is polled at `check_at`, as it may be gone if it is silent.
     Watching { check_at: Micros },
-    /// Changes are missing; they are polled at `poll_at`, or once the budget allows.
+    /// Changes are missing. They are polled at `poll_at`, or as soon as the budget allows.
     Behind { poll_at: Micros },
 }
 
-/// Decides when an edge calls the discovery service, and how ready the edge is.
+/// Decides when an edge calls the discovery service and tracks the edge's readiness.
 pub struct Bootstrap {
     readiness: Readiness,
     state: ConnectionState,
     rng: Pcg64Mcg,
-    /// Calls a second that this edge may make.
+    /// The calls per second that this edge may make.
     call_rate: f64,
-    /// The time that all edges need for one call each.
+    /// The time in which all edges can make one call each at the permitted rate.
     spread: Micros,
     min_retry_delay: Micros,
     max_retry_delay: Micros,
@@ -49,13 +49,13 @@
     check_interval: Micros,
     /// The last retry delay; zero after an answer.
     retry_delay: Micros,
-    /// Calls in a row without an answer.
+    /// The number of consecutive unanswered calls.
     unanswered: u32,
     budget: TokenBucket,
 }
 
 impl Bootstrap {
-    /// An edge that has not started. Equal seeds and events give equal decisions.
+    /// The state of an edge that has not started. Equal seeds and events result in equal decisions.
     pub fn new(seed: u64, settings: &Settings) -> Self {
         let number = |name: &str, default: f64| settings.number(name).unwrap_or(default);
         let duration = |name: &str, default: f64| number(name, default).max(1.0) as Micros;
@@ -79,11 +79,11 @@
             budget: TokenBucket::default(),
         }
     }
-    /// How far the start has come.
+    /// The edge's readiness.
     pub fn readiness(&self) -> Readiness {
         self.readiness
     }
-    /// Whether the edge can serve clients: it knows an endpoint list.
+    /// Whether the edge has an endpoint list and can serve clients.
     pub fn is_healthy(&self) -> bool {
         self.readiness > Readiness::NoEndpoints
     }
@@ -116,7 +116,7 @@
             DiscoveryEvent::Started { has_cache } => self.record_start(now, has_cache),
             DiscoveryEvent::Answered => self.record_answer(now),
             DiscoveryEvent::Gap => {
-                // A poll that is in flight already covers it.
+                // In the other states, the next call or the one in flight covers the gap.
                 if matches!(self.state, ConnectionState::Watching { .. }) {
                     self.state = ConnectionState::Behind { poll_at: now };
                 }
@@ -146,8 +146,8 @@
             };
         }
     }
-    /// The connection is lost. All edges may have lost it at the same instant, so that the delay is spread over the time
-    /// that all of them need: with the delays of a few edges they would return together.
+    /// Schedules a retry after the connection was lost. All edges may have lost it at the same instant, so the delay is
+    /// spread over the time that all of them need: shorter delays would make them reconnect at the same time.
     fn schedule_retry(&mut self, now: Micros) {
         self.unanswered += 1;
         let last = self.retry_delay.max(self.min_retry_delay) as f64;
@@ -199,8 +199,8 @@
             _ => {}
         }
     }
-    /// The time-out grows with each unanswered call: a service that is only slow is not helped by calls that are given
-    /// up and made again.
+    /// Sets the deadline of the call or poll. The time-out grows with each unanswered call, as abandoned and repeated
+    /// calls only add load to a slow service.
     fn await_answer(&mut self, now: Micros) {
         let timeout = self.connect_timeout << self.unanswered.min(MAX_TIMEOUT_DOUBLINGS);
         self.state = ConnectionState::AwaitingAnswer {
--- a/crates/sanddrum-bootstrap/src/events.rs
+++ b/crates/sanddrum-bootstrap/src/events.rs
@@ -1,20 +1,20 @@
-//! The events that [`Bootstrap`](crate::Bootstrap) is given, and the decisions that it returns.
+//! The events passed to [`Bootstrap`](crate::Bootstrap) and the decisions that it returns.
 
 use sanddrum::Micros;
 
-/// How far an edge's start has come.
+/// The readiness of an edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Readiness {
-    /// The edge knows no endpoint: it can only reject requests.
+    /// The edge has no endpoints and can only reject requests.
     NoEndpoints,
-    /// The edge serves from the endpoint list that it had cached, which may be stale.
+    /// The edge uses its cached endpoint list, which may be stale.
     CachedEndpoints,
-    /// The discovery service has sent the endpoint list since the start.
+    /// The edge has received the endpoint list from the discovery service since its start.
     Synced,
 }
 
 impl Readiness {
-    /// The name on the health page and in logs.
+    /// The name used in health responses and logs.
     pub fn name(self) -> &'static str {
         match self {
             Readiness::NoEndpoints => "no-list",
@@ -34,20 +34,20 @@
     },
     /// The service answered with endpoints: a full snapshot, or the changes since the known version.
     Answered,
-    /// The service sent a change that does not follow on the known version.
+    /// The service sent a change that does not directly follow the known version.
     Gap,
-    /// The connection could not be established, or ended.
+    /// The connection could not be established or was closed.
     Disconnected,
 }
 
-/// Receives the decisions.
+/// Receives the decisions of [`Bootstrap`](crate::Bootstrap).
 pub trait Decisions {
-    /// Connect to the service and send the known version.
+    /// Connects to the service and sends the known version.
     fn connect(&mut self);
-    /// On the established connection, request all changes since the known version.
+    /// Requests all changes since the known version on the established connection.
     fn poll(&mut self);
-    /// Close the connection, as the service does not answer on it.
+    /// Closes the connection because the service does not answer on it.
     fn disconnect(&mut self);
-    /// Call `handle` again at this instant, if not before.
+    /// Requests the next call of `handle` at this instant, or earlier if there are events.
     fn wake_at(&mut self, at: Micros);
 }
--- a/crates/sanddrum-bootstrap/tests/discovery_calls.rs
+++ b/crates/sanddrum-bootstrap/tests/discovery_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the discovery service at the start of edges and when the service fails.
+//! Calls to the discovery service when edges start and when the service fails.
 
 use rstest::rstest;
 use sanddrum::{Micros, Settings, Value};
@@ -8,7 +8,7 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// The decisions of one edge, with the instant of each.
+/// The recorded decisions of one edge, each with its instant.
 #[derive(Default)]
 struct Recorded {
     connects: Vec<Micros>,
@@ -55,7 +55,7 @@
         let now = self.recorded.now;
         self.bootstrap.handle(now, events, &mut self.recorded);
     }
-    /// Runs until this instant. `respond` gives the events that follow at once on each call or poll.
+    /// Runs until this instant. `respond` returns the events that immediately follow each call or poll.
     fn run_until(&mut self, until: Micros, respond: impl Fn(&Recorded) -> Vec<DiscoveryEvent>) {
         while self.recorded.wake_at <= until {
             self.recorded.now = self.recorded.wake_at.max(self.recorded.now);
@@ -104,12 +104,12 @@
                 .count()
         })
         .max();
-    // A hundred a second plus random variation; three times that where the configured number is a third.
+    // 100 calls per second plus random variation, or three times that if only a third of the edges is configured.
     let bound = if configured_edges == 100.0 { 310 } else { 150 };
     assert!(busiest_second <= Some(bound), "{busiest_second:?}");
     assert!(
         edges > 10 || first_calls[2] < 100 * MILLISECOND,
-        "few edges are not delayed: {first_calls:?}"
+        "a few edges call almost immediately: {first_calls:?}"
     );
 }
 
@@ -125,7 +125,7 @@
 }
 
 #[rstest]
-fn while_the_service_is_down_all_edges_together_keep_to_the_rate() {
+fn all_edges_together_keep_to_the_rate_while_the_service_is_down() {
     let mut seconds_of_calls = Vec::new();
     for seed in 0..300 {
         let mut edge = Edge::started(seed, 300.0, seed % 2 == 0);
@@ -147,7 +147,7 @@
 }
 
 #[rstest]
-fn a_service_that_accepts_and_never_answers_is_disconnected_and_called_ever_less_often() {
+fn a_service_that_accepts_and_never_answers_is_disconnected_and_retried_with_backoff() {
     let mut edge = Edge::started(7, 3.0, true);
     edge.run_until(60 * SECOND, |_| vec![]);
     let disconnects = &edge.recorded.disconnects;
@@ -175,16 +175,16 @@
 }
 
 #[rstest]
-fn a_gap_is_polled_for_once_however_often_it_is_reported() {
+fn repeated_reports_of_a_gap_cause_a_single_poll() {
     let mut edge = Edge::started(7, 300.0, true);
-    // By then the budget has a token again.
+    // After this time the budget has a token again.
     edge.run_answered_until(7 * SECOND);
     for _ in 0..50 {
         edge.recorded.now += MILLISECOND;
         edge.handle(&[DiscoveryEvent::Gap]);
     }
     assert_eq!(edge.recorded.polls.len(), 1);
-    // The answer came, and the next gap waits for the budget.
+    // The poll is answered; the next gap waits for the budget.
     edge.handle(&[DiscoveryEvent::Answered]);
     for _ in 0..50 {
         edge.recorded.now += MILLISECOND;
@@ -193,7 +193,7 @@
     assert_eq!(edge.recorded.polls.len(), 1, "{:?}", edge.recorded.polls);
 }
 
-/// The most calls in one second.
+/// The largest number of calls in one second.
 fn max_per_second(calls: &[Micros]) -> Option<usize> {
     let mut seconds = BTreeMap::new();
     for at in calls {
@@ -202,8 +202,9 @@
     seconds.values().copied().max()
 }
 
-/// Edges without a list call within a quarter of the time, so at four times the rate. Edges with one keep to the rate,
-/// also once all of them lose the service at the same instant. Random variation is added to each bound.
+/// Edges without a cached list make their first call within a quarter of the time, so at four times the rate. Edges
+/// with one keep to the rate, even after all of them lose the service at the same instant. The bounds allow for random
+/// variation.
 #[rstest]
 #[case::few(300)]
 #[case::thousands(4200)]
--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -83,8 +83,8 @@
     pub fn rates_reported(&mut self, customer: CustomerId, customer_rate: f64, total_rate: f64) {
         self.events.reported_rates.push(ReportedRates {
             customer,
-            of_customer: customer_rate,
-            of_all: total_rate,
+            customer_rate,
+            total_rate,
         });
     }
 
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -162,8 +162,8 @@
                     all.record(self.now, S);
                     news.reported_rates.push(ReportedRates {
                         customer: CustomerId(customer),
-                        of_customer: of,
-                        of_all: all.per_second(self.now, S),
+                        customer_rate: of,
+                        total_rate: all.per_second(self.now, S),
                     });
                 }
             }
--- a/crates/sanddrum-limits/src/events.rs
+++ b/crates/sanddrum-limits/src/events.rs
@@ -1,71 +1,71 @@
-//! The events that the policies are given, and the decisions that they return.
+//! The events passed to the policies and the decisions that they return.
 
 use sanddrum::{CustomerId, Micros, RequestId, WorkerId};
 
-/// A request that asks to be admitted.
+/// A request to be admitted or rejected.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Which request this is.
+    /// The request's identifier.
     pub request: RequestId,
-    /// The customer that it counts for.
+    /// The customer whose quotas it counts towards.
     pub customer: CustomerId,
 }
 
 /// An attempt that was dispatched.
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatch {
-    /// The customer whose request it is an attempt of.
+    /// The customer of the request.
     pub customer: CustomerId,
-    /// The worker that it was sent to.
+    /// The worker that the attempt was sent to.
     pub worker: WorkerId,
 }
 
-/// Rates that a worker reported, in requests a second from all edges.
+/// Rates that a worker reported: the requests per second that it receives from all edges.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedRates {
-    /// The customer whose request the report came with.
+    /// The customer of the request that was answered with the report.
     pub customer: CustomerId,
-    /// Requests a second of this customer.
-    pub of_customer: f64,
-    /// Requests a second of all customers.
-    pub of_all: f64,
+    /// The rate of this customer's requests.
+    pub customer_rate: f64,
+    /// The rate of all customers' requests.
+    pub total_rate: f64,
 }
 
 /// The events since the last call of [`QuotaPolicy::handle`](crate::QuotaPolicy::handle).
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionEvents {
-    /// Requests that ask to be admitted.
+    /// Requests to be admitted or rejected.
     pub requests: Vec<AdmissionRequest>,
-    /// The customers of admitted requests that have their final answer, or whose client disconnected.
+    /// The customer of each admitted request that got its final answer or whose client disconnected.
     pub finished: Vec<CustomerId>,
-    /// Requests that the decision module rejected.
+    /// The number of requests that the decision module rejected.
     pub rejected: u32,
     /// Attempts that were dispatched.
     pub dispatched: Vec<Dispatch>,
-    /// Rates that workers reported.
+    /// Rates reported by workers.
     pub reported_rates: Vec<ReportedRates>,
 }
 
-/// Why a request is rejected here.
+/// Why a request is rejected before it reaches the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The customer is over its rate.
+    /// The customer is over its rate quota.
     Rate,
     /// The customer has too many requests in flight.
     InFlight,
-    /// The fleet is overloaded and the customer over its share.
-    Quota,
-    /// A client's retry, while the fleet is overloaded and the retry budget exhausted.
+    /// The fleet is overloaded and the customer uses more than its share of the capacity.
+    CapacityShare,
+    /// It is a retry, the fleet is overloaded and the retry budget is exhausted.
     RetryBudget,
 }
 
 impl RejectReason {
-    /// The value of the metrics label and of the reason on the wire.
+    /// The value of the metrics label and of the reason in responses.
     pub fn reason(self) -> &'static str {
         match self {
             RejectReason::Rate => "over-rate",
             RejectReason::InFlight => "over-in-flight",
-            RejectReason::Quota => "over-share",
+            RejectReason::CapacityShare => "over-share",
             RejectReason::RetryBudget => "over-repeats",
         }
     }
@@ -74,16 +74,16 @@
 /// Why a request is rejected, and when to retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub reason: RejectReason,
-    /// How long the client had better wait before it retries.
+    /// How long the client should wait before it retries.
     pub retry_after: Micros,
 }
 
 /// Receives the decisions.
 pub trait Admission {
-    /// The request goes on to the decision module.
+    /// The request is passed to the decision module.
     fn admit(&mut self, request: RequestId);
-    /// The request has its final answer.
+    /// The request is answered with a rejection.
     fn reject(&mut self, request: RequestId, rejection: Rejection);
 }
--- a/crates/sanddrum-limits/src/quota_policy.rs
+++ b/crates/sanddrum-limits/src/quota_policy.rs
@@ -1,12 +1,12 @@
 //! The quotas of all customers at one edge.
 
-use crate::customer::{Conditions, Customer};
+use crate::customer::{Customer, EdgeContext};
 use crate::{Admission, AdmissionEvents, Rejection};
 use sanddrum::{CustomerId, Micros, Settings};
 
-/// Admitted rates are adjusted this often in a window.
+/// The number of adjustments of the admitted rates per window.
 pub(crate) const ADJUSTMENTS_PER_WINDOW: Micros = 10;
-/// Reported rates are used for this many windows.
+/// The number of windows after which reported rates are no longer used.
 pub(crate) const REPORTS_EXPIRE_AFTER_WINDOWS: Micros = 3;
 
 /// Enforces the quotas of all customers at one edge.
@@ -16,20 +16,20 @@
     /// Whether shares are enforced under overload.
     has_shares: bool,
     is_active: bool,
-    /// By customer id; the last stands for all customers that the settings do not name.
+    /// The configured customers by id, and an entry for all others at the end.
     customers: Vec<Customer>,
-    /// Requests admitted at this edge since the last adjustment.
+    /// The number of requests admitted at this edge since the last adjustment.
     admitted: u32,
-    /// Requests that the decision module rejected since the last adjustment.
+    /// The number of requests that the decision module rejected since the last adjustment.
     rejected: u32,
     next_adjustment: Micros,
 }
 
 impl QuotaPolicy {
-    /// A policy for the customers that the settings name, in their order, and one more for all others.
+    /// A policy for the configured customers, in their order, and one more for all others.
     pub fn new(settings: &Settings) -> Self {
         let count = settings.number("customers.count").unwrap_or(0.0) as usize;
-        let customers = customers_of(settings, count);
+        let customers = read_customers(settings, count);
         let has_shares = settings.flag("sharing.shares") == Some(true) && count > 0;
         let is_active = has_shares || customers.iter().any(Customer::has_limits);
         let window = settings.number("sharing.window-us").unwrap_or(1e6) as Micros;
@@ -60,16 +60,16 @@
         if now >= self.next_adjustment {
             self.adjust(now);
         }
-        for asked in &events.requests {
-            match self.judge(now, asked.customer) {
+        for request in &events.requests {
+            match self.check(now, request.customer) {
                 Ok(()) => {
-                    if let Some(customer) = self.customers.get_mut(asked.customer.0) {
+                    if let Some(customer) = self.customers.get_mut(request.customer.0) {
                         customer.record_admission();
                     }
                     self.admitted += 1;
-                    admission.admit(asked.request);
+                    admission.admit(request.request);
                 }
-                Err(rejection) => admission.reject(asked.request, rejection),
+                Err(rejection) => admission.reject(request.request, rejection),
             }
         }
     }
@@ -92,8 +92,8 @@
             }
         }
         self.rejected += events.rejected;
-        for asked in &events.requests {
-            if let Some(customer) = self.customers.get_mut(asked.customer.0) {
+        for request in &events.requests {
+            if let Some(customer) = self.customers.get_mut(request.customer.0) {
                 customer.record_request(now, window);
             }
         }
@@ -103,15 +103,15 @@
         self.next_adjustment = now + self.window / ADJUSTMENTS_PER_WINDOW;
         let overload = self.overload();
         (self.admitted, self.rejected) = (0, 0);
-        let conditions = self.conditions(now);
+        let context = self.context(now);
         for customer in &mut self.customers {
-            customer.adjust(&conditions, overload);
+            customer.adjust(&context, overload);
         }
     }
 
-    /// The fraction of the requests admitted since the last adjustment that the decision module rejected, so that
-    /// overload of any cause counts as that module detects it. Nothing older: a rate that falls for past overload falls
-    /// too far.
+    /// The fraction of the requests admitted since the last adjustment that the decision module rejected, which covers
+    /// every cause of overload that the module detects. Older rejections do not count: admitted rates that fall because
+    /// of past overload fall too far.
     fn overload(&self) -> f64 {
         let fraction = f64::from(self.rejected) / f64::from(self.admitted.max(1));
         if self.has_shares {
@@ -121,16 +121,16 @@
         }
     }
 
-    fn judge(&mut self, now: Micros, id: CustomerId) -> Result<(), Rejection> {
-        let conditions = self.conditions(now);
+    fn check(&mut self, now: Micros, id: CustomerId) -> Result<(), Rejection> {
+        let context = self.context(now);
         match self.customers.get_mut(id.0) {
-            Some(customer) => customer.judge(&conditions),
+            Some(customer) => customer.check(&context),
             None => Ok(()),
         }
     }
 
-    fn conditions(&self, now: Micros) -> Conditions {
-        Conditions {
+    fn context(&self, now: Micros) -> EdgeContext {
+        EdgeContext {
             now,
             window: self.window,
             router_count: self.router_count,
@@ -138,7 +138,7 @@
     }
 }
 
-fn customers_of(settings: &Settings, count: usize) -> Vec<Customer> {
+fn read_customers(settings: &Settings, count: usize) -> Vec<Customer> {
     let number = |index: usize, name: &str| settings.number(&format!("customers.{index}.{name}"));
     let mut customers: Vec<Customer> = (0..count)
         .map(|index| {
--- a/crates/sanddrum-limits/src/rate.rs
+++ b/crates/sanddrum-limits/src/rate.rs
@@ -1,9 +1,8 @@
-//! Measuring and limiting of rates.
+//! Rate measurement and rate limiting.
 
 use sanddrum::Micros;
 
-/// An exponentially decaying average of how often something happens: after a time of one window an event counts for
-/// 1/e.
+/// An exponentially decaying average of the rate of an event: an event that is one window old has a weight of 1/e.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateMeter {
     events_per_window: f64,
@@ -20,35 +19,35 @@
         let elapsed = (now - self.recorded_at).max(0) as f64;
         self.events_per_window * (-elapsed / window as f64).exp()
     }
-    /// Events a second.
+    /// Events per second.
     pub fn per_second(&self, now: Micros, window: Micros) -> f64 {
         self.decayed(now, window) * 1e6 / window as f64
     }
 }
 
-/// A token bucket whose rate and burst may differ from call to call. It starts full.
+/// A token bucket with a rate and burst that may change between calls. It starts full.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
     tokens: f64,
     refilled_at: Option<Micros>,
 }
 
-/// The bucket holds no token.
+/// The bucket does not hold a whole token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no token; retry after {retry_after} us")]
 pub struct NoToken {
-    /// How long until there is one at the present rate, one hour at most.
+    /// The time until a token is available at the current rate, at most one hour.
     pub retry_after: Micros,
 }
 
-/// One hour: the bound on [`NoToken::retry_after`].
+/// The upper bound of [`NoToken::retry_after`]: one hour.
 const MAX_RETRY_AFTER_US: f64 = 3.6e9;
 
 impl TokenBucket {
-    /// Takes a token. Tokens are added at `per_second` up to `burst`, which is at least one.
+    /// Takes a token. Tokens are added at `per_second` up to `burst`; a lower burst counts as 1.
     ///
     /// # Errors
-    /// [`NoToken`] if there is none.
+    /// [`NoToken`] if none is available.
     pub fn take(&mut self, now: Micros, per_second: f64, burst: f64) -> Result<(), NoToken> {
         let burst = burst.max(1.0);
         let elapsed = self
--- a/crates/sanddrum-limits/src/retry_budget.rs
+++ b/crates/sanddrum-limits/src/retry_budget.rs
@@ -1,43 +1,43 @@
-//! The budget for clients' retries while the fleet is overloaded.
+//! The budget for client retries while the fleet is overloaded.
 //!
-//! Under overload every rejected request is retried, again and again: at three times the fleet's capacity most requests
-//! are retries. Each has less time left than a first attempt and has missed most of its latency objective, so that work
-//! on it is mostly wasted. While the decision module rejects many requests, retries therefore get a budget that is
-//! proportional to first attempts, and the rest is rejected before it costs anything. While few are rejected there is
-//! no budget: after a crash or the loss of a zone, retries are what has to be served.
+//! Under overload clients retry every rejected request repeatedly: at three times the fleet's capacity most requests
+//! are retries. A retry has less time left than a first attempt and has missed most of its latency objective, so work
+//! on it is mostly wasted. While the decision module rejects many requests, retries are therefore limited to a budget
+//! that is proportional to first attempts, and those over it are rejected before they cost anything. While few requests
+//! are rejected there is no limit: after a crash or the loss of a zone, the retries are the requests to be served.
 
 use crate::{Admission, RateMeter, RejectReason, Rejection, TokenBucket};
 use sanddrum::{Micros, RequestId, Settings};
 
-/// A client's request, as the budget counts it.
+/// A client's request, as counted by the budget.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// Which request this is.
+    /// The request's identifier.
     pub request: RequestId,
-    /// Whether the client has sent it before.
+    /// Whether the client has sent the same request before.
     pub is_retry: bool,
 }
 
 /// The events since the last call of [`RetryBudget::handle`].
 #[derive(Clone, Debug, Default)]
 pub struct RetryEvents {
-    /// Requests that ask to be admitted.
+    /// Requests to be admitted or rejected.
     pub requests: Vec<ClientRequest>,
-    /// Requests that the decision module rejected.
+    /// The number of requests that the decision module rejected.
     pub rejected: u32,
 }
 
-/// Retries per first attempt, unless configured otherwise.
+/// The default number of admitted retries per first attempt.
 const DEFAULT_RETRY_RATIO: f64 = 0.1;
-/// The fleet is overloaded while the decision module rejects more than this for each admitted request. Less is due to a
-/// crash or a flush, which retries recover from.
+/// The fleet is overloaded while the decision module rejects more than this number of requests per admitted one. A
+/// lower ratio is due to a crash or a flush of loaded functions, from which retries recover.
 const OVERLOAD_REJECT_RATIO: f64 = 0.5;
-/// The burst of the budget, in windows.
+/// The burst that the budget allows, in windows.
 const BURST_WINDOWS: f64 = 0.3;
 
-/// The budget for clients' retries at one edge.
+/// The budget for client retries at one edge.
 pub struct RetryBudget {
-    /// Retries per first attempt; one or more: any.
+    /// Admitted retries per first attempt; unlimited if 1 or more.
     retry_ratio: f64,
     window: Micros,
     max_retry_after: Micros,
@@ -49,7 +49,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that has seen no request.
+    /// A budget without recorded requests.
     pub fn new(settings: &Settings) -> Self {
         let number = |name: &str, default: f64| settings.number(name).unwrap_or(default);
         RetryBudget {
@@ -69,12 +69,12 @@
         self.record(now, events);
         let is_overloaded = self.is_overloaded(now);
         for client_request in &events.requests {
-            let verdict = if is_overloaded && client_request.is_retry {
-                self.judge_retry(now)
+            let result = if is_overloaded && client_request.is_retry {
+                self.check_retry(now)
             } else {
                 Ok(())
             };
-            match verdict {
+            match result {
                 Ok(()) => {
                     self.admitted.record(now, self.window);
                     admission.admit(client_request.request);
@@ -102,11 +102,11 @@
         let admitted = self.admitted.per_second(now, self.window);
         is_bounded && rejected > OVERLOAD_REJECT_RATIO * admitted
     }
-    fn judge_retry(&mut self, now: Micros) -> Result<(), Rejection> {
+    fn check_retry(&mut self, now: Micros) -> Result<(), Rejection> {
         let rate = self.first_attempts.per_second(now, self.window) * self.retry_ratio;
         let burst = rate * self.window as f64 / 1e6 * BURST_WINDOWS;
         self.bucket.take(now, rate, burst).map_err(|no_token| {
-            // As far as is known here, all retries of the last window are ahead of this one.
+            // Assumes that all retries of the last window are admitted before this one.
             let queue = self.retries.per_second(now, self.window) * self.window as f64 / 1e6;
             let wait = (no_token.retry_after as f64).max(queue * 1e6 / rate.max(1e-6));
             Rejection {
--- a/crates/sanddrum-limits/tests/quota_policy.rs
+++ b/crates/sanddrum-limits/tests/quota_policy.rs
@@ -1,4 +1,4 @@
-//! Many edges with a few workers between them that measure rates, in steps of a hundredth of a second.
+//! Simulates many edges that share a few workers, in steps of 10 ms. The workers report rates to the edges.
 
 use rstest::rstest;
 use sanddrum::{CustomerId, Micros, RequestId, Settings, Value, WorkerId};
@@ -62,7 +62,7 @@
     free_capacity: f64,
     now: Micros,
     last_request: u64,
-    /// Fractions of requests, by edge and customer, that are not yet sent.
+    /// Fractions of requests that have not been sent yet, by edge and customer.
     remainders: BTreeMap<(usize, usize), f64>,
 }
 
@@ -83,16 +83,16 @@
             remainders: BTreeMap::new(),
         }
     }
-    /// Runs for a while with this traffic. Returns each customer's finished requests a second.
+    /// Runs with this traffic for `duration`. Returns each customer's finished requests per second.
     fn run(&mut self, duration: Micros, traffic: &[Traffic]) -> BTreeMap<usize, f64> {
         let mut finished: BTreeMap<usize, f64> = BTreeMap::new();
         for _ in 0..duration / STEP {
             self.now += STEP;
             let customers = self.send_requests(traffic);
-            // Unused capacity is lost, but for a tenth of a second's worth.
+            // Unused capacity accumulates for at most 100 ms.
             let added = self.capacity * STEP as f64 / SECOND as f64;
             self.free_capacity = (self.free_capacity + added).min(self.capacity / 10.0);
-            // The edge that is served first differs from step to step.
+            // Another edge is served first in each step.
             let (step, edges) = ((self.now / STEP) as usize, self.edges.len());
             for edge in (0..edges).map(|n| (n + step) % edges) {
                 let is_reversed = step % 4 < 2;
@@ -107,7 +107,7 @@
         }
         finished
     }
-    /// One step's requests arrive at the edges. Returns the customer of each.
+    /// Sends the requests of one step to the edges. Returns the customer of each.
     fn send_requests(&mut self, traffic: &[Traffic]) -> BTreeMap<RequestId, CustomerId> {
         let mut customers = BTreeMap::new();
         for stream in traffic {
@@ -129,7 +129,7 @@
         }
         customers
     }
-    /// One edge admits requests, and the fleet finishes them as far as its capacity goes. Returns the customer of each
+    /// One edge admits requests, and the fleet finishes as many as its capacity allows. Returns the customer of each
     /// finished request.
     fn serve(
         &mut self,
@@ -169,8 +169,8 @@
         worker_meter.record(self.now, SECOND);
         let rates = ReportedRates {
             customer,
-            of_customer: customer_meter.per_second(self.now, SECOND),
-            of_all: worker_meter.per_second(self.now, SECOND),
+            customer_rate: customer_meter.per_second(self.now, SECOND),
+            total_rate: worker_meter.per_second(self.now, SECOND),
         };
         let events = &mut self.events[edge];
         events.dispatched.push(Dispatch { customer, worker });
@@ -183,13 +183,13 @@
     ("customers.0.share", 0.7),
     ("customers.1.share", 0.3),
 ];
-/// More than any traffic here asks for.
+/// More than any traffic in these tests needs.
 const UNLIMITED: f64 = 1e9;
 
 #[rstest]
 #[case::one_edge(1)]
 #[case::ten_edges(10)]
-fn a_rate_holds_over_all_edges_together(#[case] edges: usize) {
+fn a_rate_quota_holds_over_all_edges_together(#[case] edges: usize) {
     let overrides = [&TWO_CUSTOMERS[..], &[("customers.0.rate", 100.0)]].concat();
     let mut fleet = Fleet::new(edges, UNLIMITED, &overrides);
     let everywhere: Vec<Traffic> = (0..edges)
@@ -216,7 +216,7 @@
 #[rstest]
 fn under_overload_a_customer_over_its_share_is_limited_and_one_within_is_not() {
     let mut fleet = Fleet::new(2, 100.0, &TWO_CUSTOMERS);
-    // Customer 0 is within its share; customer 1 asks for ten times its own.
+    // Customer 0 requests less than its share, customer 1 ten times its share.
     let requests = [
         traffic(0, 0, 30.0),
         traffic(1, 0, 30.0),
@@ -235,7 +235,7 @@
     let borrower = [traffic(0, 1, 150.0), traffic(1, 1, 150.0)];
     fleet.run(5 * SECOND, &borrower);
     let lent = fleet.run(5 * SECOND, &borrower)[&1];
-    assert!(lent > 80.0, "customer 1 has all capacity: {lent}");
+    assert!(lent > 80.0, "customer 1 may use all capacity: {lent}");
     let owner = [traffic(0, 0, 30.0), traffic(1, 0, 30.0)];
     let both = [owner, borrower].concat();
     fleet.run(2 * SECOND, &both);
--- a/crates/sanddrum-limits/tests/retry_budget.rs
+++ b/crates/sanddrum-limits/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget for clients' retries while the fleet is overloaded.
+//! The budget for client retries while the fleet is overloaded.
 
 use rstest::rstest;
 use sanddrum::{Micros, RequestId, Settings, Value};
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct Recorded {
     admitted: u32,
-    /// Of the rejected requests, in order.
+    /// The Retry-After of each rejected request, in order.
     retry_after: Vec<Micros>,
 }
 
@@ -43,8 +43,8 @@
             last_request: 0,
         }
     }
-    /// Ten milliseconds with these first attempts, retries and requests that the decision module rejected. Returns the
-    /// number of admitted retries and the delays of the others.
+    /// Runs 10 ms with these numbers of first attempts, retries and requests that the decision module rejected. Returns
+    /// the number of admitted retries and the Retry-After of the others.
     fn step(&mut self, first_attempts: u32, retries: u32, rejected: u32) -> (u32, Vec<Micros>) {
         self.now += 10 * MILLISECOND;
         let mut events = RetryEvents {
