--- a/crates/sanddrum-limits/src/customer.rs
+++ b/crates/sanddrum-limits/src/customer.rs
@@ -6,7 +6,7 @@
 
 /// However far a customer is over its quota, an edge admits this fraction of an even split of the quota over all edges,
 /// so that it keeps receiving reports.
-const MIN_EVEN_FRACTION: f64 = 0.1;
+const MIN_EVEN_SPLIT_FRACTION: f64 = 0.1;
 /// The exponent of the feedback control. Reports lag by about a window, so a deviation is corrected over several
 /// adjustments.
 const GAIN: f64 = 0.08;
@@ -14,7 +14,7 @@
 /// full rate there within a few windows.
 const MAX_FACTOR: f64 = 1.2;
 /// If the quota is at least this multiple of the fleet rate, the admitted rate grows by the largest factor.
-const FAR_BELOW_QUOTA: f64 = 2.0;
+const FAST_GROWTH_RATIO: f64 = 2.0;
 /// The fleet is overloaded while the decision module rejects more than this fraction of the admitted requests.
 const OVERLOAD_THRESHOLD: f64 = 0.01;
 /// The factor by which the admitted rate of a customer limited by its share grows at each adjustment. Under overload, a
@@ -127,7 +127,7 @@
             .filter(|rate| *rate > 0.0);
         let part = fleet_rate.map_or(even_part, |fleet_rate| {
             let part = self.dispatched.per_second(now, window) / fleet_rate;
-            part.clamp(even_part * MIN_EVEN_FRACTION, 1.0)
+            part.clamp(even_part * MIN_EVEN_SPLIT_FRACTION, 1.0)
         });
         // At least one, unless the quota is zero.
         let min = f64::from(u8::from(quota > 0.0));
@@ -152,9 +152,9 @@
         let max = (requested_rate * MAX_FACTOR)
             .max(even_split)
             .max(one_per_window);
-        let min = (even_split * MIN_EVEN_FRACTION)
+        let min = (even_split * MIN_EVEN_SPLIT_FRACTION)
             .min(one_per_window)
-            .max(one_per_window * MIN_EVEN_FRACTION);
+            .max(one_per_window * MIN_EVEN_SPLIT_FRACTION);
         self.admitted_rate = (self.admitted_rate * adjustment.factor).clamp(min, max);
         self.limited_by = Some(adjustment.reason);
     }
@@ -189,7 +189,7 @@
             .fleet_rate(now, window)
             .map(|rate| rate.max(own_rate));
         let ratio = fleet_rate.map_or(1.0, |rate| quota / rate.max(1e-9));
-        let factor = if ratio >= FAR_BELOW_QUOTA {
+        let factor = if ratio >= FAST_GROWTH_RATIO {
             MAX_FACTOR
         } else {
             ratio.powf(GAIN).clamp(1.0 / MAX_FACTOR, MAX_FACTOR)
--- a/crates/sanddrum-limits/src/quota_policy.rs
+++ b/crates/sanddrum-limits/src/quota_policy.rs
@@ -110,8 +110,8 @@
     }
 
     /// The fraction of the requests admitted since the last adjustment that the decision module rejected, which covers
-    /// every cause of overload that the module detects. Older rejections do not count: admitted rates that fall because
-    /// of past overload fall too far.
+    /// every cause of overload that the module detects. Older rejections do not count, as they would lower the admitted
+    /// rates too far.
     fn overload(&self) -> f64 {
         let fraction = f64::from(self.rejected) / f64::from(self.admitted.max(1));
         if self.has_shares {
--- a/crates/sanddrum-limits/tests/quota_policy.rs
+++ b/crates/sanddrum-limits/tests/quota_policy.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Edges, the workers that they share, and the fleet's capacity in requests a second.
+/// Edges, the workers that they share, and the fleet's capacity in requests per second.
 struct Fleet {
     edges: Vec<QuotaPolicy>,
     events: Vec<AdmissionEvents>,
--- a/crates/sanddrum-limits/tests/retry_budget.rs
+++ b/crates/sanddrum-limits/tests/retry_budget.rs
@@ -102,7 +102,7 @@
     let admitted: u32 = (0..300).map(|_| edge.step(10, 30, 25).0).sum();
     assert!(
         (270..=330).contains(&admitted),
-        "{admitted} beside 3,000 first attempts"
+        "{admitted} retries admitted with 3,000 first attempts"
     );
     assert_eq!(edge.step(10, 0, 25), (0, vec![]));
 }
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -14,7 +14,7 @@
 pub const LEVELS: u32 = 3;
 /// The number of bits of a key's hash that select a child: a node has 16 children.
 const BITS_PER_LEVEL: u32 = 4;
-/// Weights are stored as integers in this fraction of a unit, so that sums do not depend on the order of insertion.
+/// Steps per unit of weight. Weights are stored as whole steps, so that sums do not depend on the order of insertion.
 const STEPS_PER_UNIT: f64 = 65_536.0;
 /// 2^64 divided by the golden ratio (Fibonacci hashing): spreads consecutive inputs.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
