--- a/src/logic/readiness_lease.rs
+++ b/src/logic/readiness_lease.rs
@@ -5,9 +5,9 @@
 //! goes through three phases until the next confirmation:
 //!
 //! 1. *Current*: this router cannot count as notified of later changes yet.
-//! 2. *Overdue*, once it may count as notified of them (`notified_after`): a worker that rejects an attempt may be
+//! 2. *Overdue*, once it may count as notified of them (`min_notification_delay`): a worker that rejects an attempt may be
 //!    draining, and receives nothing more unless it has accepted a later attempt.
-//! 3. *Stale*, once it counts as notified of them at the latest (`notified_within`): a worker has to hold a lease of
+//! 3. *Stale*, once it counts as notified of them at the latest (`max_notification_delay`): a worker has to hold a lease of
 //!    its own, which is renewed by each attempt that it accepts, from the time of the dispatch.
 //!
 //! Only accepted attempts renew a lease: a draining worker still answers queries, and load commands for loaded
@@ -35,19 +35,21 @@
 
     /// Whether this router may count as notified of changes that it has not received.
     pub(super) fn are_endpoints_overdue(&self) -> bool {
-        self.is_list_older_than(|confirmation| confirmation.notified_after)
+        self.is_list_older_than(|confirmation| confirmation.min_notification_delay)
     }
 
     /// Whether this router counts as notified of changes that it has not received.
     pub(super) fn are_endpoints_stale(&self) -> bool {
-        self.is_list_older_than(|confirmation| self.lease_duration(confirmation.notified_within))
+        self.is_list_older_than(|confirmation| {
+            self.lease_duration(confirmation.max_notification_delay)
+        })
     }
 
     /// Whether the list becomes stale before a worker's lease that starts now expires.
     pub(super) fn will_need_leases(&self) -> bool {
         self.is_list_older_than(|confirmation| {
-            self.lease_duration(confirmation.notified_within)
-                - self.lease_duration(confirmation.notified_after)
+            self.lease_duration(confirmation.max_notification_delay)
+                - self.lease_duration(confirmation.min_notification_delay)
         })
     }
 
@@ -67,7 +69,7 @@
     /// How long a worker is considered ready after it accepted an attempt, while the list is stale.
     fn worker_lease_duration(&self) -> Micros {
         self.endpoint_confirmation.map_or(0, |confirmation| {
-            self.lease_duration(confirmation.notified_after)
+            self.lease_duration(confirmation.min_notification_delay)
         })
     }
 
@@ -131,7 +133,7 @@
     /// a drain that began together with the outage may have followed it.
     fn can_extend_lease(&self, worker: &Worker) -> bool {
         let overdue_from = self.endpoint_confirmation.map_or(0, |confirmation| {
-            confirmation.confirmed_at + confirmation.notified_after
+            confirmation.confirmed_at + confirmation.min_notification_delay
         });
         worker.is_ready() && worker.accepted_at > overdue_from && !self.may_be_draining(worker)
     }
@@ -145,7 +147,7 @@
     /// Whether the list became stale so recently that its next confirmation may be on its way.
     pub(super) fn may_be_confirmed_soon(&self) -> bool {
         !self.is_list_older_than(|confirmation| {
-            self.lease_duration(confirmation.notified_within) + self.config.drain_grace
+            self.lease_duration(confirmation.max_notification_delay) + self.config.drain_grace
         })
     }
 }
