--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -301,7 +301,7 @@
         let trusts_names = self.token_policy == TokenPolicy::Off
             && self.certificate_policy == CertificatePolicy::Off;
         let stated = StatedCustomers {
-            named: request.field("sanddrum-customer"),
+            unverified: request.field("sanddrum-customer"),
             token: token.as_deref(),
             certificate: certificate.as_deref(),
         };
--- a/crates/sanddrum-identity/src/authenticator.rs
+++ b/crates/sanddrum-identity/src/authenticator.rs
@@ -1,9 +1,10 @@
-//! Bounds the work of verifying tokens, so that a flood of invalid ones does not keep valid callers out.
+//! Limits the work spent on verifying tokens, so that a flood of invalid tokens does not lock out valid clients.
 //!
-//! A verified token is cached for as long as it and its key are valid; the key's state is looked up at every use, so the
-//! cache never outlives a revocation. A token that is not cached costs a signature verification. Verifications have two
-//! budgets: one for connections that have presented a valid token, one for all others, so that unknown callers can use up
-//! only their own. A connection that keeps presenting invalid tokens has to be closed.
+//! Verified tokens are cached. The validity of the token and the state of its key are checked at every use, so that a
+//! cached token is rejected as soon as its key is revoked. A token that is not cached costs a signature verification.
+//! Verifications have two budgets, one for connections that have presented a valid token and one for all others, so
+//! that unknown clients can exhaust only their own. A connection that keeps presenting invalid tokens has to be
+//! closed.
 
 use crate::keys::KeySet;
 use crate::token::{self, Claims, TokenError, TokenRequirements};
@@ -12,36 +13,36 @@
 
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// Bounds on an [`Authenticator`]'s work.
+/// Limits of an [`Authenticator`].
 #[derive(Clone, Debug)]
 pub struct AuthenticatorLimits {
-    /// Signature verifications a second for known callers, and as many again for unknown ones.
+    /// Signature verifications per second for known clients, and as many again for unknown ones.
     pub verifications_per_s: f64,
-    /// Verified tokens that are cached.
+    /// The maximum number of verified tokens in the cache.
     pub max_cached_tokens: usize,
-    /// Invalid tokens in a row after which a connection has to be closed.
+    /// The number of consecutive invalid tokens after which a connection has to be closed.
     pub max_invalid_tokens: u32,
 }
 
-/// What a connection's tokens have shown so far.
+/// The results of the tokens that a connection has presented so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionTrust {
-    /// It has presented a valid token.
+    /// Whether the connection has presented a valid token.
     pub is_known: bool,
     /// Invalid tokens since the last valid one.
     pub invalid_tokens: u32,
 }
 
-/// The outcome of a valid token.
+/// The result of authenticating a valid token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authenticated {
-    /// What the token claims.
+    /// The claims of the token.
     pub claims: Claims,
-    /// Whether it was cached, so that no signature was verified.
+    /// Whether the token was in the cache, so that its signature was not verified again.
     pub was_cached: bool,
 }
 
-/// A token bucket of signature verifications that holds up to one second's worth.
+/// A token bucket that limits signature verifications and holds at most those of one second.
 struct VerificationBudget {
     available: f64,
     updated_at_us: i64,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Takes one verification if there is one.
+    /// Takes one verification from the budget, if one is available.
     fn try_take(&mut self, now_us: i64, per_s: f64) -> bool {
         let elapsed_s = (now_us - self.updated_at_us).max(0) as f64 / MICROS_PER_SECOND as f64;
         self.available = (self.available + elapsed_s * per_s).min(per_s.max(1.0));
@@ -73,24 +74,24 @@
     limits: AuthenticatorLimits,
     requirements: TokenRequirements,
     cache: TokenCache,
-    known_callers: VerificationBudget,
-    unknown_callers: VerificationBudget,
+    known_clients: VerificationBudget,
+    unknown_clients: VerificationBudget,
 }
 
 impl Authenticator {
-    /// An authenticator with full budgets and an empty cache.
+    /// Creates an authenticator with full budgets and an empty cache.
     pub fn new(limits: AuthenticatorLimits, requirements: TokenRequirements) -> Self {
         Authenticator {
             cache: TokenCache::new(limits.max_cached_tokens),
-            known_callers: VerificationBudget::full(limits.verifications_per_s),
-            unknown_callers: VerificationBudget::full(limits.verifications_per_s),
+            known_clients: VerificationBudget::full(limits.verifications_per_s),
+            unknown_clients: VerificationBudget::full(limits.verifications_per_s),
             limits,
             requirements,
         }
     }
 
-    /// Authenticates a token that was presented on a connection with this trust, which is updated. `now_us` is in
-    /// microseconds since 1970.
+    /// Authenticates a token, and updates the trust of the connection that presented it. `now_us` is in microseconds
+    /// since the Unix epoch.
     ///
     /// # Errors
     /// [`TokenError`]: why the token is rejected.
@@ -135,9 +136,9 @@
         }
         let key_id = token::precheck(token, keys, &self.requirements, now)?;
         let budget = if trust.is_known {
-            &mut self.known_callers
+            &mut self.known_clients
         } else {
-            &mut self.unknown_callers
+            &mut self.unknown_clients
         };
         if !budget.try_take(now_us, self.limits.verifications_per_s) {
             return Err(TokenError::Busy);
--- a/crates/sanddrum-identity/src/authorization.rs
+++ b/crates/sanddrum-identity/src/authorization.rs
@@ -1,25 +1,25 @@
-//! Which customer may call what. All matching rules are considered: one that denies decides, else one that allows, else
-//! the default.
+//! Decides which customer may call which function. A matching rule that denies takes precedence over one that allows;
+//! the default applies if no rule matches.
 
 use std::fmt;
 
-/// A name, or a prefix of names with a `*` behind it.
+/// A name, or a prefix of names followed by `*`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern(String);
 
-/// A text that is no pattern: it is empty, or a `*` is elsewhere than at its end.
+/// The text is not a valid pattern: it is empty, or has a `*` before its end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?}: a * may stand at the end only")]
+#[error("invalid pattern {text:?}: it must not be empty, and a * is allowed only at its end")]
 pub struct PatternError {
-    /// The text.
+    /// The invalid text.
     pub text: String,
 }
 
 impl Pattern {
-    /// A pattern from its text.
+    /// Parses a pattern.
     ///
     /// # Errors
-    /// [`PatternError`]: the text is no pattern.
+    /// [`PatternError`]: the text is not a valid pattern.
     pub fn new(text: &str) -> Result<Pattern, PatternError> {
         let prefix = text.strip_suffix('*').unwrap_or(text);
         if text.is_empty() || prefix.contains('*') {
@@ -30,12 +30,12 @@
         Ok(Pattern(text.to_string()))
     }
 
-    /// The pattern's length in bytes. Of two patterns that match, the longer one is more specific.
+    /// The pattern's length in bytes. The longer of two matching patterns is the more specific one.
     pub fn length(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether a name matches.
+    /// Whether the pattern matches a name.
     pub fn matches(&self, name: &str) -> bool {
         match self.0.strip_suffix('*') {
             Some(prefix) => name.starts_with(prefix),
@@ -50,18 +50,18 @@
     }
 }
 
-/// A rule that allows or denies calls.
+/// A rule that allows or denies requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// Whether it allows what it matches; otherwise it denies it.
+    /// Whether the rule allows matching requests; otherwise it denies them.
     pub allows: bool,
-    /// The customers that it concerns.
+    /// The customers that the rule applies to.
     pub customers: Vec<Pattern>,
-    /// The workloads that it concerns; all if empty.
+    /// The workloads that the rule applies to; all if empty.
     pub workloads: Vec<Pattern>,
-    /// The functions that it concerns; all if empty.
+    /// The functions that the rule applies to; all if empty.
     pub functions: Vec<Pattern>,
-    /// Where it is defined, for people.
+    /// Where the rule is defined, as shown to operators.
     pub source: String,
 }
 
@@ -75,17 +75,17 @@
     }
 }
 
-/// All rules, and the default.
+/// All rules, and the default for requests that no rule matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Authorization {
-    /// The rules, in the order of precedence among those that allow and among those that deny.
+    /// The rules. Of several matching rules that deny (or else, that allow), the first one decides.
     pub rules: Vec<Rule>,
-    /// Whether calls are allowed that no rule matches.
+    /// Whether requests that no rule matches are allowed.
     pub allows_by_default: bool,
 }
 
 impl Default for Authorization {
-    /// Without rules everyone may call everything.
+    /// Without rules, every customer may call every function.
     fn default() -> Self {
         Authorization {
             rules: Vec::new(),
@@ -99,16 +99,16 @@
 pub struct DecidingRule {
     /// Its index in [`Authorization::rules`].
     pub index: usize,
-    /// Where it is defined, for people.
+    /// Where the rule is defined, as shown to operators.
     pub source: String,
 }
 
-/// Whether a call is allowed, and why.
+/// Whether a request is allowed, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// Whether it is allowed.
+    /// Whether the request is allowed.
     pub is_allowed: bool,
-    /// The rule that decided; none for the default.
+    /// The rule that decided; none if the default applied.
     pub rule: Option<DecidingRule>,
 }
 
@@ -142,7 +142,7 @@
         let word = if self.is_allowed { "allowed" } else { "denied" };
         match &self.rule {
             Some(rule) => write!(f, "{word} by {}", rule.source),
-            None => write!(f, "{word} by default: no line fits"),
+            None => write!(f, "{word} by default: no rule matches"),
         }
     }
 }
--- a/crates/sanddrum-identity/src/certificates.rs
+++ b/crates/sanddrum-identity/src/certificates.rs
@@ -1,27 +1,27 @@
-//! Which customer a client certificate belongs to, and whether all that a call states of its customer agrees. The
-//! certificate's chain has been verified before (RFC 5280); here only its names count (RFC 9525, section 6.3: the
-//! subject's common name is none of them).
+//! Maps client certificates to customers, and checks that all customers that a request states are the same one. The
+//! certificate's chain has already been verified (RFC 5280); only its names are considered here, and the subject's
+//! common name is not one of them (RFC 9525, section 6.3).
 
 use crate::authorization::Pattern;
 use std::fmt;
 
-/// Why a call has no certain customer.
+/// Why the customer of a request can't be determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CertificateError {
-    /// There is no certificate, where one is required.
+    /// A certificate is required, but the client presented none.
     Missing,
     /// The certificate's names belong to no customer.
     Unknown,
     /// The certificate's names belong to several customers.
     Ambiguous,
-    /// The certificate was valid when the connection was made, and no longer is.
+    /// The certificate was valid when the connection was established, but no longer is.
     Denied,
-    /// The certificate, the token and the call do not name the same customer.
+    /// The certificate, the token and the request do not name the same customer.
     Mismatch,
 }
 
 impl CertificateError {
-    /// The reason in responses, logs and metrics.
+    /// The reason code in responses, logs and metrics.
     pub fn reason(self) -> &'static str {
         match self {
             CertificateError::Missing => "certificate-missing",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// What the caller can do about it, as responses state it.
+    /// An explanation for the client, as sent in responses.
     pub fn detail(self) -> &'static str {
         match self {
             CertificateError::Missing => "show a client certificate",
@@ -59,25 +59,25 @@
 /// The certificate that a client presented on its connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClientCertificate {
-    /// Its names.
+    /// The names in the certificate.
     pub names: Vec<String>,
-    /// The fingerprint of its key, for the audit; empty where no certificate was presented.
+    /// The fingerprint of the certificate's key, for the audit log; empty if no certificate was presented.
     pub key_fingerprint: String,
-    /// Whether it is no longer trusted.
+    /// Whether the certificate is no longer trusted.
     pub is_denied: bool,
 }
 
-/// Patterns of names in certificates, and the customers that they belong to.
+/// Patterns of certificate names, each with the customer that owns matching certificates.
 #[derive(Clone, Debug, Default)]
 pub struct CertificateOwners(Vec<(Pattern, String)>);
 
 impl CertificateOwners {
-    /// The owners from patterns and customers.
+    /// Creates the mapping from pairs of a pattern and a customer.
     pub fn new(owners: impl IntoIterator<Item = (Pattern, String)>) -> Self {
         CertificateOwners(owners.into_iter().collect())
     }
 
-    /// The customer of the longest pattern that matches a name.
+    /// The customer of the longest pattern that matches the name.
     fn customer_of_name(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -86,10 +86,10 @@
             .map(|(_, customer)| customer.as_str())
     }
 
-    /// The customer that a certificate belongs to; none where no certificate was presented.
+    /// The customer that a certificate belongs to; none if no certificate was presented.
     ///
     /// # Errors
-    /// [`CertificateError`]: it is denied, or does not belong to exactly one customer.
+    /// [`CertificateError`]: the certificate is denied, or does not belong to exactly one customer.
     pub fn customer(
         &self,
         certificate: &ClientCertificate,
@@ -115,34 +115,36 @@
     }
 }
 
-/// The customers that a call states, each by another means.
+/// The customers that a request states, by source.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StatedCustomers<'a> {
-    /// The one that the call names without proof.
-    pub named: Option<&'a str>,
-    /// The one that its token proves.
+    /// The customer that the request names without authentication.
+    pub unverified: Option<&'a str>,
+    /// The customer that its token authenticates.
     pub token: Option<&'a str>,
-    /// The one that its certificate proves.
+    /// The customer that its certificate authenticates.
     pub certificate: Option<&'a str>,
 }
 
 impl StatedCustomers<'_> {
-    /// The one customer of the call. What is proved outweighs what is only named, and has to agree with it; a name
-    /// without proof counts if `accepts_unproved`.
+    /// Determines the customer of the request. All stated customers must agree; one that is only named without
+    /// authentication counts if `accepts_unverified`.
     ///
     /// # Errors
-    /// [`CertificateError::Mismatch`]: they do not agree.
-    pub fn resolve(self, accepts_unproved: bool) -> Result<Option<String>, CertificateError> {
+    /// [`CertificateError::Mismatch`]: the stated customers differ.
+    pub fn resolve(self, accepts_unverified: bool) -> Result<Option<String>, CertificateError> {
         if let (Some(token), Some(certificate)) = (self.token, self.certificate) {
             if token != certificate {
                 return Err(CertificateError::Mismatch);
             }
         }
-        let proved = self.token.or(self.certificate);
-        match (proved, self.named) {
-            (Some(proved), Some(named)) if proved != named => Err(CertificateError::Mismatch),
-            (Some(proved), _) => Ok(Some(proved.to_string())),
-            (None, named) => Ok(named.filter(|_| accepts_unproved).map(String::from)),
+        let verified = self.token.or(self.certificate);
+        match (verified, self.unverified) {
+            (Some(verified), Some(unverified)) if verified != unverified => {
+                Err(CertificateError::Mismatch)
+            }
+            (Some(verified), _) => Ok(Some(verified.to_string())),
+            (None, unverified) => Ok(unverified.filter(|_| accepts_unverified).map(String::from)),
         }
     }
 }
--- a/crates/sanddrum-identity/src/keys.rs
+++ b/crates/sanddrum-identity/src/keys.rs
@@ -1,6 +1,6 @@
-//! A set of Ed25519 keys (RFC 8037) with a version, and a state for each key.
+//! A versioned set of Ed25519 keys (RFC 8037), each with a state.
 //!
-//! Versions only increase, and what was revoked stays revoked.
+//! The version only increases, and a revoked key stays revoked.
 
 mod file;
 mod secret;
@@ -11,19 +11,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest key id in bytes.
+/// The maximum length of a key id in bytes.
 const MAX_KEY_ID_BYTES: usize = 64;
 
-/// What a key is used for.
+/// The state of a key in its rotation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyState {
-    /// Edges know it, and it verifies nothing yet.
+    /// Distributed to the edges, but not in use yet: it verifies nothing.
     Coming,
-    /// It signs, and verifies.
+    /// Signs new tokens and verifies tokens.
     Signing,
-    /// It no longer signs, and verifies until this instant.
+    /// Signs no new tokens; verifies existing ones until this time.
     Retiring(Seconds),
-    /// It verifies nothing, for good.
+    /// Verifies nothing, permanently.
     Revoked,
 }
 
@@ -42,46 +42,47 @@
 pub struct PublicKey {
     /// The key's 32 bytes in base64url (RFC 8037, section 2).
     pub x: String,
-    /// Its state.
+    /// Whether the key signs and verifies.
     pub state: KeyState,
 }
 
-/// A version of the key set.
+/// The key set at one version.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct KeySet {
-    /// The version; it increases with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// The keys by their ids.
+    /// The keys by id.
     pub keys: BTreeMap<String, PublicKey>,
 }
 
-/// Why a key set is rejected. The last accepted one stays in force.
+/// Why a key set is rejected. The last valid one stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeySetError {
-    /// The file is no key set: torn, empty, or something else. The reason is text only, so that errors compare equal.
-    #[error("it can't be read: {0}")]
+    /// The file is not a valid key set: truncated, empty or otherwise wrong. The reason is text so that errors can be
+    /// compared.
+    #[error("not a valid key set: {0}")]
     Unreadable(String),
     /// Its version is lower than one that was in force.
-    #[error("version {version} is older than {min_version}, which was in force")]
+    #[error("version {version} is older than version {min_version}, which was already in force")]
     Older {
-        /// Its version.
+        /// The version of the rejected set.
         version: u64,
         /// The lowest acceptable version.
         min_version: u64,
     },
-    /// It differs from the key set in force, and has the same version.
-    #[error("version {0} is in force with another content; raise the version")]
+    /// It differs from the key set in force but has the same version.
+    #[error("version {0} is already in force with different content; increase the version")]
     SameVersion(u64),
-    /// A key is missing that still verifies.
-    #[error("key {0} still verifies and is missing; retire or revoke it first")]
+    /// It lacks a key that still verifies tokens.
+    #[error("key {0} is missing but still verifies tokens; retire or revoke it first")]
     MissingKey(String),
-    /// A revoked key is in another state again.
-    #[error("key {0} was revoked and stays so; make a new key")]
+    /// A key that was revoked is in another state.
+    #[error("key {0} was revoked and cannot be reinstated; create a new key")]
     RevokedKeyReturned(String),
 }
 
 impl KeySetError {
-    /// The reason in logs, metrics and the audit.
+    /// The reason code in logs, metrics and the audit log.
     pub fn reason(&self) -> &'static str {
         match self {
             KeySetError::Unreadable(_) => "keys-unreadable",
@@ -93,36 +94,36 @@
     }
 }
 
-/// Why an operator's change of a key set is rejected.
+/// Why an operator's change to a key set is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyChangeError {
-    /// A key has this id already, or the id is empty or too long.
-    #[error("key {0:?} is there already, or its name is not of 1 to {MAX_KEY_ID_BYTES} bytes")]
+    /// The id is already in use, empty or too long.
+    #[error("key id {0:?} already exists, or is not 1 to {MAX_KEY_ID_BYTES} bytes long")]
     InvalidId(String),
-    /// There is no key that could sign next.
+    /// The set has no key in state [`KeyState::Coming`] to rotate to.
     #[error("no key is coming; add one first, so that every edge knows it before it signs")]
-    NoneComing,
+    NoComingKey,
     /// No key has this id.
-    #[error("no key {0:?} in this set")]
+    #[error("the key set has no key {0:?}")]
     UnknownId(String),
 }
 
-/// What outlives a restart: the lowest acceptable version, and all keys that were revoked. It is recorded before a key set
-/// comes into force, so that a crash in between errs on the safe side.
+/// The part of the key set state that survives a restart: the lowest acceptable version, and all revoked keys. It is
+/// recorded before a key set comes into force, so that a crash in between can only make the checks stricter.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct KeySetFloor {
     /// The highest version that was in force.
     pub version: u64,
-    /// The ids of all keys that were revoked.
+    /// The ids of all revoked keys.
     pub revoked: BTreeSet<String>,
 }
 
 impl KeySet {
-    /// Checks that this set may come into force. `current` is the set in force in this process, `floor` what any earlier
-    /// process recorded.
+    /// Checks whether this set may come into force. `current` is the set in force in this process, and `floor` is what
+    /// this process and earlier ones recorded.
     ///
     /// # Errors
-    /// [`KeySetError`]: why it may not.
+    /// [`KeySetError`]: why the set is rejected.
     pub fn check_successor(
         &self,
         current: Option<&KeySet>,
@@ -160,20 +161,20 @@
             .is_some_and(|key| key.state != KeyState::Revoked)
     }
 
-    /// What a restart must remember when this set comes into force, in addition to what it remembered before.
-    pub fn floor(&self, before: &KeySetFloor) -> KeySetFloor {
+    /// The floor to record before this set comes into force, given the one that is recorded so far.
+    pub fn floor(&self, recorded: &KeySetFloor) -> KeySetFloor {
         let revoked = self
             .keys
             .iter()
             .filter(|(_, key)| key.state == KeyState::Revoked)
             .map(|(id, _)| id.clone());
         KeySetFloor {
-            version: self.version.max(before.version),
-            revoked: before.revoked.iter().cloned().chain(revoked).collect(),
+            version: self.version.max(recorded.version),
+            revoked: recorded.revoked.iter().cloned().chain(revoked).collect(),
         }
     }
 
-    /// The id of the key that signs, if there is one.
+    /// The id of the signing key, if any.
     pub fn signing_key(&self) -> Option<&str> {
         self.key_in_state(KeyState::Signing)
     }
@@ -186,9 +187,10 @@
     }
 }
 
-/// Changes by operators. Each increases the version.
+/// Changes that operators make. Each increases the version.
 impl KeySet {
-    /// Adds a key, by the base64url of its 32 bytes: the first one signs, a further one is coming.
+    /// Adds a key, given as the base64url encoding of its 32 bytes. Its state is [`KeyState::Signing`] if no key signs
+    /// yet, otherwise [`KeyState::Coming`].
     ///
     /// # Errors
     /// [`KeyChangeError::InvalidId`]
@@ -206,14 +208,15 @@
         Ok(())
     }
 
-    /// The coming key signs from now on; the one that signed retires until `until`. Returns the id of the new one.
+    /// Makes the coming key the signing key. The previous signing key still verifies tokens until `until`. Returns the
+    /// id of the new signing key.
     ///
     /// # Errors
-    /// [`KeyChangeError::NoneComing`]
+    /// [`KeyChangeError::NoComingKey`]
     pub fn rotate(&mut self, until: Seconds) -> Result<String, KeyChangeError> {
         let coming = self
             .key_in_state(KeyState::Coming)
-            .ok_or(KeyChangeError::NoneComing)?
+            .ok_or(KeyChangeError::NoComingKey)?
             .to_string();
         for key in self.keys.values_mut() {
             if key.state == KeyState::Signing {
@@ -227,7 +230,7 @@
         Ok(coming)
     }
 
-    /// Revokes a key.
+    /// Revokes a key permanently.
     ///
     /// # Errors
     /// [`KeyChangeError::UnknownId`]
--- a/crates/sanddrum-identity/src/keys/file.rs
+++ b/crates/sanddrum-identity/src/keys/file.rs
@@ -1,4 +1,5 @@
-//! The file of a key set: a JWK set (RFC 7517) of Ed25519 keys (RFC 8037) with a version, and a state for each key.
+//! The file format of a key set: a JWK set (RFC 7517) of Ed25519 keys (RFC 8037), with a version and a state for each
+//! key.
 
 use super::{has_valid_length, KeySet, KeySetError, KeyState, PublicKey, MAX_KEY_ID_BYTES};
 use crate::Seconds;
@@ -7,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most keys in a set, as an edge holds all of them in memory.
+/// The maximum number of keys in a set, all of which an edge holds in memory.
 const MAX_KEYS: usize = 256;
-/// The length of an Ed25519 public key.
+/// The length of an Ed25519 public key (RFC 8032).
 const PUBLIC_KEY_BYTES: usize = 32;
 
 const KEY_TYPE: &str = "OKP";
@@ -36,16 +37,16 @@
 }
 
 impl KeySet {
-    /// Reads a key set from the content of its file.
+    /// Parses a key set from the content of its file.
     ///
     /// # Errors
-    /// [`KeySetError::Unreadable`], with what is wrong.
+    /// [`KeySetError::Unreadable`] with the reason.
     pub fn read(bytes: &[u8]) -> Result<KeySet, KeySetError> {
         let set: JwkSet = serde_json::from_slice(bytes)
             .map_err(|error| KeySetError::Unreadable(error.to_string()))?;
         if set.version == 0 || set.keys.is_empty() || set.keys.len() > MAX_KEYS {
             return Err(KeySetError::Unreadable(format!(
-                "a version from 1 on and 1 to {MAX_KEYS} keys are wanted"
+                "expected a version of at least 1 and 1 to {MAX_KEYS} keys"
             )));
         }
         let mut keys = BTreeMap::new();
@@ -54,7 +55,7 @@
             let key = read_key(jwk)?;
             if keys.insert(key_id.clone(), key).is_some() {
                 return Err(KeySetError::Unreadable(format!(
-                    "key {key_id} stands twice"
+                    "duplicate key id {key_id}"
                 )));
             }
         }
@@ -64,7 +65,7 @@
         })
     }
 
-    /// The content of the key set's file.
+    /// Formats the key set as the content of its file.
     pub fn write(&self) -> Vec<u8> {
         let set = JwkSet {
             version: self.version,
@@ -84,7 +85,7 @@
     let unreadable = |reason: String| Err(KeySetError::Unreadable(reason));
     let key_id = &jwk.kid;
     if !has_valid_length(key_id) {
-        return unreadable(format!("a kid of 1 to {MAX_KEY_ID_BYTES} bytes is wanted"));
+        return unreadable(format!("expected a kid of 1 to {MAX_KEY_ID_BYTES} bytes"));
     }
     let has_algorithm = jwk.alg.is_empty() || jwk.alg == ALGORITHM;
     if jwk.kty != KEY_TYPE || jwk.crv != CURVE || !has_algorithm {
@@ -101,7 +102,7 @@
         ("revoked", _) => KeyState::Revoked,
         (other, _) => {
             return unreadable(format!(
-                "key {key_id}: state {other:?} (retiring wants an until)"
+                "key {key_id}: invalid state {other:?} (\"retiring\" requires \"until\")"
             ))
         }
     };
--- a/crates/sanddrum-identity/src/keys/secret.rs
+++ b/crates/sanddrum-identity/src/keys/secret.rs
@@ -1,4 +1,4 @@
-//! Secret keys and their files.
+//! Secret keys and their file format.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -6,21 +6,21 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The length of an Ed25519 secret key.
+/// The length of an Ed25519 secret key (RFC 8032).
 const SECRET_KEY_BYTES: usize = 32;
 
-/// What precedes the bytes of an Ed25519 secret key in PKCS #8 (RFC 8410, section 7).
+/// The DER bytes before the 32 bytes of an Ed25519 secret key in PKCS #8 (RFC 8410, section 7).
 const PKCS8_PREFIX: [u8; 16] = [
     0x30, 0x2e, 2, 1, 0, 0x30, 5, 6, 3, 0x2b, 0x65, 0x70, 4, 0x22, 4, 0x20,
 ];
 
-/// Why a secret key can't be used. Causes are left out on purpose, as they might quote the key.
+/// Why a secret key can't be used. Underlying errors are omitted because they might quote the key.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum SecretKeyError {
-    /// The file is no file of a secret key.
+    /// The content is not a secret key file.
     #[error("not a secret key file")]
     Unreadable,
-    /// The key has another length.
+    /// The key is not 32 bytes in base64url.
     #[error("not a secret key of 32 bytes")]
     WrongLength,
     /// The cryptographic library rejects the key.
@@ -28,13 +28,13 @@
     Rejected(#[from] ring::error::KeyRejected),
 }
 
-/// A secret key. `Debug` shows its id only, so that the key itself never reaches a log.
+/// A secret key. `Debug` prints only its id, so that the key itself never reaches a log.
 #[derive(Serialize, Deserialize)]
 pub struct SecretKey {
     /// The key's id.
     #[serde(rename = "kid")]
     pub key_id: String,
-    /// The 32 bytes in base64url (RFC 8037, section 2).
+    /// The key's 32 bytes in base64url (RFC 8037, section 2).
     #[serde(rename = "d")]
     encoded_seed: String,
 }
@@ -46,7 +46,7 @@
 }
 
 impl SecretKey {
-    /// The secret key of 32 random bytes.
+    /// Creates a secret key from 32 random bytes.
     pub fn from_seed(key_id: &str, seed: [u8; SECRET_KEY_BYTES]) -> SecretKey {
         SecretKey {
             key_id: key_id.to_string(),
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Reads a secret key from the content of its file.
+    /// Parses a secret key from the content of its file.
     ///
     /// # Errors
-    /// [`SecretKeyError`]: it is no file of a secret key, or the key has another length.
+    /// [`SecretKeyError`]: the content is not a secret key file, or the key is not 32 bytes long.
     pub fn read(bytes: &[u8]) -> Result<SecretKey, SecretKeyError> {
         let key: SecretKey =
             serde_json::from_slice(bytes).map_err(|_| SecretKeyError::Unreadable)?;
@@ -65,7 +65,7 @@
         Ok(key)
     }
 
-    /// The content of the secret key's file.
+    /// Formats the secret key as the content of its file.
     pub fn write(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -78,7 +78,7 @@
             .ok_or(SecretKeyError::WrongLength)
     }
 
-    /// The public key in base64url, as [`PublicKey::x`](super::PublicKey::x) has it.
+    /// The public key in base64url, as in [`PublicKey::x`](super::PublicKey::x).
     ///
     /// # Errors
     /// [`SecretKeyError`]: the key can't be used.
--- a/crates/sanddrum-identity/src/lib.rs
+++ b/crates/sanddrum-identity/src/lib.rs
@@ -1,11 +1,11 @@
-//! Authentication and authorization of callers. Everything here is a function of bytes, settings and the given time: no
-//! file, clock or socket is accessed.
+//! Authentication and authorization of clients. Every result depends only on the given bytes, settings and time: the
+//! crate accesses no file, clock or socket.
 //!
-//! - [`keys`]: the set of verification keys, which of its versions may replace which, and what a restart must remember.
+//! - [`keys`]: the set of verification keys, which version may replace another, and what has to survive a restart.
 //! - [`token`]: verifies a token with the key set.
-//! - [`authenticator`]: bounds the work of verifying tokens, and caches verified ones.
-//! - [`certificates`]: which customer a client certificate belongs to, and whether it agrees with the rest of a call.
-//! - [`authorization`]: which customer may call what, and which rule says so.
+//! - [`authenticator`]: limits the work spent on verifying tokens, and caches verified tokens.
+//! - [`certificates`]: maps a client certificate to a customer, and checks that it agrees with the rest of a request.
+//! - [`authorization`]: decides which customer may call which function, and reports the rule that decided.
 
 pub mod authenticator;
 pub mod authorization;
@@ -20,5 +20,5 @@
 pub use keys::{KeySet, KeySetFloor, KeyState, SecretKey};
 pub use token::{Claims, TokenError};
 
-/// Whole seconds since 1970, as tokens and key sets state them (RFC 7519, section 2, NumericDate).
+/// Whole seconds since the Unix epoch, as in tokens and key sets (RFC 7519, section 2, NumericDate).
 pub type Seconds = i64;
--- a/crates/sanddrum-identity/src/token.rs
+++ b/crates/sanddrum-identity/src/token.rs
@@ -13,42 +13,42 @@
 use jsonwebtoken::{Algorithm, DecodingKey, EncodingKey, Header, Validation};
 use serde::{Deserialize, Serialize};
 
-/// The claims of a token (RFC 7519, section 4.1), by their registered names.
+/// The claims of a token, under their registered names (RFC 7519, section 4.1).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// The subject: the customer.
     pub sub: String,
     /// The audience that the token is for.
     pub aud: String,
-    /// When it expires.
+    /// When the token expires.
     pub exp: Seconds,
-    /// Since when it is valid.
+    /// The time before which the token is not valid.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nbf: Option<Seconds>,
-    /// When it was issued.
+    /// When the token was issued.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub iat: Option<Seconds>,
-    /// Its id, for the audit.
+    /// The token's id, for audits.
     pub jti: String,
 }
 
 /// Which tokens are accepted.
 #[derive(Clone, Debug)]
 pub struct TokenRequirements {
-    /// The audience that a token has to name.
+    /// The audience that a token must name.
     pub audience: String,
-    /// The largest accepted difference of clocks.
+    /// The largest tolerated difference between the clocks of issuer and edge.
     pub leeway: Seconds,
-    /// The longest time from now until a token expires: a leaked one is of use no longer than that.
+    /// The longest accepted time until a token expires, which limits how long a leaked token can be used.
     pub max_lifetime: Seconds,
-    /// The longest token in bytes.
+    /// The maximum length of a token in bytes.
     pub max_bytes: usize,
 }
 
-/// Checks what can be checked without verifying the signature, and returns the id of the token's key.
+/// Checks the length, the header and the key of a token before its signature is verified. Returns the id of the key.
 ///
 /// # Errors
-/// [`TokenError`]: why the token can't be valid.
+/// [`TokenError`]: why the token is rejected.
 pub fn precheck(
     token: &str,
     keys: &KeySet,
@@ -58,7 +58,7 @@
     if token.len() > requirements.max_bytes {
         return Err(TokenError::TooLong);
     }
-    // A header with an algorithm that the library does not know, or with none, is rejected as JSON.
+    // The library reports a missing or unknown algorithm in the header as a JSON error.
     let header = jsonwebtoken::decode_header(token).map_err(|error| match error.kind() {
         ErrorKind::Json(_) => TokenError::Algorithm,
         _ => TokenError::Malformed,
@@ -71,10 +71,10 @@
     Ok(key_id)
 }
 
-/// Checks that a key verifies tokens now.
+/// Checks that a key may verify tokens at this time.
 ///
 /// # Errors
-/// [`TokenError`]: why it does not.
+/// [`TokenError`]: why it may not.
 pub fn check_key(key_id: &str, keys: &KeySet, now: Seconds) -> Result<(), TokenError> {
     match keys.keys.get(key_id).map(|key| key.state) {
         None => Err(TokenError::UnknownKey),
@@ -111,7 +111,7 @@
     Ok(claims)
 }
 
-/// Has the library verify the signature only: the claims are checked here, by the given time.
+/// Makes the library verify the signature only; [`check_claims`] checks the claims against the given time.
 fn signature_only() -> Validation {
     let mut validation = Validation::new(Algorithm::EdDSA);
     validation.validate_exp = false;
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-/// Checks that a token is valid now, by its times.
+/// Checks that a token has not expired and is already valid.
 ///
 /// # Errors
 /// [`TokenError::Expired`] or [`TokenError::NotYetValid`]
--- a/crates/sanddrum-identity/src/token/error.rs
+++ b/crates/sanddrum-identity/src/token/error.rs
@@ -2,14 +2,15 @@
 
 use std::fmt;
 
-/// Why a token is rejected. The reason is sent to the caller and goes to logs and metrics; the token itself does not.
+/// Why a token is rejected. The reason is sent to the client and appears in logs and metrics; the token itself does
+/// not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TokenError {
-    /// There is no token, where one is required.
+    /// A token is required, but the request has none.
     Missing,
-    /// It is longer than accepted.
+    /// It is longer than the limit.
     TooLong,
-    /// It is no JWS in compact form.
+    /// It is not a JWS in compact form.
     Malformed,
     /// Its algorithm is not EdDSA.
     Algorithm,
@@ -17,13 +18,13 @@
     NoKey,
     /// It names a key that is not in the key set.
     UnknownKey,
-    /// Its key does not sign yet.
+    /// Its key is not in use yet.
     KeyNotYetValid,
     /// Its key has retired.
     KeyRetired,
     /// Its key is revoked.
     KeyRevoked,
-    /// Its signature is not its key's.
+    /// Its signature does not match its key.
     Signature,
     /// It is for another audience.
     Audience,
@@ -31,16 +32,16 @@
     Expired,
     /// It is not valid yet.
     NotYetValid,
-    /// It expires later than accepted.
+    /// It expires later than the longest accepted lifetime allows.
     LifetimeTooLong,
-    /// It has no subject, no id or no expiry.
+    /// It lacks a subject, an id, an expiry or an audience.
     Claims,
-    /// The budget of verifications is used up; a retry is harmless.
+    /// The budget for signature verifications is used up; the client may retry.
     Busy,
 }
 
 impl TokenError {
-    /// The reason in responses, logs and metrics.
+    /// The reason code in responses, logs and metrics.
     pub fn reason(self) -> &'static str {
         match self {
             TokenError::Missing => "token-missing",
@@ -62,7 +63,7 @@
         }
     }
 
-    /// What the caller can do about it, as responses state it.
+    /// An explanation for the client, as sent in responses.
     pub fn detail(self) -> &'static str {
         match self {
             TokenError::Missing => "send a token as Authorization: Bearer ...",
--- a/crates/sanddrum-identity/src/token/unverified.rs
+++ b/crates/sanddrum-identity/src/token/unverified.rs
@@ -1,35 +1,36 @@
-//! What a token states, unverified: for logs, never for decisions.
+//! Reads fields of a token without verifying it. The results are for logs only and must not influence any decision.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use serde_json::Value as Json;
 
-/// The longest part of a token in bytes that is decoded for a log.
+/// Parts of a token that have this many bytes or more are not decoded for logs.
 const MAX_PART_BYTES: usize = 4096;
-/// The longest text of a caller in characters that is logged.
+/// The maximum number of characters of a client's text in a log.
 const MAX_LOGGED_CHARACTERS: usize = 64;
 
-/// The subject that a token states.
+/// The subject that a token claims, unverified.
 pub fn unverified_subject(token: &str) -> Option<String> {
-    text_in_part(token.split('.').nth(1)?, "sub")
+    string_field(token.split('.').nth(1)?, "sub")
 }
 
-/// The id of the key that a token names.
+/// The id of the key that a token names, unverified.
 pub fn unverified_key_id(token: &str) -> Option<String> {
-    text_in_part(token.split('.').next()?, "kid")
+    string_field(token.split('.').next()?, "kid")
 }
 
-/// A text in one of a token's parts, which is a JSON object in base64url (RFC 7515, section 7.1).
-fn text_in_part(part: &str, key: &str) -> Option<String> {
+/// A string field in a part of a token, which is a JSON object in base64url (RFC 7515, section 7.1).
+fn string_field(part: &str, name: &str) -> Option<String> {
     if part.len() >= MAX_PART_BYTES {
         return None;
     }
     let bytes = URL_SAFE_NO_PAD.decode(part).ok()?;
     let json: Json = serde_json::from_slice(&bytes).ok()?;
-    json.get(key)?.as_str().map(sanitize)
+    json.get(name)?.as_str().map(sanitize)
 }
 
-/// A caller's text for a log: shortened, and without characters that could forge a line.
+/// Makes a client's text safe for a log: truncates it, and replaces all but visible ASCII characters, since others
+/// could forge a log line.
 pub fn sanitize(text: &str) -> String {
     text.chars()
         .take(MAX_LOGGED_CHARACTERS)
--- a/crates/sanddrum-identity/src/token_cache.rs
+++ b/crates/sanddrum-identity/src/token_cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of verified tokens that evicts the least recently used one.
+//! A bounded LRU cache of verified tokens.
 
 use crate::token::Claims;
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 pub(crate) struct TokenCache {
     capacity: usize,
     tokens: BTreeMap<String, CachedToken>,
-    /// Tokens by the number of their last use.
+    /// Tokens by the sequence number of their last use.
     by_last_use: BTreeMap<u64, String>,
-    /// The number of uses so far.
+    /// The sequence number of the latest use.
     uses: u64,
 }
 
@@ -38,7 +38,7 @@
         self.tokens.get(token)
     }
 
-    /// Makes a cached token the most recently used one.
+    /// Marks a cached token as the most recently used one.
     pub fn mark_used(&mut self, token: &str) {
         let Some(cached) = self.tokens.get_mut(token) else {
             return;
--- a/crates/sanddrum-identity/tests/authorization.rs
+++ b/crates/sanddrum-identity/tests/authorization.rs
@@ -1,4 +1,4 @@
-//! Rules that allow or deny calls.
+//! Authorization rules.
 
 use rstest::rstest;
 use sanddrum_identity::authorization::{Pattern, Rule};
@@ -19,7 +19,7 @@
 }
 
 #[rstest]
-fn a_denying_rule_outweighs_allowing_ones() {
+fn a_denying_rule_takes_precedence_over_allowing_ones() {
     let authorization = Authorization {
         rules: vec![
             rule(true, "*", vec![], 1),
@@ -47,7 +47,7 @@
     };
     assert_eq!(
         without_rules.decide("x", "w", "f").to_string(),
-        "denied by default: no line fits"
+        "denied by default: no rule matches"
     );
     assert!(Pattern::new("a*b").is_err() && Pattern::new("").is_err());
 }
--- a/crates/sanddrum-identity/tests/certificates.rs
+++ b/crates/sanddrum-identity/tests/certificates.rs
@@ -1,4 +1,4 @@
-//! Client certificates and the customers that they belong to.
+//! Mapping of client certificates to customers.
 
 use rstest::rstest;
 use sanddrum_identity::authorization::Pattern;
@@ -24,12 +24,12 @@
 }
 
 #[rstest]
-#[case::the_longest_pattern_counts(&["gw-brest-3"], Ok(Some("obs-brest")))]
+#[case::the_longest_matching_pattern_decides(&["gw-brest-3"], Ok(Some("obs-brest")))]
 #[case::two_names_of_one_customer(&["gw-brest-3", "obs.example"], Ok(Some("obs-brest")))]
-#[case::two_customers(&["gw-1", "obs.example"], Err(CertificateError::Ambiguous))]
-#[case::no_customer(&["laptop"], Err(CertificateError::Unknown))]
+#[case::names_of_two_customers(&["gw-1", "obs.example"], Err(CertificateError::Ambiguous))]
+#[case::unknown_name(&["laptop"], Err(CertificateError::Unknown))]
 #[case::no_name(&[], Err(CertificateError::Unknown))]
-fn a_certificate_belongs_to_one_customer(
+fn a_certificate_must_belong_to_exactly_one_customer(
     #[case] names: &[&str],
     #[case] expected: Result<Option<&str>, CertificateError>,
 ) {
@@ -40,7 +40,7 @@
 }
 
 #[rstest]
-fn no_certificate_has_no_customer_and_a_denied_one_is_rejected() {
+fn a_missing_certificate_has_no_customer_and_a_denied_one_is_rejected() {
     assert_eq!(owners().customer(&ClientCertificate::default()), Ok(None));
     let denied = ClientCertificate {
         is_denied: true,
@@ -52,17 +52,22 @@
 #[rstest]
 #[case::token_and_certificate_agree(None, Some("a"), Some("a"), Ok(Some("a")))]
 #[case::token_and_certificate_differ(None, Some("a"), Some("b"), Err(CertificateError::Mismatch))]
-#[case::the_call_names_another(Some("b"), None, Some("a"), Err(CertificateError::Mismatch))]
-#[case::the_call_names_the_same(Some("a"), Some("a"), None, Ok(Some("a")))]
-#[case::only_named(Some("a"), None, None, Ok(None))]
-fn all_customers_that_a_call_states_have_to_agree(
-    #[case] named: Option<&str>,
+#[case::the_request_names_another_customer(
+    Some("b"),
+    None,
+    Some("a"),
+    Err(CertificateError::Mismatch)
+)]
+#[case::the_request_names_the_same_customer(Some("a"), Some("a"), None, Ok(Some("a")))]
+#[case::an_unverified_name_alone_is_ignored(Some("a"), None, None, Ok(None))]
+fn all_customers_that_a_request_states_must_agree(
+    #[case] unverified: Option<&str>,
     #[case] token: Option<&str>,
     #[case] certificate: Option<&str>,
     #[case] expected: Result<Option<&str>, CertificateError>,
 ) {
     let stated = StatedCustomers {
-        named,
+        unverified,
         token,
         certificate,
     };
--- a/crates/sanddrum-identity/tests/common/mod.rs
+++ b/crates/sanddrum-identity/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Keys, tokens and authenticators for the tests of this package.
+//! Keys, claims and authenticators for the tests of this package.
 
-#![allow(dead_code)] // Each test file uses some of these.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 use sanddrum_identity::authenticator::ConnectionTrust;
 use sanddrum_identity::token::TokenRequirements;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Authenticates a token on the connection of a known caller. Returns whether the token was cached.
+/// Authenticates a token on the connection of a known client. Returns whether the token was cached.
 pub fn authenticate(
     authenticator: &mut Authenticator,
     token: &str,
--- a/crates/sanddrum-identity/tests/key_sets.rs
+++ b/crates/sanddrum-identity/tests/key_sets.rs
@@ -1,4 +1,4 @@
-//! Key sets: which version may replace which, what survives a restart, and their files.
+//! Key sets: which version may replace another, what survives a restart, and the file format.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use sanddrum_identity::{KeySet, KeySetFloor};
 
 #[rstest]
-fn only_a_newer_version_with_all_verifying_keys_comes_into_force() {
+fn a_key_set_is_replaced_only_by_a_newer_version_with_all_verifying_keys() {
     let first = key_set();
     let floor = first.floor(&KeySetFloor::default());
     let mut next = first.clone();
@@ -40,19 +40,19 @@
     assert_eq!(
         without_retiring_key.check_successor(Some(&next), &floor, NOW + 100),
         Ok(()),
-        "it has retired"
+        "k1 has retired by then"
     );
 }
 
 #[rstest]
-fn a_restart_never_brings_a_revoked_key_back() {
+fn a_revoked_key_stays_revoked_after_a_restart() {
     let mut keys = key_set();
     let before = keys.clone();
     keys.revoke("k1").unwrap();
     let floor = keys.floor(&KeySetFloor::default());
     assert!(
         before.check_successor(None, &floor, NOW).is_err(),
-        "the old file, found after a restart"
+        "the file from before the revocation, read after a restart"
     );
     let mut with_raised_version = before;
     with_raised_version.version = 99;
--- a/crates/sanddrum-identity/tests/tokens.rs
+++ b/crates/sanddrum-identity/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens: valid, invalid, forged, cached, and presented in floods.
+//! Verification and caching of tokens, forged tokens, and floods of invalid ones.
 
 mod common;
 
@@ -18,12 +18,12 @@
 #[case::valid(claims("a"), Ok(false))]
 #[case::expired(Claims { exp: NOW - 61, ..claims("a") }, Err(TokenError::Expired))]
 #[case::expired_within_the_leeway(Claims { exp: NOW - 59, ..claims("a") }, Ok(false))]
-#[case::clocks_two_minutes_apart(Claims { nbf: Some(NOW + 120), ..claims("a") }, Err(TokenError::NotYetValid))]
+#[case::not_valid_for_two_more_minutes(Claims { nbf: Some(NOW + 120), ..claims("a") }, Err(TokenError::NotYetValid))]
 #[case::other_audience(Claims { aud: "quimper".into(), ..claims("a") }, Err(TokenError::Audience))]
 #[case::no_subject(Claims { sub: String::new(), ..claims("a") }, Err(TokenError::Claims))]
 #[case::no_id(claims(""), Err(TokenError::Claims))]
-#[case::no_end(Claims { exp: Seconds::MAX, ..claims("a") }, Err(TokenError::LifetimeTooLong))]
-fn claims_are_checked_by_the_given_time(
+#[case::expiry_too_far_away(Claims { exp: Seconds::MAX, ..claims("a") }, Err(TokenError::LifetimeTooLong))]
+fn claims_are_checked_against_the_given_time(
     #[case] claims: Claims,
     #[case] expected: Result<bool, TokenError>,
 ) {
@@ -51,7 +51,7 @@
 }
 
 #[rstest]
-fn the_cache_does_not_outlive_a_revocation() {
+fn a_cached_token_is_rejected_once_its_key_is_revoked() {
     let (mut keys, mut authenticator) = (key_set(), authenticator());
     let token = token::issue(&claims("a"), &secret_key("k1")).unwrap();
     assert_eq!(
@@ -72,23 +72,28 @@
     }
 }
 
-/// A token with these parts, as an attacker would forge it.
-fn forge(header: &str, body: &str, signature: &str) -> String {
+/// Forges a token from these parts.
+fn forge(header: &str, payload: &str, signature: &str) -> String {
     let encode = |part: &str| URL_SAFE_NO_PAD.encode(part);
-    format!("{}.{}.{}", encode(header), encode(body), encode(signature))
+    format!(
+        "{}.{}.{}",
+        encode(header),
+        encode(payload),
+        encode(signature)
+    )
 }
 
 const HEADER_OF_K1: &str = r#"{"alg":"EdDSA","kid":"k1"}"#;
 
 #[rstest]
 #[case::alg_none(r#"{"alg":"none","kid":"k1"}"#, TokenError::Algorithm)]
-#[case::alg_of_another_kind(r#"{"alg":"HS256","kid":"k1"}"#, TokenError::Algorithm)]
+#[case::alg_hs256(r#"{"alg":"HS256","kid":"k1"}"#, TokenError::Algorithm)]
 #[case::no_kid(r#"{"alg":"EdDSA"}"#, TokenError::NoKey)]
 #[case::unknown_kid(r#"{"alg":"EdDSA","kid":"nope"}"#, TokenError::UnknownKey)]
-#[case::foreign_signature(HEADER_OF_K1, TokenError::Signature)]
+#[case::invalid_signature(HEADER_OF_K1, TokenError::Signature)]
 fn a_forged_token_is_rejected_with_its_reason(#[case] header: &str, #[case] expected: TokenError) {
-    let body = r#"{"sub":"obs-brest","aud":"armor","exp":1000600,"jti":"a"}"#;
-    let token = forge(header, body, &"s".repeat(64));
+    let payload = r#"{"sub":"obs-brest","aud":"armor","exp":1000600,"jti":"a"}"#;
+    let token = forge(header, payload, &"s".repeat(64));
     assert_eq!(
         authenticate(&mut authenticator(), &token, &key_set(), NOW),
         Err(expected)
@@ -96,7 +101,7 @@
 }
 
 #[rstest]
-fn a_token_of_a_megabyte_is_rejected_unread() {
+fn a_token_above_the_length_limit_is_rejected() {
     assert_eq!(
         authenticate(&mut authenticator(), &"a".repeat(1 << 20), &key_set(), NOW),
         Err(TokenError::TooLong)
@@ -104,7 +109,7 @@
 }
 
 #[rstest]
-fn a_flood_of_unknown_callers_uses_up_only_its_own_budget() {
+fn a_flood_from_unknown_clients_exhausts_only_their_own_budget() {
     let (keys, mut authenticator) = (key_set(), authenticator());
     let invalid_token = |number: u32| {
         forge(
@@ -115,9 +120,9 @@
     };
     let errors: Vec<TokenError> = (0..20)
         .map(|number| {
-            let mut stranger = ConnectionTrust::default();
+            let mut unknown_client = ConnectionTrust::default();
             authenticator
-                .authenticate(NOW_US, &invalid_token(number), &keys, &mut stranger)
+                .authenticate(NOW_US, &invalid_token(number), &keys, &mut unknown_client)
                 .unwrap_err()
         })
         .collect();
@@ -131,16 +136,16 @@
     assert_eq!(
         authenticate(&mut authenticator, &valid_token, &keys, NOW),
         Ok(false),
-        "a known caller has a budget of its own"
+        "known clients have a separate budget"
     );
-    let mut stranger = ConnectionTrust::default();
+    let mut unknown_client = ConnectionTrust::default();
     for _ in 0..3 {
-        let result = authenticator.authenticate(NOW_US, "x.y.z", &keys, &mut stranger);
+        let result = authenticator.authenticate(NOW_US, "x.y.z", &keys, &mut unknown_client);
         assert!(result.is_err());
     }
     assert!(
-        authenticator.must_close(stranger),
-        "invalid tokens count while the budget is used up, too"
+        authenticator.must_close(unknown_client),
+        "malformed tokens are counted even while the budget is exhausted"
     );
 }
 
@@ -175,8 +180,9 @@
     assert_eq!(authenticator.cached_tokens(), 3);
 }
 
-/// Whether two tokens have equal bytes: the last character of a part may hold bits that stand for nothing.
-fn decode_equally(one: &str, other: &str) -> bool {
+/// Whether the parts of two tokens decode to the same bytes. Tokens that differ only in the unused bits of a part's
+/// last base64url character do.
+fn decode_to_same_bytes(one: &str, other: &str) -> bool {
     let config = GeneralPurposeConfig::new()
         .with_decode_allow_trailing_bits(true)
         .with_decode_padding_mode(DecodePaddingMode::RequireNone);
@@ -188,7 +194,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_input_never_panics(
+    fn arbitrary_input_does_not_panic(
         text in "[ -~]{0,300}",
         bytes in proptest::collection::vec(any::<u8>(), 0..300),
     ) {
@@ -205,6 +211,6 @@
         let mut changed = token.clone();
         changed.replace_range(position..=position, &replacement);
         let is_rejected = authenticate(&mut authenticator(), &changed, &key_set(), NOW).is_err();
-        prop_assert!(changed == token || decode_equally(&changed, &token) || is_rejected);
+        prop_assert!(changed == token || decode_to_same_bytes(&changed, &token) || is_rejected);
     }
 }
