--- a/crates/sanddrum-emulator/src/discovery_service.rs
+++ b/crates/sanddrum-emulator/src/discovery_service.rs
@@ -1,4 +1,5 @@
-//! An emulated discovery service: it lists the workers, knows only which processes run, and publishes changes late.
+//! An emulated discovery service. It lists the workers, knows only which processes run, and publishes changes with a
+//! delay.
 
 use crate::faults::{DiscoveryFaults, Shared};
 use crate::peers::Peers;
@@ -9,26 +10,27 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How a discovery service is set up.
+/// The configuration of a discovery service.
 #[derive(Clone, Debug)]
 pub struct DiscoverySpec {
-    /// The least time until a start, a drain or a broken connection is published.
+    /// The minimum delay until a start, a drain or a lost connection is published.
     pub min_publish_delay: Micros,
-    /// The longest such time; each is drawn between the two.
+    /// The maximum delay. Each delay is chosen at random between the two.
     pub max_publish_delay: Micros,
-    /// A process that sends no heartbeat for so long counts as gone.
+    /// A worker that sends no heartbeat for this long is considered gone.
     pub heartbeat_timeout: Micros,
-    /// Changes that are kept for watchers that come back; older ones get a full snapshot.
+    /// The number of past changes that are retained for watchers that reconnect. A watcher that misses older changes
+    /// gets a full snapshot.
     pub change_history: usize,
-    /// Time that rendering a full snapshot takes on its one core.
+    /// Time that encoding a full snapshot takes on the service's only core.
     pub snapshot_cost: Micros,
-    /// Time that rendering an answer with changes takes.
+    /// Time that encoding a delta takes.
     pub delta_cost: Micros,
-    /// Calls that wait for an answer; a caller beyond that is disconnected.
-    pub max_pending_calls: usize,
+    /// Watch requests that may wait for an answer. A router that sends a further one is disconnected.
+    pub max_pending_watches: usize,
 }
 
-/// What is known of a worker.
+/// A worker as the service knows it.
 struct Member {
     endpoint: EndpointRecord,
     started_at: Micros,
@@ -56,19 +58,19 @@
     }
 }
 
-/// A change as it was published.
+/// A published change.
 struct Change {
     version: u64,
     endpoint: EndpointRecord,
     started_at: Micros,
 }
 
-/// A router's call that waits for its answer.
-struct Call {
+/// A router's watch request that waits for its answer.
+struct PendingWatch {
     connection: ConnectionId,
-    /// The incarnation of the service that the caller last heard of.
+    /// The incarnation of the service from which the router has its version.
     service_incarnation: u64,
-    /// The version that the caller has; zero for none.
+    /// The version that the router has; zero for none.
     version: u64,
 }
 
@@ -81,20 +83,20 @@
     version: u64,
     peers: Peers,
     watchers: BTreeSet<ConnectionId>,
-    /// What the watchers were told.
+    /// The workers as published to the watchers.
     published: BTreeMap<String, Member>,
-    /// What the service itself knows.
+    /// The workers as the service knows them, including changes that are not published yet.
     members: BTreeMap<String, Member>,
     changes: VecDeque<Change>,
-    /// When the state of a worker is to be published, with its name.
+    /// When to publish the state of which worker.
     publish_queue: BTreeSet<(Micros, String)>,
-    calls: VecDeque<Call>,
+    pending_watches: VecDeque<PendingWatch>,
     busy_until: Micros,
 }
 
 impl DiscoveryService {
-    /// A service that knows no worker. `incarnation` differs from one run of the service to the next, unless it kept
-    /// its list.
+    /// Creates a service without workers. `incarnation` differs between processes of the service, unless a process has
+    /// retained the list of the previous one.
     pub fn new(
         spec: DiscoverySpec,
         seed: u64,
@@ -113,12 +115,12 @@
             members: BTreeMap::new(),
             changes: VecDeque::new(),
             publish_queue: BTreeSet::new(),
-            calls: VecDeque::new(),
+            pending_watches: VecDeque::new(),
             busy_until: 0,
         }
     }
 
-    /// Adds workers that it knows from the start, as a service that kept its list does.
+    /// Adds workers that the service knows from the start, like a service that has retained its list.
     pub fn with_endpoints(mut self, now: Micros, endpoints: &[EndpointRecord]) -> Self {
         for endpoint in endpoints {
             let member = || Member::new(endpoint.clone(), now, None);
@@ -145,57 +147,59 @@
         }
     }
 
-    /// The answer to a call: what has changed since the caller's version, or a full snapshot where that is not known.
-    fn update_since(&self, now: Micros, call: &Call) -> EndpointUpdate {
+    /// The answer to a watch request: the changes since the router's version, or a full snapshot if they are not
+    /// retained.
+    fn update_since(&self, now: Micros, watch: &PendingWatch) -> EndpointUpdate {
         let oldest = self
             .changes
             .front()
             .map_or(self.version, |change| change.version - 1);
-        let is_known = call.service_incarnation == self.incarnation
-            && call.version >= oldest
-            && call.version <= self.version
-            && call.version != 0;
-        if !is_known {
+        let is_retained = watch.service_incarnation == self.incarnation
+            && watch.version >= oldest
+            && watch.version <= self.version
+            && watch.version != 0;
+        if !is_retained {
             return self.full_snapshot(now);
         }
         let endpoints = self
             .changes
             .iter()
-            .filter(|change| change.version > call.version)
+            .filter(|change| change.version > watch.version)
             .map(|change| with_age(&change.endpoint, change.started_at, now))
             .collect();
         EndpointUpdate {
             version: self.version,
             service_incarnation: self.incarnation,
             is_full_snapshot: false,
-            base_version: call.version,
+            base_version: watch.version,
             endpoints,
         }
     }
 
-    /// Answers the waiting calls, one after the other, as far as its core gets by now.
-    fn answer_calls(&mut self, now: Micros) {
+    /// Answers pending watch requests one after another, as many as the core has finished by now.
+    fn answer_watches(&mut self, now: Micros) {
         while self.busy_until <= now {
-            let Some(call) = self.calls.pop_front() else {
+            let Some(watch) = self.pending_watches.pop_front() else {
                 return;
             };
-            let update = self.update_since(now, &call);
+            let update = self.update_since(now, &watch);
             let cost = if update.is_full_snapshot {
                 self.spec.snapshot_cost
             } else {
                 self.spec.delta_cost
             };
             self.busy_until = now + cost;
-            self.watchers.insert(call.connection);
+            self.watchers.insert(watch.connection);
             let message = FromDiscovery::Endpoints(update);
-            self.peers.send(call.connection, &encode_frame(&message));
+            self.peers.send(watch.connection, &encode_frame(&message));
         }
     }
 
     fn forget(&mut self, connection: ConnectionId) {
         self.peers.remove(connection);
         self.watchers.remove(&connection);
-        self.calls.retain(|call| call.connection != connection);
+        self.pending_watches
+            .retain(|watch| watch.connection != connection);
     }
 
     fn disconnect(&mut self, connection: ConnectionId, io: &mut dyn Io) {
@@ -203,7 +207,7 @@
         io.reset(connection);
     }
 
-    /// A worker's state has changed: it is published in a while.
+    /// Schedules the publication of a worker's changed state.
     fn schedule_publish(&mut self, now: Micros, name: &str) {
         let min = self.spec.min_publish_delay;
         let spread = (self.spec.max_publish_delay - min) as f64;
@@ -259,14 +263,14 @@
         io: &mut dyn Io,
     ) {
         match message {
-            ToDiscovery::Hello(_) => self.greet(connection),
-            ToDiscovery::Watch(watch) => self.watch(connection, &watch, io),
+            ToDiscovery::Hello(_) => self.send_hello(connection),
+            ToDiscovery::Watch(watch) => self.queue_watch(connection, &watch, io),
             ToDiscovery::Register(endpoint) => self.register(now, connection, endpoint),
-            ToDiscovery::Heartbeat(heartbeat) => self.heartbeat(now, connection, &heartbeat),
+            ToDiscovery::Heartbeat(heartbeat) => self.record_heartbeat(now, connection, &heartbeat),
         }
     }
 
-    fn greet(&mut self, connection: ConnectionId) {
+    fn send_hello(&mut self, connection: ConnectionId) {
         let hello = Hello {
             version: VERSION,
             name: "list".into(),
@@ -277,11 +281,11 @@
             .send(connection, &encode_frame(&FromDiscovery::Hello(hello)));
     }
 
-    fn watch(&mut self, connection: ConnectionId, watch: &Watch, io: &mut dyn Io) {
-        if self.calls.len() >= self.spec.max_pending_calls {
+    fn queue_watch(&mut self, connection: ConnectionId, watch: &Watch, io: &mut dyn Io) {
+        if self.pending_watches.len() >= self.spec.max_pending_watches {
             return self.disconnect(connection, io);
         }
-        self.calls.push_back(Call {
+        self.pending_watches.push_back(PendingWatch {
             connection,
             service_incarnation: watch.service_incarnation,
             version: watch.version,
@@ -302,7 +306,7 @@
         self.schedule_publish(now, &name);
     }
 
-    fn heartbeat(&mut self, now: Micros, connection: ConnectionId, heartbeat: &Heartbeat) {
+    fn record_heartbeat(&mut self, now: Micros, connection: ConnectionId, heartbeat: &Heartbeat) {
         let is_sender = |member: &&mut Member| {
             member.connection == Some(connection)
                 && member.endpoint.incarnation == heartbeat.incarnation
@@ -322,8 +326,8 @@
         }
     }
 
-    /// Takes workers whose heartbeats have stopped for gone. Their connections are closed: a worker that is heard again
-    /// has to register anew.
+    /// Marks workers whose heartbeats have stopped as gone, and closes their connections, so that a worker that
+    /// recovers has to register again.
     fn expire_members(&mut self, now: Micros, io: &mut dyn Io) {
         let oldest = now - self.spec.heartbeat_timeout;
         let (names, connections): (Vec<String>, Vec<Option<ConnectionId>>) = self
@@ -351,7 +355,7 @@
     }
 }
 
-/// An endpoint with its age as of now.
+/// The endpoint with its current age.
 fn with_age(endpoint: &EndpointRecord, started_at: Micros, now: Micros) -> EndpointRecord {
     EndpointRecord {
         age_us: if started_at > 0 { now - started_at } else { -1 },
@@ -394,7 +398,7 @@
             self.publish_queue.pop_first();
             self.publish(now, &name);
         }
-        self.answer_calls(now);
+        self.answer_watches(now);
         self.peers.flush(io);
     }
 
@@ -406,8 +410,8 @@
             .filter(|member| member.is_present())
             .map(|member| member.last_heartbeat + self.spec.heartbeat_timeout + 1)
             .min();
-        let calls = (!self.calls.is_empty()).then_some(self.busy_until);
-        publish.into_iter().chain(timeout).chain(calls).min()
+        let answer = (!self.pending_watches.is_empty()).then_some(self.busy_until);
+        publish.into_iter().chain(timeout).chain(answer).min()
     }
 
     fn is_done(&self) -> bool {
--- a/crates/sanddrum-emulator/src/faults.rs
+++ b/crates/sanddrum-emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a scenario injects into emulated parts through shared handles.
+//! Faults that a scenario injects into emulated services through shared handles.
 
 use sanddrum_net::Micros;
 use serde::{Deserialize, Serialize};
@@ -6,61 +6,61 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// State that a scenario and an emulated part share.
+/// State that a scenario and an emulated service share.
 pub type Shared<T> = Rc<RefCell<T>>;
 
-/// What is wrong with a worker. The names of its serialized form are those of the lab's fault files.
+/// The faults of a worker. The serialized names are those of the lab's fault files.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerFaults {
-    /// It accepts requests and answers nothing, not even health checks.
+    /// It accepts requests but answers nothing, not even health checks.
     #[serde(rename = "hangs")]
     pub is_hung: bool,
-    /// How many times slower it is; zero or one is as usual.
+    /// How many times slower than usual it is; zero and one mean normal speed.
     #[serde(rename = "slower")]
     pub slowdown: f64,
-    /// Probability that the answer to an attempt never leaves it, 0 to 1.
+    /// Probability that the answer to an attempt is lost, 0 to 1.
     #[serde(rename = "loses")]
     pub answer_loss: f64,
     /// Probability that a load fails, 0 to 1.
     #[serde(rename = "load_fails")]
     pub load_failure: f64,
-    /// It finishes what it has accepted and accepts nothing new.
+    /// It finishes the requests that it has accepted, and accepts no new ones.
     #[serde(rename = "drains")]
     pub is_draining: bool,
-    /// It writes bytes that are no message, once.
+    /// It sends a frame that is not a message to each router, once.
     #[serde(rename = "garbles")]
     pub garble_once: bool,
-    /// All its instances become obsolete, once.
+    /// All its instances become obsolete, as after a new release of all functions, once.
     #[serde(rename = "flush")]
     pub invalidate_once: bool,
 }
 
-/// What is wrong with the store.
+/// The faults of the store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreFaults {
-    /// Fetches under way make no progress.
+    /// Fetches in progress make no progress.
     #[serde(rename = "stalls")]
     pub is_stalled: bool,
     /// Every fetch is rejected.
     #[serde(rename = "refuses")]
     pub rejects_all: bool,
-    /// How many times slower it is; zero or one is as usual.
+    /// How many times slower than usual it is; zero and one mean normal speed.
     #[serde(rename = "slower")]
     pub slowdown: f64,
 }
 
-/// What is wrong with the discovery service.
+/// The faults of the discovery service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DiscoveryFaults {
-    /// Changes are published so much later.
+    /// An additional delay until changes are published.
     #[serde(rename = "lags")]
     pub delay: Micros,
 }
 
-/// Keys remembered before the expired ones are swept out.
-const SWEEP_ABOVE: usize = 4096;
+/// The number of stored keys from which on each insertion removes the expired ones.
+const SWEEP_THRESHOLD: usize = 4096;
 
-/// Idempotency keys of requests that a group of workers has finished, each remembered for a while.
+/// Idempotency keys of requests that a group of workers has finished, each retained for a time window.
 #[derive(Clone, Debug, Default)]
 pub struct IdempotencyKeys {
     window: Micros,
@@ -68,7 +68,7 @@
 }
 
 impl IdempotencyKeys {
-    /// Remembers each key for `window`.
+    /// Creates a store that retains each key for `window`.
     pub fn new(window: Micros) -> Self {
         IdempotencyKeys {
             window,
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Whether a request of this key has finished within the window.
+    /// Whether a request with this key has finished within the window.
     pub fn is_duplicate(&self, now: Micros, key: &str) -> bool {
         self.finished_at
             .get(key)
             .is_some_and(|at| now < at + self.window)
     }
 
-    /// A request of this key has finished.
+    /// Records that a request with this key has finished.
     pub fn record(&mut self, now: Micros, key: &str) {
-        if self.finished_at.len() >= SWEEP_ABOVE {
+        if self.finished_at.len() >= SWEEP_THRESHOLD {
             self.finished_at.retain(|_, at| now < *at + self.window);
         }
         self.finished_at.insert(key.to_string(), now);
--- a/crates/sanddrum-emulator/src/ground_truth.rs
+++ b/crates/sanddrum-emulator/src/ground_truth.rs
@@ -1,37 +1,38 @@
-//! What is true of the emulated workers, for an oracle that sees it: an upper bound that no router can know.
+//! The actual state of the emulated workers, which no router can see. An oracle decides with it, as an upper bound for
+//! what routers can achieve.
 
 use std::collections::BTreeMap;
 
-/// A function at a worker, as it is.
+/// The actual state of a function on a worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FunctionTruth {
-    /// Requests that its loaded instances run at a time, summed up.
+pub struct FunctionGroundTruth {
+    /// The total concurrency of its loaded instances.
     pub concurrency: u32,
-    /// A load is under way.
+    /// Whether a load is in progress.
     pub is_loading: bool,
     /// Requests that run or wait.
     pub in_flight: u32,
 }
 
-/// A worker, as it is.
+/// The actual state of a worker.
 #[derive(Clone, Debug, Default)]
-pub struct WorkerTruth {
-    /// Requests that it runs at a time.
+pub struct WorkerGroundTruth {
+    /// The number of cores, each of which runs one request at a time.
     pub cores: usize,
-    /// Work that a core does in a microsecond now, warm-up and slowdown included.
+    /// Work that a core currently does per microsecond, with warm-up and slowdown taken into account.
     pub core_speed: f64,
     /// Requests that run or wait.
     pub in_flight: usize,
-    /// Requests that it accepts before it rejects one.
+    /// Requests that it accepts before it rejects the next one.
     pub free_capacity: usize,
-    /// Work that is left to do, in microseconds of a standard core.
+    /// Work of all requests that run or wait, in microseconds of a standard core.
     pub backlog: f64,
-    /// It answers what it is sent.
+    /// Whether it accepts and answers requests.
     pub is_serving: bool,
     /// Its functions, by the hash of their names.
-    pub functions: BTreeMap<u64, FunctionTruth>,
+    pub functions: BTreeMap<u64, FunctionGroundTruth>,
 }
 
-/// All workers, by the hash of their names; those that are down are missing.
+/// All workers, by the hash of their names. Workers that are down are missing.
 #[derive(Clone, Debug, Default)]
-pub struct GroundTruth(pub BTreeMap<u64, WorkerTruth>);
+pub struct GroundTruth(pub BTreeMap<u64, WorkerGroundTruth>);
--- a/crates/sanddrum-emulator/src/handshakes.rs
+++ b/crates/sanddrum-emulator/src/handshakes.rs
@@ -1,43 +1,43 @@
-//! What handshakes cost an emulated worker: each takes its time on one core, one after the other, and longer while the
-//! worker warms up; until it is through, nothing that arrives on its connection is processed.
+//! The cost of TLS handshakes on an emulated worker. They run one after another on one core, and take longer while the
+//! worker warms up. Bytes that arrive on a connection are processed only once its handshake is complete.
 
 use crate::faults::Shared;
 use sanddrum_net::{ConnectionId, Core, Event, FileError, Io, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
-/// Below this share of its capacity a machine's handshakes take no longer still.
-const MIN_CAPACITY_SHARE: f64 = 0.01;
+/// A capacity below this fraction of the full one does not slow handshakes down any further.
+const MIN_CAPACITY_FRACTION: f64 = 0.01;
 
-/// What a worker's handshakes cost, and how many there were.
+/// The cost and the number of a worker's handshakes.
 #[derive(Clone, Debug, Default)]
 pub struct HandshakeWork {
-    /// Time of one at full speed.
+    /// The time that a handshake takes at full capacity.
     pub cost: Micros,
-    /// Costs of those started and not yet counted among the work that a warming machine bears.
+    /// The costs of started handshakes that are not yet counted as work that can make a warming machine collapse.
     pub uncounted: Vec<f64>,
-    /// How many were started in each second of the clock.
+    /// The number of handshakes started in each second.
     pub per_second: BTreeMap<Micros, u32>,
 }
 
-/// A core whose connections each wait for their handshake.
+/// A core whose connections wait for their handshakes.
 pub struct HandshakeQueue<C> {
     core: C,
     work: Shared<HandshakeWork>,
     started_at: Micros,
     warm_up: Micros,
     initial_capacity: f64,
-    /// What arrived before its connection's handshake was through.
+    /// The bytes received on connections whose handshake is not complete.
     buffered: BTreeMap<ConnectionId, Vec<u8>>,
-    /// When each handshake is through, in order.
+    /// The completion time of each handshake, in order.
     queue: VecDeque<(Micros, ConnectionId)>,
-    /// When all handshakes so far are through.
+    /// When all started handshakes are complete.
     busy_until: Micros,
 }
 
 impl<C: Core> HandshakeQueue<C> {
-    /// Puts a core behind its handshakes. The machine started at `started_at` (zero or less: long ago) with a share of
-    /// `initial_capacity` of its full capacity, and reaches that over `warm_up`.
+    /// Wraps a core. The machine started at `started_at` (zero or less: long ago) with the fraction `initial_capacity`
+    /// of its full capacity, which it reaches after `warm_up`.
     pub fn new(
         core: C,
         work: Shared<HandshakeWork>,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// The share of the machine's full capacity now.
-    fn capacity_share(&self, now: Micros) -> f64 {
+    /// The fraction of its full capacity that the machine currently has.
+    fn capacity_fraction(&self, now: Micros) -> f64 {
         let age = (now - self.started_at) as f64 / self.warm_up.max(1) as f64;
         if self.started_at <= 0 || age >= 1.0 {
             1.0
@@ -68,12 +68,12 @@
     }
 
     fn start_handshake(&mut self, now: Micros, connection: ConnectionId) {
-        let share = self.capacity_share(now).max(MIN_CAPACITY_SHARE);
+        let capacity = self.capacity_fraction(now).max(MIN_CAPACITY_FRACTION);
         let mut work = self.work.borrow_mut();
         let cost = work.cost as f64;
         work.uncounted.push(cost);
         *work.per_second.entry(now / MICROS_PER_SECOND).or_default() += 1;
-        self.busy_until = self.busy_until.max(now) + (cost / share) as Micros;
+        self.busy_until = self.busy_until.max(now) + (cost / capacity) as Micros;
         self.queue.push_back((self.busy_until, connection));
         self.buffered.insert(connection, Vec::new());
     }
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -1,6 +1,6 @@
-//! What a worker's machine does, in emulated time: cores, loaded instances with a concurrency limit each, a bounded queue,
-//! loads and memory. It does no I/O: what the store is asked for and what is answered are [`Effect`]s, which the worker
-//! around it carries out.
+//! Emulates a worker's machine in virtual time: cores, instances with a concurrency limit each, a bounded queue, loads
+//! and memory. It does no I/O: fetches from the store and answers are [`Effect`]s, which the worker around it carries
+//! out.
 
 mod loading;
 mod reporting;
@@ -9,113 +9,114 @@
 use sanddrum_wire::{ExecutionStatus, InstanceState};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a worker does with a request for a function that it has not loaded.
+/// How a worker handles a request for a function that it has not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnMiss {
-    /// It loads the function while the request waits.
+    /// Loads the function while the request waits.
     Load,
-    /// It answers a cold miss; only a load command loads.
+    /// Answers with a cold miss; only load commands load functions.
     Miss,
 }
 
-/// The machine's size and behaviour.
+/// The size and behaviour of a machine.
 #[derive(Clone, Debug)]
 pub struct MachineConfig {
-    /// Requests that run at a time, each on a core of its own.
+    /// Requests that run at the same time, each on its own core.
     pub cores: usize,
-    /// Work done by one core in a microsecond, in microseconds of a standard core.
+    /// Work that one core does per microsecond, in microseconds of a standard core.
     pub speed: f64,
-    /// Requests that wait before further ones are rejected.
+    /// Requests that may wait; further ones are rejected.
     pub queue_limit: usize,
     /// Memory for loaded instances, in megabytes.
     pub memory_mb: f64,
-    /// Loads that run at a time; twice as many wait.
+    /// Loads that run at the same time; twice as many more may wait.
     pub concurrent_loads: usize,
     /// How long an idle instance stays loaded.
     pub keep_alive: Micros,
-    /// What is done with a request for a function that is not loaded.
+    /// How a request for a function that is not loaded is handled.
     pub on_miss: OnMiss,
-    /// The part of a load that follows the fetch, for each megabyte.
+    /// Time that starting an instance takes after the fetch, per megabyte.
     pub start_us_per_mb: f64,
-    /// Share of the full capacity that a machine has as it starts, 0 to 1.
+    /// Fraction of its full capacity that a machine has when it starts, 0 to 1.
     pub initial_capacity: f64,
     /// How long a machine warms up after its start.
     pub warm_up: Micros,
-    /// How many times its present capacity a warming machine bears over `collapse_window`.
+    /// How many times its current capacity a warming machine withstands over `collapse_window`; beyond that it
+    /// collapses.
     pub collapse_multiple: f64,
-    /// The span over which the work sent to a warming machine is summed.
+    /// The window over which the work sent to a warming machine is summed.
     pub collapse_window: Micros,
 }
 
-/// Identifies one attempt at this worker.
+/// Identifies an attempt or a load command on this worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
-    /// The connection that brought it.
+    /// The connection that it was received on.
     pub connection: u64,
     /// Its id on that connection.
     pub id: u64,
 }
 
-/// A request to be run.
+/// A request to run.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Which attempt it is.
+    /// Identifies the attempt.
     pub ticket: Ticket,
     /// The function that it calls.
     pub function: String,
-    /// Memory of one instance of the function, in megabytes.
+    /// Memory that one instance of the function takes, in megabytes.
     pub memory_mb: f64,
-    /// Requests that one instance runs at a time.
+    /// Requests that one instance runs at the same time.
     pub concurrency: u32,
-    /// Its work, in microseconds of a standard core.
+    /// The work that it takes, in microseconds of a standard core.
     pub work: f64,
-    /// Its idempotency key, if it has one.
+    /// Its idempotency key, if any.
     pub idempotency_key: Option<String>,
-    /// It is dropped if it has not started by then.
+    /// The request is dropped if it has not started by this time.
     pub deadline: Micros,
 }
 
-/// What the worker around the machine has to do.
+/// An action that the worker around the machine has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Answer an attempt.
     Done {
-        /// Which attempt.
+        /// Identifies the attempt.
         ticket: Ticket,
-        /// How it ended.
+        /// How the attempt ended.
         status: ExecutionStatus,
-        /// The instance that it found, where it got that far.
+        /// The state of the instance that the request was assigned to, if any.
         instance: Option<InstanceState>,
-        /// Requests for the same function in flight here as it arrived.
+        /// Requests for the same function that were in flight on this machine when the attempt arrived.
         function_in_flight: u32,
-        /// The idempotency key of a request that ran.
+        /// The idempotency key of a request that has run.
         idempotency_key: Option<String>,
     },
     /// Answer a load command.
     LoadDone {
-        /// Which command.
+        /// Identifies the load command.
         ticket: Ticket,
-        /// How it ended.
+        /// How the load command ended.
         status: ExecutionStatus,
-        /// Instances that are loaded now.
+        /// The number of instances that are loaded now.
         instances: u32,
     },
     /// Fetch a function from the store.
     Fetch {
-        /// Names the load in [`Machine::finish_fetch`].
+        /// Identifies the load in [`Machine::finish_fetch`].
         load: u64,
-        /// The function.
+        /// The function to fetch.
         function: String,
         /// Its size, in megabytes.
         size_mb: f64,
     },
-    /// The machine was sent far more than it bears while it warms up, and stays down.
+    /// The machine collapsed, as it received more work during its warm-up than it withstands. The worker stays down.
     Collapsed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InstanceStage {
-    /// Waits for its turn to load.
+    /// Waits until fewer than the allowed number of loads run.
     Queued,
     Fetching,
     Starting {
@@ -133,7 +134,7 @@
     concurrency: u32,
     running: u32,
     stage: InstanceStage,
-    /// Its function was released anew while it ran: it is unloaded when it is idle.
+    /// A new release of its function was deployed while it ran; it is unloaded once it is idle.
     is_obsolete: bool,
 }
 
@@ -159,7 +160,7 @@
 
 impl QueuedTask {
     /// The answer to a task that ends before it has started.
-    fn unstarted(self, status: ExecutionStatus, instance: Option<InstanceState>) -> Effect {
+    fn into_done(self, status: ExecutionStatus, instance: Option<InstanceState>) -> Effect {
         Effect::Done {
             ticket: self.task.ticket,
             status,
@@ -178,30 +179,30 @@
     ends_at: Micros,
 }
 
-/// An emulated machine.
+/// An emulated machine of a worker.
 pub struct Machine {
-    /// Its size and behaviour.
+    /// The size and behaviour of the machine.
     pub config: MachineConfig,
     rng: Rng,
-    /// When it started; zero or less: long ago.
+    /// When the machine started. Zero or less means long ago, so that it is not warming up.
     pub started_at: Micros,
     instances: BTreeMap<u64, Instance>,
     last_instance_id: u64,
     queue: VecDeque<QueuedTask>,
     running: Vec<RunningTask>,
     pending_loads: Vec<loading::PendingLoad>,
-    /// Work that arrived while it was warming up, with the time of its arrival.
+    /// Work that arrived within the collapse window while the machine was warming up, with its arrival time.
     recent_work: VecDeque<(Micros, f64)>,
-    /// How many times slower than usual its cores are; below one counts as one.
+    /// How many times slower than usual the cores are; values below one count as one.
     pub slowdown: f64,
     /// Probability that a load fails, 0 to 1.
     pub load_failure_probability: f64,
-    /// What the worker has to do, oldest first; the worker empties it.
+    /// What the worker has to carry out, oldest first. The worker drains it.
     pub effects: Vec<Effect>,
 }
 
 impl Machine {
-    /// A machine with nothing loaded. `seed` is for the loads that fail.
+    /// Creates a machine without loaded functions. `seed` determines which loads fail.
     pub fn new(config: MachineConfig, seed: u64, started_at: Micros) -> Self {
         Machine {
             config,
@@ -219,8 +220,8 @@
         }
     }
 
-    /// The share of its full capacity that it has now.
-    fn capacity_share(&self, now: Micros) -> f64 {
+    /// The fraction of its full capacity that the machine currently has.
+    fn capacity_fraction(&self, now: Micros) -> f64 {
         let age = now - self.started_at;
         if self.started_at <= 0 || age >= self.config.warm_up {
             return 1.0;
@@ -233,17 +234,18 @@
         self.started_at > 0 && now - self.started_at < self.config.warm_up
     }
 
-    /// Work that one core does in a microsecond now.
+    /// Work that one core currently does per microsecond.
     fn core_speed(&self, now: Micros) -> f64 {
-        self.config.speed * self.capacity_share(now) / self.slowdown.max(1.0)
+        self.config.speed * self.capacity_fraction(now) / self.slowdown.max(1.0)
     }
 
-    /// Whether nothing runs and nothing waits to run.
+    /// Whether no request runs or waits.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.queue.is_empty()
     }
 
-    /// Counts work that reaches a machine as it warms up, whatever becomes of it: too much of it makes it collapse.
+    /// Records work that reaches the machine during its warm-up, whether or not it is accepted. Too much work makes
+    /// the machine collapse.
     pub fn record_work(&mut self, now: Micros, work: f64) {
         if !self.is_warming_up(now) {
             return self.recent_work.clear();
@@ -263,7 +265,7 @@
         }
     }
 
-    /// The work over the collapse window beyond which the machine goes down.
+    /// The work within the collapse window above which the machine collapses.
     fn collapse_threshold(&self, now: Micros) -> f64 {
         let window = self
             .config
@@ -271,21 +273,21 @@
             .min(now - self.started_at)
             .max(self.config.collapse_window / 2) as f64;
         self.config.collapse_multiple
-            * self.capacity_share(now)
+            * self.capacity_fraction(now)
             * self.config.cores as f64
             * self.config.speed
             * window
     }
 
-    /// Accepts a request, or answers it at once where it can't be run here.
+    /// Queues a request, or answers it immediately if it can't run here.
     pub fn accept(&mut self, now: Micros, task: Task, is_draining: bool) {
         self.record_work(now, task.work);
         let function_in_flight = self.in_flight_of(&task.function);
         let has_free_instance = self.free_instance(&task.function).is_some();
-        match self.find_instance(now, &task, is_draining, has_free_instance) {
+        match self.admit(now, &task, is_draining, has_free_instance) {
             Ok(instance) => {
                 if instance == InstanceState::Warm && !has_free_instance {
-                    self.add_instance_under_load(now, &task, function_in_flight);
+                    self.load_another_if_saturated(now, &task, function_in_flight);
                 }
                 self.queue.push_back(QueuedTask {
                     task,
@@ -304,8 +306,9 @@
         }
     }
 
-    /// The instance that a request will run in, or why it can't run here.
-    fn find_instance(
+    /// Decides whether a request is admitted, and starts a load if it needs one. Returns the state of the instance
+    /// that the request will run in, or the status to answer if it can't run here.
+    fn admit(
         &mut self,
         now: Micros,
         task: &Task,
@@ -334,8 +337,8 @@
         }
     }
 
-    /// Loads another instance where all that are there have as many requests as they run at a time.
-    fn add_instance_under_load(&mut self, now: Micros, task: &Task, function_in_flight: u32) {
+    /// Loads another instance if the function's requests in flight use the full concurrency of its instances.
+    fn load_another_if_saturated(&mut self, now: Micros, task: &Task, function_in_flight: u32) {
         let concurrency: u32 = self
             .instances_of(&task.function)
             .map(|(_, instance)| instance.concurrency)
@@ -345,7 +348,7 @@
         }
     }
 
-    /// Drops a request that has not started; one that runs goes on.
+    /// Drops a request that has not started. A running request continues.
     pub fn cancel(&mut self, ticket: Ticket) {
         let position = self
             .queue
@@ -353,12 +356,13 @@
             .position(|queued| queued.task.ticket == ticket);
         if let Some(queued) = position.and_then(|position| self.queue.remove(position)) {
             let instance = Some(queued.instance);
-            let effect = queued.unstarted(ExecutionStatus::Dropped, instance);
+            let effect = queued.into_done(ExecutionStatus::Dropped, instance);
             self.effects.push(effect);
         }
     }
 
-    /// Does everything that is due by now.
+    /// Processes everything that is due by now: finished requests, started and expired instances, queued loads and
+    /// requests.
     pub fn advance(&mut self, now: Micros) {
         for instance in self.instances.values_mut() {
             if matches!(instance.stage, InstanceStage::Starting { ready_at } if ready_at <= now) {
@@ -408,7 +412,8 @@
         }
     }
 
-    /// Starts queued requests in the order of their arrival, each in an instance and on a core of its own.
+    /// Starts queued requests in order of arrival while cores are free. A request whose function has no free instance
+    /// stays queued, unless all instances were unloaded and no new one can be loaded.
     fn start_tasks(&mut self, now: Micros) {
         self.drop_expired_tasks(now);
         let mut position = 0;
@@ -436,7 +441,7 @@
         self.queue = in_time;
         for queued in expired {
             let instance = Some(queued.instance);
-            let effect = queued.unstarted(ExecutionStatus::Dropped, instance);
+            let effect = queued.into_done(ExecutionStatus::Dropped, instance);
             self.effects.push(effect);
         }
     }
@@ -455,7 +460,7 @@
         });
     }
 
-    /// When [`advance`](Self::advance) next has something to do.
+    /// When [`advance`](Self::advance) has to be called next.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let running = self.running.iter().map(|running| running.ends_at);
         let instances = self
--- a/crates/sanddrum-emulator/src/machine/loading.rs
+++ b/crates/sanddrum-emulator/src/machine/loading.rs
@@ -1,17 +1,18 @@
-//! Loading and unloading of instances, and the load commands that wait for it.
+//! Loading and unloading of instances, and the load commands that wait for loads.
 
 use super::{Effect, Instance, InstanceStage, Machine, QueuedTask, Ticket};
 use sanddrum_net::Micros;
 use sanddrum_wire::{ExecutionStatus, InstanceState, Load};
 use std::collections::VecDeque;
 
-/// Loads that are accepted, running or waiting, as a multiple of those that run at a time.
-const LOADS_ACCEPTED: usize = 3;
+/// The limit on loads that run or wait, as a multiple of the loads that run at the same time.
+const ACCEPTED_LOADS_MULTIPLE: usize = 3;
 
-/// A load command that is answered once so many instances are loaded.
+/// A load command that waits for its instances.
 pub(super) struct PendingLoad {
     ticket: Ticket,
     function: String,
+    /// The number of loaded instances at which the command is answered.
     instances: u32,
 }
 
@@ -25,7 +26,7 @@
             .filter(move |(_, instance)| instance.function == function && !instance.is_obsolete)
     }
 
-    /// How many instances of a function are loaded.
+    /// The number of loaded instances of a function.
     pub fn loaded_instances(&self, function: &str) -> u32 {
         self.instances_of(function)
             .filter(|(_, instance)| instance.is_loaded())
@@ -52,7 +53,8 @@
             .sum()
     }
 
-    /// Carries out a load command: at least so many instances are to be loaded; zero only queries how many are.
+    /// Carries out a load command, which requests a minimum number of loaded instances. Zero only queries their
+    /// number.
     pub fn load_instances(
         &mut self,
         now: Micros,
@@ -102,7 +104,7 @@
         });
     }
 
-    /// Answers the load commands whose instances are all loaded now.
+    /// Answers the load commands whose number of instances is loaded now.
     pub(super) fn finish_pending_loads(&mut self) {
         let mut met = Vec::new();
         let mut unmet = Vec::new();
@@ -119,7 +121,8 @@
         }
     }
 
-    /// Adds a loaded instance that was there before, as another router had it loaded, where memory allows it.
+    /// Adds a loaded instance, as if another router had loaded it before, if the function has no instance yet and
+    /// memory allows it.
     pub fn preload(&mut self, now: Micros, function: &str, memory_mb: f64, concurrency: u32) {
         if self.instances_of(function).count() > 0 || !self.free_memory(memory_mb) {
             return;
@@ -153,7 +156,8 @@
             .retain(|_, instance| instance.function != function || !instance.is_idle());
     }
 
-    /// All functions are released anew: idle instances are unloaded at once, the others when they are idle.
+    /// Handles a new release of all functions: unloads idle instances immediately, and running ones once they are
+    /// idle.
     pub fn invalidate_instances(&mut self) {
         self.instances.retain(|_, instance| !instance.is_idle());
         self.instances
@@ -162,7 +166,8 @@
             .for_each(|instance| instance.is_obsolete = true);
     }
 
-    /// Unloads the instances that have been idle for longest until so much memory is free; false where it can't be.
+    /// Unloads instances, starting with the one that has been idle longest, until this much memory is free. Returns
+    /// false if the idle instances do not suffice.
     fn free_memory(&mut self, memory_mb: f64) -> bool {
         while self.used_memory_mb() + memory_mb > self.config.memory_mb {
             let idle = self
@@ -182,7 +187,7 @@
         true
     }
 
-    /// Starts a load, or has it wait its turn; false where memory or the limit on loads does not allow it.
+    /// Starts a load or queues it. Returns false if memory or the limit on loads does not allow it.
     pub(super) fn start_load(
         &mut self,
         _now: Micros,
@@ -190,7 +195,7 @@
         memory_mb: f64,
         concurrency: u32,
     ) -> bool {
-        if self.loads_in_progress() >= self.config.concurrent_loads * LOADS_ACCEPTED
+        if self.loads_in_progress() >= self.config.concurrent_loads * ACCEPTED_LOADS_MULTIPLE
             || !self.free_memory(memory_mb)
         {
             return false;
@@ -226,7 +231,7 @@
         }
     }
 
-    /// The store has answered a fetch; `is_complete` is false where it rejected it.
+    /// Handles the store's answer to a fetch. `is_complete` is false if the fetch failed.
     pub fn finish_fetch(&mut self, now: Micros, load: u64, is_complete: bool) {
         let has_failed = !is_complete || self.rng.random_bool(self.load_failure_probability);
         let start_us_per_mb = self.config.start_us_per_mb;
@@ -248,7 +253,8 @@
         self.start_queued_loads();
     }
 
-    /// Answers what waited for a load that has failed.
+    /// Fails the load commands for a function whose load has failed, and its queued requests if it has no other
+    /// instance.
     fn fail_load(&mut self, function: &str) {
         if self.instances_of(function).count() == 0 {
             let (failed, others): (VecDeque<QueuedTask>, VecDeque<QueuedTask>) =
@@ -258,7 +264,7 @@
             self.queue = others;
             for queued in failed {
                 let instance = Some(InstanceState::LoadFailed);
-                let effect = queued.unstarted(ExecutionStatus::ColdMiss, instance);
+                let effect = queued.into_done(ExecutionStatus::ColdMiss, instance);
                 self.effects.push(effect);
             }
         }
@@ -272,8 +278,8 @@
         }
     }
 
-    /// Loads the function of a queued request again, whose instance was unloaded while it waited; rejects the request
-    /// where that can't be, and returns false.
+    /// Starts a load for a queued request whose instance was unloaded while it waited. If that is not possible,
+    /// rejects the request and returns false.
     pub(super) fn reload(&mut self, now: Micros, position: usize) -> bool {
         let task = &self.queue[position].task;
         let function = task.function.clone();
@@ -282,7 +288,7 @@
             return true;
         }
         if let Some(queued) = self.queue.remove(position) {
-            let effect = queued.unstarted(ExecutionStatus::Rejected, None);
+            let effect = queued.into_done(ExecutionStatus::Rejected, None);
             self.effects.push(effect);
         }
         false
--- a/crates/sanddrum-emulator/src/machine/reporting.rs
+++ b/crates/sanddrum-emulator/src/machine/reporting.rs
@@ -1,13 +1,13 @@
-//! What a machine reports of itself, and what is true of it.
+//! The load report and the ground truth of a machine.
 
 use super::Machine;
-use crate::ground_truth::{FunctionTruth, WorkerTruth};
+use crate::ground_truth::{FunctionGroundTruth, WorkerGroundTruth};
 use sanddrum_net::Micros;
 use sanddrum_wire::LoadReport;
 use std::collections::BTreeMap;
 
 impl Machine {
-    /// Requests for a function that run or wait here.
+    /// The number of requests for a function that run or wait.
     pub(super) fn in_flight_of(&self, function: &str) -> u32 {
         let running = self
             .running
@@ -22,7 +22,7 @@
         (running + queued) as u32
     }
 
-    /// The load report, as of now.
+    /// The current load report.
     pub fn load_report(&self) -> LoadReport {
         let pinned_mb: f64 = self
             .instances
@@ -39,11 +39,11 @@
         }
     }
 
-    /// What is true of the machine, for an oracle. `is_serving` says whether the worker around it answers.
-    pub fn ground_truth(&self, now: Micros, is_serving: bool) -> WorkerTruth {
+    /// The actual state of the machine. `is_serving` states whether the worker around it accepts and answers requests.
+    pub fn ground_truth(&self, now: Micros, is_serving: bool) -> WorkerGroundTruth {
         let in_flight = self.running.len() + self.queue.len();
         let capacity = self.config.queue_limit + self.config.cores;
-        WorkerTruth {
+        WorkerGroundTruth {
             cores: self.config.cores,
             core_speed: self.core_speed(now),
             in_flight,
@@ -65,8 +65,8 @@
         running + queued
     }
 
-    fn functions(&self) -> BTreeMap<u64, FunctionTruth> {
-        let mut functions: BTreeMap<u64, FunctionTruth> = BTreeMap::new();
+    fn functions(&self) -> BTreeMap<u64, FunctionGroundTruth> {
+        let mut functions: BTreeMap<u64, FunctionGroundTruth> = BTreeMap::new();
         let instances = self.instances.values();
         for instance in instances.filter(|instance| !instance.is_obsolete) {
             let function = functions
--- a/crates/sanddrum-emulator/src/peers.rs
+++ b/crates/sanddrum-emulator/src/peers.rs
@@ -1,10 +1,10 @@
-//! The connections that an emulated service has accepted: frames in, frames out.
+//! The connections that an emulated service has accepted, with their frame decoders and outboxes.
 
 use sanddrum_net::{ConnectionId, Io, Outbox};
 use sanddrum_wire::{FrameDecoder, FrameError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes that may wait for one peer, and the largest frame taken from one.
+/// The maximum number of bytes that may wait for a peer, and the maximum size of a received frame.
 const MAX_BYTES: usize = 64 << 20;
 
 struct Peer {
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<ConnectionId, Peer>,
-    /// Connections with something to write.
+    /// Connections with data to write.
     unflushed: BTreeSet<ConnectionId>,
 }
 
@@ -35,11 +35,11 @@
         self.peers.remove(&connection).is_some()
     }
 
-    pub fn has(&self, connection: ConnectionId) -> bool {
+    pub fn contains(&self, connection: ConnectionId) -> bool {
         self.peers.contains_key(&connection)
     }
 
-    pub fn all(&self) -> Vec<ConnectionId> {
+    pub fn connections(&self) -> Vec<ConnectionId> {
         self.peers.keys().copied().collect()
     }
 
--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -1,4 +1,4 @@
-//! An emulated store that functions are fetched from: slow when many fetch at once, and rejecting beyond a limit.
+//! An emulated function store. Concurrent fetches slow each other down, and the store rejects fetches above a limit.
 
 use crate::faults::{Shared, StoreFaults};
 use crate::peers::Peers;
@@ -6,26 +6,26 @@
 use sanddrum_wire::{frame::encode_frame, Fetch, Fetched, FromStore, ToStore};
 use std::collections::VecDeque;
 
-/// A fetch with less left than this, in microseconds, is complete: sums of fractions are not exact.
+/// A fetch with at most this much time remaining, in microseconds, is complete, as floating-point sums are not exact.
 const COMPLETE_BELOW_US: f64 = 0.5;
-/// How often a stalled store looks whether it may go on.
+/// How often a stalled store checks whether it may continue.
 const STALL_CHECK: Micros = 20_000;
 
-/// How a store is set up.
+/// The configuration of a store.
 #[derive(Clone, Debug)]
 pub struct StoreSpec {
-    /// Fetches served at full speed at a time; more share it.
+    /// Concurrent fetches that are served at full speed; more fetches share that speed.
     pub full_speed_fetches: usize,
-    /// Fetches accepted at a time; more are rejected.
+    /// Concurrent fetches that are accepted; further ones are rejected.
     pub max_fetches: usize,
-    /// Time of a fetch at full speed, for each megabyte.
+    /// The time of a fetch at full speed, per megabyte.
     pub us_per_mb: f64,
 }
 
 struct PendingFetch {
     connection: ConnectionId,
     id: u64,
-    /// Time that it still takes at full speed, in microseconds.
+    /// The remaining time at full speed, in microseconds.
     remaining_us: f64,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Store {
-    /// A store without anything in hand.
+    /// Creates a store without pending fetches.
     pub fn new(spec: StoreSpec, faults: Shared<StoreFaults>) -> Self {
         Store {
             spec,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The speed of each fetch, 0 to 1.
+    /// The current speed of each fetch, as a fraction of the full speed.
     fn speed(&self) -> f64 {
         let faults = self.faults.borrow();
         if faults.is_stalled {
--- a/crates/sanddrum-emulator/src/upstream.rs
+++ b/crates/sanddrum-emulator/src/upstream.rs
@@ -1,9 +1,9 @@
-//! A connection that an emulated worker opens itself and keeps open: to the discovery service or to the store.
+//! A connection that an emulated worker opens and keeps open, to the discovery service or to the store.
 
 use sanddrum_net::{ConnectionId, Event, Io, Micros, Outbox};
 use sanddrum_wire::FrameDecoder;
 
-/// Bytes that may wait to be written, and the largest frame that is read.
+/// The maximum number of bytes that may wait to be written, and the maximum size of a received frame.
 const MAX_BYTES: usize = 16 << 20;
 
 pub(crate) struct Upstream {
@@ -12,7 +12,7 @@
     is_up: bool,
     pub outbox: Outbox<()>,
     pub frames: FrameDecoder,
-    /// Not before this instant is it connected again.
+    /// The earliest time to reconnect.
     pub retry_at: Micros,
 }
 
--- a/crates/sanddrum-emulator/src/worker.rs
+++ b/crates/sanddrum-emulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! An emulated worker: the worker protocol on one side, the emulated [`Machine`] on the other.
+//! An emulated worker, which connects the worker protocol to an emulated [`Machine`].
 
 use crate::faults::{IdempotencyKeys, Shared, WorkerFaults};
 use crate::ground_truth::GroundTruth;
@@ -15,44 +15,44 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rates are reported over a second, as the protocol says.
+/// The window over which request rates are measured, as the worker protocol requires.
 const RATE_WINDOW: Micros = 1_000_000;
-/// Work of a request whose body does not state it, in microseconds.
+/// Work of a request whose body does not specify it, in microseconds.
 const DEFAULT_WORK_US: f64 = 1000.0;
-/// A frame of three bytes that are no message.
+/// A frame of three bytes that do not decode to a message.
 const GARBLED_FRAME: [u8; 7] = [0, 0, 0, 3, 0xff, 0xfe, 0xfd];
-/// Sets the seed of lost answers apart from that of failed loads.
+/// Separates the random numbers of lost answers from those of failed loads.
 const ANSWER_LOSS_SEED: u64 = 0x5eed;
 
-/// How a worker is set up.
+/// The configuration of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerSpec {
     /// Its name in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: String,
     /// Its availability zone.
     pub zone: String,
     /// Its cell.
     pub cell: u32,
-    /// Its kind of machine, as a position in the settings' list.
+    /// Its kind of machine, as an index into the list in the settings.
     pub kind: u32,
-    /// Its machine.
+    /// The size and behaviour of its machine.
     pub machine: MachineConfig,
-    /// Whether answers tell how many requests for the function were in flight.
+    /// Whether answers report how many requests for the function were in flight.
     pub reports_function_in_flight: bool,
-    /// How often the load report is renewed.
+    /// How often the load report is updated.
     pub report_interval: Micros,
-    /// Address of the discovery service.
+    /// The address of the discovery service.
     pub discovery_address: String,
-    /// Address of the store.
+    /// The address of the function store.
     pub store_address: String,
-    /// How often it sends a heartbeat to the discovery service, and how long it waits before it connects again.
+    /// How often it sends a heartbeat to the discovery service, and how long it waits before it reconnects.
     pub heartbeat_interval: Micros,
 }
 
 impl WorkerSpec {
-    /// Its capacity as the endpoint list states it: cores times their speed.
+    /// Its capacity in the endpoint list: the number of cores times their speed.
     pub fn size(&self) -> f64 {
         self.machine.cores as f64 * self.machine.speed
     }
@@ -73,7 +73,7 @@
     fetches: BTreeSet<u64>,
     customer_rates: BTreeMap<String, RateMeter>,
     total_rate: RateMeter,
-    /// On whose behalf the attempts that are in flight here are made.
+    /// The customers of the attempts that are in flight.
     customers: BTreeMap<Ticket, String>,
     handshakes: Option<Shared<HandshakeWork>>,
     ground_truth: Option<Shared<GroundTruth>>,
@@ -85,7 +85,8 @@
 }
 
 impl Worker {
-    /// A worker whose process started at `started_at` (zero or less: long ago). `incarnation` is larger at each start.
+    /// Creates a worker whose process started at `started_at` (zero or less: long ago). `incarnation` increases with
+    /// each start.
     pub fn new(
         spec: WorkerSpec,
         seed: u64,
@@ -119,19 +120,19 @@
         }
     }
 
-    /// Counts its handshakes among the work that it bears while it warms up.
+    /// Counts TLS handshakes as work that can make the worker collapse while it warms up.
     pub fn with_handshakes(mut self, work: Shared<HandshakeWork>) -> Self {
         self.handshakes = Some(work);
         self
     }
 
-    /// Publishes what is true of it to an oracle.
-    pub fn with_ground_truth(mut self, truth: Shared<GroundTruth>) -> Self {
-        self.ground_truth = Some(truth);
+    /// Publishes the worker's actual state for an oracle.
+    pub fn with_ground_truth(mut self, ground_truth: Shared<GroundTruth>) -> Self {
+        self.ground_truth = Some(ground_truth);
         self
     }
 
-    /// Microseconds since its process started; negative where that is long ago.
+    /// Microseconds since the process started; negative if it started long ago.
     fn age(&self, now: Micros) -> Micros {
         if self.started_at > 0 {
             now - self.started_at
@@ -157,7 +158,7 @@
             age_us: self.age(now),
         };
         let message = encode_frame(&ToDiscovery::Register(endpoint));
-        // A full outbox loses it; the next heartbeat or connection brings the discovery service up to date.
+        // Ignored if the outbox is full: the worker registers again when it reconnects.
         let _ = self.discovery.outbox.push((), &message);
     }
 
@@ -175,7 +176,7 @@
             id,
         };
         match message {
-            ToWorker::Hello(_) => self.greet(now, connection),
+            ToWorker::Hello(_) => self.send_hello(now, connection),
             ToWorker::Execute(request) => self.execute(now, ticket(request.id), request),
             ToWorker::Cancel(cancel) => self.machine.cancel(ticket(cancel.id)),
             ToWorker::Load(command) => {
@@ -197,7 +198,7 @@
         }
     }
 
-    fn greet(&mut self, now: Micros, connection: ConnectionId) {
+    fn send_hello(&mut self, now: Micros, connection: ConnectionId) {
         let hello = Hello {
             version: VERSION,
             name: self.spec.name.clone(),
@@ -232,7 +233,7 @@
         }
         let task = Task {
             ticket,
-            work: stated_work(&request.body).unwrap_or(DEFAULT_WORK_US),
+            work: requested_work(&request.body).unwrap_or(DEFAULT_WORK_US),
             function: request.function,
             memory_mb: request.memory_mb,
             concurrency: request.concurrency.max(1),
@@ -242,16 +243,22 @@
         self.machine.accept(now, task, self.is_draining);
     }
 
-    fn carry_out_effects(&mut self, now: Micros, io: &mut dyn Io) {
+    fn apply_effects(&mut self, now: Micros, io: &mut dyn Io) {
         let faults = self.faults.borrow().clone();
         while !self.machine.effects.is_empty() {
             for effect in std::mem::take(&mut self.machine.effects) {
-                self.carry_out(now, effect, &faults, io);
+                self.apply_effect(now, effect, &faults, io);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, effect: Effect, faults: &WorkerFaults, io: &mut dyn Io) {
+    fn apply_effect(
+        &mut self,
+        now: Micros,
+        effect: Effect,
+        faults: &WorkerFaults,
+        io: &mut dyn Io,
+    ) {
         match effect {
             Effect::Fetch {
                 load,
@@ -311,7 +318,7 @@
         }
     }
 
-    /// The answer to an attempt, but for the load report.
+    /// The answer to an attempt, without the load report.
     fn done(
         &mut self,
         now: Micros,
@@ -347,10 +354,10 @@
     fn collapse(&mut self, io: &mut dyn Io) {
         tracing::warn!(
             worker = self.spec.name,
-            "collapsed under overload while warming up, and stays down"
+            "worker collapsed under overload while warming up and stays down"
         );
         self.has_collapsed = true;
-        for connection in self.peers.all() {
+        for connection in self.peers.connections() {
             self.peers.remove(connection);
             io.reset(connection);
         }
@@ -397,7 +404,11 @@
                 Ok(Some(message)) => self.on_message(now, connection, message),
                 Ok(None) => return,
                 Err(problem) => {
-                    tracing::warn!(worker = self.spec.name, %problem, "closing a router's connection");
+                    tracing::warn!(
+                        worker = self.spec.name,
+                        %problem,
+                        "invalid frame from a router; closing its connection"
+                    );
                     self.peers.remove(connection);
                     return io.reset(connection);
                 }
@@ -427,7 +438,7 @@
             self.register(now);
         }
         if garble_once {
-            for connection in self.peers.all() {
+            for connection in self.peers.connections() {
                 self.peers.send(connection, &GARBLED_FRAME);
             }
         }
@@ -444,25 +455,25 @@
             let message = ToDiscovery::Heartbeat(Heartbeat {
                 incarnation: self.incarnation,
             });
-            // A full outbox loses it; the next one follows.
+            // Ignored if the outbox is full: the next heartbeat follows.
             let _ = self.discovery.outbox.push((), &encode_frame(&message));
         }
     }
 
     fn publish_ground_truth(&self, now: Micros) {
-        let Some(truth) = &self.ground_truth else {
+        let Some(ground_truth) = &self.ground_truth else {
             return;
         };
         let is_hung = self.faults.borrow().is_hung;
         let is_serving = !(self.has_collapsed || self.is_draining || is_hung);
         let id = sanddrum_wire::stable_id(&self.spec.name);
         let worker = self.machine.ground_truth(now, is_serving);
-        truth.borrow_mut().0.insert(id, worker);
+        ground_truth.borrow_mut().0.insert(id, worker);
     }
 }
 
-/// The work that a request's body states, as `work-us=20000`.
-fn stated_work(body: &[u8]) -> Option<f64> {
+/// The work that a request's body specifies in the form `work-us=20000`.
+fn requested_work(body: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(body).ok()?;
     text.strip_prefix("work-us=")?.trim().parse().ok()
 }
@@ -491,7 +502,7 @@
         match event {
             Event::Writable { .. } => self.peers.unblock(connection),
             Event::Closed { .. } => drop(self.peers.remove(connection)),
-            Event::Bytes { bytes, .. } if self.peers.has(connection) => {
+            Event::Bytes { bytes, .. } if self.peers.contains(connection) => {
                 self.on_peer_bytes(now, connection, bytes, io);
             }
             _ => {}
@@ -504,7 +515,7 @@
             self.send_heartbeat(now, io);
         }
         self.machine.advance(now);
-        self.carry_out_effects(now, io);
+        self.apply_effects(now, io);
         self.publish_ground_truth(now);
         self.peers.flush(io);
         self.discovery.flush(io);
--- a/crates/sanddrum-emulator/tests/machine.rs
+++ b/crates/sanddrum-emulator/tests/machine.rs
@@ -5,8 +5,8 @@
 use sanddrum_net::Micros;
 use sanddrum_wire::ExecutionStatus;
 
-fn new_machine(on_miss: OnMiss, started: Micros) -> Machine {
-    let size = MachineConfig {
+fn new_machine(on_miss: OnMiss, started_at: Micros) -> Machine {
+    let config = MachineConfig {
         cores: 2,
         speed: 1.0,
         queue_limit: 4,
@@ -20,14 +20,12 @@
         collapse_multiple: 3.0,
         collapse_window: 3_000_000,
     };
-    Machine::new(size, 1, started)
+    Machine::new(config, 1, started_at)
 }
-fn task(n: u64, function: &str) -> Task {
+
+fn task(id: u64, function: &str) -> Task {
     Task {
-        ticket: Ticket {
-            connection: 0,
-            id: n,
-        },
+        ticket: Ticket { connection: 0, id },
         function: function.into(),
         memory_mb: 300.0,
         concurrency: 1,
@@ -36,13 +34,11 @@
         deadline: 5_000_000,
     }
 }
+
+/// Takes all effects, and returns the ids and statuses of the answered attempts.
 fn drain_outcomes(machine: &mut Machine) -> Vec<(u64, ExecutionStatus)> {
-    let done = machine.effects.drain(..).filter_map(|e| match e {
-        Effect::Done {
-            ticket,
-            status: ended,
-            ..
-        } => Some((ticket.id, ended)),
+    let done = machine.effects.drain(..).filter_map(|effect| match effect {
+        Effect::Done { ticket, status, .. } => Some((ticket.id, status)),
         _ => None,
     });
     done.collect()
@@ -72,13 +68,17 @@
     assert_eq!(machine.next_wakeup(), Some(700_000));
     machine.advance(700_000);
     machine.advance(8_700_000);
-    assert_eq!(machine.loaded_instances("a"), 0, "idle for its keep-alive");
+    assert_eq!(
+        machine.loaded_instances("a"),
+        0,
+        "unloaded after its keep-alive"
+    );
 }
 
 #[rstest]
-fn a_failed_load_and_a_full_queue_answer_that_a_request_has_not_run() {
+fn a_request_that_cannot_run_is_answered_as_rejected_or_as_a_cold_miss() {
     let mut machine = new_machine(OnMiss::Load, 0);
-    (1..=5).for_each(|n| machine.accept(0, task(n, "a"), false));
+    (1..=5).for_each(|id| machine.accept(0, task(id, "a"), false));
     assert_eq!(
         drain_outcomes(&mut machine),
         [(5, ExecutionStatus::Rejected)]
@@ -100,10 +100,10 @@
 }
 
 #[rstest]
-fn a_warming_machine_collapses_under_far_too_much_work() {
+fn a_warming_machine_collapses_above_its_collapse_threshold() {
     let mut machine = new_machine(OnMiss::Miss, 1_000_000);
-    // A fifth of two cores, three times over, for half a window at least: 1.8 s of work.
-    (0..18).for_each(|n| machine.accept(1_000_001, task(n, "a"), false));
+    // Three times a fifth of two cores over half the window of 3 s, its minimum: 1.8 s of work, or 18 tasks of 0.1 s.
+    (0..18).for_each(|id| machine.accept(1_000_001, task(id, "a"), false));
     assert!(!machine.effects.contains(&Effect::Collapsed));
     machine.accept(1_000_001, task(18, "a"), false);
     assert!(machine.effects.contains(&Effect::Collapsed));
--- a/crates/sanddrum-lab/src/capacity/discovery_load.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_load.rs
@@ -160,7 +160,7 @@
         change_history: l.integer("list-service-plays.changes-kept"),
         snapshot_cost: span("whole"),
         delta_cost: span("change"),
-        max_pending_calls: l.integer("list-service-plays.calls"),
+        max_pending_watches: l.integer("list-service-plays.calls"),
     }
 }
 
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -102,7 +102,7 @@
         change_history: 16,
         snapshot_cost: 0,
         delta_cost: 0,
-        max_pending_calls: 64,
+        max_pending_watches: 64,
     };
     let zones = plan.settings.names("zones");
     let rows: Vec<EndpointRecord> = (0..workers).map(|n| row(n, &zones)).collect();
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -390,7 +390,7 @@
             change_history: 16,
             snapshot_cost: 0,
             delta_cost: 0,
-            max_pending_calls: 1024,
+            max_pending_watches: 1024,
         };
         let list = DiscoveryService::new(spec, 1, 1, Default::default())
             .with_endpoints(driver.now(), &rows);
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -293,7 +293,7 @@
             change_history: l.integer("list-service.changes-kept"),
             snapshot_cost: l.duration_us("list-service.whole-us"),
             delta_cost: l.duration_us("list-service.change-us"),
-            max_pending_calls: l.integer("list-service.calls"),
+            max_pending_watches: l.integer("list-service.calls"),
         }
     }
     /// The workers at these addresses, as the list service knows them from the start.
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -69,7 +69,7 @@
         change_history: 8,
         snapshot_cost: whole,
         delta_cost: whole / 10,
-        max_pending_calls: most,
+        max_pending_watches: most,
     }
 }
 
