--- a/crates/sanddrum-faults/src/layout.rs
+++ b/crates/sanddrum-faults/src/layout.rs
@@ -1,54 +1,55 @@
-//! The control block: a file of 64-bit words that the test writes and the preloaded library maps.
+//! The layout of the control block, a file of 64-bit words that the test writes and the preloaded library maps.
 
-/// The environment variable that names the control block's file.
+/// The environment variable with the path of the control block's file.
 pub const CONTROL_VARIABLE: &str = "SANDDRUM_FAULTS";
 
-/// Words in the control block.
+/// The number of words in the control block.
 pub const WORDS: usize = 32;
 
-/// What each word of the control block holds.
+/// The words of the control block, by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum Word {
-    /// Microseconds (signed) added to the wall clock. The monotonic clock is never touched.
+    /// Signed microseconds that are added to the wall clock. The monotonic clock is not affected.
     WallOffset = 0,
-    /// Seed of the random numbers by which calls are chosen to fail.
+    /// Seed of the random numbers that decide which calls fail.
     Seed = 1,
-    /// Calls of `accept4` in a million that fail.
+    /// Calls of `accept4` per million that fail.
     Accept = 2,
-    /// Calls of `socket` in a million that fail.
+    /// Calls of `socket` per million that fail.
     Socket = 3,
-    /// Calls of `connect` in a million that fail.
+    /// Calls of `connect` per million that fail.
     Connect = 4,
-    /// Calls of `recv` in a million that fail.
+    /// Calls of `recv` per million that fail or are short.
     Receive = 5,
-    /// Calls of `send` in a million that fail.
+    /// Calls of `send` per million that fail or are short.
     Send = 6,
-    /// Not zero: writes and syncs of regular files fail.
+    /// If not zero, writes and syncs of regular files fail.
     Disk = 7,
-    /// Calls of `epoll_wait` in a million that are interrupted.
+    /// Calls of `epoll_wait` per million that are interrupted.
     Wait = 8,
-    /// Calls of `epoll_ctl` in a million that fail, but for those that remove a descriptor.
+    /// Calls of `epoll_ctl` per million that fail. Calls that remove a descriptor never fail.
     Control = 9,
-    /// How many reads of the wall clock were stepped; this and the words after it are counters of the library.
+    /// The number of wall clock reads that were stepped. This word and the following ones are counters that the
+    /// library increments.
     WallReadsStepped = 16,
-    /// How many calls of `accept4` failed.
+    /// The number of calls of `accept4` that failed.
     AcceptsFailed = 17,
-    /// How many calls of `socket` failed.
+    /// The number of calls of `socket` that failed.
     SocketsFailed = 18,
-    /// How many calls of `connect` failed.
+    /// The number of calls of `connect` that failed.
     ConnectsFailed = 19,
-    /// How many calls of `recv` failed or were short.
+    /// The number of calls of `recv` that failed or were short.
     ReceivesFailed = 20,
-    /// How many calls of `send` failed or were short.
+    /// The number of calls of `send` that failed or were short.
     SendsFailed = 21,
-    /// How many writes and syncs of regular files failed.
+    /// The number of writes and syncs of regular files that failed.
     DiskWritesFailed = 22,
-    /// How many calls of `epoll_wait` were interrupted.
+    /// The number of calls of `epoll_wait` that were interrupted.
     WaitsInterrupted = 23,
-    /// How many calls of `epoll_ctl` failed.
+    /// The number of calls of `epoll_ctl` that failed.
     ControlsFailed = 24,
 }
 
-/// Size of the control block in bytes.
+/// The size of the control block in bytes.
 pub const BYTES: usize = WORDS * 8;
