--- a/crates/sanddrum-emulator/src/faults.rs
+++ b/crates/sanddrum-emulator/src/faults.rs
@@ -68,7 +68,7 @@
 }
 
 impl IdempotencyKeys {
-    /// Creates a store that retains each key for `window`.
+    /// Creates an empty set that retains each key for `window`.
     pub fn new(window: Micros) -> Self {
         IdempotencyKeys {
             window,
--- a/crates/sanddrum-emulator/src/machine/loading.rs
+++ b/crates/sanddrum-emulator/src/machine/loading.rs
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Answers the load commands whose number of instances is loaded now.
+    /// Answers the load commands that have all their instances loaded.
     pub(super) fn finish_pending_loads(&mut self) {
         let mut met = Vec::new();
         let mut unmet = Vec::new();
