--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -306,7 +306,7 @@
         let accepts_unproved = self.token_policy == TokenPolicy::Off
             && self.certificate_policy == CertificatePolicy::Off;
         let stated = StatedCustomers {
-            named: request.field("sanddrum-customer"),
+            unverified: request.field("sanddrum-customer"),
             token: token_customer.as_deref(),
             certificate: certificate_customer.as_deref(),
         };
