--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -231,7 +231,7 @@
     if !workers && !clients {
         return Ok(Box::new(edge));
     }
-    let mut layer = TlsLayer::new(edge, sanddrum_lab::tls_bounds(l));
+    let mut layer = TlsLayer::new(edge, sanddrum_lab::tls_limits(l));
     let sessions = l.integer("tls.sessions");
     if workers {
         let rules = TlsOptions {
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -5,8 +5,8 @@
 use clap::{Args, ValueEnum};
 use sanddrum_emulator::{DiscoveryService, IdempotencyKeys, Shared, Store, Worker};
 use sanddrum_lab::{
-    play, MakeProcess, Outcome, ProcessEnvironment, ProcessStart, Recording, Scenario, Steered,
-    Who, FAULTS, FLEET_DAY, LATE, OURS,
+    play, FaultControlled, MakeProcessCommand, Outcome, ProcessEnvironment, ProcessOptions,
+    Recording, Scenario, Who, FAULTS_FILE, FLEET_DAY, LATE_THRESHOLD, RUNNER,
 };
 use sanddrum_net::{Core, EventLoop, NullObserver};
 use serde::de::DeserializeOwned;
@@ -39,17 +39,17 @@
 }
 
 /// Each process is this program again.
-fn processes(set: &[String]) -> Result<MakeProcess, String> {
+fn processes(set: &[String]) -> Result<MakeProcessCommand, String> {
     let (program, set) = (
         std::env::current_exe().map_err(|e| e.to_string())?,
         set.to_vec(),
     );
-    Ok(Box::new(move |start: &ProcessStart| {
+    Ok(Box::new(move |start: &ProcessOptions| {
         command(&program, start, &set)
     }))
 }
 
-fn command(program: &Path, start: &ProcessStart, set: &[String]) -> Command {
+fn command(program: &Path, start: &ProcessOptions, set: &[String]) -> Command {
     let scenario = &start.fleet.scenario;
     let file = start.address_file.with_file_name("scenario.sx");
     let mut command = Command::new(program);
@@ -144,7 +144,7 @@
                 println!(
                     "the machine was the limit: this process ran late {late} times, up to {} ms (over {} ms counts)",
                     latest / 1000,
-                    LATE / 1000
+                    LATE_THRESHOLD / 1000
                 );
             }
             tell(&outcome, args.json)
@@ -164,7 +164,7 @@
     let mut stage = ProcessEnvironment::new(scenario, &recording, folder.0.clone(), make)
         .map_err(|e| e.to_string())?;
     stage.catch_signals().map_err(|e| e.to_string())?;
-    stage.call(&recording).map_err(|e| e.to_string())?;
+    stage.start_clients(&recording).map_err(|e| e.to_string())?;
     let begun = sanddrum_lab::Environment::now(&stage);
     stage.progress = Some(Box::new(move |now| {
         eprint!("\r{} of {seconds} s ", (now - begun) / 1_000_000)
@@ -172,16 +172,16 @@
     let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
     eprintln!();
     let log = &recording.0.borrow().log;
-    let processes = log.waits.iter().filter(|(name, _)| *name != OURS);
+    let processes = log.waits.iter().filter(|(name, _)| *name != RUNNER);
     let waited = processes
         .map(|(_, waits)| waits.worst_second())
         .max()
         .unwrap_or(0);
     Ok((
         outcome,
-        stage.late,
-        stage.latest,
-        stage.short_of_files,
+        stage.late_iterations,
+        stage.max_loop_delay,
+        stage.near_file_limit,
         waited,
     ))
 }
@@ -323,7 +323,7 @@
         Ok(read) => *faults.borrow_mut() = read,
         Err(e) => tracing::warn!(reason = "faults", problem = %e, "the faults can't be read"),
     };
-    Box::new(Steered::new(Box::new(core), Box::new(take)))
+    Box::new(FaultControlled::new(Box::new(core), Box::new(take)))
 }
 
 fn shared<T: Default>() -> Shared<T> {
@@ -373,7 +373,7 @@
     let host = driver
         .add(core, vec![door], None)
         .map_err(|e| e.to_string())?;
-    driver.watch_file(host, FAULTS, args.faults.clone(), FAULTS_EVERY);
+    driver.watch_file(host, FAULTS_FILE, args.faults.clone(), FAULTS_EVERY);
     tell_address(&args.address_file, &at)
         .map_err(|e| format!("{}: {e}", args.address_file.display()))?;
     while !driver.shutdown_requested() {
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -3,7 +3,7 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    hunt::Day, play, play_virtually, product_edge, report, EdgesAs, Environment, Experiment,
+    hunt::Day, play, play_virtually, product_edge, report, EdgeMode, Environment, Experiment,
     Outcome, Recording, Scenario, SocketEnvironment, BAD_DAY,
 };
 use std::path::{Path, PathBuf};
@@ -201,8 +201,13 @@
         let file = folder.0.join("scenario.sx");
         std::fs::write(&file, &text).map_err(|e| e.to_string())?;
         let door = [args.listen.as_str()];
-        let stage =
-            SocketEnvironment::standing(scenario, &recording, edges, folder.0.clone(), &door);
+        let stage = SocketEnvironment::without_clients(
+            scenario,
+            &recording,
+            edges,
+            folder.0.clone(),
+            &door,
+        );
         let mut stage = stage.map_err(|e| format!("{}: {e}", args.listen))?;
         stage.catch_signals().map_err(|e| e.to_string())?;
         println!(
@@ -210,7 +215,7 @@
             args.listen,
             names.join(", ")
         );
-        while !stage.signalled() {
+        while !stage.shutdown_requested() {
             let next = stage.now() + 100_000;
             stage.run_until(next).map_err(|e| e.to_string())?;
         }
@@ -223,11 +228,11 @@
 }
 
 /// Edges as processes of this program, with the scenario's text in this folder as their settings.
-fn processes(folder: &Folder, set: &[String]) -> Result<EdgesAs, String> {
+fn processes(folder: &Folder, set: &[String]) -> Result<EdgeMode, String> {
     let settings = folder.0.join("scenario.sx");
     let (home, set) = (folder.0.clone(), set.to_vec());
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
-    Ok(EdgesAs::Processes(Box::new(
+    Ok(EdgeMode::Processes(Box::new(
         move |n, fleet, state, seed| {
             let (listen, list) = (&fleet.addresses.edges[n], &fleet.addresses.list);
             let mut command = edge_process(&program, &settings, &fleet.scenario, n, listen, list);
@@ -265,7 +270,7 @@
     let mut stage = stage.map_err(|e| e.to_string())?;
     stage.catch_signals().map_err(|e| e.to_string())?;
     let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
-    if stage.signalled() {
+    if stage.shutdown_requested() {
         return Err("ended by a signal before the scenario was over".into());
     }
     Ok(outcome)
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -3,8 +3,9 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    limits_at, lines, measure, storm, AtSize, Decides, Line, LoadGenerator, LoadGeneratorSpec,
-    LoadMeasurement, MeasureSpec, Measured, Policy, ReconnectLoad, ReconnectLoadSpec, Speaks,
+    limits_at, measure_edge, run_reconnect_load, write_line_chart, AtSize, ClientProtocol,
+    Dispatcher, EdgeMeasurement, LoadGenerator, LoadGeneratorSpec, LoadMeasurement, MeasureSpec,
+    Policy, ReconnectLoad, ReconnectLoadSpec, Series,
 };
 use sanddrum_net::{EventLoop, NullObserver};
 use serde_json::{json, Value};
@@ -43,13 +44,13 @@
         functions: args.functions,
         connections: args.connections,
         rate: args.rate,
-        length: i64::from(args.length) * 1_000_000,
+        duration: i64::from(args.length) * 1_000_000,
         warm_up: 0,
         body: args.body.clone(),
         tokens: Vec::new(),
-        name: None,
-        fresh: false,
-        reopens: false,
+        tls_name: None,
+        connection_per_request: false,
+        reopen_closed: false,
         seed: args.seed,
     };
     match hammer(spec) {
@@ -71,9 +72,9 @@
 fn hammer(spec: LoadGeneratorSpec) -> std::io::Result<LoadMeasurement> {
     let mut driver = EventLoop::new(Box::new(NullObserver))?;
     driver.catch_signals()?;
-    let until = driver.now() + spec.length + 5_000_000;
+    let until = driver.now() + spec.duration + 5_000_000;
     let hammer = LoadGenerator::new(spec);
-    let seen = hammer.seen.clone();
+    let seen = hammer.measurement.clone();
     let host = driver.add(Box::new(hammer), vec![], None)?;
     while !driver.is_core_done(host) && driver.now() < until && !driver.shutdown_requested() {
         let next = driver.now() + 50_000;
@@ -87,7 +88,7 @@
     let q = |q| h.quantile_us(q) as f64 / 1000.0;
     let (p50, p99, p999) = (q(0.5), q(0.99), q(0.999));
     let others: Vec<String> = h
-        .others
+        .other_statuses
         .iter()
         .map(|(status, n)| format!("{n} x {status}"))
         .collect();
@@ -102,7 +103,7 @@
 
 fn figures(h: &LoadMeasurement) -> Value {
     let others: Vec<Value> = h
-        .others
+        .other_statuses
         .iter()
         .map(|(status, n)| json!({"status": status, "calls": n}))
         .collect();
@@ -184,24 +185,24 @@
     }
 }
 
-fn spec(args: &MeasureArgs, decides: Decides) -> MeasureSpec {
+fn spec(args: &MeasureArgs, decides: Dispatcher) -> MeasureSpec {
     let length = i64::from(args.length) * 1_000_000;
     MeasureSpec {
-        decides,
+        dispatcher: decides,
         workers: 10,
         functions: 100,
         connections: 64,
         idle_clients: 0,
         rate: 0.0,
-        length,
+        duration: length,
         warm_up: length / 4,
-        tls: false,
+        tls_to_workers: false,
         tokens: 0,
-        door: Speaks::Plain,
-        fresh: false,
-        resumes: true,
+        client_protocol: ClientProtocol::Plain,
+        connection_per_request: false,
+        resume_sessions: true,
         body_bytes: 0,
-        flood: 0,
+        bad_token_connections: 0,
     }
 }
 
@@ -222,15 +223,15 @@
 
 /// The module beside a bare forwarder: calls a second when saturated, then latencies at half the module's rate.
 fn rate(args: &MeasureArgs) -> Result<(), String> {
-    let pairs = |rate: f64| -> Result<Vec<(Measured, Measured)>, String> {
+    let pairs = |rate: f64| -> Result<Vec<(EdgeMeasurement, EdgeMeasurement)>, String> {
         let one = |decides| {
-            measure(&MeasureSpec {
+            measure_edge(&MeasureSpec {
                 rate,
                 ..spec(args, decides)
             })
         };
         (0..args.runs)
-            .map(|_| Ok((one(Decides::Module)?, one(Decides::Forwarder)?)))
+            .map(|_| Ok((one(Dispatcher::Module)?, one(Dispatcher::Forwarder)?)))
             .collect()
     };
     let saturated = pairs(0.0)?;
@@ -238,7 +239,7 @@
         "saturated, 10 workers, 100 functions, 64 connections, {} runs in turn:",
         args.runs
     );
-    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+    let of = |figure: &dyn Fn(&(EdgeMeasurement, EdgeMeasurement)) -> f64| {
         spread(saturated.iter().map(figure).collect())
     };
     println!(
@@ -255,11 +256,11 @@
     );
     println!(
         "  edge CPU a call, module (us)   {}",
-        told(of(&|(m, _)| m.cpu_us_per_call))
+        told(of(&|(m, _)| m.cpu_us_per_request))
     );
     println!(
         "  edge CPU a call, forwarder     {}",
-        told(of(&|(_, f)| f.cpu_us_per_call))
+        told(of(&|(_, f)| f.cpu_us_per_request))
     );
     let half = of(&|(m, _)| m.load.rate()).1 / 2.0;
     let open = pairs(half)?;
@@ -267,7 +268,7 @@
         "open loop at half of that, {half:.0} calls a second, latency in ms from when each call was meant:"
     );
     for (name, q) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
-        let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+        let of = |figure: &dyn Fn(&(EdgeMeasurement, EdgeMeasurement)) -> f64| {
             told(spread(open.iter().map(figure).collect()))
         };
         let (module, forwarder) = (
@@ -278,7 +279,12 @@
     }
     let others: u64 = open
         .iter()
-        .flat_map(|(m, f)| m.load.others.values().chain(f.load.others.values()))
+        .flat_map(|(m, f)| {
+            m.load
+                .other_statuses
+                .values()
+                .chain(f.load.other_statuses.values())
+        })
         .sum();
     println!("  answers that were not finished {others}");
     Ok(())
@@ -296,21 +302,21 @@
         (1000, 10_000),
     ] {
         let one = |decides| {
-            measure(&MeasureSpec {
+            measure_edge(&MeasureSpec {
                 workers,
                 functions,
                 rate: 2000.0,
                 ..spec(args, decides)
             })
         };
-        let runs: Vec<(Measured, Measured)> = (0..args.runs)
-            .map(|_| Ok((one(Decides::Module)?, one(Decides::Forwarder)?)))
+        let runs: Vec<(EdgeMeasurement, EdgeMeasurement)> = (0..args.runs)
+            .map(|_| Ok((one(Dispatcher::Module)?, one(Dispatcher::Forwarder)?)))
             .collect::<Result<_, String>>()?;
         let module = told(spread(
-            runs.iter().map(|(m, _)| m.cpu_us_per_call).collect(),
+            runs.iter().map(|(m, _)| m.cpu_us_per_request).collect(),
         ));
         let forwarder = told(spread(
-            runs.iter().map(|(_, f)| f.cpu_us_per_call).collect(),
+            runs.iter().map(|(_, f)| f.cpu_us_per_request).collect(),
         ));
         let p99 = told(spread(
             runs.iter()
@@ -340,13 +346,13 @@
 fn idle(args: &MeasureArgs) -> Result<(), String> {
     for idle_clients in [0, 9_000] {
         let before = memory_mb();
-        let m = measure(&MeasureSpec {
+        let m = measure_edge(&MeasureSpec {
             idle_clients,
             rate: 2000.0,
-            ..spec(args, Decides::Module)
+            ..spec(args, Dispatcher::Module)
         })?;
         let grown = memory_mb() - before;
-        println!("{idle_clients} idle clients, 2,000 calls a second: {}; CPU a call {:.1} us; memory grown by {grown:.1} MB (both ends)", line(&m.load), m.cpu_us_per_call);
+        println!("{idle_clients} idle clients, 2,000 calls a second: {}; CPU a call {:.1} us; memory grown by {grown:.1} MB (both ends)", line(&m.load), m.cpu_us_per_request);
     }
     Ok(())
 }
@@ -382,7 +388,7 @@
             let points = (0..8)
                 .map(|n| (n as f64 + 1.0, (middle(n) - 1.0).abs()))
                 .collect();
-            plotted.push(Line {
+            plotted.push(Series {
                 name: name.into(),
                 points,
             });
@@ -391,7 +397,7 @@
             let title = format!(
                 "Error of a summed rate limit after its customer moved to another of {edges} edges"
             );
-            lines(
+            write_line_chart(
                 &folder.join(format!("limits-{edges}.svg")),
                 &title,
                 ("second", "part of the limit"),
@@ -404,12 +410,12 @@
 
 /// The same edge over TLS and in plain text, saturated and then at half the rate over TLS.
 fn tls(args: &MeasureArgs) -> Result<(), String> {
-    let pairs = |rate: f64| -> Result<Vec<(Measured, Measured)>, String> {
+    let pairs = |rate: f64| -> Result<Vec<(EdgeMeasurement, EdgeMeasurement)>, String> {
         let one = |tls| {
-            measure(&MeasureSpec {
-                tls,
+            measure_edge(&MeasureSpec {
+                tls_to_workers: tls,
                 rate,
-                ..spec(args, Decides::Module)
+                ..spec(args, Dispatcher::Module)
             })
         };
         (0..args.runs)
@@ -417,7 +423,7 @@
             .collect()
     };
     let saturated = pairs(0.0)?;
-    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+    let of = |figure: &dyn Fn(&(EdgeMeasurement, EdgeMeasurement)) -> f64| {
         spread(saturated.iter().map(figure).collect())
     };
     println!(
@@ -430,12 +436,12 @@
     );
     println!(
         "  edge CPU a call over plain     {}",
-        told(of(&|(t, p)| t.cpu_us_per_call / p.cpu_us_per_call))
+        told(of(&|(t, p)| t.cpu_us_per_request / p.cpu_us_per_request))
     );
     let half = of(&|(t, _)| t.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
-        let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
+        let of = |figure: &dyn Fn(&(EdgeMeasurement, EdgeMeasurement)) -> f64| {
             told(spread(open.iter().map(figure).collect()))
         };
         let (over, plain) = (
@@ -452,12 +458,12 @@
     // More new tokens than calls can be made in a run.
     let new = args.length as usize * 80_000;
     let one = |tokens| {
-        measure(&MeasureSpec {
+        measure_edge(&MeasureSpec {
             tokens,
-            ..spec(args, Decides::Module)
+            ..spec(args, Dispatcher::Module)
         })
     };
-    let runs: Vec<[Measured; 3]> = (0..args.runs)
+    let runs: Vec<[EdgeMeasurement; 3]> = (0..args.runs)
         .map(|_| Ok([one(0)?, one(1)?, one(new)?]))
         .collect::<Result<_, String>>()?;
     println!(
@@ -472,7 +478,7 @@
         );
         let cpu = spread(
             runs.iter()
-                .map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call)
+                .map(|r| r[n].cpu_us_per_request - r[0].cpu_us_per_request)
                 .collect(),
         );
         println!(
@@ -486,7 +492,7 @@
         .enumerate()
     {
         let mut others: std::collections::BTreeMap<u16, u64> = std::collections::BTreeMap::new();
-        let each = runs.iter().flat_map(|r| &r[n].load.others);
+        let each = runs.iter().flat_map(|r| &r[n].load.other_statuses);
         each.for_each(|(status, count)| *others.entry(*status).or_default() += count);
         let finished: u64 = runs.iter().map(|r| r[n].load.finished).sum();
         println!("  {name}: finished {finished}, others by status {others:?}");
@@ -496,7 +502,7 @@
 
 /// What a call costs by what its client speaks and whether the connection, or its session, is kept.
 fn door(args: &MeasureArgs) -> Result<(), String> {
-    use Speaks::{Certificate, Plain, Tls};
+    use ClientProtocol::{Certificate, Plain, Tls};
     let kinds = [
         ("plain, kept", Plain, false, true),
         ("plain, a connection a call", Plain, true, true),
@@ -507,16 +513,16 @@
         ("certificate, full a call", Certificate, true, false),
         ("certificate, resumed a call", Certificate, true, true),
     ];
-    let one = |(_, door, fresh, resumes): (&str, Speaks, bool, bool)| {
-        measure(&MeasureSpec {
-            door,
-            fresh,
-            resumes,
+    let one = |(_, door, fresh, resumes): (&str, ClientProtocol, bool, bool)| {
+        measure_edge(&MeasureSpec {
+            client_protocol: door,
+            connection_per_request: fresh,
+            resume_sessions: resumes,
             connections: 16,
-            ..spec(args, Decides::Module)
+            ..spec(args, Dispatcher::Module)
         })
     };
-    let runs: Vec<Vec<Measured>> = (0..args.runs)
+    let runs: Vec<Vec<EdgeMeasurement>> = (0..args.runs)
         .map(|_| kinds.iter().map(|kind| one(*kind)).collect())
         .collect::<Result<_, String>>()?;
     println!(
@@ -531,7 +537,7 @@
         ));
         let cpu = told(spread(
             runs.iter()
-                .map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call)
+                .map(|r| r[n].cpu_us_per_request - r[0].cpu_us_per_request)
                 .collect(),
         ));
         let p50 = told(spread(
@@ -539,7 +545,10 @@
                 .map(|r| r[n].load.quantile_us(0.5) as f64 / 1000.0)
                 .collect(),
         ));
-        let others: u64 = runs.iter().flat_map(|r| r[n].load.others.values()).sum();
+        let others: u64 = runs
+            .iter()
+            .flat_map(|r| r[n].load.other_statuses.values())
+            .sum();
         println!(
             "  {name:30} calls a second {rate}, edge CPU a call {cpu} us more, p50 {p50} ms, others {others}"
         );
@@ -551,16 +560,21 @@
 fn bodies(args: &MeasureArgs) -> Result<(), String> {
     let body_bytes = 1 << 20;
     let one = |door, tls| {
-        measure(&MeasureSpec {
-            door,
-            tls,
+        measure_edge(&MeasureSpec {
+            client_protocol: door,
+            tls_to_workers: tls,
             body_bytes,
             connections: 4,
-            ..spec(args, Decides::Module)
+            ..spec(args, Dispatcher::Module)
         })
     };
-    let runs: Vec<[Measured; 2]> = (0..args.runs)
-        .map(|_| Ok([one(Speaks::Plain, false)?, one(Speaks::Tls, true)?]))
+    let runs: Vec<[EdgeMeasurement; 2]> = (0..args.runs)
+        .map(|_| {
+            Ok([
+                one(ClientProtocol::Plain, false)?,
+                one(ClientProtocol::Tls, true)?,
+            ])
+        })
         .collect::<Result<_, String>>()?;
     println!(
         "bodies of 1 MB, saturated, 4 connections, {} runs in turn:",
@@ -570,10 +584,15 @@
         .iter()
         .enumerate()
     {
-        let each = |r: &[Measured; 2]| r[n].cpu_us_per_call * 1000.0 / f64::from(body_bytes as u32);
+        let each = |r: &[EdgeMeasurement; 2]| {
+            r[n].cpu_us_per_request * 1000.0 / f64::from(body_bytes as u32)
+        };
         let each = told(spread(runs.iter().map(each).collect()));
         let finished: u64 = runs.iter().map(|r| r[n].load.finished).sum();
-        let others: u64 = runs.iter().flat_map(|r| r[n].load.others.values()).sum();
+        let others: u64 = runs
+            .iter()
+            .flat_map(|r| r[n].load.other_statuses.values())
+            .sum();
         println!(
             "  {name:20} edge CPU {each} ns a byte of finished calls; finished {finished}, others {others}"
         );
@@ -584,14 +603,14 @@
 /// Honest callers beside somebody who sends tokens with bad signatures as fast as they are refused.
 fn flood(args: &MeasureArgs) -> Result<(), String> {
     let one = |flood| {
-        measure(&MeasureSpec {
-            flood,
+        measure_edge(&MeasureSpec {
+            bad_token_connections: flood,
             rate: 2000.0,
             tokens: 20,
-            ..spec(args, Decides::Module)
+            ..spec(args, Dispatcher::Module)
         })
     };
-    let runs: Vec<[Measured; 3]> = (0..args.runs)
+    let runs: Vec<[EdgeMeasurement; 3]> = (0..args.runs)
         .map(|_| Ok([one(0)?, one(8)?, one(64)?]))
         .collect::<Result<_, String>>()?;
     println!(
@@ -617,7 +636,8 @@
             runs.iter()
                 .map(|r| {
                     r[n].load.finished as f64
-                        / (r[n].load.finished + r[n].load.others.values().sum::<u64>()) as f64
+                        / (r[n].load.finished + r[n].load.other_statuses.values().sum::<u64>())
+                            as f64
                 })
                 .collect(),
         ));
@@ -650,7 +670,7 @@
             let specs = (1..=args.runs as u64).map(|seed| ReconnectLoadSpec { seed, ..spec });
             // Each in a thread of its own, as many as there are processors.
             let threads: Vec<_> = specs
-                .map(|spec| std::thread::spawn(move || storm(&spec)))
+                .map(|spec| std::thread::spawn(move || run_reconnect_load(&spec)))
                 .collect();
             let mut runs: Vec<ReconnectLoad> = Vec::new();
             for thread in threads {
@@ -667,15 +687,15 @@
             let name = if on_demand { "on demand" } else { "as decided" };
             println!(
                 "  {edges:3} edges, {name:10}: service {}, calm after {} s, worst worker {} handshakes a second, all {}, p99 {} ms, rules broken {}",
-                of(&|r| r.service), of(&|r| r.calm), of(&|r| f64::from(r.worst)), of(&|r| f64::from(r.handshakes)), of(&|r| r.p99_ms), of(&|r| r.broken as f64)
+                of(&|r| r.service), of(&|r| r.recovery_s), of(&|r| f64::from(r.max_handshakes_per_s)), of(&|r| f64::from(r.handshakes)), of(&|r| r.p99_ms), of(&|r| r.violations as f64)
             );
             let mean = |n: usize| {
                 runs.iter()
-                    .map(|r| r.seconds.get(n).copied().unwrap_or(0.0))
+                    .map(|r| r.in_time_fractions.get(n).copied().unwrap_or(0.0))
                     .sum::<f64>()
                     / runs.len() as f64
             };
-            plotted.push(Line {
+            plotted.push(Series {
                 name: name.into(),
                 points: (0..24).map(|n| (n as f64, mean(n))).collect(),
             });
@@ -683,7 +703,7 @@
         if let Some(folder) = &args.plots {
             let title =
                 format!("Service a second, {edges} edges; a zone lost at 6 s, back cold at 9 s");
-            lines(
+            write_line_chart(
                 &folder.join(format!("storm-{edges}.svg")),
                 &title,
                 ("second", "calls in time"),
--- a/crates/sanddrum-lab/src/capacity/pictures.rs
+++ b/crates/sanddrum-lab/src/capacity/pictures.rs
@@ -1,7 +1,7 @@
 //! Slopes as pictures: one for each figure, a line for each play, over the logarithm of the axis.
 
 use super::point::{slopes, Point, Slope};
-use crate::plots::{lines, Line};
+use crate::plots::{write_line_chart, Series};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -21,12 +21,12 @@
         let line = |slope: &&Slope| {
             let above = slope.points.iter().filter(|(at, _)| *at > 0.0);
             let points: Vec<(f64, f64)> = above.map(|(at, value)| (at.log10(), *value)).collect();
-            (points.len() > 1).then(|| Line {
+            (points.len() > 1).then(|| Series {
                 name: slope.play.clone(),
                 points,
             })
         };
-        let all: Vec<Line> = slopes.iter().filter_map(line).collect();
+        let all: Vec<Series> = slopes.iter().filter_map(line).collect();
         if all.is_empty() {
             continue;
         }
@@ -41,7 +41,7 @@
         let words: Vec<&str> = words.split('-').filter(|word| !word.is_empty()).collect();
         let first = slopes[0];
         let file = folder.join(format!("{}.svg", words.join("-")));
-        lines(
+        write_line_chart(
             &file,
             &name,
             (&format!("log10 of {}", first.axis), first.unit),
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -2,7 +2,7 @@
 
 use crate::recorder::{Log, Run, Try};
 use crate::scenario::{Calls, Scenario};
-use crate::scheduling_delay::{SchedulingDelays, OURS};
+use crate::scheduling_delay::{SchedulingDelays, RUNNER};
 use hdrhistogram::Histogram;
 use sanddrum_net::Micros;
 use sanddrum_wire::{ExecutionStatus, Phase};
@@ -119,7 +119,7 @@
                 .map_or(0, |w: &SchedulingDelays| w.between(from, to))
         };
         // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
-        let waited = |ours, from, to| ours * of(OURS, from, to) + of(&t.edge, from, to);
+        let waited = |ours, from, to| ours * of(RUNNER, from, to) + of(&t.edge, from, to);
         let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
         let reading = waited(1, t.sent, t.sent + ahead);
         let reading = waited(1, t.sent, t.sent + reading.max(ahead));
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The cores of a scenario, made as they are needed, with the handles through which it scripts their faults.
 
 use crate::callers::{Callers, Mood};
-use crate::plaintext_capture::{bounds, Authority, PlaintextCapture};
+use crate::plaintext_capture::{tls_limits, Authority, PlaintextCapture};
 use crate::recorder::{Recording, Role};
 use crate::scenario::Scenario;
 use crate::token_issuer::TokenIssuer;
@@ -192,7 +192,7 @@
         };
         let door = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
         let tapped = PlaintextCapture::new(worker, host, self.recording.clone());
-        let layer = TlsLayer::new(tapped, bounds(l)).with_inbound(door);
+        let layer = TlsLayer::new(tapped, tls_limits(l)).with_inbound(door);
         let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
         Ok(if costs {
             Box::new(HandshakeQueue::new(layer, work, started, cold, from))
@@ -211,7 +211,7 @@
         let name = Scenario::worker_name(n);
         if self.impostors.contains(&n) {
             let foreign = Authority::new().map_err(std::io::Error::other)?;
-            return foreign.papers(&name).map_err(std::io::Error::other);
+            return foreign.tls_material(&name).map_err(std::io::Error::other);
         }
         if let std::collections::btree_map::Entry::Vacant(leaf) = self.leaves.entry(n) {
             leaf.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
@@ -227,7 +227,7 @@
         self.authority
             .iter()
             .chain(&self.former)
-            .map(Authority::roots)
+            .map(Authority::roots_pem)
             .collect::<String>()
             .into_bytes()
     }
@@ -268,7 +268,7 @@
         };
         let calls = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
         Ok(Box::new(
-            TlsLayer::new(edge, bounds(l)).with_outbound(calls),
+            TlsLayer::new(edge, tls_limits(l)).with_outbound(calls),
         ))
     }
     pub fn store(&self) -> Box<dyn Core> {
@@ -298,7 +298,7 @@
     pub fn keys(&self) -> Option<Vec<u8>> {
         self.wallet
             .as_ref()
-            .map(|wallet| wallet.borrow().set.write())
+            .map(|wallet| wallet.borrow().key_set.write())
     }
     /// An edge's settings and seed for its next start.
     ///
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -35,7 +35,7 @@
 mod sizes;
 pub mod soak;
 mod sockets;
-pub use plaintext_capture::bounds as tls_bounds;
+pub use plaintext_capture::tls_limits;
 pub mod fleet_summary;
 mod scheduling_delay;
 mod token_issuer;
@@ -47,20 +47,21 @@
 pub use fleet::{Addresses, Fleet, Who};
 pub use limits_size::{limits_at, AtSize, Policy, Size, Stream};
 pub use load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
-pub use measure::{measure, Decides, MeasureSpec, Measured, Speaks};
-pub use plots::{lines, Line};
+pub use measure::{measure_edge, ClientProtocol, Dispatcher, EdgeMeasurement, MeasureSpec};
+pub use plots::{write_line_chart, Series};
 pub use processes::{
-    MakeProcess, ProcessEnvironment, Start as ProcessStart, Steered, FAULTS, LATE,
+    FaultControlled, MakeProcessCommand, ProcessEnvironment, ProcessOptions, FAULTS_FILE,
+    LATE_THRESHOLD,
 };
-pub use reconnect_load::{storm, ReconnectLoad, ReconnectLoadSpec};
+pub use reconnect_load::{run_reconnect_load, ReconnectLoad, ReconnectLoadSpec};
 pub use recorder::Recording;
-pub use relay::{Fault, Greets, Relay, Steering};
+pub use relay::{Fault, Greeting, Relay, RelayControl};
 pub use scenario::{Calls, Scenario, Trouble};
 pub use scenario_runner::{play, Outcome};
-pub use scheduling_delay::{SchedulingDelays, OURS};
+pub use scheduling_delay::{SchedulingDelays, RUNNER};
 pub use schema::{kinds, SCENARIO};
 pub use sizes::{plot_sizes, sizes, OfSize};
-pub use sockets::{EdgesAs, SocketEnvironment};
+pub use sockets::{EdgeMode, SocketEnvironment};
 
 use sanddrum_net::LinkModel;
 use std::io;
--- a/crates/sanddrum-lab/src/measure.rs
+++ b/crates/sanddrum-lab/src/measure.rs
@@ -1,5 +1,5 @@
-//! What the edge costs on this machine: itself beside a bare forwarder on the same loop and codecs, with workers that
-//! answer at once, so that what is left is the edge.
+//! Measures the cost of the edge on this machine, against a bare forwarder on the same event loop and codecs. The
+//! workers answer at once, so that the cost is that of the edge alone.
 
 use crate::load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
 use crate::plaintext_capture::Authority;
@@ -23,36 +23,37 @@
     Arc,
 };
 
-const TLS_BOUNDS: TlsLimits = TlsLimits {
+const TLS_LIMITS: TlsLimits = TlsLimits {
     handshake_timeout: 2_000_000,
     max_handshakes: 256,
     max_buffered: 256 * 1024,
     expiry_warning: 0,
 };
-const TLS_SESSIONS: usize = 4096;
-/// The name of the client door.
-const DOOR_NAME: &str = "edge.example.org";
+const TLS_SESSION_CACHE_SIZE: usize = 4096;
+/// Server name of the client listener.
+const LISTENER_NAME: &str = "edge.example.org";
 
-/// Workers that answer at once and hold every function; one for each door.
+/// Workers that answer at once and have every function loaded, one for each listener.
 #[derive(Default)]
-struct Instant {
-    /// The number of the first door's worker.
-    first: usize,
+struct InstantWorkers {
+    /// Number of the worker behind the first listener.
+    first_worker: usize,
     peers: BTreeMap<ConnectionId, (usize, FrameDecoder, Vec<u8>)>,
-    dirty: BTreeSet<ConnectionId>,
+    pending_output: BTreeSet<ConnectionId>,
 }
 
-impl Core for Instant {
+impl Core for InstantWorkers {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
     fn on_event(&mut self, _: Micros, event: Event<'_>, _: &mut dyn Io) {
         match event {
-            Event::Accepted {
-                conn,
-                listener: door,
-            } => {
+            Event::Accepted { conn, listener } => {
                 self.peers.insert(
                     conn,
-                    (self.first + door.0, FrameDecoder::new(1 << 24), Vec::new()),
+                    (
+                        self.first_worker + listener.0,
+                        FrameDecoder::new(1 << 24),
+                        Vec::new(),
+                    ),
                 );
             }
             Event::Bytes { conn, bytes } => {
@@ -66,7 +67,7 @@
                         queued: Some(0.0),
                         ..LoadReport::default()
                     });
-                    let answer = match message {
+                    let reply = match message {
                         ToWorker::Hello(_) => {
                             let name = format!("worker-{n}");
                             FromWorker::Hello(Hello {
@@ -96,17 +97,17 @@
                         }
                         ToWorker::Cancel(_) | ToWorker::Unload(_) => continue,
                     };
-                    out.extend_from_slice(&encode_frame(&answer));
+                    out.extend_from_slice(&encode_frame(&reply));
                 }
-                self.dirty.insert(conn);
+                self.pending_output.insert(conn);
             }
-            Event::Writable { conn } => drop(self.dirty.insert(conn)),
+            Event::Writable { conn } => drop(self.pending_output.insert(conn)),
             Event::Closed { conn, .. } => drop(self.peers.remove(&conn)),
             Event::Connected { .. } => {}
         }
     }
     fn process(&mut self, _: Micros, io: &mut dyn Io) {
-        while let Some(conn) = self.dirty.pop_first() {
+        while let Some(conn) = self.pending_output.pop_first() {
             if let Some((.., out)) = self.peers.get_mut(&conn) {
                 let wrote = io.write(conn, out);
                 out.drain(..wrote);
@@ -118,7 +119,7 @@
     }
 }
 
-/// No decision at all: each job goes to the next worker.
+/// The baseline: makes no decisions, and sends each request to the next worker in turn.
 #[derive(Default)]
 struct Forwarder {
     workers: Vec<WorkerId>,
@@ -126,95 +127,105 @@
 }
 
 impl DecisionModule for Forwarder {
-    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
-        for row in round.endpoint_lists.iter().flat_map(|list| &list.endpoints) {
-            if row.state == WorkerState::Ready && !self.workers.contains(&row.worker) {
-                self.workers.push(row.worker);
+    fn handle(&mut self, now: Micros, batch: &EventBatch, out: &mut impl Decisions) {
+        for record in batch.endpoint_lists.iter().flat_map(|list| &list.endpoints) {
+            if record.state == WorkerState::Ready && !self.workers.contains(&record.worker) {
+                self.workers.push(record.worker);
             }
         }
-        for job in &round.requests {
+        for request in &batch.requests {
             match self.workers.len() {
-                0 => out.reject(job.id, 0),
-                n => out.dispatch(job.id, self.workers[self.next % n], job.deadline - now),
+                0 => out.reject(request.id, 0),
+                n => out.dispatch(
+                    request.id,
+                    self.workers[self.next % n],
+                    request.deadline - now,
+                ),
             }
             self.next += 1;
         }
-        for end in round.attempt_results.iter().filter(|end| !end.is_final) {
-            out.fail(end.request);
+        for result in batch
+            .attempt_results
+            .iter()
+            .filter(|result| !result.is_final)
+        {
+            out.fail(result.request);
         }
     }
 }
 
+/// What chooses a worker for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decides {
+pub enum Dispatcher {
     Module,
     Forwarder,
 }
 
 #[derive(Clone, Debug)]
 pub struct MeasureSpec {
-    pub decides: Decides,
+    pub dispatcher: Dispatcher,
     pub workers: usize,
     pub functions: usize,
     pub connections: usize,
     pub idle_clients: usize,
     pub rate: f64,
-    pub length: Micros,
+    pub duration: Micros,
     pub warm_up: Micros,
-    /// Workers are spoken to over TLS.
-    pub tls: bool,
-    /// Callers show so many different tokens; nought: none are asked for.
+    /// The edge reaches workers over TLS.
+    pub tls_to_workers: bool,
+    /// Number of different tokens that the requests carry; 0: the edge requires none.
     pub tokens: usize,
-    /// What clients speak.
-    pub door: Speaks,
-    /// Each call on a connection of its own.
-    pub fresh: bool,
-    /// Clients take sessions up again.
-    pub resumes: bool,
+    /// How clients connect to the edge.
+    pub client_protocol: ClientProtocol,
+    /// Clients send each request on a connection of its own.
+    pub connection_per_request: bool,
+    /// Clients resume TLS sessions.
+    pub resume_sessions: bool,
     pub body_bytes: usize,
-    /// Connections of somebody who sends tokens with bad signatures as fast as they are refused.
-    pub flood: usize,
+    /// Connections of a client that sends tokens with bad signatures as fast as they are rejected.
+    pub bad_token_connections: usize,
 }
 
-/// What clients of the edge speak.
+/// How clients connect to the edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speaks {
+pub enum ClientProtocol {
     Plain,
     Tls,
-    /// And they show a certificate.
+    /// TLS with a client certificate.
     Certificate,
 }
 
-pub struct Measured {
+pub struct EdgeMeasurement {
     pub load: LoadMeasurement,
-    /// Processor time of the edge's thread for each call that it answered.
-    pub cpu_us_per_call: f64,
+    /// Processor time of the edge's thread per request that finished.
+    pub cpu_us_per_request: f64,
 }
 
 /// Processor time of the calling thread, in microseconds.
 fn thread_cpu_us() -> f64 {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    text.split_whitespace()
+    let statistics = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    statistics
+        .split_whitespace()
         .next()
         .and_then(|ns| ns.parse::<f64>().ok())
         .unwrap_or(0.0)
         / 1000.0
 }
 
-/// Connects so many clients that say nothing.
-struct Idle {
+/// Clients that connect one after the other and send nothing.
+struct IdleClients {
     edge: String,
-    wanted: usize,
-    open: usize,
+    count: usize,
+    opened: usize,
 }
 
-impl Core for Idle {
+impl Core for IdleClients {
     fn start(&mut self, _: Micros, io: &mut dyn Io) {
-        self.more(io);
+        self.connect_next(io);
     }
     fn on_event(&mut self, _: Micros, event: Event<'_>, io: &mut dyn Io) {
         if let Event::Connected { .. } = event {
-            self.more(io);
+            self.connect_next(io);
         }
     }
     fn process(&mut self, _: Micros, _: &mut dyn Io) {}
@@ -223,10 +234,10 @@
     }
 }
 
-impl Idle {
-    fn more(&mut self, io: &mut dyn Io) {
-        if self.open < self.wanted {
-            self.open += 1;
+impl IdleClients {
+    fn connect_next(&mut self, io: &mut dyn Io) {
+        if self.opened < self.count {
+            self.opened += 1;
             io.connect(&self.edge);
         }
     }
@@ -239,18 +250,18 @@
     (limits (max-clients 100000) (client-idle 10min) (largest-body 16MB) (largest-frame 32MB)
             (waiting-per-worker 64MB))"#;
 
-fn settings(listen: &str, list: &str) -> Result<LoadedSettings, String> {
+fn settings(listen: &str, discovery_address: &str) -> Result<LoadedSettings, String> {
     let mut settings = sanddrum_settings::read("measure", SETTINGS).map_err(|e| e.to_string())?;
     settings
         .override_value("edge.listen", listen, "measure")
         .map_err(|e| e.to_string())?;
     settings
-        .override_value("edge.list", list, "measure")
+        .override_value("edge.list", discovery_address, "measure")
         .map_err(|e| e.to_string())?;
     Ok(settings)
 }
 
-/// So many tokens, and the key set that verifies them.
+/// Signed tokens, and the key set that verifies them.
 fn tokens(count: usize) -> Result<(Vec<String>, Vec<u8>), String> {
     let secret = SecretKey::from_seed("measure", [5; 32]);
     let mut set = KeySet::default();
@@ -278,13 +289,13 @@
     Ok((signed.map_err(|e| e.to_string())?, set.write()))
 }
 
-/// An edge that has its key set from the start.
-struct Keyed {
+/// An edge that gets its key set when it starts, without watching a file.
+struct EdgeWithKeySet {
     core: Box<dyn Core>,
     keys: Vec<u8>,
 }
 
-impl Core for Keyed {
+impl Core for EdgeWithKeySet {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
         self.core.on_file(now, KEYS_FILE, Ok(&self.keys), io);
@@ -300,8 +311,8 @@
     }
 }
 
-/// Runs a loop in a thread of its own until told to stop; gives the processor time that it took.
-fn in_thread(
+/// Runs an event loop in a thread of its own until `stop` is set.
+fn spawn_event_loop(
     stop: Arc<AtomicBool>,
     make: impl FnOnce(&mut EventLoop) -> io::Result<()> + Send + 'static,
 ) -> std::thread::JoinHandle<io::Result<()>> {
@@ -319,17 +330,18 @@
 /// Measures one edge, in one thread, under load from another, with its workers in a third.
 ///
 /// # Errors
-/// A socket could not be had: mostly too few file descriptors.
-pub fn measure(spec: &MeasureSpec) -> Result<Measured, String> {
-    let text = |e: io::Error| e.to_string();
+/// A socket can't be opened, mostly for lack of file descriptors, or a key, token or certificate can't be made.
+pub fn measure_edge(spec: &MeasureSpec) -> Result<EdgeMeasurement, String> {
+    let error_text = |e: io::Error| e.to_string();
     let stop = Arc::new(AtomicBool::new(false));
-    let bound: Vec<(TcpListener, String)> = (0..spec.workers)
+    let bound_workers: Vec<(TcpListener, String)> = (0..spec.workers)
         .map(|_| EventLoop::bind("127.0.0.1:0"))
         .collect::<io::Result<_>>()
-        .map_err(text)?;
-    let (list_door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
-    let (edge_door, edge_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
-    let row = |(n, (_, at)): (usize, &(TcpListener, String))| EndpointRecord {
+        .map_err(error_text)?;
+    let (discovery_listener, discovery_address) =
+        EventLoop::bind("127.0.0.1:0").map_err(error_text)?;
+    let (edge_listener, edge_address) = EventLoop::bind("127.0.0.1:0").map_err(error_text)?;
+    let record = |(n, (_, at)): (usize, &(TcpListener, String))| EndpointRecord {
         name: format!("worker-{n}"),
         address: at.clone(),
         zone: "here".into(),
@@ -339,40 +351,52 @@
         age_us: -1,
         ..EndpointRecord::default()
     };
-    let rows: Vec<EndpointRecord> = bound.iter().enumerate().map(row).collect();
-    let doors: Vec<TcpListener> = bound.into_iter().map(|(listener, _)| listener).collect();
+    let records: Vec<EndpointRecord> = bound_workers.iter().enumerate().map(record).collect();
+    let worker_listeners: Vec<TcpListener> = bound_workers
+        .into_iter()
+        .map(|(listener, _)| listener)
+        .collect();
     let authority = Authority::new().map_err(|e| e.to_string())?;
-    let worker_terms = match spec.tls {
+    let worker_configs = match spec.tls_to_workers {
         true => {
-            let terms =
-                |n| authority.for_door(&format!("worker-{n}"), ClientAuth::Disabled, TLS_SESSIONS);
+            let worker_config = |n| {
+                authority.inbound_config(
+                    &format!("worker-{n}"),
+                    ClientAuth::Disabled,
+                    TLS_SESSION_CACHE_SIZE,
+                )
+            };
             Some(
                 (0..spec.workers)
-                    .map(terms)
+                    .map(worker_config)
                     .collect::<Result<Vec<_>, _>>()?,
             )
         }
         false => None,
     };
-    let edge_terms = spec
-        .tls
-        .then(|| authority.for_edge(TLS_SESSIONS))
+    let outbound_config = spec
+        .tls_to_workers
+        .then(|| authority.outbound_config(TLS_SESSION_CACHE_SIZE))
         .transpose()?;
-    let (door_side, client_side) = match spec.door {
-        Speaks::Plain => (None, None),
-        speaks => {
-            let asks = if speaks == Speaks::Certificate {
+    let (inbound_config, client_config) = match spec.client_protocol {
+        ClientProtocol::Plain => (None, None),
+        protocol => {
+            let client_auth = if protocol == ClientProtocol::Certificate {
                 ClientAuth::Required
             } else {
                 ClientAuth::Disabled
             };
-            let mut papers = authority.papers("gw-1")?;
-            papers.certified_key = papers
+            let mut tls_material = authority.tls_material("gw-1")?;
+            tls_material.certified_key = tls_material
                 .certified_key
-                .filter(|_| speaks == Speaks::Certificate);
-            let sessions = if spec.resumes { TLS_SESSIONS } else { 0 };
+                .filter(|_| protocol == ClientProtocol::Certificate);
+            let sessions = if spec.resume_sessions {
+                TLS_SESSION_CACHE_SIZE
+            } else {
+                0
+            };
             let client = ReloadableConfig::new(
-                papers,
+                tls_material,
                 TlsOptions {
                     session_cache_size: sessions,
                     ..TlsOptions::default()
@@ -380,12 +404,16 @@
             )
             .map_err(|e| e.to_string())?;
             (
-                Some(authority.for_door(DOOR_NAME, asks, TLS_SESSIONS)?),
+                Some(authority.inbound_config(
+                    LISTENER_NAME,
+                    client_auth,
+                    TLS_SESSION_CACHE_SIZE,
+                )?),
                 Some(client),
             )
         }
     };
-    let workers = in_thread(stop.clone(), move |driver| {
+    let workers = spawn_event_loop(stop.clone(), move |driver| {
         let spec = DiscoverySpec {
             min_publish_delay: 0,
             max_publish_delay: 0,
@@ -395,33 +423,35 @@
             delta_cost: 0,
             max_pending_calls: 1024,
         };
-        let list = DiscoveryService::new(spec, 1, 1, Default::default())
-            .with_endpoints(driver.now(), &rows);
-        driver.add(Box::new(list), vec![list_door], None)?;
-        let Some(terms) = worker_terms else {
+        let discovery = DiscoveryService::new(spec, 1, 1, Default::default())
+            .with_endpoints(driver.now(), &records);
+        driver.add(Box::new(discovery), vec![discovery_listener], None)?;
+        let Some(configs) = worker_configs else {
             return driver
-                .add(Box::new(Instant::default()), doors, None)
+                .add(Box::new(InstantWorkers::default()), worker_listeners, None)
                 .map(drop);
         };
-        for (first, (door, terms)) in doors.into_iter().zip(terms).enumerate() {
+        for (first_worker, (listener, config)) in
+            worker_listeners.into_iter().zip(configs).enumerate()
+        {
             let core = TlsLayer::new(
-                Instant {
-                    first,
-                    ..Instant::default()
+                InstantWorkers {
+                    first_worker,
+                    ..InstantWorkers::default()
                 },
-                TLS_BOUNDS,
+                TLS_LIMITS,
             )
-            .with_inbound(terms);
-            driver.add(Box::new(core), vec![door], None)?;
+            .with_inbound(config);
+            driver.add(Box::new(core), vec![listener], None)?;
         }
         Ok(())
     });
-    // The edge's thread tells its processor time every slice; nobody waits for it.
+    // The edge's thread publishes its processor time after every slice of its event loop.
     let cpu_us = Arc::new(AtomicU64::new(0));
-    let telling = cpu_us.clone();
-    let mut settings = settings(&edge_at, &list_at)?;
+    let published_cpu_us = cpu_us.clone();
+    let mut settings = settings(&edge_address, &discovery_address)?;
     let (tokens, keys) = tokens(spec.tokens)?;
-    if spec.door == Speaks::Certificate {
+    if spec.client_protocol == ClientProtocol::Certificate {
         for (name, value) in [
             ("door.certificate-file", "door.pem"),
             ("door.key-file", "door.key"),
@@ -445,14 +475,14 @@
                 .map_err(|e| e.to_string())?;
         }
     }
-    let decides = spec.decides;
+    let dispatcher = spec.dispatcher;
     let edge_stop = stop.clone();
-    // Named, so that a profiler can tell it from the rest.
+    // The name identifies the thread in a profiler.
     let edge = std::thread::Builder::new()
-        .name(format!("edge-{decides:?}"))
+        .name(format!("edge-{dispatcher:?}"))
         .spawn(move || -> io::Result<()> {
             let mut driver = EventLoop::new(Box::new(NullObserver))?;
-            let start = EdgeOptions {
+            let options = EdgeOptions {
                 settings,
                 seed: 1,
                 cached_state: None,
@@ -460,65 +490,68 @@
                 metrics_page: None,
                 platform: None,
             };
-            let core: Box<dyn Core> = match decides {
-                Decides::Module => {
-                    let module = Router::new(1, &start.settings.decision_settings());
-                    Box::new(Edge::with_module(start, module))
+            let core: Box<dyn Core> = match dispatcher {
+                Dispatcher::Module => {
+                    let module = Router::new(1, &options.settings.decision_settings());
+                    Box::new(Edge::with_module(options, module))
                 }
-                Decides::Forwarder => Box::new(Edge::with_module(start, Forwarder::default())),
+                Dispatcher::Forwarder => Box::new(Edge::with_module(options, Forwarder::default())),
             };
-            let core: Box<dyn Core> = match (edge_terms, door_side) {
+            let core: Box<dyn Core> = match (outbound_config, inbound_config) {
                 (None, None) => core,
-                (calls, doors) => {
-                    let layer = calls
+                (outbound, inbound) => {
+                    let layer = outbound
                         .into_iter()
-                        .fold(TlsLayer::new(core, TLS_BOUNDS), TlsLayer::with_outbound);
-                    Box::new(doors.into_iter().fold(layer, TlsLayer::with_inbound))
+                        .fold(TlsLayer::new(core, TLS_LIMITS), TlsLayer::with_outbound);
+                    Box::new(inbound.into_iter().fold(layer, TlsLayer::with_inbound))
                 }
             };
-            let core = Keyed { core, keys };
-            driver.add(Box::new(core), vec![edge_door], None)?;
+            let core = EdgeWithKeySet { core, keys };
+            driver.add(Box::new(core), vec![edge_listener], None)?;
             while !edge_stop.load(Ordering::Relaxed) {
                 let until = driver.now() + 50_000;
                 driver.run_until(until)?;
-                telling.store(thread_cpu_us() as u64, Ordering::Relaxed);
+                published_cpu_us.store(thread_cpu_us() as u64, Ordering::Relaxed);
             }
             Ok(())
         });
-    let edge = edge.map_err(text)?;
+    let edge = edge.map_err(error_text)?;
     let cpu = || cpu_us.load(Ordering::Relaxed) as f64;
-    let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(text)?;
+    let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(error_text)?;
     let wait = |driver: &mut EventLoop, span: Micros| {
         let until = driver.now() + span;
-        driver.run_until(until).map_err(text)
+        driver.run_until(until).map_err(error_text)
     };
     if spec.idle_clients > 0 {
-        let idle = Idle {
-            edge: edge_at.clone(),
-            wanted: spec.idle_clients,
-            open: 0,
+        let idle = IdleClients {
+            edge: edge_address.clone(),
+            count: spec.idle_clients,
+            opened: 0,
         };
-        driver.add(Box::new(idle), vec![], None).map_err(text)?;
+        driver
+            .add(Box::new(idle), vec![], None)
+            .map_err(error_text)?;
         wait(&mut driver, 200_000 + spec.idle_clients as Micros * 100)?;
     }
     wait(&mut driver, 300_000)?;
-    let spec_of = |tokens: Vec<String>| LoadGeneratorSpec {
-        edge: edge_at.clone(),
+    let generator_spec = |tokens: Vec<String>| LoadGeneratorSpec {
+        edge: edge_address.clone(),
         workload: "job".into(),
         function: "f".into(),
         functions: spec.functions,
         connections: spec.connections,
         rate: spec.rate,
-        length: spec.length,
+        duration: spec.duration,
         warm_up: spec.warm_up,
         body: "x".repeat(spec.body_bytes),
         tokens,
-        name: (spec.door != Speaks::Plain).then(|| DOOR_NAME.to_string()),
-        fresh: spec.fresh,
-        reopens: false,
+        tls_name: (spec.client_protocol != ClientProtocol::Plain)
+            .then(|| LISTENER_NAME.to_string()),
+        connection_per_request: spec.connection_per_request,
+        reopen_closed: false,
         seed: 1,
     };
-    if spec.flood > 0 {
+    if spec.bad_token_connections > 0 {
         let bad = tokens
             .iter()
             .chain([&String::new()])
@@ -526,29 +559,29 @@
             .map(|token| format!("{token}AAAA"))
             .collect();
         let spec = LoadGeneratorSpec {
-            connections: spec.flood,
+            connections: spec.bad_token_connections,
             rate: 0.0,
-            reopens: true,
-            ..spec_of(bad)
+            reopen_closed: true,
+            ..generator_spec(bad)
         };
         driver
             .add(Box::new(LoadGenerator::new(spec)), vec![], None)
-            .map_err(text)?;
+            .map_err(error_text)?;
     }
-    let hammer = LoadGenerator::new(spec_of(tokens));
-    let seen = hammer.seen.clone();
-    let host = match client_side {
-        Some(side) => driver.add(
-            Box::new(TlsLayer::new(hammer, TLS_BOUNDS).with_outbound(side)),
+    let generator = LoadGenerator::new(generator_spec(tokens));
+    let measurement = generator.measurement.clone();
+    let host = match client_config {
+        Some(config) => driver.add(
+            Box::new(TlsLayer::new(generator, TLS_LIMITS).with_outbound(config)),
             vec![],
             None,
         ),
-        None => driver.add(Box::new(hammer), vec![], None),
+        None => driver.add(Box::new(generator), vec![], None),
     };
-    let host = host.map_err(text)?;
+    let host = host.map_err(error_text)?;
     wait(&mut driver, spec.warm_up)?;
     let before = cpu();
-    wait(&mut driver, spec.length - spec.warm_up)?;
+    wait(&mut driver, spec.duration - spec.warm_up)?;
     let after = cpu();
     for _ in 0..100 {
         if driver.is_core_done(host) {
@@ -560,13 +593,13 @@
     for thread in [workers, edge] {
         thread
             .join()
-            .map_err(|_| "a thread panicked".to_string())?
-            .map_err(text)?;
+            .map_err(|_| "a worker or edge thread panicked".to_string())?
+            .map_err(error_text)?;
     }
-    let load = std::mem::replace(&mut *seen.borrow_mut(), LoadMeasurement::empty());
-    let cpu_us_per_call = (after - before) / load.finished.max(1) as f64;
-    Ok(Measured {
+    let load = std::mem::replace(&mut *measurement.borrow_mut(), LoadMeasurement::empty());
+    let cpu_us_per_request = (after - before) / load.finished.max(1) as f64;
+    Ok(EdgeMeasurement {
         load,
-        cpu_us_per_call,
+        cpu_us_per_request,
     })
 }
--- a/crates/sanddrum-lab/src/plaintext_capture.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -1,4 +1,4 @@
-//! A core whose plain bytes are recorded inside its TLS layer, as the driver's tap sees only ciphertext there.
+//! Records the plaintext of a core inside its TLS layer, because the driver's traffic observer sees only ciphertext.
 
 use crate::recorder::Recording;
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
@@ -16,7 +16,7 @@
 }
 
 impl<C: Core> PlaintextCapture<C> {
-    /// Recorded under a host of its own, which the recorder knows the role of.
+    /// Records the traffic of this core under `host`, whose role the recorder must know.
     pub fn new(core: C, host: HostId, recording: Recording) -> Self {
         PlaintextCapture {
             core,
@@ -26,14 +26,15 @@
     }
 }
 
-struct Through<'a> {
+/// Passes everything on to another `Io` and records what the core writes and closes.
+struct RecordingIo<'a> {
     io: &'a mut dyn Io,
     host: HostId,
     recording: &'a mut Recording,
     now: Micros,
 }
 
-impl Io for Through<'_> {
+impl Io for RecordingIo<'_> {
     fn connect(&mut self, to: &str) -> ConnectionId {
         self.io.connect(to)
     }
@@ -82,7 +83,7 @@
         let (host, recording) = (self.host, &mut self.recording);
         self.core.start(
             now,
-            &mut Through {
+            &mut RecordingIo {
                 io,
                 host,
                 recording,
@@ -103,7 +104,7 @@
         self.core.on_event(
             now,
             event,
-            &mut Through {
+            &mut RecordingIo {
                 io,
                 host,
                 recording,
@@ -115,7 +116,7 @@
         let (host, recording) = (self.host, &mut self.recording);
         self.core.process(
             now,
-            &mut Through {
+            &mut RecordingIo {
                 io,
                 host,
                 recording,
@@ -138,7 +139,7 @@
             now,
             conn,
             denied,
-            &mut Through {
+            &mut RecordingIo {
                 io,
                 host,
                 recording,
@@ -158,7 +159,7 @@
             now,
             name,
             content,
-            &mut Through {
+            &mut RecordingIo {
                 io,
                 host,
                 recording,
@@ -171,12 +172,13 @@
     }
 }
 
-/// A scenario's own authority. Its keys are new each time, so timelines under TLS are not equal to the byte.
+/// The certificate authority of a scenario. Its keys are new each time, so timelines under TLS differ from run to
+/// run.
 pub struct Authority(CertifiedIssuer<'static, KeyPair>);
 
 impl Authority {
     /// # Errors
-    /// The library has no randomness.
+    /// No key or certificate can be generated.
     pub fn new() -> Result<Self, rcgen::Error> {
         let mut params = Self::params(vec![])?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -185,29 +187,29 @@
             KeyPair::generate()?,
         )?))
     }
-    /// Virtual time begins soon after 1970, and certificates know no time before it.
+    /// Certificates are valid from 1970 on, because virtual time starts soon after that.
     fn params(names: Vec<String>) -> Result<CertificateParams, rcgen::Error> {
         let mut params = CertificateParams::new(names)?;
         (params.not_before, params.not_after) =
             (date_time_ymd(1970, 1, 1), date_time_ymd(2090, 1, 1));
         Ok(params)
     }
-    pub fn roots(&self) -> String {
+    pub fn roots_pem(&self) -> String {
         self.0.pem()
     }
-    /// What an edge calls workers with: it trusts the authority and shows nothing.
+    /// The configuration of an edge's connections to workers: it trusts the authority and presents no certificate.
     ///
     /// # Errors
     /// The authority's certificate can't be read back.
-    pub fn for_edge(&self, sessions: usize) -> Result<ReloadableConfig, String> {
-        let papers = TlsMaterial {
-            roots: self.roots().into_bytes(),
+    pub fn outbound_config(&self, session_cache_size: usize) -> Result<ReloadableConfig, String> {
+        let tls_material = TlsMaterial {
+            roots: self.roots_pem().into_bytes(),
             ..TlsMaterial::default()
         };
         ReloadableConfig::new(
-            papers,
+            tls_material,
             TlsOptions {
-                session_cache_size: sessions,
+                session_cache_size,
                 ..TlsOptions::default()
             },
         )
@@ -216,7 +218,7 @@
     /// A certificate for this name, and its key.
     ///
     /// # Errors
-    /// The name can't stand in a certificate.
+    /// The name isn't valid in a certificate.
     pub fn leaf(&self, name: &str) -> Result<(Vec<u8>, Vec<u8>), String> {
         let leaf = || -> Result<(String, String), rcgen::Error> {
             let key = KeyPair::generate()?;
@@ -230,41 +232,41 @@
         let (chain, key) = leaf().map_err(|e| e.to_string())?;
         Ok((chain.into_bytes(), key.into_bytes()))
     }
-    /// What somebody of this name shows, and whom it trusts.
+    /// A certificate and key for this name, with the authority as its only root.
     ///
     /// # Errors
-    /// The name can't stand in a certificate.
-    pub fn papers(&self, name: &str) -> Result<TlsMaterial, String> {
+    /// The name isn't valid in a certificate.
+    pub fn tls_material(&self, name: &str) -> Result<TlsMaterial, String> {
         Ok(TlsMaterial {
-            roots: self.roots().into_bytes(),
+            roots: self.roots_pem().into_bytes(),
             certified_key: Some(self.leaf(name)?),
             ..TlsMaterial::default()
         })
     }
-    /// What callers of this name's doors are met with.
+    /// The configuration of a listener with this name.
     ///
     /// # Errors
-    /// The name can't stand in a certificate.
-    pub fn for_door(
+    /// The name isn't valid in a certificate.
+    pub fn inbound_config(
         &self,
         name: &str,
-        callers: ClientAuth,
-        sessions: usize,
+        client_auth: ClientAuth,
+        session_cache_size: usize,
     ) -> Result<ReloadableConfig, String> {
-        let rules = TlsOptions {
-            client_auth: callers,
-            session_cache_size: sessions,
+        let options = TlsOptions {
+            client_auth,
+            session_cache_size,
             ..TlsOptions::default()
         };
-        ReloadableConfig::new(self.papers(name)?, rules).map_err(|e| e.to_string())
+        ReloadableConfig::new(self.tls_material(name)?, options).map_err(|e| e.to_string())
     }
 }
 
-pub fn bounds(l: &LoadedSettings) -> TlsLimits {
+pub fn tls_limits(settings: &LoadedSettings) -> TlsLimits {
     TlsLimits {
-        handshake_timeout: l.duration_us("tls.handshake-time-out-us"),
-        max_handshakes: l.integer("tls.handshakes"),
-        max_buffered: l.integer("tls.waiting-bytes"),
-        expiry_warning: l.duration_us("tls.warn-ahead-us"),
+        handshake_timeout: settings.duration_us("tls.handshake-time-out-us"),
+        max_handshakes: settings.integer("tls.handshakes"),
+        max_buffered: settings.integer("tls.waiting-bytes"),
+        expiry_warning: settings.duration_us("tls.warn-ahead-us"),
     }
 }
--- a/crates/sanddrum-lab/src/plots.rs
+++ b/crates/sanddrum-lab/src/plots.rs
@@ -1,60 +1,69 @@
-//! Figures over time as self-contained SVG pictures.
+//! Line charts as self-contained SVG images.
 
 use plotters::prelude::*;
 use std::path::Path;
 
-/// A named line through points.
+/// A named series of points, drawn as a line.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct Series {
     pub name: String,
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws lines into a file.
+/// Writes a line chart to an SVG file.
 ///
 /// # Errors
-/// The file can't be written, or there is nothing to draw.
-pub fn lines(file: &Path, title: &str, axes: (&str, &str), all: &[Line]) -> Result<(), String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
-    let svg = svg(title, axes, all).map_err(|e| told(&e))?;
-    std::fs::write(file, svg).map_err(|e| told(&e))
+/// The file can't be written, or the points don't span a range of x values.
+pub fn write_line_chart(
+    file: &Path,
+    title: &str,
+    axes: (&str, &str),
+    series: &[Series],
+) -> Result<(), String> {
+    let error_text = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+    let svg = line_chart_svg(title, axes, series).map_err(|e| error_text(&e))?;
+    std::fs::write(file, svg).map_err(|e| error_text(&e))
 }
 
-/// Draws lines; the text of the picture.
+/// Draws a line chart and returns it as SVG text.
 ///
 /// # Errors
-/// There is nothing to draw.
-pub fn svg(title: &str, (x, y): (&str, &str), all: &[Line]) -> Result<String, String> {
-    let told = |e: &dyn std::fmt::Display| e.to_string();
-    let points = || all.iter().flat_map(|line| &line.points);
-    let most = |of: &dyn Fn(&(f64, f64)) -> f64| points().map(of).fold(f64::MIN, f64::max);
-    let least_x = points().map(|p| p.0).fold(f64::MAX, f64::min);
-    let (most_x, most_y) = (most(&|p| p.0), most(&|p| p.1));
-    if most_x <= least_x {
-        return Err("there are not two points to draw".into());
+/// The points don't span a range of x values.
+pub fn line_chart_svg(
+    title: &str,
+    (x, y): (&str, &str),
+    series: &[Series],
+) -> Result<String, String> {
+    let error_text = |e: &dyn std::fmt::Display| e.to_string();
+    let points = || series.iter().flat_map(|series| &series.points);
+    let max_of = |of: &dyn Fn(&(f64, f64)) -> f64| points().map(of).fold(f64::MIN, f64::max);
+    let min_x = points().map(|p| p.0).fold(f64::MAX, f64::min);
+    let (max_x, max_y) = (max_of(&|p| p.0), max_of(&|p| p.1));
+    if max_x <= min_x {
+        return Err("a line chart needs points with at least two different x values".into());
     }
     let mut text = String::new();
     let area = SVGBackend::with_string(&mut text, (760, 420)).into_drawing_area();
-    area.fill(&WHITE).map_err(|e| told(&e))?;
+    area.fill(&WHITE).map_err(|e| error_text(&e))?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(38)
         .y_label_area_size(56)
-        .build_cartesian_2d(least_x..most_x, 0.0..most_y.max(f64::MIN_POSITIVE) * 1.05)
-        .map_err(|e| told(&e))?;
+        .build_cartesian_2d(min_x..max_x, 0.0..max_y.max(f64::MIN_POSITIVE) * 1.05)
+        .map_err(|e| error_text(&e))?;
     chart
         .configure_mesh()
         .x_desc(x)
         .y_desc(y)
         .light_line_style(WHITE)
         .draw()
-        .map_err(|e| told(&e))?;
-    for (n, line) in all.iter().enumerate() {
+        .map_err(|e| error_text(&e))?;
+    for (n, series) in series.iter().enumerate() {
         let colour = Palette99::pick(n).stroke_width(2);
-        let series = LineSeries::new(line.points.iter().copied(), colour);
-        let drawn = chart.draw_series(series).map_err(|e| told(&e))?;
-        drawn.label(&line.name).legend(move |(x, y)| {
+        let line_series = LineSeries::new(series.points.iter().copied(), colour);
+        let drawn = chart.draw_series(line_series).map_err(|e| error_text(&e))?;
+        drawn.label(&series.name).legend(move |(x, y)| {
             PathElement::new([(x, y), (x + 18, y)], Palette99::pick(n).stroke_width(2))
         });
     }
@@ -63,8 +72,8 @@
         .border_style(BLACK.mix(0.3))
         .background_style(WHITE.mix(0.8))
         .draw()
-        .map_err(|e| told(&e))?;
-    area.present().map_err(|e| told(&e))?;
+        .map_err(|e| error_text(&e))?;
+    area.present().map_err(|e| error_text(&e))?;
     drop(chart);
     drop(area);
     Ok(text)
--- a/crates/sanddrum-lab/src/port_reservation.rs
+++ b/crates/sanddrum-lab/src/port_reservation.rs
@@ -1,57 +1,61 @@
-//! What a fleet of processes needs of the machine: ports that stay its own, and open files.
+//! Resources that a fleet of processes needs from the machine: reserved ports, and enough open files.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// A port chosen by the system and kept for as long as this lives, also while nobody listens there: connections are
-/// then refused, and no other process gets it.
-pub(crate) struct Port {
+/// A loopback port that the system chose and that stays reserved until this is dropped. While nobody listens on it,
+/// connections are refused, but no other process can get the port.
+pub(crate) struct ReservedPort {
     guard: Socket,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
-impl Port {
+impl ReservedPort {
     pub fn new() -> io::Result<Self> {
         let guard = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         guard.set_reuse_port(true)?;
         guard.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
-        let at = guard
+        let address = guard
             .local_addr()?
             .as_socket()
-            .ok_or_else(|| io::Error::other("no address"))?;
-        Ok(Port { guard, at })
+            .ok_or_else(|| io::Error::other("the reserved port has no IP address"))?;
+        Ok(ReservedPort { guard, address })
     }
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.set_reuse_port(self.guard.reuse_port()?)?;
-        socket.bind(&self.at.into())?;
+        socket.bind(&self.address.into())?;
         socket.listen(1024)?;
         socket.set_nonblocking(true)?;
         Ok(socket.into())
     }
 }
 
-/// Descriptors that this process needs: two for each link that may be up, and what the callers have open.
-pub(crate) fn descriptors(workers: usize, edges: usize) -> u64 {
-    (2 * LINKS * edges * workers + 2 * (edges + workers) * LINKS + CALLERS * edges + 1000) as u64
+/// File descriptors that this process needs: two for each link that may be connected, and those of the clients.
+pub(crate) fn required_descriptors(workers: usize, edges: usize) -> u64 {
+    (2 * CONNECTIONS_PER_LINK * edges * workers
+        + 2 * (edges + workers) * CONNECTIONS_PER_LINK
+        + CLIENT_CONNECTIONS_PER_EDGE * edges
+        + 1000) as u64
 }
 
-/// Connections from one process to another that are counted with, and callers' to one edge.
-const LINKS: usize = 1;
-const CALLERS: usize = 16;
+/// Expected connections from one process to another.
+const CONNECTIONS_PER_LINK: usize = 1;
+/// Expected client connections to each edge.
+const CLIENT_CONNECTIONS_PER_EDGE: usize = 16;
 
-/// Raises the limit of open files where it is too low.
+/// Raises the open file limit if it is lower than wanted.
 ///
 /// # Errors
-/// It can't be raised: the machine is the limit, and a run would tell of that and not of the program.
-pub(crate) fn make_room(wanted: u64) -> io::Result<()> {
-    let now = getrlimit(Resource::Nofile);
-    if now.current.is_none_or(|current| current >= wanted) {
+/// It can't be raised: a run would then show the limits of the machine rather than those of the program.
+pub(crate) fn raise_file_limit(wanted: u64) -> io::Result<()> {
+    let limit = getrlimit(Resource::Nofile);
+    if limit.current.is_none_or(|current| current >= wanted) {
         return Ok(());
     }
-    let maximum = now.maximum.map(|maximum| maximum.max(wanted));
+    let maximum = limit.maximum.map(|maximum| maximum.max(wanted));
     setrlimit(
         Resource::Nofile,
         Rlimit {
@@ -60,16 +64,16 @@
         },
     )
     .map_err(|e| {
-        let allowed = now.maximum.unwrap_or_default();
-        let what = "the machine is the limit: open files";
+        let allowed = limit.maximum.unwrap_or_default();
+        let what = "the open file limit of this machine is too low";
         io::Error::other(format!(
-            "{what}: {wanted} are needed, {allowed} allowed ({e}); take fewer edges or workers"
+            "{what}: {wanted} needed, {allowed} allowed ({e}); use fewer edges or workers"
         ))
     })
 }
 
-/// Whether over nine tenths of the open files that are allowed are in use.
-pub(crate) fn is_short_of_files() -> bool {
+/// Whether more than nine tenths of the open file limit are in use.
+pub(crate) fn is_near_file_limit() -> bool {
     let open = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count) as u64;
     open * 10 > getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX) * 9
 }
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -1,15 +1,18 @@
-//! A stage of real processes: edges, workers, list service and store, each a process of the program on loopback, every
-//! link between two of them through a relay. Here they are started, killed, stopped, continued and ended; the callers
-//! and the relays run in this process, and what crosses them is what is judged.
+//! Plays a scenario with real processes: edges, workers, the discovery service and the store each run as a process of
+//! the program on loopback, and every link between two of them goes through a relay. This module starts, kills,
+//! stops, continues and terminates the processes. The clients and the relays run in this process, and the checker
+//! verifies the traffic that crosses the relays.
 
 use crate::environment::Environment;
 use crate::fleet::{Addresses, Fleet, Who};
-use crate::port_reservation::{descriptors, is_short_of_files, make_room, Port};
+use crate::port_reservation::{
+    is_near_file_limit, raise_file_limit, required_descriptors, ReservedPort,
+};
 use crate::recorder::{Recording, Role};
-use crate::relay::{Fault, Greets, Relay, Steering};
+use crate::relay::{Fault, Greeting, Relay, RelayControl};
 use crate::scenario::Scenario;
-use crate::scheduling_delay::{self, Watch, OURS};
-use crate::sockets::send;
+use crate::scheduling_delay::{self, SchedulingDelayMonitor, RUNNER};
+use crate::sockets::send_signal;
 use rustix::process::Signal;
 use sanddrum_emulator::{Shared, WorkerFaults};
 use sanddrum_net::{Core, EventLoop, FileError, HostId, Micros};
@@ -20,71 +23,80 @@
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 
-struct Door {
+/// The relay in front of a process, on a port that others connect to.
+struct ProcessRelay {
     host: HostId,
-    port: Port,
-    steering: Shared<Steering>,
+    port: ReservedPort,
+    control: Shared<RelayControl>,
 }
 
-/// What a process is started with.
-pub struct Start<'a> {
+/// What the command line of a process is built from.
+pub struct ProcessOptions<'a> {
     pub who: Who,
     pub fleet: &'a Fleet,
+    /// A worker starts now, with no function loaded; otherwise it counts as started long ago.
     pub cold: bool,
     pub incarnation: u64,
     pub seed: u64,
+    /// Address of the discovery service.
     pub list: &'a str,
+    /// Address of the function store.
     pub store: &'a str,
-    /// What others know a worker by.
+    /// Address that the process is reached at: the one of its relay.
     pub known_as: &'a str,
-    /// It writes where it listens into this file.
+    /// The process writes the address that it listens on into this file.
     pub address_file: &'a Path,
-    /// What is wrong with it stands in this file.
+    /// An emulated process reads its faults from this file.
     pub faults_file: &'a Path,
     pub state_file: &'a Path,
 }
 
-/// The command that runs a part as a process, without its standard streams.
-pub type MakeProcess = Box<dyn Fn(&Start) -> Command>;
+/// Builds the command that starts a process; its standard input is set afterwards.
+pub type MakeProcessCommand = Box<dyn Fn(&ProcessOptions) -> Command>;
 
-/// A process has to listen within this time, on a machine that is busy with the others.
-const UP_WITHIN: Micros = 30_000_000;
-/// How often it is looked whether something listens, and how late this process's own loop is.
-const LOOKS_EVERY: Micros = 5_000;
-/// A machine that runs many processes may hold one up for so long.
-const SLACK: Micros = 500_000;
-/// Late by this much, this process itself was held up: the machine was the limit.
-pub const LATE: Micros = 50_000;
+/// A process must listen within this time, on a machine that is busy starting the others.
+const STARTUP_TIMEOUT: Micros = 30_000_000;
+/// How often starting and terminating processes are checked, and the delay of this process's own event loop is
+/// measured.
+const POLL_INTERVAL: Micros = 5_000;
+/// How long a machine that runs many processes may delay one of them.
+const SCHEDULING_SLACK: Micros = 500_000;
+/// A longer delay of this process's own event loop means that the machine limited the run.
+pub const LATE_THRESHOLD: Micros = 50_000;
 
+/// Plays a scenario with a process for each edge, worker and service.
 pub struct ProcessEnvironment {
     driver: EventLoop,
     fleet: Fleet,
     folder: PathBuf,
-    make: MakeProcess,
-    doors: BTreeMap<Who, Door>,
-    /// The links of workers to the list service.
-    registers: Door,
+    make_command: MakeProcessCommand,
+    relays: BTreeMap<Who, ProcessRelay>,
+    /// Carries the connections of workers to the discovery service.
+    registration_relay: ProcessRelay,
     callers: Option<HostId>,
     children: BTreeMap<Who, Child>,
+    /// Processes that don't listen yet, with the time of their start.
     pending: BTreeMap<Who, Micros>,
     starts: BTreeMap<Who, u64>,
-    told_faults: BTreeMap<Who, String>,
-    /// Asked to end: their doors close once they have.
-    ending: BTreeSet<Who>,
-    /// How late this process's own loop ran at the worst, and how often it was late.
-    pub latest: Micros,
-    pub late: u64,
-    /// Over nine tenths of the open files that are allowed were in use.
-    pub short_of_files: bool,
-    /// Told each second how long it has run.
+    /// Contents of each faults file.
+    written_faults: BTreeMap<Who, String>,
+    /// Processes that were asked to terminate; their relays stop listening once they have exited.
+    terminating: BTreeSet<Who>,
+    /// The longest delay of this process's own event loop.
+    pub max_loop_delay: Micros,
+    /// How often that delay exceeded [`LATE_THRESHOLD`].
+    pub late_iterations: u64,
+    /// More than nine tenths of the open file limit were in use at some time.
+    pub near_file_limit: bool,
+    /// Called about once a second with the time of the event loop.
     pub progress: Option<Box<dyn Fn(Micros)>>,
-    told_at: Micros,
+    last_progress: Micros,
     recording: Recording,
-    watch: Watch,
-    watched_at: Micros,
+    delay_monitor: SchedulingDelayMonitor,
+    last_delay_sample: Micros,
 }
 
-fn name(who: Who) -> String {
+fn process_name(who: Who) -> String {
     match who {
         Who::Worker(n) => Scenario::worker_name(n),
         Who::Edge(n) => Scenario::edge_name(n),
@@ -95,57 +107,64 @@
 }
 
 impl ProcessEnvironment {
-    /// Starts everything and waits until all of it listens.
+    /// Starts all processes and waits until they listen.
     ///
     /// # Errors
-    /// A process can't be started or does not listen in time; the scenario asks for what this stage has not.
+    /// A process can't be started or doesn't listen in time, or the scenario uses features that this environment
+    /// doesn't support.
     pub fn new(
         scenario: Scenario,
         recording: &Recording,
         folder: PathBuf,
-        make: MakeProcess,
+        make_command: MakeProcessCommand,
     ) -> io::Result<Self> {
         if scenario.settings.text("tls.workers") == "verified"
             || scenario.settings.text("identity.tokens") != "off"
             || scenario.calls.iter().any(|c| c.effect == "fingerprinted")
         {
             let what =
-                "tokens, certificates and fingerprinted workloads are played by lab run, not by processes";
+                "lab fleet does not support tokens, certificates or fingerprinted workloads; use lab run";
             return Err(io::Error::other(what));
         }
         let (workers, edges) = (scenario.workers, scenario.edges);
-        make_room(descriptors(workers, edges))?;
+        raise_file_limit(required_descriptors(workers, edges))?;
         let mut driver = EventLoop::new(Box::new(recording.clone()))?;
         let all = (0..workers)
             .map(Who::Worker)
             .chain((0..edges).map(Who::Edge));
         let all: Vec<Who> = [Who::List, Who::Store].into_iter().chain(all).collect();
-        let mut doors = BTreeMap::new();
+        let mut relays = BTreeMap::new();
         let mut hosts = 0;
-        let mut door = |role: Role, greets: Greets, driver: &mut EventLoop| -> io::Result<Door> {
-            recording.0.borrow_mut().role(HostId(hosts), role);
-            hosts += 1;
-            let (steering, port) = (Rc::new(RefCell::new(Steering::default())), Port::new()?);
-            let core = Box::new(Relay::new(greets, steering.clone()));
-            Ok(Door {
-                host: driver.add(core, vec![], None)?,
-                port,
-                steering,
-            })
-        };
+        let mut relay =
+            |role: Role, greeting: Greeting, driver: &mut EventLoop| -> io::Result<ProcessRelay> {
+                recording.0.borrow_mut().role(HostId(hosts), role);
+                hosts += 1;
+                let (control, port) = (
+                    Rc::new(RefCell::new(RelayControl::default())),
+                    ReservedPort::new()?,
+                );
+                let core = Box::new(Relay::new(greeting, control.clone()));
+                Ok(ProcessRelay {
+                    host: driver.add(core, vec![], None)?,
+                    port,
+                    control,
+                })
+            };
         for who in &all {
-            let (role, greets) = match who {
-                Who::Worker(n) => (Role::Worker(*n), Greets::Worker),
-                Who::List => (Role::List, Greets::List),
-                _ => (Role::Other, Greets::No),
+            let (role, greeting) = match who {
+                Who::Worker(n) => (Role::Worker(*n), Greeting::Worker),
+                Who::List => (Role::List, Greeting::Discovery),
+                _ => (Role::Other, Greeting::Anonymous),
             };
-            doors.insert(*who, door(role, greets, &mut driver)?);
+            relays.insert(*who, relay(role, greeting, &mut driver)?);
         }
-        let registers = door(Role::Other, Greets::List, &mut driver)?;
+        let registration_relay = relay(Role::Other, Greeting::Discovery, &mut driver)?;
         let at = |who: Who| {
-            doors
+            relays
                 .get(&who)
-                .map_or(String::new(), |d: &Door| d.port.at.to_string())
+                .map_or(String::new(), |relay: &ProcessRelay| {
+                    relay.port.address.to_string()
+                })
         };
         let addresses = Addresses {
             workers: (0..workers).map(|n| at(Who::Worker(n))).collect(),
@@ -160,59 +179,66 @@
                 .edge(address, &Scenario::edge_name(n));
         }
         let fleet = Fleet::new(scenario, addresses, recording)?;
-        let mut stage = ProcessEnvironment {
+        let mut environment = ProcessEnvironment {
             driver,
             fleet,
             folder,
-            make,
-            doors,
-            registers,
+            make_command,
+            relays,
+            registration_relay,
             callers: None,
             children: BTreeMap::new(),
             pending: BTreeMap::new(),
             starts: BTreeMap::new(),
-            told_faults: BTreeMap::new(),
-            ending: BTreeSet::new(),
-            latest: 0,
-            late: 0,
-            short_of_files: false,
+            written_faults: BTreeMap::new(),
+            terminating: BTreeSet::new(),
+            max_loop_delay: 0,
+            late_iterations: 0,
+            near_file_limit: false,
             progress: None,
-            told_at: 0,
+            last_progress: 0,
             recording: recording.clone(),
-            watch: Watch::default(),
-            watched_at: 0,
+            delay_monitor: SchedulingDelayMonitor::default(),
+            last_delay_sample: 0,
         };
-        std::fs::write(stage.folder.join("scenario.sx"), &stage.fleet.scenario.text)?;
         std::fs::write(
-            stage.folder.join("workers"),
-            stage.fleet.addresses.workers.join("\n"),
+            environment.folder.join("scenario.sx"),
+            &environment.fleet.scenario.text,
+        )?;
+        std::fs::write(
+            environment.folder.join("workers"),
+            environment.fleet.addresses.workers.join("\n"),
         )?;
-        // The list service and the store first, then workers, then edges: each finds what it calls.
-        for some in [&all[..2], &all[2..2 + workers], &all[2 + workers..]] {
-            for who in some {
-                stage.spawn(*who, false)?;
+        // The discovery service and the store start first, then the workers, then the edges: each process finds those
+        // that it connects to.
+        for group in [&all[..2], &all[2..2 + workers], &all[2 + workers..]] {
+            for who in group {
+                environment.spawn(*who, false)?;
             }
-            stage.wait_until_up()?;
+            environment.wait_until_listening()?;
         }
-        Ok(stage)
+        Ok(environment)
     }
     pub fn catch_signals(&mut self) -> io::Result<()> {
         self.driver.catch_signals()
     }
-    /// Lets calls begin.
+    /// Starts the clients, which begin to send requests.
     ///
     /// # Errors
-    /// The callers can't be run.
-    pub fn call(&mut self, recording: &Recording) -> io::Result<()> {
+    /// The clients can't be added to the event loop.
+    pub fn start_clients(&mut self, recording: &Recording) -> io::Result<()> {
         recording
             .0
             .borrow_mut()
-            .role(HostId(self.doors.len() + 1), Role::Callers);
-        self.callers = Some(self.driver.add(self.fleet.callers(SLACK), vec![], None)?);
+            .role(HostId(self.relays.len() + 1), Role::Callers);
+        self.callers = Some(
+            self.driver
+                .add(self.fleet.callers(SCHEDULING_SLACK), vec![], None)?,
+        );
         Ok(())
     }
     fn file(&self, who: Who, what: &str) -> PathBuf {
-        self.folder.join(format!("{}.{what}", name(who)))
+        self.folder.join(format!("{}.{what}", process_name(who)))
     }
     fn spawn(&mut self, who: Who, cold: bool) -> io::Result<()> {
         let count = self.starts.entry(who).or_default();
@@ -230,17 +256,17 @@
         if let (Who::Worker(n), true) = (who, cold) {
             *self.fleet.workers[n].borrow_mut() = WorkerFaults::default();
         }
-        self.told_faults.remove(&who);
-        self.tell_faults(who)?;
-        let at = |door: &Door| door.port.at.to_string();
+        self.written_faults.remove(&who);
+        self.write_faults(who)?;
+        let at = |relay: &ProcessRelay| relay.port.address.to_string();
         let list = if let Who::Worker(_) = who {
-            at(&self.registers)
+            at(&self.registration_relay)
         } else {
-            at(&self.doors[&Who::List])
+            at(&self.relays[&Who::List])
         };
-        let (store, known_as) = (at(&self.doors[&Who::Store]), at(&self.doors[&who]));
+        let (store, known_as) = (at(&self.relays[&Who::Store]), at(&self.relays[&who]));
         let fleet = &self.fleet;
-        let start = Start {
+        let options = ProcessOptions {
             who,
             fleet,
             cold,
@@ -253,72 +279,77 @@
             faults_file,
             state_file,
         };
-        let mut command = (self.make)(&start);
-        // It ends when this pipe does, so that none outlives this process however that ends.
+        let mut command = (self.make_command)(&options);
+        // The process exits when this pipe closes, so that it never outlives this process, however that ends.
         let child = command.stdin(Stdio::piped()).spawn()?;
         self.children.insert(who, child);
         self.pending.insert(who, self.driver.now());
         Ok(())
     }
-    /// Sees which processes listen by now and leads their links there.
-    fn look(&mut self) -> io::Result<()> {
+    /// Connects the relays of processes that now listen, and closes those of terminated processes that have exited.
+    fn poll_processes(&mut self) -> io::Result<()> {
         for (who, since) in std::mem::take(&mut self.pending) {
             if let Ok(at) = std::fs::read_to_string(self.file(who, "address")) {
-                self.lead(who, Some(at.trim().to_string()))?;
+                self.set_relay_target(who, Some(at.trim().to_string()))?;
                 continue;
             }
-            let ended = self
+            let exited = self
                 .children
                 .get_mut(&who)
                 .map(Child::try_wait)
                 .transpose()?
                 .flatten();
-            if let Some(status) = ended {
+            if let Some(status) = exited {
                 return Err(io::Error::other(format!(
-                    "{} ended before it listened: {status}",
-                    name(who)
+                    "{} exited before it listened: {status}",
+                    process_name(who)
                 )));
             }
-            if self.driver.now() > since + UP_WITHIN {
-                return Err(io::Error::other(format!("{} does not listen", name(who))));
+            if self.driver.now() > since + STARTUP_TIMEOUT {
+                return Err(io::Error::other(format!(
+                    "{} did not listen within {} s",
+                    process_name(who),
+                    STARTUP_TIMEOUT / 1_000_000
+                )));
             }
             self.pending.insert(who, since);
         }
-        for who in self.ending.iter().copied().collect::<Vec<_>>() {
-            if self.has_ended(who)? {
-                self.ending.remove(&who);
-                self.lead(who, None)?;
+        for who in self.terminating.iter().copied().collect::<Vec<_>>() {
+            if self.has_exited(who)? {
+                self.terminating.remove(&who);
+                self.set_relay_target(who, None)?;
             }
         }
         Ok(())
     }
-    fn lead(&mut self, who: Who, to: Option<String>) -> io::Result<()> {
-        let doors = self
-            .doors
+    /// Makes the relays of a process forward to this address, or stop listening.
+    fn set_relay_target(&mut self, who: Who, to: Option<String>) -> io::Result<()> {
+        let relays = self
+            .relays
             .get(&who)
             .into_iter()
-            .chain((who == Who::List).then_some(&self.registers));
-        for door in doors {
+            .chain((who == Who::List).then_some(&self.registration_relay));
+        for relay in relays {
             let listeners = if to.is_some() {
-                vec![door.port.listen()?]
+                vec![relay.port.listen()?]
             } else {
                 vec![]
             };
-            door.steering.borrow_mut().lead_to(to.clone());
-            self.driver.set_listeners(door.host, listeners)?;
+            relay.control.borrow_mut().set_target(to.clone());
+            self.driver.set_listeners(relay.host, listeners)?;
         }
         Ok(())
     }
-    fn wait_until_up(&mut self) -> io::Result<()> {
+    fn wait_until_listening(&mut self) -> io::Result<()> {
         while !self.pending.is_empty() {
-            let next = self.driver.now() + LOOKS_EVERY;
+            let next = self.driver.now() + POLL_INTERVAL;
             self.driver.run_until(next)?;
-            self.look()?;
+            self.poll_processes()?;
         }
         Ok(())
     }
-    /// What is wrong with a stand-in, as its process reads it.
-    fn faults_of(&self, who: Who) -> Option<String> {
+    /// The faults of an emulated process, as it reads them from its faults file.
+    fn faults_json(&self, who: Who) -> Option<String> {
         match who {
             Who::Worker(n) => serde_json::to_string(&*self.fleet.workers[n].borrow()).ok(),
             Who::Store => serde_json::to_string(&*self.fleet.store.borrow()).ok(),
@@ -326,32 +357,34 @@
             _ => None,
         }
     }
-    /// How late this loop is, and how long each process has waited for a processor.
-    fn watch_processes(&mut self, late: Micros) {
+    /// Records the delay of this event loop and, at intervals, how long each process has waited for a processor.
+    fn record_delays(&mut self, late: Micros) {
         let (now, log) = (self.driver.now(), &mut self.recording.0.borrow_mut().log);
-        log.waits.entry(OURS.into()).or_default().add(now, late);
-        if now < self.watched_at + scheduling_delay::every(self.children.len()) {
+        log.waits.entry(RUNNER.into()).or_default().add(now, late);
+        if now < self.last_delay_sample + scheduling_delay::sampling_interval(self.children.len()) {
             return;
         }
-        self.watched_at = now;
+        self.last_delay_sample = now;
         for (who, child) in &self.children {
-            self.watch.look(log, now, name(*who), child.id());
+            self.delay_monitor
+                .sample(log, now, process_name(*who), child.id());
         }
     }
-    fn tell_faults(&mut self, who: Who) -> io::Result<()> {
-        let Some(text) = self.faults_of(who) else {
+    /// Writes the faults file of an emulated process if its faults have changed.
+    fn write_faults(&mut self, who: Who) -> io::Result<()> {
+        let Some(text) = self.faults_json(who) else {
             return Ok(());
         };
         if let Who::Worker(n) = who {
-            // Faults that are over as soon as they are there.
+            // These faults take effect once; `text` already contains them.
             let mut faults = self.fleet.workers[n].borrow_mut();
             (faults.invalidate_once, faults.garble_once) = (false, false);
         }
-        if self.told_faults.get(&who) != Some(&text) {
-            let (file, beside) = (self.file(who, "faults"), self.file(who, "beside"));
-            std::fs::write(&beside, &text)?;
-            std::fs::rename(&beside, &file)?;
-            self.told_faults.insert(who, text);
+        if self.written_faults.get(&who) != Some(&text) {
+            let (file, temporary) = (self.file(who, "faults"), self.file(who, "beside"));
+            std::fs::write(&temporary, &text)?;
+            std::fs::rename(&temporary, &file)?;
+            self.written_faults.insert(who, text);
         }
         Ok(())
     }
@@ -359,13 +392,13 @@
         self.children
             .get(&who)
             .iter()
-            .for_each(|child| send(child, signal));
+            .for_each(|child| send_signal(child, signal));
     }
-    /// Whether a process has ended by itself.
+    /// Whether a process has exited.
     ///
     /// # Errors
-    /// The system does not tell.
-    fn has_ended(&mut self, who: Who) -> io::Result<bool> {
+    /// The system can't report its status.
+    fn has_exited(&mut self, who: Who) -> io::Result<bool> {
         Ok(self
             .children
             .get_mut(&who)
@@ -374,16 +407,17 @@
             .flatten()
             .is_some())
     }
-    /// Callers and workers that fetch do not greet by name: their faults are everybody's.
-    fn caller(from: Who) -> Option<String> {
-        matches!(from, Who::Edge(_) | Who::Worker(_)).then(|| name(from))
+    /// The name that a relay knows a calling process by. Clients don't introduce themselves to a relay, so the faults
+    /// of their links apply to every caller.
+    fn caller_name(from: Who) -> Option<String> {
+        matches!(from, Who::Edge(_) | Who::Worker(_)).then(|| process_name(from))
     }
-    fn door(&self, from: Who, to: Who) -> Option<&Door> {
-        let registers = matches!((from, to), (Who::Worker(_), Who::List));
-        if registers {
-            Some(&self.registers)
+    fn relay(&self, from: Who, to: Who) -> Option<&ProcessRelay> {
+        let is_registration = matches!((from, to), (Who::Worker(_), Who::List));
+        if is_registration {
+            Some(&self.registration_relay)
         } else {
-            self.doors.get(&to)
+            self.relays.get(&to)
         }
     }
 }
@@ -407,31 +441,31 @@
         &mut self.fleet
     }
     fn run_until(&mut self, at: Micros) -> io::Result<()> {
-        let parts = (0..self.fleet.workers.len())
+        let emulated = (0..self.fleet.workers.len())
             .map(Who::Worker)
             .chain([Who::Store, Who::List]);
-        for who in parts.collect::<Vec<_>>() {
-            self.tell_faults(who)?;
+        for who in emulated.collect::<Vec<_>>() {
+            self.write_faults(who)?;
         }
         while self.driver.now() < at {
-            let calm = self.pending.is_empty() && self.ending.is_empty();
-            let next = at.min(self.driver.now() + LOOKS_EVERY);
+            let settled = self.pending.is_empty() && self.terminating.is_empty();
+            let next = at.min(self.driver.now() + POLL_INTERVAL);
             self.driver.run_until(next)?;
             let late = self.driver.now() - next;
-            self.latest = self.latest.max(late);
-            self.late += u64::from(late > LATE);
-            self.watch_processes(late);
-            if !calm {
-                self.look()?;
+            self.max_loop_delay = self.max_loop_delay.max(late);
+            self.late_iterations += u64::from(late > LATE_THRESHOLD);
+            self.record_delays(late);
+            if !settled {
+                self.poll_processes()?;
             }
-            if next >= self.told_at + 1_000_000 {
+            if next >= self.last_progress + 1_000_000 {
                 self.progress.iter().for_each(|progress| progress(next));
-                self.told_at = next;
-                self.short_of_files |= is_short_of_files();
+                self.last_progress = next;
+                self.near_file_limit |= is_near_file_limit();
             }
             if self.driver.shutdown_requested() {
                 return Err(io::Error::other(
-                    "ended by a signal before the scenario was over",
+                    "interrupted by a signal before the scenario was over",
                 ));
             }
         }
@@ -443,8 +477,8 @@
             let _ = child.wait();
         }
         self.pending.remove(&who);
-        self.ending.remove(&who);
-        let _ = self.lead(who, None);
+        self.terminating.remove(&who);
+        let _ = self.set_relay_target(who, None);
     }
     fn start(&mut self, who: Who) -> io::Result<()> {
         self.spawn(who, true)
@@ -453,21 +487,27 @@
         self.signal(who, if frozen { Signal::STOP } else { Signal::CONT });
     }
     fn tear(&mut self, who: Who) {
-        if let Some(door) = self.doors.get(&who) {
-            door.steering.borrow_mut().reset(None);
+        if let Some(relay) = self.relays.get(&who) {
+            relay.control.borrow_mut().reset_connections(None);
         }
     }
     fn bend(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
-        let whom = Self::caller(from);
-        if let Some(door) = self.door(from, to) {
-            door.steering.borrow_mut().set(whom.as_deref(), fault);
+        let caller = Self::caller_name(from);
+        if let Some(relay) = self.relay(from, to) {
+            relay
+                .control
+                .borrow_mut()
+                .set_fault(caller.as_deref(), fault);
         }
         Ok(())
     }
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
-        let whom = Self::caller(from);
-        if let Some(door) = self.door(from, to) {
-            door.steering.borrow_mut().reset(whom.as_deref());
+        let caller = Self::caller_name(from);
+        if let Some(relay) = self.relay(from, to) {
+            relay
+                .control
+                .borrow_mut()
+                .reset_connections(caller.as_deref());
         }
         Ok(())
     }
@@ -476,7 +516,7 @@
     }
     fn ask_to_end(&mut self, who: Who) {
         self.signal(who, Signal::TERM);
-        self.ending.insert(who);
+        self.terminating.insert(who);
     }
     fn spread_keys(&mut self) -> io::Result<()> {
         Ok(())
@@ -489,29 +529,29 @@
             .is_none_or(|host| self.driver.is_core_done(host))
     }
     fn holds_up(&self) -> Micros {
-        SLACK
+        SCHEDULING_SLACK
     }
     fn slack(&self) -> Micros {
-        SLACK
+        SCHEDULING_SLACK
     }
 }
 
-/// A stand-in whose faults stand in a file that its driver watches.
-pub struct Steered {
+/// An emulated worker or service that takes its faults from a file that its event loop watches.
+pub struct FaultControlled {
     core: Box<dyn Core>,
     take: Box<dyn FnMut(&str)>,
 }
 
-/// The name of that file for its core.
-pub const FAULTS: &str = "faults";
+/// Name under which the event loop passes that file to the core.
+pub const FAULTS_FILE: &str = "faults";
 
-impl Steered {
+impl FaultControlled {
     pub fn new(core: Box<dyn Core>, take: Box<dyn FnMut(&str)>) -> Self {
-        Steered { core, take }
+        FaultControlled { core, take }
     }
 }
 
-impl Core for Steered {
+impl Core for FaultControlled {
     fn start(&mut self, now: Micros, io: &mut dyn sanddrum_net::Io) {
         self.core.start(now, io);
     }
--- a/crates/sanddrum-lab/src/reconnect_load.rs
+++ b/crates/sanddrum-lab/src/reconnect_load.rs
@@ -1,5 +1,6 @@
-//! A zone is lost and back cold, and every edge reconnects over TLS, in virtual time with real handshakes that take
-//! their time at the workers: once as the connection module decides, once with connections opened on demand.
+//! Measures the load of reconnecting: a zone is lost and returns cold, and every edge reconnects over TLS. This runs
+//! in virtual time, with real handshakes that take up the workers' time, either as the connection module decides or
+//! with connections opened on demand.
 
 use crate::environment::{product_edge, Environment, VirtualEnvironment};
 use crate::recorder::Recording;
@@ -13,9 +14,10 @@
     pub edges: usize,
     pub workers: usize,
     pub rate: usize,
-    /// What a handshake takes a worker.
+    /// Time that a handshake takes a worker.
     pub handshake_ms: usize,
-    /// Connections are opened when something is sent, all at once, however it went before.
+    /// Opens connections only when something is to be sent, without limits on concurrent handshakes and without
+    /// backoff.
     pub on_demand: bool,
     pub seed: u64,
 }
@@ -23,20 +25,21 @@
 #[derive(Clone, Debug)]
 pub struct ReconnectLoad {
     pub service: f64,
-    /// The part of the calls of each second that were answered in time.
-    pub seconds: Vec<f64>,
-    /// Seconds from the zone's return until service is for good what it was before its loss, less a twentieth.
-    pub calm: f64,
-    /// Handshakes in the worst second of the worst worker, after the return.
-    pub worst: u32,
+    /// Fraction of the requests of each second that were answered in time.
+    pub in_time_fractions: Vec<f64>,
+    /// Seconds from the zone's return until that fraction stays within 0.05 of its mean before the loss.
+    pub recovery_s: f64,
+    /// Most handshakes of one worker within a second, after the zone's return.
+    pub max_handshakes_per_s: u32,
     pub handshakes: u32,
-    pub broken: usize,
+    /// Invariants that were violated.
+    pub violations: usize,
     pub p99_ms: f64,
 }
 
-const LOST: i64 = 6;
-const BACK: i64 = 9;
-const LENGTH: i64 = 24;
+const LOSS_AT_S: i64 = 6;
+const RETURN_AT_S: i64 = 9;
+const DURATION_S: i64 = 24;
 
 fn scenario(spec: &ReconnectLoadSpec) -> String {
     let on_demand = "(handshakes-out 100000) (handshakes-per-worker 10000) (connections-ahead 0)
@@ -58,60 +61,64 @@
         (tls (workers verified) (roots-file "roots.pem"))
         (fleet (workers {workers}) (edges {edges}) (cores 4) (memory 5GB) (handshake {handshake_ms}ms))
         (list-service (notice-least 300ms) (notice-most 1200ms) (silent-after 2s))
-        (traffic (length {LENGTH}s) (rate {rate}) (functions 200) (zipf 1.0))
+        (traffic (length {DURATION_S}s) (rate {rate}) (functions 200) (zipf 1.0))
         (calls "job" (share 1) (work 30ms))
-        (trouble "zone-loss" (at {LOST}s) (length {}s) (zone "b"))
-        (trouble "tear" (at {BACK}s) (part 100%))"#,
-        BACK - LOST
+        (trouble "zone-loss" (at {LOSS_AT_S}s) (length {}s) (zone "b"))
+        (trouble "tear" (at {RETURN_AT_S}s) (part 100%))"#,
+        RETURN_AT_S - LOSS_AT_S
     )
 }
 
-/// Plays one storm.
+/// Plays the loss and return of a zone once.
 ///
 /// # Errors
 /// The scenario can't be set up.
-pub fn storm(spec: &ReconnectLoadSpec) -> io::Result<ReconnectLoad> {
+pub fn run_reconnect_load(spec: &ReconnectLoadSpec) -> io::Result<ReconnectLoad> {
     let scenario = Scenario::read("storm", &scenario(spec), spec.seed).map_err(io::Error::other)?;
     let recording = Recording::default();
-    let mut stage =
+    let mut environment =
         VirtualEnvironment::new(scenario, LinkModel::default(), &recording, product_edge())?;
-    let begun = stage.now() / 1_000_000;
-    let outcome = play(&mut stage, &recording)?;
-    let work = &stage.fleet().handshakes;
+    let begun_s = environment.now() / 1_000_000;
+    let outcome = play(&mut environment, &recording)?;
+    let handshake_work = &environment.fleet().handshakes;
     let in_second = |second: i64| {
-        work.iter()
-            .filter_map(move |w| w.borrow().per_second.get(&(begun + second)).copied())
+        handshake_work
+            .iter()
+            .filter_map(move |w| w.borrow().per_second.get(&(begun_s + second)).copied())
     };
-    Ok(figures(
+    Ok(summarize(
         &outcome,
-        (BACK..LENGTH).map(|s| in_second(s).collect()).collect(),
-        work.iter()
+        (RETURN_AT_S..DURATION_S)
+            .map(|s| in_second(s).collect())
+            .collect(),
+        handshake_work
+            .iter()
             .map(|w| w.borrow().per_second.values().sum::<u32>())
             .sum(),
     ))
 }
 
-fn figures(outcome: &Outcome, after: Vec<Vec<u32>>, handshakes: u32) -> ReconnectLoad {
-    let part = |(begun, in_time): &(u32, u32)| f64::from(*in_time) / f64::from((*begun).max(1));
-    let seconds: Vec<f64> = outcome.verdict.seconds.iter().map(part).collect();
-    let of = |from: i64, to: i64| {
-        seconds
+fn summarize(outcome: &Outcome, after: Vec<Vec<u32>>, handshakes: u32) -> ReconnectLoad {
+    let fraction = |(begun, in_time): &(u32, u32)| f64::from(*in_time) / f64::from((*begun).max(1));
+    let in_time_fractions: Vec<f64> = outcome.verdict.seconds.iter().map(fraction).collect();
+    let range = |from: i64, to: i64| {
+        in_time_fractions
             .iter()
             .skip(from as usize)
             .take((to - from) as usize)
     };
-    let before = of(LOST - 3, LOST).sum::<f64>() / 3.0;
-    let last_low = seconds
+    let before = range(LOSS_AT_S - 3, LOSS_AT_S).sum::<f64>() / 3.0;
+    let last_low = in_time_fractions
         .iter()
-        .take(LENGTH as usize)
-        .rposition(|part| *part < before - 0.05);
+        .take(DURATION_S as usize)
+        .rposition(|fraction| *fraction < before - 0.05);
     ReconnectLoad {
         service: outcome.verdict.service,
-        calm: last_low.map_or(0.0, |n| (n as i64 + 1 - BACK).max(0) as f64),
-        worst: after.iter().flatten().copied().max().unwrap_or(0),
+        recovery_s: last_low.map_or(0.0, |n| (n as i64 + 1 - RETURN_AT_S).max(0) as f64),
+        max_handshakes_per_s: after.iter().flatten().copied().max().unwrap_or(0),
         handshakes,
-        broken: outcome.verdict.broken.len(),
+        violations: outcome.verdict.broken.len(),
         p99_ms: outcome.latency_ms(0.99),
-        seconds,
+        in_time_fractions,
     }
 }
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -1,322 +1,359 @@
-//! A link between two processes that a test steers: connections are taken, dialled on, and their bytes passed, held,
-//! slowed or thrown away. It reads no more of them than the greeting that says who calls.
+//! A relay on the link between two processes, whose faults a test controls. It accepts connections, connects each to
+//! the process behind it, and forwards, delays, slows down or withholds the bytes. Of these it reads no more than the
+//! greeting that names the caller.
 
 use sanddrum_emulator::Shared;
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Outbox};
 use sanddrum_wire::{FrameDecoder, ToDiscovery, ToWorker};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What is wrong with a link.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Everything takes so much longer, each way.
+    /// Every message takes this much longer, in each direction.
     Delay(Micros),
-    /// What the caller sends does not arrive until the link is mended.
+    /// What the caller sends doesn't arrive until the fault is cleared.
     SilentTo,
-    /// What it is answered does not.
+    /// What is sent to the caller doesn't arrive until the fault is cleared.
     SilentFrom,
-    /// Connections are taken, and nothing more is heard of them.
+    /// Connections are accepted, but never answered.
     Unanswered,
-    /// Connections are broken as soon as they are made.
+    /// Existing connections are reset, and new ones as soon as they are accepted.
     Refused,
-    /// No more than so many bytes a second pass on each connection, each way.
+    /// Each connection carries at most this many bytes per second in each direction.
     Slow(f64),
 }
 
-/// How a caller is known: by the greeting of its protocol, or not at all.
+/// The protocol whose greeting tells a relay the name of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Greets {
-    No,
+pub enum Greeting {
+    /// Callers aren't identified.
+    Anonymous,
+    /// The protocol that workers speak with edges.
     Worker,
-    List,
+    /// The protocol of the discovery service.
+    Discovery,
 }
 
-/// What a test and a relay both hold.
+/// State shared by a test, which changes it, and its relay.
 #[derive(Clone, Debug, Default)]
-pub struct Steering {
-    /// Where the process behind it listens now; none while there is no process.
-    pub to: Option<String>,
-    /// Faults of all callers (none), or of one by its name.
+pub struct RelayControl {
+    /// Address that the process behind the relay listens on; none while it isn't running.
+    pub target: Option<String>,
+    /// Faults by the name of the caller; `None` applies to all callers that have no fault of their own.
     pub faults: BTreeMap<Option<String>, Fault>,
-    /// Callers whose connections are to be broken now.
-    pub breaks: Vec<Option<String>>,
-    /// Counts what was steered, so that the relay looks.
-    pub turn: u64,
+    /// Callers whose connections the relay resets next; `None` stands for all of them.
+    pub pending_resets: Vec<Option<String>>,
+    /// Incremented by every change, so that the relay notices it.
+    pub revision: u64,
 }
 
-impl Steering {
-    pub fn set(&mut self, whom: Option<&str>, fault: Option<Fault>) {
-        let whom = whom.map(String::from);
+impl RelayControl {
+    pub fn set_fault(&mut self, caller: Option<&str>, fault: Option<Fault>) {
+        let caller = caller.map(String::from);
         match fault {
-            Some(fault) => drop(self.faults.insert(whom, fault)),
-            None => drop(self.faults.remove(&whom)),
+            Some(fault) => drop(self.faults.insert(caller, fault)),
+            None => drop(self.faults.remove(&caller)),
         }
-        self.turn += 1;
+        self.revision += 1;
     }
-    pub fn reset(&mut self, whom: Option<&str>) {
-        self.breaks.push(whom.map(String::from));
-        self.turn += 1;
+    pub fn reset_connections(&mut self, caller: Option<&str>) {
+        self.pending_resets.push(caller.map(String::from));
+        self.revision += 1;
     }
-    pub fn lead_to(&mut self, to: Option<String>) {
-        self.to = to;
-        self.turn += 1;
+    pub fn set_target(&mut self, target: Option<String>) {
+        self.target = target;
+        self.revision += 1;
     }
-    fn of(&self, name: &str) -> Option<Fault> {
+    fn fault_for(&self, caller: &str) -> Option<Fault> {
         self.faults
-            .get(&Some(name.to_string()))
+            .get(&Some(caller.to_string()))
             .or(self.faults.get(&None))
             .copied()
     }
 }
 
-enum Piece {
+enum Chunk {
     Bytes(Vec<u8>),
     End(CloseCause),
 }
 
-/// One direction of a connection.
-struct Way {
-    pieces: VecDeque<(Micros, Piece)>,
-    held: usize,
-    /// Nothing more passes before, where the link is slow.
-    free: Micros,
-    out: Outbox<()>,
+/// One direction of a relayed connection.
+struct Direction {
+    queue: VecDeque<(Micros, Chunk)>,
+    queued_bytes: usize,
+    /// On a slow link, nothing more is forwarded before this time.
+    next_send: Micros,
+    outbox: Outbox<()>,
 }
 
-struct Pair {
-    back: Option<ConnectionId>,
-    back_up: bool,
-    name: Option<String>,
+/// The connection that a caller opened, and the one that the relay opened to the process behind it.
+struct ConnectionPair {
+    upstream: Option<ConnectionId>,
+    upstream_connected: bool,
+    caller_name: Option<String>,
     greeting: FrameDecoder,
-    /// To the process behind, and back from it.
-    to: Way,
-    from: Way,
+    to_upstream: Direction,
+    to_caller: Direction,
     paused: bool,
 }
 
-/// Bytes held for one direction of a connection before its sender is slowed down.
-const HELD: usize = 1 << 20;
-/// The most that waits for a socket.
-const MOST: usize = 64 << 20;
+/// Once more bytes than this are queued in one direction, the relay stops reading from both connections.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// Limit of the bytes that wait for a socket, and of a greeting's size.
+const MAX_OUTBOX_BYTES: usize = 64 << 20;
 
 pub struct Relay {
-    greets: Greets,
-    steering: Shared<Steering>,
-    seen: u64,
-    pairs: BTreeMap<ConnectionId, Pair>,
-    /// The front of each connection dialled on.
-    fronts: BTreeMap<ConnectionId, ConnectionId>,
-    /// Pairs that something came for or waits in.
-    busy: BTreeSet<ConnectionId>,
+    greeting_protocol: Greeting,
+    control: Shared<RelayControl>,
+    seen_revision: u64,
+    pairs: BTreeMap<ConnectionId, ConnectionPair>,
+    /// The caller's connection for each upstream connection.
+    caller_conns: BTreeMap<ConnectionId, ConnectionId>,
+    /// Pairs with new events or queued bytes.
+    active: BTreeSet<ConnectionId>,
 }
 
-fn way() -> Way {
-    Way {
-        pieces: VecDeque::new(),
-        held: 0,
-        free: 0,
-        out: Outbox::new(MOST),
+fn new_direction() -> Direction {
+    Direction {
+        queue: VecDeque::new(),
+        queued_bytes: 0,
+        next_send: 0,
+        outbox: Outbox::new(MAX_OUTBOX_BYTES),
     }
 }
 
-impl Way {
-    fn take(&mut self, at: Micros, piece: Piece) {
-        if let Piece::Bytes(bytes) = &piece {
-            self.held += bytes.len();
+impl Direction {
+    fn push(&mut self, at: Micros, chunk: Chunk) {
+        if let Chunk::Bytes(bytes) = &chunk {
+            self.queued_bytes += bytes.len();
         }
-        self.pieces.push_back((at, piece));
+        self.queue.push_back((at, chunk));
     }
     fn is_empty(&self) -> bool {
-        self.pieces.is_empty() && self.out.pending_bytes() == 0
+        self.queue.is_empty() && self.outbox.pending_bytes() == 0
     }
-    /// Passes on what is due; what ends the connection comes last.
-    fn pass(&mut self, now: Micros, fault: Option<Fault>, silent: bool) -> Option<CloseCause> {
-        let delay = if let Some(Fault::Delay(by)) = fault {
-            by
+    /// Forwards what is due. Returns how the sender closed its connection, once everything before that was forwarded.
+    fn forward(&mut self, now: Micros, fault: Option<Fault>, withheld: bool) -> Option<CloseCause> {
+        let delay = if let Some(Fault::Delay(delay_us)) = fault {
+            delay_us
         } else {
             0
         };
-        while let Some((at, piece)) = self.pieces.front() {
-            if silent || at + delay > now || self.free > now {
+        while let Some((at, chunk)) = self.queue.front() {
+            if withheld || at + delay > now || self.next_send > now {
                 return None;
             }
-            match piece {
-                Piece::End(how) => return Some(*how),
-                Piece::Bytes(bytes) => {
-                    if let Some(Fault::Slow(per_s)) = fault {
-                        self.free = now + (bytes.len() as f64 / per_s.max(1.0) * 1e6) as Micros;
+            match chunk {
+                Chunk::End(cause) => return Some(*cause),
+                Chunk::Bytes(bytes) => {
+                    if let Some(Fault::Slow(bytes_per_s)) = fault {
+                        self.next_send =
+                            now + (bytes.len() as f64 / bytes_per_s.max(1.0) * 1e6) as Micros;
                     }
-                    self.held -= bytes.len();
-                    let _ = self.out.push((), bytes);
-                    self.pieces.pop_front();
+                    self.queued_bytes -= bytes.len();
+                    let _ = self.outbox.push((), bytes);
+                    self.queue.pop_front();
                 }
             }
         }
         None
     }
-    fn wake(&self, fault: Option<Fault>, silent: bool) -> Option<Micros> {
-        let delay = if let Some(Fault::Delay(by)) = fault {
-            by
+    fn next_due(&self, fault: Option<Fault>, withheld: bool) -> Option<Micros> {
+        let delay = if let Some(Fault::Delay(delay_us)) = fault {
+            delay_us
         } else {
             0
         };
-        let first = self.pieces.front().filter(|_| !silent);
-        first.map(|(at, _)| (at + delay).max(self.free))
+        let first = self.queue.front().filter(|_| !withheld);
+        first.map(|(at, _)| (at + delay).max(self.next_send))
     }
 }
 
-impl Pair {
-    fn silent(fault: Option<Fault>) -> (bool, bool) {
-        let none = fault == Some(Fault::Unanswered);
+impl ConnectionPair {
+    /// Whether the fault withholds what is sent to the upstream, and what is sent to the caller.
+    fn withheld(fault: Option<Fault>) -> (bool, bool) {
+        let unanswered = fault == Some(Fault::Unanswered);
         (
-            none || fault == Some(Fault::SilentTo),
-            none || fault == Some(Fault::SilentFrom),
+            unanswered || fault == Some(Fault::SilentTo),
+            unanswered || fault == Some(Fault::SilentFrom),
         )
     }
 }
 
 impl Relay {
-    pub fn new(greets: Greets, steering: Shared<Steering>) -> Self {
-        let (pairs, fronts, busy) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+    pub fn new(greeting_protocol: Greeting, control: Shared<RelayControl>) -> Self {
+        let (pairs, caller_conns, active) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         Relay {
-            greets,
-            steering,
-            seen: 0,
+            greeting_protocol,
+            control,
+            seen_revision: 0,
             pairs,
-            fronts,
-            busy,
+            caller_conns,
+            active,
         }
     }
-    fn fault(&self, pair: &Pair) -> Option<Fault> {
-        self.steering
+    fn fault(&self, pair: &ConnectionPair) -> Option<Fault> {
+        self.control
             .borrow()
-            .of(pair.name.as_deref().unwrap_or_default())
+            .fault_for(pair.caller_name.as_deref().unwrap_or_default())
     }
-    fn greeted(&mut self, front: ConnectionId, bytes: &[u8]) {
-        let greets = self.greets;
-        let Some(pair) = self.pairs.get_mut(&front).filter(|p| p.name.is_none()) else {
+    fn read_greeting(&mut self, caller_conn: ConnectionId, bytes: &[u8]) {
+        let greeting_protocol = self.greeting_protocol;
+        let Some(pair) = self
+            .pairs
+            .get_mut(&caller_conn)
+            .filter(|p| p.caller_name.is_none())
+        else {
             return;
         };
         pair.greeting.push_bytes(bytes);
-        pair.name = match greets {
-            Greets::No => None,
-            Greets::Worker => match pair.greeting.next_message::<ToWorker>() {
+        pair.caller_name = match greeting_protocol {
+            Greeting::Anonymous => None,
+            Greeting::Worker => match pair.greeting.next_message::<ToWorker>() {
                 Ok(Some(ToWorker::Hello(hello))) => Some(hello.name),
                 _ => None,
             },
-            // A worker tells of itself by its first row.
-            Greets::List => match pair.greeting.next_message::<ToDiscovery>() {
+            // A worker names itself in the endpoint record that it registers with.
+            Greeting::Discovery => match pair.greeting.next_message::<ToDiscovery>() {
                 Ok(Some(ToDiscovery::Hello(hello))) => Some(hello.name),
-                Ok(Some(ToDiscovery::Register(row))) => Some(row.name),
+                Ok(Some(ToDiscovery::Register(record))) => Some(record.name),
                 _ => None,
             },
         };
     }
-    fn dial(&mut self, front: ConnectionId, io: &mut dyn Io) {
-        let to = self.steering.borrow().to.clone();
+    fn connect_upstream(&mut self, caller_conn: ConnectionId, io: &mut dyn Io) {
+        let target = self.control.borrow().target.clone();
         let Some(pair) = self
             .pairs
-            .get_mut(&front)
-            .filter(|p| p.back.is_none() && p.name.is_some())
+            .get_mut(&caller_conn)
+            .filter(|p| p.upstream.is_none() && p.caller_name.is_some())
         else {
             return;
         };
         let fault = self
-            .steering
+            .control
             .borrow()
-            .of(pair.name.as_deref().unwrap_or_default());
-        match (fault, to) {
+            .fault_for(pair.caller_name.as_deref().unwrap_or_default());
+        match (fault, target) {
             (Some(Fault::Unanswered), _) => {}
-            (Some(Fault::Refused), _) | (_, None) => self.end(front, io, CloseCause::Reset, true),
-            (_, Some(to)) => {
-                let back = io.connect(&to);
-                pair.back = Some(back);
-                self.fronts.insert(back, front);
+            (Some(Fault::Refused), _) | (_, None) => {
+                self.close_pair(caller_conn, io, CloseCause::Reset, true)
+            }
+            (_, Some(target)) => {
+                let upstream = io.connect(&target);
+                pair.upstream = Some(upstream);
+                self.caller_conns.insert(upstream, caller_conn);
             }
         }
     }
-    /// Ends both sides, or what is left of them.
-    fn end(&mut self, front: ConnectionId, io: &mut dyn Io, how: CloseCause, front_stands: bool) {
-        let Some(pair) = self.pairs.remove(&front) else {
+    /// Closes or resets those connections of the pair that are still open.
+    fn close_pair(
+        &mut self,
+        caller_conn: ConnectionId,
+        io: &mut dyn Io,
+        cause: CloseCause,
+        caller_open: bool,
+    ) {
+        let Some(pair) = self.pairs.remove(&caller_conn) else {
             return;
         };
         let sides = [
-            front_stands.then_some(front),
-            pair.back.filter(|b| self.fronts.contains_key(b)),
+            caller_open.then_some(caller_conn),
+            pair.upstream.filter(|b| self.caller_conns.contains_key(b)),
         ];
-        if let Some(back) = pair.back {
-            self.fronts.remove(&back);
+        if let Some(upstream) = pair.upstream {
+            self.caller_conns.remove(&upstream);
         }
         for conn in sides.into_iter().flatten() {
-            if how == CloseCause::Orderly {
+            if cause == CloseCause::Orderly {
                 io.close(conn)
             } else {
                 io.reset(conn)
             }
         }
     }
-    fn tend(
+    fn serve_pair(
         &mut self,
         now: Micros,
-        front: ConnectionId,
-        breaks: &[Option<String>],
+        caller_conn: ConnectionId,
+        pending_resets: &[Option<String>],
         io: &mut dyn Io,
     ) {
-        self.dial(front, io);
-        let Some(pair) = self.pairs.get(&front) else {
+        self.connect_upstream(caller_conn, io);
+        let Some(pair) = self.pairs.get(&caller_conn) else {
             return;
         };
-        let broken = breaks
+        let reset_requested = pending_resets
             .iter()
-            .any(|whom| whom.is_none() || *whom == pair.name);
+            .any(|caller| caller.is_none() || *caller == pair.caller_name);
         let fault = self.fault(pair);
-        if broken || fault == Some(Fault::Refused) {
-            return self.end(front, io, CloseCause::Reset, true);
+        if reset_requested || fault == Some(Fault::Refused) {
+            return self.close_pair(caller_conn, io, CloseCause::Reset, true);
         }
-        let (silent_to, silent_from) = Pair::silent(fault);
-        let Some(pair) = self.pairs.get_mut(&front) else {
+        let (withhold_to_upstream, withhold_to_caller) = ConnectionPair::withheld(fault);
+        let Some(pair) = self.pairs.get_mut(&caller_conn) else {
             return;
         };
-        let back = pair.back.filter(|_| pair.back_up);
-        let ended_to = back.and_then(|_| pair.to.pass(now, fault, silent_to));
-        let ended_from = pair.from.pass(now, fault, silent_from);
-        back.iter().for_each(|back| pair.to.out.flush(*back, io));
-        pair.from.out.flush(front, io);
-        if pair.paused && pair.to.held.max(pair.from.held) * 2 < HELD {
+        let upstream = pair.upstream.filter(|_| pair.upstream_connected);
+        let end_to_upstream =
+            upstream.and_then(|_| pair.to_upstream.forward(now, fault, withhold_to_upstream));
+        let end_to_caller = pair.to_caller.forward(now, fault, withhold_to_caller);
+        upstream
+            .iter()
+            .for_each(|upstream| pair.to_upstream.outbox.flush(*upstream, io));
+        pair.to_caller.outbox.flush(caller_conn, io);
+        if pair.paused
+            && pair
+                .to_upstream
+                .queued_bytes
+                .max(pair.to_caller.queued_bytes)
+                * 2
+                < MAX_QUEUED_BYTES
+        {
             pair.paused = false;
-            io.pause(front, false);
-            pair.back.iter().for_each(|back| io.pause(*back, false));
+            io.pause(caller_conn, false);
+            pair.upstream
+                .iter()
+                .for_each(|upstream| io.pause(*upstream, false));
         }
-        let over =
-            |way: &Way, how: CloseCause| way.out.pending_bytes() == 0 || how != CloseCause::Orderly;
-        match (ended_from, ended_to) {
-            (Some(how), _) if over(&pair.from, how) => self.end(front, io, how, true),
-            (_, Some(how)) if over(&pair.to, how) => self.end(front, io, how, false),
+        let flushed = |direction: &Direction, cause: CloseCause| {
+            direction.outbox.pending_bytes() == 0 || cause != CloseCause::Orderly
+        };
+        match (end_to_caller, end_to_upstream) {
+            (Some(cause), _) if flushed(&pair.to_caller, cause) => {
+                self.close_pair(caller_conn, io, cause, true)
+            }
+            (_, Some(cause)) if flushed(&pair.to_upstream, cause) => {
+                self.close_pair(caller_conn, io, cause, false)
+            }
             _ => {}
         }
     }
-    fn came(&mut self, now: Micros, conn: ConnectionId, piece: Piece, io: &mut dyn Io) {
-        let front = self.fronts.get(&conn).copied().unwrap_or(conn);
-        if let Piece::Bytes(bytes) = &piece {
-            if front == conn {
-                self.greeted(front, bytes);
+    fn enqueue(&mut self, now: Micros, conn: ConnectionId, chunk: Chunk, io: &mut dyn Io) {
+        let caller_conn = self.caller_conns.get(&conn).copied().unwrap_or(conn);
+        if let Chunk::Bytes(bytes) = &chunk {
+            if caller_conn == conn {
+                self.read_greeting(caller_conn, bytes);
             }
         }
-        let Some(pair) = self.pairs.get_mut(&front) else {
+        let Some(pair) = self.pairs.get_mut(&caller_conn) else {
             return;
         };
-        let way = if front == conn {
-            &mut pair.to
+        let direction = if caller_conn == conn {
+            &mut pair.to_upstream
         } else {
-            &mut pair.from
+            &mut pair.to_caller
         };
-        way.take(now, piece);
-        if way.held > HELD && !pair.paused {
+        direction.push(now, chunk);
+        if direction.queued_bytes > MAX_QUEUED_BYTES && !pair.paused {
             pair.paused = true;
-            io.pause(front, true);
-            pair.back.iter().for_each(|back| io.pause(*back, true));
+            io.pause(caller_conn, true);
+            pair.upstream
+                .iter()
+                .for_each(|upstream| io.pause(*upstream, true));
         }
-        self.dial(front, io);
+        self.connect_upstream(caller_conn, io);
     }
 }
 
@@ -328,96 +365,109 @@
         | Event::Bytes { conn, .. }
         | Event::Writable { conn }
         | Event::Closed { conn, .. }) = event;
-        self.busy
-            .insert(self.fronts.get(&conn).copied().unwrap_or(conn));
+        self.active
+            .insert(self.caller_conns.get(&conn).copied().unwrap_or(conn));
         match event {
             Event::Accepted { conn, .. } => {
-                let name = (self.greets == Greets::No).then(String::new);
-                let (to, from, greeting) = (way(), way(), FrameDecoder::new(MOST));
-                let pair = Pair {
-                    back: None,
-                    back_up: false,
-                    name,
+                let caller_name = (self.greeting_protocol == Greeting::Anonymous).then(String::new);
+                let (to_upstream, to_caller, greeting) = (
+                    new_direction(),
+                    new_direction(),
+                    FrameDecoder::new(MAX_OUTBOX_BYTES),
+                );
+                let pair = ConnectionPair {
+                    upstream: None,
+                    upstream_connected: false,
+                    caller_name,
                     greeting,
-                    to,
-                    from,
+                    to_upstream,
+                    to_caller,
                     paused: false,
                 };
                 self.pairs.insert(conn, pair);
-                self.dial(conn, io);
+                self.connect_upstream(conn, io);
             }
             Event::Connected { conn } => {
                 if let Some(pair) = self
-                    .fronts
+                    .caller_conns
                     .get(&conn)
-                    .and_then(|front| self.pairs.get_mut(front))
+                    .and_then(|caller_conn| self.pairs.get_mut(caller_conn))
                 {
-                    pair.back_up = true;
+                    pair.upstream_connected = true;
                 }
             }
-            Event::Bytes { conn, bytes } => self.came(now, conn, Piece::Bytes(bytes.to_vec()), io),
+            Event::Bytes { conn, bytes } => {
+                self.enqueue(now, conn, Chunk::Bytes(bytes.to_vec()), io)
+            }
             Event::Writable { conn } => {
-                let front = self.fronts.get(&conn).copied().unwrap_or(conn);
-                if let Some(pair) = self.pairs.get_mut(&front) {
-                    let way = if front == conn {
-                        &mut pair.from
+                let caller_conn = self.caller_conns.get(&conn).copied().unwrap_or(conn);
+                if let Some(pair) = self.pairs.get_mut(&caller_conn) {
+                    let direction = if caller_conn == conn {
+                        &mut pair.to_caller
                     } else {
-                        &mut pair.to
+                        &mut pair.to_upstream
                     };
-                    way.out.unblock();
+                    direction.outbox.unblock();
                 }
             }
-            Event::Closed { conn, cause: how } => {
-                if let Some(front) = self.fronts.get(&conn).copied() {
-                    self.fronts.remove(&conn);
-                    let how = if how == CloseCause::Refused {
+            Event::Closed { conn, cause } => {
+                if let Some(caller_conn) = self.caller_conns.get(&conn).copied() {
+                    self.caller_conns.remove(&conn);
+                    let cause = if cause == CloseCause::Refused {
                         CloseCause::Reset
                     } else {
-                        how
+                        cause
                     };
-                    if let Some(pair) = self.pairs.get_mut(&front) {
-                        pair.from.take(now, Piece::End(how));
+                    if let Some(pair) = self.pairs.get_mut(&caller_conn) {
+                        pair.to_caller.push(now, Chunk::End(cause));
                     }
                 } else if let Some(pair) = self.pairs.get_mut(&conn) {
-                    pair.to.take(now, Piece::End(how));
-                    // Nothing can be told to a caller that has gone.
-                    if pair.back.is_none() || !pair.back_up {
-                        self.end(conn, io, how, false);
+                    pair.to_upstream.push(now, Chunk::End(cause));
+                    // Without an upstream connection there is nowhere to forward what the caller sent.
+                    if pair.upstream.is_none() || !pair.upstream_connected {
+                        self.close_pair(conn, io, cause, false);
                     }
                 }
             }
         }
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        let turn = self.steering.borrow().turn;
-        let breaks = std::mem::take(&mut self.steering.borrow_mut().breaks);
-        if self.seen != turn {
-            self.busy.extend(self.pairs.keys());
+        let revision = self.control.borrow().revision;
+        let pending_resets = std::mem::take(&mut self.control.borrow_mut().pending_resets);
+        if self.seen_revision != revision {
+            self.active.extend(self.pairs.keys());
         }
-        self.seen = turn;
-        for front in self.busy.iter().copied().collect::<Vec<_>>() {
-            self.tend(now, front, &breaks, io);
-            let waits = |p: &Pair| !(p.to.is_empty() && p.from.is_empty());
-            if !self.pairs.get(&front).is_some_and(waits) {
-                self.busy.remove(&front);
+        self.seen_revision = revision;
+        for caller_conn in self.active.iter().copied().collect::<Vec<_>>() {
+            self.serve_pair(now, caller_conn, &pending_resets, io);
+            let has_queued =
+                |p: &ConnectionPair| !(p.to_upstream.is_empty() && p.to_caller.is_empty());
+            if !self.pairs.get(&caller_conn).is_some_and(has_queued) {
+                self.active.remove(&caller_conn);
             }
         }
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        if self.seen != self.steering.borrow().turn {
+        if self.seen_revision != self.control.borrow().revision {
             return Some(0);
         }
-        let busy = self.busy.iter().filter_map(|front| self.pairs.get(front));
-        let wakes = busy.flat_map(|pair| {
+        let active = self
+            .active
+            .iter()
+            .filter_map(|caller_conn| self.pairs.get(caller_conn));
+        let due = active.flat_map(|pair| {
             let fault = self.fault(pair);
-            let (to, from) = Pair::silent(fault);
-            let to = pair
-                .back
-                .filter(|_| pair.back_up)
-                .and_then(|_| pair.to.wake(fault, to));
-            [to, pair.from.wake(fault, from)]
+            let (withhold_to_upstream, withhold_to_caller) = ConnectionPair::withheld(fault);
+            let to_upstream = pair
+                .upstream
+                .filter(|_| pair.upstream_connected)
+                .and_then(|_| pair.to_upstream.next_due(fault, withhold_to_upstream));
+            [
+                to_upstream,
+                pair.to_caller.next_due(fault, withhold_to_caller),
+            ]
         });
-        wakes.flatten().min()
+        due.flatten().min()
     }
     fn is_done(&self) -> bool {
         true
--- a/crates/sanddrum-lab/src/report.rs
+++ b/crates/sanddrum-lab/src/report.rs
@@ -1,7 +1,7 @@
 //! What an experiment came to, as lines for a terminal and as one HTML page that needs nothing else.
 
 use crate::experiment::{difference, Difference, Experiment, Figures, FEW_SEEDS, MEASURES};
-use crate::plots::{svg, Line};
+use crate::plots::{line_chart_svg, Series};
 use std::fmt::Write;
 
 fn spread(figures: &[Figures], of: fn(&Figures) -> f64) -> (f64, f64, f64) {
@@ -127,12 +127,12 @@
         .iter()
         .map(|v| format!("<th>{}</th>", tame(&v.name)))
         .collect();
-    let line = |(n, v): (usize, &crate::Variant)| Line {
+    let line = |(n, v): (usize, &crate::Variant)| Series {
         name: v.name.clone(),
         points: service_over_time(&all[n]),
     };
-    let lines: Vec<Line> = experiment.variants.iter().enumerate().map(line).collect();
-    let picture = svg("Calls answered in time", ("second", "part"), &lines)?;
+    let lines: Vec<Series> = experiment.variants.iter().enumerate().map(line).collect();
+    let picture = line_chart_svg("Calls answered in time", ("second", "part"), &lines)?;
     let warned: String = warnings(experiment)
         .iter()
         .map(|w| format!("<p class=worse>Warning: {}</p>", tame(w)))
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -295,9 +295,9 @@
         if let Some(wallet) = self.stage.fleet().wallet.clone() {
             let mut wallet = wallet.borrow_mut();
             match t.kind.as_str() {
-                "key-new" => wallet.add(),
-                "key-rotate" => wallet.rotate(now, t.length),
-                _ => wallet.revoke(now),
+                "key-new" => wallet.add_key(),
+                "key-rotate" => wallet.rotate_keys(now, t.length),
+                _ => wallet.revoke_oldest_key(now),
             }
             let reach = self
                 .scenario
--- a/crates/sanddrum-lab/src/scheduling_delay.rs
+++ b/crates/sanddrum-lab/src/scheduling_delay.rs
@@ -1,28 +1,29 @@
-//! How long the machine let the processes of a fleet wait: what an edge was held up by, it did not do.
+//! How long the processes of a fleet waited for a processor: the checker doesn't blame an edge for delays that the
+//! machine caused.
 
 use crate::recorder::Log;
 use sanddrum_net::Micros;
 use std::collections::BTreeMap;
 
-/// Looks at processes take no more of this process's time than so many a second do.
-const LOOKS_A_SECOND: usize = 400;
-/// No more often than this, however few they are.
-const EVERY: Micros = 25_000;
+/// Samples taken per second, over all processes: bounds the time that this process spends on them.
+const MAX_SAMPLES_PER_SECOND: usize = 400;
+/// Shortest interval between two samples of a process, however few processes there are.
+const MIN_SAMPLING_INTERVAL: Micros = 25_000;
 
-/// Whose waits a series tells: the process that plays the scenario, by its loop.
-pub const OURS: &str = "";
+/// Name that the delays of the process that plays the scenario are recorded under, as measured by its event loop.
+pub const RUNNER: &str = "";
 
-/// The waits of one process, summed up from its start and looked at now and then.
+/// Samples of the total time that one process has waited, each with the time at which it was taken.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulingDelays(Vec<(Micros, Micros)>);
 
 impl SchedulingDelays {
-    /// It has waited for so long more by now.
-    pub fn add(&mut self, now: Micros, by: Micros) {
+    /// Records that the process has waited this much longer since the previous sample.
+    pub fn add(&mut self, now: Micros, waited: Micros) {
         let sum = self.0.last().map_or(0, |(_, sum)| *sum);
-        self.0.push((now, sum + by));
+        self.0.push((now, sum + waited));
     }
-    /// The longest that it waited within a second.
+    /// The longest time that the process waited within one second.
     pub fn worst_second(&self) -> Micros {
         self.0
             .iter()
@@ -30,7 +31,8 @@
             .max()
             .unwrap_or(0)
     }
-    /// How long it waited from one time to another; the looks nearest beyond both count.
+    /// How long the process waited between two times, measured from the last sample at or before `from` to the first
+    /// at or after `to`.
     pub fn between(&self, from: Micros, to: Micros) -> Micros {
         let before = self.0.partition_point(|(at, _)| *at <= from).checked_sub(1);
         let after = self
@@ -43,27 +45,28 @@
     }
 }
 
-/// Looks at what the system says of processes that are ready to run and wait for a processor.
+/// Samples how long processes were ready to run but waited for a processor, as reported by the system.
 #[derive(Debug, Default)]
-pub struct Watch {
-    /// By name: the process, and how long it had waited at the last look.
+pub struct SchedulingDelayMonitor {
+    /// By name: the process id, and how long the process had waited in all at the last sample.
     seen: BTreeMap<String, (u32, Micros)>,
 }
 
-/// How long between looks at so many processes.
-pub fn every(processes: usize) -> Micros {
-    EVERY.max((processes * 1_000_000 / LOOKS_A_SECOND) as Micros)
+/// Interval between samples of this many processes.
+pub fn sampling_interval(processes: usize) -> Micros {
+    MIN_SAMPLING_INTERVAL.max((processes * 1_000_000 / MAX_SAMPLES_PER_SECOND) as Micros)
 }
 
-impl Watch {
-    /// Nothing is known of a system that tells nothing: then it held nobody up.
-    pub fn look(&mut self, log: &mut Log, now: Micros, name: String, process: u32) {
-        let told = std::fs::read_to_string(format!("/proc/{process}/schedstat")).ok();
-        let nanos = told.and_then(|text| text.split_whitespace().nth(1)?.parse::<Micros>().ok());
+impl SchedulingDelayMonitor {
+    /// Samples one process. Where the system has no scheduling statistics, the wait counts as zero.
+    pub fn sample(&mut self, log: &mut Log, now: Micros, name: String, pid: u32) {
+        let statistics = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok();
+        let nanos =
+            statistics.and_then(|text| text.split_whitespace().nth(1)?.parse::<Micros>().ok());
         let waited = nanos.unwrap_or(0) / 1000;
-        let before = self.seen.insert(name.clone(), (process, waited));
+        let before = self.seen.insert(name.clone(), (pid, waited));
         let before = before
-            .filter(|(same, _)| *same == process)
+            .filter(|(sampled_pid, _)| *sampled_pid == pid)
             .map_or(0, |(_, waited)| waited);
         log.waits
             .entry(name)
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -2,7 +2,7 @@
 //! workers in their worst seconds.
 
 use crate::environment::product_edge;
-use crate::plots::{lines, Line};
+use crate::plots::{write_line_chart, Series};
 use crate::scenario::Scenario;
 use crate::scenario_runner::Outcome;
 use std::io;
@@ -145,7 +145,7 @@
 /// # Errors
 /// A file can't be written.
 pub fn plot_sizes(folder: &Path, name: &str, all: &[OfSize]) -> Result<(), String> {
-    let service = all.iter().map(|of| Line {
+    let service = all.iter().map(|of| Series {
         name: format!("{} edges", of.edges),
         points: of
             .seconds
@@ -155,13 +155,13 @@
             .collect(),
     });
     let file = folder.join(format!("{name}-service.svg"));
-    lines(
+    write_line_chart(
         &file,
         "Service by second",
         ("second", "calls in time of calls begun"),
         &service.collect::<Vec<_>>(),
     )?;
-    let worst = |w: usize| Line {
+    let worst = |w: usize| Series {
         name: WORST[w].0.to_string(),
         points: all
             .iter()
@@ -169,12 +169,12 @@
             .collect(),
     };
     // Bytes are of another size, and whole lists are counted over the day.
-    let shown: Vec<Line> = (0..WORST.len())
+    let shown: Vec<Series> = (0..WORST.len())
         .filter(|w| ![1, 2].contains(w))
         .map(worst)
         .collect();
     let file = folder.join(format!("{name}-worst.svg"));
-    lines(
+    write_line_chart(
         &file,
         "Worst second of the list service and of a worker",
         ("edges", "a second"),
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -1,4 +1,5 @@
-//! A scenario's fleet on loopback sockets: stand-ins and callers on one loop, edges beside them or as processes.
+//! Plays a scenario on loopback sockets: the emulated workers and services and the clients share one event loop;
+//! edges run on it too, or as processes.
 
 use crate::environment::{Environment, MakeEdge};
 use crate::fleet::{Addresses, Fleet, Who};
@@ -14,72 +15,75 @@
 use std::path::PathBuf;
 use std::process::{Child, Command};
 
-/// The command that runs an edge as a process.
-pub type MakeCommand = Box<dyn Fn(usize, &Fleet, &PathBuf, u64) -> Command>;
+/// Builds the command that runs an edge as a process, from the edge's number, the fleet (which has the edge's address
+/// and that of the discovery service), its state file and its seed.
+pub type MakeEdgeCommand = Box<dyn Fn(usize, &Fleet, &PathBuf, u64) -> Command>;
 
 /// How edges are run on sockets.
-pub enum EdgesAs {
-    /// On the same loop as everything else.
-    Cores(MakeEdge),
-    /// Each as a process of its own: the command for an edge's number, its listening and its list's address, its
-    /// state file and its seed.
-    Processes(MakeCommand),
+pub enum EdgeMode {
+    /// On the same event loop as everything else.
+    InProcess(MakeEdge),
+    /// Each as a process of its own, started with this command.
+    Processes(MakeEdgeCommand),
 }
 
-/// Sends a signal to a process that was started here.
-pub(crate) fn send(child: &Child, signal: Signal) {
+/// Sends a signal to a child process.
+pub(crate) fn send_signal(child: &Child, signal: Signal) {
     if let Some(pid) = Pid::from_raw(child.id() as i32) {
         let _ = kill_process(pid, signal);
     }
 }
 
+/// Plays a scenario on loopback sockets.
 pub struct SocketEnvironment {
     driver: EventLoop,
     fleet: Fleet,
     hosts: BTreeMap<Who, HostId>,
-    edges_as: EdgesAs,
+    edge_mode: EdgeMode,
     children: BTreeMap<usize, Child>,
     folder: PathBuf,
 }
 
-/// A machine that is busy with other things may hold a process up for so long.
+/// How long a machine that is busy with other things may delay a process.
 const SOCKET_SLACK: Micros = 150_000;
-/// A port that was taken in between is waited for so long.
+/// How long a restart waits for its port, if that was taken in the meantime.
 const PORT_WAIT: Micros = 2_000_000;
 
 impl SocketEnvironment {
-    /// Sets everything up on loopback ports that the system chooses; `folder` takes the edges' state files.
+    /// Starts the whole fleet with its clients, on loopback ports that the system chooses. The edges' state files are
+    /// written to `folder`.
     pub fn new(
         scenario: Scenario,
         recording: &Recording,
-        edges_as: EdgesAs,
+        edge_mode: EdgeMode,
         folder: PathBuf,
     ) -> io::Result<Self> {
-        let mut stage = Self::standing(scenario, recording, edges_as, folder, &[])?;
-        stage.set_up(Who::Callers, None, recording)?;
-        Ok(stage)
+        let mut environment = Self::without_clients(scenario, recording, edge_mode, folder, &[])?;
+        environment.set_up(Who::Callers, None, recording)?;
+        Ok(environment)
     }
-    /// The same without callers, and with edges at these addresses as far as they go.
+    /// Starts the fleet without clients. The first edges listen on these addresses, any others on ports that the
+    /// system chooses.
     ///
     /// # Errors
-    /// A port is taken, or an edge does not answer.
-    pub fn standing(
+    /// A port is taken, or an edge doesn't accept connections.
+    pub fn without_clients(
         scenario: Scenario,
         recording: &Recording,
-        edges_as: EdgesAs,
+        edge_mode: EdgeMode,
         folder: PathBuf,
-        edge_doors: &[&str],
+        edge_addresses: &[&str],
     ) -> io::Result<Self> {
         let driver = EventLoop::new(Box::new(recording.clone()))?;
         let (workers, edges) = (scenario.workers, scenario.edges);
         let mut bound = BTreeMap::new();
         let mut bind = |who: Who| -> io::Result<String> {
-            let given = if let Who::Edge(n) = who {
-                edge_doors.get(n).copied()
+            let requested = if let Who::Edge(n) = who {
+                edge_addresses.get(n).copied()
             } else {
                 None
             };
-            let (listener, at) = EventLoop::bind(given.unwrap_or("127.0.0.1:0"))?;
+            let (listener, at) = EventLoop::bind(requested.unwrap_or("127.0.0.1:0"))?;
             bound.insert(who, listener);
             Ok(at)
         };
@@ -94,26 +98,26 @@
             store: bind(Who::Store)?,
         };
         let fleet = Fleet::new(scenario, addresses, recording)?;
-        let mut stage = SocketEnvironment {
+        let mut environment = SocketEnvironment {
             driver,
             fleet,
             hosts: BTreeMap::new(),
-            edges_as,
+            edge_mode,
             children: BTreeMap::new(),
             folder,
         };
-        stage.spread_keys()?;
-        stage.spread_papers()?;
+        environment.spread_keys()?;
+        environment.spread_papers()?;
         let all = (0..workers)
             .map(Who::Worker)
             .chain((0..edges).map(Who::Edge));
         for who in [Who::List, Who::Store].into_iter().chain(all) {
             let listener = bound.remove(&who);
-            stage.set_up(who, listener, recording)?;
+            environment.set_up(who, listener, recording)?;
         }
-        // Edges that are processes need a moment; calls are made once they answer.
-        stage.wait_for_edges()?;
-        Ok(stage)
+        // Edges that are processes take a moment to start; clients send requests once they accept connections.
+        environment.wait_for_edges()?;
+        Ok(environment)
     }
     fn set_up(
         &mut self,
@@ -127,13 +131,13 @@
                 .0
                 .borrow_mut()
                 .edge(&address, &Scenario::edge_name(n));
-            if matches!(self.edges_as, EdgesAs::Processes(_)) {
+            if matches!(self.edge_mode, EdgeMode::Processes(_)) {
                 drop(listener);
                 return self.spawn(n);
             }
         }
         let role = match who {
-            // Under TLS it is recorded within.
+            // Under TLS, the worker's plaintext is recorded inside its TLS layer.
             Who::Worker(_) if self.fleet.authority.is_some() => Role::Other,
             Who::Worker(n) => Role::Worker(n),
             Who::List => Role::List,
@@ -151,10 +155,10 @@
             .add(core, listener.into_iter().collect(), state)?;
         self.hosts.insert(who, host);
         self.watch_keys(who, host);
-        self.watch_papers(who, host);
+        self.watch_certificates(who, host);
         Ok(())
     }
-    fn watch_papers(&mut self, who: Who, host: HostId) {
+    fn watch_certificates(&mut self, who: Who, host: HostId) {
         if self.fleet.authority.is_none() {
             return;
         }
@@ -164,7 +168,7 @@
             .settings
             .duration_us("tls.watch-every-us");
         match who {
-            // An impostor shows what it came with.
+            // An impostor keeps the certificate that it started with.
             Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
                 let name = Scenario::worker_name(n);
                 self.driver.watch_file(
@@ -216,7 +220,7 @@
     fn spawn(&mut self, n: usize) -> io::Result<()> {
         let (_, seed, _) = self.fleet.edge(n).map_err(io::Error::other)?;
         let state = self.state_file(Who::Edge(n)).unwrap_or_default();
-        if let EdgesAs::Processes(command) = &self.edges_as {
+        if let EdgeMode::Processes(command) = &self.edge_mode {
             let child = command(n, &self.fleet, &state, seed).spawn()?;
             self.children.insert(n, child);
         }
@@ -227,13 +231,15 @@
         for address in self.fleet.addresses.edges.clone() {
             while std::net::TcpStream::connect(&address).is_err() {
                 if self.driver.now() > until {
-                    return Err(io::Error::other(format!("no edge answers at {address}")));
+                    return Err(io::Error::other(format!(
+                        "no edge accepts connections at {address}"
+                    )));
                 }
                 let next = self.driver.now() + 10_000;
                 self.driver.run_until(next)?;
             }
         }
-        // Time for the list to reach them.
+        // Leaves time for the endpoint list to reach the edges.
         let next = self.driver.now() + 300_000;
         self.driver.run_until(next)
     }
@@ -246,20 +252,20 @@
             Who::Callers => self.fleet.callers(0),
             Who::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
-                let kept = self
+                let cached_state = self
                     .state_file(who)
                     .and_then(|file| std::fs::read(file).ok());
                 let start = EdgeOptions {
                     settings,
                     seed,
-                    cached_state: kept,
+                    cached_state,
                     incarnation,
                     metrics_page: None,
                     platform: None,
                 };
-                let edge: Box<dyn Core> = match &self.edges_as {
-                    EdgesAs::Cores(make) => make(start),
-                    EdgesAs::Processes(_) => Box::new(Edge::new(start)),
+                let edge: Box<dyn Core> = match &self.edge_mode {
+                    EdgeMode::InProcess(make) => make(start),
+                    EdgeMode::Processes(_) => Box::new(Edge::new(start)),
                 };
                 self.fleet.within_tls(edge)?
             }
@@ -275,31 +281,33 @@
             Who::Callers => None,
         }
     }
-    /// Whether a signal asked for the end.
-    pub fn signalled(&self) -> bool {
+    /// Whether a signal asked for shutdown.
+    pub fn shutdown_requested(&self) -> bool {
         self.driver.shutdown_requested()
     }
     pub fn catch_signals(&mut self) -> io::Result<()> {
         self.driver.catch_signals()
     }
-    /// Asks the edges that are processes to end, and waits for them; gives the numbers of those that did not end
-    /// well.
-    pub fn end_edges(&mut self, ask: impl Fn(u32)) -> io::Result<Vec<usize>> {
-        let mut ill = Vec::new();
-        self.children.values().for_each(|child| ask(child.id()));
+    /// Calls `request_stop` with the process id of each edge that is a process, and waits for them to exit. Returns
+    /// the numbers of those that failed or had to be killed.
+    pub fn stop_edges(&mut self, request_stop: impl Fn(u32)) -> io::Result<Vec<usize>> {
+        let mut failed = Vec::new();
+        self.children
+            .values()
+            .for_each(|child| request_stop(child.id()));
         let until = self.driver.now() + 5_000_000;
         for (n, mut child) in std::mem::take(&mut self.children) {
             loop {
                 match child.try_wait()? {
                     Some(status) if status.success() => break,
                     Some(_) => {
-                        ill.push(n);
+                        failed.push(n);
                         break;
                     }
                     None if self.driver.now() > until => {
                         child.kill()?;
                         child.wait()?;
-                        ill.push(n);
+                        failed.push(n);
                         break;
                     }
                     None => {
@@ -309,7 +317,7 @@
                 }
             }
         }
-        Ok(ill)
+        Ok(failed)
     }
 }
 
@@ -345,7 +353,7 @@
     }
     fn start(&mut self, who: Who) -> io::Result<()> {
         if let Who::Edge(n) = who {
-            if matches!(self.edges_as, EdgesAs::Processes(_)) {
+            if matches!(self.edge_mode, EdgeMode::Processes(_)) {
                 return self.spawn(n);
             }
         }
@@ -368,7 +376,7 @@
             let state = self.state_file(who);
             self.driver.replace(host, core, vec![listener], state)?;
             self.watch_keys(who, host);
-            self.watch_papers(who, host);
+            self.watch_certificates(who, host);
         }
         Ok(())
     }
@@ -376,18 +384,18 @@
         let Some(keys) = self.fleet.keys() else {
             return Ok(());
         };
-        let (file, beside) = (self.keys_file(), self.folder.join("keys.beside"));
-        std::fs::write(&beside, keys)?;
-        std::fs::rename(&beside, &file)
+        let (file, temporary) = (self.keys_file(), self.folder.join("keys.beside"));
+        std::fs::write(&temporary, keys)?;
+        std::fs::rename(&temporary, &file)
     }
     fn spread_papers(&mut self) -> io::Result<()> {
         if self.fleet.authority.is_none() {
             return Ok(());
         }
         let write = |name: String, content: &[u8]| {
-            let beside = self.folder.join(format!("{name}.beside"));
-            std::fs::write(&beside, content)?;
-            std::fs::rename(&beside, self.folder.join(name))
+            let temporary = self.folder.join(format!("{name}.beside"));
+            std::fs::write(&temporary, content)?;
+            std::fs::rename(&temporary, self.folder.join(name))
         };
         write("roots.pem".into(), &self.fleet.roots())?;
         for n in 0..self.fleet.scenario.workers {
@@ -403,7 +411,7 @@
     }
     fn bend(&mut self, _: Who, _: Who, _: Option<Fault>) -> io::Result<()> {
         Err(io::Error::other(
-            "links are steered by lab fleet, and by lab run --virtual",
+            "link faults are supported only by lab fleet and by lab run --virtual",
         ))
     }
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
@@ -415,11 +423,11 @@
             .for_each(|file| drop(std::fs::remove_file(file)));
     }
     fn ask_to_end(&mut self, who: Who) {
-        if let (Who::Edge(n), EdgesAs::Processes(_)) = (who, &self.edges_as) {
+        if let (Who::Edge(n), EdgeMode::Processes(_)) = (who, &self.edge_mode) {
             self.children
                 .get(&n)
                 .iter()
-                .for_each(|child| send(child, Signal::TERM));
+                .for_each(|child| send_signal(child, Signal::TERM));
         }
     }
     fn freeze(&mut self, who: Who, frozen: bool) {
@@ -428,7 +436,7 @@
         } else {
             None
         } {
-            return send(child, if frozen { Signal::STOP } else { Signal::CONT });
+            return send_signal(child, if frozen { Signal::STOP } else { Signal::CONT });
         }
         if let Some(host) = self.hosts.get(&who) {
             self.driver.freeze(*host, frozen);
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -4,7 +4,7 @@
 use sanddrum_lab::checker::judge;
 use sanddrum_lab::cold;
 use sanddrum_lab::recorder::{Log, Order, Run, Try};
-use sanddrum_lab::{Scenario, SchedulingDelays, OURS};
+use sanddrum_lab::{Scenario, SchedulingDelays, RUNNER};
 use std::collections::BTreeMap;
 
 const RATION: &str = r#"
@@ -87,8 +87,8 @@
 #[case::its_edge_waited_as_long(4_030_000, &[("edge-0", 4_000_000, 30_000)], 0)]
 #[case::its_edge_waited_less_long(4_030_001, &[("edge-0", 4_000_000, 30_000)], 1)]
 #[case::it_is_later_than_any_process_is_held_up_by_rule(4_900_000, &[("edge-0", 4_000_000, 900_000)], 0)]
-#[case::both_waited(4_090_000, &[("edge-0", 4_000_000, 30_000), (OURS, 4_050_000, 30_000)], 0)]
-#[case::both_waited_less_long(4_090_001, &[("edge-0", 4_000_000, 30_000), (OURS, 4_050_000, 30_000)], 1)]
+#[case::both_waited(4_090_000, &[("edge-0", 4_000_000, 30_000), (RUNNER, 4_050_000, 30_000)], 0)]
+#[case::both_waited_less_long(4_090_001, &[("edge-0", 4_000_000, 30_000), (RUNNER, 4_050_000, 30_000)], 1)]
 #[case::the_call_was_read_late(4_030_000, &[("edge-0", 1_050_000, 30_000)], 0)]
 #[case::its_edge_waited_between(4_030_000, &[("edge-0", 2_000_000, 900_000)], 1)]
 #[case::another_edge_waited(4_030_000, &[("edge-1", 4_000_000, 900_000)], 1)]
@@ -99,7 +99,7 @@
 ) {
     let mut waits: BTreeMap<String, SchedulingDelays> = BTreeMap::new();
     for at in (1..=100).map(|n| n * 50_000) {
-        for name in ["edge-0", "edge-1", OURS] {
+        for name in ["edge-0", "edge-1", RUNNER] {
             let by = waited
                 .iter()
                 .filter(|(of, when, _)| *of == name && *when == at)
@@ -144,7 +144,7 @@
 ) {
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let stopped = vec![(edge.clone(), from, until)];
-    let waits = [(OURS.to_string(), SchedulingDelays::default())].into();
+    let waits = [(RUNNER.to_string(), SchedulingDelays::default())].into();
     let (began, limit, answers) = (sent, 3_000_000, vec![(7_100_000, 504)]);
     let tries = vec![Try {
         edge,
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddrum_lab::{
-    play, play_virtually, product_edge, EdgesAs, Environment, Recording, Scenario,
+    play, play_virtually, product_edge, EdgeMode, Environment, Recording, Scenario,
     SocketEnvironment, VirtualEnvironment, BAD_DAY,
 };
 use sanddrum_net::LinkModel;
@@ -41,7 +41,7 @@
     std::fs::create_dir_all(&folder).unwrap();
     let scenario = Scenario::read("short.sx", text, 5).unwrap();
     let recording = Recording::default();
-    let edges = EdgesAs::Cores(product_edge());
+    let edges = EdgeMode::InProcess(product_edge());
     let mut stage = SocketEnvironment::new(scenario, &recording, edges, folder.clone()).unwrap();
     let outcome = play(&mut stage, &recording).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
