--- a/crates/sanddrum-lab/src/load_generator.rs
+++ b/crates/sanddrum-lab/src/load_generator.rs
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
+/// What a [`LoadGenerator`] sends, and how.
 #[derive(Clone, Debug)]
 pub struct LoadGeneratorSpec {
     pub edge: String,
--- a/crates/sanddrum-lab/src/plaintext_capture.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -16,7 +16,7 @@
 }
 
 impl<C: Core> PlaintextCapture<C> {
-    /// Records the traffic of this core under `host`, whose role the recorder must know.
+    /// Records the traffic of this core under a host of its own, whose role the recorder must know.
     pub fn new(core: C, host: HostId, recording: Recording) -> Self {
         PlaintextCapture {
             core,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Passes everything on to another `Io` and records what the core writes and closes.
+/// Passes everything to the underlying `Io` and records what the core writes and closes.
 struct RecordingIo<'a> {
     io: &'a mut dyn Io,
     host: HostId,
@@ -172,13 +172,13 @@
     }
 }
 
-/// The certificate authority of a scenario. Its keys are new each time, so timelines under TLS differ from run to
-/// run.
+/// The certificate authority of a scenario. Its keys are new each time, so the bytes of timelines under TLS differ
+/// between runs.
 pub struct Authority(CertifiedIssuer<'static, KeyPair>);
 
 impl Authority {
     /// # Errors
-    /// No key or certificate can be generated.
+    /// No key can be generated, for lack of randomness.
     pub fn new() -> Result<Self, rcgen::Error> {
         let mut params = Self::params(vec![])?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -358,9 +358,12 @@
         }
     }
     /// Records the delay of this event loop and, at intervals, how long each process has waited for a processor.
-    fn record_delays(&mut self, late: Micros) {
+    fn record_delays(&mut self, loop_delay: Micros) {
         let (now, log) = (self.driver.now(), &mut self.recording.0.borrow_mut().log);
-        log.waits.entry(RUNNER.into()).or_default().add(now, late);
+        log.waits
+            .entry(RUNNER.into())
+            .or_default()
+            .add(now, loop_delay);
         if now < self.last_delay_sample + scheduling_delay::sampling_interval(self.children.len()) {
             return;
         }
@@ -407,8 +410,8 @@
             .flatten()
             .is_some())
     }
-    /// The name that a relay knows a calling process by. Clients don't introduce themselves to a relay, so the faults
-    /// of their links apply to every caller.
+    /// The name that a relay knows a calling process by, where the protocol has a greeting. Clients send no greeting, so
+    /// the faults of their links apply to every caller.
     fn caller_name(from: Who) -> Option<String> {
         matches!(from, Who::Edge(_) | Who::Worker(_)).then(|| process_name(from))
     }
@@ -451,10 +454,10 @@
             let settled = self.pending.is_empty() && self.terminating.is_empty();
             let next = at.min(self.driver.now() + POLL_INTERVAL);
             self.driver.run_until(next)?;
-            let late = self.driver.now() - next;
-            self.max_loop_delay = self.max_loop_delay.max(late);
-            self.late_iterations += u64::from(late > LATE_THRESHOLD);
-            self.record_delays(late);
+            let loop_delay = self.driver.now() - next;
+            self.max_loop_delay = self.max_loop_delay.max(loop_delay);
+            self.late_iterations += u64::from(loop_delay > LATE_THRESHOLD);
+            self.record_delays(loop_delay);
             if !settled {
                 self.poll_processes()?;
             }
@@ -539,15 +542,15 @@
 /// An emulated worker or service that takes its faults from a file that its event loop watches.
 pub struct FaultControlled {
     core: Box<dyn Core>,
-    take: Box<dyn FnMut(&str)>,
+    apply_faults: Box<dyn FnMut(&str)>,
 }
 
 /// Name under which the event loop passes that file to the core.
 pub const FAULTS_FILE: &str = "faults";
 
 impl FaultControlled {
-    pub fn new(core: Box<dyn Core>, take: Box<dyn FnMut(&str)>) -> Self {
-        FaultControlled { core, take }
+    pub fn new(core: Box<dyn Core>, apply_faults: Box<dyn FnMut(&str)>) -> Self {
+        FaultControlled { core, apply_faults }
     }
 }
 
@@ -577,7 +580,7 @@
         _: &mut dyn sanddrum_net::Io,
     ) {
         if let Ok(text) = content.map(String::from_utf8_lossy) {
-            (self.take)(&text);
+            (self.apply_faults)(&text);
         }
     }
     fn is_done(&self) -> bool {
--- a/crates/sanddrum-lab/src/reconnect_load.rs
+++ b/crates/sanddrum-lab/src/reconnect_load.rs
@@ -25,9 +25,10 @@
 #[derive(Clone, Debug)]
 pub struct ReconnectLoad {
     pub service: f64,
-    /// Fraction of the requests of each second that were answered in time.
+    /// For each second, the fraction of its requests that were answered in time.
     pub in_time_fractions: Vec<f64>,
-    /// Seconds from the zone's return until that fraction stays within 0.05 of its mean before the loss.
+    /// Seconds from the zone's return until that fraction no longer falls more than 0.05 below its mean in the 3 s
+    /// before the loss.
     pub recovery_s: f64,
     /// Most handshakes of one worker within a second, after the zone's return.
     pub max_handshakes_per_s: u32,
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -115,7 +115,7 @@
             let listener = bound.remove(&who);
             environment.set_up(who, listener, recording)?;
         }
-        // Edges that are processes take a moment to start; clients send requests once they accept connections.
+        // Edges that are processes take a moment to start; clients are started once all edges accept connections.
         environment.wait_for_edges()?;
         Ok(environment)
     }
@@ -255,7 +255,7 @@
                 let cached_state = self
                     .state_file(who)
                     .and_then(|file| std::fs::read(file).ok());
-                let start = EdgeOptions {
+                let options = EdgeOptions {
                     settings,
                     seed,
                     cached_state,
@@ -264,8 +264,8 @@
                     platform: None,
                 };
                 let edge: Box<dyn Core> = match &self.edge_mode {
-                    EdgeMode::InProcess(make) => make(start),
-                    EdgeMode::Processes(_) => Box::new(Edge::new(start)),
+                    EdgeMode::InProcess(make) => make(options),
+                    EdgeMode::Processes(_) => Box::new(Edge::new(options)),
                 };
                 self.fleet.within_tls(edge)?
             }
