--- a/crates/sanddrum-cli/src/soak.rs
+++ b/crates/sanddrum-cli/src/soak.rs
@@ -63,7 +63,7 @@
     };
     let report = soak(&spec).map_err(|e| e.to_string())?;
     // Without the routers' logs a break that does not come again can't be traced.
-    if args.keep || !report.is_good() {
+    if args.keep || !report.passed() {
         println!("configurations and logs: {}", folder.0.display());
         std::mem::forget(folder);
     }
@@ -74,14 +74,14 @@
 const BREAKS_TOLD: usize = 20;
 
 fn tell(args: &SoakArgs, report: &SoakReport) -> ExitCode {
-    println!("troubles {:?}", report.troubles);
-    println!("faults {:?}", report.faults);
+    println!("troubles {:?}", report.fault_counts);
+    println!("faults {:?}", report.library_fault_counts);
     println!(
         "counts {:?}, the lab itself late for {} ms in all",
         report.counts, report.lab_late_ms
     );
     report
-        .breaks
+        .violations
         .iter()
         .take(BREAKS_TOLD)
         .for_each(|found| println!("{found}"));
@@ -89,7 +89,7 @@
         println!("{}", report.json());
     }
     println!("{}", report.verdict());
-    ExitCode::from(if report.is_good() {
+    ExitCode::from(if report.passed() {
         exit::GOOD
     } else {
         exit::BAD
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -1,8 +1,10 @@
-//! Web servers of a soak run: FastCGI clients that ask each router, most of them well, some of them as the platform's pages
-//! say that bad ones do. They keep what they were told in the ledger.
+//! The emulated web servers of a soak run: FastCGI clients that send requests to each router. Most behave well, some
+//! misbehave in the ways that the platform's documentation describes. They record the responses in the observations.
 
-use super::ledger::{body_of, Answer, CallId, Effect, Leaving, Request, RouterId, Shared};
-use super::settings::{Fleet, Terms};
+use super::observations::{
+    request_body, Abandonment, Effect, Request, RequestId, Response, RouterId, SharedObservations,
+};
+use super::settings::{Fleet, SoakSettings};
 use sanddrum_fastcgi::{
     encode_header, encode_params, write_begin_request, write_stream, Record, RecordType,
 };
@@ -11,58 +13,60 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Requests open on a connection at most, as the protocol allows.
-const OPEN_ON_CONNECTION: usize = 32;
-/// A client closes a connection that has been idle for so long.
-const IDLE: Micros = 4_000_000;
+/// The protocol's limit of open requests on a connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// A client closes a shared connection that has been idle for this long.
+const IDLE_TIMEOUT: Micros = 4_000_000;
 const FUNCTIONS: usize = 24;
 
-/// How a client behaves with one request.
+/// How a client behaves with a single request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    Plain,
-    /// In pieces, with pauses between them.
-    Pieces,
-    /// With little time left.
-    Hurried,
+enum ClientBehavior {
+    Normal,
+    /// Sends the request in fragments with pauses between them.
+    Fragmented,
+    /// Sends the request with a short time limit.
+    ShortTimeLimit,
     Aborts(Micros),
     Closes(Micros),
     Resets(Micros),
-    /// Leaves when a part is written.
-    LeavesInPart,
-    /// Sends what can't be read.
+    /// Closes the connection after sending a part of the request.
+    ClosesMidRequest,
+    /// Sends random bytes.
     Garbage,
 }
 
-/// What the front knows of a router, and how it is to be asked.
+/// What clients know of a router, and what they may send to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Front {
-    /// New connections and requests go there.
-    pub connects: bool,
-    pub asks: bool,
-    /// Its health is asked for until it is good.
-    pub looks: bool,
+pub struct RouterTarget {
+    /// Clients open new connections to it.
+    pub opens_connections: bool,
+    /// Clients send requests to it.
+    pub sends_requests: bool,
+    /// Clients send health checks until one succeeds.
+    pub checks_health: bool,
     pub ready_at: Option<Micros>,
 }
 
-/// How the clients are steered while they run.
+/// How the environment controls the clients while they run.
 #[derive(Debug)]
-pub struct Steering {
-    pub fronts: Vec<Front>,
-    /// Requests a second for each router.
+pub struct ClientControl {
+    pub targets: Vec<RouterTarget>,
+    /// Requests per second for each router.
     pub rate: f64,
-    /// Connections kept for each router.
-    pub kept: usize,
-    /// The part of clients that behave badly.
-    pub bad: f64,
-    /// No new request is made any more.
-    pub over: bool,
-    /// Requests half written, and answers that came: moments that a trouble may be tied to.
-    pub half_written: u64,
-    pub answers: u64,
+    /// Number of shared connections to each router.
+    pub shared_connections: usize,
+    /// The fraction of requests with which clients misbehave.
+    pub misbehaving_fraction: f64,
+    /// No more new requests are sent.
+    pub stopped: bool,
+    /// Number of requests sent in part or in fragments. Like `responses`, it counts events that can trigger a fault.
+    pub partial_requests: u64,
+    /// Number of responses received.
+    pub responses: u64,
 }
 
-enum Then {
+enum FollowUp {
     Abort(u16),
     Close,
     Reset,
@@ -70,240 +74,260 @@
 
 struct Connection {
     router: RouterId,
-    up: bool,
-    /// Nobody else's request goes on it.
-    own: bool,
-    health: bool,
-    garbage: bool,
-    free: Vec<u16>,
-    /// Requests not answered yet; whole ones are in the ledger.
-    open: BTreeMap<u16, CallId>,
-    asked: u64,
-    texts: BTreeMap<u16, Vec<u8>>,
+    is_connected: bool,
+    /// It is not shared with other requests.
+    is_exclusive: bool,
+    is_health_check: bool,
+    sends_garbage: bool,
+    free_ids: Vec<u16>,
+    /// Requests without a response so far. Those that were sent completely are in the observations.
+    open: BTreeMap<u16, RequestId>,
+    requests_sent: u64,
+    stdout: BTreeMap<u16, Vec<u8>>,
     bytes: Vec<u8>,
-    /// What is still to be written: when at the earliest, and which request is whole with it.
-    out: VecDeque<(Micros, Vec<u8>, Option<CallId>)>,
-    then: Option<(Micros, Then)>,
+    /// Bytes still to be written: the earliest time, and the request that they complete.
+    pending_writes: VecDeque<(Micros, Vec<u8>, Option<RequestId>)>,
+    follow_up: Option<(Micros, FollowUp)>,
     idle_since: Micros,
 }
 
-struct Unsent {
+struct UnsentRequest {
     effect: Effect,
-    patience: Micros,
+    time_limit: Micros,
     first_on_connection: bool,
-    /// Since when its connection had carried nothing.
-    quiet_since: Micros,
+    /// Since when its connection had been idle.
+    idle_since: Micros,
 }
 
 /// All clients of all routers.
 pub struct Clients {
     fleet: Fleet,
-    terms: Terms,
-    ledger: Shared,
-    steering: Rc<RefCell<Steering>>,
-    chance: Rng,
-    next_call: u64,
-    next_request: Vec<Micros>,
-    next_look: Vec<Micros>,
+    settings: SoakSettings,
+    observations: SharedObservations,
+    control: Rc<RefCell<ClientControl>>,
+    rng: Rng,
+    next_request_id: u64,
+    next_request_at: Vec<Micros>,
+    next_health_check_at: Vec<Micros>,
     connections: BTreeMap<ConnectionId, Connection>,
-    unsent: BTreeMap<CallId, Unsent>,
+    unsent: BTreeMap<RequestId, UnsentRequest>,
     now: Micros,
 }
 
 impl Clients {
     pub fn new(
         fleet: Fleet,
-        terms: Terms,
-        ledger: Shared,
-        steering: Rc<RefCell<Steering>>,
+        settings: SoakSettings,
+        observations: SharedObservations,
+        control: Rc<RefCell<ClientControl>>,
     ) -> Self {
         let routers = fleet.routers;
         Clients {
-            chance: Rng::new(fleet.seed ^ 0xc11e),
-            next_call: fleet.seed << 32,
+            rng: Rng::new(fleet.seed ^ 0xc11e),
+            next_request_id: fleet.seed << 32,
             fleet,
-            terms,
-            ledger,
-            steering,
-            next_request: vec![0; routers],
-            next_look: vec![0; routers],
+            settings,
+            observations,
+            control,
+            next_request_at: vec![0; routers],
+            next_health_check_at: vec![0; routers],
             connections: BTreeMap::new(),
             unsent: BTreeMap::new(),
             now: 0,
         }
     }
 
-    // ---- What is asked
+    // ---- Requests
 
-    fn manner(&mut self) -> Manner {
-        let bad = self.steering.borrow().bad;
-        if !self.chance.random_bool(bad) {
-            return if self.chance.random_bool(0.15) {
-                Manner::Pieces
+    fn random_behavior(&mut self) -> ClientBehavior {
+        let misbehaving_fraction = self.control.borrow().misbehaving_fraction;
+        if !self.rng.random_bool(misbehaving_fraction) {
+            return if self.rng.random_bool(0.15) {
+                ClientBehavior::Fragmented
             } else {
-                Manner::Plain
+                ClientBehavior::Normal
             };
         }
-        let after = self.chance.index(60_000) as Micros;
-        match self.chance.index(7) {
-            0 => Manner::Hurried,
-            1 => Manner::Aborts(after),
-            2 => Manner::Closes(after),
-            3 => Manner::Resets(after),
-            4 => Manner::LeavesInPart,
-            5 => Manner::Garbage,
-            _ => Manner::Pieces,
+        let after = self.rng.index(60_000) as Micros;
+        match self.rng.index(7) {
+            0 => ClientBehavior::ShortTimeLimit,
+            1 => ClientBehavior::Aborts(after),
+            2 => ClientBehavior::Closes(after),
+            3 => ClientBehavior::Resets(after),
+            4 => ClientBehavior::ClosesMidRequest,
+            5 => ClientBehavior::Garbage,
+            _ => ClientBehavior::Fragmented,
         }
     }
     fn connect(
         &mut self,
         now: Micros,
         router: RouterId,
-        own: bool,
+        is_exclusive: bool,
         io: &mut dyn Io,
     ) -> ConnectionId {
         let conn = io.connect(&self.fleet.router_address(router));
-        self.ledger.borrow_mut().connections_by_clients += 1;
+        self.observations.borrow_mut().connections_by_clients += 1;
         let connection = Connection {
             router,
-            up: false,
-            own,
-            health: false,
-            garbage: false,
-            free: (1..=OPEN_ON_CONNECTION as u16).rev().collect(),
+            is_connected: false,
+            is_exclusive,
+            is_health_check: false,
+            sends_garbage: false,
+            free_ids: (1..=MAX_OPEN_REQUESTS as u16).rev().collect(),
             open: BTreeMap::new(),
-            asked: 0,
-            texts: BTreeMap::new(),
+            requests_sent: 0,
+            stdout: BTreeMap::new(),
             bytes: Vec::new(),
-            out: VecDeque::new(),
-            then: None,
+            pending_writes: VecDeque::new(),
+            follow_up: None,
             idle_since: now,
         };
         self.connections.insert(conn, connection);
         conn
     }
-    /// A kept connection with room, or a new one.
-    fn kept(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) -> Option<ConnectionId> {
-        let kept = self
+    /// Returns a shared connection that can take another request, or opens one.
+    fn shared_connection(
+        &mut self,
+        now: Micros,
+        router: RouterId,
+        io: &mut dyn Io,
+    ) -> Option<ConnectionId> {
+        let shared = self
             .connections
             .iter()
-            .filter(|(_, c)| c.router == router && !c.own);
-        let count = kept.clone().count();
-        let roomy = kept
-            .filter(|(_, c)| !c.free.is_empty())
+            .filter(|(_, c)| c.router == router && !c.is_exclusive);
+        let count = shared.clone().count();
+        let available = shared
+            .filter(|(_, c)| !c.free_ids.is_empty())
             .min_by_key(|(_, c)| c.open.len());
-        let found = roomy.map(|(conn, c)| (*conn, c.open.len()));
-        let steering = self.steering.borrow();
-        let (connects, kept) = (steering.fronts[router.0].connects, steering.kept);
-        drop(steering);
+        let found = available.map(|(conn, c)| (*conn, c.open.len()));
+        let control = self.control.borrow();
+        let (opens_connections, limit) = (
+            control.targets[router.0].opens_connections,
+            control.shared_connections,
+        );
+        drop(control);
         match found {
             Some((conn, 0)) => Some(conn),
-            found if count >= kept || !connects => found.map(|(conn, _)| conn),
+            found if count >= limit || !opens_connections => found.map(|(conn, _)| conn),
             _ => Some(self.connect(now, router, false, io)),
         }
     }
-    fn ask(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) {
-        let manner = self.manner();
-        let shares = matches!(
-            manner,
-            Manner::Plain | Manner::Pieces | Manner::Hurried | Manner::Aborts(_)
+    fn send_request(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) {
+        let behavior = self.random_behavior();
+        let may_share = matches!(
+            behavior,
+            ClientBehavior::Normal
+                | ClientBehavior::Fragmented
+                | ClientBehavior::ShortTimeLimit
+                | ClientBehavior::Aborts(_)
         );
-        let new = self.chance.random_bool(0.2);
-        let connects = self.steering.borrow().fronts[router.0].connects;
-        let conn = match shares && !new {
-            true => self.kept(now, router, io),
-            false if connects => Some(self.connect(now, router, true, io)),
+        let forces_new = self.rng.random_bool(0.2);
+        let opens_connections = self.control.borrow().targets[router.0].opens_connections;
+        let conn = match may_share && !forces_new {
+            true => self.shared_connection(now, router, io),
+            false if opens_connections => Some(self.connect(now, router, true, io)),
             false => None,
         };
         let Some(conn) = conn else { return };
-        if manner == Manner::Garbage {
+        if behavior == ClientBehavior::Garbage {
             return self.send_garbage(now, conn);
         }
-        self.next_call += 1;
-        let call = CallId(self.next_call);
-        let effect = if self.chance.random_bool(0.5) {
+        self.next_request_id += 1;
+        let request_id = RequestId(self.next_request_id);
+        let effect = if self.rng.random_bool(0.5) {
             Effect::Once
         } else {
             Effect::Repeatable
         };
-        let patience = match manner {
-            Manner::Hurried => 1_000 * (1 + self.chance.index(80) as Micros),
-            _ => self.terms.longest_deadline / 1000 * (500 + self.chance.index(500) as Micros),
+        let time_limit = match behavior {
+            ClientBehavior::ShortTimeLimit => 1_000 * (1 + self.rng.index(80) as Micros),
+            _ => self.settings.max_deadline / 1000 * (500 + self.rng.index(500) as Micros),
         };
-        let function = self.chance.index(FUNCTIONS);
+        let function = self.rng.index(FUNCTIONS);
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let Some(id) = connection.free.pop() else {
+        let Some(fastcgi_id) = connection.free_ids.pop() else {
             return;
         };
-        let bytes = request_bytes(id, call, effect, patience, function);
-        let first_on_connection = connection.asked == 0;
-        let quiet_since = if connection.open.is_empty() {
+        let bytes = encode_request(fastcgi_id, request_id, effect, time_limit, function);
+        let first_on_connection = connection.requests_sent == 0;
+        let idle_since = if connection.open.is_empty() {
             connection.idle_since
         } else {
             now
         };
-        connection.asked += 1;
-        match manner {
-            Manner::Pieces => {
-                self.steering.borrow_mut().half_written += 1;
-                let cuts = 2 + self.chance.index(3);
-                let size = bytes.len().div_ceil(cuts);
-                let pieces: Vec<&[u8]> = bytes.chunks(size).collect();
-                let last = pieces.len() - 1;
-                for (n, piece) in pieces.into_iter().enumerate() {
-                    let at = now + n as Micros * self.chance.index(20_000) as Micros;
-                    connection
-                        .out
-                        .push_back((at, piece.to_vec(), (n == last).then_some(call)));
+        connection.requests_sent += 1;
+        match behavior {
+            ClientBehavior::Fragmented => {
+                self.control.borrow_mut().partial_requests += 1;
+                let fragment_count = 2 + self.rng.index(3);
+                let size = bytes.len().div_ceil(fragment_count);
+                let fragments: Vec<&[u8]> = bytes.chunks(size).collect();
+                let last = fragments.len() - 1;
+                for (n, fragment) in fragments.into_iter().enumerate() {
+                    let at = now + n as Micros * self.rng.index(20_000) as Micros;
+                    connection.pending_writes.push_back((
+                        at,
+                        fragment.to_vec(),
+                        (n == last).then_some(request_id),
+                    ));
                 }
             }
-            Manner::LeavesInPart => {
-                self.steering.borrow_mut().half_written += 1;
-                let part = 1 + self.chance.index(bytes.len() - 1);
+            ClientBehavior::ClosesMidRequest => {
+                self.control.borrow_mut().partial_requests += 1;
+                let part = 1 + self.rng.index(bytes.len() - 1);
                 connection
-                    .out
+                    .pending_writes
                     .push_back((now, bytes[..part].to_vec(), None));
-                connection.then = Some((now + self.chance.index(30_000) as Micros, Then::Close));
+                connection.follow_up =
+                    Some((now + self.rng.index(30_000) as Micros, FollowUp::Close));
                 return;
             }
-            _ => connection.out.push_back((now, bytes, Some(call))),
+            _ => connection
+                .pending_writes
+                .push_back((now, bytes, Some(request_id))),
         }
-        connection.open.insert(id, call);
-        connection.then = match manner {
-            Manner::Aborts(after) if connection.own => Some((now + after, Then::Abort(id))),
-            Manner::Closes(after) => Some((now + after, Then::Close)),
-            Manner::Resets(after) => Some((now + after, Then::Reset)),
-            _ => connection.then.take(),
+        connection.open.insert(fastcgi_id, request_id);
+        connection.follow_up = match behavior {
+            ClientBehavior::Aborts(after) if connection.is_exclusive => {
+                Some((now + after, FollowUp::Abort(fastcgi_id)))
+            }
+            ClientBehavior::Closes(after) => Some((now + after, FollowUp::Close)),
+            ClientBehavior::Resets(after) => Some((now + after, FollowUp::Reset)),
+            _ => connection.follow_up.take(),
         };
         self.unsent.insert(
-            call,
-            Unsent {
+            request_id,
+            UnsentRequest {
                 effect,
-                patience,
+                time_limit,
                 first_on_connection,
-                quiet_since,
+                idle_since,
             },
         );
     }
     fn send_garbage(&mut self, now: Micros, conn: ConnectionId) {
-        let length = 1 + self.chance.index(4000);
-        let noise: Vec<u8> = (0..length).map(|_| self.chance.next_u64() as u8).collect();
-        self.ledger.borrow_mut().bad_clients += 1;
+        let length = 1 + self.rng.index(4000);
+        let random_bytes: Vec<u8> = (0..length).map(|_| self.rng.next_u64() as u8).collect();
+        self.observations.borrow_mut().malformed_requests += 1;
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        connection.garbage = true;
-        connection.out.push_back((now, noise, None));
-        connection.then = Some((now + 3_000_000, Then::Close));
+        connection.sends_garbage = true;
+        connection
+            .pending_writes
+            .push_back((now, random_bytes, None));
+        connection.follow_up = Some((now + 3_000_000, FollowUp::Close));
     }
-    fn look(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) {
+    fn send_health_check(&mut self, now: Micros, router: RouterId, io: &mut dyn Io) {
         let conn = self.connect(now, router, true, io);
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        connection.health = true;
+        connection.is_health_check = true;
         let mut out = Vec::new();
         write_begin_request(&mut out, 1, false);
         write_stream(
@@ -313,105 +337,115 @@
             &encode_params(&[("SCRIPT_NAME", "/health")]),
         );
         write_stream(&mut out, RecordType::Stdin, 1, b"");
-        connection.out.push_back((now, out, None));
-        connection.then = Some((now + 1_000_000, Then::Close));
+        connection.pending_writes.push_back((now, out, None));
+        connection.follow_up = Some((now + 1_000_000, FollowUp::Close));
     }
 
-    // ---- What is written
+    // ---- Writing
 
     fn write(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.up) else {
+        let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.is_connected) else {
             return;
         };
-        while let Some((at, bytes, whole)) = connection.out.front_mut() {
+        while let Some((at, bytes, completed)) = connection.pending_writes.front_mut() {
             if *at > now {
                 return;
             }
-            let wrote = io.write(conn, bytes);
-            if wrote < bytes.len() {
-                bytes.drain(..wrote);
+            let written = io.write(conn, bytes);
+            if written < bytes.len() {
+                bytes.drain(..written);
                 return;
             }
-            if let Some((call, unsent)) =
-                whole.and_then(|call| Some((call, self.unsent.remove(&call)?)))
+            if let Some((request_id, unsent)) = completed
+                .and_then(|request_id| Some((request_id, self.unsent.remove(&request_id)?)))
             {
                 let request = Request {
                     router: connection.router,
                     effect: unsent.effect,
-                    patience: unsent.patience,
+                    time_limit: unsent.time_limit,
                     sent: now,
                     first_on_connection: unsent.first_on_connection,
-                    rested: now - unsent.quiet_since,
-                    left: None,
-                    answers: Vec::new(),
-                    cut: None,
-                    unreadable: false,
+                    idle_before: now - unsent.idle_since,
+                    abandoned: None,
+                    responses: Vec::new(),
+                    closed_unanswered: None,
+                    malformed: false,
                 };
-                self.ledger.borrow_mut().requests.insert(call, request);
+                self.observations
+                    .borrow_mut()
+                    .requests
+                    .insert(request_id, request);
             }
-            connection.out.pop_front();
+            connection.pending_writes.pop_front();
         }
     }
-    /// What this client does after its request, once its time has come.
-    fn leave(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
+    /// Performs what the client does after its request, once that is due.
+    fn perform_follow_up(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        if connection.then.as_ref().is_none_or(|(at, _)| *at > now) {
+        if connection
+            .follow_up
+            .as_ref()
+            .is_none_or(|(at, _)| *at > now)
+        {
             return;
         }
-        let Some((_, then)) = connection.then.take() else {
+        let Some((_, follow_up)) = connection.follow_up.take() else {
             return;
         };
-        match then {
-            Then::Abort(id) => {
-                // An abort goes behind the whole request.
-                if !connection.up || !connection.out.is_empty() {
-                    connection.then = Some((now + 1_000, Then::Abort(id)));
+        match follow_up {
+            FollowUp::Abort(fastcgi_id) => {
+                // An abort may only follow the complete request.
+                if !connection.is_connected || !connection.pending_writes.is_empty() {
+                    connection.follow_up = Some((now + 1_000, FollowUp::Abort(fastcgi_id)));
                     return;
                 }
-                if let Some(call) = connection.open.get(&id).copied() {
-                    io.write(conn, &encode_header(RecordType::AbortRequest, id, 0));
-                    self.ledger.borrow_mut().aborts_by_clients += 1;
-                    self.mark_left(now, &[call], Leaving::Aborted);
+                if let Some(request_id) = connection.open.get(&fastcgi_id).copied() {
+                    io.write(
+                        conn,
+                        &encode_header(RecordType::AbortRequest, fastcgi_id, 0),
+                    );
+                    self.observations.borrow_mut().aborts_by_clients += 1;
+                    self.mark_abandoned(now, &[request_id], Abandonment::Aborted);
                 }
             }
-            Then::Close => {
-                self.mark_all_left(now, conn, Leaving::Closed);
+            FollowUp::Close => {
+                self.mark_all_abandoned(now, conn, Abandonment::Closed);
                 io.close(conn);
                 self.connections.remove(&conn);
             }
-            Then::Reset => {
-                self.mark_all_left(now, conn, Leaving::Reset);
+            FollowUp::Reset => {
+                self.mark_all_abandoned(now, conn, Abandonment::Reset);
                 io.reset(conn);
                 self.connections.remove(&conn);
             }
         }
     }
-    fn mark_all_left(&mut self, now: Micros, conn: ConnectionId, how: Leaving) {
+    fn mark_all_abandoned(&mut self, now: Micros, conn: ConnectionId, how: Abandonment) {
         let Some(connection) = self.connections.get(&conn) else {
             return;
         };
-        let calls: Vec<CallId> = connection.open.values().copied().collect();
-        self.ledger.borrow_mut().closes_by_clients += 1;
-        self.mark_left(now, &calls, how);
+        let request_ids: Vec<RequestId> = connection.open.values().copied().collect();
+        self.observations.borrow_mut().closes_by_clients += 1;
+        self.mark_abandoned(now, &request_ids, how);
     }
-    fn mark_left(&mut self, now: Micros, calls: &[CallId], how: Leaving) {
-        let mut ledger = self.ledger.borrow_mut();
-        for call in calls {
-            if let Some(request) = ledger
+    fn mark_abandoned(&mut self, now: Micros, request_ids: &[RequestId], how: Abandonment) {
+        let mut observations = self.observations.borrow_mut();
+        for request_id in request_ids {
+            if let Some(request) = observations
                 .requests
-                .get_mut(call)
-                .filter(|r| r.answers.is_empty())
+                .get_mut(request_id)
+                .filter(|r| r.responses.is_empty())
             {
-                request.left = request.left.or(Some((now, how)));
+                request.abandoned = request.abandoned.or(Some((now, how)));
             }
         }
     }
 
-    // ---- What comes back
+    // ---- Responses
 
-    fn hear(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
+    fn receive(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -421,175 +455,197 @@
             let Some(connection) = self.connections.get_mut(&conn) else {
                 return;
             };
-            let (kind, id, content, took) = match Record::read(&connection.bytes) {
-                Ok(Some((record, took))) => {
-                    (record.record_type, record.id, record.content.to_vec(), took)
-                }
+            let (record_type, fastcgi_id, content, length) = match Record::read(&connection.bytes) {
+                Ok(Some((record, length))) => (
+                    record.record_type,
+                    record.id,
+                    record.content.to_vec(),
+                    length,
+                ),
                 Ok(None) => return,
                 Err(_) => {
-                    let calls: Vec<CallId> = connection.open.values().copied().collect();
-                    let mut ledger = self.ledger.borrow_mut();
-                    calls.iter().for_each(|call| {
-                        ledger
+                    let request_ids: Vec<RequestId> = connection.open.values().copied().collect();
+                    let mut observations = self.observations.borrow_mut();
+                    request_ids.iter().for_each(|request_id| {
+                        observations
                             .requests
-                            .entry(*call)
-                            .and_modify(|request| request.unreadable = true);
+                            .entry(*request_id)
+                            .and_modify(|request| request.malformed = true);
                     });
                     connection.bytes.clear();
                     return;
                 }
             };
-            connection.bytes.drain(..took);
-            match kind {
+            connection.bytes.drain(..length);
+            match record_type {
                 RecordType::Stdout => connection
-                    .texts
-                    .entry(id)
+                    .stdout
+                    .entry(fastcgi_id)
                     .or_default()
                     .extend_from_slice(&content),
-                RecordType::EndRequest => self.take_answer(now, conn, id),
+                RecordType::EndRequest => self.record_response(now, conn, fastcgi_id),
                 _ => {}
             }
         }
     }
-    fn take_answer(&mut self, now: Micros, conn: ConnectionId, id: u16) {
+    fn record_response(&mut self, now: Micros, conn: ConnectionId, fastcgi_id: u16) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let text = connection.texts.remove(&id).unwrap_or_default();
-        let (status, body) = parted(&text);
-        let mut ledger = self.ledger.borrow_mut();
-        if connection.garbage {
-            ledger.bad_clients_served += u64::from(status == 200);
+        let output = connection.stdout.remove(&fastcgi_id).unwrap_or_default();
+        let (status, body) = split_cgi_response(&output);
+        let mut observations = self.observations.borrow_mut();
+        if connection.sends_garbage {
+            observations.malformed_requests_served += u64::from(status == 200);
             return;
         }
-        if connection.health {
+        if connection.is_health_check {
             if status == 200 {
-                let mut steering = self.steering.borrow_mut();
-                let front = &mut steering.fronts[connection.router.0];
-                front.ready_at = front.ready_at.or(Some(now));
+                let mut control = self.control.borrow_mut();
+                let target = &mut control.targets[connection.router.0];
+                target.ready_at = target.ready_at.or(Some(now));
             }
             return;
         }
-        let Some(call) = connection.open.remove(&id) else {
+        let Some(request_id) = connection.open.remove(&fastcgi_id) else {
             return;
         };
-        connection.free.push(id);
-        self.steering.borrow_mut().answers += 1;
-        if let Some(request) = ledger.requests.get_mut(&call) {
-            request.answers.push(Answer {
+        connection.free_ids.push(fastcgi_id);
+        self.control.borrow_mut().responses += 1;
+        if let Some(request) = observations.requests.get_mut(&request_id) {
+            request.responses.push(Response {
                 at: now,
                 status,
                 body: body.to_vec(),
             });
         }
     }
-    fn ended(&mut self, now: Micros, conn: ConnectionId) {
+    fn on_closed(&mut self, now: Micros, conn: ConnectionId) {
         let Some(connection) = self.connections.remove(&conn) else {
             return;
         };
-        let mut ledger = self.ledger.borrow_mut();
-        for call in connection.open.values() {
-            if let Some(request) = ledger
+        let mut observations = self.observations.borrow_mut();
+        for request_id in connection.open.values() {
+            if let Some(request) = observations
                 .requests
-                .get_mut(call)
-                .filter(|r| r.answers.is_empty())
+                .get_mut(request_id)
+                .filter(|r| r.responses.is_empty())
             {
-                request.cut = Some(now);
+                request.closed_unanswered = Some(now);
             }
         }
     }
 }
 
-/// The status of a CGI response, nought where it has none, and its body.
-fn parted(text: &[u8]) -> (u16, &[u8]) {
-    let head = text.windows(4).position(|four| four == b"\r\n\r\n");
-    let (head, body) = head.map_or((text, &[][..]), |at| (&text[..at], &text[at + 4..]));
-    let head = String::from_utf8_lossy(head);
-    let status = head.lines().find_map(|line| line.strip_prefix("Status: "));
+/// Splits a CGI response into its status, 0 if it has none, and its body.
+fn split_cgi_response(output: &[u8]) -> (u16, &[u8]) {
+    let header = output.windows(4).position(|four| four == b"\r\n\r\n");
+    let (header, body) = header.map_or((output, &[][..]), |at| (&output[..at], &output[at + 4..]));
+    let header = String::from_utf8_lossy(header);
+    let status = header
+        .lines()
+        .find_map(|line| line.strip_prefix("Status: "));
     let status = status.and_then(|status| status.split(' ').next()?.parse().ok());
     (status.unwrap_or(0), body)
 }
 
-fn request_bytes(
-    id: u16,
-    call: CallId,
+fn encode_request(
+    fastcgi_id: u16,
+    request_id: RequestId,
     effect: Effect,
-    patience: Micros,
+    time_limit: Micros,
     function: usize,
 ) -> Vec<u8> {
-    let (number, patience) = (
-        format!("{:016x}", call.0),
-        (patience / 1000).max(1).to_string(),
+    let (number, time_limit) = (
+        format!("{:016x}", request_id.0),
+        (time_limit / 1000).max(1).to_string(),
     );
     let (path, function) = (
-        format!("/rpc/{}", effect.class()),
+        format!("/rpc/{}", effect.class_name()),
         format!("{:016x}", 0xf000 + function),
     );
     let pairs = [
         ("SCRIPT_NAME", path.as_str()),
         ("HTTP_X_CALL_ID", number.as_str()),
-        ("HTTP_X_PATIENCE_MS", patience.as_str()),
+        ("HTTP_X_PATIENCE_MS", time_limit.as_str()),
         ("HTTP_X_ENTITY", function.as_str()),
         ("HTTP_X_INFO", "memory_mb:100;lanes:4;load_ms:200"),
     ];
     let mut out = Vec::new();
-    write_begin_request(&mut out, id, true);
-    write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
-    write_stream(&mut out, RecordType::Stdin, id, &body_of(call));
+    write_begin_request(&mut out, fastcgi_id, true);
+    write_stream(
+        &mut out,
+        RecordType::Params,
+        fastcgi_id,
+        &encode_params(&pairs),
+    );
+    write_stream(
+        &mut out,
+        RecordType::Stdin,
+        fastcgi_id,
+        &request_body(request_id),
+    );
     out
 }
 
 impl Core for Clients {
     fn start(&mut self, now: Micros, _: &mut dyn Io) {
-        self.next_request.iter_mut().for_each(|at| *at = now);
+        self.next_request_at.iter_mut().for_each(|at| *at = now);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
                 if let Some(connection) = self.connections.get_mut(&conn) {
-                    connection.up = true;
+                    connection.is_connected = true;
                 }
                 self.write(now, conn, io);
             }
             Event::Writable { conn } => self.write(now, conn, io),
-            Event::Bytes { conn, bytes } => self.hear(now, conn, bytes),
-            Event::Closed { conn, cause: how } => {
-                if how == CloseCause::Orderly {
+            Event::Bytes { conn, bytes } => self.receive(now, conn, bytes),
+            Event::Closed { conn, cause } => {
+                if cause == CloseCause::Orderly {
                     io.close(conn);
                 }
-                self.ended(now, conn);
+                self.on_closed(now, conn);
             }
             Event::Accepted { .. } => {}
         }
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
         self.now = now;
-        let (rate, over) = (self.steering.borrow().rate, self.steering.borrow().over);
+        let (rate, stopped) = (self.control.borrow().rate, self.control.borrow().stopped);
         for router in (0..self.fleet.routers).map(RouterId) {
-            let front = self.steering.borrow().fronts[router.0];
-            if front.looks && front.ready_at.is_none() && self.next_look[router.0] <= now {
-                self.next_look[router.0] = now + 50_000;
-                self.look(now, router, io);
+            let target = self.control.borrow().targets[router.0];
+            if target.checks_health
+                && target.ready_at.is_none()
+                && self.next_health_check_at[router.0] <= now
+            {
+                self.next_health_check_at[router.0] = now + 50_000;
+                self.send_health_check(now, router, io);
             }
-            while !over && self.next_request[router.0] <= now {
-                self.next_request[router.0] = now + self.chance.exponential(1e6 / rate) as Micros;
-                if front.asks {
-                    self.ask(now, router, io);
+            while !stopped && self.next_request_at[router.0] <= now {
+                self.next_request_at[router.0] = now + self.rng.exponential(1e6 / rate) as Micros;
+                if target.sends_requests {
+                    self.send_request(now, router, io);
                 }
             }
         }
         let conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for conn in conns {
             self.write(now, conn, io);
-            self.leave(now, conn, io);
+            self.perform_follow_up(now, conn, io);
             let Some(connection) = self.connections.get(&conn) else {
                 continue;
             };
-            let rests = connection.open.is_empty()
-                && connection.out.is_empty()
-                && connection.then.is_none();
-            let idle = if connection.own { 0 } else { IDLE };
-            if rests && connection.up && now - connection.idle_since >= idle {
+            let has_no_work = connection.open.is_empty()
+                && connection.pending_writes.is_empty()
+                && connection.follow_up.is_none();
+            let idle_limit = if connection.is_exclusive {
+                0
+            } else {
+                IDLE_TIMEOUT
+            };
+            if has_no_work && connection.is_connected && now - connection.idle_since >= idle_limit {
                 io.close(conn);
                 self.connections.remove(&conn);
             }
--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -1,14 +1,14 @@
-//! The test environment of a soak run: routers as processes, clients, model servers and the feed on one event loop, and the
-//! troubles carried out between them.
+//! The test environment of a soak run: router processes, the emulated clients, model servers and feed on one event
+//! loop, and the injection of faults.
 
-mod troubles;
+mod fault_injection;
 
-use super::clients::{Clients, Front, Steering as ClientSteering};
-use super::feed::{Feed, Mood as FeedMood, Tale};
-use super::ledger::{Drain, FeedTrouble, RouterId, ServerId, Shared, Span, Start};
+use super::clients::{ClientControl, Clients, RouterTarget};
+use super::feed::{Feed, FeedMode, FeedState};
+use super::observations::{Drain, FeedFault, RouterId, ServerId, SharedObservations, Span, Start};
 use super::routers::Router;
-use super::servers::{Mood as ServerMood, Server, Steering as ServerSteering};
-use super::settings::{Fleet, Terms};
+use super::servers::{Server, ServerControl, ServerMode};
+use super::settings::{Fleet, SoakSettings};
 use sanddrum_net::{EventLoop, HostId, ListenerId, Micros, NullObserver, Rng};
 use serde_json::{json, Value as Json};
 use std::cell::RefCell;
@@ -18,65 +18,66 @@
 use std::rc::Rc;
 
 const S: Micros = 1_000_000;
-/// How often the environment looks at processes and troubles.
-const LOOK_EVERY: Micros = 2_000;
-/// The lab's own loop is late where it comes back so much after that.
+/// How often the environment checks processes and scheduled actions.
+const STEP: Micros = 2_000;
+/// The lab's own loop counts as late if a step takes this much longer than `STEP`.
 const LATE: Micros = 10_000;
-/// After SIGTERM the front opens new connections for so long; on open ones it asks until SIGKILL.
-const CONNECTS_AFTER_TERM: Micros = 300_000;
-/// SIGKILL comes so long after SIGTERM, beyond the longest deadline, which counts as this at the most.
-const KILL_AFTER_TERM: Micros = 700_000;
-const KILL_LONGEST: Micros = 3 * S;
-/// The front learns so long after a kill that a router is gone.
-const KILL_NOTICED: Micros = 300_000;
-/// A killed router is started again after this.
-const KILL_DOWN: Micros = 400_000;
-/// A server that was frozen has read all that had come, and accepted who waited, within this.
-const THAWED_WITHIN: Micros = 200_000;
-/// A drained server leaves after this.
-const DRAIN_LASTS: Micros = 2 * S;
+/// After SIGTERM clients open new connections for this long; on open ones they send requests until SIGKILL.
+const CONNECTS_AFTER_SIGTERM: Micros = 300_000;
+/// SIGKILL follows SIGTERM after the longest deadline, capped at `KILL_DEADLINE_CAP`, plus `KILL_MARGIN`.
+const KILL_MARGIN: Micros = 700_000;
+const KILL_DEADLINE_CAP: Micros = 3 * S;
+/// Clients notice this long after SIGTERM or SIGKILL, at the earliest, that a router is gone.
+const EXIT_NOTICED_AFTER: Micros = 300_000;
+/// How long a router that has exited stays down before it is restarted.
+const RESTART_DELAY: Micros = 400_000;
+/// A server that was frozen has read everything that had arrived, and accepted the waiting connections, within this
+/// time.
+const UNFREEZE_TIME: Micros = 200_000;
+/// How long a server drains before it is replaced.
+const DRAIN_DURATION: Micros = 2 * S;
 const SERVER_SIZE: f64 = 4.0;
-/// Changes of what a router's poller watches fail so many times less often than its other calls.
-const CONTROLS_FAIL_LESS: u64 = 50;
+/// Calls of `epoll_ctl` fail this many times less often than a router's other system calls.
+const EPOLL_CTL_RATE_DIVISOR: u64 = 50;
 
-/// A place at which model servers stand, one after the other.
-struct Place {
+/// A slot that is occupied by one model server after the other.
+struct ServerSlot {
     host: HostId,
     address: String,
     name: String,
     server: ServerId,
     up_since_ms: i64,
-    steering: Rc<RefCell<ServerSteering>>,
-    /// It drains, and is replaced then.
-    leaves_at: Option<Micros>,
+    control: Rc<RefCell<ServerControl>>,
+    /// When the draining server is replaced.
+    replaced_at: Option<Micros>,
 }
 
-/// What happens later to a router.
+/// Where a router is in its restart cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Serving,
-    /// Asked to end, or killed, then.
-    Ending(Micros),
+    /// SIGTERM or SIGKILL was sent at this time.
+    Stopping(Micros),
     StartsAt(Micros),
 }
 
-/// What ends a trouble.
-enum Undo {
-    Resume(usize),
-    CallsWork(usize),
-    Behaves(usize),
-    Thaws(usize),
-    FeedWell,
-    ClientsWell,
-    Rate,
-    HangUp,
-    OutageOver,
-    /// Not the end of a trouble but its second part: a server drains, for so long.
-    Drains(usize, Micros),
+/// A scheduled action, which in most cases ends a fault.
+enum ScheduledAction {
+    ResumeRouter(usize),
+    StopFailingCalls(usize),
+    RestoreServer(usize),
+    UnfreezeServer(usize),
+    RestoreFeed,
+    RestoreClients,
+    RestoreRate,
+    MoveFeed,
+    EndOutage,
+    /// The second part of a fault: a server begins to drain, for this long.
+    DrainServer(usize, Micros),
     Signal(usize, SeriesSignal),
 }
 
-/// A signal of a series.
+/// A signal of a `SignalSeries`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SeriesSignal {
     HangUp,
@@ -84,72 +85,74 @@
     Status,
 }
 
-/// What discovery would have told counts as told this long after its outage began, at the latest.
-const OUTAGE_TOLD_AFTER: Micros = 7 * S;
+/// Events from the start of a feed outage are deemed delivered at the latest this long after that start.
+const OUTAGE_DELIVERY_DEADLINE: Micros = 7 * S;
 
 pub struct Environment {
     pub driver: EventLoop,
     pub fleet: Fleet,
-    pub terms: Terms,
-    pub ledger: Shared,
+    pub settings: SoakSettings,
+    pub observations: SharedObservations,
     pub routers: Vec<Router>,
-    pub clients: Rc<RefCell<ClientSteering>>,
+    pub clients: Rc<RefCell<ClientControl>>,
     phases: Vec<Phase>,
-    places: Vec<Place>,
-    tale: Rc<RefCell<Tale>>,
-    chance: Rng,
+    slots: Vec<ServerSlot>,
+    feed: Rc<RefCell<FeedState>>,
+    rng: Rng,
     program: PathBuf,
-    undo: Vec<(Micros, Undo)>,
+    scheduled: Vec<(Micros, ScheduledAction)>,
     servers_started: usize,
-    /// While the feed is out of reach for long, no other trouble of the feed ends that.
+    /// When the current outage of the feed ends. Other faults of the feed don't end it earlier.
     outage_ends: Option<Micros>,
-    /// No router is started any more.
-    is_over: bool,
-    /// How far the servers' wall clock is from the lab's, and each router's.
+    /// No router is started anymore.
+    is_shutting_down: bool,
+    /// Offset of the servers' wall clock from the lab's.
     servers_clock: Micros,
+    /// Offset of each router's wall clock from the lab's.
     router_clocks: Vec<Micros>,
     rate: f64,
-    /// When the last step was done.
-    stepped: Micros,
-    /// How often each kind of trouble came.
-    pub came: BTreeMap<&'static str, u64>,
-    /// How often each kind was hidden by an outage of the feed, and not played.
-    pub hidden: BTreeMap<&'static str, u64>,
+    /// When the last step was finished.
+    last_step: Micros,
+    /// How often each kind of fault occurred.
+    pub fault_counts: BTreeMap<&'static str, u64>,
+    /// How often each kind of fault was not injected because an outage of the feed hid it.
+    pub hidden_fault_counts: BTreeMap<&'static str, u64>,
 }
 
-/// Connections that clients keep to each router, usually and in a crowd.
-const KEPT: usize = 3;
-const CROWD_KEPT: usize = 60;
-/// A crowd asks so many times as often.
-const CROWD_RATE: f64 = 4.0;
-/// The part of clients that behave badly all the time.
-const BAD_CLIENTS: f64 = 0.12;
+/// Shared connections to each router.
+const CONNECTIONS_PER_ROUTER: usize = 3;
+/// Shared connections to each router in runs with many clients.
+const MANY_CLIENTS_CONNECTIONS: usize = 60;
+/// In runs with many clients the request rate is multiplied by this.
+const MANY_CLIENTS_RATE_FACTOR: f64 = 4.0;
+/// The fraction of requests with which clients misbehave outside of faults.
+const MISBEHAVING_FRACTION: f64 = 0.12;
 
 impl Environment {
-    /// Sets the fleet up; routers are started and not yet asked.
+    /// Sets up the fleet. The routers are started and get no requests until they are ready.
     ///
     /// # Errors
-    /// A listener, file or process can't be made.
+    /// A listener, file or process can't be created.
     pub fn new(
         fleet: Fleet,
-        terms: Terms,
+        settings: SoakSettings,
         rate: f64,
         folder: &Path,
         program: PathBuf,
-        ledger: Shared,
+        observations: SharedObservations,
     ) -> io::Result<Self> {
-        let rate = if terms.has_crowd {
-            rate * CROWD_RATE
+        let rate = if settings.has_many_clients {
+            rate * MANY_CLIENTS_RATE_FACTOR
         } else {
             rate
         };
         let mut driver = EventLoop::new(Box::new(NullObserver))?;
-        let (mut places, mut members) = (Vec::new(), Vec::new());
+        let (mut slots, mut members) = (Vec::new(), Vec::new());
         for n in 0..fleet.servers {
             let (address, name) = (fleet.server_address(n), format!("s-{n:08x}"));
-            let steering = Rc::new(RefCell::new(ServerSteering {
-                mood: ServerMood::Well,
-                drains: false,
+            let control = Rc::new(RefCell::new(ServerControl {
+                mode: ServerMode::Normal,
+                is_draining: false,
                 arrivals_unknown_until: 0,
             }));
             let id = ServerId(n);
@@ -157,82 +160,86 @@
                 id,
                 SERVER_SIZE,
                 None,
-                terms.clone(),
-                ledger.clone(),
-                steering.clone(),
+                settings.clone(),
+                observations.clone(),
+                control.clone(),
             );
             let host = driver.add(Box::new(server), vec![EventLoop::bind(&address)?.0], None)?;
-            ledger.borrow_mut().starts.push(Start {
+            observations.borrow_mut().starts.push(Start {
                 server: id,
                 at: 0,
                 size: SERVER_SIZE,
-                long_ago: true,
+                before_run: true,
             });
             members.push(member(&name, &address, "in_service", 0));
-            places.push(Place {
+            slots.push(ServerSlot {
                 host,
                 address,
                 name,
                 server: id,
                 up_since_ms: 0,
-                steering,
-                leaves_at: None,
+                control,
+                replaced_at: None,
             });
         }
-        let tale = Rc::new(RefCell::new(Tale::of(members)));
-        let doors = [0, 1].map(|door| EventLoop::bind(&fleet.feed_address(door)));
-        let [first, second] = doors;
+        let feed = Rc::new(RefCell::new(FeedState::new(members)));
+        let listeners = [0, 1].map(|listener| EventLoop::bind(&fleet.feed_address(listener)));
+        let [first, second] = listeners;
         driver.add(
-            Box::new(Feed::new(tale.clone())),
+            Box::new(Feed::new(feed.clone())),
             vec![first?.0, second?.0],
             None,
         )?;
-        let clients = Rc::new(RefCell::new(ClientSteering {
-            fronts: vec![
-                Front {
-                    looks: true,
-                    ..Front::default()
+        let clients = Rc::new(RefCell::new(ClientControl {
+            targets: vec![
+                RouterTarget {
+                    checks_health: true,
+                    ..RouterTarget::default()
                 };
                 fleet.routers
             ],
             rate,
-            kept: if terms.has_crowd { CROWD_KEPT } else { KEPT },
-            bad: BAD_CLIENTS,
-            over: false,
-            half_written: 0,
-            answers: 0,
+            shared_connections: if settings.has_many_clients {
+                MANY_CLIENTS_CONNECTIONS
+            } else {
+                CONNECTIONS_PER_ROUTER
+            },
+            misbehaving_fraction: MISBEHAVING_FRACTION,
+            stopped: false,
+            partial_requests: 0,
+            responses: 0,
         }));
         let core = Clients::new(
             fleet.clone(),
-            terms.clone(),
-            ledger.clone(),
+            settings.clone(),
+            observations.clone(),
             clients.clone(),
         );
         driver.add(Box::new(core), vec![], None)?;
         let routers = (0..fleet.routers).map(|n| Router::new(RouterId(n), folder));
         let routers: Vec<Router> = routers.collect::<io::Result<_>>()?;
         let mut environment = Environment {
-            stepped: driver.now(),
-            chance: Rng::new(fleet.seed ^ 0xe71),
+            last_step: driver.now(),
+            rng: Rng::new(fleet.seed ^ 0xe71),
             phases: vec![Phase::Serving; routers.len()],
             router_clocks: vec![0; routers.len()],
             servers_started: fleet.servers,
             driver,
             fleet,
-            terms,
-            ledger,
+            settings,
+            observations,
             routers,
             clients,
-            places,
-            tale,
+            slots,
+            feed,
             program,
-            undo: Vec::new(),
+            scheduled: Vec::new(),
             outage_ends: None,
-            is_over: false,
+            is_shutting_down: false,
             servers_clock: 0,
             rate,
-            came: BTreeMap::new(),
-            hidden: BTreeMap::new(),
+            fault_counts: BTreeMap::new(),
+            hidden_fault_counts: BTreeMap::new(),
         };
         for n in 0..environment.routers.len() {
             environment.start_router(n)?;
@@ -242,113 +249,131 @@
     pub fn now(&self) -> Micros {
         self.driver.now()
     }
-    /// Whether every router has been ready since its last start.
+    /// Returns whether every router has been ready since its last start.
     pub fn all_ready(&self) -> bool {
-        self.clients.borrow().fronts.iter().all(|front| front.asks)
+        self.clients
+            .borrow()
+            .targets
+            .iter()
+            .all(|target| target.sends_requests)
     }
 
-    /// Runs for a moment, and looks at processes and at what ends.
+    /// Runs the event loop for a short time, then checks the processes and performs the actions that are due.
     ///
     /// # Errors
-    /// The loop can't go on, or a process can't be started.
+    /// The event loop fails, or a process can't be started.
     pub fn step(&mut self) -> io::Result<()> {
-        let until = self.now() + LOOK_EVERY;
+        let until = self.now() + STEP;
         self.driver.run_until(until)?;
         let now = self.now();
-        let before = std::mem::replace(&mut self.stepped, now);
-        if now > before + LOOK_EVERY + LATE {
-            self.ledger.borrow_mut().lab_late.push(Span {
+        let before = std::mem::replace(&mut self.last_step, now);
+        if now > before + STEP + LATE {
+            self.observations.borrow_mut().lab_delays.push(Span {
                 from: before,
                 to: now,
             });
         }
         for n in 0..self.routers.len() {
-            self.look_at_router(now, n)?;
+            self.check_router(now, n)?;
         }
-        for n in 0..self.places.len() {
-            if self.places[n].leaves_at.is_some_and(|at| at <= now) {
+        for n in 0..self.slots.len() {
+            if self.slots[n].replaced_at.is_some_and(|at| at <= now) {
                 self.replace_server(n, true)?;
             }
         }
-        let due: Vec<(Micros, Undo)> = {
-            let (due, later) = std::mem::take(&mut self.undo)
+        let due: Vec<(Micros, ScheduledAction)> = {
+            let (due, later) = std::mem::take(&mut self.scheduled)
                 .into_iter()
                 .partition(|(at, _)| *at <= now);
-            self.undo = later;
+            self.scheduled = later;
             due
         };
         due.into_iter()
-            .try_for_each(|(_, undo)| self.end_trouble(now, undo))
+            .try_for_each(|(_, scheduled)| self.perform(now, scheduled))
     }
 
     // ---- Routers
 
     fn start_router(&mut self, n: usize) -> io::Result<()> {
         let now = self.now();
-        self.routers[n].configure(&self.terms, &self.fleet, self.tale.borrow().known())?;
-        self.routers[n].start(now, &self.program, &self.ledger)?;
+        self.routers[n].configure(
+            &self.settings,
+            &self.fleet,
+            self.feed.borrow().start_events(),
+        )?;
+        self.routers[n].start(now, &self.program, &self.observations)?;
         self.phases[n] = Phase::Serving;
-        self.clients.borrow_mut().fronts[n] = Front {
-            looks: true,
-            ..Front::default()
+        self.clients.borrow_mut().targets[n] = RouterTarget {
+            checks_health: true,
+            ..RouterTarget::default()
         };
         Ok(())
     }
-    fn look_at_router(&mut self, now: Micros, n: usize) -> io::Result<()> {
-        self.routers[n].look(now, &self.ledger);
+    fn check_router(&mut self, now: Micros, n: usize) -> io::Result<()> {
+        self.routers[n].poll_exit(now, &self.observations);
         let running = self.routers[n].is_running();
         {
             let mut clients = self.clients.borrow_mut();
-            let front = &mut clients.fronts[n];
-            if let (Some(at), false, Phase::Serving) = (front.ready_at, front.asks, self.phases[n])
+            let target = &mut clients.targets[n];
+            if let (Some(at), false, Phase::Serving) =
+                (target.ready_at, target.sends_requests, self.phases[n])
             {
-                (front.connects, front.asks, front.looks) = (true, true, false);
-                let mut ledger = self.ledger.borrow_mut();
-                let life = ledger
-                    .lives
+                (
+                    target.opens_connections,
+                    target.sends_requests,
+                    target.checks_health,
+                ) = (true, true, false);
+                let mut observations = self.observations.borrow_mut();
+                let incarnation = observations
+                    .incarnations
                     .get_mut(&RouterId(n))
-                    .and_then(|lives| lives.last_mut());
-                life.into_iter()
-                    .for_each(|life| life.ready = life.ready.or(Some(at)));
+                    .and_then(|incarnations| incarnations.last_mut());
+                incarnation
+                    .into_iter()
+                    .for_each(|incarnation| incarnation.ready = incarnation.ready.or(Some(at)));
             }
-            if let Phase::Ending(since) = self.phases[n] {
-                front.connects &= now < since + CONNECTS_AFTER_TERM;
-                front.asks &= now < since + self.time_to_end();
+            if let Phase::Stopping(since) = self.phases[n] {
+                target.opens_connections &= now < since + CONNECTS_AFTER_SIGTERM;
+                target.sends_requests &= now < since + self.exit_time_limit();
             }
         }
         match self.phases[n] {
-            Phase::Ending(since) if running && self.is_time_to_end_over(now, n, since) => {
-                self.routers[n].kill_after_asked(now, &self.ledger);
+            Phase::Stopping(since) if running && self.is_exit_overdue(now, n, since) => {
+                self.routers[n].kill_after_sigterm(now, &self.observations);
             }
-            Phase::Ending(since) if !running && now >= since + KILL_NOTICED => {
-                self.clients.borrow_mut().fronts[n] = Front::default();
-                self.phases[n] = Phase::StartsAt(now + KILL_DOWN);
+            Phase::Stopping(since) if !running && now >= since + EXIT_NOTICED_AFTER => {
+                self.clients.borrow_mut().targets[n] = RouterTarget::default();
+                self.phases[n] = Phase::StartsAt(now + RESTART_DELAY);
             }
-            Phase::StartsAt(at) if at <= now && !self.is_over => self.start_router(n)?,
+            Phase::StartsAt(at) if at <= now && !self.is_shutting_down => self.start_router(n)?,
             _ => {}
         }
         Ok(())
     }
-    /// How long after SIGTERM SIGKILL comes.
-    fn time_to_end(&self) -> Micros {
-        self.terms.longest_deadline.min(KILL_LONGEST) + KILL_AFTER_TERM
+    /// Returns how long after SIGTERM a router is killed.
+    fn exit_time_limit(&self) -> Micros {
+        self.settings.max_deadline.min(KILL_DEADLINE_CAP) + KILL_MARGIN
     }
-    /// Whether a router that was asked to end has had its time for that. While the lab itself stops its process it has none.
-    fn is_time_to_end_over(&self, now: Micros, n: usize, since: Micros) -> bool {
+    /// Returns whether the time that a router has to exit after SIGTERM is over. Time in which the lab has stopped its
+    /// process doesn't count.
+    fn is_exit_overdue(&self, now: Micros, n: usize, since: Micros) -> bool {
         let router = &self.routers[n];
-        let stopped = self.ledger.borrow().stopped_between(router.id, since, now);
-        !router.is_stopped() && now >= since + self.time_to_end() + stopped
+        let stopped = self
+            .observations
+            .borrow()
+            .stopped_between(router.id, since, now);
+        !router.is_stopped() && now >= since + self.exit_time_limit() + stopped
     }
-    /// Routers that serve, drawn, so many at the most.
-    fn some_routers(&mut self, count: usize) -> Vec<usize> {
-        let serving =
+    /// Returns up to `count` random routers that are serving.
+    fn random_routers(&mut self, count: usize) -> Vec<usize> {
+        let is_serving =
             |n: &usize| self.phases[*n] == Phase::Serving && self.routers[*n].is_running();
-        let mut all: Vec<usize> = (0..self.routers.len()).filter(serving).collect();
-        let mut drawn = Vec::new();
-        while drawn.len() < count && !all.is_empty() {
-            drawn.push(all.remove(self.chance.index(all.len())));
+        let mut all: Vec<usize> = (0..self.routers.len()).filter(is_serving).collect();
+        let mut chosen = Vec::new();
+        while chosen.len() < count && !all.is_empty() {
+            chosen.push(all.remove(self.rng.index(all.len())));
         }
-        drawn
+        chosen
     }
 
     // ---- Model servers and the feed
@@ -356,132 +381,150 @@
     fn wall_ms(&self, now: Micros) -> i64 {
         (now + self.servers_clock) / 1000
     }
-    fn some_places(&mut self, count: usize) -> Vec<usize> {
-        let stands = |n: &usize| self.places[*n].leaves_at.is_none();
-        let mut all: Vec<usize> = (0..self.places.len()).filter(stands).collect();
-        let mut drawn = Vec::new();
-        while drawn.len() < count && all.len() > self.places.len() / 2 {
-            drawn.push(all.remove(self.chance.index(all.len())));
+    fn random_slots(&mut self, count: usize) -> Vec<usize> {
+        let is_available = |n: &usize| self.slots[*n].replaced_at.is_none();
+        let mut all: Vec<usize> = (0..self.slots.len()).filter(is_available).collect();
+        let mut chosen = Vec::new();
+        while chosen.len() < count && all.len() > self.slots.len() / 2 {
+            chosen.push(all.remove(self.rng.index(all.len())));
         }
-        drawn
+        chosen
     }
-    /// The server at a place goes, and another one starts there, or at another address; the feed tells both.
+    /// Kills the server in a slot and starts another one at the same or another address. The feed announces both.
     fn replace_server(&mut self, n: usize, same_address: bool) -> io::Result<()> {
         let now = self.now();
         self.servers_started += 1;
         let id = ServerId(self.servers_started);
         let address = match same_address {
-            true => self.places[n].address.clone(),
+            true => self.slots[n].address.clone(),
             false => self
                 .fleet
                 .server_address(self.fleet.servers + self.servers_started % 100),
         };
-        let steering = Rc::new(RefCell::new(ServerSteering {
-            mood: ServerMood::Well,
-            drains: false,
+        let control = Rc::new(RefCell::new(ServerControl {
+            mode: ServerMode::Normal,
+            is_draining: false,
             arrivals_unknown_until: 0,
         }));
-        let (terms, ledger) = (self.terms.clone(), self.ledger.clone());
-        let server = Server::new(id, SERVER_SIZE, Some(now), terms, ledger, steering.clone());
-        self.driver.kill(self.places[n].host);
-        let door = EventLoop::bind(&address)?.0;
+        let (settings, observations) = (self.settings.clone(), self.observations.clone());
+        let server = Server::new(
+            id,
+            SERVER_SIZE,
+            Some(now),
+            settings,
+            observations,
+            control.clone(),
+        );
+        self.driver.kill(self.slots[n].host);
+        let listener = EventLoop::bind(&address)?.0;
         self.driver
-            .replace(self.places[n].host, Box::new(server), vec![door], None)?;
-        let (host, up_since_ms) = (self.places[n].host, self.wall_ms(now));
+            .replace(self.slots[n].host, Box::new(server), vec![listener], None)?;
+        let (host, up_since_ms) = (self.slots[n].host, self.wall_ms(now));
         let name = format!("s-{:08x}", id.0);
-        let old = &self.places[n];
-        let gone = member(&old.name, &old.address, "terminated", old.up_since_ms);
-        let new = member(&name, &address, "in_service", up_since_ms);
-        self.tale.borrow_mut().change(vec![gone, new]);
+        let old = &self.slots[n];
+        let old_member = member(&old.name, &old.address, "terminated", old.up_since_ms);
+        let new_member = member(&name, &address, "in_service", up_since_ms);
+        self.feed.borrow_mut().change(vec![old_member, new_member]);
         {
-            let mut ledger = self.ledger.borrow_mut();
-            ledger.drains.push(Drain {
+            let mut observations = self.observations.borrow_mut();
+            observations.drains.push(Drain {
                 server: old.server,
-                told: now,
+                announced: now,
             });
-            ledger.starts.push(Start {
+            observations.starts.push(Start {
                 server: id,
                 at: now,
                 size: SERVER_SIZE,
-                long_ago: false,
+                before_run: false,
             });
         }
-        self.places[n] = Place {
+        self.slots[n] = ServerSlot {
             host,
             address,
             name,
             server: id,
             up_since_ms,
-            steering,
-            leaves_at: None,
+            control,
+            replaced_at: None,
         };
         Ok(())
     }
-    /// A server drains for a while, in which it rejects what is new, and leaves.
-    fn drain_server(&mut self, now: Micros, n: usize, lasts: Micros) {
-        let place = &mut self.places[n];
-        place.leaves_at = Some(now + lasts);
-        place.steering.borrow_mut().drains = true;
-        let drains = member(
-            &place.name,
-            &place.address,
-            "terminating",
-            place.up_since_ms,
-        );
-        self.tale.borrow_mut().change(vec![drains]);
-        self.ledger.borrow_mut().drains.push(Drain {
-            server: place.server,
-            told: now,
+    /// Lets a server drain, in which time it rejects new requests, before it is replaced.
+    fn drain_server(&mut self, now: Micros, n: usize, duration: Micros) {
+        let slot = &mut self.slots[n];
+        slot.replaced_at = Some(now + duration);
+        slot.control.borrow_mut().is_draining = true;
+        let draining_member = member(&slot.name, &slot.address, "terminating", slot.up_since_ms);
+        self.feed.borrow_mut().change(vec![draining_member]);
+        self.observations.borrow_mut().drains.push(Drain {
+            server: slot.server,
+            announced: now,
         });
     }
-    fn feed_trouble(&mut self, now: Micros, mood: FeedMood, span: Micros, told_after: Micros) {
-        self.tale.borrow_mut().mood = mood;
-        // What was told shortly before may be under way in an answer that is cut or late.
-        let span_of = Span {
+    fn begin_feed_fault(
+        &mut self,
+        now: Micros,
+        mode: FeedMode,
+        span: Micros,
+        deemed_delivered_after: Micros,
+    ) {
+        self.feed.borrow_mut().mode = mode;
+        // Events from shortly before the fault may be in a response that is cut off or delayed.
+        let affected = Span {
             from: now - S / 2,
             to: now + span + S / 2,
         };
-        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble {
-            span: span_of,
-            told_after,
+        self.observations.borrow_mut().feed_faults.push(FeedFault {
+            span: affected,
+            deemed_delivered_after,
             is_outage: false,
         });
-        self.undo.push((now + span, Undo::FeedWell));
+        self.scheduled
+            .push((now + span, ScheduledAction::RestoreFeed));
     }
-    /// The feed is out of reach for longer than the pages' clocks; busy servers drain just after that begins.
+    /// Makes the feed unreachable for longer than the timeouts in the platform's documentation. Busy servers drain
+    /// just after the outage begins.
     fn begin_outage(&mut self, now: Micros, servers: usize, span: Micros, drains_after: Micros) {
-        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble {
+        self.observations.borrow_mut().feed_faults.push(FeedFault {
             span: Span {
                 from: now,
                 to: now + span + S / 2,
             },
-            told_after: OUTAGE_TOLD_AFTER,
+            deemed_delivered_after: OUTAGE_DELIVERY_DEADLINE,
             is_outage: true,
         });
         self.outage_ends = Some(now + span);
-        self.undo.push((now + span, Undo::OutageOver));
-        for n in self.some_places(servers) {
-            let lasts = span - drains_after + DRAIN_LASTS;
-            self.undo.push((now + drains_after, Undo::Drains(n, lasts)));
+        self.scheduled
+            .push((now + span, ScheduledAction::EndOutage));
+        for n in self.random_slots(servers) {
+            let duration = span - drains_after + DRAIN_DURATION;
+            self.scheduled.push((
+                now + drains_after,
+                ScheduledAction::DrainServer(n, duration),
+            ));
         }
     }
-    /// The feed moves to its other address, and all routers are told by a new configuration.
+    /// Moves the feed to its other address and sends all routers a new configuration.
     fn move_feed(&mut self, now: Micros) -> io::Result<()> {
-        self.fleet.feed_door = 1 - self.fleet.feed_door;
-        self.tale.borrow_mut().door = ListenerId(self.fleet.feed_door);
+        self.fleet.feed_listener = 1 - self.fleet.feed_listener;
+        self.feed.borrow_mut().listener = ListenerId(self.fleet.feed_listener);
         let span = Span {
             from: now - S / 2,
             to: now + S,
         };
-        self.ledger.borrow_mut().feed_troubles.push(FeedTrouble {
+        self.observations.borrow_mut().feed_faults.push(FeedFault {
             span,
-            told_after: 4 * S,
+            deemed_delivered_after: 4 * S,
             is_outage: false,
         });
         for router in &self.routers {
-            router.configure(&self.terms, &self.fleet, self.tale.borrow().known())?;
+            router.configure(
+                &self.settings,
+                &self.fleet,
+                self.feed.borrow().start_events(),
+            )?;
             if router.is_running() {
-                router.hang_up();
+                router.reload();
             }
         }
         Ok(())
--- a/crates/sanddrum-lab/src/soak/feed.rs
+++ b/crates/sanddrum-lab/src/soak/feed.rs
@@ -1,5 +1,5 @@
-//! The control feed of a soak run: numbered events, told over HTTP/1.1 to whoever asks, on two addresses of which one is in
-//! force.
+//! The emulated control feed of a soak run: it serves numbered events over HTTP/1.1 on two addresses, one of which is
+//! active.
 
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, ListenerId, Micros};
 use sanddrum_wire::http;
@@ -8,39 +8,40 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What is wrong with the feed.
+/// How the feed behaves, normally or with a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    Well,
-    /// Questions are taken and not answered.
+pub enum FeedMode {
+    Normal,
+    /// Requests are read and not answered.
     Silent,
-    /// Answers come so much later.
-    Late(Micros),
-    /// Answers break off in the middle.
-    Cuts,
-    /// Connections are reset, and so are new ones.
-    Refuses,
+    /// Responses are delayed by this much.
+    Delayed(Micros),
+    /// Responses are cut off in the middle and the connection is reset.
+    Truncating,
+    /// All connections are reset, new ones too.
+    Resetting,
 }
 
-/// What the feed tells, shared with whoever makes it happen.
+/// The state of the feed, shared with the environment, which changes it.
 #[derive(Debug)]
-pub struct Tale {
+pub struct FeedState {
     pub events: Vec<Json>,
-    pub mood: Mood,
-    /// The door at which questions are answered; a question at the other one is not.
-    pub door: ListenerId,
-    pub asked: u64,
+    pub mode: FeedMode,
+    /// The listener at which requests are answered; those at the other one stay unanswered.
+    pub listener: ListenerId,
+    /// Requests received so far.
+    pub requests: u64,
 }
 
-impl Tale {
-    /// A tale that begins with a whole list.
-    pub fn of(members: Vec<Json>) -> Self {
+impl FeedState {
+    /// Creates a state whose first event is a full snapshot of these members.
+    pub fn new(members: Vec<Json>) -> Self {
         let first = json!({"n": 1, "members": {"complete": true, "members": members}});
-        Tale {
+        FeedState {
             events: vec![first],
-            mood: Mood::Well,
-            door: ListenerId(0),
-            asked: 0,
+            mode: FeedMode::Normal,
+            listener: ListenerId(0),
+            requests: 0,
         }
     }
     /// Adds an event that changes these members.
@@ -49,90 +50,93 @@
         self.events
             .push(json!({"n": n, "members": {"complete": false, "members": members}}));
     }
-    /// Everything told so far, as a start configuration has it.
-    pub fn known(&self) -> Json {
+    /// Returns all events so far, in the form that a start configuration has.
+    pub fn start_events(&self) -> Json {
         json!({"n": self.events.len(), "events": self.events})
     }
 }
 
-struct Asking {
-    door: ListenerId,
-    text: String,
-    /// The last event held, and when the wait for another one ends.
-    asked: Option<(usize, Micros)>,
-    answers_at: Option<Micros>,
+struct Connection {
+    listener: ListenerId,
+    request_text: String,
+    /// The open request: the last event that the router has, and when its wait for another one ends.
+    open_request: Option<(usize, Micros)>,
+    respond_at: Option<Micros>,
 }
 
-/// How often a question that waits is looked at.
-const LOOK_EVERY: Micros = 5_000;
+/// How often a waiting request is checked.
+const CHECK_INTERVAL: Micros = 5_000;
 
-/// The feed as a core.
+/// The core of the feed.
 pub struct Feed {
-    tale: Rc<RefCell<Tale>>,
-    turned: Micros,
-    asking: BTreeMap<ConnectionId, Asking>,
+    state: Rc<RefCell<FeedState>>,
+    last_processed: Micros,
+    connections: BTreeMap<ConnectionId, Connection>,
 }
 
 impl Feed {
-    pub fn new(tale: Rc<RefCell<Tale>>) -> Self {
+    pub fn new(state: Rc<RefCell<FeedState>>) -> Self {
         Feed {
-            tale,
-            turned: 0,
-            asking: BTreeMap::new(),
+            state,
+            last_processed: 0,
+            connections: BTreeMap::new(),
         }
     }
-    fn take(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
-        let Some(asking) = self.asking.get_mut(&conn) else {
+    fn receive(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        asking.text.push_str(&String::from_utf8_lossy(bytes));
-        if !asking.text.ends_with("\r\n\r\n") {
+        connection
+            .request_text
+            .push_str(&String::from_utf8_lossy(bytes));
+        if !connection.request_text.ends_with("\r\n\r\n") {
             return;
         }
         let number = |name: &str| -> Option<usize> {
-            let rest = asking.text.split(name).nth(1)?;
+            let rest = connection.request_text.split(name).nth(1)?;
             rest.split(['&', ' ']).next()?.parse().ok()
         };
-        let (held, wait) = (number("SUB=").unwrap_or(0), number("wait=").unwrap_or(1000));
-        asking.asked = Some((held, now + wait as Micros * 1000));
-        asking.text.clear();
-        self.tale.borrow_mut().asked += 1;
+        let (known_events, wait) = (number("SUB=").unwrap_or(0), number("wait=").unwrap_or(1000));
+        connection.open_request = Some((known_events, now + wait as Micros * 1000));
+        connection.request_text.clear();
+        self.state.borrow_mut().requests += 1;
     }
-    fn answer(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
-        let tale = self.tale.borrow();
-        if tale.mood == Mood::Refuses {
+    fn respond(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
+        let state = self.state.borrow();
+        if state.mode == FeedMode::Resetting {
             io.reset(conn);
-            self.asking.remove(&conn);
+            self.connections.remove(&conn);
             return;
         }
-        let Some(asking) = self.asking.get_mut(&conn) else {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let Some((held, until)) = asking.asked else {
+        let Some((known_events, until)) = connection.open_request else {
             return;
         };
-        if tale.mood == Mood::Silent || asking.door != tale.door {
+        if state.mode == FeedMode::Silent || connection.listener != state.listener {
             return;
         }
-        if held >= tale.events.len() && now < until {
+        if known_events >= state.events.len() && now < until {
             return;
         }
-        if let Mood::Late(by) = tale.mood {
-            let at = *asking.answers_at.get_or_insert(now + by);
+        if let FeedMode::Delayed(by) = state.mode {
+            let at = *connection.respond_at.get_or_insert(now + by);
             if now < at {
                 return;
             }
         }
-        (asking.asked, asking.answers_at) = (None, None);
-        let news = tale.events.get(held..).unwrap_or_default();
-        let body = json!({"n": tale.events.len().max(held), "events": news}).to_string();
-        let answer = http::encode_response(200, &[], body.as_bytes(), true);
-        if tale.mood == Mood::Cuts {
-            io.write(conn, &answer[..answer.len() / 2]);
+        (connection.open_request, connection.respond_at) = (None, None);
+        let new_events = state.events.get(known_events..).unwrap_or_default();
+        let body =
+            json!({"n": state.events.len().max(known_events), "events": new_events}).to_string();
+        let response = http::encode_response(200, &[], body.as_bytes(), true);
+        if state.mode == FeedMode::Truncating {
+            io.write(conn, &response[..response.len() / 2]);
             io.reset(conn);
-            self.asking.remove(&conn);
+            self.connections.remove(&conn);
         } else {
-            io.write(conn, &answer);
+            io.write(conn, &response);
         }
     }
 }
@@ -141,39 +145,41 @@
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
-            Event::Accepted {
-                conn,
-                listener: door,
-            } => {
-                let asking = Asking {
-                    door,
-                    text: String::new(),
-                    asked: None,
-                    answers_at: None,
+            Event::Accepted { conn, listener } => {
+                let connection = Connection {
+                    listener,
+                    request_text: String::new(),
+                    open_request: None,
+                    respond_at: None,
                 };
-                self.asking.insert(conn, asking);
+                self.connections.insert(conn, connection);
             }
-            Event::Bytes { conn, bytes } => self.take(now, conn, bytes),
-            Event::Closed { conn, cause: how } => {
-                if how == CloseCause::Orderly {
+            Event::Bytes { conn, bytes } => self.receive(now, conn, bytes),
+            Event::Closed { conn, cause } => {
+                if cause == CloseCause::Orderly {
                     io.close(conn);
                 }
-                self.asking.remove(&conn);
+                self.connections.remove(&conn);
             }
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        self.turned = now;
-        let conns: Vec<ConnectionId> = self.asking.keys().copied().collect();
+        self.last_processed = now;
+        let conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         conns
             .into_iter()
-            .for_each(|conn| self.answer(now, conn, io));
+            .for_each(|conn| self.respond(now, conn, io));
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        let refuses = self.tale.borrow().mood == Mood::Refuses && !self.asking.is_empty();
-        let waits = refuses || self.asking.values().any(|asking| asking.asked.is_some());
-        // The tale changes without an event of this core's.
-        waits.then_some(self.turned + LOOK_EVERY)
+        let resets =
+            self.state.borrow().mode == FeedMode::Resetting && !self.connections.is_empty();
+        let must_check = resets
+            || self
+                .connections
+                .values()
+                .any(|connection| connection.open_request.is_some());
+        // The state is changed by the environment without an event of this core.
+        must_check.then_some(self.last_processed + CHECK_INTERVAL)
     }
 }
--- a/crates/sanddrum-lab/src/soak/mod.rs
+++ b/crates/sanddrum-lab/src/soak/mod.rs
@@ -1,130 +1,133 @@
-//! The soak test: a few dozen routers of the platform as real processes on loopback, between clients, model servers and a
-//! control feed that misbehave, with two or three troubles at a time drawn from a seed, judged from what each party saw at its
-//! own end of a connection.
+//! The soak test runs a few dozen routers of the platform as real processes on loopback, with emulated clients, model
+//! servers and a control feed that misbehave. A seed determines which two or three faults overlap at a time. The run
+//! is checked against what the clients, servers and feed observed at their own end of each connection.
 
+pub mod checker;
 mod clients;
 mod environment;
+mod fault_plan;
 mod feed;
-pub mod judge;
-pub mod ledger;
+pub mod observations;
 mod routers;
 mod servers;
 pub mod settings;
-mod troubles;
 
 use crate::faults::Word;
+use checker::{check, count_abandoned, Violation};
 use environment::Environment;
-use judge::{judge, leavings, Break};
-use ledger::{Ledger, Shared};
+use fault_plan::{plan, PlannedFault};
+use observations::{Observations, SharedObservations};
 use sanddrum_net::{EventLoop, Micros, Rng};
 use serde_json::json;
-use settings::{Fleet, Terms};
+use settings::{Fleet, SoakSettings};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
-use troubles::{plan, Planned};
 
 const S: Micros = 1_000_000;
-/// Routers have to be ready within this after the run's start.
+/// All routers must be ready within this time from the run's start.
 const ALL_READY_WITHIN: Micros = 30 * S;
-/// A moment that a trouble waits for and that never comes is given up after this.
-const MOMENT_WITHIN: Micros = S / 2;
-/// After the troubles all is quiet for so long, so that each request has its end.
-const QUIET: Micros = 4 * S;
-/// After SIGTERM routers are waited for no longer than this.
-const END_WITHIN: Micros = 8 * S;
+/// A fault whose trigger event doesn't occur within this time begins without it.
+const TRIGGER_TIMEOUT: Micros = S / 2;
+/// Time without faults at the end of a run, in which open requests finish and restarted routers get ready.
+const RECOVERY_TIME: Micros = 4 * S;
+/// How long the run waits for the routers to exit after SIGTERM.
+const EXIT_TIMEOUT: Micros = 8 * S;
 
-/// What is played.
+/// The parameters of a soak run.
 #[derive(Clone, Debug)]
 pub struct SoakSpec {
     pub seed: u64,
-    /// How long troubles are played.
+    /// For how long faults are injected, in seconds.
     pub seconds: u64,
     pub routers: usize,
     pub servers: usize,
-    /// Requests a second for each router.
+    /// Requests per second for each router.
     pub rate: f64,
-    /// The router's program, beside which the preloaded library lies.
+    /// The router's program.
     pub program: PathBuf,
-    /// Configurations, controls and logs go here.
+    /// The folder for configurations, fault control blocks and logs.
     pub folder: PathBuf,
 }
 
-/// What came of a run.
+/// The result of a soak run.
 #[derive(Debug)]
 pub struct SoakReport {
     pub seed: u64,
-    pub breaks: Vec<Break>,
-    /// Troubles that were drawn, by kind: how often they came.
-    pub troubles: BTreeMap<&'static str, u64>,
-    /// Injected faults, by kind: how often they came.
-    pub faults: BTreeMap<&'static str, u64>,
-    /// Chosen kinds of trouble that never came.
+    pub violations: Vec<Violation>,
+    /// How often each kind of planned fault occurred; `troubles` in the JSON report.
+    pub fault_counts: BTreeMap<&'static str, u64>,
+    /// How often the preloaded library injected each kind of fault; `faults` in the JSON report.
+    pub library_fault_counts: BTreeMap<&'static str, u64>,
+    /// Planned kinds of fault that never occurred.
     pub missing: Vec<&'static str>,
     pub counts: BTreeMap<&'static str, u64>,
+    /// For how long the lab's own event loop was late, in total.
     pub lab_late_ms: i64,
 }
 
 impl SoakReport {
-    pub fn is_good(&self) -> bool {
-        self.breaks.is_empty() && self.missing.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty() && self.missing.is_empty()
     }
-    /// The last line: the seed, and the rule that is broken first.
+    /// Returns the last line of the report: the seed and the first violated rule.
     pub fn verdict(&self) -> String {
         let seed = self.seed;
-        match (self.breaks.first(), self.missing.first()) {
+        match (self.violations.first(), self.missing.first()) {
             (Some(first), _) => {
                 format!(
-                    "seed {seed}: {} broken, {} breaks in all",
+                    "seed {seed}: {} violated, {} violations in total",
                     first.rule.name(),
-                    self.breaks.len()
+                    self.violations.len()
                 )
             }
-            (None, Some(missing)) => format!("seed {seed}: not passed, as {missing} never came"),
+            (None, Some(missing)) => {
+                format!("seed {seed}: not passed, because {missing} never occurred")
+            }
             (None, None) => format!("seed {seed}: every rule kept"),
         }
     }
     pub fn json(&self) -> serde_json::Value {
-        let breaks: Vec<String> = self.breaks.iter().map(ToString::to_string).collect();
-        json!({"seed": self.seed, "good": self.is_good(), "breaks": breaks, "troubles": self.troubles,
-               "faults": self.faults, "missing": self.missing, "counts": self.counts,
+        let violations: Vec<String> = self.violations.iter().map(ToString::to_string).collect();
+        json!({"seed": self.seed, "good": self.passed(), "breaks": violations, "troubles": self.fault_counts,
+               "faults": self.library_fault_counts, "missing": self.missing, "counts": self.counts,
                "lab_late_ms": self.lab_late_ms})
     }
 }
 
-/// Plays a soak run.
+/// Performs a soak run.
 ///
 /// # Errors
-/// The environment can't be set up or kept going.
+/// The environment can't be set up, or its event loop, files or processes fail.
 pub fn soak(spec: &SoakSpec) -> io::Result<SoakReport> {
-    let mut chance = Rng::new(spec.seed);
-    let terms = Terms::drawn(&mut chance);
-    let fleet = free_fleet(spec)?;
+    let mut rng = Rng::new(spec.seed);
+    let settings = SoakSettings::random(&mut rng);
+    let fleet = fleet_at_free_addresses(spec)?;
     let length = spec.seconds as Micros * S;
-    let planned = plan(&mut chance, length, spec.routers, spec.servers);
-    let ledger = Shared::default();
+    let planned = plan(&mut rng, length, spec.routers, spec.servers);
+    let observations = SharedObservations::default();
     let (folder, program) = (spec.folder.as_path(), spec.program.clone());
     let mut environment = Environment::new(
         fleet,
-        terms.clone(),
+        settings.clone(),
         spec.rate,
         folder,
         program,
-        ledger.clone(),
+        observations.clone(),
     )?;
     wait_until_ready(&mut environment)?;
-    play(&mut environment, &planned, length)?;
-    wind_down(&mut environment)?;
+    inject_faults(&mut environment, &planned, length)?;
+    shut_down(&mut environment)?;
     let end = environment.now();
-    let breaks = judge(&ledger.borrow(), &terms, end);
-    keep_logs(&environment, &breaks, folder)?;
-    let ledger = ledger.borrow();
-    report(spec.seed, &environment, &planned, &ledger, breaks)
+    let violations = check(&observations.borrow(), &settings, end);
+    report_failures(&environment, &violations, folder)?;
+    let observations = observations.borrow();
+    report(spec.seed, &environment, &planned, &observations, violations)
 }
 
-/// A fleet at addresses that no other run has: its feed's first one is free.
-fn free_fleet(spec: &SoakSpec) -> io::Result<Fleet> {
-    let (routers, servers, feed_door) = (spec.routers, spec.servers, 0);
+/// Returns a fleet at addresses that no other run uses, which shows by its first feed address being free.
+fn fleet_at_free_addresses(spec: &SoakSpec) -> io::Result<Fleet> {
+    let (routers, servers, feed_listener) = (spec.routers, spec.servers, 0);
     let first = Fleet::NETS.start + (spec.seed % Fleet::NETS.len() as u64) as u8;
     let nets = (first..Fleet::NETS.end).chain(Fleet::NETS.start..first);
     let mut fleets = nets.map(|net| Fleet {
@@ -132,23 +135,23 @@
         net,
         routers,
         servers,
-        feed_door,
+        feed_listener,
     });
     let free = fleets.find(|fleet| EventLoop::bind(&fleet.feed_address(0)).is_ok());
-    free.ok_or_else(|| io::Error::other("no addresses are free: too many runs at a time"))
+    free.ok_or_else(|| io::Error::other("no loopback addresses are free: too many concurrent runs"))
 }
 
 fn wait_until_ready(environment: &mut Environment) -> io::Result<()> {
     let until = environment.now() + ALL_READY_WITHIN;
     while !environment.all_ready() {
         if environment.now() > until {
-            let why = environment
+            let log = environment
                 .routers
                 .first()
                 .map(|router| router.log())
                 .unwrap_or_default();
             return Err(io::Error::other(format!(
-                "the routers were not ready in time: {why}"
+                "the routers were not ready in time: {log}"
             )));
         }
         environment.step()?;
@@ -156,66 +159,81 @@
     Ok(())
 }
 
-fn play(environment: &mut Environment, planned: &[Planned], length: Micros) -> io::Result<()> {
-    let begun = environment.now();
+fn inject_faults(
+    environment: &mut Environment,
+    planned: &[PlannedFault],
+    length: Micros,
+) -> io::Result<()> {
+    let start = environment.now();
     let mut next = planned.iter().peekable();
-    // What waits for its moment: since when, how often the moment was seen before, and from when on it may begin.
-    let mut waiting: Vec<(Planned, Micros, u64, Option<Micros>)> = Vec::new();
-    let mut weighed = false;
-    while environment.now() < begun + length {
+    // Faults waiting for their trigger event: since when, how often the event had occurred by then, and when the fault
+    // begins.
+    let mut waiting: Vec<(PlannedFault, Micros, u64, Option<Micros>)> = Vec::new();
+    let mut resources_recorded = false;
+    while environment.now() < start + length {
         environment.step()?;
         let now = environment.now();
-        while let Some(planned) = next.next_if(|planned| begun + planned.from <= now) {
-            waiting.push((*planned, now, environment.seen(planned.moment), None));
+        while let Some(planned) = next.next_if(|planned| start + planned.earliest <= now) {
+            waiting.push((
+                *planned,
+                now,
+                environment.trigger_count(planned.trigger),
+                None,
+            ));
         }
-        let mut still = Vec::new();
-        for (planned, since, before, begins) in std::mem::take(&mut waiting) {
-            let came = environment.seen(planned.moment) > before || now > since + MOMENT_WITHIN;
-            let begins = begins.or(came.then_some(now + planned.after));
+        let mut still_waiting = Vec::new();
+        for (planned, since, count_before, begins) in std::mem::take(&mut waiting) {
+            let occurred = environment.trigger_count(planned.trigger) > count_before
+                || now > since + TRIGGER_TIMEOUT;
+            let begins = begins.or(occurred.then_some(now + planned.delay));
             match begins {
-                Some(at) if at <= now => environment.begin(planned.trouble)?,
-                _ => still.push((planned, since, before, begins)),
+                Some(at) if at <= now => environment.begin_fault(planned.fault)?,
+                _ => still_waiting.push((planned, since, count_before, begins)),
             }
         }
-        waiting = still;
-        if !weighed && now > begun + length / 3 {
-            weighed = true;
+        waiting = still_waiting;
+        if !resources_recorded && now > start + length / 3 {
+            resources_recorded = true;
             environment
                 .routers
                 .iter()
-                .for_each(|router| router.weigh(&environment.ledger));
+                .for_each(|router| router.record_resources(&environment.observations));
         }
     }
     Ok(())
 }
 
-fn wind_down(environment: &mut Environment) -> io::Result<()> {
-    environment.end_all()?;
-    // Routers that are being started again get ready first.
-    let until = environment.now() + QUIET;
+fn shut_down(environment: &mut Environment) -> io::Result<()> {
+    environment.end_all_faults()?;
+    // Routers that are being restarted get ready before the shutdown.
+    let until = environment.now() + RECOVERY_TIME;
     while environment.now() < until {
         environment.step()?;
     }
     environment
         .routers
         .iter()
-        .for_each(|router| router.weigh(&environment.ledger));
-    // Clients go on with their requests until the kill.
-    environment.ask_all_to_end();
-    let until = environment.now() + END_WITHIN;
+        .for_each(|router| router.record_resources(&environment.observations));
+    // Clients keep sending requests until the time of SIGKILL.
+    environment.terminate_all();
+    let until = environment.now() + EXIT_TIMEOUT;
     while environment.any_running() && environment.now() < until {
         environment.step()?;
     }
-    environment.clients.borrow_mut().over = true;
+    environment.clients.borrow_mut().stopped = true;
     Ok(())
 }
 
-/// Logs of routers are kept beside the report where something broke, else thrown away.
-fn keep_logs(environment: &Environment, breaks: &[Break], folder: &Path) -> io::Result<()> {
-    if breaks.is_empty() {
+/// Writes the violations, if there are any, to `breaks.txt` and prints the logs of routers that panicked.
+fn report_failures(
+    environment: &Environment,
+    violations: &[Violation],
+    folder: &Path,
+) -> io::Result<()> {
+    if violations.is_empty() {
         return Ok(());
     }
-    let text: Vec<String> = breaks.iter().map(ToString::to_string).collect();
+    let text: Vec<String> = violations.iter().map(ToString::to_string).collect();
     std::fs::write(folder.join("breaks.txt"), text.join("\n"))?;
     let panics = environment
         .routers
@@ -228,11 +246,11 @@
 fn report(
     seed: u64,
     environment: &Environment,
-    planned: &[Planned],
-    ledger: &Ledger,
-    breaks: Vec<Break>,
+    planned: &[PlannedFault],
+    observations: &Observations,
+    violations: Vec<Violation>,
 ) -> io::Result<SoakReport> {
-    let words = [
+    let counters = [
         (Word::WallReadsStepped, "wall-reads-stepped"),
         (Word::AcceptsFailed, "accepts-failed"),
         (Word::SocketsFailed, "sockets-failed"),
@@ -242,79 +260,91 @@
         (Word::WaitsInterrupted, "waits-interrupted"),
         (Word::ControlsFailed, "controls-failed"),
     ];
-    let mut faults = BTreeMap::new();
-    for (word, name) in words {
+    let mut library_fault_counts = BTreeMap::new();
+    for (counter, name) in counters {
         let all: io::Result<Vec<u64>> = environment
             .routers
             .iter()
-            .map(|router| router.faults.get(word))
+            .map(|router| router.fault_control.get(counter))
             .collect();
-        faults.insert(name, all?.iter().sum());
+        library_fault_counts.insert(name, all?.iter().sum());
     }
     let mut missing: Vec<&'static str> = planned
         .iter()
-        .map(|planned| planned.trouble.name())
-        .filter(|name| environment.came.get(name).copied().unwrap_or(0) == 0)
-        .filter(|name| !environment.hidden.contains_key(name))
+        .map(|planned| planned.fault.name())
+        .filter(|name| environment.fault_counts.get(name).copied().unwrap_or(0) == 0)
+        .filter(|name| !environment.hidden_fault_counts.contains_key(name))
         .collect();
-    let chosen = |name: &str| planned.iter().any(|planned| planned.trouble.name() == name);
-    if chosen("failing-calls") && faults["receives-failed"] + faults["sends-failed"] == 0 {
+    let is_planned = |name: &str| planned.iter().any(|planned| planned.fault.name() == name);
+    if is_planned("failing-calls")
+        && library_fault_counts["receives-failed"] + library_fault_counts["sends-failed"] == 0
+    {
         missing.push("failing-calls");
     }
-    if (chosen("step-all-clocks") || chosen("step-some-clocks"))
-        && faults["wall-reads-stepped"] == 0
+    if (is_planned("step-all-clocks") || is_planned("step-some-clocks"))
+        && library_fault_counts["wall-reads-stepped"] == 0
     {
         missing.push("wall-reads-stepped");
     }
-    let status = |wanted: fn(u16) -> bool| {
-        let answers = ledger
+    let status = |predicate: fn(u16) -> bool| {
+        let responses = observations
             .requests
             .values()
-            .filter_map(|request| request.answers.first());
-        answers.filter(|answer| wanted(answer.status)).count() as u64
+            .filter_map(|request| request.responses.first());
+        responses
+            .filter(|response| predicate(response.status))
+            .count() as u64
     };
     let mut counts = BTreeMap::from([
-        ("requests", ledger.requests.len() as u64),
-        ("attempts", ledger.attempts.len() as u64),
+        ("requests", observations.requests.len() as u64),
+        ("attempts", observations.attempts.len() as u64),
         ("served", status(|status| status == 200)),
         ("refused", status(|status| status == 503 || status == 429)),
         (
             "failed",
             status(|status| status != 200 && status != 503 && status != 429),
         ),
-        ("client-connections", ledger.connections_by_clients),
-        ("server-connections", ledger.connections_to_servers),
-        ("bad-clients", ledger.bad_clients),
+        ("client-connections", observations.connections_by_clients),
+        ("server-connections", observations.connections_to_servers),
+        ("bad-clients", observations.malformed_requests),
         (
             "server-starts",
-            ledger.starts.iter().filter(|start| !start.long_ago).count() as u64,
+            observations
+                .starts
+                .iter()
+                .filter(|start| !start.before_run)
+                .count() as u64,
         ),
         (
             "router-starts",
-            ledger.lives.values().map(Vec::len).sum::<usize>() as u64,
+            observations
+                .incarnations
+                .values()
+                .map(Vec::len)
+                .sum::<usize>() as u64,
         ),
     ]);
     counts.insert(
         "troubles-hidden-by-outages",
-        environment.hidden.values().sum(),
+        environment.hidden_fault_counts.values().sum(),
     );
     counts.extend(
-        leavings(ledger)
+        count_abandoned(observations)
             .into_iter()
-            .map(|(how, count)| (how, count as u64)),
+            .map(|(kind, count)| (kind, count as u64)),
     );
-    let lab_late_ms = ledger
-        .lab_late
+    let lab_late_ms = observations
+        .lab_delays
         .iter()
         .map(|span| span.to - span.from)
         .sum::<Micros>()
         / 1000;
-    let troubles = environment.came.clone();
+    let fault_counts = environment.fault_counts.clone();
     Ok(SoakReport {
         seed,
-        breaks,
-        troubles,
-        faults,
+        violations,
+        fault_counts,
+        library_fault_counts,
         missing,
         counts,
         lab_late_ms,
--- a/crates/sanddrum-lab/src/soak/routers.rs
+++ b/crates/sanddrum-lab/src/soak/routers.rs
@@ -1,8 +1,7 @@
-//! The routers of a soak run: processes of the program, each with its configuration file, its control of injected faults and
-//! its log, started, signalled and watched by their ids.
+//! The router processes of a soak run, each with its configuration file, fault control block and log.
 
-use super::ledger::{Ledger, Life, RouterId, Shared, Span};
-use super::settings::{Fleet, Terms};
+use super::observations::{Incarnation, Observations, RouterId, SharedObservations, Span};
+use super::settings::{Fleet, SoakSettings};
 use crate::faults::{FaultControl, Word};
 use rustix::process::{kill_process, Pid, Signal};
 use sanddrum_net::Micros;
@@ -12,48 +11,64 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A router's process and what belongs to it.
+/// A router with its process, if one is running, and its files.
 pub struct Router {
     pub id: RouterId,
     child: Option<Child>,
     configuration: PathBuf,
     log: PathBuf,
-    pub faults: FaultControl,
+    pub fault_control: FaultControl,
     stopped_since: Option<Micros>,
 }
 
 impl Router {
+    /// Creates a router whose process is not started yet.
+    ///
     /// # Errors
-    /// The files of this router can't be made.
+    /// The files of this router can't be created.
     pub fn new(id: RouterId, folder: &Path) -> io::Result<Self> {
-        let file = |kind: &str| folder.join(format!("router-{}.{kind}", id.0));
-        let faults = FaultControl::create(&file("faults"))?;
-        faults.set(Word::Seed, id.0 as u64 + 1)?;
+        let file = |extension: &str| folder.join(format!("router-{}.{extension}", id.0));
+        let fault_control = FaultControl::create(&file("faults"))?;
+        fault_control.set(Word::Seed, id.0 as u64 + 1)?;
         let (configuration, log) = (file("json"), file("log"));
         Ok(Router {
             id,
             child: None,
             configuration,
             log,
-            faults,
+            fault_control,
             stopped_since: None,
         })
     }
-    /// Replaces the start configuration whole.
+    /// Replaces the start configuration atomically.
     ///
     /// # Errors
-    /// It can't be written.
-    pub fn configure(&self, terms: &Terms, fleet: &Fleet, known: Json) -> io::Result<()> {
-        let beside = self.configuration.with_extension("new");
+    /// The file can't be written.
+    pub fn configure(
+        &self,
+        settings: &SoakSettings,
+        fleet: &Fleet,
+        start_events: Json,
+    ) -> io::Result<()> {
+        let new_file = self.configuration.with_extension("new");
         fs::write(
-            &beside,
-            terms.configuration(self.id, fleet, known).to_string(),
+            &new_file,
+            settings
+                .configuration(self.id, fleet, start_events)
+                .to_string(),
         )?;
-        fs::rename(beside, &self.configuration)
+        fs::rename(new_file, &self.configuration)
     }
+    /// Starts the process.
+    ///
     /// # Errors
-    /// The program can't be started.
-    pub fn start(&mut self, now: Micros, program: &Path, ledger: &Shared) -> io::Result<()> {
+    /// The log can't be opened or the program can't be started.
+    pub fn start(
+        &mut self,
+        now: Micros,
+        program: &Path,
+        observations: &SharedObservations,
+    ) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(program);
         command
@@ -64,21 +79,21 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        self.faults.preload(&mut command)?;
+        self.fault_control.preload(&mut command)?;
         self.child = Some(command.spawn()?);
-        let life = Life {
+        let incarnation = Incarnation {
             started: now,
-            ..Life::default()
+            ..Incarnation::default()
         };
-        ledger
+        observations
             .borrow_mut()
-            .lives
+            .incarnations
             .entry(self.id)
             .or_default()
-            .push(life);
+            .push(incarnation);
         Ok(())
     }
-    /// Whether its process is stopped by the lab.
+    /// Returns whether the lab has stopped its process (SIGSTOP).
     pub fn is_stopped(&self) -> bool {
         self.stopped_since.is_some()
     }
@@ -88,40 +103,43 @@
     fn pid(&self) -> Option<Pid> {
         Pid::from_raw(self.child.as_ref()?.id() as i32)
     }
-    fn signal(&self, which: Signal) {
+    fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            let _ = kill_process(pid, which);
+            let _ = kill_process(pid, signal);
         }
     }
-    fn life<'a>(&self, ledger: &'a mut Ledger) -> Option<&'a mut Life> {
-        ledger.lives.get_mut(&self.id)?.last_mut()
+    fn incarnation<'a>(&self, observations: &'a mut Observations) -> Option<&'a mut Incarnation> {
+        observations.incarnations.get_mut(&self.id)?.last_mut()
     }
-    pub fn ask_to_end(&mut self, now: Micros, ledger: &Shared) {
+    /// Sends SIGTERM.
+    pub fn terminate(&mut self, now: Micros, observations: &SharedObservations) {
         self.signal(Signal::TERM);
-        if let Some(life) = self.life(&mut ledger.borrow_mut()) {
-            life.asked_to_end = life.asked_to_end.or(Some(now));
+        if let Some(incarnation) = self.incarnation(&mut observations.borrow_mut()) {
+            incarnation.sigterm_sent = incarnation.sigterm_sent.or(Some(now));
         }
     }
-    pub fn kill(&mut self, now: Micros, ledger: &Shared) {
-        self.resume(now, ledger);
-        if let Some(life) = self.life(&mut ledger.borrow_mut()) {
-            life.killed = Some(now);
+    /// Sends SIGKILL, as an injected fault.
+    pub fn kill(&mut self, now: Micros, observations: &SharedObservations) {
+        self.resume(now, observations);
+        if let Some(incarnation) = self.incarnation(&mut observations.borrow_mut()) {
+            incarnation.killed = Some(now);
         }
         self.signal(Signal::KILL);
     }
-    /// Kills one that has not ended by itself in the time that it has for that.
-    pub fn kill_after_asked(&mut self, now: Micros, ledger: &Shared) {
-        self.resume(now, ledger);
-        if let Some(life) = self.life(&mut ledger.borrow_mut()) {
-            life.killed_after_asked = life.killed_after_asked.or(Some(now));
+    /// Sends SIGKILL to a router that has not exited in time after SIGTERM.
+    pub fn kill_after_sigterm(&mut self, now: Micros, observations: &SharedObservations) {
+        self.resume(now, observations);
+        if let Some(incarnation) = self.incarnation(&mut observations.borrow_mut()) {
+            incarnation.killed_after_sigterm = incarnation.killed_after_sigterm.or(Some(now));
         }
         self.signal(Signal::KILL);
     }
-    /// Sends a signal that is no request to end.
-    pub fn ask_for_status(&self) {
+    /// Sends SIGUSR1, which asks for a status report and must not end the process.
+    pub fn request_status(&self) {
         self.signal(Signal::USR1);
     }
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP, which makes the router read its configuration again.
+    pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
     pub fn stop(&mut self, now: Micros) {
@@ -130,11 +148,11 @@
             self.stopped_since = Some(now);
         }
     }
-    pub fn resume(&mut self, now: Micros, ledger: &Shared) {
+    pub fn resume(&mut self, now: Micros, observations: &SharedObservations) {
         if let Some(from) = self.stopped_since.take() {
             self.signal(Signal::CONT);
             let span = Span { from, to: now };
-            ledger
+            observations
                 .borrow_mut()
                 .stops
                 .entry(self.id)
@@ -142,25 +160,25 @@
                 .push(span);
         }
     }
-    /// Looks whether the process has ended.
-    pub fn look(&mut self, now: Micros, ledger: &Shared) {
+    /// Checks whether the process has exited.
+    pub fn poll_exit(&mut self, now: Micros, observations: &SharedObservations) {
         let Some(child) = &mut self.child else { return };
         if let Ok(Some(status)) = child.try_wait() {
             self.child = None;
             self.stopped_since = None;
-            if let Some(life) = self.life(&mut ledger.borrow_mut()) {
-                life.ended = Some((now, status.code()));
+            if let Some(incarnation) = self.incarnation(&mut observations.borrow_mut()) {
+                incarnation.exited = Some((now, status.code()));
             }
         }
     }
-    /// Takes down how many descriptors it has and how much memory.
-    pub fn weigh(&self, ledger: &Shared) {
+    /// Records how many descriptors are open and how much memory is resident.
+    pub fn record_resources(&self, observations: &SharedObservations) {
         let Some(child) = &self.child else { return };
-        let folder = PathBuf::from(format!("/proc/{}", child.id()));
-        let descriptors = fs::read_dir(folder.join("fd"))
+        let proc_folder = PathBuf::from(format!("/proc/{}", child.id()));
+        let descriptors = fs::read_dir(proc_folder.join("fd"))
             .map(Iterator::count)
             .unwrap_or(0);
-        let status = fs::read_to_string(folder.join("status")).unwrap_or_default();
+        let status = fs::read_to_string(proc_folder.join("status")).unwrap_or_default();
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = resident.and_then(|text| {
             text.trim()
@@ -169,12 +187,14 @@
                 .parse::<u64>()
                 .ok()
         });
-        if let Some(life) = self.life(&mut ledger.borrow_mut()) {
-            life.descriptors.push(descriptors);
-            life.resident.push(kilobytes.unwrap_or(0) * 1024);
+        if let Some(incarnation) = self.incarnation(&mut observations.borrow_mut()) {
+            incarnation.descriptors.push(descriptors);
+            incarnation
+                .resident_bytes
+                .push(kilobytes.unwrap_or(0) * 1024);
         }
     }
-    /// What it logged.
+    /// Returns what it has logged.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -1,70 +1,73 @@
-//! Model servers of a soak run: they speak the platform's frames, load functions, queue work on their cores, start slowly,
-//! and misbehave as they are told.
+//! The emulated model servers of a soak run. They speak the platform's frame protocol, load functions, queue requests
+//! on their cores, have a slow start, and misbehave on request.
 
-use super::ledger::{made_of, Attempt, CallId, LoadCommand, ServerId, Shared};
-use super::settings::Terms;
+use super::observations::{
+    expected_response_body, Attempt, LoadCommand, RequestId, ServerId, SharedObservations,
+};
+use super::settings::SoakSettings;
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Rng};
 use sanddrum_platform::frames;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What is wrong with a server.
+/// How a server behaves, normally or with a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    Well,
-    /// Work takes ten times as long.
+pub enum ServerMode {
+    Normal,
+    /// Requests take ten times as long.
     Slow,
-    /// All is read and nothing is answered.
+    /// Everything is read and nothing is answered.
     Hung,
-    /// Every other request fails, having run.
+    /// Half of the requests fail after they have run.
     Failing,
-    /// Answers break off in the middle, with a reset.
-    Resets,
-    /// Each answer comes a second time a little later.
-    Twice,
-    /// Every other answer has a byte turned.
-    Spoilt,
-    /// Requests are turned away as no room is left.
+    /// Some responses are cut off in the middle and the connection is reset.
+    ResetsConnections,
+    /// Each response is sent a second time a little later.
+    DuplicatesResponses,
+    /// Half of the responses have a flipped bit.
+    CorruptsResponses,
+    /// Requests are rejected as if the server had no capacity left.
     Full,
 }
 
-impl Mood {
-    pub const TROUBLES: [Mood; 7] = [
-        Mood::Slow,
-        Mood::Hung,
-        Mood::Failing,
-        Mood::Resets,
-        Mood::Twice,
-        Mood::Spoilt,
-        Mood::Full,
+impl ServerMode {
+    pub const FAULTS: [ServerMode; 7] = [
+        ServerMode::Slow,
+        ServerMode::Hung,
+        ServerMode::Failing,
+        ServerMode::ResetsConnections,
+        ServerMode::DuplicatesResponses,
+        ServerMode::CorruptsResponses,
+        ServerMode::Full,
     ];
 }
 
-/// How a server is steered while it runs.
+/// How the environment controls a server while it runs.
 #[derive(Clone, Copy, Debug)]
-pub struct Steering {
-    pub mood: Mood,
-    /// It finishes what it has and rejects every request, as long as it is up.
-    pub drains: bool,
-    /// It read nothing for a while: what is read until then may have come long before, on new connections too.
+pub struct ServerControl {
+    pub mode: ServerMode,
+    /// It finishes its open requests and rejects new ones until it is gone.
+    pub is_draining: bool,
+    /// The server read nothing for a while: what it reads until this time may have arrived long before, also on new
+    /// connections.
     pub arrivals_unknown_until: Micros,
 }
 
-const SLOWER: f64 = 10.0;
-const LOAD: Micros = 200_000;
-const SECOND_ANSWER_AFTER: Micros = 4_000;
-/// Requests held for each core, running and waiting.
-const HELD_PER_CORE: usize = 8;
+const SLOWDOWN: f64 = 10.0;
+const LOAD_TIME: Micros = 200_000;
+const DUPLICATE_DELAY: Micros = 4_000;
+/// Limit of requests in flight for each core, running and queued.
+const MAX_IN_FLIGHT_PER_CORE: usize = 8;
 
 const CODE_OK: u8 = 97;
 const CODE_MISS: u8 = 99;
 const CODE_FULL: u8 = 100;
 const CODE_ERROR: u8 = 101;
-const CODE_OVER: u8 = 102;
+const CODE_DEADLINE: u8 = 102;
 const CODE_PONG: u8 = 103;
-const HEAD: usize = 16;
-const CHECK: usize = 4;
+const HEADER_BYTES: usize = 16;
+const CHECKSUM_BYTES: usize = 4;
 
 /// A frame from a router.
 struct Frame {
@@ -75,26 +78,27 @@
 }
 
 impl Frame {
-    /// The frame at the front of what has come, which it is taken out of.
+    /// Removes the first frame from the received bytes, if it is complete.
     fn take(bytes: &mut Vec<u8>) -> Option<Frame> {
-        let head = bytes.first_chunk::<HEAD>()?;
-        let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-        let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
+        let header = bytes.first_chunk::<HEADER_BYTES>()?;
+        let fields = usize::from(u16::from_be_bytes([header[2], header[3]]));
+        let body = u32::from_be_bytes([header[4], header[5], header[6], header[7]]) as usize;
         let (code, id) = (
-            head[1],
-            u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n])),
+            header[1],
+            u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| header[n])),
         );
-        let whole = HEAD + fields + body + CHECK;
-        if bytes.len() < whole {
+        let frame_bytes = HEADER_BYTES + fields + body + CHECKSUM_BYTES;
+        if bytes.len() < frame_bytes {
             return None;
         }
-        let frame: Vec<u8> = bytes.drain(..whole).collect();
-        let fields_text = String::from_utf8_lossy(&frame[HEAD..HEAD + fields]).into_owned();
+        let frame: Vec<u8> = bytes.drain(..frame_bytes).collect();
+        let fields_text =
+            String::from_utf8_lossy(&frame[HEADER_BYTES..HEADER_BYTES + fields]).into_owned();
         Some(Frame {
             code,
             id,
             fields: fields_text,
-            body: frame[HEAD + fields..whole - CHECK].to_vec(),
+            body: frame[HEADER_BYTES + fields..frame_bytes - CHECKSUM_BYTES].to_vec(),
         })
     }
     fn field(&self, name: &str) -> Option<&str> {
@@ -107,83 +111,83 @@
 struct Peer {
     bytes: Vec<u8>,
     idle_since: Micros,
-    open: usize,
+    open_requests: usize,
 }
 
-/// One start of a model server.
+/// One incarnation of a model server.
 pub struct Server {
     id: ServerId,
     started: Option<Micros>,
-    terms: Terms,
-    ledger: Shared,
-    steering: Rc<RefCell<Steering>>,
-    chance: Rng,
+    settings: SoakSettings,
+    observations: SharedObservations,
+    control: Rc<RefCell<ServerControl>>,
+    rng: Rng,
     peers: BTreeMap<ConnectionId, Peer>,
-    /// When each function's copy stands.
+    /// When each function's instance is loaded.
     loaded: BTreeMap<String, Micros>,
-    /// When each core is free again.
+    /// When each core becomes free.
     cores: Vec<Micros>,
-    held: usize,
-    given_up: BTreeSet<(ConnectionId, u64)>,
-    due: BTreeMap<(Micros, u64), Answering>,
-    count: u64,
+    in_flight: usize,
+    cancelled: BTreeSet<(ConnectionId, u64)>,
+    scheduled: BTreeMap<(Micros, u64), ScheduledResponse>,
+    last_sequence: u64,
 }
 
-/// An answer that is to be written.
-struct Answering {
+/// A response to be written at a later time.
+struct ScheduledResponse {
     conn: ConnectionId,
-    call: u64,
+    request_id: u64,
     bytes: Vec<u8>,
-    /// It ends what was held.
-    frees: bool,
+    /// It completes a request in flight.
+    completes_request: bool,
 }
 
 impl Server {
-    /// `started` is none for one that has been up for long.
+    /// Creates a server; `started` is `None` if it has been running long enough to be past its slow start.
     pub fn new(
         id: ServerId,
         size: f64,
         started: Option<Micros>,
-        terms: Terms,
-        ledger: Shared,
-        steering: Rc<RefCell<Steering>>,
+        settings: SoakSettings,
+        observations: SharedObservations,
+        control: Rc<RefCell<ServerControl>>,
     ) -> Self {
         let cores = vec![0; size.ceil() as usize];
         Server {
             id,
             started,
-            terms,
-            ledger,
-            steering,
-            chance: Rng::new(0x5e_u64 ^ id.0 as u64),
+            settings,
+            observations,
+            control,
+            rng: Rng::new(0x5e_u64 ^ id.0 as u64),
             peers: BTreeMap::new(),
             loaded: BTreeMap::new(),
             cores,
-            held: 0,
-            given_up: BTreeSet::new(),
-            due: BTreeMap::new(),
-            count: 0,
+            in_flight: 0,
+            cancelled: BTreeSet::new(),
+            scheduled: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
-    fn mood(&self) -> Mood {
-        self.steering.borrow().mood
+    fn mode(&self) -> ServerMode {
+        self.control.borrow().mode
     }
-    fn later(&mut self, at: Micros, answering: Answering) {
-        self.count += 1;
-        self.due.insert((at, self.count), answering);
+    fn schedule(&mut self, at: Micros, response: ScheduledResponse) {
+        self.last_sequence += 1;
+        self.scheduled.insert((at, self.last_sequence), response);
     }
-    fn hears(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
+    fn handle_frame(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
         match frame.code {
-            65 => self.takes(now, conn, frame),
+            65 => self.handle_request(now, conn, frame),
             66 => {
-                self.given_up.insert((conn, frame.id));
+                self.cancelled.insert((conn, frame.id));
             }
-            67 => self.says(now, conn, frame.id, CODE_PONG, "", b""),
-            69 => self.loads(now, conn, frame),
+            67 => self.respond(now, conn, frame.id, CODE_PONG, "", b""),
+            69 => self.handle_load_command(now, conn, frame),
             _ => {}
         }
     }
-    fn says(
+    fn respond(
         &mut self,
         at: Micros,
         conn: ConnectionId,
@@ -193,180 +197,197 @@
         body: &[u8],
     ) {
         let bytes = frames::response(code, id, fields, body);
-        self.later(
+        self.schedule(
             at,
-            Answering {
+            ScheduledResponse {
                 conn,
-                call: id,
+                request_id: id,
                 bytes,
-                frees: false,
+                completes_request: false,
             },
         );
     }
-    fn loads(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
+    fn handle_load_command(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
         let function = frame.field("thing").unwrap_or_default().to_string();
-        let asks_only = frame.field("copies") == Some("0");
-        if !asks_only {
-            self.ledger.borrow_mut().load_commands.push(LoadCommand {
-                server: self.id,
-                at: now,
-                arrival_unknown: now < self.steering.borrow().arrivals_unknown_until,
-            });
+        let is_query = frame.field("copies") == Some("0");
+        if !is_query {
+            self.observations
+                .borrow_mut()
+                .load_commands
+                .push(LoadCommand {
+                    server: self.id,
+                    at: now,
+                    arrival_unknown: now < self.control.borrow().arrivals_unknown_until,
+                });
         }
-        // A command to load instances that stand succeeds while the server drains; measured at the platform's servers.
-        if !asks_only && self.steering.borrow().drains && !self.loaded.contains_key(&function) {
-            return self.says(now, conn, frame.id, CODE_FULL, "copies=0", b"");
+        // A load command for instances that are already loaded succeeds even while the server drains, as measured on
+        // the platform's servers.
+        if !is_query && self.control.borrow().is_draining && !self.loaded.contains_key(&function) {
+            return self.respond(now, conn, frame.id, CODE_FULL, "copies=0", b"");
         }
-        if !asks_only {
-            self.loaded.entry(function.clone()).or_insert(now + LOAD);
+        if !is_query {
+            self.loaded
+                .entry(function.clone())
+                .or_insert(now + LOAD_TIME);
         }
         match self.loaded.get(&function).copied() {
-            Some(at) => self.says(at.max(now), conn, frame.id, CODE_OK, "copies=1", b""),
-            None => self.says(now, conn, frame.id, CODE_OK, "copies=0", b""),
+            Some(at) => self.respond(at.max(now), conn, frame.id, CODE_OK, "copies=1", b""),
+            None => self.respond(now, conn, frame.id, CODE_OK, "copies=0", b""),
         }
     }
-    /// Records a request as it came, and answers it once it has run, or at once.
-    fn takes(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
-        let call = CallId(frame.id);
+    /// Records a request, and schedules its response: when it has run, or at once if it is rejected.
+    fn handle_request(&mut self, now: Micros, conn: ConnectionId, frame: &Frame) {
+        let request_id = RequestId(frame.id);
         let deadline = frame
             .field("max")
             .and_then(|max| max.parse::<Micros>().ok())
             .unwrap_or(0)
             * 1000;
         let attempt = Attempt {
-            call,
+            request_id,
             server: self.id,
             at: now,
             deadline,
             never_ran: false,
-            arrival_unknown: now < self.steering.borrow().arrivals_unknown_until,
+            arrival_unknown: now < self.control.borrow().arrivals_unknown_until,
         };
         let index = {
-            let mut ledger = self.ledger.borrow_mut();
-            let known = ledger.requests.contains_key(&call);
-            ledger.foreign_attempts += u64::from(!known);
-            ledger.attempts.push(attempt);
-            ledger.attempts.len() - 1
+            let mut observations = self.observations.borrow_mut();
+            let is_known = observations.requests.contains_key(&request_id);
+            observations.foreign_attempts += u64::from(!is_known);
+            observations.attempts.push(attempt);
+            observations.attempts.len() - 1
         };
-        let never_ran = |code: u8, this: &mut Self| {
-            this.ledger.borrow_mut().attempts[index].never_ran = true;
+        let reject = |code: u8, this: &mut Self| {
+            this.observations.borrow_mut().attempts[index].never_ran = true;
             let fields = this.load_report();
-            this.says(now, conn, frame.id, code, &fields, b"");
+            this.respond(now, conn, frame.id, code, &fields, b"");
         };
         let function = frame.field("thing").unwrap_or_default().to_string();
-        let drains = self.steering.borrow().drains;
-        if drains || self.mood() == Mood::Full || self.held >= HELD_PER_CORE * self.cores.len() {
-            return never_ran(CODE_FULL, self);
+        let is_draining = self.control.borrow().is_draining;
+        if is_draining
+            || self.mode() == ServerMode::Full
+            || self.in_flight >= MAX_IN_FLIGHT_PER_CORE * self.cores.len()
+        {
+            return reject(CODE_FULL, self);
         }
-        if self.terms.misses && !self.loaded.contains_key(&function) {
-            return never_ran(CODE_MISS, self);
+        if self.settings.misses_when_cold && !self.loaded.contains_key(&function) {
+            return reject(CODE_MISS, self);
         }
         let (ready, remark) = match self.loaded.get(&function).copied() {
             Some(at) if at <= now => (now, "hot"),
             Some(at) => (at, "waited"),
             None => {
-                self.loaded.insert(function, now + LOAD);
-                (now + LOAD, "started")
+                self.loaded.insert(function, now + LOAD_TIME);
+                (now + LOAD_TIME, "started")
             }
         };
         let core = (0..self.cores.len())
             .min_by_key(|core| self.cores[*core])
             .unwrap_or(0);
-        let begins = ready.max(self.cores[core]);
-        if begins > now + deadline {
-            return never_ran(CODE_OVER, self);
+        let starts_at = ready.max(self.cores[core]);
+        if starts_at > now + deadline {
+            return reject(CODE_DEADLINE, self);
         }
-        let warmth = self
-            .started
-            .map_or(1.0, |started| self.terms.warmth(now - started));
-        let slower = if self.mood() == Mood::Slow {
-            SLOWER
+        let capacity_fraction = self.started.map_or(1.0, |started| {
+            self.settings.capacity_fraction(now - started)
+        });
+        let slowdown = if self.mode() == ServerMode::Slow {
+            SLOWDOWN
         } else {
             1.0
         };
-        let work = self.chance.exponential(self.terms.mean_work as f64) / warmth * slower;
-        let ends = begins + work as Micros;
-        self.cores[core] = ends;
-        self.held += 1;
-        let fails = self.mood() == Mood::Failing && self.chance.random_bool(0.5);
+        let service_time = self.rng.exponential(self.settings.mean_service_time as f64)
+            / capacity_fraction
+            * slowdown;
+        let finishes_at = starts_at + service_time as Micros;
+        self.cores[core] = finishes_at;
+        self.in_flight += 1;
+        let fails = self.mode() == ServerMode::Failing && self.rng.random_bool(0.5);
         let fields = format!("remark={remark},{}", self.load_report());
         let bytes = match fails {
             true => frames::response(CODE_ERROR, frame.id, &fields, b""),
-            false => frames::response(CODE_OK, frame.id, &fields, &made_of(call, &frame.body)),
+            false => frames::response(
+                CODE_OK,
+                frame.id,
+                &fields,
+                &expected_response_body(request_id, &frame.body),
+            ),
         };
-        self.later(
-            ends,
-            Answering {
+        self.schedule(
+            finishes_at,
+            ScheduledResponse {
                 conn,
-                call: frame.id,
+                request_id: frame.id,
                 bytes,
-                frees: true,
+                completes_request: true,
             },
         );
         if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.open += 1;
+            peer.open_requests += 1;
         }
     }
     fn load_report(&self) -> String {
-        let waiting = self.held.saturating_sub(self.cores.len());
-        format!("report=queue:{waiting};inflight:{}", self.held)
+        let waiting = self.in_flight.saturating_sub(self.cores.len());
+        format!("report=queue:{waiting};inflight:{}", self.in_flight)
     }
-    fn answer(&mut self, now: Micros, answering: Answering, io: &mut dyn Io) {
-        let Answering {
+    fn send_response(&mut self, now: Micros, response: ScheduledResponse, io: &mut dyn Io) {
+        let ScheduledResponse {
             conn,
-            call,
+            request_id,
             mut bytes,
-            frees,
-        } = answering;
-        if frees {
-            self.held = self.held.saturating_sub(1);
+            completes_request,
+        } = response;
+        if completes_request {
+            self.in_flight = self.in_flight.saturating_sub(1);
             if let Some(peer) = self.peers.get_mut(&conn) {
-                (peer.open, peer.idle_since) = (peer.open.saturating_sub(1), now);
+                (peer.open_requests, peer.idle_since) = (peer.open_requests.saturating_sub(1), now);
             }
         }
-        let mood = self.mood();
+        let mode = self.mode();
         if !self.peers.contains_key(&conn)
-            || mood == Mood::Hung
-            || self.given_up.remove(&(conn, call))
+            || mode == ServerMode::Hung
+            || self.cancelled.remove(&(conn, request_id))
         {
             return;
         }
-        match mood {
-            Mood::Resets if frees && self.chance.random_bool(0.3) => {
+        match mode {
+            ServerMode::ResetsConnections if completes_request && self.rng.random_bool(0.3) => {
                 io.write(conn, &bytes[..bytes.len() / 2]);
                 io.reset(conn);
                 self.peers.remove(&conn);
                 return;
             }
-            Mood::Spoilt if self.chance.random_bool(0.5) => {
-                let turned = self.chance.index(bytes.len());
-                bytes[turned] ^= 0x10;
+            ServerMode::CorruptsResponses if self.rng.random_bool(0.5) => {
+                let position = self.rng.index(bytes.len());
+                bytes[position] ^= 0x10;
             }
-            Mood::Twice if frees => {
-                let again = Answering {
+            ServerMode::DuplicatesResponses if completes_request => {
+                let duplicate = ScheduledResponse {
                     conn,
-                    call,
+                    request_id,
                     bytes: bytes.clone(),
-                    frees: false,
+                    completes_request: false,
                 };
-                self.later(now + SECOND_ANSWER_AFTER, again);
+                self.schedule(now + DUPLICATE_DELAY, duplicate);
             }
             _ => {}
         }
         io.write(conn, &bytes);
     }
-    /// Closes what has carried nothing for as long as the settings say.
+    /// Closes connections that have been idle for the configured time.
     fn close_idle(&mut self, now: Micros, io: &mut dyn Io) {
-        let limit = self.terms.idle_close;
-        let idle =
-            |(_, peer): &(&ConnectionId, &Peer)| peer.open == 0 && now - peer.idle_since >= limit;
-        let closes: Vec<ConnectionId> = self
+        let limit = self.settings.idle_timeout;
+        let idle = |(_, peer): &(&ConnectionId, &Peer)| {
+            peer.open_requests == 0 && now - peer.idle_since >= limit
+        };
+        let idle_connections: Vec<ConnectionId> = self
             .peers
             .iter()
             .filter(idle)
             .map(|(conn, _)| *conn)
             .collect();
-        for conn in closes {
+        for conn in idle_connections {
             self.peers.remove(&conn);
             io.close(conn);
         }
@@ -378,13 +399,13 @@
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => {
-                self.ledger.borrow_mut().connections_to_servers += 1;
+                self.observations.borrow_mut().connections_to_servers += 1;
                 self.peers.insert(
                     conn,
                     Peer {
                         bytes: Vec::new(),
                         idle_since: now,
-                        open: 0,
+                        open_requests: 0,
                     },
                 );
             }
@@ -393,18 +414,18 @@
                     return;
                 };
                 peer.idle_since = now;
-                let mut held = std::mem::take(&mut peer.bytes);
-                held.extend_from_slice(bytes);
-                while let Some(frame) = Frame::take(&mut held) {
-                    self.hears(now, conn, &frame);
+                let mut received = std::mem::take(&mut peer.bytes);
+                received.extend_from_slice(bytes);
+                while let Some(frame) = Frame::take(&mut received) {
+                    self.handle_frame(now, conn, &frame);
                 }
                 if let Some(peer) = self.peers.get_mut(&conn) {
-                    peer.bytes = held;
+                    peer.bytes = received;
                 }
             }
-            Event::Closed { conn, cause: how } => {
+            Event::Closed { conn, cause } => {
                 self.peers.remove(&conn);
-                if how == CloseCause::Orderly {
+                if cause == CloseCause::Orderly {
                     io.close(conn);
                 }
             }
@@ -412,18 +433,22 @@
         }
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
-            let answering = entry.remove();
-            self.answer(now, answering, io);
+        while let Some(entry) = self
+            .scheduled
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
+            let response = entry.remove();
+            self.send_response(now, response, io);
         }
         self.close_idle(now, io);
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        let due = self.due.first_key_value().map(|((at, _), _)| *at);
-        let idle = self.peers.values().filter(|peer| peer.open == 0);
+        let scheduled = self.scheduled.first_key_value().map(|((at, _), _)| *at);
+        let idle = self.peers.values().filter(|peer| peer.open_requests == 0);
         let idle = idle
-            .map(|peer| peer.idle_since + self.terms.idle_close)
+            .map(|peer| peer.idle_since + self.settings.idle_timeout)
             .min();
-        due.into_iter().chain(idle).min()
+        scheduled.into_iter().chain(idle).min()
     }
 }
--- a/crates/sanddrum-lab/src/soak/settings.rs
+++ b/crates/sanddrum-lab/src/soak/settings.rs
@@ -1,129 +1,137 @@
-//! The settings of a soak run's fleet, as the platform words them, and the figures that the judge and the stand-ins take
-//! from them.
+//! The settings and addresses of a soak run's fleet: the routers' start configuration, and the values that the checker
+//! and the emulated clients and servers take from it.
 
-use super::ledger::{Effect, RouterId};
+use super::observations::{Effect, RouterId};
 use sanddrum_net::{Micros, Rng};
 use serde_json::{json, Value as Json};
 
-/// What the routers are told and the judge holds them to.
+/// Settings that the routers are configured with and checked against.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub longest_deadline: Micros,
-    pub grace: Micros,
-    pub cold: Micros,
-    pub cold_from: f64,
-    pub fall_multiple: f64,
-    pub fall: Micros,
-    /// What a request takes at a model server in the mean, on one core.
-    pub mean_work: Micros,
-    pub idle_close: Micros,
-    pub connect_time_out: Micros,
-    pub orders: bool,
-    pub cancels: bool,
-    pub misses: bool,
-    pub descriptors: usize,
-    /// Many clients at a time, with connections of their own.
-    pub has_crowd: bool,
+pub struct SoakSettings {
+    pub max_deadline: Micros,
+    /// How long after a drain is announced routers may still send to the server.
+    pub drain_grace: Micros,
+    pub slow_start_duration: Micros,
+    /// The fraction of its capacity that a server has when it starts.
+    pub initial_capacity_fraction: f64,
+    /// Within `slow_start_window` a server in slow start may get this multiple of the requests that it can serve in
+    /// that time at its current capacity.
+    pub slow_start_multiple: f64,
+    pub slow_start_window: Micros,
+    /// Mean service time of a request at a model server, on one core.
+    pub mean_service_time: Micros,
+    pub idle_timeout: Micros,
+    pub connect_timeout: Micros,
+    pub sends_load_commands: bool,
+    pub sends_cancels: bool,
+    pub misses_when_cold: bool,
+    pub max_descriptors: usize,
+    /// Many concurrent clients with their own connections.
+    pub has_many_clients: bool,
 }
 
-impl Terms {
-    /// Terms drawn within what the platform's pages allow.
-    pub fn drawn(chance: &mut Rng) -> Self {
-        let one_of = |chance: &mut Rng, all: &[i64]| all[chance.index(all.len())];
-        let orders = chance.random_bool(0.6);
-        Terms {
-            longest_deadline: one_of(chance, &[1_500_000, 2_000_000, 2_500_000]),
-            grace: 250_000,
-            cold: one_of(chance, &[6_000_000, 10_000_000]),
-            cold_from: 0.2,
-            fall_multiple: 1.5,
-            fall: 2_000_000,
-            mean_work: one_of(chance, &[40_000, 60_000]),
-            idle_close: one_of(chance, &[2_000_000, 5_000_000, 30_000_000]),
-            connect_time_out: one_of(chance, &[250_000, 1_000_000]),
-            orders,
-            cancels: chance.random_bool(0.7),
-            misses: orders && chance.random_bool(0.4),
-            descriptors: 512,
-            has_crowd: chance.random_bool(0.25),
+impl SoakSettings {
+    /// Creates random settings within the ranges that the platform's documentation allows.
+    pub fn random(rng: &mut Rng) -> Self {
+        let one_of = |rng: &mut Rng, all: &[i64]| all[rng.index(all.len())];
+        let sends_load_commands = rng.random_bool(0.6);
+        SoakSettings {
+            max_deadline: one_of(rng, &[1_500_000, 2_000_000, 2_500_000]),
+            drain_grace: 250_000,
+            slow_start_duration: one_of(rng, &[6_000_000, 10_000_000]),
+            initial_capacity_fraction: 0.2,
+            slow_start_multiple: 1.5,
+            slow_start_window: 2_000_000,
+            mean_service_time: one_of(rng, &[40_000, 60_000]),
+            idle_timeout: one_of(rng, &[2_000_000, 5_000_000, 30_000_000]),
+            connect_timeout: one_of(rng, &[250_000, 1_000_000]),
+            sends_load_commands,
+            sends_cancels: rng.random_bool(0.7),
+            misses_when_cold: sends_load_commands && rng.random_bool(0.4),
+            max_descriptors: 512,
+            has_many_clients: rng.random_bool(0.25),
         }
     }
 
-    /// The start configuration of a router.
-    pub fn configuration(&self, router: RouterId, fleet: &Fleet, known: Json) -> Json {
+    /// Returns the start configuration of a router.
+    pub fn configuration(&self, router: RouterId, fleet: &Fleet, start_events: Json) -> Json {
         let class = |effect: Effect| {
-            json!({"name": effect.class(), "effect": effect.word(), "worth": 1.0,
-                   "aim-us": self.longest_deadline / 2, "deadline-us": self.longest_deadline})
+            json!({"name": effect.class_name(), "effect": effect.as_str(), "worth": 1.0,
+                   "aim-us": self.max_deadline / 2, "deadline-us": self.max_deadline})
         };
         json!({
             "name": format!("n{}", router.0),
             "listen": fleet.router_address(router),
-            "seed": format!("{:016x}", fleet.seed ^ router.0 as u64 ^ known["n"].as_u64().unwrap_or(0) << 20),
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.descriptors},
-            "feed": fleet.feed_address(fleet.feed_door),
-            "known": known,
+            "seed": format!("{:016x}", fleet.seed ^ router.0 as u64 ^ start_events["n"].as_u64().unwrap_or(0) << 20),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.max_descriptors},
+            "feed": fleet.feed_address(fleet.feed_listener),
+            "known": start_events,
             "settings": {
                 "azs": ["here"], "az": 0, "me": router.0, "balancers": fleet.routers, "kinds": ["std"],
                 "classes": [class(Effect::Once), class(Effect::Repeatable)],
                 "family-info": {
-                    "if-cold": if self.misses { "miss" } else { "load" }, "placement-calls": self.orders,
+                    "if-cold": if self.misses_when_cold { "miss" } else { "load" },
+                    "placement-calls": self.sends_load_commands,
                     "idle-life-us": 8_000_000, "load-wait-us": 4_000_000,
                 },
                 "limits": {
-                    "streams-per-conn": 32, "keepalive-us": self.idle_close, "try-limit": 4,
-                    "connect-timeout-us": self.connect_time_out, "cancel": self.cancels,
+                    "streams-per-conn": 32, "keepalive-us": self.idle_timeout, "try-limit": 4,
+                    "connect-timeout-us": self.connect_timeout, "cancel": self.sends_cancels,
                     "may-duplicate": false, "probes": false, "max-retry-after-us": 1_000_000,
                 },
                 "obligations": {
-                    "cold-from": self.cold_from, "cold-us": self.cold, "fall-multiple": self.fall_multiple,
-                    "tip-after-us": self.fall, "stop-sending-within-us": self.grace,
+                    "cold-from": self.initial_capacity_fraction, "cold-us": self.slow_start_duration,
+                    "fall-multiple": self.slow_start_multiple, "tip-after-us": self.slow_start_window,
+                    "stop-sending-within-us": self.drain_grace,
                 },
                 "stats": {"fields": ["queue", "inflight"], "via": "answers"},
             },
         })
     }
 
-    /// The part of its full capacity that a server of this age has.
-    pub fn warmth(&self, age: Micros) -> f64 {
-        let part = (age.max(0) as f64 / self.cold as f64).min(1.0);
-        self.cold_from + (1.0 - self.cold_from) * part
+    /// Returns the fraction of its full capacity that a server has at this age.
+    pub fn capacity_fraction(&self, age: Micros) -> f64 {
+        let age_fraction = (age.max(0) as f64 / self.slow_start_duration as f64).min(1.0);
+        self.initial_capacity_fraction + (1.0 - self.initial_capacity_fraction) * age_fraction
     }
-    /// Calls that all routers together may send within `fall` to a server of this size, the span ending at this age: N, and
-    /// what chance may add.
+    /// Returns how many requests all routers together may send to a server of this size in the `slow_start_window`
+    /// that ends at this age: the nominal number plus an allowance for random variation.
     pub fn slow_start_budget(&self, size: f64, age: Micros) -> f64 {
-        let full = self.fall_multiple * size * self.fall as f64 / self.mean_work as f64;
-        let n = full * self.warmth(age);
-        if n < 30.0 {
-            n + 3.0 * n.sqrt() + 3.0
+        let full = self.slow_start_multiple * size * self.slow_start_window as f64
+            / self.mean_service_time as f64;
+        let nominal = full * self.capacity_fraction(age);
+        if nominal < 30.0 {
+            nominal + 3.0 * nominal.sqrt() + 3.0
         } else {
-            n + 2.0 * n.sqrt() + 2.0
+            nominal + 2.0 * nominal.sqrt() + 2.0
         }
     }
 }
 
-/// Where everybody is. Every party has an address of its own in 127.0.0.0/8.
+/// The sizes and addresses of a run's fleet. Every router, server and feed listener has its own address in
+/// 127.0.0.0/8.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub seed: u64,
-    /// The second number of all addresses, so that runs at a time keep apart.
+    /// The second octet of all addresses, which keeps concurrent runs apart.
     pub net: u8,
     pub routers: usize,
     pub servers: usize,
-    /// Which of the feed's two addresses is the one in force.
-    pub feed_door: usize,
+    /// Which of the feed's two listeners is the active one.
+    pub feed_listener: usize,
 }
 
 impl Fleet {
-    /// Numbers of addresses that runs may take.
+    /// Values of `net` that runs may use.
     pub const NETS: std::ops::Range<u8> = 64..192;
     pub fn router_address(&self, router: RouterId) -> String {
         format!("127.{}.1.{}:7100", self.net, router.0 + 1)
     }
-    /// A place at which model servers listen, one after the other.
-    pub fn server_address(&self, place: usize) -> String {
-        format!("127.{}.2.{}:7200", self.net, place + 1)
+    /// Returns the address of a slot, at which model servers listen one after the other.
+    pub fn server_address(&self, slot: usize) -> String {
+        format!("127.{}.2.{}:7200", self.net, slot + 1)
     }
-    pub fn feed_address(&self, door: usize) -> String {
-        format!("127.{}.3.{}:7300", self.net, door + 1)
+    pub fn feed_address(&self, listener: usize) -> String {
+        format!("127.{}.3.{}:7300", self.net, listener + 1)
     }
 }
