--- a/crates/sanddrum-lab/src/soak/mod.rs
+++ b/crates/sanddrum-lab/src/soak/mod.rs
@@ -44,7 +44,7 @@
     pub servers: usize,
     /// Requests per second for each router.
     pub rate: f64,
-    /// The router's program.
+    /// The router's program. The library that it preloads for fault injection lies beside the current executable.
     pub program: PathBuf,
     /// The folder for configurations, fault control blocks and logs.
     pub folder: PathBuf,
