--- a/crates/sanddrum-cli/src/bin/edge.rs
+++ b/crates/sanddrum-cli/src/bin/edge.rs
@@ -1,10 +1,10 @@
-//! The edge: answers clients and holds connections to workers.
+//! The edge: serves clients over connections to workers.
 
 use clap::Parser;
 use sanddrum_cli::{edge, exit, fail, logs};
 use std::process::ExitCode;
 
-/// Answers clients, decides where each job runs, and holds the connections to the workers
+/// Accepts requests from clients, chooses a worker for each and keeps connections to the workers
 #[derive(Parser)]
 #[command(
     name = "sanddrum-edge",
@@ -13,7 +13,8 @@
   sanddrum-edge --settings armor.sx --zone bat-a --number 0 --edges 3 --state-file edge-0.state
   sanddrum-edge --settings armor.sx --listen 127.0.0.1:8081 --set limits.max-open=500 --log info
 
-SIGTERM has it take no new jobs and end once each held one has its final answer; a second one ends it at once."
+SIGTERM starts a graceful shutdown: no new requests are accepted, and the edge exits once every open request has its
+final response. A second SIGTERM stops it immediately."
 )]
 struct Cli {
     #[command(flatten)]
@@ -24,7 +25,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(problem) = logs::begin(&cli.logs) {
+    if let Err(problem) = logs::init(&cli.logs) {
         return fail(exit::USAGE, problem);
     }
     edge::run(&cli.edge)
--- a/crates/sanddrum-cli/src/call.rs
+++ b/crates/sanddrum-cli/src/call.rs
@@ -1,4 +1,4 @@
-//! `sanddrum call`: one call through an edge, for people and scripts.
+//! `sanddrum call`: sends one request through an edge and prints the response.
 
 use crate::{exit, fail};
 use clap::Args;
@@ -13,58 +13,58 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct CallArgs {
-    /// The edge's client door
+    /// Address of the edge's client listener
     #[arg(long, default_value = "127.0.0.1:8080", value_name = "ADDRESS")]
     pub edge: String,
     pub workload: String,
     pub function: String,
-    /// The job's input
+    /// Request body
     #[arg(long, default_value = "")]
     pub body: String,
     #[arg(long)]
     pub customer: Option<String>,
-    /// A file with a token to show
+    /// File with the bearer token to send
     #[arg(long, value_name = "FILE")]
     pub token: Option<PathBuf>,
-    /// Speak TLS: the authorities that the edge's certificate is believed from
+    /// Connect over TLS and trust the certificate authorities in this file
     #[arg(long, value_name = "FILE")]
     pub roots: Option<PathBuf>,
-    /// The name that the edge has to own; its address where not said
+    /// Name that the edge's certificate must carry; the host of --edge by default
     #[arg(long, requires = "roots")]
     pub name: Option<String>,
-    /// A client certificate to show, and its key
+    /// Client certificate chain to present; its key is given by --key
     #[arg(long, value_name = "FILE", requires = "roots", requires = "key")]
     pub certificate: Option<PathBuf>,
     #[arg(long, value_name = "FILE", requires = "certificate")]
     pub key: Option<PathBuf>,
-    /// Given up after so many milliseconds
+    /// Time limit of the request in milliseconds
     #[arg(long, value_name = "MS")]
     pub time_limit: Option<u64>,
-    /// The mark by which a repeat of a fingerprinted job is known
+    /// Idempotency key, by which a repeat of a fingerprinted request is recognized
     #[arg(long)]
     pub idempotency_key: Option<String>,
 }
 
 pub fn run(args: &CallArgs) -> ExitCode {
-    let began = Instant::now();
-    match ask(args) {
-        Ok(answer) => {
-            let end = answer.field("sanddrum-end").unwrap_or("answered");
-            let ms = began.elapsed().as_micros() as f64 / 1000.0;
-            eprintln!("{end} ({}) in {ms:.1} ms", answer.status);
-            let _ = std::io::stdout().write_all(&answer.body);
+    let started = Instant::now();
+    match send_request(args) {
+        Ok(response) => {
+            let end = response.field("sanddrum-end").unwrap_or("answered");
+            let ms = started.elapsed().as_micros() as f64 / 1000.0;
+            eprintln!("{end} ({}) in {ms:.1} ms", response.status);
+            let _ = std::io::stdout().write_all(&response.body);
             println!();
-            ExitCode::from(if answer.status == 200 {
-                exit::GOOD
+            ExitCode::from(if response.status == 200 {
+                exit::SUCCESS
             } else {
-                exit::BAD
+                exit::CHECK_FAILED
             })
         }
-        Err(problem) => fail(exit::TROUBLE, format!("{}: {problem}", args.edge)),
+        Err(problem) => fail(exit::RUNTIME_ERROR, format!("{}: {problem}", args.edge)),
     }
 }
 
-fn ask(args: &CallArgs) -> Result<http::Response, String> {
+fn send_request(args: &CallArgs) -> Result<http::Response, String> {
     let limit = args.time_limit.map(|ms| ms.to_string());
     let token = args
         .token
@@ -88,20 +88,20 @@
     let path = format!("/v1/calls/{}/{}", args.workload, args.function);
     let request = http::encode_request("POST", &path, &fields, args.body.as_bytes());
     let mut socket = TcpStream::connect(&args.edge).map_err(|e| e.to_string())?;
-    let patience = Duration::from_millis(args.time_limit.unwrap_or(60_000) + 1000);
+    let read_timeout = Duration::from_millis(args.time_limit.unwrap_or(60_000) + 1000);
     socket
-        .set_read_timeout(Some(patience))
+        .set_read_timeout(Some(read_timeout))
         .map_err(|e| e.to_string())?;
     match &args.roots {
         None => exchange(&mut socket, &request),
         Some(roots) => {
-            let mut tls = secured(args, roots)?;
+            let mut tls = tls_connection(args, roots)?;
             exchange(&mut Stream::new(&mut tls, &mut socket), &request)
         }
     }
 }
 
-fn secured(args: &CallArgs, roots: &Path) -> Result<ClientConnection, String> {
+fn tls_connection(args: &CallArgs, roots: &Path) -> Result<ClientConnection, String> {
     let read = |file: &Path| std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()));
     let own = match (&args.certificate, &args.key) {
         (Some(chain), Some(key)) => Some((read(chain)?, read(key)?)),
@@ -129,16 +129,16 @@
 fn exchange(stream: &mut (impl Read + Write), request: &[u8]) -> Result<http::Response, String> {
     stream.write_all(request).map_err(|e| e.to_string())?;
     let mut bytes = Vec::new();
-    let mut piece = [0; 16 * 1024];
+    let mut chunk = [0; 16 * 1024];
     loop {
-        if let Some((answer, _)) =
-            http::parse_response(&bytes).map_err(|_| "the answer is no HTTP")?
+        if let Some((response, _)) =
+            http::parse_response(&bytes).map_err(|_| "the response is not valid HTTP")?
         {
-            return Ok(answer);
+            return Ok(response);
         }
-        match stream.read(&mut piece).map_err(|e| e.to_string())? {
-            0 => return Err("the edge closed without an answer".into()),
-            n => bytes.extend_from_slice(&piece[..n]),
+        match stream.read(&mut chunk).map_err(|e| e.to_string())? {
+            0 => return Err("the edge closed the connection without a response".into()),
+            n => bytes.extend_from_slice(&chunk[..n]),
         }
     }
 }
--- a/crates/sanddrum-cli/src/capacity.rs
+++ b/crates/sanddrum-cli/src/capacity.rs
@@ -1,4 +1,4 @@
-//! `sanddrum lab capacity`: what everything costs as a deployment grows.
+//! `sanddrum lab capacity`: measures what each part of a deployment costs as the deployment grows.
 
 use crate::{exit, fail};
 use clap::Args;
@@ -11,25 +11,25 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct CapacityArgs {
-    /// The plan; the operators' expected sizes where none is given
+    /// Capacity plan; by default a built-in plan with the operators' expected sizes
     pub file: Option<PathBuf>,
-    /// Only these plays; may be given several times
-    #[arg(long, value_name = "PLAY", value_parser = plays())]
+    /// Run only this play; may be given several times
+    #[arg(long, value_name = "PLAY", value_parser = play_names())]
     pub only: Vec<String>,
-    /// The short plan, which takes seconds
+    /// Use the short built-in plan, which takes seconds
     #[arg(long, conflicts_with = "file")]
     pub short: bool,
-    /// The files go here: capacity.json, points.csv, slopes.csv
+    /// Folder for the results: capacity.json, points.csv and slopes.csv
     #[arg(long, value_name = "FOLDER", default_value = "capacity-results")]
     pub out: PathBuf,
-    /// Pictures of the slopes go here
+    /// Folder for plots of the slopes
     #[arg(long, value_name = "FOLDER")]
     pub plots: Option<PathBuf>,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-fn plays() -> clap::builder::PossibleValuesParser {
+fn play_names() -> clap::builder::PossibleValuesParser {
     PLAYS
         .iter()
         .map(|play| play.name)
@@ -38,22 +38,24 @@
 }
 
 pub fn run(args: &CapacityArgs) -> ExitCode {
-    let shipped = if args.short { SHORT_PLAN } else { DEFAULT_PLAN };
+    let built_in = if args.short { SHORT_PLAN } else { DEFAULT_PLAN };
     let text = args
         .file
         .as_ref()
-        .map_or(Ok(shipped.to_string()), std::fs::read_to_string);
+        .map_or(Ok(built_in.to_string()), std::fs::read_to_string);
     let name = args
         .file
         .as_ref()
-        .map_or("the shipped plan".into(), |file| file.display().to_string());
+        .map_or("the built-in plan".into(), |file| {
+            file.display().to_string()
+        });
     let text = match text {
         Ok(text) => text,
         Err(e) => return fail(exit::USAGE, format!("{name}: {e}")),
     };
     let memory = match Memory::of_machine() {
         Ok(memory) => memory,
-        Err(problem) => return fail(exit::TROUBLE, problem),
+        Err(problem) => return fail(exit::RUNTIME_ERROR, problem),
     };
     let mut plan = match Plan::read(&name, &text, args.seed, memory) {
         Ok(plan) => plan,
@@ -63,12 +65,12 @@
     let stop = Stop::default();
     for signal in [SIGINT, SIGTERM] {
         if let Err(e) = signal_hook::flag::register(signal, stop.flag()) {
-            return fail(exit::TROUBLE, e);
+            return fail(exit::RUNTIME_ERROR, e);
         }
     }
     let output = match Output::new(&args.out) {
         Ok(output) => output,
-        Err(problem) => return fail(exit::TROUBLE, problem),
+        Err(problem) => return fail(exit::RUNTIME_ERROR, problem),
     };
     let summary = Summary {
         plan: text,
@@ -76,21 +78,21 @@
         ..Summary::default()
     };
     let mut sink = Sink::new(output, summary);
-    let ran = capacity::run(&plan, &args.only, &mut sink, &stop);
+    let measured = capacity::run(&plan, &args.only, &mut sink, &stop);
     print!("{}", sink.summary().text());
-    let drawn = args
+    let plotted = args
         .plots
         .as_ref()
         .map_or(Ok(()), |folder| capacity::draw(folder, sink.points()));
-    match ran.and(drawn) {
-        Err(problem) => fail(exit::TROUBLE, problem),
+    match measured.and(plotted) {
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
         Ok(()) if stop.is_set() => {
             println!(
-                "cut short by a signal: {} has what was measured until then",
+                "interrupted by a signal: {} holds the measurements taken so far",
                 args.out.display()
             );
-            ExitCode::from(exit::BAD)
+            ExitCode::from(exit::CHECK_FAILED)
         }
-        Ok(()) => ExitCode::from(exit::GOOD),
+        Ok(()) => ExitCode::from(exit::SUCCESS),
     }
 }
--- a/crates/sanddrum-cli/src/certs.rs
+++ b/crates/sanddrum-cli/src/certs.rs
@@ -1,5 +1,5 @@
-//! `sanddrum certs`: an authority for tests and first steps with leaves for names, their revocation, and what any
-//! certificate says of itself.
+//! `sanddrum certs`: creates a certificate authority for tests and its leaf certificates, revokes and denies
+//! certificates, and shows the contents of any certificate.
 
 use crate::{exit, fail};
 use clap::Subcommand;
@@ -18,43 +18,43 @@
 
 #[derive(Subcommand, Clone, Debug)]
 pub enum Certs {
-    /// Make an authority, or take up the one that is there, and a certificate for each name; for tests and first
-    /// steps, not for service
+    /// Create a certificate for each name, signed by the folder's authority, which is created if there is none; for
+    /// tests and trials, not for production
     #[command(
         after_help = "Example:\n  sanddrum certs make certs/ edge-0 worker-0 worker-1\n  sanddrum certs make \
-                            certs/ worker-1          ; a new one in the old one's place"
+                            certs/ worker-1          ; replaces the certificate of worker-1"
     )]
     Make {
         folder: PathBuf,
-        /// The names, as the worker list has them
+        /// Names to issue certificates for, as in the worker list
         #[arg(required = true)]
         names: Vec<String>,
-        /// They hold until the end of this year
+        /// Last year in which the certificates are valid
         #[arg(long, default_value_t = 2036)]
         until: i32,
-        /// A new authority's common name
+        /// Common name of a new authority
         #[arg(long, default_value = "sanddrum test authority")]
         authority: String,
-        /// A new authority may sign for names below this one only, as bat-a.example.org
+        /// Limit a new authority to this name and the names below it, such as bat-a.example.org
         #[arg(long, value_name = "NAME")]
         limit_to: Option<String>,
     },
-    /// What certificates say of themselves: names, authority, when they end, and the print of their key
+    /// Show the names, the issuer, the expiry and the key fingerprint of each certificate in a file
     Show { file: PathBuf },
-    /// Revoke a certificate of such an authority: revoked.pem has it and all that it had before
+    /// Revoke a certificate of the folder's authority: adds it to the revocation list in revoked.pem
     Revoke { folder: PathBuf, name: String },
-    /// Add the key of a certificate to a file of denied keys, whoever signed for it
+    /// Add the key of a certificate to a file of denied keys, whichever authority signed it
     Deny {
         file: PathBuf,
         certificate: PathBuf,
-        /// Why, behind the print
+        /// Reason, written after the key's fingerprint
         #[arg(long, default_value = "")]
         remark: String,
     },
 }
 
 pub fn run(command: &Certs) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Certs::Make {
             folder,
             names,
@@ -70,16 +70,16 @@
             remark,
         } => deny(file, certificate, remark),
     };
-    match done {
+    match result {
         Ok(text) => {
             print!("{text}");
-            ExitCode::from(exit::GOOD)
+            ExitCode::from(exit::SUCCESS)
         }
-        Err(problem) => fail(exit::TROUBLE, problem),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
-fn told(e: impl std::fmt::Display) -> String {
+fn error_text(e: impl std::fmt::Display) -> String {
     e.to_string()
 }
 fn read(file: &Path) -> Result<String, String> {
@@ -93,15 +93,15 @@
 }
 
 fn params(names: Vec<String>, until: i32) -> Result<CertificateParams, String> {
-    let mut params = CertificateParams::new(names).map_err(told)?;
+    let mut params = CertificateParams::new(names).map_err(error_text)?;
     params.not_before = date_time_ymd(2020, 1, 1);
     params.not_after = date_time_ymd(until + 1, 1, 1);
-    // A number of its own for each, by which it can be revoked.
+    // Revocation lists identify certificates by serial number, so each one needs its own.
     params.serial_number = Some(SerialNumber::from(now()));
     Ok(params)
 }
 
-/// The authority of a folder; a new one where there is none.
+/// Loads the authority of a folder, or creates one if the folder has none.
 fn authority(
     folder: &Path,
     until: i32,
@@ -112,18 +112,18 @@
     if key_file.exists() {
         if limit.is_some() {
             return Err(format!(
-                "{}: an authority is there already; --limit-to is for a new one",
+                "{}: an authority already exists; --limit-to applies to a new one only",
                 folder.display()
             ));
         }
         let key = KeyPair::from_pem(&read(&key_file)?)
-            .map_err(|_| format!("{}: no key", key_file.display()))?;
+            .map_err(|_| format!("{}: not a private key", key_file.display()))?;
         return Issuer::from_ca_cert_pem(&read(&roots)?, key)
             .map_err(|e| format!("{}: {e}", roots.display()));
     }
     if roots.exists() {
         return Err(format!(
-            "{}: roots are there and their key is not; take another folder",
+            "{}: roots.pem exists without authority.key; choose another folder",
             roots.display()
         ));
     }
@@ -132,15 +132,15 @@
     authority.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     authority.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
     if let Some(limit) = limit {
-        // RFC 5280, section 4.2.1.10: a name and all below it.
+        // A DNS name constraint permits the name itself and all names below it (RFC 5280, section 4.2.1.10).
         let permitted_subtrees = vec![GeneralSubtree::DnsName(limit.to_string())];
         authority.name_constraints = Some(NameConstraints {
             permitted_subtrees,
             excluded_subtrees: vec![],
         });
     }
-    let key = KeyPair::generate().map_err(told)?;
-    let certificate = authority.self_signed(&key).map_err(told)?;
+    let key = KeyPair::generate().map_err(error_text)?;
+    let certificate = authority.self_signed(&key).map_err(error_text)?;
     write(&key_file, &key.serialize_pem(), 0o600)?;
     write(&roots, &certificate.pem(), 0o644)?;
     Ok(Issuer::new(authority, key))
@@ -158,14 +158,14 @@
         .iter()
         .find(|name| name.contains('/') || name.starts_with('.'))
     {
-        return Err(format!("{name:?} can't be a file's name"));
+        return Err(format!("{name:?} is not allowed as a file name"));
     }
     let issuer = authority(folder, until, name, limit)?;
     for name in names {
-        let key = KeyPair::generate().map_err(told)?;
+        let key = KeyPair::generate().map_err(error_text)?;
         let leaf = params(vec![name.clone()], until)?
             .signed_by(&key, &issuer)
-            .map_err(told)?;
+            .map_err(error_text)?;
         replace(&folder.join(format!("{name}.pem")), &leaf.pem(), 0o644)?;
         replace(
             &folder.join(format!("{name}.key")),
@@ -174,7 +174,7 @@
         )?;
     }
     Ok(format!(
-        "{}: roots.pem, and NAME.pem with NAME.key for {}\n",
+        "{}: wrote roots.pem, and NAME.pem and NAME.key for {}\n",
         folder.display(),
         names.join(", ")
     ))
@@ -197,27 +197,28 @@
         let what = if signs_for_others { "authority" } else { "for" };
         text += &format!("{what} {}\n  signed by {authority}\n", names.join(", "));
         text += &match days < 0.0 {
-            true => format!("  ended {:.1} days ago\n", -days),
-            false => format!("  ends in {days:.1} days\n"),
+            true => format!("  expired {:.1} days ago\n", -days),
+            false => format!("  expires in {days:.1} days\n"),
         };
         text += &format!("  {key}\n");
     }
     Ok(text)
 }
 
-/// The serials that a folder's authority has revoked are kept beside its list, a line each.
+/// Revokes the certificate of a name. The serial numbers revoked so far are stored in `revoked.txt`, one a line, from
+/// which the whole revocation list is written.
 fn revoke(folder: &Path, name: &str) -> Result<String, String> {
     if !folder.join("authority.key").exists() {
         return Err(format!(
-            "{}: no authority's key is here; its keeper can revoke",
+            "{}: authority.key is missing; revoke where the authority's key is stored",
             folder.display()
         ));
     }
     let issuer = authority(folder, 0, "", None)?;
     let pem = read(&folder.join(format!("{name}.pem")))?;
-    let serial = sanddrum_tls::serial(pem.as_bytes()).map_err(told)?;
-    let record = folder.join("revoked.txt");
-    let mut lines = read(&record).unwrap_or_default();
+    let serial = sanddrum_tls::serial(pem.as_bytes()).map_err(error_text)?;
+    let revoked_serials_file = folder.join("revoked.txt");
+    let mut lines = read(&revoked_serials_file).unwrap_or_default();
     if !lines.lines().any(|line| line.starts_with(&serial)) {
         lines += &format!("{serial} {name}\n");
     }
@@ -226,7 +227,7 @@
             let digits: Vec<u8> = (0..serial.len() / 2)
                 .map(|n| {
                     u8::from_str_radix(&serial[2 * n..2 * n + 2], 16)
-                        .map_err(|_| format!("{serial}: no serial"))
+                        .map_err(|_| format!("{serial}: not a serial number"))
                 })
                 .collect::<Result<_, String>>()?;
             let (serial_number, revocation_time) =
@@ -251,11 +252,11 @@
     let list = list
         .signed_by(&issuer)
         .and_then(|list| list.pem())
-        .map_err(told)?;
-    write(&record, &lines, 0o644)?;
+        .map_err(error_text)?;
+    write(&revoked_serials_file, &lines, 0o644)?;
     replace(&folder.join("revoked.pem"), &list, 0o644)?;
     Ok(format!(
-        "{}: {name} is revoked; name it as revoked-file\n",
+        "{}: {name} is revoked; set revoked-file to this file\n",
         folder.join("revoked.pem").display()
     ))
 }
@@ -264,7 +265,7 @@
     let described = describe(read(certificate)?.as_bytes())
         .map_err(|e| format!("{}: {e}", certificate.display()))?;
     let Some(Described { key, names, .. }) = described.first() else {
-        return Err("no certificate".into());
+        return Err("the file contains no certificate".into());
     };
     let mut text = if file.exists() {
         read(file)?
@@ -288,18 +289,19 @@
 }
 
 fn write(file: &Path, text: &str, mode: u32) -> Result<(), String> {
-    let made = OpenOptions::new()
+    let opened = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(true)
         .mode(mode)
         .open(file);
-    made.and_then(|mut file| file.write_all(text.as_bytes()))
+    opened
+        .and_then(|mut file| file.write_all(text.as_bytes()))
         .map_err(|e| format!("{}: {e}", file.display()))
 }
-/// Whole or not at all, as an edge may be watching it.
+/// Replaces a file atomically, because an edge may be watching it.
 fn replace(file: &Path, text: &str, mode: u32) -> Result<(), String> {
-    let beside = file.with_extension("new");
-    write(&beside, text, mode)?;
-    fs::rename(&beside, file).map_err(|e| format!("{}: {e}", file.display()))
+    let temporary = file.with_extension("new");
+    write(&temporary, text, mode)?;
+    fs::rename(&temporary, file).map_err(|e| format!("{}: {e}", file.display()))
 }
--- a/crates/sanddrum-cli/src/config.rs
+++ b/crates/sanddrum-cli/src/config.rs
@@ -1,4 +1,4 @@
-//! `sanddrum config`: settings checked and shown.
+//! `sanddrum config`: checks and prints settings files.
 
 use crate::{exit, fail};
 use sanddrum::Value;
@@ -10,10 +10,10 @@
         Ok(loaded) => {
             let (workloads, functions) = (loaded.count("workloads"), loaded.count("functions"));
             println!(
-                "{}: good; {workloads} workloads, {functions} functions",
+                "{}: valid; {workloads} workloads, {functions} functions",
                 file.display()
             );
-            ExitCode::from(exit::GOOD)
+            ExitCode::from(exit::SUCCESS)
         }
         Err(problem) => fail(exit::USAGE, problem),
     }
@@ -32,7 +32,7 @@
     sanddrum_settings::read(&name, &text)
 }
 
-/// Every value in force, with where it came from and what it is for.
+/// Prints every effective value with its origin and description.
 pub fn show(file: &Path, scenario: bool) -> ExitCode {
     let loaded = match load(file, scenario) {
         Ok(loaded) => loaded,
@@ -53,8 +53,6 @@
             loaded.description(name)
         );
     }
-    println!(
-        "; what is not named here is as the decision module has it by itself (docs/settings.md)"
-    );
-    ExitCode::from(exit::GOOD)
+    println!("; settings not listed here have the decision module's defaults (docs/settings.md)");
+    ExitCode::from(exit::SUCCESS)
 }
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -1,6 +1,6 @@
-//! Running an edge on real sockets.
+//! Runs an edge on sockets: `sanddrum-edge` and `sanddrum edge`.
 
-use crate::retry::until_it_works;
+use crate::retry::retry_transient_errors;
 use crate::{exit, fail};
 use clap::Args;
 use metrics_exporter_prometheus::PrometheusBuilder;
@@ -15,64 +15,64 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct EdgeArgs {
-    /// The deployment's settings
+    /// Settings file of the deployment
     #[arg(long, value_name = "FILE", required_unless_present = "platform")]
     pub settings: Option<PathBuf>,
-    /// One router on the users' platform, told all by RELAY_CONFIG, RELAY_LISTEN and RELAY_NAME
+    /// Run as a router on the platform, configured by RELAY_CONFIG, RELAY_LISTEN and RELAY_NAME
     #[arg(long, conflicts_with = "settings")]
     pub platform: bool,
-    /// The settings file is a scenario, which holds a deployment among other things
+    /// Treat the settings file as a scenario, whose deployment settings are used
     #[arg(long, hide = true)]
     pub scenario: bool,
-    /// Where clients are listened for
+    /// Address to listen on for clients
     #[arg(long, value_name = "ADDRESS")]
     pub listen: Option<String>,
-    /// The list service
+    /// Address of the discovery service
     #[arg(long, value_name = "ADDRESS")]
     pub list: Option<String>,
-    /// As workers and logs know this edge
+    /// Name of this edge, as sent to workers and logged
     #[arg(long)]
     pub name: Option<String>,
-    /// The zone that it is in
+    /// Zone of this edge
     #[arg(long)]
     pub zone: Option<String>,
-    /// Its number among the edges, from 0 on
+    /// Number of this edge among all edges, from 0
     #[arg(long)]
     pub number: Option<usize>,
-    /// How many edges there are
+    /// Number of edges in the deployment
     #[arg(long)]
     pub edges: Option<usize>,
-    /// Where its last worker list is kept over a restart
+    /// File that keeps the last worker list across restarts
     #[arg(long, value_name = "FILE")]
     pub state_file: Option<PathBuf>,
-    /// Any other setting, as limits.max-open=500; may be given several times
+    /// Override any other setting, such as limits.max-open=500; may be given several times
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
-    /// Where it listens is written here, once it does
+    /// Write the listening address to this file once the edge listens
     #[arg(long, value_name = "FILE")]
     pub address_file: Option<PathBuf>,
-    /// It ends when its standard input does
+    /// Exit when standard input is closed
     #[arg(long, hide = true)]
     pub with_parent: bool,
-    /// For runs that are to be repeated
+    /// Seed of the random choices, for reproducible runs
     #[arg(long)]
     pub seed: Option<u64>,
 }
 
-/// Settings from the file and the command line, checked.
+/// Reads the settings file, applies the overrides of the command line and checks the result.
 ///
 /// # Errors
-/// What is wrong, and where.
+/// A setting is invalid; the error says which and where.
 pub fn settings(args: &EdgeArgs) -> Result<LoadedSettings, SettingsError> {
     let path = args.settings.clone().unwrap_or_default();
     let file = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| SettingsError::of_file(&file, &e))?;
-    let more = if args.scenario {
+    let scenario_schema = if args.scenario {
         sanddrum_lab::SCENARIO
     } else {
         &[]
     };
-    let mut loaded = sanddrum_settings::read_with(&file, &text, more)?;
+    let mut loaded = sanddrum_settings::read_with(&file, &text, scenario_schema)?;
     let given = [
         ("edge.listen", args.listen.clone(), "--listen"),
         ("edge.list", args.list.clone(), "--list"),
@@ -110,30 +110,30 @@
     Ok(loaded)
 }
 
-/// What was kept, if it can be used; a torn or foreign file is set aside.
-fn kept(file: &Path) -> Option<Vec<u8>> {
+/// Reads the cached endpoint list of the state file. A truncated file or one of another kind is renamed, and ignored.
+fn read_cached_state(file: &Path) -> Option<Vec<u8>> {
     let bytes = std::fs::read(file).ok()?;
     match endpoint_cache::read(&bytes) {
         Ok(_) => Some(bytes),
         Err(why) => {
             let aside = file.with_extension("set-aside");
             let moved = std::fs::rename(file, &aside).is_ok();
-            tracing::warn!(file = %file.display(), aside = %aside.display(), moved, reason = "kept-list", %why, "the kept worker list is set aside; the edge starts without it");
+            tracing::warn!(file = %file.display(), aside = %aside.display(), moved, reason = "kept-list", %why, "the state file is invalid and was set aside; the edge starts without a cached worker list");
             None
         }
     }
 }
 
 pub fn run(args: &EdgeArgs) -> ExitCode {
-    // First of all: a signal that came before its handler stood would end the process, SIGHUP as well.
-    let driver = until_it_works(|| {
+    // Before anything else: until the handlers are installed, a signal, SIGHUP included, would terminate the process.
+    let driver = retry_transient_errors(|| {
         let mut driver = EventLoop::new(Box::new(NullObserver))?;
         driver.catch_signals()?;
         Ok(driver)
     });
     let driver = match driver {
         Ok(driver) => driver,
-        Err(e) => return fail(exit::TROUBLE, e),
+        Err(e) => return fail(exit::RUNTIME_ERROR, e),
     };
     if args.platform {
         return crate::platform::run(driver);
@@ -143,21 +143,25 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     match serve(driver, args, settings) {
-        Ok(Shutdown::Graceful) => ExitCode::from(exit::GOOD),
-        Ok(Shutdown::Immediate) => fail(exit::TROUBLE, "ended at once, as a second signal came"),
-        Err(e) => fail(exit::TROUBLE, e),
+        Ok(Shutdown::Graceful) => ExitCode::from(exit::SUCCESS),
+        Ok(Shutdown::Immediate) => fail(
+            exit::RUNTIME_ERROR,
+            "stopped immediately by a second signal",
+        ),
+        Err(e) => fail(exit::RUNTIME_ERROR, e),
     }
 }
 
-/// The settings that name the watched files of the TLS layer, in its order.
-const CALL_KEYS: [&str; 5] = [
+/// Settings that name the files of the TLS layer for connections to workers, in the order of [`CALL_FILES`].
+const WORKER_TLS_SETTINGS: [&str; 5] = [
     "tls.roots-file",
     "tls.certificate-file",
     "tls.key-file",
     "tls.revoked-file",
     "tls.denied-file",
 ];
-const DOOR_KEYS: [&str; 5] = [
+/// The same for the client listener, in the order of [`DOOR_FILES`].
+const CLIENT_TLS_SETTINGS: [&str; 5] = [
     "door.roots-file",
     "door.certificate-file",
     "door.key-file",
@@ -165,8 +169,9 @@
     "door.denied-file",
 ];
 
-/// What an edge starts on; it does not start on papers that are not good.
-fn side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
+/// Loads the certificates and trust settings of one side of the TLS layer. An edge does not start with certificates that
+/// are invalid, expired or not yet valid.
+fn load_tls_side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
         match l.contains(key) {
             true => std::fs::read(l.text(key)).map_err(|e| format!("{} ({key}): {e}", l.text(key))),
@@ -193,7 +198,7 @@
         .map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
     Ok(side)
 }
-fn limited(l: &LoadedSettings) -> Vec<Limited> {
+fn limited_authorities(l: &LoadedSettings) -> Vec<Limited> {
     let authorities = l.names("authorities").into_iter().enumerate();
     authorities
         .map(|(n, authority)| Limited {
@@ -203,8 +208,8 @@
         .collect()
 }
 
-/// The edge within the TLS that it speaks to workers and clients, where it does.
-fn within_tls(l: &LoadedSettings, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
+/// Wraps the edge in a TLS layer if the settings ask for TLS toward workers or clients.
+fn wrap_in_tls(l: &LoadedSettings, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
     let (workers, clients) = (
         l.text("tls.workers") == "verified",
         l.text("door.speaks") == "tls",
@@ -212,13 +217,13 @@
     if !workers {
         tracing::warn!(
             reason = "plain-text",
-            "workers are spoken to in plain text, as tls workers is set"
+            "connections to workers are in plain text, as set by tls.workers"
         );
     }
     if !clients {
         tracing::warn!(
             reason = "plain-text",
-            "clients are spoken to in plain text, as door speaks is set"
+            "connections from clients are in plain text, as set by door.speaks"
         );
     }
     if !workers && !clients {
@@ -229,10 +234,10 @@
     if workers {
         let rules = Rules {
             sessions,
-            limited: limited(l),
+            limited: limited_authorities(l),
             ..Rules::default()
         };
-        layer = layer.with_calls(side(l, CALL_KEYS, rules)?);
+        layer = layer.with_calls(load_tls_side(l, WORKER_TLS_SETTINGS, rules)?);
     }
     if clients {
         let callers = match l.text("door.certificates") {
@@ -240,9 +245,9 @@
             "optional" => Asks::May,
             _ => Asks::No,
         };
-        layer = layer.with_doors(side(
+        layer = layer.with_doors(load_tls_side(
             l,
-            DOOR_KEYS,
+            CLIENT_TLS_SETTINGS,
             Rules {
                 callers,
                 sessions,
@@ -259,10 +264,11 @@
     settings: LoadedSettings,
 ) -> Result<Shutdown, String> {
     let listen = settings.text("edge.listen").to_string();
-    let door = until_it_works(|| EventLoop::bind(&listen));
-    let (door, at) = door.map_err(|e| format!("{listen}: {e}; give another --listen"))?;
+    let listener = retry_transient_errors(|| EventLoop::bind(&listen));
+    let (listener, at) =
+        listener.map_err(|e| format!("{listen}: {e}; choose another address with --listen"))?;
     if args.with_parent {
-        crate::fleet::end_with_parent();
+        crate::fleet::exit_with_parent();
     }
     let recorder = PrometheusBuilder::new()
         .install_recorder()
@@ -270,21 +276,23 @@
     let state_file = settings
         .contains("edge.state-file")
         .then(|| PathBuf::from(settings.text("edge.state-file")));
-    let begun = SystemTime::now()
+    let started_at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros() as u64;
-    let seed = args.seed.unwrap_or(begun ^ u64::from(std::process::id()));
+    let seed = args
+        .seed
+        .unwrap_or(started_at ^ u64::from(std::process::id()));
     tracing::info!(
         listen = at,
         list = settings.text("edge.list"),
         seed,
-        "an edge begins"
+        "edge starting"
     );
     let start = EdgeOptions {
-        cached_state: state_file.as_deref().and_then(kept),
+        cached_state: state_file.as_deref().and_then(read_cached_state),
         seed,
-        incarnation: begun,
+        incarnation: started_at,
         metrics_page: Some(Box::new(move || recorder.render())),
         settings: settings.clone(),
         platform: None,
@@ -298,24 +306,25 @@
     if keys_file.is_some() && state_file.is_none() {
         tracing::warn!(
             reason = "no-state-file",
-            "without --state-file a restart does not know which keys were revoked"
+            "without --state-file, revoked keys are forgotten at a restart"
         );
     }
-    // A fleet that has grown is told of later; an edge that would not start for it would be worse.
+    // Only a warning: the number of edges may be outdated after the fleet has grown, and an edge that doesn't start would
+    // do more harm.
     if settings.number("me") >= settings.number("routers") {
         tracing::warn!(
             reason = "edges",
-            "this edge's number is not below the number of edges it is told of"
+            "the number of this edge is not below the configured number of edges"
         );
     }
-    let core = within_tls(&settings, Edge::new(start))?;
+    let core = wrap_in_tls(&settings, Edge::new(start))?;
     let host = driver
-        .add(core, vec![door], state_file)
+        .add(core, vec![listener], state_file)
         .map_err(|e| e.to_string())?;
     let files = CALL_FILES
         .into_iter()
-        .zip(CALL_KEYS)
-        .chain(DOOR_FILES.into_iter().zip(DOOR_KEYS));
+        .zip(WORKER_TLS_SETTINGS)
+        .chain(DOOR_FILES.into_iter().zip(CLIENT_TLS_SETTINGS));
     for (name, key) in files.filter(|(_, key)| settings.contains(key)) {
         driver.watch_file(
             host,
@@ -340,7 +349,8 @@
         );
     }
     if let Some(file) = &args.address_file {
-        crate::fleet::tell_address(file, &at).map_err(|e| format!("{}: {e}", file.display()))?;
+        crate::fleet::write_address_file(file, &at)
+            .map_err(|e| format!("{}: {e}", file.display()))?;
     }
     driver.run().map_err(|e| e.to_string())
 }
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -1,6 +1,7 @@
-//! `sanddrum lab fleet`: a scenario with every part as a process of its own, and the stand-ins as those processes.
+//! `sanddrum lab fleet`, `lab sizes` and `lab part`: runs a scenario with every component as its own process, runs it in
+//! virtual time with growing numbers of edges, and runs an emulated component as such a process.
 
-use crate::lab::{read_scenario, tell, Folder, Shipped, DEMO};
+use crate::lab::{print_outcome, read_scenario, BuiltInScenario, TemporaryFolder, DEMO_SCENARIO};
 use crate::{exit, fail};
 use clap::{Args, ValueEnum};
 use sanddrum_emulator::{DiscoveryService, IdempotencyKeys, Shared, Store, Worker};
@@ -15,31 +16,31 @@
 use std::process::{Command, ExitCode};
 use std::rc::Rc;
 
-/// What is played where no scenario is given.
-const FLEET: Shipped = Shipped {
+/// The scenario that runs if none is given.
+const DEFAULT_FLEET_SCENARIO: BuiltInScenario = BuiltInScenario {
     name: "fleet-day.sx",
     text: FLEET_DAY,
 };
 
 #[derive(Args, Clone, Debug)]
 pub struct FleetArgs {
-    /// The scenario; half a minute of restarts and broken links where none is given
+    /// Scenario file; by default a built-in one with half a minute of restarts and broken links
     pub file: Option<PathBuf>,
-    /// So many edges instead of the scenario's
+    /// Number of edges, instead of the scenario's
     #[arg(long)]
     pub edges: Option<usize>,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The summary's last line is one JSON object
+    /// Print the summary as a JSON object on the last line as well
     #[arg(long)]
     pub json: bool,
-    /// A setting over the scenario's, as limits.repeats=100%; may be given several times
+    /// Override a setting of the scenario, such as limits.repeats=100%; may be given several times
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
 }
 
-/// Each process is this program again.
-fn processes(set: &[String]) -> Result<MakeProcess, String> {
+/// Starts every process as this program with other arguments.
+fn process_commands(set: &[String]) -> Result<MakeProcess, String> {
     let (program, set) = (
         std::env::current_exe().map_err(|e| e.to_string())?,
         set.to_vec(),
@@ -114,7 +115,7 @@
 
 pub fn run(args: &FleetArgs) -> ExitCode {
     let (name, scenario) = match read_scenario(
-        FLEET,
+        DEFAULT_FLEET_SCENARIO,
         args.file.as_deref(),
         args.seed,
         &args.set,
@@ -128,48 +129,51 @@
         "{name}: {edges} edges and {workers} workers as processes, seed {}",
         args.seed
     );
-    match played(scenario, &args.set) {
+    match run_processes(scenario, &args.set) {
         Ok((outcome, late, latest, short_of_files, waited)) => {
-            let limit = if waited > WAITED {
+            let prefix = if waited > MAX_PROCESSOR_WAIT_US {
                 "the machine was the limit: "
             } else {
                 ""
             };
-            let (ms, counts) = (waited / 1000, WAITED / 1000);
-            println!("{limit}a process waited up to {ms} ms for a processor within a second (over {counts} ms counts)");
+            let (ms, limit_ms) = (waited / 1000, MAX_PROCESSOR_WAIT_US / 1000);
+            println!("{prefix}a process waited up to {ms} ms for a processor within a second (limit {limit_ms} ms)");
             if short_of_files {
-                println!("the machine was the limit: the relays used up the open files that are allowed; take fewer edges or workers");
+                println!("the machine was the limit: the relays nearly used up the limit of open files; use fewer edges or workers");
             }
             if late > 0 {
                 println!(
-                    "the machine was the limit: this process ran late {late} times, up to {} ms (over {} ms counts)",
+                    "the machine was the limit: this process ran late {late} times, by up to {} ms (limit {} ms)",
                     latest / 1000,
                     LATE / 1000
                 );
             }
-            tell(&outcome, args.json)
+            print_outcome(&outcome, args.json)
         }
-        Err(problem) => fail(exit::TROUBLE, problem),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
-/// A process that waited longer for a processor within a second was held up: a tenth of it.
-const WAITED: i64 = 100_000;
+/// A process that waited longer than this for a processor within one second was held up by the machine.
+const MAX_PROCESSOR_WAIT_US: i64 = 100_000;
 
-fn played(scenario: Scenario, set: &[String]) -> Result<(Outcome, u64, i64, bool, i64), String> {
-    let folder = Folder::new().map_err(|e| e.to_string())?;
+fn run_processes(
+    scenario: Scenario,
+    set: &[String],
+) -> Result<(Outcome, u64, i64, bool, i64), String> {
+    let folder = TemporaryFolder::new().map_err(|e| e.to_string())?;
     let recording = Recording::default();
     let seconds = scenario.length / 1_000_000;
-    let make = processes(set)?;
-    let mut stage = ProcessEnvironment::new(scenario, &recording, folder.0.clone(), make)
+    let make = process_commands(set)?;
+    let mut environment = ProcessEnvironment::new(scenario, &recording, folder.0.clone(), make)
         .map_err(|e| e.to_string())?;
-    stage.catch_signals().map_err(|e| e.to_string())?;
-    stage.call(&recording).map_err(|e| e.to_string())?;
-    let begun = sanddrum_lab::Environment::now(&stage);
-    stage.progress = Some(Box::new(move |now| {
-        eprint!("\r{} of {seconds} s ", (now - begun) / 1_000_000)
+    environment.catch_signals().map_err(|e| e.to_string())?;
+    environment.call(&recording).map_err(|e| e.to_string())?;
+    let start = sanddrum_lab::Environment::now(&environment);
+    environment.progress = Some(Box::new(move |now| {
+        eprint!("\r{} of {seconds} s ", (now - start) / 1_000_000)
     }));
-    let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
+    let outcome = play(&mut environment, &recording).map_err(|e| e.to_string())?;
     eprintln!();
     let log = &recording.0.borrow().log;
     let processes = log.waits.iter().filter(|(name, _)| *name != OURS);
@@ -179,36 +183,36 @@
         .unwrap_or(0);
     Ok((
         outcome,
-        stage.late,
-        stage.latest,
-        stage.short_of_files,
+        environment.late,
+        environment.latest,
+        environment.short_of_files,
         waited,
     ))
 }
 
 #[derive(Args, Clone, Debug)]
 pub struct SizesArgs {
-    /// The scenario
+    /// Scenario file
     pub file: PathBuf,
-    /// Numbers of edges
+    /// Numbers of edges to run with
     #[arg(long, value_delimiter = ',', default_value = "3,30,100,300")]
     pub edges: Vec<usize>,
-    /// Each size is played on so many seeds
+    /// Number of seeds for each number of edges
     #[arg(long, default_value_t = 5)]
     pub seeds: u64,
-    /// The first of them
+    /// First seed
     #[arg(long, default_value_t = 11)]
     pub seed: u64,
-    /// Runs at a time; as many as there are processors where none is given
+    /// Number of parallel runs; the number of processors by default
     #[arg(long)]
     pub threads: Option<usize>,
-    /// Pictures go here, under the scenario's name
+    /// Folder for plots, which are named after the scenario
     #[arg(long, value_name = "FOLDER")]
     pub plots: Option<PathBuf>,
 }
 
 pub fn sizes(args: &SizesArgs) -> ExitCode {
-    let (_, scenario) = match read_scenario(DEMO, Some(&args.file), args.seed, &[], None) {
+    let (_, scenario) = match read_scenario(DEMO_SCENARIO, Some(&args.file), args.seed, &[], None) {
         Ok(read) => read,
         Err(problem) => return fail(exit::USAGE, problem),
     };
@@ -217,29 +221,30 @@
         .or(std::thread::available_parallelism().map(usize::from).ok())
         .unwrap_or(1);
     let runs = args.edges.len() as u64 * args.seeds;
-    let told = |done: usize| eprint!("\r{done} of {runs} runs ");
-    let all = match sanddrum_lab::sizes(&scenario, &args.edges, args.seeds, threads, told) {
+    let print_progress = |done: usize| eprint!("\r{done} of {runs} runs ");
+    let all = match sanddrum_lab::sizes(&scenario, &args.edges, args.seeds, threads, print_progress)
+    {
         Ok(all) => all,
-        Err(e) => return fail(exit::TROUBLE, e),
+        Err(e) => return fail(exit::RUNTIME_ERROR, e),
     };
     eprintln!();
     println!(
-        "mean (least to most) of {} seeds; worst seconds of the list service and of any worker",
+        "mean (minimum to maximum) of {} seeds; worst seconds of the discovery service and of any worker",
         args.seeds
     );
-    for of in &all {
-        let told = |[mean, least, most]: [f64; 3], digits: usize| {
-            format!("{mean:.digits$} ({least:.digits$} to {most:.digits$})")
+    for size in &all {
+        let format_range = |[mean, min, max]: [f64; 3], digits: usize| {
+            format!("{mean:.digits$} ({min:.digits$} to {max:.digits$})")
         };
         println!(
-            "{} edges: service {}, nine tenths from second {}, rules broken {}",
-            of.edges,
-            told(of.service, 3),
-            told(of.from, 1),
-            of.broken
+            "{} edges: in time {}, at least 90% in time from second {}, rules violated {}",
+            size.edges,
+            format_range(size.service, 3),
+            format_range(size.from, 1),
+            size.broken
         );
-        for (name, figure) in &of.worst {
-            println!("    {name}: {}", told(*figure, 0));
+        for (name, value) in &size.worst {
+            println!("    {name}: {}", format_range(*value, 0));
         }
     }
     let name = args
@@ -248,16 +253,16 @@
         .unwrap_or_default()
         .to_string_lossy()
         .into_owned();
-    let drawn = args.plots.as_ref().map_or(Ok(()), |folder| {
+    let plotted = args.plots.as_ref().map_or(Ok(()), |folder| {
         sanddrum_lab::plot_sizes(folder, &name, &all)
     });
-    match drawn {
-        Ok(()) => ExitCode::from(if all.iter().all(|of| of.broken == 0) {
-            exit::GOOD
+    match plotted {
+        Ok(()) => ExitCode::from(if all.iter().all(|size| size.broken == 0) {
+            exit::SUCCESS
         } else {
-            exit::BAD
+            exit::CHECK_FAILED
         }),
-        Err(problem) => fail(exit::TROUBLE, problem),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
@@ -268,72 +273,75 @@
     Store,
 }
 
-/// A stand-in as a process.
+/// Arguments of an emulated component that runs as a process.
 #[derive(Args, Clone, Debug)]
 pub struct PartArgs {
     pub part: Part,
-    /// The scenario
+    /// Scenario file
     pub file: PathBuf,
-    /// Which worker
+    /// Number of the worker
     #[arg(long, default_value_t = 0)]
     pub number: usize,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How often it has started
+    /// Incarnation: how often the component has been started
     #[arg(long, default_value_t = 1)]
     pub incarnation: u64,
-    /// It starts now, empty and cold; else long ago
+    /// Start cold, without loaded functions, instead of as a worker that has run for long
     #[arg(long)]
     pub cold: bool,
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: String,
-    /// Where others find it, if not where it listens
+    /// Address at which others reach it, if it is not the listening address
     #[arg(long)]
     pub known_as: Option<String>,
     #[arg(long, default_value = "")]
     pub list: String,
     #[arg(long, default_value = "")]
     pub store: String,
-    /// Where it listens is written here
+    /// Write the listening address to this file
     #[arg(long)]
     pub address_file: PathBuf,
-    /// What is wrong with it, as JSON; looked at as it changes
+    /// JSON file with the component's faults, which is reloaded when it changes
     #[arg(long)]
     pub faults: PathBuf,
-    /// A setting over the scenario's; may be given several times
+    /// Override a setting of the scenario; may be given several times
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
 }
 
-/// How often a stand-in looks at its faults.
-const FAULTS_EVERY: i64 = 10_000;
+/// Interval at which a component checks its faults file, in microseconds.
+const FAULTS_CHECK_INTERVAL_US: i64 = 10_000;
 
 pub fn part(args: &PartArgs) -> ExitCode {
-    match stand_in(args) {
-        Ok(()) => ExitCode::from(exit::GOOD),
-        Err(problem) => fail(exit::TROUBLE, problem),
+    match run_part(args) {
+        Ok(()) => ExitCode::from(exit::SUCCESS),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
-fn steered<T: DeserializeOwned + Default + 'static>(
+fn with_faults<T: DeserializeOwned + Default + 'static>(
     core: impl Core + 'static,
     faults: Shared<T>,
 ) -> Box<dyn Core> {
-    let take = move |text: &str| match serde_json::from_str(text) {
+    let apply = move |text: &str| match serde_json::from_str(text) {
         Ok(read) => *faults.borrow_mut() = read,
-        Err(e) => tracing::warn!(reason = "faults", problem = %e, "the faults can't be read"),
+        Err(e) => {
+            tracing::warn!(reason = "faults", problem = %e, "invalid faults file; the previous faults stay in force")
+        }
     };
-    Box::new(Steered::new(Box::new(core), Box::new(take)))
+    Box::new(Steered::new(Box::new(core), Box::new(apply)))
 }
 
 fn shared<T: Default>() -> Shared<T> {
     Rc::new(RefCell::new(T::default()))
 }
 
-fn stand_in(args: &PartArgs) -> Result<(), String> {
-    end_with_parent();
-    let (_, scenario) = read_scenario(DEMO, Some(&args.file), args.seed, &args.set, None)?;
-    let (door, at) = EventLoop::bind(&args.listen).map_err(|e| format!("{}: {e}", args.listen))?;
+fn run_part(args: &PartArgs) -> Result<(), String> {
+    exit_with_parent();
+    let (_, scenario) = read_scenario(DEMO_SCENARIO, Some(&args.file), args.seed, &args.set, None)?;
+    let (listener, at) =
+        EventLoop::bind(&args.listen).map_err(|e| format!("{}: {e}", args.listen))?;
     let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(|e| e.to_string())?;
     driver.catch_signals().map_err(|e| e.to_string())?;
     let now = driver.now();
@@ -342,16 +350,24 @@
             let known_as = args.known_as.as_deref().unwrap_or(&at);
             let spec = scenario.worker(args.number, known_as, &args.list, &args.store);
             let seed = args.seed.wrapping_mul(31).wrapping_add(args.number as u64);
-            let (faults, marks) = (shared(), Rc::new(RefCell::new(IdempotencyKeys::new(0))));
+            let (faults, idempotency_keys) =
+                (shared(), Rc::new(RefCell::new(IdempotencyKeys::new(0))));
             let started = if args.cold { now } else { 0 };
-            steered(
-                Worker::new(spec, seed, started, args.incarnation, faults.clone(), marks),
+            with_faults(
+                Worker::new(
+                    spec,
+                    seed,
+                    started,
+                    args.incarnation,
+                    faults.clone(),
+                    idempotency_keys,
+                ),
                 faults,
             )
         }
         Part::Store => {
             let faults = shared();
-            steered(Store::new(scenario.store(), faults.clone()), faults)
+            with_faults(Store::new(scenario.store(), faults.clone()), faults)
         }
         Part::List => {
             let faults = shared();
@@ -364,17 +380,17 @@
                 args.incarnation,
                 faults.clone(),
             );
-            steered(
+            with_faults(
                 list.with_endpoints(now, &scenario.list_rows(&workers)),
                 faults,
             )
         }
     };
     let host = driver
-        .add(core, vec![door], None)
+        .add(core, vec![listener], None)
         .map_err(|e| e.to_string())?;
-    driver.watch_file(host, FAULTS, args.faults.clone(), FAULTS_EVERY);
-    tell_address(&args.address_file, &at)
+    driver.watch_file(host, FAULTS, args.faults.clone(), FAULTS_CHECK_INTERVAL_US);
+    write_address_file(&args.address_file, &at)
         .map_err(|e| format!("{}: {e}", args.address_file.display()))?;
     while !driver.shutdown_requested() {
         let next = driver.now() + 1_000_000;
@@ -383,20 +399,20 @@
     Ok(())
 }
 
-/// Writes where a process listens into a file, whole or not at all.
+/// Writes the address at which a process listens to a file, atomically.
 ///
 /// # Errors
 /// The file can't be written.
-pub fn tell_address(file: &Path, at: &str) -> std::io::Result<()> {
-    let beside = file.with_extension("address-beside");
-    std::fs::write(&beside, at)?;
-    std::fs::rename(beside, file)
+pub fn write_address_file(file: &Path, at: &str) -> std::io::Result<()> {
+    let temporary = file.with_extension("address-beside");
+    std::fs::write(&temporary, at)?;
+    std::fs::rename(temporary, file)
 }
 
-/// Ends this process once whoever started it has gone: its standard input ends then.
-pub fn end_with_parent() {
+/// Exits this process once its parent has exited, which closes the pipe to this process's standard input.
+pub fn exit_with_parent() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
-        std::process::exit(i32::from(exit::TROUBLE));
+        std::process::exit(i32::from(exit::RUNTIME_ERROR));
     });
 }
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -1,4 +1,5 @@
-//! `sanddrum keys`, `sanddrum token` and `sanddrum rights`: what operators do about who calls.
+//! `sanddrum keys`, `sanddrum token` and `sanddrum rights`: manages signing keys, issues and inspects tokens, and explains
+//! access rights.
 
 use crate::{exit, fail};
 use clap::{Args, Subcommand};
@@ -15,41 +16,41 @@
 
 #[derive(Subcommand, Clone, Debug)]
 pub enum Keys {
-    /// Make a key: the first one of a set signs at once, a further one is coming
+    /// Create a key: the first key of a set signs immediately, a further one is added as coming
     #[command(
         after_help = "Example:\n  sanddrum keys new keys.json --secrets secrets/ --name 2027-01"
     )]
     New {
-        /// The set, as edges read it
+        /// Key set file that the edges read
         file: PathBuf,
-        /// Where the secret half goes
+        /// Folder for the secret key
         #[arg(long, value_name = "FOLDER")]
         secrets: PathBuf,
-        /// The key's name (kid)
+        /// Key ID (kid)
         #[arg(long)]
         name: String,
     },
-    /// The coming key signs from now on; the one that signed retires after a while
+    /// Sign with the coming key from now on, and retire the current signing key
     Rotate {
         file: PathBuf,
-        /// Tokens of the old key are taken for so many seconds more
+        /// Seconds for which tokens signed by the retiring key are still accepted
         #[arg(long, default_value_t = 3600, value_name = "SECONDS")]
         retire_after: Seconds,
     },
-    /// A key verifies nothing from now on, for good
+    /// Revoke a key permanently: tokens that it signed are no longer accepted
     Revoke { file: PathBuf, name: String },
-    /// The keys and their states
+    /// List the keys and their states
     List { file: PathBuf },
 }
 
 #[derive(Subcommand, Clone, Debug)]
 pub enum Token {
-    /// Sign a token
+    /// Issue a signed token
     #[command(
         after_help = "Example:\n  sanddrum token issue --secret secrets/2027-01.secret --customer obs-brest --audience armor"
     )]
     Issue(IssueArgs),
-    /// Say what a token, read from standard input, claims, and what an edge with these keys would make of it
+    /// Show the claims of a token read from standard input and, given a key set, whether an edge would accept it
     Inspect {
         #[arg(long)]
         keys: Option<PathBuf>,
@@ -66,14 +67,14 @@
     pub customer: String,
     #[arg(long, default_value = "sanddrum")]
     pub audience: String,
-    /// How long it lasts
+    /// Lifetime of the token
     #[arg(long, default_value_t = 600, value_name = "SECONDS")]
     pub lasts: Seconds,
 }
 
 #[derive(Subcommand, Clone, Debug)]
 pub enum RightsCommand {
-    /// Say whether a customer may run a function, and which line decides
+    /// Show whether a customer may run a function, and which setting decides it
     #[command(
         after_help = "Example:\n  sanddrum rights explain --settings armor.sx lycees-reseau trace-pass/magnitude-3"
     )]
@@ -81,7 +82,7 @@
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
         customer: String,
-        /// workload/function
+        /// Function as workload/function
         function: String,
     },
 }
@@ -93,30 +94,30 @@
         .as_secs() as Seconds
 }
 
-fn said(result: Result<String, String>) -> ExitCode {
+fn print_result(result: Result<String, String>) -> ExitCode {
     match result {
         Ok(text) => {
             println!("{text}");
-            ExitCode::from(exit::GOOD)
+            ExitCode::from(exit::SUCCESS)
         }
-        Err(problem) => fail(exit::BAD, problem),
+        Err(problem) => fail(exit::CHECK_FAILED, problem),
     }
 }
 
 pub fn keys(command: &Keys) -> ExitCode {
-    said(match command {
+    print_result(match command {
         Keys::New {
             file,
             secrets,
             name,
         } => new_key(file, secrets, name),
-        Keys::Rotate { file, retire_after } => change(file, |set| {
+        Keys::Rotate { file, retire_after } => update_set(file, |set| {
             let kid = set
                 .rotate(now() + retire_after)
                 .map_err(|e| e.to_string())?;
             Ok(format!("{kid} signs; version {}", set.version))
         }),
-        Keys::Revoke { file, name } => change(file, |set| {
+        Keys::Revoke { file, name } => update_set(file, |set| {
             set.revoke(name).map_err(|e| e.to_string())?;
             Ok(format!("{name} is revoked; version {}", set.version))
         }),
@@ -141,26 +142,26 @@
     KeySet::read(&bytes).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-/// A set is replaced whole, so that an edge that looks meanwhile sees the old one or the new one.
+/// Replaces a key set file atomically, so that an edge reads either the old set or the new one.
 fn write_set(file: &Path, set: &KeySet) -> Result<(), String> {
-    let beside = file.with_extension("new");
-    let written = fs::write(&beside, set.write()).and_then(|()| fs::rename(&beside, file));
+    let temporary = file.with_extension("new");
+    let written = fs::write(&temporary, set.write()).and_then(|()| fs::rename(&temporary, file));
     written.map_err(|e| format!("{}: {e}", file.display()))
 }
 
-fn change(
+fn update_set(
     file: &Path,
-    how: impl FnOnce(&mut KeySet) -> Result<String, String>,
+    update: impl FnOnce(&mut KeySet) -> Result<String, String>,
 ) -> Result<String, String> {
     let mut set = read_set(file)?;
-    let said = how(&mut set)?;
+    let message = update(&mut set)?;
     write_set(file, &set)?;
-    Ok(said)
+    Ok(message)
 }
 
 fn new_key(file: &Path, secrets: &Path, name: &str) -> Result<String, String> {
     if name.contains('/') || name.starts_with('.') {
-        return Err(format!("{name:?} can't be a file's name"));
+        return Err(format!("{name:?} is not allowed as a file name"));
     }
     let mut set = if file.exists() {
         read_set(file)?
@@ -170,18 +171,18 @@
     let mut seed = [0; 32];
     SystemRandom::new()
         .fill(&mut seed)
-        .map_err(|_| "the system gives no random bytes".to_string())?;
+        .map_err(|_| "the system provides no random bytes".to_string())?;
     let secret = SecretKey::from_seed(name, seed);
     let public_key = secret.public_key().map_err(|e| e.to_string())?;
     set.add(name, public_key).map_err(|e| e.to_string())?;
     fs::create_dir_all(secrets).map_err(|e| format!("{}: {e}", secrets.display()))?;
     let path = secrets.join(format!("{name}.secret"));
-    let made = OpenOptions::new()
+    let opened = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(0o600)
         .open(&path);
-    let written = made.and_then(|mut file| file.write_all(&secret.write()));
+    let written = opened.and_then(|mut file| file.write_all(&secret.write()));
     written.map_err(|e| format!("{}: {e}", path.display()))?;
     write_set(file, &set)?;
     let state = if set.signing_key() == Some(name) {
@@ -190,28 +191,29 @@
         "is coming"
     };
     Ok(format!(
-        "{name} {state}; version {}; its secret half is in {}",
+        "{name} {state}; version {}; the secret key is in {}",
         set.version,
         path.display()
     ))
 }
 
-/// A secret that others can read is no secret.
+/// Reads a secret key file. It is rejected if other users have access to it, as the key may be compromised.
 fn read_secret(path: &Path) -> Result<SecretKey, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", path.display());
-    let mode = fs::metadata(path).map_err(told)?.permissions().mode();
+    let error_text = |e: std::io::Error| format!("{}: {e}", path.display());
+    let mode = fs::metadata(path).map_err(error_text)?.permissions().mode();
     if mode & 0o077 != 0 {
         return Err(format!(
-            "{}: others may read it (mode {:o}); chmod 600 it, and think of a new key",
+            "{}: accessible to other users (mode {:o}); chmod 600 it and consider replacing the key",
             path.display(),
             mode & 0o777
         ));
     }
-    SecretKey::read(&fs::read(path).map_err(told)?).map_err(|e| format!("{}: {e}", path.display()))
+    SecretKey::read(&fs::read(path).map_err(error_text)?)
+        .map_err(|e| format!("{}: {e}", path.display()))
 }
 
 pub fn token(command: &Token) -> ExitCode {
-    said(match command {
+    print_result(match command {
         Token::Issue(args) => issue(args),
         Token::Inspect { keys, audience } => inspect(keys.as_deref(), audience),
     })
@@ -222,7 +224,7 @@
     let mut id = [0; 16];
     SystemRandom::new()
         .fill(&mut id)
-        .map_err(|_| "the system gives no random bytes".to_string())?;
+        .map_err(|_| "the system provides no random bytes".to_string())?;
     let jti = id.iter().map(|byte| format!("{byte:02x}")).collect();
     let (sub, aud, at) = (args.customer.clone(), args.audience.clone(), now());
     token::issue(
@@ -249,28 +251,28 @@
     let key = token::unverified_key_id(text).unwrap_or_else(|| "no key".into());
     let Some(file) = keys else {
         return Ok(format!(
-            "claims to be of {customer}, signed with {key}; not checked"
+            "claims customer {customer}, key {key}; not verified"
         ));
     };
     let set = read_set(file)?;
-    let terms = TokenRequirements {
+    let requirements = TokenRequirements {
         audience: audience.into(),
         leeway: 60,
         max_lifetime: Seconds::MAX / 4,
         max_bytes: 1 << 16,
     };
-    let checked = token::precheck(text, &set, &terms, now());
-    let checked = checked.and_then(|kid| token::verify(text, &kid, &set, &terms, now()));
+    let checked = token::precheck(text, &set, &requirements, now());
+    let checked = checked.and_then(|kid| token::verify(text, &kid, &set, &requirements, now()));
     match checked {
         Ok(claims) => Ok(format!(
-            "good: {} for {}, id {}, {} s left",
+            "valid: {} for {}, id {}, {} s left",
             claims.sub,
             claims.aud,
             claims.jti,
             claims.exp - now()
         )),
         Err(why) => Err(format!(
-            "claims to be of {customer}, signed with {key}: {}: {}",
+            "claims customer {customer}, key {key}: {}: {}",
             why.reason(),
             why.detail()
         )),
@@ -293,11 +295,11 @@
             format!("{function:?}: write workload/function"),
         );
     };
-    let ruling = access_rights(&loaded).decide(customer, workload, function);
-    println!("{customer} running {workload}/{function}: {ruling}");
-    ExitCode::from(if ruling.is_allowed {
-        exit::GOOD
+    let decision = access_rights(&loaded).decide(customer, workload, function);
+    println!("{customer} running {workload}/{function}: {decision}");
+    ExitCode::from(if decision.is_allowed {
+        exit::SUCCESS
     } else {
-        exit::BAD
+        exit::CHECK_FAILED
     })
 }
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `sanddrum demo` and `sanddrum lab`: scenarios, on sockets with edges as processes, or in virtual time.
+//! `sanddrum demo` and `sanddrum lab`: runs scenarios on sockets with edges as processes, or in virtual time.
 
 use crate::{exit, fail};
 use clap::Args;
@@ -11,47 +11,47 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct RunArgs {
-    /// The scenario; the bad day of the demo where none is given
+    /// Scenario file; by default the built-in one of the demo
     pub file: Option<PathBuf>,
-    /// In virtual time, in this process: fast, and the same again for the same seed
+    /// Run in virtual time within this process: fast, and deterministic for a given seed
     #[arg(long = "virtual")]
     pub in_virtual_time: bool,
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// So many edges instead of the scenario's
+    /// Number of edges, instead of the scenario's
     #[arg(long)]
     pub edges: Option<usize>,
-    /// The summary's last line is one JSON object
+    /// Print the summary as a JSON object on the last line as well
     #[arg(long)]
     pub json: bool,
-    /// A setting over the scenario's, as sharing.shares=yes; may be given several times
+    /// Override a setting of the scenario, such as sharing.shares=yes; may be given several times
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
 }
 
-/// The settings that have a scenario speak TLS to its workers.
-pub const TLS: [&str; 2] = ["tls.roots-file=roots.pem", "tls.workers=verified"];
+/// Settings that make a scenario's edges use WORKER_TLS to workers.
+pub const WORKER_TLS: [&str; 2] = ["tls.roots-file=roots.pem", "tls.workers=verified"];
 
-/// A scenario that the program brings along.
+/// A scenario that is built into the program.
 #[derive(Clone, Copy, Debug)]
-pub struct Shipped {
+pub struct BuiltInScenario {
     pub name: &'static str,
     pub text: &'static str,
 }
 
-/// The demo's.
-pub const DEMO: Shipped = Shipped {
+/// The scenario of the demo.
+pub const DEMO_SCENARIO: BuiltInScenario = BuiltInScenario {
     name: "bad-day.sx",
     text: BAD_DAY,
 };
 
-/// A scenario's name and what it says, the shipped one's where no file is given, with these settings and so many edges
-/// over its own.
+/// Reads a scenario from a file, or the built-in one if no file is given, with the settings of `set` and the number of
+/// edges overridden. Returns its name as well.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The file can't be read, the scenario or a setting is invalid, or the number of edges is given twice.
 pub fn read_scenario(
-    shipped: Shipped,
+    built_in: BuiltInScenario,
     file: Option<&Path>,
     seed: u64,
     set: &[String],
@@ -59,11 +59,12 @@
 ) -> Result<(String, Scenario), String> {
     if edges.is_some() && set.iter().any(|set| set.starts_with("fleet.edges=")) {
         return Err(
-            "--edges and --set fleet.edges both say how many edges there are: give one".into(),
+            "--edges and --set fleet.edges both set the number of edges; use only one of them"
+                .into(),
         );
     }
     let (name, text) = match file {
-        None => (shipped.name.to_string(), shipped.text.to_string()),
+        None => (built_in.name.to_string(), built_in.text.to_string()),
         Some(file) => {
             let text =
                 std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -77,11 +78,16 @@
 }
 
 pub fn run(args: &RunArgs) -> ExitCode {
-    let (name, scenario) =
-        match read_scenario(DEMO, args.file.as_deref(), args.seed, &args.set, args.edges) {
-            Ok(read) => read,
-            Err(problem) => return fail(exit::USAGE, problem),
-        };
+    let (name, scenario) = match read_scenario(
+        DEMO_SCENARIO,
+        args.file.as_deref(),
+        args.seed,
+        &args.set,
+        args.edges,
+    ) {
+        Ok(read) => read,
+        Err(problem) => return fail(exit::USAGE, problem),
+    };
     let seconds = scenario.length / 1_000_000;
     let how = if args.in_virtual_time {
         "in virtual time"
@@ -90,51 +96,51 @@
     };
     let (workers, edges) = (scenario.workers, scenario.edges);
     println!(
-        "{name}: {workers} workers, {edges} edges, {seconds} s of calls, seed {}, {how}",
+        "{name}: {workers} workers, {edges} edges, {seconds} s of requests, seed {}, {how}",
         args.seed
     );
-    let played = if args.in_virtual_time {
+    let result = if args.in_virtual_time {
         play_virtually(scenario, product_edge()).map_err(|e| e.to_string())
     } else {
-        on_sockets(scenario, &args.set)
+        run_on_sockets(scenario, &args.set)
     };
-    match played {
-        Ok(outcome) => tell(&outcome, args.json),
-        Err(problem) => fail(exit::TROUBLE, problem),
+    match result {
+        Ok(outcome) => print_outcome(&outcome, args.json),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
-pub fn tell(outcome: &Outcome, json: bool) -> ExitCode {
+pub fn print_outcome(outcome: &Outcome, json: bool) -> ExitCode {
     print!("{}", outcome.text());
     if json {
         println!("{}", outcome.json());
     }
     ExitCode::from(if outcome.is_good() {
-        exit::GOOD
+        exit::SUCCESS
     } else {
-        exit::BAD
+        exit::CHECK_FAILED
     })
 }
 
-/// A folder of this run's own that goes with it.
-pub struct Folder(pub PathBuf);
+/// A temporary folder of this process, deleted on drop.
+pub struct TemporaryFolder(pub PathBuf);
 
-impl Folder {
+impl TemporaryFolder {
     pub fn new() -> std::io::Result<Self> {
         let folder = std::env::temp_dir().join(format!("sanddrum-lab-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        Ok(Folder(folder))
+        Ok(TemporaryFolder(folder))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Each edge is this program again, started as one.
-fn edge_process(
+/// The command that runs this program as an edge.
+fn edge_command(
     program: &Path,
     settings: &Path,
     scenario: &Scenario,
@@ -167,14 +173,14 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct StandArgs {
-    /// The scenario whose fleet is set up; that of the demo where none is given
+    /// Scenario whose fleet is started; by default that of the demo
     pub file: Option<PathBuf>,
-    /// The edge's client door
+    /// Address of the edge's client listener
     #[arg(long, default_value = "127.0.0.1:8080", value_name = "ADDRESS")]
     pub listen: String,
 }
 
-/// A fleet with one edge and no calls, until a signal.
+/// Runs a scenario's fleet with one edge and without its traffic until a signal arrives.
 pub fn stand(args: &StandArgs) -> ExitCode {
     let read = args
         .file
@@ -195,42 +201,42 @@
         .iter()
         .map(|c| format!("{}/{}1", c.workload, c.prefix))
         .collect();
-    let kept = || -> Result<(), String> {
-        let folder = Folder::new().map_err(|e| e.to_string())?;
-        let (recording, edges) = (Recording::default(), processes(&folder, &[])?);
+    let run_until_signal = || -> Result<(), String> {
+        let folder = TemporaryFolder::new().map_err(|e| e.to_string())?;
+        let (recording, edges) = (Recording::default(), edge_processes(&folder, &[])?);
         let file = folder.0.join("scenario.sx");
         std::fs::write(&file, &text).map_err(|e| e.to_string())?;
-        let door = [args.listen.as_str()];
-        let stage =
-            SocketEnvironment::standing(scenario, &recording, edges, folder.0.clone(), &door);
-        let mut stage = stage.map_err(|e| format!("{}: {e}", args.listen))?;
-        stage.catch_signals().map_err(|e| e.to_string())?;
+        let listen = [args.listen.as_str()];
+        let environment =
+            SocketEnvironment::standing(scenario, &recording, edges, folder.0.clone(), &listen);
+        let mut environment = environment.map_err(|e| format!("{}: {e}", args.listen))?;
+        environment.catch_signals().map_err(|e| e.to_string())?;
         println!(
-            "an edge answers at {}; functions such as {}; end it with ctrl-c",
+            "edge listening on {}; functions such as {}; stop with ctrl-c",
             args.listen,
             names.join(", ")
         );
-        while !stage.signalled() {
-            let next = stage.now() + 100_000;
-            stage.run_until(next).map_err(|e| e.to_string())?;
+        while !environment.signalled() {
+            let next = environment.now() + 100_000;
+            environment.run_until(next).map_err(|e| e.to_string())?;
         }
         Ok(())
     };
-    match kept() {
-        Ok(()) => ExitCode::from(exit::GOOD),
-        Err(problem) => fail(exit::TROUBLE, problem),
+    match run_until_signal() {
+        Ok(()) => ExitCode::from(exit::SUCCESS),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
-/// Edges as processes of this program, with the scenario's text in this folder as their settings.
-fn processes(folder: &Folder, set: &[String]) -> Result<EdgesAs, String> {
+/// Runs edges as processes of this program, with the scenario file in this folder as their settings.
+fn edge_processes(folder: &TemporaryFolder, set: &[String]) -> Result<EdgesAs, String> {
     let settings = folder.0.join("scenario.sx");
     let (home, set) = (folder.0.clone(), set.to_vec());
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     Ok(EdgesAs::Processes(Box::new(
         move |n, fleet, state, seed| {
             let (listen, list) = (&fleet.addresses.edges[n], &fleet.addresses.list);
-            let mut command = edge_process(&program, &settings, &fleet.scenario, n, listen, list);
+            let mut command = edge_command(&program, &settings, &fleet.scenario, n, listen, list);
             command
                 .arg("--state-file")
                 .arg(state)
@@ -255,33 +261,33 @@
     )))
 }
 
-fn on_sockets(scenario: Scenario, set: &[String]) -> Result<Outcome, String> {
-    let folder = Folder::new().map_err(|e| e.to_string())?;
+fn run_on_sockets(scenario: Scenario, set: &[String]) -> Result<Outcome, String> {
+    let folder = TemporaryFolder::new().map_err(|e| e.to_string())?;
     let settings = folder.0.join("scenario.sx");
     std::fs::write(&settings, &scenario.text).map_err(|e| e.to_string())?;
-    let edges = processes(&folder, set)?;
+    let edges = edge_processes(&folder, set)?;
     let recording = Recording::default();
-    let stage = SocketEnvironment::new(scenario, &recording, edges, folder.0.clone());
-    let mut stage = stage.map_err(|e| e.to_string())?;
-    stage.catch_signals().map_err(|e| e.to_string())?;
-    let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
-    if stage.signalled() {
-        return Err("ended by a signal before the scenario was over".into());
+    let environment = SocketEnvironment::new(scenario, &recording, edges, folder.0.clone());
+    let mut environment = environment.map_err(|e| e.to_string())?;
+    environment.catch_signals().map_err(|e| e.to_string())?;
+    let outcome = play(&mut environment, &recording).map_err(|e| e.to_string())?;
+    if environment.signalled() {
+        return Err("stopped by a signal before the end of the scenario".into());
     }
     Ok(outcome)
 }
 
 #[derive(Args, Clone, Debug)]
 pub struct ExperimentArgs {
-    /// The scenario with its variants
+    /// Scenario file with variants
     pub file: PathBuf,
-    /// Each variant is run on so many seeds; what the scenario says where none is given
+    /// Number of seeds for each variant; the scenario's by default
     #[arg(long)]
     pub seeds: Option<u64>,
-    /// Runs at a time; as many as there are processors where none is given
+    /// Number of parallel runs; the number of processors by default
     #[arg(long)]
     pub threads: Option<usize>,
-    /// One HTML page with all figures goes here
+    /// Write an HTML report with all results to this file
     #[arg(long, value_name = "FILE")]
     pub report: Option<PathBuf>,
 }
@@ -300,42 +306,42 @@
         .threads
         .or(std::thread::available_parallelism().map(usize::from).ok())
         .unwrap_or(1);
-    let told = |done: usize| {
+    let print_progress = |done: usize| {
         if done.is_multiple_of(threads) || done == all {
             eprint!("\r{done} of {all} runs ");
         }
     };
-    let figures = match experiment.run_all(threads, told) {
-        Ok(figures) => figures,
-        Err(e) => return fail(exit::TROUBLE, e),
+    let results = match experiment.run_all(threads, print_progress) {
+        Ok(results) => results,
+        Err(e) => return fail(exit::RUNTIME_ERROR, e),
     };
     eprintln!();
-    print!("{}", report::text(&experiment, &figures));
+    print!("{}", report::text(&experiment, &results));
     if let Some(file) = &args.report {
-        let written = report::html(&experiment, &figures).and_then(|page| {
+        let written = report::html(&experiment, &results).and_then(|page| {
             std::fs::write(file, page).map_err(|e| format!("{}: {e}", file.display()))
         });
         if let Err(problem) = written {
-            return fail(exit::TROUBLE, problem);
+            return fail(exit::RUNTIME_ERROR, problem);
         }
     }
-    ExitCode::from(exit::GOOD)
+    ExitCode::from(exit::SUCCESS)
 }
 
 #[derive(Args, Clone, Debug)]
 pub struct HuntArgs {
-    /// No further day is begun after so long
+    /// Start no further run after this many seconds
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
-    /// No more days than this
+    /// Maximum number of runs, each of one generated scenario
     #[arg(long, default_value_t = 100_000)]
     pub days: u64,
-    /// The first day's seed
+    /// Seed of the first run
     #[arg(long, default_value_t = 1)]
     pub from: u64,
     #[arg(long)]
     pub threads: Option<usize>,
-    /// Finds are kept here
+    /// Folder for the scenarios that violate a rule
     #[arg(long, value_name = "FOLDER", default_value = "finds")]
     pub keep: PathBuf,
 }
@@ -346,9 +352,9 @@
         .threads
         .or(std::thread::available_parallelism().map(usize::from).ok())
         .unwrap_or(1);
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let (next, played, found) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-    let one = |seed: u64| -> Result<(), String> {
+    let run_day = |seed: u64| -> Result<(), String> {
         let day = Day::drawn(seed);
         let (rules, _) = day.breaks().map_err(|e| format!("day {seed}: {e}"))?;
         played.fetch_add(1, Ordering::Relaxed);
@@ -356,27 +362,27 @@
             return Ok(());
         }
         found.fetch_add(1, Ordering::Relaxed);
-        let find = day.shrunk()?;
+        let minimized = day.shrunk()?;
         std::fs::create_dir_all(&args.keep).map_err(|e| e.to_string())?;
         let file = args.keep.join(format!("day-{seed}.sx"));
-        std::fs::write(&file, find.text()).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(&file, minimized.text()).map_err(|e| format!("{}: {e}", file.display()))?;
         println!(
             "{}: {} after {} runs",
             file.display(),
-            find.broken.join("; "),
-            find.runs
+            minimized.broken.join("; "),
+            minimized.runs
         );
         Ok(())
     };
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
-                while began.elapsed().as_secs() < args.seconds {
+                while started.elapsed().as_secs() < args.seconds {
                     let n = next.fetch_add(1, Ordering::Relaxed);
                     if n >= args.days {
                         break;
                     }
-                    if let Err(problem) = one(args.from + n) {
+                    if let Err(problem) = run_day(args.from + n) {
                         eprintln!("{problem}");
                     }
                 }
@@ -384,6 +390,10 @@
         }
     });
     let (played, found) = (played.into_inner(), found.into_inner());
-    println!("{played} days played, {found} broke a rule");
-    ExitCode::from(if found == 0 { exit::GOOD } else { exit::BAD })
+    println!("{played} runs, {found} with a rule violation");
+    ExitCode::from(if found == 0 {
+        exit::SUCCESS
+    } else {
+        exit::CHECK_FAILED
+    })
 }
--- a/crates/sanddrum-cli/src/lib.rs
+++ b/crates/sanddrum-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs share: logs, exit codes, and running an edge.
+//! The commands of the programs, with their logging and exit codes.
 
 #![allow(clippy::missing_errors_doc, clippy::too_many_lines, missing_docs)] // unfinished: docs/ROADMAP.md
 
@@ -19,19 +19,19 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// Exit codes, the same for every command.
+/// Exit codes, the same for all commands.
 pub mod exit {
-    /// All was well.
-    pub const GOOD: u8 = 0;
-    /// It ran, and what it found is not well: a rule broken, a job not finished.
-    pub const BAD: u8 = 1;
-    /// It could not run as asked: wrong arguments or settings.
+    /// The command succeeded.
+    pub const SUCCESS: u8 = 0;
+    /// The command ran and reports a negative result: a violated rule, a request that did not finish.
+    pub const CHECK_FAILED: u8 = 1;
+    /// The command could not start: invalid arguments or settings.
     pub const USAGE: u8 = 2;
-    /// It could not go on: a port taken, a file not to be written.
-    pub const TROUBLE: u8 = 3;
+    /// The command could not continue: a port in use, a file that can't be written.
+    pub const RUNTIME_ERROR: u8 = 3;
 }
 
-/// Prints a problem and gives its exit code.
+/// Prints an error message to standard error and returns the exit code.
 pub fn fail(code: u8, problem: impl Display) -> ExitCode {
     eprintln!("{problem}");
     ExitCode::from(code)
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -59,12 +59,12 @@
                 println!("{}", figures(&seen));
             }
             ExitCode::from(if seen.finished > 0 {
-                exit::GOOD
+                exit::SUCCESS
             } else {
-                exit::BAD
+                exit::CHECK_FAILED
             })
         }
-        Err(problem) => fail(exit::TROUBLE, problem),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
@@ -179,8 +179,8 @@
         Ok(())
     };
     match all() {
-        Ok(()) => ExitCode::from(exit::GOOD),
-        Err(problem) => fail(exit::TROUBLE, problem),
+        Ok(()) => ExitCode::from(exit::SUCCESS),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
--- a/crates/sanddrum-cli/src/logs.rs
+++ b/crates/sanddrum-cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logging to standard error, which never holds the program up.
+//! Logging to standard error that never blocks the program.
 
 use clap::{Args, ValueEnum};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -8,70 +8,71 @@
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line
     Json,
 }
 
 #[derive(Args, Clone, Debug)]
 pub struct Logs {
-    /// What is logged: error, warn, info, debug or trace, also by part, as sanddrum_edge=debug
+    /// Log level: error, warn, info, debug or trace; also per module, such as sanddrum_edge=debug
     #[arg(long, default_value = "warn", global = true, value_name = "WHAT")]
     pub log: String,
-    /// How it is written
+    /// Log format
     #[arg(long, value_enum, default_value_t = Format::Text, global = true)]
     pub log_format: Format,
 }
 
-/// Begins logging to standard error.
+/// Starts logging to standard error.
 ///
 /// # Errors
-/// The filter can't be understood.
-pub fn begin(logs: &Logs) -> Result<(), String> {
+/// The filter is invalid, or logging has been started already.
+pub fn init(logs: &Logs) -> Result<(), String> {
     let filter = EnvFilter::try_new(&logs.log).map_err(|e| format!("--log {}: {e}", logs.log))?;
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(|| LineWriter);
-    let begun = match logs.log_format {
+    let result = match logs.log_format {
         Format::Text => lines.try_init(),
         Format::Json => lines.json().flatten_event(true).try_init(),
     };
-    begun.map_err(|e| e.to_string())
+    result.map_err(|e| e.to_string())
 }
 
-/// The longest line: a pipe that has room takes so much whole (POSIX, PIPE_BUF on Linux).
+/// Lines are cut to this length: a writable pipe takes up to this many bytes at once (POSIX: PIPE_BUF on Linux).
 const LONGEST_LINE: usize = 4096;
 
-/// Lines that found no room since the last one that did.
+/// Number of lines dropped since the last one that was written.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Writes lines to standard error where there is room for them, and counts those that it drops. Guards against a reader of
-/// the log that stalls: a write that waits for it would hold up all that the process serves.
+/// Writes lines to standard error if that doesn't block, and otherwise drops and counts them. If the reader of the log
+/// stalls, a blocking write would stall every request of the process.
 struct LineWriter;
 
-fn has_room(stderr: &io::Stderr) -> bool {
-    let mut waits = [PollFd::new(stderr, PollFlags::OUT)];
-    let at_once = Timespec {
+fn is_writable(stderr: &io::Stderr) -> bool {
+    let mut descriptors = [PollFd::new(stderr, PollFlags::OUT)];
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    poll(&mut waits, Some(&at_once)).is_ok_and(|ready| ready > 0)
+    poll(&mut descriptors, Some(&no_wait)).is_ok_and(|ready| ready > 0)
 }
 
 impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let stderr = io::stderr();
-        if !has_room(&stderr) {
+        if !is_writable(&stderr) {
             DROPPED.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
         let dropped = DROPPED.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let _ = stderr.lock().write(
-                format!("{dropped} lines were dropped, as nobody read the log\n").as_bytes(),
+                format!("{dropped} log lines were dropped because the reader did not keep up\n")
+                    .as_bytes(),
             );
-            if !has_room(&stderr) {
+            if !is_writable(&stderr) {
                 DROPPED.fetch_add(1, Ordering::Relaxed);
                 return Ok(line.len());
             }
--- a/crates/sanddrum-cli/src/main.rs
+++ b/crates/sanddrum-cli/src/main.rs
@@ -7,132 +7,132 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A gateway that runs calls on workers which load functions on demand
+/// A gateway that routes requests to workers, which load functions on demand
 #[derive(Parser)]
 #[command(
     name = "sanddrum",
     version,
     after_help = "Examples:
-  sanddrum demo                                   the bad day, on loopback sockets
+  sanddrum demo                                   the built-in scenario on loopback sockets
   sanddrum lab run day.sx --virtual --seed 7      a scenario in virtual time
-  sanddrum config check armor.sx                  what is wrong with a settings file, and where
-  sanddrum call trace-pass pick-1 --body hello    one call through an edge
+  sanddrum config check armor.sx                  check a settings file
+  sanddrum call trace-pass pick-1 --body hello    send a request through an edge
 
-Exit codes: 0 all well; 1 it ran and found something not well; 2 wrong arguments or settings; 3 it could not go on."
+Exit codes: 0 success; 1 a check failed or a request did not finish; 2 invalid arguments or settings; 3 runtime error."
 )]
 struct Cli {
     #[command(subcommand)]
-    command: What,
+    command: Command,
     #[command(flatten)]
     logs: logs::Logs,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Start everything on loopback, play the scripted bad day and judge it from the traffic
+enum Command {
+    /// Run the built-in scenario on loopback sockets and check it from the traffic
     Demo(DemoArgs),
-    /// Scenarios
+    /// Run scenarios, load and measurements
     #[command(subcommand)]
     Lab(Lab),
-    /// Settings files
+    /// Check and print settings files
     #[command(subcommand)]
     Config(Config),
-    /// The keys that tokens are signed with
+    /// Manage the keys that sign tokens
     #[command(subcommand)]
     Keys(keys::Keys),
-    /// Tokens
+    /// Issue and inspect tokens
     #[command(subcommand)]
     Token(keys::Token),
-    /// Certificates for tests
+    /// Create and manage certificates for tests
     #[command(subcommand)]
     Certs(certs::Certs),
-    /// Who may run what
+    /// Show which customers may run which functions
     #[command(subcommand)]
     Rights(keys::RightsCommand),
-    /// Make one call through an edge
+    /// Send a request through an edge
     #[command(
         after_help = "Example:\n  sanddrum call trace-pass trace-1 --edge 127.0.0.1:8080 --time-limit 2000 --body hello"
     )]
     Call(call::CallArgs),
-    /// Run an edge, as sanddrum-edge does
+    /// Run an edge, like sanddrum-edge
     #[command(hide = true)]
     Edge(edge::EdgeArgs),
 }
 
 #[derive(Args)]
 struct DemoArgs {
-    /// The summary's last line is one JSON object
+    /// Print the summary as a JSON object on the last line as well
     #[arg(long)]
     json: bool,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Workers prove their names: everything between edges and workers goes over TLS
+    /// Use TLS with verified names between edges and workers
     #[arg(long)]
     tls: bool,
 }
 
 #[derive(Subcommand)]
 enum Lab {
-    /// Play a scenario and judge it
+    /// Run a scenario and check it
     #[command(after_help = "Examples:
-  sanddrum lab run                                the bad day on sockets
-  sanddrum lab run --virtual --seed 7 --json      in virtual time: equal seeds give equal timelines")]
+  sanddrum lab run                                the built-in scenario on sockets
+  sanddrum lab run --virtual --seed 7 --json      in virtual time: the same seed gives the same timeline")]
     Run(lab::RunArgs),
-    /// Play a scenario with every edge, every worker, the list service and the store as a process of its own
+    /// Run a scenario with each edge, each worker, the discovery service and the store as its own process
     #[command(after_help = "Example:\n  sanddrum lab fleet cold.sx --edges 300 --seed 11")]
     Fleet(fleet::FleetArgs),
-    /// Play a scenario in virtual time with ever more edges, on the same seeds
+    /// Run a scenario in virtual time with increasing numbers of edges, on the same seeds
     #[command(
         after_help = "Example:\n  sanddrum lab sizes cold.sx --edges 3,30,100,300 --seeds 5 --plots docs/plots"
     )]
     Sizes(fleet::SizesArgs),
-    /// Run a stand-in as a process: a worker, the list service or the store of a scenario
+    /// Run one emulated component of a scenario as a process: a worker, the discovery service or the store
     Part(fleet::PartArgs),
-    /// Set up a small fleet on loopback with an edge on a known port, and keep it running
+    /// Run a small fleet on loopback, with one edge on a known port, until interrupted
     #[command(after_help = "Example:\n  sanddrum lab stand --listen 127.0.0.1:8080")]
     Stand(lab::StandArgs),
-    /// Put load on an edge, open loop, and tell its latencies
+    /// Generate open-loop load on an edge and report latencies
     #[command(
         after_help = "Example:\n  sanddrum lab load trace-pass trace- --functions 8 --rate 200 --body work-us=5000"
     )]
     Load(load::LoadArgs),
-    /// Draw random days and look for one that breaks a rule; a find is made small and kept as a scenario
+    /// Run random scenarios in search of a rule violation; each find is minimized and saved as a scenario
     #[command(after_help = "Example:\n  sanddrum lab hunt --seconds 600 --from 1 --keep finds/")]
     Hunt(lab::HuntArgs),
-    /// Run variants of a scenario on the same seeds, and tell what their differences are worth
+    /// Run variants of a scenario on the same seeds and compare them by confidence intervals
     #[command(
         after_help = "Example:\n  sanddrum lab experiment overload.sx --seeds 20 --report overload.html\n\n\
                             The scenario names its variants: (variant \"no budget\" (set \"limits.repeats=100%\")),\n\
                             (variant \"random\" (decides random))."
     )]
     Experiment(lab::ExperimentArgs),
-    /// Play routers as processes under overlapping troubles, and judge them from what their peers saw
+    /// Run routers as processes under overlapping faults and check them by what their peers observed
     #[command(after_help = "Examples:
-  sanddrum lab soak --platform --seed 7           a minute of troubles among 30 routers
-  sanddrum lab soak --platform --replay 7 --keep  the run of a find again, with its logs")]
+  sanddrum lab soak --platform --seed 7           a minute of faults among 30 routers
+  sanddrum lab soak --platform --replay 7 --keep  repeat the run with seed 7 and keep its logs")]
     Soak(soak::SoakArgs),
-    /// Measure what each part of a deployment costs as it grows, and the slope of each figure
+    /// Measure what each part of a deployment costs as it grows, and the slope of each cost
     #[command(after_help = "Examples:
   sanddrum lab capacity --out capacity            all plays at the operators' expected sizes
   sanddrum lab capacity --short --only router     one play, at sizes that take seconds")]
     Capacity(capacity::CapacityArgs),
-    /// Measure what an edge costs on this machine, beside a bare forwarder
+    /// Measure the cost of an edge on this machine, compared with a plain forwarder
     Measure(load::MeasureArgs),
 }
 
 #[derive(Subcommand)]
 enum Config {
-    /// Say what is wrong with a settings file, with line and column
+    /// Check a settings file and report an error with line and column
     Check {
         file: PathBuf,
-        /// It is a scenario
+        /// Treat the file as a scenario
         #[arg(long)]
         scenario: bool,
     },
-    /// Every value in force, with where it came from
+    /// Print every effective value with its origin
     Show {
         file: PathBuf,
-        /// It is a scenario
+        /// Treat the file as a scenario
         #[arg(long)]
         scenario: bool,
     },
@@ -140,11 +140,11 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(problem) = logs::begin(&cli.logs) {
+    if let Err(problem) = logs::init(&cli.logs) {
         return fail(exit::USAGE, problem);
     }
     match &cli.command {
-        What::Demo(args) => {
+        Command::Demo(args) => {
             let args = lab::RunArgs {
                 file: None,
                 in_virtual_time: false,
@@ -152,31 +152,31 @@
                 edges: None,
                 json: args.json,
                 set: if args.tls {
-                    lab::TLS.map(String::from).to_vec()
+                    lab::WORKER_TLS.map(String::from).to_vec()
                 } else {
                     Vec::new()
                 },
             };
             lab::run(&args)
         }
-        What::Lab(Lab::Run(args)) => lab::run(args),
-        What::Lab(Lab::Fleet(args)) => fleet::run(args),
-        What::Lab(Lab::Sizes(args)) => fleet::sizes(args),
-        What::Lab(Lab::Part(args)) => fleet::part(args),
-        What::Lab(Lab::Stand(args)) => lab::stand(args),
-        What::Lab(Lab::Load(args)) => load::load(args),
-        What::Lab(Lab::Experiment(args)) => lab::experiment(args),
-        What::Lab(Lab::Hunt(args)) => lab::hunt(args),
-        What::Lab(Lab::Soak(args)) => soak::run(args),
-        What::Lab(Lab::Capacity(args)) => capacity::run(args),
-        What::Lab(Lab::Measure(args)) => load::run(args),
-        What::Config(Config::Check { file, scenario }) => config::check(file, *scenario),
-        What::Config(Config::Show { file, scenario }) => config::show(file, *scenario),
-        What::Keys(command) => keys::keys(command),
-        What::Token(command) => keys::token(command),
-        What::Certs(command) => certs::run(command),
-        What::Rights(command) => keys::rights(command),
-        What::Call(args) => call::run(args),
-        What::Edge(args) => edge::run(args),
+        Command::Lab(Lab::Run(args)) => lab::run(args),
+        Command::Lab(Lab::Fleet(args)) => fleet::run(args),
+        Command::Lab(Lab::Sizes(args)) => fleet::sizes(args),
+        Command::Lab(Lab::Part(args)) => fleet::part(args),
+        Command::Lab(Lab::Stand(args)) => lab::stand(args),
+        Command::Lab(Lab::Load(args)) => load::load(args),
+        Command::Lab(Lab::Experiment(args)) => lab::experiment(args),
+        Command::Lab(Lab::Hunt(args)) => lab::hunt(args),
+        Command::Lab(Lab::Soak(args)) => soak::run(args),
+        Command::Lab(Lab::Capacity(args)) => capacity::run(args),
+        Command::Lab(Lab::Measure(args)) => load::run(args),
+        Command::Config(Config::Check { file, scenario }) => config::check(file, *scenario),
+        Command::Config(Config::Show { file, scenario }) => config::show(file, *scenario),
+        Command::Keys(command) => keys::keys(command),
+        Command::Token(command) => keys::token(command),
+        Command::Certs(command) => certs::run(command),
+        Command::Rights(command) => keys::rights(command),
+        Command::Call(args) => call::run(args),
+        Command::Edge(args) => edge::run(args),
     }
 }
--- a/crates/sanddrum-cli/src/retry.rs
+++ b/crates/sanddrum-cli/src/retry.rs
@@ -1,16 +1,17 @@
-//! What a start tries again while the system has no room for it.
+//! Retries startup steps that fail because system resources are temporarily unavailable.
 
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A start gives up after this; the platform wants a router ready within ten seconds.
-const WITHIN: Duration = Duration::from_secs(5);
-const AGAIN_AFTER: Duration = Duration::from_millis(20);
+/// A startup step fails for good after this time: the platform expects a router to be ready within ten seconds.
+const MAX_RETRY_TIME: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Errors that pass: no descriptors, memory or buffers, an address that the process before still has, a signal.
-fn passes(error: &io::Error) -> bool {
+/// Whether an error may be temporary: no descriptors, memory or buffers, an address still in use by the previous
+/// process, an interruption by a signal.
+fn is_transient(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let passing = [
+    let transient_errors = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
@@ -22,24 +23,26 @@
         Errno::ADDRINUSE,
         Errno::ADDRNOTAVAIL,
     ];
-    error
-        .raw_os_error()
-        .is_some_and(|code| passing.iter().any(|errno| errno.raw_os_error() == code))
+    error.raw_os_error().is_some_and(|code| {
+        transient_errors
+            .iter()
+            .any(|errno| errno.raw_os_error() == code)
+    })
 }
 
-/// Tries until it works, or fails for good, or for too long.
+/// Calls `attempt` until it succeeds, fails with a permanent error or has failed for too long.
 ///
 /// # Errors
-/// The last error.
-pub fn until_it_works<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let begun = Instant::now();
+/// The error of the last attempt.
+pub fn retry_transient_errors<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let started = Instant::now();
     loop {
         match attempt() {
-            Err(e) if passes(&e) && begun.elapsed() < WITHIN => {
-                tracing::warn!(reason = "start", error = %e, "a step of the start is tried again");
-                std::thread::sleep(AGAIN_AFTER);
+            Err(e) if is_transient(&e) && started.elapsed() < MAX_RETRY_TIME => {
+                tracing::warn!(reason = "start", error = %e, "startup step failed and is retried");
+                std::thread::sleep(RETRY_DELAY);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/sanddrum-cli/src/soak.rs
+++ b/crates/sanddrum-cli/src/soak.rs
@@ -1,6 +1,6 @@
-//! `sanddrum lab soak`: real processes under overlapping troubles, judged from what their peers saw.
+//! `sanddrum lab soak`: runs router processes under overlapping faults and checks them by what their peers observed.
 
-use crate::lab::Folder;
+use crate::lab::TemporaryFolder;
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::soak::{soak, SoakReport, SoakSpec};
@@ -9,49 +9,49 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct SoakArgs {
-    /// Routers on the users' platform, as sanddrum-edge --platform
+    /// Run routers on the platform, as sanddrum-edge --platform does
     #[arg(long, required = true)]
     pub platform: bool,
-    /// Settings, troubles and clients are drawn from it
+    /// Seed from which settings, faults and clients are generated
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Plays the run of a find again, as its last line named it
+    /// Repeat the run with this seed, which the last line of a failed run names
     #[arg(long, value_name = "SEED", conflicts_with = "seed")]
     pub replay: Option<u64>,
-    /// How long troubles are played
+    /// Number of seconds for which faults are injected
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
-    /// Routers, each a process; as many model servers stand beside them
+    /// Number of router processes; as many emulated model servers run with them
     #[arg(long, default_value_t = 30)]
     pub routers: usize,
-    /// Requests a second for each router
+    /// Requests per second for each router
     #[arg(long, default_value_t = 12.0)]
     pub rate: f64,
-    /// The last line is one JSON object
+    /// Print the report as a JSON object as well
     #[arg(long)]
     pub json: bool,
-    /// The routers' program, where it is not the one beside this
+    /// Program of the routers; sanddrum-edge in the folder of this program by default
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
-    /// Configurations and logs stay in the folder that the report names
+    /// Keep the configurations and logs in the folder that the report names
     #[arg(long)]
     pub keep: bool,
 }
 
 pub fn run(args: &SoakArgs) -> ExitCode {
-    match played(args) {
-        Ok(report) => tell(args, &report),
-        Err(problem) => fail(exit::TROUBLE, problem),
+    match run_soak(args) {
+        Ok(report) => print_report(args, &report),
+        Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
 }
 
-fn played(args: &SoakArgs) -> Result<SoakReport, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
+fn run_soak(args: &SoakArgs) -> Result<SoakReport, String> {
+    let current_program = std::env::current_exe().map_err(|e| e.to_string())?;
     let program = args
         .program
         .clone()
-        .unwrap_or_else(|| own.with_file_name("sanddrum-edge"));
-    let folder = Folder::new().map_err(|e| e.to_string())?;
+        .unwrap_or_else(|| current_program.with_file_name("sanddrum-edge"));
+    let folder = TemporaryFolder::new().map_err(|e| e.to_string())?;
     let spec = SoakSpec {
         seed: args.replay.unwrap_or(args.seed),
         seconds: args.seconds,
@@ -62,7 +62,7 @@
         folder: folder.0.clone(),
     };
     let report = soak(&spec).map_err(|e| e.to_string())?;
-    // Without the routers' logs a break that does not come again can't be traced.
+    // A violation that does not occur again on replay can only be diagnosed from the routers' logs.
     if args.keep || !report.is_good() {
         println!("configurations and logs: {}", folder.0.display());
         std::mem::forget(folder);
@@ -70,28 +70,28 @@
     Ok(report)
 }
 
-/// Breaks told in full; beyond that only their number.
-const BREAKS_TOLD: usize = 20;
+/// Violations printed one by one; of further ones only the number is given.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-fn tell(args: &SoakArgs, report: &SoakReport) -> ExitCode {
+fn print_report(args: &SoakArgs, report: &SoakReport) -> ExitCode {
     println!("troubles {:?}", report.troubles);
     println!("faults {:?}", report.faults);
     println!(
-        "counts {:?}, the lab itself late for {} ms in all",
+        "counts {:?}, the lab itself late for {} ms in total",
         report.counts, report.lab_late_ms
     );
     report
         .breaks
         .iter()
-        .take(BREAKS_TOLD)
-        .for_each(|found| println!("{found}"));
+        .take(MAX_PRINTED_VIOLATIONS)
+        .for_each(|violation| println!("{violation}"));
     if args.json {
         println!("{}", report.json());
     }
     println!("{}", report.verdict());
     ExitCode::from(if report.is_good() {
-        exit::GOOD
+        exit::SUCCESS
     } else {
-        exit::BAD
+        exit::CHECK_FAILED
     })
 }
--- a/crates/sanddrum-cli/tests/overrides.rs
+++ b/crates/sanddrum-cli/tests/overrides.rs
@@ -17,12 +17,12 @@
 
 /// The summary's first line tells the fleet.
 #[rstest]
-#[case::none("none", &[], "4 workers, 2 edges, 2 s of calls")]
-#[case::edges("edges", &["--set", "fleet.edges=3"], "4 workers, 3 edges, 2 s of calls")]
-#[case::workers("workers", &["--set", "fleet.workers=6"], "6 workers, 2 edges, 2 s of calls")]
-#[case::length("length", &["--set", "traffic.length=1s"], "4 workers, 2 edges, 1 s of calls")]
-#[case::two("two", &["--set", "fleet.edges=3", "--set", "fleet.workers=6"], "6 workers, 3 edges, 2 s of calls")]
-#[case::edges_of_their_own("own", &["--edges", "5"], "4 workers, 5 edges, 2 s of calls")]
+#[case::none("none", &[], "4 workers, 2 edges, 2 s of requests")]
+#[case::edges("edges", &["--set", "fleet.edges=3"], "4 workers, 3 edges, 2 s of requests")]
+#[case::workers("workers", &["--set", "fleet.workers=6"], "6 workers, 2 edges, 2 s of requests")]
+#[case::length("length", &["--set", "traffic.length=1s"], "4 workers, 2 edges, 1 s of requests")]
+#[case::two("two", &["--set", "fleet.edges=3", "--set", "fleet.workers=6"], "6 workers, 3 edges, 2 s of requests")]
+#[case::edges_of_their_own("own", &["--edges", "5"], "4 workers, 5 edges, 2 s of requests")]
 fn an_override_takes_effect(#[case] name: &str, #[case] set: &[&str], #[case] told: &str) {
     let played = play(
         &format!("set-{name}"),
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -453,7 +453,7 @@
             let said = self.said.lock().unwrap().clone();
             let line = said
                 .lines()
-                .find(|line| line.contains("a router of the platform begins"));
+                .find(|line| line.contains("platform router starting"));
             let at =
                 line.and_then(|line| line.split('"').find(|text| text.starts_with("127.0.0.1:")));
             self.at = at.unwrap_or_default().to_string();
