--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -169,8 +169,8 @@
     "door.denied-file",
 ];
 
-/// Loads the certificates and trust settings of one side of the TLS layer. An edge does not start with certificates that
-/// are invalid, expired or not yet valid.
+/// Loads the certificates and trust settings of one side of the TLS layer. An edge does not start with certificates
+/// that are invalid, expired or not yet valid.
 fn load_tls_side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
         match l.contains(key) {
@@ -309,8 +309,8 @@
             "without --state-file, revoked keys are forgotten at a restart"
         );
     }
-    // Only a warning: the number of edges may be outdated after the fleet has grown, and an edge that doesn't start would
-    // do more harm.
+    // Only a warning: the number of edges may be outdated after the fleet has grown, and an edge that doesn't start
+    // would do more harm.
     if settings.number("me") >= settings.number("routers") {
         tracing::warn!(
             reason = "edges",
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -1,5 +1,5 @@
-//! `sanddrum lab fleet`, `lab sizes` and `lab part`: runs a scenario with every component as its own process, runs it in
-//! virtual time with growing numbers of edges, and runs an emulated component as such a process.
+//! `sanddrum lab fleet`, `lab sizes` and `lab part`: runs a scenario with every component as its own process, runs it
+//! in virtual time with growing numbers of edges, and runs an emulated component as such a process.
 
 use crate::lab::{print_outcome, read_scenario, BuiltInScenario, TemporaryFolder, DEMO_SCENARIO};
 use crate::{exit, fail};
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -1,5 +1,5 @@
-//! `sanddrum keys`, `sanddrum token` and `sanddrum rights`: manages signing keys, issues and inspects tokens, and explains
-//! access rights.
+//! `sanddrum keys`, `sanddrum token` and `sanddrum rights`: manages signing keys, issues and inspects tokens, and
+//! explains access rights.
 
 use crate::{exit, fail};
 use clap::{Args, Subcommand};
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `sanddrum lab load` and `lab measure`: load on an edge, and what an edge costs on this machine.
+//! `sanddrum lab load` and `lab measure`: generates load on an edge, and measures what an edge costs on this machine.
 
 use crate::{exit, fail};
 use clap::Args;
@@ -12,15 +12,15 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct LoadArgs {
-    /// The edge's client door
+    /// Address of the edge's client listener
     #[arg(long, default_value = "127.0.0.1:8080", value_name = "ADDRESS")]
     pub edge: String,
     pub workload: String,
-    /// Called are this name and a number behind it
+    /// Prefix of the function names, which is followed by a number
     pub function: String,
     #[arg(long, default_value_t = 1)]
     pub functions: usize,
-    /// Calls a second, open loop; 0: as many as it takes
+    /// Requests per second, open loop; 0: as many as the edge serves, one at a time on each connection
     #[arg(long, default_value_t = 100.0)]
     pub rate: f64,
     #[arg(long, default_value_t = 10, value_name = "SECONDS")]
@@ -52,11 +52,11 @@
         reopens: false,
         seed: args.seed,
     };
-    match hammer(spec) {
+    match generate_load(spec) {
         Ok(seen) => {
-            println!("{}", line(&seen));
+            println!("{}", summary_line(&seen));
             if args.json {
-                println!("{}", figures(&seen));
+                println!("{}", summary_json(&seen));
             }
             ExitCode::from(if seen.finished > 0 {
                 exit::SUCCESS
@@ -68,13 +68,13 @@
     }
 }
 
-fn hammer(spec: LoadGeneratorSpec) -> std::io::Result<LoadMeasurement> {
+fn generate_load(spec: LoadGeneratorSpec) -> std::io::Result<LoadMeasurement> {
     let mut driver = EventLoop::new(Box::new(NullObserver))?;
     driver.catch_signals()?;
     let until = driver.now() + spec.length + 5_000_000;
-    let hammer = LoadGenerator::new(spec);
-    let seen = hammer.seen.clone();
-    let host = driver.add(Box::new(hammer), vec![], None)?;
+    let generator = LoadGenerator::new(spec);
+    let seen = generator.seen.clone();
+    let host = driver.add(Box::new(generator), vec![], None)?;
     while !driver.is_core_done(host) && driver.now() < until && !driver.shutdown_requested() {
         let next = driver.now() + 50_000;
         driver.run_until(next)?;
@@ -83,7 +83,7 @@
     Ok(seen)
 }
 
-fn line(h: &LoadMeasurement) -> String {
+fn summary_line(h: &LoadMeasurement) -> String {
     let q = |q| h.quantile_us(q) as f64 / 1000.0;
     let (p50, p99, p999) = (q(0.5), q(0.99), q(0.999));
     let others: Vec<String> = h
@@ -97,10 +97,10 @@
         others.join(", ")
     };
     let rate = h.rate();
-    format!("{rate:.0} calls/s finished; {p50:.3} ms (p50), {p99:.3} (p99), {p999:.3} (p999); others: {others}; dropped {}", h.dropped)
+    format!("{rate:.0} requests/s finished; {p50:.3} ms (p50), {p99:.3} (p99), {p999:.3} (p999); others: {others}; dropped {}", h.dropped)
 }
 
-fn figures(h: &LoadMeasurement) -> Value {
+fn summary_json(h: &LoadMeasurement) -> Value {
     let others: Vec<Value> = h
         .others
         .iter()
@@ -117,68 +117,68 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct MeasureArgs {
-    /// Seconds of each run
+    /// Length of each run in seconds
     #[arg(long, default_value_t = 4, value_name = "SECONDS")]
     pub length: u32,
-    /// Runs of each kind, taken in turn
+    /// Number of runs of each kind, which are interleaved
     #[arg(long, default_value_t = 5)]
     pub runs: usize,
-    /// Only this part: rate, tokens, flood, tls, door, bodies, fleet, idle, limits, storm
+    /// Measure only this part: rate, tokens, flood, tls, door, bodies, fleet, idle, limits, storm
     #[arg(long)]
     pub part: Option<String>,
-    /// Edges in the storm
+    /// Numbers of edges, for the part storm
     #[arg(long, value_delimiter = ',', default_values_t = [40, 150, 300])]
     pub edges: Vec<usize>,
-    /// Workers in the storm
+    /// Number of workers, for the part storm
     #[arg(long, default_value_t = 100, value_name = "WORKERS")]
     pub storm_workers: usize,
-    /// Calls a second in the storm
+    /// Requests per second, for the part storm
     #[arg(long, default_value_t = 1500, value_name = "CALLS")]
     pub storm_rate: usize,
-    /// What a handshake takes a worker in the storm
+    /// Time that a handshake takes a worker, for the part storm
     #[arg(long, default_value_t = 2, value_name = "MS")]
     pub handshake_ms: usize,
-    /// Pictures go into this folder
+    /// Folder for plots
     #[arg(long, value_name = "FOLDER")]
     pub plots: Option<std::path::PathBuf>,
 }
 
 pub fn run(args: &MeasureArgs) -> ExitCode {
-    let wanted = |part: &str| args.part.as_deref().is_none_or(|only| only == part);
-    let all = || -> Result<(), String> {
-        if wanted("rate") {
+    let is_selected = |part: &str| args.part.as_deref().is_none_or(|only| only == part);
+    let measure_all = || -> Result<(), String> {
+        if is_selected("rate") {
             rate(args)?;
         }
-        if wanted("tokens") {
+        if is_selected("tokens") {
             tokens(args)?;
         }
-        if wanted("tls") {
+        if is_selected("tls") {
             tls(args)?;
         }
-        if wanted("flood") {
+        if is_selected("flood") {
             flood(args)?;
         }
-        if wanted("door") {
-            door(args)?;
+        if is_selected("door") {
+            client_listener(args)?;
         }
-        if wanted("bodies") {
+        if is_selected("bodies") {
             bodies(args)?;
         }
-        if wanted("storm") {
+        if is_selected("storm") {
             reconnecting(args)?;
         }
-        if wanted("fleet") {
+        if is_selected("fleet") {
             fleet(args)?;
         }
-        if wanted("idle") {
+        if is_selected("idle") {
             idle(args)?;
         }
-        if wanted("limits") {
+        if is_selected("limits") {
             limits(args)?;
         }
         Ok(())
     };
-    match all() {
+    match measure_all() {
         Ok(()) => ExitCode::from(exit::SUCCESS),
         Err(problem) => fail(exit::RUNTIME_ERROR, problem),
     }
@@ -205,22 +205,23 @@
     }
 }
 
-/// Least, middle and most.
-fn spread(mut figures: Vec<f64>) -> (f64, f64, f64) {
-    figures.sort_by(f64::total_cmp);
-    let at = |n: usize| figures.get(n).copied().unwrap_or(0.0);
+/// Minimum, median and maximum.
+fn spread(mut values: Vec<f64>) -> (f64, f64, f64) {
+    values.sort_by(f64::total_cmp);
+    let at = |n: usize| values.get(n).copied().unwrap_or(0.0);
     (
         at(0),
-        at(figures.len() / 2),
-        at(figures.len().saturating_sub(1)),
+        at(values.len() / 2),
+        at(values.len().saturating_sub(1)),
     )
 }
 
-fn told((least, middle, most): (f64, f64, f64)) -> String {
-    format!("{middle:.2} ({least:.2} to {most:.2})")
+fn format_spread((min, median, max): (f64, f64, f64)) -> String {
+    format!("{median:.2} ({min:.2} to {max:.2})")
 }
 
-/// The module beside a bare forwarder: calls a second when saturated, then latencies at half the module's rate.
+/// Compares the decision module with a plain forwarder: requests per second when saturated, then latencies at half of
+/// the module's rate.
 fn rate(args: &MeasureArgs) -> Result<(), String> {
     let pairs = |rate: f64| -> Result<Vec<(Measured, Measured)>, String> {
         let one = |decides| {
@@ -235,40 +236,40 @@
     };
     let saturated = pairs(0.0)?;
     println!(
-        "saturated, 10 workers, 100 functions, 64 connections, {} runs in turn:",
+        "saturated, 10 workers, 100 functions, 64 connections, {} interleaved runs:",
         args.runs
     );
-    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
-        spread(saturated.iter().map(figure).collect())
+    let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+        spread(saturated.iter().map(metric).collect())
     };
     println!(
-        "  calls a second, module         {}",
-        told(of(&|(m, _)| m.load.rate()))
+        "  requests/s, module             {}",
+        format_spread(of(&|(m, _)| m.load.rate()))
     );
     println!(
-        "  calls a second, forwarder      {}",
-        told(of(&|(_, f)| f.load.rate()))
+        "  requests/s, forwarder          {}",
+        format_spread(of(&|(_, f)| f.load.rate()))
     );
     println!(
-        "  module over forwarder          {}",
-        told(of(&|(m, f)| m.load.rate() / f.load.rate()))
+        "  module / forwarder             {}",
+        format_spread(of(&|(m, f)| m.load.rate() / f.load.rate()))
     );
     println!(
-        "  edge CPU a call, module (us)   {}",
-        told(of(&|(m, _)| m.cpu_us_per_call))
+        "  edge CPU us/request, module    {}",
+        format_spread(of(&|(m, _)| m.cpu_us_per_call))
     );
     println!(
-        "  edge CPU a call, forwarder     {}",
-        told(of(&|(_, f)| f.cpu_us_per_call))
+        "  edge CPU us/request, forwarder {}",
+        format_spread(of(&|(_, f)| f.cpu_us_per_call))
     );
     let half = of(&|(m, _)| m.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     println!(
-        "open loop at half of that, {half:.0} calls a second, latency in ms from when each call was meant:"
+        "open loop at half of that, {half:.0} requests/s, latency in ms from the scheduled time of each request:"
     );
     for (name, q) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
-        let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
-            told(spread(open.iter().map(figure).collect()))
+        let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+            format_spread(spread(open.iter().map(metric).collect()))
         };
         let (module, forwarder) = (
             of(&|(m, _)| m.load.quantile_us(q) as f64 / 1000.0),
@@ -280,13 +281,13 @@
         .iter()
         .flat_map(|(m, f)| m.load.others.values().chain(f.load.others.values()))
         .sum();
-    println!("  answers that were not finished {others}");
+    println!("  responses other than finished {others}");
     Ok(())
 }
 
-/// CPU a call as the fleet grows, at one rate.
+/// Measures the CPU time per request for growing fleets at a constant rate.
 fn fleet(args: &MeasureArgs) -> Result<(), String> {
-    println!("edge CPU a call (us) at 2,000 calls a second:");
+    println!("edge CPU (us/request) at 2,000 requests/s:");
     for (workers, functions) in [
         (10, 100),
         (100, 100),
@@ -306,24 +307,24 @@
         let runs: Vec<(Measured, Measured)> = (0..args.runs)
             .map(|_| Ok((one(Decides::Module)?, one(Decides::Forwarder)?)))
             .collect::<Result<_, String>>()?;
-        let module = told(spread(
+        let module = format_spread(spread(
             runs.iter().map(|(m, _)| m.cpu_us_per_call).collect(),
         ));
-        let forwarder = told(spread(
+        let forwarder = format_spread(spread(
             runs.iter().map(|(_, f)| f.cpu_us_per_call).collect(),
         ));
-        let p99 = told(spread(
+        let p99 = format_spread(spread(
             runs.iter()
                 .map(|(m, _)| m.load.quantile_us(0.99) as f64 / 1000.0)
                 .collect(),
         ));
-        println!("  {workers:5} workers {functions:6} functions: module {module}, forwarder {forwarder}; module's p99 {p99} ms");
+        println!("  {workers:5} workers {functions:6} functions: module {module}, forwarder {forwarder}; module p99 {p99} ms");
     }
     Ok(())
 }
 
-/// This process's memory in MB; edge, workers and clients are all in it.
-fn memory_mb() -> f64 {
+/// Resident memory of this process in MB, which runs the edge, the workers and the clients.
+fn resident_memory_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|l| {
@@ -336,25 +337,26 @@
         / 1024.0
 }
 
-/// Thousands of clients that say nothing, and what they do to those that do.
+/// Measures the effect of thousands of idle client connections on the active ones.
 fn idle(args: &MeasureArgs) -> Result<(), String> {
     for idle_clients in [0, 9_000] {
-        let before = memory_mb();
+        let before = resident_memory_mb();
         let m = measure(&MeasureSpec {
             idle_clients,
             rate: 2000.0,
             ..spec(args, Decides::Module)
         })?;
-        let grown = memory_mb() - before;
-        println!("{idle_clients} idle clients, 2,000 calls a second: {}; CPU a call {:.1} us; memory grown by {grown:.1} MB (both ends)", line(&m.load), m.cpu_us_per_call);
+        let grown = resident_memory_mb() - before;
+        println!("{idle_clients} idle clients, 2,000 requests/s: {}; edge CPU {:.1} us/request; memory grown by {grown:.1} MB (both ends)", summary_line(&m.load), m.cpu_us_per_call);
     }
     Ok(())
 }
 
-/// Customers' limits at many edges, decided by the product's module beside an even split and none, over several seeds.
+/// Simulates customer limits enforced by many edges with the decision module, with an even split among edges and
+/// without limits, over several seeds.
 fn limits(args: &MeasureArgs) -> Result<(), String> {
     println!(
-        "customers' limits, {} seeds; parts are of what the customer asked or is limited to:",
+        "customer limits, {} seeds; values are fractions of the customer's demand or limit:",
         args.runs
     );
     for edges in [10, 100, 300] {
@@ -363,24 +365,25 @@
             let runs: Vec<AtSize> = (0..args.runs as u64)
                 .map(|seed| limits_at(edges, policy, seed))
                 .collect();
-            let of =
-                |figure: &dyn Fn(&AtSize) -> f64| told(spread(runs.iter().map(figure).collect()));
+            let of = |metric: &dyn Fn(&AtSize) -> f64| {
+                format_spread(spread(runs.iter().map(metric).collect()))
+            };
             let moved: Vec<String> = (0..8)
                 .map(|n| format!("{:.2}", spread(runs.iter().map(|r| r.moved[n]).collect()).1))
                 .collect();
             let back = of(&|r| r.back.unwrap_or(f64::INFINITY));
             println!(
-                "  {edges:3} edges, {policy:?}: honest beside a flood {}; limit spread {}, at one edge {}; moved, each second {}; lent share back after {back} s",
+                "  {edges:3} edges, {policy:?}: honest customer during a flood {}; rate limit over all edges {}, at one edge {}; after moving, by second {}; lent quota back after {back} s",
                 of(&|r| r.honest), of(&|r| r.spread), of(&|r| r.at_one), moved.join(" ")
             );
             let name = match policy {
-                Policy::Seen => "as decided",
-                Policy::Even => "an even split",
+                Policy::Seen => "decision module",
+                Policy::Even => "even split",
                 Policy::None => continue,
             };
-            let middle = |n: usize| spread(runs.iter().map(|r| r.moved[n]).collect()).1;
+            let median = |n: usize| spread(runs.iter().map(|r| r.moved[n]).collect()).1;
             let points = (0..8)
-                .map(|n| (n as f64 + 1.0, (middle(n) - 1.0).abs()))
+                .map(|n| (n as f64 + 1.0, (median(n) - 1.0).abs()))
                 .collect();
             plotted.push(Line {
                 name: name.into(),
@@ -389,12 +392,12 @@
         }
         if let Some(folder) = &args.plots {
             let title = format!(
-                "Error of a summed rate limit after its customer moved to another of {edges} edges"
+                "Error of a fleet-wide rate limit after its customer moved to another of {edges} edges"
             );
             lines(
                 &folder.join(format!("limits-{edges}.svg")),
                 &title,
-                ("second", "part of the limit"),
+                ("second", "fraction of the limit"),
                 &plotted,
             )?;
         }
@@ -402,7 +405,7 @@
     Ok(())
 }
 
-/// The same edge over TLS and in plain text, saturated and then at half the rate over TLS.
+/// Compares TLS with plain text to workers: saturated, then at half of the saturated rate over TLS.
 fn tls(args: &MeasureArgs) -> Result<(), String> {
     let pairs = |rate: f64| -> Result<Vec<(Measured, Measured)>, String> {
         let one = |tls| {
@@ -417,40 +420,40 @@
             .collect()
     };
     let saturated = pairs(0.0)?;
-    let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
-        spread(saturated.iter().map(figure).collect())
+    let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+        spread(saturated.iter().map(metric).collect())
     };
     println!(
-        "TLS toward 10 workers beside plain text, {} runs in turn:",
+        "TLS to 10 workers compared with plain text, {} interleaved runs:",
         args.runs
     );
     println!(
-        "  calls a second over plain      {}",
-        told(of(&|(t, p)| t.load.rate() / p.load.rate()))
+        "  requests/s, TLS / plain        {}",
+        format_spread(of(&|(t, p)| t.load.rate() / p.load.rate()))
     );
     println!(
-        "  edge CPU a call over plain     {}",
-        told(of(&|(t, p)| t.cpu_us_per_call / p.cpu_us_per_call))
+        "  edge CPU, TLS / plain          {}",
+        format_spread(of(&|(t, p)| t.cpu_us_per_call / p.cpu_us_per_call))
     );
     let half = of(&|(t, _)| t.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
-        let of = |figure: &dyn Fn(&(Measured, Measured)) -> f64| {
-            told(spread(open.iter().map(figure).collect()))
+        let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+            format_spread(spread(open.iter().map(metric).collect()))
         };
-        let (over, plain) = (
+        let (over_tls, plain) = (
             of(&|(t, _)| t.load.quantile_us(q) as f64 / 1000.0),
             of(&|(_, p)| p.load.quantile_us(q) as f64 / 1000.0),
         );
-        println!("  {name} at {half:.0} calls a second: TLS {over} ms, plain {plain} ms");
+        println!("  {name} at {half:.0} requests/s: TLS {over_tls} ms, plain {plain} ms");
     }
     Ok(())
 }
 
-/// Calls without a token, with one that is remembered, and with a new one each time.
+/// Compares requests without a token, with a token that the edge has cached, and with a new token for each request.
 fn tokens(args: &MeasureArgs) -> Result<(), String> {
-    // More new tokens than calls can be made in a run.
-    let new = args.length as usize * 80_000;
+    // More tokens than a run can send requests, so that none is sent twice.
+    let distinct_tokens = args.length as usize * 80_000;
     let one = |tokens| {
         measure(&MeasureSpec {
             tokens,
@@ -458,13 +461,13 @@
         })
     };
     let runs: Vec<[Measured; 3]> = (0..args.runs)
-        .map(|_| Ok([one(0)?, one(1)?, one(new)?]))
+        .map(|_| Ok([one(0)?, one(1)?, one(distinct_tokens)?]))
         .collect::<Result<_, String>>()?;
     println!(
-        "tokens, saturated, {} runs in turn, over calls without one:",
+        "tokens, saturated, {} interleaved runs, compared with requests without a token:",
         args.runs
     );
-    for (n, name) in [(1, "a remembered token"), (2, "a new token each call")] {
+    for (n, name) in [(1, "cached token"), (2, "new token per request")] {
         let rate = spread(
             runs.iter()
                 .map(|r| r[n].load.rate() / r[0].load.rate())
@@ -476,12 +479,12 @@
                 .collect(),
         );
         println!(
-            "  {name:22} calls a second {}, edge CPU a call {} us more",
-            told(rate),
-            told(cpu)
+            "  {name:22} requests/s x {}, edge CPU + {} us/request",
+            format_spread(rate),
+            format_spread(cpu)
         );
     }
-    for (n, name) in ["no token", "a remembered token", "a new token each call"]
+    for (n, name) in ["no token", "cached token", "new token per request"]
         .iter()
         .enumerate()
     {
@@ -494,18 +497,19 @@
     Ok(())
 }
 
-/// What a call costs by what its client speaks and whether the connection, or its session, is kept.
-fn door(args: &MeasureArgs) -> Result<(), String> {
+/// Measures the cost of a request by its client's protocol and by whether connections are kept alive or TLS sessions
+/// resumed.
+fn client_listener(args: &MeasureArgs) -> Result<(), String> {
     use Speaks::{Certificate, Plain, Tls};
     let kinds = [
-        ("plain, kept", Plain, false, true),
-        ("plain, a connection a call", Plain, true, true),
-        ("TLS, kept", Tls, false, true),
-        ("TLS, a full handshake a call", Tls, true, false),
-        ("TLS, a resumed one a call", Tls, true, true),
-        ("certificate, kept", Certificate, false, true),
-        ("certificate, full a call", Certificate, true, false),
-        ("certificate, resumed a call", Certificate, true, true),
+        ("plain, keep-alive", Plain, false, true),
+        ("plain, new connections", Plain, true, true),
+        ("TLS, keep-alive", Tls, false, true),
+        ("TLS, full handshakes", Tls, true, false),
+        ("TLS, resumed sessions", Tls, true, true),
+        ("certificate, keep-alive", Certificate, false, true),
+        ("certificate, full handshakes", Certificate, true, false),
+        ("certificate, resumed sessions", Certificate, true, true),
     ];
     let one = |(_, door, fresh, resumes): (&str, Speaks, bool, bool)| {
         measure(&MeasureSpec {
@@ -520,34 +524,34 @@
         .map(|_| kinds.iter().map(|kind| one(*kind)).collect())
         .collect::<Result<_, String>>()?;
     println!(
-        "the client door, saturated, 16 connections, {} runs in turn, over plain and kept:",
+        "client listener, saturated, 16 connections, {} interleaved runs, compared with plain keep-alive:",
         args.runs
     );
     for (n, (name, ..)) in kinds.iter().enumerate() {
-        let rate = told(spread(
+        let rate = format_spread(spread(
             runs.iter()
                 .map(|r| r[n].load.rate() / r[0].load.rate())
                 .collect(),
         ));
-        let cpu = told(spread(
+        let cpu = format_spread(spread(
             runs.iter()
                 .map(|r| r[n].cpu_us_per_call - r[0].cpu_us_per_call)
                 .collect(),
         ));
-        let p50 = told(spread(
+        let p50 = format_spread(spread(
             runs.iter()
                 .map(|r| r[n].load.quantile_us(0.5) as f64 / 1000.0)
                 .collect(),
         ));
         let others: u64 = runs.iter().flat_map(|r| r[n].load.others.values()).sum();
         println!(
-            "  {name:30} calls a second {rate}, edge CPU a call {cpu} us more, p50 {p50} ms, others {others}"
+            "  {name:30} requests/s x {rate}, edge CPU + {cpu} us/request, p50 {p50} ms, others {others}"
         );
     }
     Ok(())
 }
 
-/// What large bodies cost the edge, plain and over TLS on both sides.
+/// Measures the cost of large bodies, in plain text and over TLS on both sides.
 fn bodies(args: &MeasureArgs) -> Result<(), String> {
     let body_bytes = 1 << 20;
     let one = |door, tls| {
@@ -563,7 +567,7 @@
         .map(|_| Ok([one(Speaks::Plain, false)?, one(Speaks::Tls, true)?]))
         .collect::<Result<_, String>>()?;
     println!(
-        "bodies of 1 MB, saturated, 4 connections, {} runs in turn:",
+        "bodies of 1 MB, saturated, 4 connections, {} interleaved runs:",
         args.runs
     );
     for (n, name) in ["plain on both sides", "TLS on both sides"]
@@ -571,17 +575,17 @@
         .enumerate()
     {
         let each = |r: &[Measured; 2]| r[n].cpu_us_per_call * 1000.0 / f64::from(body_bytes as u32);
-        let each = told(spread(runs.iter().map(each).collect()));
+        let each = format_spread(spread(runs.iter().map(each).collect()));
         let finished: u64 = runs.iter().map(|r| r[n].load.finished).sum();
         let others: u64 = runs.iter().flat_map(|r| r[n].load.others.values()).sum();
         println!(
-            "  {name:20} edge CPU {each} ns a byte of finished calls; finished {finished}, others {others}"
+            "  {name:20} edge CPU {each} ns/byte of finished requests; finished {finished}, others {others}"
         );
     }
     Ok(())
 }
 
-/// Honest callers beside somebody who sends tokens with bad signatures as fast as they are refused.
+/// Measures honest clients while another client sends tokens with invalid signatures as fast as they are rejected.
 fn flood(args: &MeasureArgs) -> Result<(), String> {
     let one = |flood| {
         measure(&MeasureSpec {
@@ -595,25 +599,25 @@
         .map(|_| Ok([one(0)?, one(8)?, one(64)?]))
         .collect::<Result<_, String>>()?;
     println!(
-        "2,000 honest calls a second with 20 tokens, {} runs in turn:",
+        "2,000 honest requests/s with 20 tokens, {} interleaved runs:",
         args.runs
     );
     for (n, name) in [
         "no flood",
-        "8 connections of bad tokens",
-        "64 connections of bad tokens",
+        "8 connections of invalid tokens",
+        "64 connections of invalid tokens",
     ]
     .iter()
     .enumerate()
     {
         let q = |q: f64| {
-            told(spread(
+            format_spread(spread(
                 runs.iter()
                     .map(|r| r[n].load.quantile_us(q) as f64 / 1000.0)
                     .collect(),
             ))
         };
-        let part = told(spread(
+        let finished = format_spread(spread(
             runs.iter()
                 .map(|r| {
                     r[n].load.finished as f64
@@ -622,7 +626,7 @@
                 .collect(),
         ));
         println!(
-            "  {name:30} finished {part}, p50 {} ms, p99 {} ms",
+            "  {name:30} finished {finished}, p50 {} ms, p99 {} ms",
             q(0.5),
             q(0.99)
         );
@@ -630,10 +634,11 @@
     Ok(())
 }
 
-/// A zone back cold with every edge reconnecting, as decided and on demand.
+/// Simulates a zone that returns cold while every edge reconnects, with reconnections paced as in production and with
+/// connections opened on demand without limits.
 fn reconnecting(args: &MeasureArgs) -> Result<(), String> {
     println!(
-        "a third of {} workers back cold and all else torn at once, TLS, {} calls a second, handshakes of {} ms, virtual, {} seeds:",
+        "a third of {} workers returns cold while all other connections break, TLS, {} requests/s, handshakes of {} ms, virtual time, {} seeds:",
         args.storm_workers, args.storm_rate, args.handshake_ms, args.runs
     );
     for edges in args.edges.iter().copied() {
@@ -648,7 +653,7 @@
                 seed: 0,
             };
             let specs = (1..=args.runs as u64).map(|seed| ReconnectLoadSpec { seed, ..spec });
-            // Each in a thread of its own, as many as there are processors.
+            // One thread for each seed.
             let threads: Vec<_> = specs
                 .map(|spec| std::thread::spawn(move || storm(&spec)))
                 .collect();
@@ -661,12 +666,12 @@
                         .map_err(|e| e.to_string())?,
                 );
             }
-            let of = |figure: &dyn Fn(&ReconnectLoad) -> f64| {
-                told(spread(runs.iter().map(figure).collect()))
+            let of = |metric: &dyn Fn(&ReconnectLoad) -> f64| {
+                format_spread(spread(runs.iter().map(metric).collect()))
             };
-            let name = if on_demand { "on demand" } else { "as decided" };
+            let name = if on_demand { "on demand" } else { "paced" };
             println!(
-                "  {edges:3} edges, {name:10}: service {}, calm after {} s, worst worker {} handshakes a second, all {}, p99 {} ms, rules broken {}",
+                "  {edges:3} edges, {name:10}: in time {}, recovered after {} s, worst worker {} handshakes/s, all workers {}, p99 {} ms, rules violated {}",
                 of(&|r| r.service), of(&|r| r.calm), of(&|r| f64::from(r.worst)), of(&|r| f64::from(r.handshakes)), of(&|r| r.p99_ms), of(&|r| r.broken as f64)
             );
             let mean = |n: usize| {
@@ -682,11 +687,11 @@
         }
         if let Some(folder) = &args.plots {
             let title =
-                format!("Service a second, {edges} edges; a zone lost at 6 s, back cold at 9 s");
+                format!("Requests in time by second, {edges} edges; a zone is lost at 6 s and returns cold at 9 s");
             lines(
                 &folder.join(format!("storm-{edges}.svg")),
                 &title,
-                ("second", "calls in time"),
+                ("second", "fraction in time"),
                 &plotted,
             )?;
         }
