--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -29,7 +29,7 @@
     pub set: Vec<String>,
 }
 
-/// Settings that make a scenario's edges use WORKER_TLS to workers.
+/// Settings that make a scenario's edges use TLS to workers.
 pub const WORKER_TLS: [&str; 2] = ["tls.roots-file=roots.pem", "tls.workers=verified"];
 
 /// A scenario that is built into the program.
--- a/crates/sanddrum-cli/tests/capacity.rs
+++ b/crates/sanddrum-cli/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! `sanddrum lab capacity` as a process: bad plans, and a run that is cut short.
+//! `sanddrum lab capacity` as a process: invalid plans, complete runs and interrupted runs.
 
 use rstest::rstest;
 use rustix::process::{kill_process, Pid, Signal};
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-/// A folder of this test's own that goes with it.
+/// A temporary folder of one test, deleted on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -31,43 +31,43 @@
     command
 }
 
-fn written(folder: &Folder) -> serde_json::Value {
+fn read_results(folder: &Folder) -> serde_json::Value {
     serde_json::from_slice(&std::fs::read(folder.0.join("out/capacity.json")).unwrap()).unwrap()
 }
 
 #[rstest]
-fn a_plan_that_cannot_be_is_refused_before_anything_is_written() {
+fn an_invalid_plan_is_rejected_before_anything_is_written() {
     let folder = Folder::new("capacity-bad");
     let plan = folder.0.join("plan.sx");
     let text = "(deployment) (workload \"w\") (function \"f-*\" (workload \"w\"))\n(router-plays (workers))";
     std::fs::write(&plan, text).unwrap();
-    let ran = capacity(&folder).arg(&plan).output().unwrap();
-    let told = String::from_utf8(ran.stderr).unwrap();
-    assert_eq!(ran.status.code(), Some(2), "{told}");
+    let output = capacity(&folder).arg(&plan).output().unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
     assert!(
-        told.contains("plan.sx:2:15: router-plays.workers: no size is named"),
-        "{told}"
+        stderr.contains("plan.sx:2:15: router-plays.workers: no size is named"),
+        "{stderr}"
     );
     assert!(!folder.0.join("out").exists());
 }
 
 #[rstest]
-fn the_short_plan_runs_to_its_end_and_leaves_all_files() {
+fn the_short_plan_completes_and_writes_all_files() {
     let folder = Folder::new("capacity-short");
-    let ran = capacity(&folder)
+    let output = capacity(&folder)
         .arg("--short")
         .arg("--plots")
         .arg(folder.0.join("plots"))
         .output()
         .unwrap();
-    let (told, text) = (
-        String::from_utf8(ran.stderr).unwrap(),
-        String::from_utf8(ran.stdout).unwrap(),
+    let (stderr, stdout) = (
+        String::from_utf8(output.stderr).unwrap(),
+        String::from_utf8(output.stdout).unwrap(),
     );
-    assert_eq!(ran.status.code(), Some(0), "{told}");
-    let written = written(&folder);
-    assert_eq!(written["complete"], true);
-    let slopes = written["slopes"].as_array().unwrap();
+    assert_eq!(output.status.code(), Some(0), "{stderr}");
+    let results = read_results(&folder);
+    assert_eq!(results["complete"], true);
+    let slopes = results["slopes"].as_array().unwrap();
     for play in [
         "router among others, orders on",
         "real edge",
@@ -79,25 +79,23 @@
     assert!(slopes
         .iter()
         .any(|slope| slope["figure"] == "cold start, 99 in 100"));
-    assert_eq!(text.lines().count(), slopes.len());
-    let picture = folder
+    assert_eq!(stdout.lines().count(), slopes.len());
+    let plot = folder
         .0
         .join("plots/router-processor-time-a-call-by-workers.svg");
-    assert!(std::fs::read_to_string(picture)
-        .unwrap()
-        .starts_with("<svg"));
+    assert!(std::fs::read_to_string(plot).unwrap().starts_with("<svg"));
     for name in ["points.csv", "slopes.csv"] {
         let rows = std::fs::read_to_string(folder.0.join("out").join(name)).unwrap();
-        let wanted = written[name.trim_end_matches(".csv")]
+        let expected = results[name.trim_end_matches(".csv")]
             .as_array()
             .unwrap()
             .len();
-        assert_eq!(rows.lines().count(), wanted + 1, "{name}");
+        assert_eq!(rows.lines().count(), expected + 1, "{name}");
     }
 }
 
 #[rstest]
-fn a_signal_cuts_a_run_short_and_leaves_what_was_measured() {
+fn a_signal_stops_a_run_and_keeps_the_points_measured_so_far() {
     let folder = Folder::new("capacity-cut");
     let mut run = capacity(&folder)
         .args(["--only", "router"])
@@ -110,11 +108,13 @@
         .lines()
         .map(Result::unwrap)
         .filter(|line| line.contains("processor time a call"));
-    points.next().expect("a point is told once it is measured");
+    points
+        .next()
+        .expect("a point is reported once it is measured");
     kill_process(Pid::from_child(run), Signal::INT).unwrap();
     points.for_each(drop);
     assert_eq!(run.wait().unwrap().code(), Some(1));
-    let written = written(&folder);
-    assert_eq!(written["complete"], false);
-    assert!(!written["points"].as_array().unwrap().is_empty());
+    let results = read_results(&folder);
+    assert_eq!(results["complete"], false);
+    assert!(!results["points"].as_array().unwrap().is_empty());
 }
--- a/crates/sanddrum-cli/tests/ci.rs
+++ b/crates/sanddrum-cli/tests/ci.rs
@@ -1,4 +1,5 @@
-//! The CI script's handling of KNOWN-RED.txt, with a stand-in for cargo that knows three tests, of which one fails.
+//! The CI script's handling of KNOWN-RED.txt, with a fake cargo that lists three test names: one fails, one passes and
+//! one belongs to two tests.
 
 use rstest::rstest;
 use std::fs;
@@ -29,12 +30,13 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/run")
 }
 
-/// Whether the script passes, what it prints, and how it called cargo. `all` is the exit code of a run of all tests.
+/// Runs the script. Returns whether it passes, its standard output and its calls of cargo. `all` is the exit code of a
+/// run of all tests.
 fn run(name: &str, known_red: Option<&str>, all: &str) -> (bool, String, String) {
     run_with_others(name, known_red, all, "0")
 }
 
-/// As [`run`]; `others` is the exit code of a run that skips the tests that are listed.
+/// Like [`run`]; `others` is the exit code of a run that skips the listed tests.
 fn run_with_others(
     name: &str,
     known_red: Option<&str>,
@@ -67,10 +69,10 @@
         .env("OTHERS", others)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
+    let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
     (
         output.status.success(),
-        said,
+        stdout,
         fs::read_to_string(calls).unwrap_or_default(),
     )
 }
@@ -78,24 +80,24 @@
 #[rstest]
 #[case::absent("absent", None)]
 #[case::empty("empty", Some(""))]
-#[case::only_a_remark("remark", Some("# none\n\n"))]
-fn without_known_red_tests_all_tests_count(#[case] name: &str, #[case] list: Option<&str>) {
-    let (passes, said, calls) = run(name, list, "0");
+#[case::only_a_comment("remark", Some("# none\n\n"))]
+fn without_known_red_tests_every_failure_counts(#[case] name: &str, #[case] list: Option<&str>) {
+    let (passes, stdout, calls) = run(name, list, "0");
     assert!(
         passes && calls.starts_with("cargo test --workspace --locked\n"),
-        "{said}{calls}"
+        "{stdout}{calls}"
     );
     assert!(
         !run(&format!("{name}-red"), list, "101").0,
-        "one that fails"
+        "a test that fails"
     );
 }
 
 #[rstest]
-fn one_that_still_fails_is_printed_and_passed_over_by_its_full_name() {
-    let (passes, said, calls) = run("red", Some("a::fails, a cause, issue 1\n"), "101");
-    assert!(passes, "{said}{calls}");
-    assert!(said.contains("a::fails, a cause, issue 1"));
+fn a_known_red_test_that_still_fails_is_printed_and_skipped_by_its_full_name() {
+    let (passes, stdout, calls) = run("red", Some("a::fails, a cause, issue 1\n"), "101");
+    assert!(passes, "{stdout}{calls}");
+    assert!(stdout.contains("a::fails, a cause, issue 1"));
     assert!(
         calls.contains("cargo test --workspace --locked -- --exact --skip a::fails\n"),
         "{calls}"
@@ -103,14 +105,14 @@
 }
 
 #[rstest]
-#[case::and_passes("intermittent-passes", "a::passes")]
-#[case::and_fails("intermittent-fails", "a::fails")]
-fn an_intermittent_test_is_run_printed_and_passed_over(#[case] name: &str, #[case] test: &str) {
+#[case::that_passes("intermittent-passes", "a::passes")]
+#[case::that_fails("intermittent-fails", "a::fails")]
+fn an_intermittent_test_is_run_printed_and_skipped(#[case] name: &str, #[case] test: &str) {
     let line = format!("{test}, intermittent: a cause, issue 1");
-    let (passes, said, calls) = run(name, Some(&line), "0");
-    assert!(passes, "{said}{calls}");
-    assert!(said.contains(&line), "{said}");
-    assert!(said.contains(&format!("lists {test} as intermittent; this time it ")));
+    let (passes, stdout, calls) = run(name, Some(&line), "0");
+    assert!(passes, "{stdout}{calls}");
+    assert!(stdout.contains(&line), "{stdout}");
+    assert!(stdout.contains(&format!("lists {test} as intermittent; this time it ")));
     let skip = format!("cargo test --workspace --locked -- --exact --skip {test}\n");
     assert!(calls.contains(&skip), "{calls}");
     assert!(
@@ -120,25 +122,25 @@
 }
 
 #[rstest]
-#[case::that_passes_again("again", "a::passes, a cause, issue 1")]
-#[case::that_no_test_has("unknown", "a::gone, a cause, issue 1")]
-#[case::that_two_tests_have("twice", "b::twice, a cause, issue 1")]
-#[case::that_is_part_of_a_name("part", "fails, a cause, issue 1")]
-#[case::among_more_than_three(
+#[case::test_passes_again("again", "a::passes, a cause, issue 1")]
+#[case::unknown_test("unknown", "a::gone, a cause, issue 1")]
+#[case::name_of_two_tests("twice", "b::twice, a cause, issue 1")]
+#[case::part_of_a_name("part", "fails, a cause, issue 1")]
+#[case::more_than_three_tests(
     "many",
     "a::fails, c, 1\na::fails, c, 1\na::fails, c, 1\na::fails, c, 1"
 )]
-#[case::among_more_than_three_with_intermittent_ones(
+#[case::more_than_three_tests_with_intermittent_ones(
     "many-intermittent",
     "a::fails, c, 1\na::fails, intermittent: c, 1\na::fails, c, 1\na::fails, c, 1"
 )]
-#[case::intermittent_that_no_test_has("intermittent-unknown", "a::gone, intermittent: c, 1")]
-#[case::with_the_word_elsewhere_than_at_the_start_of_its_cause(
+#[case::unknown_intermittent_test("intermittent-unknown", "a::gone, intermittent: c, 1")]
+#[case::intermittent_mark_not_at_the_start_of_the_cause(
     "intermittent-elsewhere",
     "a::passes, a cause intermittent: c, 1"
 )]
-fn a_name_fails(#[case] name: &str, #[case] list: &str) {
-    let (passes, said, calls) = run(name, Some(list), "0");
-    assert!(!passes, "{said}{calls}");
+fn an_invalid_list_fails(#[case] name: &str, #[case] list: &str) {
+    let (passes, stdout, calls) = run(name, Some(list), "0");
+    assert!(!passes, "{stdout}{calls}");
     assert!(!calls.contains("cargo build"), "{calls}");
 }
--- a/crates/sanddrum-cli/tests/cold.rs
+++ b/crates/sanddrum-cli/tests/cold.rs
@@ -1,13 +1,13 @@
-//! The slow start holds for the fleet: whatever the number of edges and however uneven their parts, no cold worker gets
-//! more from all of them together than the settings allow it and chance brings.
+//! Slow start across a fleet: for any number of edges, and however unevenly the traffic is spread over them, a cold
+//! worker gets no more load from all edges together than the settings allow, plus a margin for random variation.
 
-mod played;
+mod scenario_run;
 
-use played::play;
 use rstest::rstest;
+use scenario_run::run_scenario;
 
-/// A third of the workers starts anew, and while they are cold clients come back together with three times the calls;
-/// then a third starts anew while half of the edges do.
+/// A third of the workers restarts, and the request rate triples while they are cold. Later a third restarts together
+/// with half of the edges.
 fn scenario(edges: usize, uneven: u32) -> String {
     format!(
         r#"
@@ -29,21 +29,21 @@
     )
 }
 
-fn holds(name: &str, scenario: &str, how: &[&str]) {
-    let played = play(name, scenario, how);
-    assert_eq!(played.exit, Some(0), "{}", played.text);
-    let parts = played.summary["whole"]["cold"].as_array().unwrap();
-    let parts: Vec<f64> = parts.iter().filter_map(serde_json::Value::as_f64).collect();
-    assert_eq!(parts.len(), 8, "each start of a worker is told");
-    assert!(parts.iter().all(|part| *part <= 1.0), "{parts:?}");
+fn assert_cold_load_within_limits(name: &str, scenario: &str, command: &[&str]) {
+    let run = run_scenario(name, scenario, command);
+    assert_eq!(run.exit, Some(0), "{}", run.text);
+    let loads = run.summary["whole"]["cold"].as_array().unwrap();
+    let loads: Vec<f64> = loads.iter().filter_map(serde_json::Value::as_f64).collect();
+    assert_eq!(loads.len(), 8, "one value for each start of a worker");
+    assert!(loads.iter().all(|load| *load <= 1.0), "{loads:?}");
 }
 
 #[rstest]
-fn no_cold_worker_gets_more_than_it_is_allowed_from_all_edges(
+fn cold_workers_get_no_more_load_than_allowed_from_all_edges(
     #[values(3, 20, 30, 300)] edges: usize,
     #[values(0, 1)] uneven: u32,
 ) {
-    holds(
+    assert_cold_load_within_limits(
         &format!("young-{edges}-{uneven}"),
         &scenario(edges, uneven),
         &["run", "--virtual"],
@@ -51,10 +51,13 @@
 }
 
 #[rstest]
-#[case::twenty(20, 0)]
-#[case::thirty_of_uneven_parts(30, 1)]
-fn nor_from_all_edges_as_processes(#[case] edges: usize, #[case] uneven: u32) {
-    holds(
+#[case::twenty_edges(20, 0)]
+#[case::thirty_edges_with_uneven_traffic(30, 1)]
+fn cold_workers_get_no_more_load_than_allowed_from_edge_processes(
+    #[case] edges: usize,
+    #[case] uneven: u32,
+) {
+    assert_cold_load_within_limits(
         &format!("young-processes-{edges}"),
         &scenario(edges, uneven),
         &["fleet"],
--- a/crates/sanddrum-cli/tests/overload.rs
+++ b/crates/sanddrum-cli/tests/overload.rs
@@ -1,11 +1,13 @@
-//! Overload of a fleet of real processes, with a fault between them; each scenario is played by the virtual network, too.
+//! Overload of a fleet whose components are processes, combined with other faults; each scenario also runs on the
+//! virtual network.
 
-mod played;
+mod scenario_run;
 
-use played::{play, Played};
 use rstest::rstest;
+use scenario_run::{run_scenario, ScenarioRun};
 
-/// Eight edges, and nine workers of one core that do 225 calls a second; four times the load comes in the fifth second.
+/// Eight edges and nine workers with one core each, which serve 225 requests per second. The request rate rises fourfold
+/// in the fifth second.
 const HEAD: &str = r#"
     (deployment (name "small") (zones "a" "b" "c"))
     (workload "dear" (start-target 1s) (time-limit 3s) (effect restartable) (importance 5))
@@ -21,17 +23,17 @@
     (calls "cheap" (share 0.6) (work 40ms))
     (traffic (length 13s) (rate 100) (functions 4) (zipf 1.0) (retries 4) (retry-wait 100ms) (heeds 0%))
 "#;
-const FOUR_TIMES: &str = r#"(trouble "overload" (at 4s) (length 4s) (size 4))"#;
+const FOURFOLD_LOAD: &str = r#"(trouble "overload" (at 4s) (length 4s) (size 4))"#;
 
-/// What comes beside the overload, and from which second on nearly all is served again.
+/// The faults during the overload, and the second from which on at least 95% of the requests are served in time again.
 #[rstest]
-#[case::alone("alone", "", 10)]
-#[case::a_zone_is_lost_and_comes_back_cold(
+#[case::no_other_fault("alone", "", 10)]
+#[case::a_zone_is_lost_and_returns_cold(
     "zone",
     r#"(trouble "zone-loss" (zone "a") (at 5s) (length 1s))"#,
     10
 )]
-#[case::half_of_the_edges_are_killed(
+#[case::half_of_the_edges_crash(
     "killed",
     r#"(trouble "edge-crash" (part 50%) (at 5s) (length 300ms))"#,
     10
@@ -41,12 +43,12 @@
     r#"(trouble "silent" (count 1) (at 5s) (length 2s)) (trouble "slow" (count 1) (at 5s) (length 2s) (size 4))"#,
     11
 )]
-#[case::half_of_the_edges_hear_no_worker(
+#[case::half_of_the_edges_receive_nothing_from_workers(
     "unheard",
     r#"(trouble "link" (part 50%) (to workers) (fault silent-from) (at 5s) (length 1s))"#,
     11
 )]
-#[case::answers_are_lost(
+#[case::responses_are_lost(
     "lost",
     r#"(trouble "lose-answers" (part 50%) (at 5s) (length 2s) (size 0.5))"#,
     11
@@ -56,98 +58,103 @@
     r#"(trouble "flush" (at 5s)) (trouble "store-stall" (at 5s) (length 1s))"#,
     11
 )]
-#[case::everything_is_late(
+#[case::connections_to_workers_are_delayed(
     "late",
     r#"(trouble "link" (to workers) (fault delay) (size 0.1) (at 5s) (length 3s))"#,
     11
 )]
-#[case::everything_is_later_than_a_connection_is_waited_for(
+#[case::connections_to_workers_are_delayed_beyond_the_connect_timeout(
     "later",
     r#"(trouble "link" (to workers) (fault delay) (size 0.25) (at 5s) (length 3s))"#,
     11
 )]
-#[case::one_zones_workers_refuse_connections(
+#[case::workers_of_one_zone_refuse_connections(
     "refuse",
     r#"(trouble "link" (from edges) (to workers) (to-zone "a") (fault refused) (at 5s) (length 2s))"#,
     10
 )]
-#[case::edges_restart_two_by_two_and_workers_start_anew(
+#[case::edges_restart_in_pairs_and_workers_crash(
     "roll",
     r#"(trouble "edge-end" (count 2) (at 4500ms) (length 300ms)) (trouble "edge-end" (count 2) (at 5200ms) (length 300ms))
        (trouble "edge-end" (count 2) (at 5900ms) (length 300ms)) (trouble "edge-end" (count 2) (at 6600ms) (length 300ms))
        (trouble "crash" (count 3) (at 6s) (length 300ms))"#,
     11
 )]
-#[case::an_edge_is_stopped(
+#[case::an_edge_is_suspended(
     "stopped",
     r#"(trouble "edge-stop" (count 1) (at 4500ms) (length 5s))"#,
     11
 )]
-fn four_times_the_load_is_turned_away_at_the_door_and_over_when_it_ends(
+fn overload_is_rejected_by_the_edges_and_over_when_the_load_drops(
     #[case] name: &str,
-    #[case] beside: &str,
-    #[case] again: usize,
+    #[case] faults: &str,
+    #[case] recovered_by: usize,
 ) {
-    let scenario = format!("{HEAD}{FOUR_TIMES}{beside}");
-    let played = play(
+    let scenario = format!("{HEAD}{FOURFOLD_LOAD}{faults}");
+    let run = run_scenario(
         &format!("over-{name}-virtual"),
         &scenario,
         &["run", "--virtual"],
     );
-    assert_eq!(played.exit, Some(0), "{}", played.text);
-    assert!(played.executions_each() < 1.5, "{}", played.text);
-    assert!(played.service(again..13) >= 0.95, "{}", played.text);
+    assert_eq!(run.exit, Some(0), "{}", run.text);
+    assert!(run.executions_per_request() < 1.5, "{}", run.text);
+    assert!(run.service(recovered_by..13) >= 0.95, "{}", run.text);
 
-    // Which calls come when is the machine's to say with processes: they go on until what is seen is no chance, and
-    // what is seen is played anew where the machine was the limit. The rules hold in each play.
+    // With processes, the timing of the requests depends on the machine. These runs are longer, so that the measured
+    // fractions do not depend on chance, and a run in which the machine was the limit is repeated, at most twice. The
+    // rules have to hold in every run.
     let scenario = scenario.replace("(length 13s)", "(length 21s)");
-    let all = (0..3).map(|n| play(&format!("over-{name}-{n}"), &scenario, &["fleet"]));
-    let all = all.inspect(|played| assert_eq!(played.exit, Some(0), "{}", played.text));
-    let mut all = all.map(|played| (turned_away_and_over(&played, again), played));
-    let held_up = |played: &Played| played.text.contains("the machine was the limit");
-    let (held, played) = all
-        .find(|(held, played)| *held || !held_up(played))
-        .expect("the machine was the limit in all three");
-    assert!(held, "{}", played.text);
+    let runs = (0..3).map(|n| run_scenario(&format!("over-{name}-{n}"), &scenario, &["fleet"]));
+    let runs = runs.inspect(|run| assert_eq!(run.exit, Some(0), "{}", run.text));
+    let mut runs = runs.map(|run| (sheds_and_recovers(&run, recovered_by), run));
+    let machine_was_limit = |run: &ScenarioRun| run.text.contains("the machine was the limit");
+    let (passed, run) = runs
+        .find(|(passed, run)| *passed || !machine_was_limit(run))
+        .expect("the machine was the limit in all three runs");
+    assert!(passed, "{}", run.text);
 }
 
-/// Executions beyond one a job are under half of the jobs that finish in the first 13 s, as in virtual time; nearly all is
-/// served again from then on, and at the end all the time.
-fn turned_away_and_over(played: &Played, again: usize) -> bool {
-    let finished = played.summary["finished"].as_f64().unwrap();
-    let beyond = (played.executions_each() - 1.0) * finished;
-    let soon = finished - played.in_time(13..21) as f64;
-    let at_the_end = (15..20).all(|n| played.service(n..n + 2) >= 0.95);
-    beyond < 0.5 * soon && played.service(again..21) >= 0.95 && at_the_end
+/// Whether repeated executions are fewer than half of the requests that finish in the first 13 s, as in virtual time,
+/// and at least 95% of the requests are served in time from second `recovered_by` on and in every two seconds at the end.
+fn sheds_and_recovers(run: &ScenarioRun, recovered_by: usize) -> bool {
+    let finished = run.summary["finished"].as_f64().unwrap();
+    let repeated = (run.executions_per_request() - 1.0) * finished;
+    let finished_early = finished - run.in_time(13..21) as f64;
+    let steady_at_the_end = (15..20).all(|n| run.service(n..n + 2) >= 0.95);
+    repeated < 0.5 * finished_early && run.service(recovered_by..21) >= 0.95 && steady_at_the_end
 }
 
-/// All cold and overloaded from the first call on.
+/// All workers are cold, and the fleet is overloaded from the first request on.
 #[rstest]
 fn a_cold_fleet_under_overload_warms_up() {
     let scenario = format!(r#"{HEAD}(trouble "overload" (at 0s) (length 6s) (size 3))"#);
-    for how in [&["fleet"][..], &["run", "--virtual"][..]] {
-        let played = play(&format!("over-cold-{}", how.len()), &scenario, how);
-        assert_eq!(played.exit, Some(0), "{}", played.text);
-        assert!(played.service(9..13) >= 0.95, "{}", played.text);
+    for command in [&["fleet"][..], &["run", "--virtual"][..]] {
+        let run = run_scenario(&format!("over-cold-{}", command.len()), &scenario, command);
+        assert_eq!(run.exit, Some(0), "{}", run.text);
+        assert!(run.service(9..13) >= 0.95, "{}", run.text);
     }
 }
 
-/// One customer asks for more than its half of a fleet that can do a quarter of what is asked.
+/// One customer sends more than its half of the requests to a fleet that can serve a quarter of all.
 #[rstest]
-fn a_greedy_customer_takes_nothing_from_the_other() {
+fn a_customer_over_its_quota_takes_nothing_from_the_other() {
     let customers =
         r#"(customer "modest" (share 50%)) (customer "greedy" (share 50%)) (sharing (shares yes))"#;
-    let beside = r#"(trouble "greedy-customer" (at 4s) (length 4s) (size 0.6))"#;
-    let scenario = format!("{HEAD}{customers}{FOUR_TIMES}{beside}");
-    for how in [&["fleet"][..], &["run", "--virtual"][..]] {
-        let played = play(&format!("over-greedy-{}", how.len()), &scenario, how);
-        assert_eq!(played.exit, Some(0), "{}", played.text);
-        let served = |name: &str| played.summary["customers"][name].as_f64().unwrap();
+    let excess_demand = r#"(trouble "greedy-customer" (at 4s) (length 4s) (size 0.6))"#;
+    let scenario = format!("{HEAD}{customers}{FOURFOLD_LOAD}{excess_demand}");
+    for command in [&["fleet"][..], &["run", "--virtual"][..]] {
+        let run = run_scenario(
+            &format!("over-greedy-{}", command.len()),
+            &scenario,
+            command,
+        );
+        assert_eq!(run.exit, Some(0), "{}", run.text);
+        let served = |name: &str| run.summary["customers"][name].as_f64().unwrap();
         assert!(
             served("modest") >= 0.9 && served("greedy") < served("modest"),
             "{}",
-            played.text
+            run.text
         );
-        assert!(played.service(10..13) >= 0.95, "{}", played.text);
+        assert!(run.service(10..13) >= 0.95, "{}", run.text);
     }
 }
--- a/crates/sanddrum-cli/tests/overrides.rs
+++ b/crates/sanddrum-cli/tests/overrides.rs
@@ -1,10 +1,10 @@
-//! Settings given over a scenario's own: each takes effect, or is refused by its name.
+//! Overrides of a scenario's settings: each takes effect, or is rejected with its name.
 
-mod played;
+mod scenario_run;
 
-use played::play;
 use rstest::rstest;
 use sanddrum_lab::Experiment;
+use scenario_run::run_scenario;
 
 const SCENARIO: &str = r#"
     (deployment (name "small") (zones "a" "b"))
@@ -15,83 +15,83 @@
     (traffic (length 2s) (rate 20) (functions 4))
 "#;
 
-/// The summary's first line tells the fleet.
+/// The first line of the output describes the fleet.
 #[rstest]
 #[case::none("none", &[], "4 workers, 2 edges, 2 s of requests")]
 #[case::edges("edges", &["--set", "fleet.edges=3"], "4 workers, 3 edges, 2 s of requests")]
 #[case::workers("workers", &["--set", "fleet.workers=6"], "6 workers, 2 edges, 2 s of requests")]
 #[case::length("length", &["--set", "traffic.length=1s"], "4 workers, 2 edges, 1 s of requests")]
-#[case::two("two", &["--set", "fleet.edges=3", "--set", "fleet.workers=6"], "6 workers, 3 edges, 2 s of requests")]
-#[case::edges_of_their_own("own", &["--edges", "5"], "4 workers, 5 edges, 2 s of requests")]
-fn an_override_takes_effect(#[case] name: &str, #[case] set: &[&str], #[case] told: &str) {
-    let played = play(
+#[case::two_overrides("two", &["--set", "fleet.edges=3", "--set", "fleet.workers=6"], "6 workers, 3 edges, 2 s of requests")]
+#[case::edges_by_their_own_flag("own", &["--edges", "5"], "4 workers, 5 edges, 2 s of requests")]
+fn an_override_takes_effect(#[case] name: &str, #[case] set: &[&str], #[case] fleet: &str) {
+    let run = run_scenario(
         &format!("set-{name}"),
         SCENARIO,
         &[&["run", "--virtual"], set].concat(),
     );
     assert!(
-        played
-            .text
+        run.text
             .lines()
             .next()
-            .is_some_and(|line| line.contains(told)),
+            .is_some_and(|line| line.contains(fleet)),
         "{}",
-        played.text
+        run.text
     );
-    assert_eq!(played.exit, Some(0), "{}", played.text);
+    assert_eq!(run.exit, Some(0), "{}", run.text);
 }
 
 #[rstest]
-#[case::of_the_edge("edge.edges=9", "edge.edges")]
-#[case::no_setting("fleet.egdes=9", "did you mean fleet.edges?")]
-#[case::of_a_named_section("calls.share=2", "calls.share")]
-#[case::no_number("fleet.edges=many", "fleet.edges=many")]
-#[case::beyond_its_bounds("fleet.workers=0", "fleet.workers=0")]
-#[case::no_value("fleet.edges", "it has no =")]
-fn an_override_that_can_have_no_effect_is_refused(#[case] set: &str, #[case] told: &str) {
-    for how in [&["run", "--virtual"][..], &["fleet"]] {
+#[case::edge_setting("edge.edges=9", "edge.edges")]
+#[case::unknown_setting("fleet.egdes=9", "did you mean fleet.edges?")]
+#[case::setting_of_a_named_section("calls.share=2", "calls.share")]
+#[case::not_a_number("fleet.edges=many", "fleet.edges=many")]
+#[case::out_of_range("fleet.workers=0", "fleet.workers=0")]
+#[case::missing_value("fleet.edges", "it has no =")]
+fn an_override_without_effect_is_rejected(#[case] set: &str, #[case] message: &str) {
+    for command in [&["run", "--virtual"][..], &["fleet"]] {
         let name = format!("refused-{}", set.replace('=', "-"));
-        let played = play(&name, SCENARIO, &[how, &["--set", set]].concat());
-        assert_eq!(played.exit, Some(2), "{}", played.text);
-        assert!(played.text.contains(told), "{}", played.text);
+        let run = run_scenario(&name, SCENARIO, &[command, &["--set", set]].concat());
+        assert_eq!(run.exit, Some(2), "{}", run.text);
+        assert!(run.text.contains(message), "{}", run.text);
     }
 }
 
 #[rstest]
-fn two_that_say_the_same_are_refused() {
-    let how = ["run", "--virtual", "--edges", "3", "--set", "fleet.edges=4"];
-    let played = play("refused-twice", SCENARIO, &how);
-    assert_eq!(played.exit, Some(2), "{}", played.text);
-    assert!(played.text.contains("--set fleet.edges"), "{}", played.text);
+fn two_overrides_of_the_same_setting_are_rejected() {
+    let command = ["run", "--virtual", "--edges", "3", "--set", "fleet.edges=4"];
+    let run = run_scenario("refused-twice", SCENARIO, &command);
+    assert_eq!(run.exit, Some(2), "{}", run.text);
+    assert!(run.text.contains("--set fleet.edges"), "{}", run.text);
 }
 
-/// A stand-in as a process is told as well; it would have read the file alone.
+/// An emulated component that runs as a process gets the overrides too; the file alone would not
+/// contain them.
 #[rstest]
-fn a_part_of_a_fleet_of_processes_reads_them() {
-    let played = play(
+fn a_component_process_rejects_an_unknown_override() {
+    let run = run_scenario(
         "refused-part",
         SCENARIO,
         &["part", "--set", "fleet.egdes=9"],
     );
-    assert_eq!(played.exit, Some(2), "{}", played.text);
+    assert_eq!(run.exit, Some(2), "{}", run.text);
 }
 
-/// An experiment's variant is the same text with other settings.
+/// A variant of an experiment is the same scenario with other settings.
 #[rstest]
 fn a_variants_settings_take_effect() {
     let variants = r#"(variant "as built") (variant "shorter" (set "traffic.length=1s"))"#;
     let experiment =
-        Experiment::read("story", &(SCENARIO.to_string() + variants), Some(1)).unwrap();
-    let figures = experiment.run_all(1, |_| ()).unwrap();
-    let seconds: Vec<usize> = figures.iter().map(|of| of[0].seconds.len()).collect();
+        Experiment::read("scenario", &(SCENARIO.to_string() + variants), Some(1)).unwrap();
+    let results = experiment.run_all(1, |_| ()).unwrap();
+    let seconds: Vec<usize> = results.iter().map(|runs| runs[0].seconds.len()).collect();
     assert_eq!(seconds, [2, 1]);
 }
 
 #[rstest]
-fn a_variants_unknown_setting_is_refused() {
+fn an_unknown_setting_of_a_variant_is_rejected() {
     let variants = r#"(variant "as built") (variant "another" (set "edge.edges=4"))"#;
     let problem =
-        Experiment::read("story", &(SCENARIO.to_string() + variants), Some(1)).unwrap_err();
+        Experiment::read("scenario", &(SCENARIO.to_string() + variants), Some(1)).unwrap_err();
     assert!(
         problem.to_string().starts_with("another: edge.edges=4"),
         "{problem}"
--- a/crates/sanddrum-cli/tests/hunt.rs
+++ b/crates/sanddrum-cli/tests/router_faults.rs
@@ -1,4 +1,5 @@
-//! Faults of the router as a process that were found by going through the rules one by one: each story had failed before.
+//! Regression tests of the router process, one for each fault that a systematic review of the rules found. Each test
+//! failed before its fault was fixed.
 
 mod steered;
 
@@ -19,23 +20,23 @@
 
 // ---- Clients
 
-/// The largest body, as the protocol allows.
-const LARGEST_BODY: usize = 16 * 1024;
+/// Maximum size of a request body in the protocol.
+const MAX_BODY_BYTES: usize = 16 * 1024;
 
 #[rstest]
-fn requests_that_come_in_turn_on_one_connection_are_all_served() {
+fn requests_with_interleaved_bodies_on_one_connection_are_all_served() {
     let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
     let router = Router::start("in-turn", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
     question(&mut feed);
     let mut web = Web::connects(&router.at);
     let requests = 1..=24u16;
-    let body = vec![b'x'; LARGEST_BODY];
+    let body = vec![b'x'; MAX_BODY_BYTES];
     for id in requests.clone() {
-        let (call, mut out) = (format!("{id:016x}"), Vec::new());
+        let (call_id, mut out) = (format!("{id:016x}"), Vec::new());
         let pairs = [
             ("SCRIPT_NAME", "/rpc/job"),
-            ("HTTP_X_CALL_ID", call.as_str()),
+            ("HTTP_X_CALL_ID", call_id.as_str()),
             ("HTTP_X_PATIENCE_MS", "8000"),
             ("HTTP_X_ENTITY", "7f3a9c21e0b4d655"),
             ("HTTP_X_INFO", "memory_mb:100;lanes:40;load_ms:300"),
@@ -44,7 +45,7 @@
         write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
         web.says(&out);
     }
-    // A record of each body in turn, so that none is whole before all nearly are.
+    // First all bodies, then all ends of bodies, so that no request is complete before all bodies have been sent.
     for id in requests.clone() {
         let mut out = encode_header(RecordType::Stdin, id, body.len()).to_vec();
         out.extend_from_slice(&body);
@@ -55,11 +56,11 @@
         .for_each(|id| web.says(&encode_header(RecordType::Stdin, id, 0)));
     for _ in requests {
         let next = worker.request();
-        assert_eq!(next.1.body.len(), LARGEST_BODY);
+        assert_eq!(next.1.body.len(), MAX_BODY_BYTES);
         worker.serve(&next);
         assert_eq!(
             web.answer()
-                .expect("no connection is closed with requests open")
+                .expect("a connection with open requests is not closed")
                 .status(),
             "200"
         );
@@ -69,29 +70,29 @@
 // ---- Discovery
 
 #[rstest]
-fn a_whole_list_of_the_largest_fleet_is_taken() {
+fn a_full_list_of_the_largest_fleet_is_accepted() {
     let ((_first, first_at), (mut second, second_at), (feeds, feed_at)) =
         (listener(), Worker::listens(), listener());
     let router = Router::start("large-list", &feed_at, &first_at, "once");
     let mut feed = accept(&feeds);
     question(&mut feed);
-    // The largest fleet has 3,200 model servers; all of them but one drain.
-    let drains = |n: usize| {
+    // The largest fleet has 3,200 model servers, which drain here; one further server is in service.
+    let draining_member = |n: usize| {
         let at = format!("10.{}.{}.9:8080", n / 250, n % 250);
-        let mut drains = member(&format!("s-{n:08x}"), &at, "terminating");
-        drains["flavor"] = json!("std");
-        drains["cell"] = json!(n / 8);
-        drains["up_since_ms"] = json!(1_700_000_000_000_i64 + n as i64);
-        drains
+        let mut draining = member(&format!("s-{n:08x}"), &at, "terminating");
+        draining["flavor"] = json!("std");
+        draining["cell"] = json!(n / 8);
+        draining["up_since_ms"] = json!(1_700_000_000_000_i64 + n as i64);
+        draining
     };
-    let mut members: Vec<Value> = (0..3_200).map(drains).collect();
+    let mut members: Vec<Value> = (0..3_200).map(draining_member).collect();
     members.push(member("stands", &second_at, "in_service"));
     let list = json!({"n": 2, "members": {"revision": 2, "complete": true, "members": members}});
     feed.write_all(&told(2, json!([list]))).unwrap();
     assert_eq!(
         question(&mut feed),
         2,
-        "the list is taken, and the next one asked for"
+        "the list is accepted, and the next change is requested"
     );
     let mut web = Web::connects(&router.at);
     web.calls(1, A);
@@ -101,25 +102,25 @@
 }
 
 #[rstest]
-fn a_configuration_that_is_half_written_at_its_signal_is_read_once_it_is_whole() {
+fn a_configuration_half_written_at_sighup_is_applied_once_it_is_complete() {
     let ((_worker, worker_at), (feeds, feed_at), (moved, moved_at)) =
         (listener(), listener(), listener());
     let router = Router::start("half-configured", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
     question(&mut feed);
-    let whole = configuration(&moved_at, &worker_at, "once").to_string();
-    std::fs::write(&router.file, &whole[..whole.len() / 2]).unwrap();
+    let complete = configuration(&moved_at, &worker_at, "once").to_string();
+    std::fs::write(&router.file, &complete[..complete.len() / 2]).unwrap();
     router.signal("HUP");
-    // Its log tells that the half was read.
+    // The log shows that the incomplete file was read.
     until(|| router.said_so_far().contains("configuration rejected"));
-    std::fs::write(&router.file, &whole).unwrap();
+    std::fs::write(&router.file, &complete).unwrap();
     assert_eq!(question(&mut accept(&moved)), 1);
 }
 
 // ---- The process
 
 #[rstest]
-fn a_log_that_nobody_reads_holds_nobody_up() {
+fn an_unread_log_does_not_block_requests() {
     let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
     let (free, at) = listener();
     drop(free);
@@ -129,11 +130,11 @@
     std::fs::write(&file, json.to_string()).unwrap();
     let mut command = Router::command(&file);
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-    let unread = child.stderr.take().unwrap();
+    let unread_log = child.stderr.take().unwrap();
     let mut feed = accept(&feeds);
     question(&mut feed);
     let mut web = Web::connects(&at);
-    // At this level some lines a request are logged, far more in all than a pipe holds.
+    // Several lines per request are logged at this level, far more in total than a pipe buffers.
     for n in 1..=400u64 {
         web.calls(1, &format!("{n:016x}"));
         let next = worker.request();
@@ -142,31 +143,31 @@
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    drop(unread);
+    drop(unread_log);
     std::fs::remove_file(file).unwrap();
 }
 
 #[rstest]
-fn a_second_signal_to_end_takes_no_request_with_it() {
+fn a_second_sigterm_does_not_abort_open_requests() {
     let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
     let mut router = Router::start("twice", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
     question(&mut feed);
     let mut web = Web::connects(&router.at);
     web.calls(1, A);
-    let out = worker.request();
+    let first = worker.request();
     router.signal("TERM");
-    // Two that come together are one; the second comes once the first is heard.
+    // Two pending signals would be merged into one, so the second is sent after the first has been handled.
     until(|| router.said_so_far().contains("graceful shutdown started"));
     router.signal("TERM");
     web.calls(2, B);
-    let also = worker.request();
+    let second = worker.request();
     std::thread::sleep(Duration::from_millis(50));
     worker.says(
-        out.0,
-        &frames::response(97, out.1.id, "remark=hot", &out.1.body),
+        first.0,
+        &frames::response(97, first.1.id, "remark=hot", &first.1.body),
     );
-    worker.serve(&also);
+    worker.serve(&second);
     assert_eq!(web.answer().unwrap().status(), "200");
     assert_eq!(web.answer().unwrap().status(), "200");
     assert_eq!(router.ends().code(), Some(0));
@@ -175,23 +176,23 @@
 // ---- System calls that fail
 
 #[rstest]
-fn a_router_that_can_make_no_socket_for_a_moment_starts_all_the_same() {
+fn a_router_starts_although_socket_creation_fails_at_first() {
     let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-socket-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
     faults.set(Word::Socket, 1_000_000).unwrap();
-    let starts = std::thread::spawn({
+    let startup = std::thread::spawn({
         let configuration = configuration(&feed_at, &worker_at, "once");
         move || {
             let router = Router::start_with("no-socket", &configuration, Some(&faults));
             (router, faults)
         }
     });
-    // The block is a file: it is opened anew here to see that the fault has come, and to end it.
+    // The fault settings are shared through a file, which is opened again here to wait for the fault and to end it.
     let control = FaultControl::open(&file).unwrap();
     until(|| control.get(Word::SocketsFailed).unwrap() > 0);
     control.set(Word::Socket, 0).unwrap();
-    let (router, _faults) = starts.join().unwrap();
+    let (router, _faults) = startup.join().unwrap();
     question(&mut accept(&feeds));
     let mut web = Web::connects(&router.at);
     web.calls(1, A);
@@ -201,7 +202,7 @@
 }
 
 #[rstest]
-fn a_poller_that_fails_for_a_while_ends_no_router_and_takes_no_request_with_it() {
+fn a_temporary_poller_failure_ends_neither_the_router_nor_open_requests() {
     let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-poller-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
@@ -214,18 +215,18 @@
     question(&mut feed);
     let mut web = Web::connects(&router.at);
     web.calls(1, A);
-    let out = worker.request();
+    let open = worker.request();
     faults.set(Word::Control, 1_000_000).unwrap();
     faults.set(Word::Wait, 1_000_000).unwrap();
     until(|| faults.get(Word::ControlsFailed).unwrap() >= 20);
     faults.set(Word::Wait, 0).unwrap();
     faults.set(Word::Control, 0).unwrap();
-    worker.serve(&out);
+    worker.serve(&open);
     assert_eq!(web.answer().unwrap().status(), "200");
-    // A new client, too: its listener is watched still.
-    let mut new = Web::connects(&router.at);
-    new.calls(1, B);
+    // A new client is served as well, so the listener is still polled.
+    let mut new_client = Web::connects(&router.at);
+    new_client.calls(1, B);
     let next = worker.request();
     worker.serve(&next);
-    assert_eq!(new.answer().unwrap().status(), "200");
+    assert_eq!(new_client.answer().unwrap().status(), "200");
 }
--- a/crates/sanddrum-cli/tests/played/mod.rs
+++ b/crates/sanddrum-cli/tests/scenario_run/mod.rs
@@ -1,38 +1,38 @@
-//! A scenario played by `sanddrum lab`, with every part a process or in virtual time, and what it came to.
+//! Runs a scenario with `sanddrum lab`, in virtual time or with each component as a process, and returns the outcome.
 
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-pub struct Played {
+pub struct ScenarioRun {
     pub exit: Option<i32>,
     pub summary: Value,
     pub text: String,
 }
 
-impl Played {
-    /// Calls in time of calls begun, over these seconds.
-    #[allow(dead_code)] // not every story asks for it
+impl ScenarioRun {
+    /// Fraction of the requests sent within these seconds that were answered in time.
+    #[allow(dead_code)] // not used by every test that includes this module
     pub fn service(&self, seconds: std::ops::Range<usize>) -> f64 {
-        let sums = seconds.fold((0, 0), |(begun, in_time), n| {
+        let sums = seconds.fold((0, 0), |(sent, in_time), n| {
             let second = &self.summary["seconds"][n];
             (
-                begun + second[0].as_u64().unwrap_or(0),
+                sent + second[0].as_u64().unwrap_or(0),
                 in_time + second[1].as_u64().unwrap_or(0),
             )
         });
         sums.1 as f64 / (sums.0 as f64).max(1.0)
     }
-    /// Calls begun over these seconds and answered in time.
-    #[allow(dead_code)] // not every story asks for it
+    /// Number of requests sent within these seconds and answered in time.
+    #[allow(dead_code)] // not used by every test that includes this module
     pub fn in_time(&self, seconds: std::ops::Range<usize>) -> u64 {
         seconds
             .filter_map(|n| self.summary["seconds"][n][1].as_u64())
             .sum()
     }
-    /// Executions that reached workers for each job that finished.
-    #[allow(dead_code)] // not every story asks for it
-    pub fn executions_each(&self) -> f64 {
+    /// Executions on workers for each finished request.
+    #[allow(dead_code)] // not used by every test that includes this module
+    pub fn executions_per_request(&self) -> f64 {
         self.summary["whole"]["for_each_finished"]["executions"]
             .as_f64()
             .unwrap_or(f64::MAX)
@@ -46,8 +46,8 @@
     }
 }
 
-/// Plays a scenario's text; `how` is a subcommand with its arguments.
-pub fn play(name: &str, scenario: &str, how: &[&str]) -> Played {
+/// Runs a scenario; `command` is a subcommand of `sanddrum lab` with its arguments.
+pub fn run_scenario(name: &str, scenario: &str, command: &[&str]) -> ScenarioRun {
     let folder =
         Folder(std::env::temp_dir().join(format!("sanddrum-fleet-{name}-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
@@ -55,9 +55,9 @@
     std::fs::write(&file, scenario).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_sanddrum"))
         .args(["lab"])
-        .args(&how[..1])
+        .args(&command[..1])
         .arg(&file)
-        .args(&how[1..])
+        .args(&command[1..])
         .args(["--json", "--log", "off", "--seed", "5"])
         .stdin(Stdio::null())
         .output()
@@ -65,7 +65,7 @@
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let summary = serde_json::from_str(text.lines().last().unwrap_or_default()).unwrap_or_default();
     let text = text + &String::from_utf8_lossy(&output.stderr);
-    Played {
+    ScenarioRun {
         exit: output.status.code(),
         summary,
         text,
--- a/crates/sanddrum-cli/tests/soak.rs
+++ b/crates/sanddrum-cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak test in its short form, and the fleet of processes that the program plays by itself.
+//! A short soak run, and `sanddrum lab fleet` with its built-in scenario.
 
 use rstest::rstest;
 use std::process::{Command, Output};
@@ -9,13 +9,13 @@
         .output()
         .unwrap()
 }
-fn said(output: &Output) -> String {
-    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    format!("{}{}", text(&output.stdout), text(&output.stderr))
+fn output_text(output: &Output) -> String {
+    let decode = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+    format!("{}{}", decode(&output.stdout), decode(&output.stderr))
 }
 
-/// Plays a soak run of six routers, which has to keep every rule. Tells what it printed.
-fn keeps_every_rule(seed: &str, seconds: &str) -> String {
+/// Runs a soak of six routers, which has to keep every rule. Returns the output.
+fn run_soak_without_violations(seed: &str, seconds: &str) -> String {
     let output = sanddrum(&[
         "lab",
         "soak",
@@ -27,31 +27,31 @@
         "--routers",
         "6",
     ]);
-    let said = said(&output);
-    assert!(output.status.success(), "{said}");
-    let last = said.lines().last().unwrap_or_default();
-    assert_eq!(last, format!("seed {seed}: every rule kept"), "{said}");
-    said
+    let text = output_text(&output);
+    assert!(output.status.success(), "{text}");
+    let last = text.lines().last().unwrap_or_default();
+    assert_eq!(last, format!("seed {seed}: every rule kept"), "{text}");
+    text
 }
 
 #[rstest]
-fn routers_keep_every_rule_through_overlapping_troubles(#[values("1", "4")] seed: &str) {
-    keeps_every_rule(seed, "9");
+fn routers_keep_every_rule_under_overlapping_faults(#[values("1", "4")] seed: &str) {
+    run_soak_without_violations(seed, "9");
 }
 
-/// Of these plays one has a crowd of clients, the other one signals in series and restarts; both have outages of discovery
-/// for longer than the platform's clocks, in which busy servers drain.
+/// One of these seeds has a surge of clients, the other series of signals and restarts. Both have discovery outages
+/// that outlast the platform's timers, during which busy servers drain.
 #[rstest]
-fn routers_keep_every_rule_through_outages_of_discovery(#[values("12", "13")] seed: &str) {
-    let said = keeps_every_rule(seed, "24");
+fn routers_keep_every_rule_during_discovery_outages(#[values("12", "13")] seed: &str) {
+    let text = run_soak_without_violations(seed, "24");
     assert!(
-        said.contains("\"outage\":"),
-        "the play has no outage: {said}"
+        text.contains("\"outage\":"),
+        "the run has no outage: {text}"
     );
 }
 
 #[rstest]
-fn a_router_that_can_not_be_started_is_told_and_not_taken_for_a_run() {
+fn a_router_that_cannot_be_started_is_a_runtime_error_and_not_a_failed_run() {
     let output = sanddrum(&[
         "lab",
         "soak",
@@ -61,16 +61,16 @@
         "--program",
         "/nowhere/sanddrum-edge",
     ]);
-    assert_eq!(output.status.code(), Some(3), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
 }
 
 #[rstest]
-fn the_fleet_that_is_played_without_a_scenario_keeps_its_rules() {
+fn the_built_in_fleet_scenario_keeps_every_rule() {
     let output = sanddrum(&["lab", "fleet", "--json"]);
-    let said = said(&output);
-    assert!(output.status.success(), "{said}");
+    let text = output_text(&output);
+    assert!(output.status.success(), "{text}");
     assert!(
-        said.contains("all five rules held, as seen from the traffic"),
-        "{said}"
+        text.contains("all five rules held, as seen from the traffic"),
+        "{text}"
     );
 }
