--- a/crates/sanddrum-cli/src/bin/edge.rs
+++ b/crates/sanddrum-cli/src/bin/edge.rs
@@ -13,8 +13,7 @@
   sanddrum-edge --settings armor.sx --zone bat-a --number 0 --edges 3 --state-file edge-0.state
   sanddrum-edge --settings armor.sx --listen 127.0.0.1:8081 --set limits.max-open=500 --log info
 
-SIGTERM starts a graceful shutdown: no new requests are accepted, and the edge exits once every open request has its
-final response. A second SIGTERM stops it immediately."
+SIGTERM starts a graceful shutdown: no new requests are accepted, and the edge exits once every open request has its final response. A second SIGTERM stops it immediately."
 )]
 struct Cli {
     #[command(flatten)]
--- a/crates/sanddrum-cli/src/call.rs
+++ b/crates/sanddrum-cli/src/call.rs
@@ -16,11 +16,14 @@
     /// Address of the edge's client listener
     #[arg(long, default_value = "127.0.0.1:8080", value_name = "ADDRESS")]
     pub edge: String,
+    /// Workload of the function
     pub workload: String,
+    /// Function to call
     pub function: String,
     /// Request body
     #[arg(long, default_value = "")]
     pub body: String,
+    /// Customer on whose behalf the request is sent
     #[arg(long)]
     pub customer: Option<String>,
     /// File with the bearer token to send
@@ -32,9 +35,10 @@
     /// Name that the edge's certificate must carry; the host of --edge by default
     #[arg(long, requires = "roots")]
     pub name: Option<String>,
-    /// Client certificate chain to present; its key is given by --key
+    /// Client certificate chain to present
     #[arg(long, value_name = "FILE", requires = "roots", requires = "key")]
     pub certificate: Option<PathBuf>,
+    /// Private key of the client certificate
     #[arg(long, value_name = "FILE", requires = "certificate")]
     pub key: Option<PathBuf>,
     /// Time limit of the request in milliseconds
--- a/crates/sanddrum-cli/src/capacity.rs
+++ b/crates/sanddrum-cli/src/capacity.rs
@@ -25,6 +25,7 @@
     /// Folder for plots of the slopes
     #[arg(long, value_name = "FOLDER")]
     pub plots: Option<PathBuf>,
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
--- a/crates/sanddrum-cli/src/certs.rs
+++ b/crates/sanddrum-cli/src/certs.rs
@@ -25,6 +25,7 @@
                             certs/ worker-1          ; replaces the certificate of worker-1"
     )]
     Make {
+        /// Folder of the authority and the certificates
         folder: PathBuf,
         /// Names to issue certificates for, as in the worker list
         #[arg(required = true)]
@@ -40,12 +41,22 @@
         limit_to: Option<String>,
     },
     /// Show the names, the issuer, the expiry and the key fingerprint of each certificate in a file
-    Show { file: PathBuf },
+    Show {
+        /// Certificates in PEM
+        file: PathBuf,
+    },
     /// Revoke a certificate of the folder's authority: adds it to the revocation list in revoked.pem
-    Revoke { folder: PathBuf, name: String },
+    Revoke {
+        /// Folder of the authority and the certificates
+        folder: PathBuf,
+        /// Name of the certificate
+        name: String,
+    },
     /// Add the key of a certificate to a file of denied keys, whichever authority signed it
     Deny {
+        /// File of denied keys, which is created if it does not exist
         file: PathBuf,
+        /// Certificate in PEM, of which the first key is denied
         certificate: PathBuf,
         /// Reason, written after the key's fingerprint
         #[arg(long, default_value = "")]
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -29,6 +29,7 @@
     /// Number of edges, instead of the scenario's
     #[arg(long)]
     pub edges: Option<usize>,
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Print the summary as a JSON object on the last line as well
@@ -276,12 +277,14 @@
 /// Arguments of an emulated component that runs as a process.
 #[derive(Args, Clone, Debug)]
 pub struct PartArgs {
+    /// Kind of component
     pub part: Part,
     /// Scenario file
     pub file: PathBuf,
     /// Number of the worker
     #[arg(long, default_value_t = 0)]
     pub number: usize,
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Incarnation: how often the component has been started
@@ -290,13 +293,16 @@
     /// Start cold, without loaded functions, instead of as a worker that has run for long
     #[arg(long)]
     pub cold: bool,
+    /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: String,
     /// Address at which others reach it, if it is not the listening address
     #[arg(long)]
     pub known_as: Option<String>,
+    /// Address of the discovery service
     #[arg(long, default_value = "")]
     pub list: String,
+    /// Address of the function store
     #[arg(long, default_value = "")]
     pub store: String,
     /// Write the listening address to this file
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -32,15 +32,24 @@
     },
     /// Sign with the coming key from now on, and retire the current signing key
     Rotate {
+        /// Key set file
         file: PathBuf,
         /// Seconds for which tokens signed by the retiring key are still accepted
         #[arg(long, default_value_t = 3600, value_name = "SECONDS")]
         retire_after: Seconds,
     },
     /// Revoke a key permanently: tokens that it signed are no longer accepted
-    Revoke { file: PathBuf, name: String },
+    Revoke {
+        /// Key set file
+        file: PathBuf,
+        /// Key ID (kid)
+        name: String,
+    },
     /// List the keys and their states
-    List { file: PathBuf },
+    List {
+        /// Key set file
+        file: PathBuf,
+    },
 }
 
 #[derive(Subcommand, Clone, Debug)]
@@ -52,8 +61,10 @@
     Issue(IssueArgs),
     /// Show the claims of a token read from standard input and, given a key set, whether an edge would accept it
     Inspect {
+        /// Key set file to verify the token with
         #[arg(long)]
         keys: Option<PathBuf>,
+        /// Audience that the token must be issued for
         #[arg(long, default_value = "sanddrum")]
         audience: String,
     },
@@ -61,13 +72,16 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct IssueArgs {
+    /// Secret key file to sign with
     #[arg(long, value_name = "FILE")]
     pub secret: PathBuf,
+    /// Customer that the token is issued to
     #[arg(long)]
     pub customer: String,
+    /// Audience of the token: the deployment that accepts it
     #[arg(long, default_value = "sanddrum")]
     pub audience: String,
-    /// Lifetime of the token
+    /// Lifetime of the token in seconds
     #[arg(long, default_value_t = 600, value_name = "SECONDS")]
     pub lasts: Seconds,
 }
@@ -79,8 +93,10 @@
         after_help = "Example:\n  sanddrum rights explain --settings armor.sx lycees-reseau trace-pass/magnitude-3"
     )]
     Explain {
+        /// Settings file of the deployment
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
+        /// Name of the customer
         customer: String,
         /// Function as workload/function
         function: String,
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -16,6 +16,7 @@
     /// Run in virtual time within this process: fast, and deterministic for a given seed
     #[arg(long = "virtual")]
     pub in_virtual_time: bool,
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Number of edges, instead of the scenario's
@@ -339,6 +340,7 @@
     /// Seed of the first run
     #[arg(long, default_value_t = 1)]
     pub from: u64,
+    /// Number of parallel runs; the number of processors by default
     #[arg(long)]
     pub threads: Option<usize>,
     /// Folder for the scenarios that violate a rule
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -15,22 +15,29 @@
     /// Address of the edge's client listener
     #[arg(long, default_value = "127.0.0.1:8080", value_name = "ADDRESS")]
     pub edge: String,
+    /// Workload of the functions
     pub workload: String,
     /// Prefix of the function names, which is followed by a number
     pub function: String,
+    /// Number of functions
     #[arg(long, default_value_t = 1)]
     pub functions: usize,
     /// Requests per second, open loop; 0: as many as the edge serves, one at a time on each connection
     #[arg(long, default_value_t = 100.0)]
     pub rate: f64,
+    /// Length of the run in seconds
     #[arg(long, default_value_t = 10, value_name = "SECONDS")]
     pub length: u32,
+    /// Number of client connections
     #[arg(long, default_value_t = 64)]
     pub connections: usize,
+    /// Request body; an emulated worker spends the given work on it
     #[arg(long, default_value = "work-us=1000")]
     pub body: String,
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
+    /// Print the results as a JSON object as well
     #[arg(long)]
     pub json: bool,
 }
--- a/crates/sanddrum-cli/src/main.rs
+++ b/crates/sanddrum-cli/src/main.rs
@@ -64,6 +64,7 @@
     /// Print the summary as a JSON object on the last line as well
     #[arg(long)]
     json: bool,
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Use TLS with verified names between edges and workers
@@ -124,6 +125,7 @@
 enum Config {
     /// Check a settings file and report an error with line and column
     Check {
+        /// Settings file, or a scenario with --scenario
         file: PathBuf,
         /// Treat the file as a scenario
         #[arg(long)]
@@ -131,6 +133,7 @@
     },
     /// Print every effective value with its origin
     Show {
+        /// Settings file, or a scenario with --scenario
         file: PathBuf,
         /// Treat the file as a scenario
         #[arg(long)]
--- a/crates/sanddrum-cli/tests/overload.rs
+++ b/crates/sanddrum-cli/tests/overload.rs
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use scenario_run::{run_scenario, ScenarioRun};
 
-/// Eight edges and nine workers with one core each, which serve 225 requests per second. The request rate rises fourfold
-/// in the fifth second.
+/// Eight edges and nine workers with one core each, which serve 225 requests per second. The request rate rises
+/// fourfold in the fifth second.
 const HEAD: &str = r#"
     (deployment (name "small") (zones "a" "b" "c"))
     (workload "dear" (start-target 1s) (time-limit 3s) (effect restartable) (importance 5))
@@ -115,7 +115,8 @@
 }
 
 /// Whether repeated executions are fewer than half of the requests that finish in the first 13 s, as in virtual time,
-/// and at least 95% of the requests are served in time from second `recovered_by` on and in every two seconds at the end.
+/// and at least 95% of the requests are served in time from second `recovered_by` on and in every two seconds from
+/// second 15 on.
 fn sheds_and_recovers(run: &ScenarioRun, recovered_by: usize) -> bool {
     let finished = run.summary["finished"].as_f64().unwrap();
     let repeated = (run.executions_per_request() - 1.0) * finished;
@@ -135,7 +136,7 @@
     }
 }
 
-/// One customer sends more than its half of the requests to a fleet that can serve a quarter of all.
+/// One customer exceeds its half of a fleet that can serve 225 of 400 requests per second, retries not counted.
 #[rstest]
 fn a_customer_over_its_quota_takes_nothing_from_the_other() {
     let customers =
