--- a/crates/sanddrum-cli/src/certs.rs
+++ b/crates/sanddrum-cli/src/certs.rs
@@ -56,7 +56,7 @@
     Deny {
         /// File of denied keys, which is created if it does not exist
         file: PathBuf,
-        /// Certificate in PEM, of which the first key is denied
+        /// PEM file, the key of whose first certificate is denied
         certificate: PathBuf,
         /// Reason, written after the key's fingerprint
         #[arg(long, default_value = "")]
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// A setting is invalid; the error says which and where.
-pub fn settings(args: &EdgeArgs) -> Result<LoadedSettings, SettingsError> {
+pub fn load_settings(args: &EdgeArgs) -> Result<LoadedSettings, SettingsError> {
     let path = args.settings.clone().unwrap_or_default();
     let file = path.display().to_string();
     let text = std::fs::read_to_string(&path).map_err(|e| SettingsError::of_file(&file, &e))?;
@@ -138,7 +138,7 @@
     if args.platform {
         return crate::platform::run(driver);
     }
-    let settings = match settings(args) {
+    let settings = match load_settings(args) {
         Ok(settings) => settings,
         Err(problem) => return fail(exit::USAGE, problem),
     };
@@ -171,14 +171,15 @@
 
 /// Loads the certificates and trust settings of one side of the TLS layer. An edge does not start with certificates
 /// that are invalid, expired or not yet valid.
-fn load_tls_side(l: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
+fn load_tls_side(settings: &LoadedSettings, keys: [&str; 5], rules: Rules) -> Result<Side, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
-        match l.contains(key) {
-            true => std::fs::read(l.text(key)).map_err(|e| format!("{} ({key}): {e}", l.text(key))),
+        match settings.contains(key) {
+            true => std::fs::read(settings.text(key))
+                .map_err(|e| format!("{} ({key}): {e}", settings.text(key))),
             false => Ok(Vec::new()),
         }
     };
-    let own = match l.contains(keys[2]) {
+    let own = match settings.contains(keys[2]) {
         true => Some((read(keys[1])?, read(keys[2])?)),
         false => None,
     };
@@ -195,24 +196,24 @@
         .as_micros() as i64;
     side.terms()
         .hold(now)
-        .map_err(|e| format!("{} ({}): {e}", l.text(keys[1]), keys[1]))?;
+        .map_err(|e| format!("{} ({}): {e}", settings.text(keys[1]), keys[1]))?;
     Ok(side)
 }
-fn limited_authorities(l: &LoadedSettings) -> Vec<Limited> {
-    let authorities = l.names("authorities").into_iter().enumerate();
+fn limited_authorities(settings: &LoadedSettings) -> Vec<Limited> {
+    let authorities = settings.names("authorities").into_iter().enumerate();
     authorities
         .map(|(n, authority)| Limited {
             authority,
-            names: l.names(&format!("authorities.{n}.names")),
+            names: settings.names(&format!("authorities.{n}.names")),
         })
         .collect()
 }
 
 /// Wraps the edge in a TLS layer if the settings ask for TLS toward workers or clients.
-fn wrap_in_tls(l: &LoadedSettings, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
+fn wrap_in_tls(settings: &LoadedSettings, edge: Edge<Router>) -> Result<Box<dyn Core>, String> {
     let (workers, clients) = (
-        l.text("tls.workers") == "verified",
-        l.text("door.speaks") == "tls",
+        settings.text("tls.workers") == "verified",
+        settings.text("door.speaks") == "tls",
     );
     if !workers {
         tracing::warn!(
@@ -229,24 +230,24 @@
     if !workers && !clients {
         return Ok(Box::new(edge));
     }
-    let mut layer = Layer::new(edge, sanddrum_lab::tls_bounds(l));
-    let sessions = l.integer("tls.sessions");
+    let mut layer = Layer::new(edge, sanddrum_lab::tls_bounds(settings));
+    let sessions = settings.integer("tls.sessions");
     if workers {
         let rules = Rules {
             sessions,
-            limited: limited_authorities(l),
+            limited: limited_authorities(settings),
             ..Rules::default()
         };
-        layer = layer.with_calls(load_tls_side(l, WORKER_TLS_SETTINGS, rules)?);
+        layer = layer.with_calls(load_tls_side(settings, WORKER_TLS_SETTINGS, rules)?);
     }
     if clients {
-        let callers = match l.text("door.certificates") {
+        let callers = match settings.text("door.certificates") {
             "required" => Asks::Must,
             "optional" => Asks::May,
             _ => Asks::No,
         };
         layer = layer.with_doors(load_tls_side(
-            l,
+            settings,
             CLIENT_TLS_SETTINGS,
             Rules {
                 callers,
@@ -265,7 +266,7 @@
 ) -> Result<Shutdown, String> {
     let listen = settings.text("edge.listen").to_string();
     let listener = retry_transient_errors(|| EventLoop::bind(&listen));
-    let (listener, at) =
+    let (listener, address) =
         listener.map_err(|e| format!("{listen}: {e}; choose another address with --listen"))?;
     if args.with_parent {
         crate::fleet::exit_with_parent();
@@ -284,7 +285,7 @@
         .seed
         .unwrap_or(started_at ^ u64::from(std::process::id()));
     tracing::info!(
-        listen = at,
+        listen = address,
         list = settings.text("edge.list"),
         seed,
         "edge starting"
@@ -349,7 +350,7 @@
         );
     }
     if let Some(file) = &args.address_file {
-        crate::fleet::write_address_file(file, &at)
+        crate::fleet::write_address_file(file, &address)
             .map_err(|e| format!("{}: {e}", file.display()))?;
     }
     driver.run().map_err(|e| e.to_string())
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -346,14 +346,14 @@
 fn run_part(args: &PartArgs) -> Result<(), String> {
     exit_with_parent();
     let (_, scenario) = read_scenario(DEMO_SCENARIO, Some(&args.file), args.seed, &args.set, None)?;
-    let (listener, at) =
+    let (listener, address) =
         EventLoop::bind(&args.listen).map_err(|e| format!("{}: {e}", args.listen))?;
     let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(|e| e.to_string())?;
     driver.catch_signals().map_err(|e| e.to_string())?;
     let now = driver.now();
     let core = match args.part {
         Part::Worker => {
-            let known_as = args.known_as.as_deref().unwrap_or(&at);
+            let known_as = args.known_as.as_deref().unwrap_or(&address);
             let spec = scenario.worker(args.number, known_as, &args.list, &args.store);
             let seed = args.seed.wrapping_mul(31).wrapping_add(args.number as u64);
             let (faults, idempotency_keys) =
@@ -396,7 +396,7 @@
         .add(core, vec![listener], None)
         .map_err(|e| e.to_string())?;
     driver.watch_file(host, FAULTS, args.faults.clone(), FAULTS_CHECK_INTERVAL_US);
-    write_address_file(&args.address_file, &at)
+    write_address_file(&args.address_file, &address)
         .map_err(|e| format!("{}: {e}", args.address_file.display()))?;
     while !driver.shutdown_requested() {
         let next = driver.now() + 1_000_000;
@@ -409,9 +409,9 @@
 ///
 /// # Errors
 /// The file can't be written.
-pub fn write_address_file(file: &Path, at: &str) -> std::io::Result<()> {
+pub fn write_address_file(file: &Path, address: &str) -> std::io::Result<()> {
     let temporary = file.with_extension("address-beside");
-    std::fs::write(&temporary, at)?;
+    std::fs::write(&temporary, address)?;
     std::fs::rename(temporary, file)
 }
 
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -242,14 +242,14 @@
         .fill(&mut id)
         .map_err(|_| "the system provides no random bytes".to_string())?;
     let jti = id.iter().map(|byte| format!("{byte:02x}")).collect();
-    let (sub, aud, at) = (args.customer.clone(), args.audience.clone(), now());
+    let (sub, aud, issued_at) = (args.customer.clone(), args.audience.clone(), now());
     token::issue(
         &Claims {
             sub,
             aud,
-            exp: at + args.lasts,
-            nbf: Some(at),
-            iat: Some(at),
+            exp: issued_at + args.lasts,
+            nbf: Some(issued_at),
+            iat: Some(issued_at),
             jti,
         },
         &secret,
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -232,7 +232,7 @@
 /// Runs edges as processes of this program, with the scenario file in this folder as their settings.
 fn edge_processes(folder: &TemporaryFolder, set: &[String]) -> Result<EdgesAs, String> {
     let settings = folder.0.join("scenario.sx");
-    let (home, set) = (folder.0.clone(), set.to_vec());
+    let (folder_path, set) = (folder.0.clone(), set.to_vec());
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     Ok(EdgesAs::Processes(Box::new(
         move |n, fleet, state, seed| {
@@ -248,11 +248,11 @@
             if fleet.authority.is_some() {
                 command.arg("--set").arg(format!(
                     "tls.roots-file={}",
-                    home.join("roots.pem").display()
+                    folder_path.join("roots.pem").display()
                 ));
             }
             if fleet.wallet.is_some() {
-                let file = home.join(fleet.scenario.settings.text("identity.keys-file"));
+                let file = folder_path.join(fleet.scenario.settings.text("identity.keys-file"));
                 command
                     .arg("--set")
                     .arg(format!("identity.keys-file={}", file.display()));
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -60,12 +60,12 @@
         seed: args.seed,
     };
     match generate_load(spec) {
-        Ok(seen) => {
-            println!("{}", summary_line(&seen));
+        Ok(measurement) => {
+            println!("{}", summary_line(&measurement));
             if args.json {
-                println!("{}", summary_json(&seen));
+                println!("{}", summary_json(&measurement));
             }
-            ExitCode::from(if seen.finished > 0 {
+            ExitCode::from(if measurement.finished > 0 {
                 exit::SUCCESS
             } else {
                 exit::CHECK_FAILED
@@ -80,20 +80,20 @@
     driver.catch_signals()?;
     let until = driver.now() + spec.length + 5_000_000;
     let generator = LoadGenerator::new(spec);
-    let seen = generator.seen.clone();
+    let measurement = generator.seen.clone();
     let host = driver.add(Box::new(generator), vec![], None)?;
     while !driver.is_core_done(host) && driver.now() < until && !driver.shutdown_requested() {
         let next = driver.now() + 50_000;
         driver.run_until(next)?;
     }
-    let seen = std::mem::replace(&mut *seen.borrow_mut(), LoadMeasurement::empty());
-    Ok(seen)
+    let measurement = std::mem::replace(&mut *measurement.borrow_mut(), LoadMeasurement::empty());
+    Ok(measurement)
 }
 
-fn summary_line(h: &LoadMeasurement) -> String {
-    let q = |q| h.quantile_us(q) as f64 / 1000.0;
-    let (p50, p99, p999) = (q(0.5), q(0.99), q(0.999));
-    let others: Vec<String> = h
+fn summary_line(measurement: &LoadMeasurement) -> String {
+    let quantile_ms = |q| measurement.quantile_us(q) as f64 / 1000.0;
+    let (p50, p99, p999) = (quantile_ms(0.5), quantile_ms(0.99), quantile_ms(0.999));
+    let others: Vec<String> = measurement
         .others
         .iter()
         .map(|(status, n)| format!("{n} x {status}"))
@@ -103,22 +103,22 @@
     } else {
         others.join(", ")
     };
-    let rate = h.rate();
-    format!("{rate:.0} requests/s finished; {p50:.3} ms (p50), {p99:.3} (p99), {p999:.3} (p999); others: {others}; dropped {}", h.dropped)
+    let rate = measurement.rate();
+    format!("{rate:.0} requests/s finished; {p50:.3} ms (p50), {p99:.3} (p99), {p999:.3} (p999); others: {others}; dropped {}", measurement.dropped)
 }
 
-fn summary_json(h: &LoadMeasurement) -> Value {
-    let others: Vec<Value> = h
+fn summary_json(measurement: &LoadMeasurement) -> Value {
+    let others: Vec<Value> = measurement
         .others
         .iter()
         .map(|(status, n)| json!({"status": status, "calls": n}))
         .collect();
     json!({
-        "finished": h.finished,
-        "calls_per_s": h.rate().round(),
-        "latency_us": {"p50": h.quantile_us(0.5), "p99": h.quantile_us(0.99), "p999": h.quantile_us(0.999)},
+        "finished": measurement.finished,
+        "calls_per_s": measurement.rate().round(),
+        "latency_us": {"p50": measurement.quantile_us(0.5), "p99": measurement.quantile_us(0.99), "p999": measurement.quantile_us(0.999)},
         "others": others,
-        "dropped": h.dropped,
+        "dropped": measurement.dropped,
     })
 }
 
@@ -246,41 +246,41 @@
         "saturated, 10 workers, 100 functions, 64 connections, {} interleaved runs:",
         args.runs
     );
-    let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+    let spread_of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
         spread(saturated.iter().map(metric).collect())
     };
     println!(
         "  requests/s, module             {}",
-        format_spread(of(&|(m, _)| m.load.rate()))
+        format_spread(spread_of(&|(m, _)| m.load.rate()))
     );
     println!(
         "  requests/s, forwarder          {}",
-        format_spread(of(&|(_, f)| f.load.rate()))
+        format_spread(spread_of(&|(_, f)| f.load.rate()))
     );
     println!(
         "  module / forwarder             {}",
-        format_spread(of(&|(m, f)| m.load.rate() / f.load.rate()))
+        format_spread(spread_of(&|(m, f)| m.load.rate() / f.load.rate()))
     );
     println!(
         "  edge CPU us/request, module    {}",
-        format_spread(of(&|(m, _)| m.cpu_us_per_call))
+        format_spread(spread_of(&|(m, _)| m.cpu_us_per_call))
     );
     println!(
         "  edge CPU us/request, forwarder {}",
-        format_spread(of(&|(_, f)| f.cpu_us_per_call))
+        format_spread(spread_of(&|(_, f)| f.cpu_us_per_call))
     );
-    let half = of(&|(m, _)| m.load.rate()).1 / 2.0;
+    let half = spread_of(&|(m, _)| m.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     println!(
         "open loop at half of that, {half:.0} requests/s, latency in ms from the scheduled time of each request:"
     );
     for (name, q) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
-        let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+        let spread_of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
             format_spread(spread(open.iter().map(metric).collect()))
         };
         let (module, forwarder) = (
-            of(&|(m, _)| m.load.quantile_us(q) as f64 / 1000.0),
-            of(&|(_, f)| f.load.quantile_us(q) as f64 / 1000.0),
+            spread_of(&|(m, _)| m.load.quantile_us(q) as f64 / 1000.0),
+            spread_of(&|(_, f)| f.load.quantile_us(q) as f64 / 1000.0),
         );
         println!("  {name:5} module {module}, forwarder {forwarder}");
     }
@@ -372,16 +372,16 @@
             let runs: Vec<AtSize> = (0..args.runs as u64)
                 .map(|seed| limits_at(edges, policy, seed))
                 .collect();
-            let of = |metric: &dyn Fn(&AtSize) -> f64| {
+            let spread_of = |metric: &dyn Fn(&AtSize) -> f64| {
                 format_spread(spread(runs.iter().map(metric).collect()))
             };
             let moved: Vec<String> = (0..8)
                 .map(|n| format!("{:.2}", spread(runs.iter().map(|r| r.moved[n]).collect()).1))
                 .collect();
-            let back = of(&|r| r.back.unwrap_or(f64::INFINITY));
+            let back = spread_of(&|r| r.back.unwrap_or(f64::INFINITY));
             println!(
                 "  {edges:3} edges, {policy:?}: honest customer during a flood {}; rate limit over all edges {}, at one edge {}; after moving, by second {}; lent quota back after {back} s",
-                of(&|r| r.honest), of(&|r| r.spread), of(&|r| r.at_one), moved.join(" ")
+                spread_of(&|r| r.honest), spread_of(&|r| r.spread), spread_of(&|r| r.at_one), moved.join(" ")
             );
             let name = match policy {
                 Policy::Seen => "decision module",
@@ -427,7 +427,7 @@
             .collect()
     };
     let saturated = pairs(0.0)?;
-    let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+    let spread_of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
         spread(saturated.iter().map(metric).collect())
     };
     println!(
@@ -436,21 +436,21 @@
     );
     println!(
         "  requests/s, TLS / plain        {}",
-        format_spread(of(&|(t, p)| t.load.rate() / p.load.rate()))
+        format_spread(spread_of(&|(t, p)| t.load.rate() / p.load.rate()))
     );
     println!(
         "  edge CPU, TLS / plain          {}",
-        format_spread(of(&|(t, p)| t.cpu_us_per_call / p.cpu_us_per_call))
+        format_spread(spread_of(&|(t, p)| t.cpu_us_per_call / p.cpu_us_per_call))
     );
-    let half = of(&|(t, _)| t.load.rate()).1 / 2.0;
+    let half = spread_of(&|(t, _)| t.load.rate()).1 / 2.0;
     let open = pairs(half)?;
     for (name, q) in [("p50", 0.5), ("p99", 0.99)] {
-        let of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
+        let spread_of = |metric: &dyn Fn(&(Measured, Measured)) -> f64| {
             format_spread(spread(open.iter().map(metric).collect()))
         };
         let (over_tls, plain) = (
-            of(&|(t, _)| t.load.quantile_us(q) as f64 / 1000.0),
-            of(&|(_, p)| p.load.quantile_us(q) as f64 / 1000.0),
+            spread_of(&|(t, _)| t.load.quantile_us(q) as f64 / 1000.0),
+            spread_of(&|(_, p)| p.load.quantile_us(q) as f64 / 1000.0),
         );
         println!("  {name} at {half:.0} requests/s: TLS {over_tls} ms, plain {plain} ms");
     }
@@ -496,8 +496,8 @@
         .enumerate()
     {
         let mut others: std::collections::BTreeMap<u16, u64> = std::collections::BTreeMap::new();
-        let each = runs.iter().flat_map(|r| &r[n].load.others);
-        each.for_each(|(status, count)| *others.entry(*status).or_default() += count);
+        let unfinished = runs.iter().flat_map(|r| &r[n].load.others);
+        unfinished.for_each(|(status, count)| *others.entry(*status).or_default() += count);
         let finished: u64 = runs.iter().map(|r| r[n].load.finished).sum();
         println!("  {name}: finished {finished}, others by status {others:?}");
     }
@@ -581,12 +581,13 @@
         .iter()
         .enumerate()
     {
-        let each = |r: &[Measured; 2]| r[n].cpu_us_per_call * 1000.0 / f64::from(body_bytes as u32);
-        let each = format_spread(spread(runs.iter().map(each).collect()));
+        let ns_per_byte =
+            |r: &[Measured; 2]| r[n].cpu_us_per_call * 1000.0 / f64::from(body_bytes as u32);
+        let ns_per_byte = format_spread(spread(runs.iter().map(ns_per_byte).collect()));
         let finished: u64 = runs.iter().map(|r| r[n].load.finished).sum();
         let others: u64 = runs.iter().flat_map(|r| r[n].load.others.values()).sum();
         println!(
-            "  {name:20} edge CPU {each} ns/byte of finished requests; finished {finished}, others {others}"
+            "  {name:20} edge CPU {ns_per_byte} ns/byte of finished requests; finished {finished}, others {others}"
         );
     }
     Ok(())
@@ -617,7 +618,7 @@
     .iter()
     .enumerate()
     {
-        let q = |q: f64| {
+        let quantile_ms = |q: f64| {
             format_spread(spread(
                 runs.iter()
                     .map(|r| r[n].load.quantile_us(q) as f64 / 1000.0)
@@ -634,8 +635,8 @@
         ));
         println!(
             "  {name:30} finished {finished}, p50 {} ms, p99 {} ms",
-            q(0.5),
-            q(0.99)
+            quantile_ms(0.5),
+            quantile_ms(0.99)
         );
     }
     Ok(())
@@ -673,13 +674,13 @@
                         .map_err(|e| e.to_string())?,
                 );
             }
-            let of = |metric: &dyn Fn(&ReconnectLoad) -> f64| {
+            let spread_of = |metric: &dyn Fn(&ReconnectLoad) -> f64| {
                 format_spread(spread(runs.iter().map(metric).collect()))
             };
             let name = if on_demand { "on demand" } else { "paced" };
             println!(
                 "  {edges:3} edges, {name:10}: in time {}, recovered after {} s, worst worker {} handshakes/s, all workers {}, p99 {} ms, rules violated {}",
-                of(&|r| r.service), of(&|r| r.calm), of(&|r| f64::from(r.worst)), of(&|r| f64::from(r.handshakes)), of(&|r| r.p99_ms), of(&|r| r.broken as f64)
+                spread_of(&|r| r.service), spread_of(&|r| r.calm), spread_of(&|r| f64::from(r.worst)), spread_of(&|r| f64::from(r.handshakes)), spread_of(&|r| r.p99_ms), spread_of(&|r| r.broken as f64)
             );
             let mean = |n: usize| {
                 runs.iter()
--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -60,9 +60,9 @@
         machine_kinds: configuration.worker_kinds(),
     };
     let listener = retry_transient_errors(|| EventLoop::bind(&configuration.listen));
-    let (listener, at) = listener.map_err(|e| format!("{}: {e}", configuration.listen))?;
+    let (listener, address) = listener.map_err(|e| format!("{}: {e}", configuration.listen))?;
     tracing::info!(
-        listen = at,
+        listen = address,
         feed = configuration.feed,
         "platform router starting"
     );
