--- a/crates/sanddrum-edge/src/edge_state/fastcgi.rs
+++ b/crates/sanddrum-edge/src/edge_state/fastcgi.rs
@@ -12,8 +12,8 @@
 use sanddrum_net::{ConnectionId, Io};
 
 /// How long after its start an edge without an endpoint list reports ready all the same, even if it can't reach the
-/// control feed: it can at least reject requests with a retry delay. This is half of the 10 s within which 9 of 10 edges
-/// have to be ready.
+/// control feed: it can at least reject requests with a retry delay. This is half of the 10 s within which 9 of 10
+/// edges have to be ready.
 const READY_WITHOUT_LIST_AFTER: Micros = 5_000_000;
 
 impl EdgeState {
--- a/crates/sanddrum-edge/src/edge_state/workers.rs
+++ b/crates/sanddrum-edge/src/edge_state/workers.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Handles the refusal of the connection policy to open a connection.
+    /// Handles a connection that the connection policy has decided not to open.
     pub(super) fn worker_connection_rejected(
         &mut self,
         now: Micros,
--- a/crates/sanddrum-identity/src/keys.rs
+++ b/crates/sanddrum-identity/src/keys.rs
@@ -101,7 +101,7 @@
     #[error("key id {0:?} already exists, or is not 1 to {MAX_KEY_ID_BYTES} bytes long")]
     InvalidId(String),
     /// The set has no key in state [`KeyState::Coming`] to rotate to.
-    #[error("no key is coming; add one first, so that every edge knows it before it signs")]
+    #[error("no key has state \"coming\"; add one first, so that every edge knows it before it signs tokens")]
     NoComingKey,
     /// No key has this id.
     #[error("the key set has no key {0:?}")]
--- a/crates/sanddrum-platform-config/src/lib.rs
+++ b/crates/sanddrum-platform-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Translates the settings and load reports of the users' platform into those of the decision module. The simulator
-//! adapter and the running router share this package, so that the decision module gets the same settings in both. It
-//! maps names only and contains no policy.
+//! Translates the settings and load reports of the platform that routers are deployed on into those of the decision
+//! module. The simulator adapter and the running router share this package, so that the decision module gets the same
+//! settings in both. It maps names only and contains no policy.
 
 mod decision_settings;
 mod load_report;
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -15,8 +15,8 @@
 /// page on the days that count, section *Bad peers*).
 pub const MIN_NOTIFICATION_DELAY: Micros = 2_000_000;
 
-/// The latest time after the feed's connection broke, or the feed stopped answering, at which the platform considers the
-/// router notified of such changes, in microseconds (the platform's protocol page, section *Figures*).
+/// The latest time after the feed's connection broke, or the feed stopped answering, at which the platform considers
+/// the router notified of such changes, in microseconds (the platform's protocol page, section *Figures*).
 pub const MAX_NOTIFICATION_DELAY: Micros = 7_000_000;
 
 /// A worker as the feed describes it.
--- a/crates/sanddrum-platform/src/start_times.rs
+++ b/crates/sanddrum-platform/src/start_times.rs
@@ -22,7 +22,7 @@
     pub wall: Micros,
 }
 
-/// How many offsets between the clocks are kept: the current one and those from before the wall clock's last steps.
+/// How many offsets between the clocks are retained: the current one and those from before the wall clock's last steps.
 const MAX_CLOCK_OFFSETS: usize = 4;
 /// A smaller change of the offset is not a step: wall clocks are also slewed.
 const MIN_CLOCK_STEP: Micros = 500_000;
--- a/crates/sanddrum-settings/src/deployment/limits.rs
+++ b/crates/sanddrum-settings/src/deployment/limits.rs
@@ -260,7 +260,7 @@
             "connections-ahead",
             ValueType::Integer(0.0, 1e5),
             Some("16"),
-            "how many of the workers used most often lately have a connection kept open ahead of need",
+            "how many of the recently most used workers have a connection kept open in advance",
         ),
         key(
             "connect-again",
--- a/crates/sanddrum-settings/src/deployment/security.rs
+++ b/crates/sanddrum-settings/src/deployment/security.rs
@@ -6,13 +6,13 @@
     name: "identity",
     prefix: "identity",
     occurrence: Occurrence::Once,
-    description: "authentication of callers",
+    description: "authentication of clients",
     keys: &[
         key(
             "tokens",
             ValueType::Choice(&["off", "optional", "required"]),
             Some("off"),
-            "whether callers may or must present tokens",
+            "whether clients may or must present tokens",
         ),
         key(
             "keys-file",
@@ -48,7 +48,7 @@
             "token-checks",
             ValueType::Integer(1.0, 1e7),
             Some("2000"),
-            "signatures verified per second for known callers, and as many for unknown ones",
+            "signatures verified per second for known clients, and as many for unknown ones",
         ),
         key(
             "token-memory",
@@ -141,7 +141,7 @@
             "handshakes",
             ValueType::Integer(1.0, 1e6),
             Some("256"),
-            "handshakes with callers in progress at a time; further connections are closed at once",
+            "handshakes with clients in progress at a time; further connections are closed at once",
         ),
         key(
             "sessions",
--- a/crates/sanddrum-simulator-adapter/src/names.rs
+++ b/crates/sanddrum-simulator-adapter/src/names.rs
@@ -4,7 +4,7 @@
 use serde_json::Value as Json;
 use std::collections::HashMap;
 
-/// The name of a request, kept as long as messages may refer to the request.
+/// The name of a request, retained as long as messages may refer to the request.
 struct RequestName {
     text: String,
     attempts_in_flight: usize,
@@ -66,7 +66,7 @@
         self.remove_if_done(id);
     }
 
-    /// Removes a request that no message can refer to any more.
+    /// Removes a request if no further message can refer to it.
     fn remove_if_done(&mut self, id: RequestId) {
         let name = self.requests.get(&id);
         if !name.is_some_and(|name| name.is_finished && name.attempts_in_flight == 0) {
--- a/crates/sanddrum-tls/src/certificates.rs
+++ b/crates/sanddrum-tls/src/certificates.rs
@@ -33,7 +33,7 @@
     pub certified_key: Option<(Vec<u8>, Vec<u8>)>,
     /// Revocation lists (RFC 5280, section 5).
     pub revocation_lists: Vec<u8>,
-    /// Fingerprints of keys that are rejected whoever signed their certificates, one a line; see [`KeyFingerprint`].
+    /// Fingerprints of keys that are rejected whoever signed their certificates, one per line; see [`KeyFingerprint`].
     pub denied_keys: Vec<u8>,
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// Parses a list of denied keys: a fingerprint a line, with an optional remark behind it. Empty lines and lines that
+/// Parses a list of denied keys: one fingerprint per line, optionally followed by a remark. Empty lines and lines that
 /// start with `#` are skipped.
 ///
 /// # Errors
--- a/crates/sanddrum-tls/src/connection.rs
+++ b/crates/sanddrum-tls/src/connection.rs
@@ -23,9 +23,9 @@
 
 /// A connection of the layer, from the start of its handshake to its last event.
 pub(crate) struct TlsConnection {
-    /// None where the handshake could not be started.
+    /// `None` if the handshake could not be started.
     tls: Option<Connection>,
-    /// The name that an outbound peer's certificate must contain; for an inbound peer a general term for messages.
+    /// The name that an outbound peer's certificate must contain. For an inbound peer, a generic name used in messages.
     peer_name: String,
     listener: Option<ListenerId>,
     /// The limit of `ciphertext`.
@@ -92,7 +92,7 @@
     pub fn on_writable(&mut self) {
         self.driver_blocked = false;
     }
-    /// The time for a handshake is over; an established connection ignores it.
+    /// Handles the end of the time that a handshake may take. An established connection ignores it.
     pub fn on_handshake_timeout(&mut self) {
         if !self.established {
             self.fail(format!("{}: the handshake timed out", self.peer_name));
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -50,7 +50,7 @@
     inbound: Option<ReloadableConfig>,
     limits: TlsLimits,
     connections: BTreeMap<ConnectionId, TlsConnection>,
-    /// Deadlines of handshakes, kept until they have passed.
+    /// Deadlines of handshakes. Each is retained until it has passed, even if its handshake has completed.
     handshake_deadlines: BTreeSet<(Micros, ConnectionId)>,
     /// Connections that may have events for the core; delivered once the core is not being called.
     pending: BTreeSet<ConnectionId>,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Exports the time to each expiry, and warns of those that are near.
+    /// Exports the time left until each expiry, and warns of those that are close.
     fn check_expiries(&mut self, now: Micros) {
         if now < self.state.next_expiry_check {
             return;
--- a/crates/sanddrum-tls/tests/tls_layer.rs
+++ b/crates/sanddrum-tls/tests/tls_layer.rs
@@ -15,7 +15,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// In 2025; the authorities of these tests are valid from 2020 to 2040.
+/// The current time of these tests, in 2025. Their authorities are valid from 2020 to 2040.
 const NOW: Micros = 1_750_000_000_000_000;
 
 /// The events that a core was given.
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! Shutdown: each request gets its final answer in the same batch: a rejection if the client may safely retry it.
+//! Shutdown: each request gets its final answer in the same batch, a rejection if the client may safely retry it and a
+//! failure otherwise.
 
 mod common;
 
