--- a/crates/sanddrum-emulator/src/store.rs
+++ b/crates/sanddrum-emulator/src/store.rs
@@ -9,7 +9,7 @@
 /// A fetch with at most this much time remaining, in microseconds, is complete, as floating-point sums are not exact.
 const COMPLETE_BELOW_US: f64 = 0.5;
 /// How often a stalled store checks whether it may continue.
-const STALL_CHECK: Micros = 20_000;
+const STALL_CHECK_INTERVAL: Micros = 20_000;
 
 /// The configuration of a store.
 #[derive(Clone, Debug)]
@@ -144,7 +144,7 @@
         let wait = if speed > 0.0 {
             (shortest / speed).ceil().max(1.0) as Micros
         } else {
-            STALL_CHECK
+            STALL_CHECK_INTERVAL
         };
         Some(self.advanced_to + wait)
     }
--- a/crates/sanddrum-upstream/tests/connection_policy.rs
+++ b/crates/sanddrum-upstream/tests/connection_policy.rs
@@ -11,7 +11,7 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 /// The utilization of a connection that is far from full.
-const LIGHT_USE: f64 = 0.1;
+const LOW_UTILIZATION: f64 = 0.1;
 
 /// The decisions of one call, with plain numbers for the ids of connections and workers.
 #[derive(Default, Debug)]
@@ -323,7 +323,7 @@
     edge.list_workers(5, 0);
     for (worker, times) in [(1, 3), (2, 1), (3, 2)] {
         for _ in 0..times {
-            edge.utilize(worker, LIGHT_USE);
+            edge.utilize(worker, LOW_UTILIZATION);
         }
     }
     assert_eq!(edge.list_workers(5, 0).prewarmed, [1, 3]);
@@ -384,7 +384,7 @@
     for n in 0..2 {
         edge.request(n, n, Purpose::Request);
         edge.establish(n);
-        edge.utilize(n, LIGHT_USE);
+        edge.utilize(n, LOW_UTILIZATION);
     }
     let decisions = edge.outdate([(0, 1)]);
     assert_eq!((decisions.prewarmed, decisions.retired.len()), (vec![0], 0));
