--- a/crates/sanddrum-cli/src/capacity.rs
+++ b/crates/sanddrum-cli/src/capacity.rs
@@ -3,7 +3,7 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::capacity::{
-    self, Memory, Output, Plan, Sink, Stop, Summary, DEFAULT_PLAN, PLAYS, SHORT_PLAN,
+    self, Memory, Output, Plan, Sink, Stop, Summary, BENCHMARKS, DEFAULT_PLAN, SHORT_PLAN,
 };
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::path::PathBuf;
@@ -30,9 +30,9 @@
 }
 
 fn plays() -> clap::builder::PossibleValuesParser {
-    PLAYS
+    BENCHMARKS
         .iter()
-        .map(|play| play.name)
+        .map(|benchmark| benchmark.name)
         .collect::<Vec<_>>()
         .into()
 }
--- a/crates/sanddrum-lab/src/capacity.rs
+++ b/crates/sanddrum-lab/src/capacity.rs
@@ -1,78 +1,79 @@
-//! What routers, workers, the store, the list service and the configuration cost as a deployment grows: measured over
-//! several sizes, each figure with its slope. Hollow parts run the product's own cores and decision modules and are
-//! hollow at their ends only.
+//! Capacity benchmarks: what routers, workers, the function store, the discovery service and configuration changes cost
+//! as a deployment grows. Each figure is measured at several sizes and fitted to a slope. Simulated parts run the
+//! product's own cores and decision modules; only what these exchange messages with is simplified.
 
-mod beside;
-mod clock;
+mod charts;
 mod configuration;
+mod cpu_clock;
 pub mod decision_host;
-mod discovery_alone;
+mod derived;
 mod discovery_environment;
 mod discovery_load;
+mod discovery_microbench;
 mod discovery_scenarios;
+mod edge_comparison;
 mod edge_process;
 mod fit;
 mod memory;
+mod message_sizes;
 mod metered;
 pub mod model;
 mod output;
-mod pictures;
 mod plan;
 mod point;
-pub mod real;
+pub mod real_edge;
 mod result_sink;
 pub mod router;
 pub mod simulated;
 mod simulated_router;
-mod sizes;
+pub mod start_stats;
 mod start_target;
-pub mod starts;
-mod workers;
 
-pub use discovery_environment::{Cut, DiscoveryEnvironment, DiscoveryEnvironmentSpec};
-pub use fit::{fit, Fit, Form};
-pub use metered::{ListSecond, Metered, Said, Tally};
+pub use charts::draw;
+pub use discovery_environment::{DiscoveryEnvironment, DiscoveryEnvironmentSpec, Interrupted};
+pub use fit::{fit, Fit, FitShape};
+pub use metered::{DiscoveryMessage, DiscoveryStats, Metered, SecondStats};
 pub use output::{Output, Summary};
-pub use pictures::draw;
 pub use plan::{Memory, Plan, DEFAULT_PLAN, SHORT_PLAN};
 pub use point::{slopes, Point, Role, Slope, Source};
 pub use result_sink::{Sink, Stop};
-pub use simulated_router::{Follower, Followers, HollowRouterSpec, SimulatedRouter};
+pub use simulated_router::{Follower, FollowerStats, SimulatedRouter, SimulatedRouterSpec};
 
 use sanddrum_settings::{Section, SettingsError};
 
-/// A play: what its plan may say, what is wrong with a plan, and what it measures.
-pub struct Play {
-    /// As it is named on the command line.
+/// A benchmark: its settings, the validation of a plan and the measurement. Plans and reports call it a play.
+pub struct Benchmark {
+    /// The name on the command line.
     pub name: &'static str,
     pub section: Section,
-    /// What can't be is refused before anything starts, with the key named.
+    /// Rejects invalid settings before anything starts; the error names the key.
     pub check: fn(&Plan) -> Result<(), SettingsError>,
-    /// Gives its points to the sink as they are measured, and ends early where it is asked to.
-    pub play: fn(&Plan, &mut Sink, &Stop) -> Result<(), String>,
+    /// Adds each point to the sink as soon as it is measured, and returns early when `Stop` is set.
+    pub run: fn(&Plan, &mut Sink, &Stop) -> Result<(), String>,
 }
 
-/// All plays, in the order in which they run.
-pub const PLAYS: &[Play] = &[
-    router::PLAY,
-    start_target::PLAY,
-    discovery_load::PLAY,
-    configuration::PLAY,
+/// All benchmarks, in the order in which they run.
+pub const BENCHMARKS: &[Benchmark] = &[
+    router::BENCHMARK,
+    start_target::BENCHMARK,
+    discovery_load::BENCHMARK,
+    configuration::BENCHMARK,
 ];
 
-/// Plays those named, or all, until done or told to stop; what was measured is with the sink.
+/// Runs the named benchmarks, or all if `only` is empty, until they are done or `stop` is set. The sink holds the points
+/// measured so far in either case.
 ///
 /// # Errors
-/// A play could not be set up, or the files could not be written.
+/// A benchmark could not be set up, or the result files could not be written.
 pub fn run(plan: &Plan, only: &[String], sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    for play in PLAYS
+    for benchmark in BENCHMARKS
         .iter()
-        .filter(|p| only.is_empty() || only.iter().any(|name| name == p.name))
+        .filter(|benchmark| only.is_empty() || only.iter().any(|name| name == benchmark.name))
     {
         if stop.is_set() {
             break;
         }
-        (play.play)(plan, sink, stop).map_err(|e| format!("{}: {e}", play.name))?;
+        (benchmark.run)(plan, sink, stop).map_err(|e| format!("{}: {e}", benchmark.name))?;
     }
     sink.finish(!stop.is_set())
 }
--- a/crates/sanddrum-lab/src/capacity/configuration.rs
+++ b/crates/sanddrum-lab/src/capacity/configuration.rs
@@ -1,10 +1,10 @@
 //! How long a change of the configuration takes from its writing to the last router that acts on it. No mechanism
 //! carries one to all routers today; what exists is told.
 
-use super::{Plan, Play, Point, Role, Sink, Source, Stop};
+use super::{Benchmark, Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_settings::{Occurrence, Section, SettingsError};
 
-pub const PLAY: Play = Play {
+pub const BENCHMARK: Benchmark = Benchmark {
     name: "configuration",
     section: Section {
         name: "configuration-plays",
@@ -14,7 +14,7 @@
         keys: &[],
     },
     check,
-    play,
+    run,
 };
 
 fn check(_: &Plan) -> Result<(), SettingsError> {
@@ -38,7 +38,7 @@
     ),
 ];
 
-fn play(plan: &Plan, sink: &mut Sink, _: &Stop) -> Result<(), String> {
+fn run(plan: &Plan, sink: &mut Sink, _: &Stop) -> Result<(), String> {
     let l = &plan.settings;
     let routers = l.number("capacity.routers");
     let mut tell = |play: &str, figure: &str, unit: &'static str, value: f64| {
--- a/crates/sanddrum-lab/src/capacity/clock.rs
+++ b/crates/sanddrum-lab/src/capacity/cpu_clock.rs
@@ -1,30 +1,30 @@
 //! Processor time of a thread.
 
 /// Processor time of this thread, less what reading it takes.
-pub(crate) struct Clock {
-    reading: u64,
+pub(crate) struct ThreadCpuClock {
+    overhead: u64,
 }
 
-impl Clock {
+impl ThreadCpuClock {
     pub fn now() -> u64 {
         let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
         time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
     }
     pub fn new() -> Self {
         const READINGS: u64 = 1000;
-        let began = Self::now();
+        let start = Self::now();
         (1..READINGS).for_each(|_| {
             std::hint::black_box(Self::now());
         });
-        Clock {
-            reading: (Self::now() - began) / READINGS,
+        ThreadCpuClock {
+            overhead: (Self::now() - start) / READINGS,
         }
     }
     /// What one reading takes, in nanoseconds.
-    pub fn reading(&self) -> u64 {
-        self.reading
+    pub fn overhead(&self) -> u64 {
+        self.overhead
     }
-    pub fn passed(&self, since: u64) -> u64 {
-        (Self::now() - since).saturating_sub(self.reading)
+    pub fn elapsed_since(&self, since: u64) -> u64 {
+        (Self::now() - since).saturating_sub(self.overhead)
     }
 }
--- a/crates/sanddrum-lab/src/capacity/decision_host.rs
+++ b/crates/sanddrum-lab/src/capacity/decision_host.rs
@@ -1,5 +1,5 @@
-//! A hollow router: its decision module, and the jobs, executions and connections that an edge keeps for it. It decides
-//! nothing by itself.
+//! The host of a decision module in a simulated router: the requests, attempts and connections that an edge manages. The
+//! host makes no decisions itself.
 
 use super::simulated::Message;
 use sanddrum::{
@@ -10,7 +10,7 @@
 use sanddrum_wire::{ExecutionStatus, InstanceState, LoadReport as WireLoadReport};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a module decided, as it was written.
+/// A decision of a module, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     Execute {
@@ -46,7 +46,7 @@
 }
 
 impl Decision {
-    /// Writes it to whom it is meant for.
+    /// Passes the decision on to `out`.
     pub fn write(&self, out: &mut impl Decisions) {
         match *self {
             Decision::Execute { job, worker, limit } => out.dispatch(job, worker, limit),
@@ -66,11 +66,11 @@
     }
 }
 
-/// Decisions in the order written; carried out after the round, so that only the module's own time is in it.
+/// Records decisions in order. They are carried out after the round, so that only the module's own time is measured.
 #[derive(Debug, Default)]
-pub struct Written(pub Vec<Decision>);
+pub struct RecordedDecisions(pub Vec<Decision>);
 
-impl Decisions for Written {
+impl Decisions for RecordedDecisions {
     fn dispatch(&mut self, job: RequestId, worker: WorkerId, limit: Micros) {
         self.0.push(Decision::Execute { job, worker, limit });
     }
@@ -100,7 +100,7 @@
         self.0.push(Decision::Subscribe);
     }
     fn gossip(&mut self, _: Option<PeerId>, _: &[u8]) {
-        // Routers have no way to each other.
+        // Simulated routers can't reach each other.
     }
     fn wake_at(&mut self, at: Micros) {
         self.0.push(Decision::WakeAt(at));
@@ -108,42 +108,43 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// What a play counts, of one router or of all.
+/// The counters of a run, of one router or of all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
     pub calls: u64,
     pub finished: u64,
-    pub pushed_back: u64,
-    pub killed: u64,
-    pub executions: u64,
+    pub rejected: u64,
+    pub failed: u64,
+    pub attempts: u64,
     pub misses: u64,
-    pub asks: u64,
-    pub orders: u64,
+    pub load_queries: u64,
+    pub load_commands: u64,
     pub unloads: u64,
-    pub probes: u64,
+    pub health_checks: u64,
     pub cancels: u64,
     pub handshakes: u64,
-    /// Rows of the worker list that came.
+    /// Rows received in endpoint lists.
     pub rows: u64,
     pub rounds: u64,
-    /// Processor time of the rounds, in nanoseconds, and of those without a call or an answer to one.
+    /// Processor time of the module's rounds, in nanoseconds.
     pub nanoseconds: u64,
+    /// Processor time of the rounds without a request or an attempt result, in nanoseconds.
     pub control_nanoseconds: u64,
-    /// The same of the connection module.
+    /// Processor time of the connection policy, in nanoseconds.
     pub connection_nanoseconds: u64,
-    /// Control messages both ways, and their bytes on the wire.
+    /// Control messages in both directions, and their bytes on the wire.
     pub messages: u64,
     pub bytes: u64,
-    /// Loads begun at workers.
+    /// Loads started at workers.
     pub loads: u64,
 }
 
 impl Counts {
-    /// Calls that have their final answer.
+    /// Requests with a final answer.
     pub fn ended(&self) -> u64 {
-        self.finished + self.pushed_back + self.killed
+        self.finished + self.rejected + self.failed
     }
-    /// What came since an earlier count.
+    /// The counts since an earlier state.
     pub fn since(&self, before: &Counts) -> Counts {
         let mut since = self.clone();
         for (field, before) in since.fields().into_iter().zip(before.clone().fields()) {
@@ -160,14 +161,14 @@
         let Counts {
             calls,
             finished,
-            pushed_back,
-            killed,
-            executions,
+            rejected,
+            failed,
+            attempts,
             misses,
-            asks,
-            orders,
+            load_queries,
+            load_commands,
             unloads,
-            probes,
+            health_checks,
             cancels,
             handshakes,
             rows,
@@ -182,14 +183,14 @@
         [
             calls,
             finished,
-            pushed_back,
-            killed,
-            executions,
+            rejected,
+            failed,
+            attempts,
             misses,
-            asks,
-            orders,
+            load_queries,
+            load_commands,
             unloads,
-            probes,
+            health_checks,
             cancels,
             handshakes,
             rows,
@@ -204,150 +205,152 @@
     }
 }
 
-pub(crate) struct HostedJob {
+pub(crate) struct HostedRequest {
     pub function: usize,
     pub work: f64,
     pub due: Micros,
-    pub came: Micros,
-    pub executions: Vec<u64>,
-    pub out: usize,
+    pub arrived: Micros,
+    pub attempts: Vec<u64>,
+    pub in_flight: usize,
     pub closed: bool,
 }
 
 #[derive(Clone, Copy)]
-pub(crate) struct Out {
-    pub job: RequestId,
-    pub number: usize,
+pub(crate) struct Attempt {
+    pub request: RequestId,
+    pub index: usize,
     pub worker: WorkerId,
     pub sent: Micros,
-    /// Its time-out's place in the queue of events.
-    pub late: (Micros, u64),
-    pub link: WorkerConnectionId,
+    /// The key of the timeout in the event queue.
+    pub timeout: (Micros, u64),
+    pub connection: WorkerConnectionId,
 }
 
 #[derive(Clone, Copy)]
-pub(crate) struct Asked {
+pub(crate) struct PendingControl {
     pub worker: WorkerId,
     pub function: FunctionId,
     pub sent: Micros,
-    pub late: (Micros, u64),
-    pub link: WorkerConnectionId,
+    pub timeout: (Micros, u64),
+    pub connection: WorkerConnectionId,
 }
 
-/// What is out on a connection.
+/// Identifies a message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Mark {
-    Execution(u64),
-    Order(u64),
-    Probe(u64),
-    /// It wants no answer.
-    Other,
+pub(crate) enum MessageTag {
+    Attempt(u64),
+    Load(u64),
+    HealthCheck(u64),
+    /// A message without an answer.
+    Unanswered,
 }
 
-/// A connection to a worker, or one that is to be.
-pub(crate) struct Link {
-    /// The worker's place in the fleet, and its name.
+/// A connection to a worker, established or not.
+pub(crate) struct WorkerConnection {
+    /// The worker's index in the fleet.
     pub to: usize,
     pub worker: WorkerId,
-    /// Of the process that was dialled.
+    /// The incarnation of the worker when the connection was opened.
     pub incarnation: u64,
-    pub dialled: bool,
+    /// The handshake has started or is complete.
+    pub open_started: bool,
     pub up: bool,
-    /// It gets nothing new, and ends once it carries nothing.
+    /// The connection takes no new messages and ends once it is unused.
     pub retired: bool,
-    /// What isn't written yet.
-    pub out: Vec<(Mark, Message)>,
-    pub carries: BTreeSet<Mark>,
-    pub quiet_since: Micros,
+    /// Messages that aren't written yet.
+    pub unsent: Vec<(MessageTag, Message)>,
+    pub in_use: BTreeSet<MessageTag>,
+    pub idle_since: Micros,
 }
 
-impl Link {
+impl WorkerConnection {
     pub fn new(to: usize, worker: WorkerId, now: Micros) -> Self {
-        let (dialled, up, retired, incarnation) = (false, false, false, 0);
-        let (out, carries, quiet_since) = (Vec::new(), BTreeSet::new(), now);
-        Link {
+        let (open_started, up, retired, incarnation) = (false, false, false, 0);
+        let (unsent, in_use, idle_since) = (Vec::new(), BTreeSet::new(), now);
+        WorkerConnection {
             to,
             worker,
             incarnation,
-            dialled,
+            open_started,
             up,
             retired,
-            out,
-            carries,
-            quiet_since,
+            unsent,
+            in_use,
+            idle_since,
         }
     }
 }
 
-pub struct Host {
+/// A decision module and its bookkeeping.
+pub struct DecisionHost {
     pub(crate) module: Router,
     pub(crate) zone: usize,
-    pub(crate) jobs: BTreeMap<RequestId, HostedJob>,
-    pub(crate) executions: BTreeMap<u64, Out>,
-    pub(crate) orders: BTreeMap<u64, Asked>,
-    pub(crate) probes: BTreeMap<u64, Asked>,
-    pub(crate) links: BTreeMap<WorkerConnectionId, Link>,
-    /// Connections to each worker that may be called, but retired ones.
+    pub(crate) requests: BTreeMap<RequestId, HostedRequest>,
+    pub(crate) attempts: BTreeMap<u64, Attempt>,
+    pub(crate) load_commands: BTreeMap<u64, PendingControl>,
+    pub(crate) health_checks: BTreeMap<u64, PendingControl>,
+    pub(crate) connections: BTreeMap<WorkerConnectionId, WorkerConnection>,
+    /// The connections to each listed worker, without retired ones.
     pub(crate) targets: BTreeMap<WorkerId, BTreeSet<WorkerConnectionId>>,
-    pub(crate) made: u64,
+    pub(crate) connections_created: u64,
     pub(crate) dirty: BTreeSet<WorkerConnectionId>,
-    pub(crate) connections: ConnectionPolicy,
-    pub(crate) news: ConnectionEvents,
-    pub(crate) connect_wake: Option<Micros>,
+    pub(crate) connection_policy: ConnectionPolicy,
+    pub(crate) connection_events: ConnectionEvents,
+    pub(crate) connection_wake: Option<Micros>,
     pub(crate) round: EventBatch,
     pub(crate) wake: Option<Micros>,
-    /// When its next turn stands in the queue of events.
-    pub(crate) turn_at: Option<Micros>,
-    next_job: u64,
-    next_execution: u64,
-    next_asked: u64,
-    /// When it last ordered copies of a function.
-    pub(crate) ordered: BTreeMap<FunctionId, Micros>,
+    /// The time of the host's next turn in the event queue.
+    pub(crate) scheduled_wakeup: Option<Micros>,
+    next_request: u64,
+    next_attempt_id: u64,
+    next_control_id: u64,
+    /// When the last load command for each function was sent.
+    pub(crate) last_load_sent: BTreeMap<FunctionId, Micros>,
     pub counts: Counts,
 }
 
-impl Host {
+impl DecisionHost {
     pub fn new(seed: u64, settings: &Settings, zone: usize) -> Self {
-        Host {
+        DecisionHost {
             module: Router::new(seed, settings),
             zone,
-            jobs: BTreeMap::new(),
-            executions: BTreeMap::new(),
-            orders: BTreeMap::new(),
-            probes: BTreeMap::new(),
-            links: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            load_commands: BTreeMap::new(),
+            health_checks: BTreeMap::new(),
+            connections: BTreeMap::new(),
             targets: BTreeMap::new(),
-            made: 0,
+            connections_created: 0,
             dirty: BTreeSet::new(),
-            // A seed of its own, as an edge gives it.
-            connections: ConnectionPolicy::new(seed ^ 0xc0, settings),
-            news: ConnectionEvents::default(),
-            connect_wake: None,
+            // Derives the same seed as an edge.
+            connection_policy: ConnectionPolicy::new(seed ^ 0xc0, settings),
+            connection_events: ConnectionEvents::default(),
+            connection_wake: None,
             round: EventBatch::default(),
             wake: None,
-            turn_at: None,
-            next_job: 0,
-            next_execution: 0,
-            next_asked: 0,
-            ordered: BTreeMap::new(),
+            scheduled_wakeup: None,
+            next_request: 0,
+            next_attempt_id: 0,
+            next_control_id: 0,
+            last_load_sent: BTreeMap::new(),
             counts: Counts::default(),
         }
     }
-    pub(crate) fn take(&mut self, job: HostedJob) -> RequestId {
-        let id = RequestId(self.next_job);
-        self.next_job += 1;
-        self.jobs.insert(id, job);
+    pub(crate) fn add_request(&mut self, request: HostedRequest) -> RequestId {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        self.requests.insert(id, request);
         id
     }
-    pub(crate) fn next_execution(&mut self) -> u64 {
-        self.next_execution += 1;
-        self.next_execution
+    pub(crate) fn next_attempt_id(&mut self) -> u64 {
+        self.next_attempt_id += 1;
+        self.next_attempt_id
     }
-    pub(crate) fn next_asked(&mut self) -> u64 {
-        self.next_asked += 1;
-        self.next_asked
+    pub(crate) fn next_control_id(&mut self) -> u64 {
+        self.next_control_id += 1;
+        self.next_control_id
     }
-    pub(crate) fn has_news(&self) -> bool {
+    pub(crate) fn has_events(&self) -> bool {
         let r = &self.round;
         !(r.endpoint_lists.is_empty()
             && r.requests.is_empty()
@@ -355,79 +358,79 @@
             && r.load_results.is_empty()
             && r.health_check_results.is_empty())
     }
-    /// The job has its final answer; none has two.
+    /// Marks a request as answered; returns whether it was open.
     pub(crate) fn close(&mut self, id: RequestId) -> bool {
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.closed) else {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.closed) else {
             return false;
         };
-        job.closed = true;
-        self.forget_if_done(id);
+        request.closed = true;
+        self.remove_if_done(id);
         true
     }
-    fn forget_if_done(&mut self, id: RequestId) {
+    fn remove_if_done(&mut self, id: RequestId) {
         if self
-            .jobs
+            .requests
             .get(&id)
-            .is_some_and(|job| job.closed && job.out == 0)
+            .is_some_and(|request| request.closed && request.in_flight == 0)
         {
-            self.jobs.remove(&id);
+            self.requests.remove(&id);
         }
     }
-    /// The end of an execution, told to the module once; gives what was out.
-    pub(crate) fn execution_ended(
+    /// Ends an attempt and queues its result for the module; `None` if it has ended before.
+    pub(crate) fn attempt_ended(
         &mut self,
         now: Micros,
         id: u64,
         end: Outcome,
         warmth: Warmth,
-        crowd: Option<u32>,
+        function_in_flight: Option<u32>,
         report: Option<LoadReport>,
-    ) -> Option<Out> {
-        let out = self.executions.remove(&id)?;
-        let settled = match self.jobs.get_mut(&out.job) {
-            Some(job) => {
-                job.out = job.out.saturating_sub(1);
-                job.closed
+    ) -> Option<Attempt> {
+        let attempt = self.attempts.remove(&id)?;
+        let is_final = match self.requests.get_mut(&attempt.request) {
+            Some(request) => {
+                request.in_flight = request.in_flight.saturating_sub(1);
+                request.closed
             }
             None => true,
         };
-        self.forget_if_done(out.job);
+        self.remove_if_done(attempt.request);
         self.counts.misses += u64::from(end == Outcome::ColdMiss);
-        let Out {
-            job,
-            number,
+        let Attempt {
+            request,
+            index,
             worker,
             sent,
             ..
-        } = out;
+        } = attempt;
         let latency = now - sent;
         self.round.attempt_results.push(AttemptResult {
-            request: job,
-            attempt: number,
+            request,
+            attempt: index,
             worker,
             outcome: end,
             latency,
-            is_final: settled,
+            is_final,
             warmth,
-            function_in_flight: crowd,
+            function_in_flight,
             report,
         });
-        Some(out)
+        Some(attempt)
     }
-    pub(crate) fn order_ended(
+    pub(crate) fn load_ended(
         &mut self,
         now: Micros,
         id: u64,
         end: Outcome,
         copies: u32,
-    ) -> Option<Asked> {
-        let asked = self.orders.remove(&id)?;
-        let Asked {
+    ) -> Option<PendingControl> {
+        let pending = self.load_commands.remove(&id)?;
+        let PendingControl {
             worker,
             function,
             sent,
             ..
-        } = asked;
+        } = pending;
         self.round.load_results.push(LoadResult {
             worker,
             function,
@@ -435,27 +438,27 @@
             latency: now - sent,
             instances: copies,
         });
-        Some(asked)
+        Some(pending)
     }
-    pub(crate) fn probe_ended(
+    pub(crate) fn health_check_ended(
         &mut self,
         now: Micros,
         id: u64,
         end: Outcome,
         report: Option<LoadReport>,
-    ) -> Option<Asked> {
-        let asked = self.probes.remove(&id)?;
+    ) -> Option<PendingControl> {
+        let pending = self.health_checks.remove(&id)?;
         self.round.health_check_results.push(HealthCheckResult {
-            worker: asked.worker,
+            worker: pending.worker,
             outcome: end,
-            latency: now - asked.sent,
+            latency: now - pending.sent,
             report,
         });
-        Some(asked)
+        Some(pending)
     }
 }
 
-pub(crate) fn end_of(ended: ExecutionStatus) -> Outcome {
+pub(crate) fn execution_outcome(ended: ExecutionStatus) -> Outcome {
     match ended {
         ExecutionStatus::Finished => Outcome::Finished,
         ExecutionStatus::Error => Outcome::Error,
@@ -465,7 +468,7 @@
     }
 }
 
-pub(crate) fn order_end_of(ended: ExecutionStatus) -> Outcome {
+pub(crate) fn load_outcome(ended: ExecutionStatus) -> Outcome {
     match ended {
         ExecutionStatus::Finished => Outcome::Finished,
         ExecutionStatus::Error | ExecutionStatus::ColdMiss => Outcome::Error,
@@ -473,8 +476,8 @@
     }
 }
 
-pub(crate) fn warmth_of(copy: Option<InstanceState>) -> Warmth {
-    match copy {
+pub(crate) fn warmth_from_wire(instance: Option<InstanceState>) -> Warmth {
+    match instance {
         Some(InstanceState::Warm) => Warmth::Warm,
         Some(InstanceState::StartedLoad) => Warmth::StartedLoad,
         Some(InstanceState::WaitedForLoad) => Warmth::WaitedForLoad,
@@ -483,7 +486,7 @@
     }
 }
 
-pub(crate) fn report_of(report: &WireLoadReport) -> LoadReport {
+pub(crate) fn report_from_wire(report: &WireLoadReport) -> LoadReport {
     LoadReport {
         in_flight: report.in_flight,
         queued: report.queued,
--- a/crates/sanddrum-lab/src/capacity/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/derived.rs
@@ -3,23 +3,24 @@
 use super::{Plan, Point, Role, Sink, Source};
 
 /// From this play's figures along the workers.
-const FROM: &str = "router among others, orders on";
-const PLAY: &str = "all routers, worked out";
+const SOURCE_NAME: &str = "router among others, orders on";
+const DERIVED_NAME: &str = "all routers, worked out";
 
 /// Gives the workers' and the store's points for each size that one router was played at.
 ///
 /// # Errors
 /// The files could not be written.
-pub(crate) fn work_out(plan: &Plan, sink: &mut Sink) -> Result<(), String> {
+pub(crate) fn derive_points(plan: &Plan, sink: &mut Sink) -> Result<(), String> {
     let l = &plan.settings;
     let (calls, routers) = (l.number("capacity.calls"), l.number("capacity.routers"));
-    let from = |p: &&Point| p.play == FROM && p.axis == "workers" && p.source == Source::Played;
-    let of_router: Vec<Point> = sink.points().iter().filter(from).cloned().collect();
-    for p in of_router {
+    let from =
+        |p: &&Point| p.play == SOURCE_NAME && p.axis == "workers" && p.source == Source::Played;
+    let router_points: Vec<Point> = sink.points().iter().filter(from).cloned().collect();
+    for p in router_points {
         let worker = |figure: &str, unit, all: f64| {
             Some((Role::Worker, figure.to_string(), unit, all / p.at))
         };
-        let worked_out = match p.figure.as_str() {
+        let derived = match p.figure.as_str() {
             "asks a call" => worker("asks a second", "1/s", p.value * calls),
             "orders a call" => worker("orders a second", "1/s", p.value * calls),
             "probes a call" => worker("probes a second", "1/s", p.value * calls),
@@ -34,11 +35,11 @@
             )),
             _ => None,
         };
-        if let Some((role, figure, unit, value)) = worked_out {
+        if let Some((role, figure, unit, value)) = derived {
             let (axis, at, source) = (p.axis, p.at, Source::WorkedOut);
             sink.point(Point {
                 role,
-                play: PLAY.into(),
+                play: DERIVED_NAME.into(),
                 figure,
                 unit,
                 axis,
--- a/crates/sanddrum-lab/src/capacity/discovery_environment.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -1,8 +1,8 @@
 //! The list service with hollow routers and the workers of one zone, in virtual time; what is done to them, one thing
 //! after the other.
 
-use super::metered::{Metered, Tally};
-use super::simulated_router::{Followers, HollowRouterSpec, SimulatedRouter};
+use super::metered::{DiscoveryStats, Metered};
+use super::simulated_router::{FollowerStats, SimulatedRouter, SimulatedRouterSpec};
 use super::Stop;
 use crate::scenario::Scenario;
 use sanddrum::Settings;
@@ -20,7 +20,7 @@
 
 pub(crate) const SECOND: Micros = 1_000_000;
 /// Virtual time starts here, well after nought, which stands for long ago.
-const BEGIN: Micros = 1_000 * SECOND;
+const START_TIME: Micros = 1_000 * SECOND;
 const LIST: &str = "10.3.0.1:1000";
 const STORE: &str = "10.3.0.2:1000";
 /// How often it is looked at whether something has come about.
@@ -28,13 +28,13 @@
 
 /// Why something did not come to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum Interrupted {
     /// Told to stop.
     Stopped,
     /// It took more real time than it may.
-    Late,
+    DeadlineExceeded,
     /// It did not come about within this virtual time.
-    Never(Micros),
+    ConditionNotMet(Micros),
 }
 
 /// Who plays.
@@ -48,32 +48,32 @@
     pub rows: usize,
     pub zones: usize,
     /// How often a worker tells that it runs.
-    pub beat_every: Micros,
+    pub heartbeat_interval: Micros,
     pub links: LinkModel,
     /// Whole edges in the place of hollow routers, to compare them.
-    pub whole_edges: bool,
+    pub real_edges: bool,
 }
 
 pub struct DiscoveryEnvironment {
     spec: DiscoveryEnvironmentSpec,
     net: VirtualNet,
-    module: Settings,
+    router_settings: Settings,
     list: HostId,
     routers: Vec<HostId>,
     starts: u64,
     workers: Vec<HostId>,
     incarnations: Vec<u64>,
-    list_runs: u64,
-    pub tally: Rc<RefCell<Tally>>,
-    pub followers: Rc<RefCell<Followers>>,
+    service_incarnation: u64,
+    pub stats: Rc<RefCell<DiscoveryStats>>,
+    pub followers: Rc<RefCell<FollowerStats>>,
     stop: Stop,
-    until: Instant,
+    deadline: Instant,
 }
 
 /// Takes connections and nothing else: the store that workers call.
-struct Deaf;
+struct IdleCore;
 
-impl Core for Deaf {
+impl Core for IdleCore {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
     fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
     fn process(&mut self, _: Micros, _: &mut dyn Io) {}
@@ -109,41 +109,46 @@
     pub fn new(
         spec: DiscoveryEnvironmentSpec,
         stop: Stop,
-        takes: Duration,
+        time_limit: Duration,
     ) -> Result<Self, SettingsError> {
         let mut settings = spec.settings.clone();
         settings.override_value("edge.edges", &spec.routers.max(1).to_string(), "capacity")?;
-        let mut net = VirtualNet::new(spec.seed, BEGIN, spec.links.clone(), Box::new(NullObserver));
-        net.add(0, &[STORE], Box::new(Deaf));
-        let list = net.add(0, &[LIST], Box::new(Deaf));
-        let mut stage = DiscoveryEnvironment {
+        let mut net = VirtualNet::new(
+            spec.seed,
+            START_TIME,
+            spec.links.clone(),
+            Box::new(NullObserver),
+        );
+        net.add(0, &[STORE], Box::new(IdleCore));
+        let list = net.add(0, &[LIST], Box::new(IdleCore));
+        let mut environment = DiscoveryEnvironment {
             net,
-            module: settings.decision_settings(),
+            router_settings: settings.decision_settings(),
             list,
             routers: Vec::new(),
             starts: 0,
             workers: Vec::new(),
             incarnations: Vec::new(),
-            list_runs: 0,
-            tally: Rc::default(),
+            service_incarnation: 0,
+            stats: Rc::default(),
             followers: Rc::default(),
             stop,
-            until: Instant::now() + takes,
+            deadline: Instant::now() + time_limit,
             spec,
         };
-        stage.start_list();
-        Ok(stage)
+        environment.start_list();
+        Ok(environment)
     }
     /// From now on so much real time is allowed.
-    pub fn allow(&mut self, takes: Duration) {
-        self.until = Instant::now() + takes;
+    pub fn set_time_limit(&mut self, time_limit: Duration) {
+        self.deadline = Instant::now() + time_limit;
     }
     pub fn now(&self) -> Micros {
         self.net.now()
     }
     /// The service starts with a list that it had kept, in a run of its own.
     pub fn start_list(&mut self) {
-        self.list_runs += 1;
+        self.service_incarnation += 1;
         let rows: Vec<EndpointRecord> = (0..self.spec.rows)
             .map(|n| row(n, self.spec.zones))
             .collect();
@@ -151,13 +156,13 @@
         let service = DiscoveryService::new(
             self.spec.list.clone(),
             self.spec.seed ^ 0x115,
-            self.list_runs,
+            self.service_incarnation,
             faults,
         );
         let service = service.with_endpoints(self.now(), &rows);
         self.net.replace(
             self.list,
-            Box::new(Metered::new(service, self.tally.clone())),
+            Box::new(Metered::new(service, self.stats.clone())),
         );
     }
     pub fn stop_list(&mut self) {
@@ -167,7 +172,7 @@
     ///
     /// # Errors
     /// The settings are none for an edge.
-    pub fn start_routers(&mut self, count: usize, keep: bool) -> Result<(), SettingsError> {
+    pub fn start_routers(&mut self, count: usize, keep_cache: bool) -> Result<(), SettingsError> {
         for n in 0..count.min(self.spec.routers) {
             self.starts += 1;
             let seed = self
@@ -175,10 +180,10 @@
                 .seed
                 .wrapping_mul(1009)
                 .wrapping_add(n as u64 * 101 + self.starts);
-            let core = if self.spec.whole_edges {
-                self.edge(n, seed, keep)?
+            let core = if self.spec.real_edges {
+                self.real_edge(n, seed, keep_cache)?
             } else {
-                self.hollow(n, seed, keep)
+                self.simulated_router(n, seed, keep_cache)
             };
             match self.routers.get(n) {
                 Some(host) => self.net.replace(*host, core),
@@ -191,7 +196,12 @@
         }
         Ok(())
     }
-    fn edge(&self, n: usize, seed: u64, keep: bool) -> Result<Box<dyn Core>, SettingsError> {
+    fn real_edge(
+        &self,
+        n: usize,
+        seed: u64,
+        keep_cache: bool,
+    ) -> Result<Box<dyn Core>, SettingsError> {
         let mut settings = self.spec.settings.clone();
         for (name, value) in [
             ("edge.name", Scenario::edge_name(n)),
@@ -201,41 +211,42 @@
         ] {
             settings.override_value(name, &value, "capacity")?;
         }
-        let kept = self
+        let cached_state = self
             .routers
             .get(n)
             .and_then(|host| self.net.saved_state(*host))
-            .filter(|_| keep);
+            .filter(|_| keep_cache);
         let incarnation = self.starts;
         let start = EdgeOptions {
             settings,
             seed,
-            cached_state: kept,
+            cached_state,
             incarnation,
             metrics_page: None,
             platform: None,
         };
         Ok(Box::new(Edge::new(start)))
     }
-    fn hollow(&self, n: usize, seed: u64, keep: bool) -> Box<dyn Core> {
-        let known = self
+    fn simulated_router(&self, n: usize, seed: u64, keep_cache: bool) -> Box<dyn Core> {
+        let known_version = self
             .followers
             .borrow()
             .routers
             .get(n)
-            .map(|follower| follower.known);
-        let spec = HollowRouterSpec {
-            number: n,
+            .map(|follower| follower.known_version);
+        let spec = SimulatedRouterSpec {
+            index: n,
             name: Scenario::edge_name(n),
-            list: LIST.into(),
+            discovery_address: LIST.into(),
             incarnation: self.starts,
             seed,
-            kept: known.filter(|known| keep && *known != DiscoveryVersion::default()),
+            cached_version: known_version
+                .filter(|version| keep_cache && *version != DiscoveryVersion::default()),
             largest_frame: self.spec.settings.integer("limits.largest-frame-bytes"),
         };
         Box::new(SimulatedRouter::new(
             spec,
-            &self.module,
+            &self.router_settings,
             self.followers.clone(),
         ))
     }
@@ -271,15 +282,22 @@
             report_interval: SECOND,
             discovery_address: LIST.into(),
             store_address: STORE.into(),
-            heartbeat_interval: self.spec.beat_every,
+            heartbeat_interval: self.spec.heartbeat_interval,
         };
         let started = if incarnation > 1 { now } else { 0 };
-        let (faults, marks) = (
+        let (faults, idempotency_keys) = (
             Rc::new(RefCell::new(WorkerFaults::default())),
             Rc::new(RefCell::new(IdempotencyKeys::new(0))),
         );
         let seed = self.spec.seed.wrapping_mul(31).wrapping_add(n as u64);
-        Box::new(Worker::new(spec, seed, started, incarnation, faults, marks))
+        Box::new(Worker::new(
+            spec,
+            seed,
+            started,
+            incarnation,
+            faults,
+            idempotency_keys,
+        ))
     }
     /// So many workers have run for long, each of them the stand-in's own core.
     pub fn add_workers(&mut self, count: usize) {
@@ -323,30 +341,30 @@
     ///
     /// # Errors
     /// It took too long, or was told to stop.
-    pub fn to_whole_second(&mut self) -> Result<Micros, Cut> {
+    pub fn to_whole_second(&mut self) -> Result<Micros, Interrupted> {
         let next = (self.now().div_euclid(SECOND) + 1) * SECOND;
         self.run_until(next)?;
         Ok(next)
     }
     /// # Errors
     /// It took too long, or was told to stop.
-    pub fn run_for(&mut self, span: Micros) -> Result<(), Cut> {
+    pub fn run_for(&mut self, span: Micros) -> Result<(), Interrupted> {
         self.run_until(self.now() + span)
     }
-    fn run_until(&mut self, at: Micros) -> Result<(), Cut> {
+    fn run_until(&mut self, at: Micros) -> Result<(), Interrupted> {
         while self.now() < at {
             let next = at.min(self.now() + STEP);
             self.step(next)?;
         }
         Ok(())
     }
-    fn step(&mut self, next: Micros) -> Result<(), Cut> {
+    fn step(&mut self, next: Micros) -> Result<(), Interrupted> {
         self.net.run_until(next);
         if self.stop.is_set() {
-            return Err(Cut::Stopped);
+            return Err(Interrupted::Stopped);
         }
-        if Instant::now() >= self.until {
-            return Err(Cut::Late);
+        if Instant::now() >= self.deadline {
+            return Err(Interrupted::DeadlineExceeded);
         }
         Ok(())
     }
@@ -357,12 +375,12 @@
     pub fn run_until_true(
         &mut self,
         most: Micros,
-        holds: impl Fn(&Followers) -> bool,
-    ) -> Result<(), Cut> {
+        holds: impl Fn(&FollowerStats) -> bool,
+    ) -> Result<(), Interrupted> {
         let last = self.now() + most;
         while !holds(&self.followers.borrow()) {
             if self.now() >= last {
-                return Err(Cut::Never(most));
+                return Err(Interrupted::ConditionNotMet(most));
             }
             let next = self.now() + STEP;
             self.step(next)?;
@@ -370,7 +388,7 @@
         Ok(())
     }
     /// Which run of the service it is.
-    pub fn list_run(&self) -> u64 {
-        self.list_runs
+    pub fn service_incarnation(&self) -> u64 {
+        self.service_incarnation
     }
 }
--- a/crates/sanddrum-lab/src/capacity/discovery_load.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_load.rs
@@ -1,17 +1,17 @@
 //! What the list service bears: its own core, with routers that decide by the product's modules when to call it, over
 //! numbers of routers, of rows and of changes; its worst seconds; and its memory.
 
-use super::discovery_alone::alone;
 use super::discovery_environment::{DiscoveryEnvironment, DiscoveryEnvironmentSpec, SECOND};
-use super::discovery_scenarios::{play_all, seconds, source_of, Played, Told, NEVER};
-use super::simulated_router::Followers;
-use super::{Plan, Play, Sink, Stop};
+use super::discovery_microbench::run_microbench;
+use super::discovery_scenarios::{run_all, seconds, source_of, DiscoveryRun, Reporter, MAX_WAIT};
+use super::simulated_router::FollowerStats;
+use super::{Benchmark, Plan, Sink, Stop};
 use sanddrum_emulator::DiscoverySpec;
 use sanddrum_net::{LinkModel, Micros};
 use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::time::Duration;
 
-pub const PLAY: Play = Play {
+pub const BENCHMARK: Benchmark = Benchmark {
     name: "list-service",
     section: Section {
         name: "list-service-plays",
@@ -106,16 +106,16 @@
         ],
     },
     check,
-    play,
+    run,
 };
 
 /// What a row takes at most on its way, in bytes, and how often it may be there at a time: at the service, on the way
 /// and where it is read.
 const ROW_BYTES: u64 = 60;
-const COPIES: u64 = 2;
+const MAX_COPIES: u64 = 2;
 /// Nobody is heard in these plays but the workers that are played.
-const NEVER_SILENT: Micros = 86_400 * SECOND;
-const BEATING: Micros = 2 * SECOND;
+const NO_HEARTBEAT_TIMEOUT: Micros = 86_400 * SECOND;
+const HEARTBEAT_RUN: Micros = 2 * SECOND;
 
 fn key_of(name: &str) -> String {
     format!("list-service-plays.{name}")
@@ -123,13 +123,13 @@
 
 fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
-    let most = |name: &str| plan.sizes(&key_of(name)).map(|sizes| most_of(&sizes));
+    let most = |name: &str| plan.sizes(&key_of(name)).map(|sizes| largest(&sizes));
     let (routers, rows) = (most("routers")?, most("rows")?);
     let base = l.integer("list-service-plays.rows-routers") as u64;
     most("changes")?;
     most("beating")?;
-    let bytes = routers.max(base) * rows * ROW_BYTES * COPIES;
-    plan.fits(
+    let bytes = routers.max(base) * rows * ROW_BYTES * MAX_COPIES;
+    plan.check_memory(
         &key_of("routers"),
         &format!("{routers} routers with lists of {rows} rows"),
         bytes,
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-pub(super) fn most_of(sizes: &[u64]) -> u64 {
+pub(super) fn largest(sizes: &[u64]) -> u64 {
     sizes.iter().copied().max().unwrap_or(1)
 }
 
@@ -156,7 +156,7 @@
     DiscoverySpec {
         min_publish_delay: span("notice-least"),
         max_publish_delay: span("notice-most"),
-        heartbeat_timeout: NEVER_SILENT,
+        heartbeat_timeout: NO_HEARTBEAT_TIMEOUT,
         change_history: l.integer("list-service-plays.changes-kept"),
         snapshot_cost: span("whole"),
         delta_cost: span("change"),
@@ -164,7 +164,7 @@
     }
 }
 
-fn stage_of(
+fn environment(
     plan: &Plan,
     routers: u64,
     rows: u64,
@@ -177,9 +177,9 @@
         routers: routers as usize,
         rows: rows as usize,
         links: LinkModel::default(),
-        whole_edges: false,
+        real_edges: false,
         zones: plan.settings.integer("capacity.zones"),
-        beat_every: plan
+        heartbeat_interval: plan
             .settings
             .duration_us("list-service-plays.beat-every-us")
             .max(1000),
@@ -187,30 +187,30 @@
     DiscoveryEnvironment::new(spec, stop.clone(), Duration::MAX / 4).map_err(|e| e.to_string())
 }
 
-fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let sizes = |name: &str| plan.sizes(&key_of(name)).map_err(|e| e.to_string());
     let (routers, rows) = (sizes("routers")?, sizes("rows")?);
     let base = plan.settings.integer("list-service-plays.rows-routers") as u64;
-    let most_rows = most_of(&rows);
-    alone(plan, &routers, &rows, sink, stop)?;
+    let most_rows = largest(&rows);
+    run_microbench(plan, &routers, &rows, sink, stop)?;
     for at in sizes("beating")? {
-        beats(plan, at, sink, stop)?;
+        heartbeats(plan, at, sink, stop)?;
     }
     let fleet =
         |axis, at: u64, with, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
             if stop.is_set() {
                 return Ok(());
             }
-            let stage = stage_of(plan, routers, rows, stop)?;
-            play_all(&mut Played {
+            let environment = environment(plan, routers, rows, stop)?;
+            run_all(&mut DiscoveryRun {
                 plan,
-                told: Told {
+                reporter: Reporter {
                     sink,
                     axis,
                     at: at as f64,
                     with,
                 },
-                stage,
+                environment,
             })
         };
     for at in &rows {
@@ -230,80 +230,87 @@
         if stop.is_set() {
             return Ok(());
         }
-        let stage = stage_of(plan, base, most_rows, stop)?;
+        let environment = environment(plan, base, most_rows, stop)?;
         let with = format!("{base} routers and {most_rows} rows");
-        let told = Told {
+        let reporter = Reporter {
             sink,
             axis: "changes a second",
             at: at as f64,
             with,
         };
-        let mut played = Played { plan, told, stage };
-        played
-            .stage
+        let mut run = DiscoveryRun {
+            plan,
+            reporter,
+            environment,
+        };
+        run.environment
             .start_routers(base as usize, false)
             .map_err(|e| e.to_string())?;
-        let all = |f: &Followers| f.routers.iter().all(|router| router.told.is_some());
-        played.allow();
-        if played.stage.run_until_true(NEVER, all).is_ok() {
+        let all = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
+        run.reset_time_limit();
+        if run.environment.run_until_true(MAX_WAIT, all).is_ok() {
             let zone =
                 (most_rows as usize).div_ceil(plan.settings.integer("capacity.zones").max(1));
-            played.changes(at, zone)?;
+            run.changes(at, zone)?;
         }
     }
     Ok(())
 }
 
 /// Workers that all tell that they run, and nobody asks.
-fn beats(plan: &Plan, workers: u64, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+fn heartbeats(plan: &Plan, workers: u64, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     if stop.is_set() {
         return Ok(());
     }
-    let stage = stage_of(plan, 1, workers, stop)?;
-    let told = Told {
+    let environment = environment(plan, 1, workers, stop)?;
+    let reporter = Reporter {
         sink,
         axis: "rows",
         at: workers as f64,
         with: "no router".into(),
     };
-    let mut played = Played { plan, told, stage };
-    played.allow();
-    played.stage.add_workers(workers as usize);
-    let begun = played
-        .stage
+    let mut run = DiscoveryRun {
+        plan,
+        reporter,
+        environment,
+    };
+    run.reset_time_limit();
+    run.environment.add_workers(workers as usize);
+    let begun = run
+        .environment
         .run_for(SECOND)
-        .and_then(|()| played.stage.to_whole_second());
-    let from = *begun.as_ref().unwrap_or(&played.stage.now());
-    let ran = begun.and_then(|_| played.stage.run_for(BEATING));
+        .and_then(|()| run.environment.to_whole_second());
+    let from = *begun.as_ref().unwrap_or(&run.environment.now());
+    let ran = begun.and_then(|_| run.environment.run_for(HEARTBEAT_RUN));
     let source = source_of(&ran);
-    let (beats, nanoseconds) = {
-        let tally = played.stage.tally.borrow();
-        let to = played.stage.now();
+    let (heartbeats, nanoseconds) = {
+        let stats = run.environment.stats.borrow();
+        let to = run.environment.now();
         (
-            tally.sum(from, to, |s| s.beats) as f64,
-            tally.sum(from, to, |s| s.nanoseconds) as f64,
+            stats.sum(from, to, |s| s.heartbeats) as f64,
+            stats.sum(from, to, |s| s.nanoseconds) as f64,
         )
     };
-    let span = seconds(played.stage.now() - from).max(seconds(SECOND) / 10.0);
-    played.told.tell(
+    let span = seconds(run.environment.now() - from).max(seconds(SECOND) / 10.0);
+    run.reporter.record(
         "all workers beat",
         "beats a second",
         "beats",
-        beats / span,
+        heartbeats / span,
         source,
     )?;
-    played.told.tell(
+    run.reporter.record(
         "all workers beat",
         "processor time a second",
         "ms",
         nanoseconds / 1e6 / span,
         source,
     )?;
-    played.told.tell(
+    run.reporter.record(
         "all workers beat",
         "processor time a beat",
         "us",
-        nanoseconds / 1e3 / beats.max(1.0),
+        nanoseconds / 1e3 / heartbeats.max(1.0),
         source,
     )
 }
--- a/crates/sanddrum-lab/src/capacity/discovery_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_microbench.rs
@@ -1,9 +1,9 @@
 //! What the list service holds, and what a whole list and a change take it: its core alone, with callers that take all
 //! that is written at once.
 
-use super::clock::Clock;
+use super::cpu_clock::ThreadCpuClock;
 use super::discovery_environment::row;
-use super::discovery_load::{list_spec, most_of};
+use super::discovery_load::{largest, list_spec};
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{DiscoveryFaults, DiscoveryService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
@@ -12,15 +12,15 @@
 use std::rc::Rc;
 
 /// Whole lists, or changes, that are timed.
-const TIMED: u64 = 20;
+const SAMPLES: u64 = 20;
 
 /// Takes all that is written.
 #[derive(Default)]
-struct Takes {
+struct CountingIo {
     bytes: u64,
 }
 
-impl Io for Takes {
+impl Io for CountingIo {
     fn connect(&mut self, _: &str) -> ConnectionId {
         ConnectionId(0)
     }
@@ -35,7 +35,7 @@
 }
 
 /// The memory that this process has in use, in bytes.
-fn resident() -> Result<u64, String> {
+fn resident_bytes() -> Result<u64, String> {
     let file = "/proc/self/status";
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -46,12 +46,12 @@
 }
 
 /// The service's core with callers that come one after the other, each once the one before has its answer.
-struct Alone {
+struct ServiceBench {
     service: DiscoveryService,
-    io: Takes,
+    io: CountingIo,
     now: Micros,
-    whole: Micros,
-    notice: Micros,
+    snapshot_cost: Micros,
+    publish_delay: Micros,
     callers: u64,
     /// How often the worker that changes has started.
     incarnation: u64,
@@ -60,12 +60,12 @@
 /// The worker that changes, beside all callers.
 const WORKER: ConnectionId = ConnectionId(u64::MAX);
 
-impl Alone {
+impl ServiceBench {
     fn new(plan: &Plan, rows: u64) -> Self {
         let (spec, now) = (list_spec(plan), 1_000_000_000);
         let zones = plan.settings.integer("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
-        let (whole, notice) = (spec.snapshot_cost, spec.max_publish_delay);
+        let (snapshot_cost, publish_delay) = (spec.snapshot_cost, spec.max_publish_delay);
         let service = DiscoveryService::new(
             spec,
             plan.seed,
@@ -73,24 +73,24 @@
             Rc::new(RefCell::new(DiscoveryFaults::default())),
         );
         let service = service.with_endpoints(now, &rows);
-        let mut alone = Alone {
+        let mut bench = ServiceBench {
             service,
-            io: Takes::default(),
+            io: CountingIo::default(),
             now,
-            whole,
-            notice,
+            snapshot_cost,
+            publish_delay,
             callers: 0,
             incarnation: 1,
         };
-        alone.service.on_event(
+        bench.service.on_event(
             now,
             Event::Accepted {
                 conn: WORKER,
                 listener: ListenerId(0),
             },
-            &mut alone.io,
+            &mut bench.io,
         );
-        alone
+        bench
     }
     /// A worker tells that it has started anew, and all callers are told.
     fn change(&mut self) {
@@ -104,14 +104,14 @@
             bytes: &encode_frame(&register),
         };
         self.service.on_event(self.now, event, &mut self.io);
-        self.now += self.notice + 1;
+        self.now += self.publish_delay + 1;
         self.service.process(self.now, &mut self.io);
     }
     /// One more router calls and is told the whole list.
-    fn caller(&mut self) {
-        let (conn, door) = (ConnectionId(self.callers), ListenerId(0));
+    fn add_caller(&mut self) {
+        let (conn, listener) = (ConnectionId(self.callers), ListenerId(0));
         self.callers += 1;
-        self.now += self.whole + 1;
+        self.now += self.snapshot_cost + 1;
         let name = crate::Scenario::edge_name(self.callers as usize);
         let hello = ToDiscovery::Hello(Hello {
             version: VERSION,
@@ -124,14 +124,8 @@
             encode_frame(&ToDiscovery::Watch(Watch::default())),
         ]
         .concat();
-        self.service.on_event(
-            self.now,
-            Event::Accepted {
-                conn,
-                listener: door,
-            },
-            &mut self.io,
-        );
+        self.service
+            .on_event(self.now, Event::Accepted { conn, listener }, &mut self.io);
         self.service.on_event(
             self.now,
             Event::Bytes {
@@ -144,12 +138,12 @@
     }
 }
 
-struct Telling<'a> {
+struct Reporter<'a> {
     sink: &'a mut Sink,
 }
 
-impl Telling<'_> {
-    fn tell(
+impl Reporter<'_> {
+    fn record(
         &mut self,
         play: String,
         figure: &str,
@@ -174,47 +168,47 @@
 
 /// Memory against rows and against routers, and a whole list against rows. Memory is what the process has more of, so
 /// what is measured is kept until all is.
-pub(super) fn alone(
+pub(super) fn run_microbench(
     plan: &Plan,
     routers: &[u64],
     rows: &[u64],
     sink: &mut Sink,
     stop: &Stop,
 ) -> Result<(), String> {
-    let most = most_of(rows);
-    let mut kept = Vec::new();
-    let mut telling = Telling { sink };
+    let most = largest(rows);
+    let mut benches = Vec::new();
+    let mut reporter = Reporter { sink };
     for at in rows {
         if stop.is_set() {
             return Ok(());
         }
         // Small ones several times over, as a process grows by pages.
-        let copies = (most / at).max(1);
-        let before = resident()?;
-        kept.extend((0..copies).map(|_| Alone::new(plan, *at)));
-        let each = resident()?.saturating_sub(before) as f64 / copies as f64;
-        telling.tell(
+        let count = (most / at).max(1);
+        let before = resident_bytes()?;
+        benches.extend((0..count).map(|_| ServiceBench::new(plan, *at)));
+        let each = resident_bytes()?.saturating_sub(before) as f64 / count as f64;
+        reporter.record(
             "alone, no router".into(),
             "memory",
             "bytes",
             ("rows", *at),
             each,
         )?;
-        let Some(alone) = kept.last_mut() else {
+        let Some(bench) = benches.last_mut() else {
             continue;
         };
-        let (sent, began) = (alone.io.bytes, Clock::now());
-        (0..TIMED).for_each(|_| alone.caller());
-        let nanoseconds = (Clock::now() - began) as f64 / TIMED as f64;
-        let bytes = (alone.io.bytes - sent) as f64 / TIMED as f64;
-        telling.tell(
+        let (sent, began) = (bench.io.bytes, ThreadCpuClock::now());
+        (0..SAMPLES).for_each(|_| bench.add_caller());
+        let nanoseconds = (ThreadCpuClock::now() - began) as f64 / SAMPLES as f64;
+        let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
+        reporter.record(
             "a whole list".into(),
             "processor time",
             "us",
             ("rows", *at),
             nanoseconds / 1e3,
         )?;
-        telling.tell(
+        reporter.record(
             "a whole list".into(),
             "bytes out",
             "bytes",
@@ -223,27 +217,27 @@
         )?;
     }
     for rows in [rows.iter().copied().min().unwrap_or(1), most] {
-        let mut alone = Alone::new(plan, rows);
-        let before = resident()?;
+        let mut bench = ServiceBench::new(plan, rows);
+        let before = resident_bytes()?;
         for at in routers {
-            while alone.callers < *at {
-                alone.caller();
+            while bench.callers < *at {
+                bench.add_caller();
                 if stop.is_set() {
                     return Ok(());
                 }
             }
-            let more = resident()?.saturating_sub(before) as f64;
+            let more = resident_bytes()?.saturating_sub(before) as f64;
             let (play, at) = (format!("alone, {rows} rows"), ("routers", *at));
-            telling.tell(play, "memory for routers", "bytes", at, more)?;
-            let (sent, began) = (alone.io.bytes, Clock::now());
-            (0..TIMED).for_each(|_| alone.change());
-            let nanoseconds = (Clock::now() - began) as f64 / TIMED as f64;
-            let bytes = (alone.io.bytes - sent) as f64 / TIMED as f64;
+            reporter.record(play, "memory for routers", "bytes", at, more)?;
+            let (sent, began) = (bench.io.bytes, ThreadCpuClock::now());
+            (0..SAMPLES).for_each(|_| bench.change());
+            let nanoseconds = (ThreadCpuClock::now() - began) as f64 / SAMPLES as f64;
+            let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
             let play = format!("a change, {rows} rows");
-            telling.tell(play.clone(), "processor time", "us", at, nanoseconds / 1e3)?;
-            telling.tell(play, "bytes out", "bytes", at, bytes)?;
+            reporter.record(play.clone(), "processor time", "us", at, nanoseconds / 1e3)?;
+            reporter.record(play, "bytes out", "bytes", at, bytes)?;
         }
-        kept.push(alone);
+        benches.push(bench);
     }
     Ok(())
 }
--- a/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
@@ -1,30 +1,30 @@
 //! What is played with one size of the list service's fleet, one thing after the other, and what is told of it.
 
-use super::discovery_environment::{Cut, DiscoveryEnvironment, SECOND};
-use super::metered::ListSecond;
+use super::discovery_environment::{DiscoveryEnvironment, Interrupted, SECOND};
+use super::metered::SecondStats;
 use super::{Plan, Point, Role, Sink, Source};
 use sanddrum_net::Micros;
 use std::time::Duration;
 
 /// A list that has not reached all by then never will.
-pub(super) const NEVER: Micros = 3_600 * SECOND;
-const SETTLES: Micros = 30 * SECOND;
+pub(super) const MAX_WAIT: Micros = 3_600 * SECOND;
+const SETTLE_TIME: Micros = 30 * SECOND;
 /// A play tells a dozen figures at once, and may take as long as so many points.
-const POINTS: u32 = 4;
+const POINTS_PER_RUN: u32 = 4;
 /// Changes that a worker makes as it fails and is back, and as it drains, ends and is back.
-const FAILED: f64 = 2.0;
-const REPLACED: f64 = 3.0;
+const CHANGES_PER_FAILURE: f64 = 2.0;
+const CHANGES_PER_REPLACEMENT: f64 = 3.0;
 /// Seconds.
-const DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 /// An answer that tells nothing new, in bytes as encoded.
-const NOTHING_NEW: u64 = 17;
+const EMPTY_UPDATE_BYTES: u64 = 17;
 /// How many changes a second, and for how long, show what one costs.
-const CHANGES: u64 = 10;
+const CHANGE_SECONDS: u64 = 10;
 /// A worker is told gone and its notice is over by then.
-const GONE: Micros = 10 * SECOND;
+const REMOVAL_TIME: Micros = 10 * SECOND;
 
 /// Where figures go: at one size of one axis.
-pub(super) struct Told<'a> {
+pub(super) struct Reporter<'a> {
     pub sink: &'a mut Sink,
     pub axis: &'static str,
     pub at: f64,
@@ -32,8 +32,8 @@
     pub with: String,
 }
 
-impl Told<'_> {
-    pub fn tell(
+impl Reporter<'_> {
+    pub fn record(
         &mut self,
         play: &str,
         figure: &str,
@@ -56,17 +56,17 @@
     fn worst(
         &mut self,
         play: &str,
-        stage: &DiscoveryEnvironment,
+        environment: &DiscoveryEnvironment,
         from: Micros,
         source: Source,
     ) -> Result<(), String> {
-        for (name, unit, each, figure) in FIGURES {
-            let worst = stage
-                .tally
+        for (name, unit, each, figure) in METRICS {
+            let worst = environment
+                .stats
                 .borrow()
-                .worst(from, stage.now() + SECOND, figure) as f64
+                .worst(from, environment.now() + SECOND, figure) as f64
                 / each;
-            self.tell(
+            self.record(
                 play,
                 &format!("{name} in the worst second"),
                 unit,
@@ -80,34 +80,38 @@
     fn seconds(
         &mut self,
         play: &str,
-        stage: &DiscoveryEnvironment,
+        environment: &DiscoveryEnvironment,
         from: Micros,
         source: Source,
     ) -> Result<(), String> {
-        self.worst(play, stage, from, source)?;
-        for (name, unit, each, figure) in FIGURES {
-            let all = stage.tally.borrow().sum(from, stage.now() + SECOND, figure) as f64 / each;
-            self.tell(play, &format!("{name} in all"), unit, all, source)?;
+        self.worst(play, environment, from, source)?;
+        for (name, unit, each, figure) in METRICS {
+            let all = environment
+                .stats
+                .borrow()
+                .sum(from, environment.now() + SECOND, figure) as f64
+                / each;
+            self.record(play, &format!("{name} in all"), unit, all, source)?;
         }
         Ok(())
     }
 }
 
-type Figure = (&'static str, &'static str, f64, fn(&ListSecond) -> u64);
+type Metric = (&'static str, &'static str, f64, fn(&SecondStats) -> u64);
 
 /// What is told of seconds: its name and unit, and how many of what was counted make one.
-const FIGURES: [Figure; 6] = [
-    ("calls", "calls", 1.0, |s| s.calls),
+const METRICS: [Metric; 6] = [
+    ("calls", "calls", 1.0, |s| s.watches),
     ("connections", "connections", 1.0, |s| s.connections),
-    ("turned away", "calls", 1.0, |s| s.turned_away),
+    ("turned away", "calls", 1.0, |s| s.resets),
     ("messages out", "messages", 1.0, |s| s.messages),
     ("bytes out", "bytes", 1.0, |s| s.bytes),
     ("processor time", "ms", 1e6, |s| s.nanoseconds),
 ];
 
 /// Ends a play at one size: what was measured until then is told as not finished.
-pub(super) fn source_of(cut: &Result<(), Cut>) -> Source {
-    if cut.is_ok() {
+pub(super) fn source_of(result: &Result<(), Interrupted>) -> Source {
+    if result.is_ok() {
         Source::Played
     } else {
         Source::NotFinished
@@ -121,136 +125,144 @@
     pub bytes: f64,
 }
 
-pub(super) struct Played<'a> {
+pub(super) struct DiscoveryRun<'a> {
     pub plan: &'a Plan,
-    pub told: Told<'a>,
-    pub stage: DiscoveryEnvironment,
+    pub reporter: Reporter<'a>,
+    pub environment: DiscoveryEnvironment,
 }
 
-impl Played<'_> {
-    pub fn allow(&mut self) {
-        let takes = self
+impl DiscoveryRun<'_> {
+    pub fn reset_time_limit(&mut self) {
+        let limit = self
             .plan
             .settings
             .duration_us("capacity.time-a-point-us")
             .max(0) as u64;
-        self.stage.allow(Duration::from_micros(takes) * POINTS);
+        self.environment
+            .set_time_limit(Duration::from_micros(limit) * POINTS_PER_RUN);
     }
     /// Routers start at once; they have their lists once each was told one since.
     fn starts(&mut self, play: &str, count: usize, keep: bool) -> Result<bool, String> {
-        self.allow();
-        self.stage.stop_routers(count);
+        self.reset_time_limit();
+        self.environment.stop_routers(count);
         let settled = self
-            .stage
-            .run_for(SETTLES)
-            .and_then(|()| self.stage.to_whole_second());
+            .environment
+            .run_for(SETTLE_TIME)
+            .and_then(|()| self.environment.to_whole_second());
         let Ok(from) = settled else { return Ok(false) };
-        let before = self.stage.followers.borrow().whole_lists;
-        self.stage
+        let before = self.environment.followers.borrow().full_lists;
+        self.environment
             .start_routers(count, keep)
             .map_err(|e| e.to_string())?;
-        let all_told = self.stage.run_until_true(NEVER, |followers| {
+        let all_updated = self.environment.run_until_true(MAX_WAIT, |followers| {
             followers
                 .routers
                 .iter()
                 .take(count)
-                .all(|follower| follower.told.is_some())
+                .all(|follower| follower.first_update.is_some())
         });
-        let source = source_of(&all_told);
-        self.told.seconds(play, &self.stage, from, source)?;
+        let source = source_of(&all_updated);
+        self.reporter
+            .seconds(play, &self.environment, from, source)?;
         let (whole, last) = {
-            let followers = self.stage.followers.borrow();
+            let followers = self.environment.followers.borrow();
             let told = followers
                 .routers
                 .iter()
                 .take(count)
-                .map(|f| f.told.unwrap_or(self.stage.now()));
+                .map(|f| f.first_update.unwrap_or(self.environment.now()));
             (
-                followers.whole_lists - before,
+                followers.full_lists - before,
                 told.max().unwrap_or(from) - from,
             )
         };
-        self.told.tell(
+        self.reporter.record(
             play,
             "until the last router has its list",
             "s",
             seconds(last),
             source,
         )?;
-        self.told
-            .tell(play, "whole lists", "lists", whole as f64, source)?;
-        Ok(all_told.is_ok())
+        self.reporter
+            .record(play, "whole lists", "lists", whole as f64, source)?;
+        Ok(all_updated.is_ok())
     }
     fn quiet(&mut self) -> Result<Option<Traffic>, String> {
-        self.allow();
+        self.reset_time_limit();
         let span = self
             .plan
             .settings
             .duration_us("list-service-plays.quiet-us");
         let begun = self
-            .stage
-            .run_for(SETTLES)
-            .and_then(|()| self.stage.to_whole_second());
+            .environment
+            .run_for(SETTLE_TIME)
+            .and_then(|()| self.environment.to_whole_second());
         let Ok(from) = begun else { return Ok(None) };
-        let ran = self.stage.run_for(span);
+        let ran = self.environment.run_for(span);
         let source = source_of(&ran);
         let all: [u64; 4] = {
-            let tally = self.stage.tally.borrow();
-            let figures: [fn(&ListSecond) -> u64; 4] =
-                [|s| s.calls, |s| s.messages, |s| s.bytes, |s| s.nanoseconds];
-            figures.map(|figure| tally.sum(from, self.stage.now(), figure))
+            let stats = self.environment.stats.borrow();
+            let figures: [fn(&SecondStats) -> u64; 4] = [
+                |s| s.watches,
+                |s| s.messages,
+                |s| s.bytes,
+                |s| s.nanoseconds,
+            ];
+            figures.map(|figure| stats.sum(from, self.environment.now(), figure))
         };
-        let each = 1.0 / seconds(self.stage.now() - from).max(1.0);
+        let each = 1.0 / seconds(self.environment.now() - from).max(1.0);
         for (figure, unit, value) in [
             ("calls a second", "calls", all[0] as f64),
             ("messages out a second", "messages", all[1] as f64),
             ("bytes out a second", "bytes", all[2] as f64),
             ("processor time a second", "ms", all[3] as f64 / 1e6),
         ] {
-            self.told
-                .tell("a quiet time", figure, unit, value * each, source)?;
+            self.reporter
+                .record("a quiet time", figure, unit, value * each, source)?;
         }
         let (messages, bytes) = (all[1] as f64 * each, all[2] as f64 * each);
         Ok(ran.is_ok().then_some(Traffic { messages, bytes }))
     }
     /// Workers of one zone start anew, one after the other, so many a second: one change each.
     pub fn changes(&mut self, a_second: u64, workers: usize) -> Result<Option<Traffic>, String> {
-        self.allow();
-        self.stage.add_workers(workers);
-        let count = (a_second * CHANGES).min(workers as u64 * CHANGES).max(1);
+        self.reset_time_limit();
+        self.environment.add_workers(workers);
+        let count = (a_second * CHANGE_SECONDS)
+            .min(workers as u64 * CHANGE_SECONDS)
+            .max(1);
         let begun = self
-            .stage
-            .run_for(GONE)
-            .and_then(|()| self.stage.to_whole_second());
+            .environment
+            .run_for(REMOVAL_TIME)
+            .and_then(|()| self.environment.to_whole_second());
         let Ok(from) = begun else { return Ok(None) };
         let (version, mut last_change) = (self.version(), from);
         let mut ran = Ok(());
         for n in 0..count {
-            last_change = self.stage.now();
-            self.stage.restart_worker(n as usize % workers.max(1));
-            ran = ran.and_then(|()| self.stage.run_for(SECOND / a_second as Micros));
+            last_change = self.environment.now();
+            self.environment.restart_worker(n as usize % workers.max(1));
+            ran = ran.and_then(|()| self.environment.run_for(SECOND / a_second as Micros));
         }
-        ran = ran.and_then(|()| self.all_told());
+        ran = ran.and_then(|()| self.all_updated());
         let source = source_of(&ran);
         let (messages, bytes) = {
-            let (tally, to) = (self.stage.tally.borrow(), self.stage.now());
+            let (stats, to) = (self.environment.stats.borrow(), self.environment.now());
             // Greetings and calls are answered as well, and nobody greets here.
-            let answers = tally.sum(from, to, |s| s.greetings + s.calls);
-            let bytes = tally
+            let answers = stats.sum(from, to, |s| s.hellos + s.watches);
+            let bytes = stats
                 .sum(from, to, |s| s.bytes)
-                .saturating_sub(answers * NOTHING_NEW);
+                .saturating_sub(answers * EMPTY_UPDATE_BYTES);
             (
-                tally.sum(from, to, |s| s.messages).saturating_sub(answers) as f64,
+                stats.sum(from, to, |s| s.messages).saturating_sub(answers) as f64,
                 bytes as f64,
             )
         };
         let last = self
-            .stage
+            .environment
             .followers
             .borrow()
             .routers
             .iter()
-            .map(|f| f.moved)
+            .map(|f| f.last_advanced)
             .max()
             .unwrap_or(last_change);
         let told = (self.version() - version).max(1) as f64;
@@ -263,9 +275,11 @@
                 seconds(last - last_change),
             ),
         ] {
-            self.told.tell("changes", figure, unit, value, source)?;
+            self.reporter
+                .record("changes", figure, unit, value, source)?;
         }
-        self.told.worst("changes", &self.stage, from, source)?;
+        self.reporter
+            .worst("changes", &self.environment, from, source)?;
         Ok(ran.is_ok().then_some(Traffic {
             messages: messages / told,
             bytes: bytes / told,
@@ -280,21 +294,22 @@
             return Ok(false);
         };
         let l = &self.plan.settings;
-        let routers = self.stage.spec().routers as f64;
-        let a_day = l.number("capacity.failed") * FAILED + l.number("capacity.replaced") * REPLACED;
-        let a_second = workers as f64 * REPLACED / 60.0;
+        let routers = self.environment.spec().routers as f64;
+        let a_day = l.number("capacity.failed") * CHANGES_PER_FAILURE
+            + l.number("capacity.replaced") * CHANGES_PER_REPLACEMENT;
+        let a_second = workers as f64 * CHANGES_PER_REPLACEMENT / 60.0;
         for (play, figure, unit, value) in [
             (
                 "an ordinary day",
                 "messages out",
                 "messages",
-                quiet.messages * DAY + a_day * change.messages,
+                quiet.messages * SECONDS_PER_DAY + a_day * change.messages,
             ),
             (
                 "an ordinary day",
                 "bytes out",
                 "bytes",
-                quiet.bytes * DAY + a_day * change.bytes,
+                quiet.bytes * SECONDS_PER_DAY + a_day * change.bytes,
             ),
             (
                 "a zone's workers replaced in a minute",
@@ -315,124 +330,130 @@
                 a_second * change.bytes / routers,
             ),
         ] {
-            self.told
-                .tell(play, figure, unit, value, Source::WorkedOut)?;
+            self.reporter
+                .record(play, figure, unit, value, Source::WorkedOut)?;
         }
         Ok(true)
     }
     /// Whatever has changed by now is told, and has reached every router.
-    fn all_told(&mut self) -> Result<(), Cut> {
-        let notice = self
+    fn all_updated(&mut self) -> Result<(), Interrupted> {
+        let publish_delay = self
             .plan
             .settings
             .duration_us("list-service-plays.notice-most-us");
-        self.stage.run_for(notice + SECOND)?;
-        self.stage.run_until_true(NEVER, |f| {
-            let newest = f.routers.iter().map(|router| router.known.version).max();
+        self.environment.run_for(publish_delay + SECOND)?;
+        self.environment.run_until_true(MAX_WAIT, |f| {
+            let newest = f
+                .routers
+                .iter()
+                .map(|router| router.known_version.version)
+                .max();
             f.routers
                 .iter()
-                .all(|router| Some(router.known.version) == newest)
+                .all(|router| Some(router.known_version.version) == newest)
         })
     }
     fn version(&self) -> u64 {
-        self.stage
+        self.environment
             .followers
             .borrow()
             .routers
             .iter()
-            .map(|f| f.known.version)
+            .map(|f| f.known_version.version)
             .max()
             .unwrap_or(0)
     }
     fn service_gone(&mut self) -> Result<bool, String> {
-        self.allow();
+        self.reset_time_limit();
         let play = "the service gone for a minute";
         let settled = self
-            .stage
-            .run_for(SETTLES)
-            .and_then(|()| self.stage.to_whole_second());
+            .environment
+            .run_for(SETTLE_TIME)
+            .and_then(|()| self.environment.to_whole_second());
         let Ok(from) = settled else { return Ok(false) };
-        let before = self.stage.followers.borrow().calls;
-        self.stage.stop_list();
+        let before = self.environment.followers.borrow().connects;
+        self.environment.stop_list();
         let gone = self
-            .stage
+            .environment
             .run_for(self.plan.settings.duration_us("list-service-plays.gone-us"));
-        let vain = self.stage.followers.borrow().calls - before;
-        let a_second = vain as f64 / seconds(self.stage.now() - from).max(1.0);
-        let back = self.stage.now();
-        self.stage.start_list();
-        let run = self.stage.list_run();
-        let all_told = gone.and_then(|()| {
-            self.stage.run_until_true(NEVER, |f| {
+        let failed_connects = self.environment.followers.borrow().connects - before;
+        let a_second = failed_connects as f64 / seconds(self.environment.now() - from).max(1.0);
+        let back = self.environment.now();
+        self.environment.start_list();
+        let run = self.environment.service_incarnation();
+        let all_updated = gone.and_then(|()| {
+            self.environment.run_until_true(MAX_WAIT, |f| {
                 f.routers
                     .iter()
-                    .all(|router| router.known.service_incarnation == run)
+                    .all(|router| router.known_version.service_incarnation == run)
             })
         });
-        let source = source_of(&all_told);
-        self.told.tell(
+        let source = source_of(&all_updated);
+        self.reporter.record(
             play,
             "calls in vain a second while it is gone",
             "calls",
             a_second,
             source,
         )?;
-        self.told.seconds(play, &self.stage, back, source)?;
+        self.reporter
+            .seconds(play, &self.environment, back, source)?;
         let last = self
-            .stage
+            .environment
             .followers
             .borrow()
             .routers
             .iter()
-            .map(|f| f.moved)
+            .map(|f| f.last_advanced)
             .max()
             .unwrap_or(back);
-        self.told.tell(
+        self.reporter.record(
             play,
             "until the last router has its list",
             "s",
             seconds(last - back),
             source,
         )?;
-        Ok(all_told.is_ok())
+        Ok(all_updated.is_ok())
     }
     /// A zone's workers are lost, and come back at one instant.
     fn workers_return(&mut self, workers: usize) -> Result<bool, String> {
-        self.allow();
+        self.reset_time_limit();
         let play = "a zone of workers returns";
-        self.stage.add_workers(workers);
-        let mut ran = self.stage.run_for(GONE);
-        self.stage.stop_workers();
-        ran = ran.and_then(|()| self.stage.run_for(GONE));
-        let told = self.stage.workers() as u64;
-        ran = ran.and_then(|()| self.all_told());
-        self.allow();
-        let from = match ran.and_then(|()| self.stage.to_whole_second()) {
+        self.environment.add_workers(workers);
+        let mut ran = self.environment.run_for(REMOVAL_TIME);
+        self.environment.stop_workers();
+        ran = ran.and_then(|()| self.environment.run_for(REMOVAL_TIME));
+        let told = self.environment.workers() as u64;
+        ran = ran.and_then(|()| self.all_updated());
+        self.reset_time_limit();
+        let from = match ran.and_then(|()| self.environment.to_whole_second()) {
             Ok(from) => from,
             Err(_) => return Ok(false),
         };
-        (0..self.stage.workers()).for_each(|n| self.stage.restart_worker(n));
-        let ran = self.all_told();
+        (0..self.environment.workers()).for_each(|n| self.environment.restart_worker(n));
+        let ran = self.all_updated();
         let source = source_of(&ran);
-        self.told.seconds(play, &self.stage, from, source)?;
+        self.reporter
+            .seconds(play, &self.environment, from, source)?;
         let last = self
-            .stage
+            .environment
             .followers
             .borrow()
             .routers
             .iter()
-            .map(|f| f.moved)
+            .map(|f| f.last_advanced)
             .max()
             .unwrap_or(from);
-        self.told.tell(
+        self.reporter.record(
             play,
             "until the last router has all of them",
             "s",
             seconds(last - from),
             source,
         )?;
-        self.told
-            .tell(play, "workers", "workers", told as f64, source)?;
+        self.reporter
+            .record(play, "workers", "workers", told as f64, source)?;
         Ok(ran.is_ok())
     }
 }
@@ -442,29 +463,29 @@
 }
 
 /// One after the other; what was cut short by the time it may take leaves the rest of this size unmeasured.
-pub(super) fn play_all(played: &mut Played<'_>) -> Result<(), String> {
-    let l = &played.plan.settings;
+pub(super) fn run_all(run: &mut DiscoveryRun<'_>) -> Result<(), String> {
+    let l = &run.plan.settings;
     let (zones, regions) = (
         l.integer("capacity.zones").max(1),
         l.integer("capacity.regions").max(1),
     );
-    let routers = played.stage.spec().routers;
-    let workers = played.stage.spec().rows.div_ceil(zones);
-    let whole = played.starts("all routers start", routers, false)?
-        && played.ordinary(workers)?
-        && played.starts("all routers start with kept lists", routers, true)?
-        && played.starts("one zone's routers start", routers.div_ceil(zones), false)?
-        && played.starts(
+    let routers = run.environment.spec().routers;
+    let workers = run.environment.spec().rows.div_ceil(zones);
+    let whole = run.starts("all routers start", routers, false)?
+        && run.ordinary(workers)?
+        && run.starts("all routers start with kept lists", routers, true)?
+        && run.starts("one zone's routers start", routers.div_ceil(zones), false)?
+        && run.starts(
             "one region's routers start",
             routers.div_ceil(regions),
             false,
         )?
-        && played.service_gone()?
-        && played.workers_return(workers)?;
+        && run.service_gone()?
+        && run.workers_return(workers)?;
     if !whole {
-        played.told.sink.told(&format!(
+        run.reporter.sink.progress(&format!(
             "{routers} routers, {}: cut short, the rest isn't played",
-            played.told.with
+            run.reporter.with
         ));
     }
     Ok(())
--- a/crates/sanddrum-lab/src/capacity/beside.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_comparison.rs
@@ -1,8 +1,8 @@
 //! A real edge's core beside a hollow router with the same calls, where both fit.
 
 use super::decision_host::Decision;
-use super::real::{hollow, real};
-use super::simulated::Played;
+use super::real_edge::{run_real_edge, simulated_fleet};
+use super::simulated::RunStatus;
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use crate::Scenario;
 use std::time::{Duration, Instant};
@@ -46,71 +46,72 @@
 ///
 /// # Errors
 /// A scenario can't be set up, or the hollow router decided otherwise.
-pub(crate) fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+pub(crate) fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     for workers in plan.settings.integers("router-plays.real-workers") {
         if stop.is_set() {
             return Ok(());
         }
-        sink.told(&format!(
+        sink.progress(&format!(
             "a real edge and a hollow router, {workers} workers"
         ));
         let scenario = scenario(plan, workers)?;
-        let seen = real(scenario.clone())?;
-        let mut fleet = hollow(&scenario, &seen)?;
+        let observed = run_real_edge(scenario.clone())?;
+        let mut fleet = simulated_fleet(&scenario, &observed)?;
         fleet.log = Some(Vec::new());
-        let until = seen.decisions.last().map_or(0, |(at, _)| *at);
+        let until = observed.decisions.last().map_or(0, |(at, _)| *at);
         let limit = Duration::from_micros(
             plan.settings.duration_us("capacity.time-a-point-us").max(0) as u64,
         );
-        let played = fleet.run_until(until, Instant::now() + limit, stop);
+        let status = fleet.run_until(until, Instant::now() + limit, stop);
         let log = fleet.log.take().unwrap_or_default();
         let same = |(one, other): &(&(i64, usize, Decision), &(i64, Decision))| {
             (one.0, &one.2) == (other.0, &other.1)
         };
-        if let Some((one, other)) = log.iter().zip(&seen.decisions).find(|pair| !same(pair)) {
+        if let Some((one, other)) = log.iter().zip(&observed.decisions).find(|pair| !same(pair)) {
             let (one, other) = ((one.0, &one.2), (other.0, &other.1));
             return Err(format!(
                 "{workers} workers: the hollow router decided {one:?} where the edge did {other:?}"
             ));
         }
-        if played == Played::Done && log.len() != seen.decisions.len() {
-            let (one, other) = (log.len(), seen.decisions.len());
+        if status == RunStatus::Done && log.len() != observed.decisions.len() {
+            let (one, other) = (log.len(), observed.decisions.len());
             return Err(format!(
                 "{workers} workers: {one} decisions of the hollow router, {other} of the edge"
             ));
         }
-        let source = match played {
-            Played::Done => Source::Played,
-            Played::OutOfTime => Source::NotFinished,
-            Played::Stopped => return Ok(()),
+        let source = match status {
+            RunStatus::Done => Source::Played,
+            RunStatus::OutOfTime => Source::NotFinished,
+            RunStatus::Stopped => return Ok(()),
         };
-        let calls = seen.jobs.len().max(1) as f64;
-        let of = |figure: fn(&Decision) -> bool| {
-            seen.decisions
+        let calls = observed.requests.len().max(1) as f64;
+        let per_request = |figure: fn(&Decision) -> bool| {
+            observed
+                .decisions
                 .iter()
                 .filter(|(_, decision)| figure(decision))
                 .count() as f64
                 / calls
         };
         let counts = fleet.counts();
-        let hollow = |n: u64| n as f64 / counts.calls.max(1) as f64;
-        let asks = of(|d| matches!(d, Decision::Hold { copies: 0, .. }));
-        let orders = of(|d| matches!(d, Decision::Hold { copies, .. } if *copies > 0));
-        let probes = of(|d| matches!(d, Decision::Probe { .. }));
+        let per_simulated_request = |n: u64| n as f64 / counts.calls.max(1) as f64;
+        let asks = per_request(|d| matches!(d, Decision::Hold { copies: 0, .. }));
+        let orders = per_request(|d| matches!(d, Decision::Hold { copies, .. } if *copies > 0));
+        let probes = per_request(|d| matches!(d, Decision::Probe { .. }));
         let us = |nanoseconds: u64| nanoseconds as f64 / 1e3 / calls;
-        let hollow_us = hollow(counts.nanoseconds) / 1e3;
+        let simulated_us = per_simulated_request(counts.nanoseconds) / 1e3;
         for (play, figure, unit, value) in [
             (
                 "real edge",
                 "processor time a call",
                 "us",
-                us(seen.edge_nanoseconds),
+                us(observed.edge_nanoseconds),
             ),
             (
                 "real edge",
                 "processor time a call, its module",
                 "us",
-                us(seen.module_nanoseconds),
+                us(observed.module_nanoseconds),
             ),
             ("real edge", "asks a call", "", asks),
             ("real edge", "orders a call", "", orders),
@@ -119,25 +120,25 @@
                 "hollow, the same calls",
                 "processor time a call, its module",
                 "us",
-                hollow_us,
+                simulated_us,
             ),
             (
                 "hollow, the same calls",
                 "asks a call",
                 "",
-                hollow(counts.asks),
+                per_simulated_request(counts.load_queries),
             ),
             (
                 "hollow, the same calls",
                 "orders a call",
                 "",
-                hollow(counts.orders),
+                per_simulated_request(counts.load_commands),
             ),
             (
                 "hollow, the same calls",
                 "probes a call",
                 "",
-                hollow(counts.probes),
+                per_simulated_request(counts.health_checks),
             ),
         ] {
             sink.point(Point {
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 /// It must have its list within this time.
-const UP_WITHIN: Micros = 30_000_000;
-const LOOKS_EVERY: Micros = 100_000;
+const STARTUP_TIMEOUT: Micros = 30_000_000;
+const POLL_INTERVAL: Micros = 100_000;
 
 /// A process and a folder that end with their owner.
-struct Standing {
+struct EdgeProcess {
     child: Child,
     folder: PathBuf,
 }
 
-impl Drop for Standing {
+impl Drop for EdgeProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// A process could not be started or did not get its list.
-pub(crate) fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+pub(crate) fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let Some(program) = &plan.program else {
         return Ok(());
     };
@@ -40,8 +40,8 @@
         if stop.is_set() {
             return Ok(());
         }
-        sink.told(&format!("an edge process with a list of {workers} workers"));
-        let Some((bytes, core)) = stand(program, plan, workers, stop)? else {
+        sink.progress(&format!("an edge process with a list of {workers} workers"));
+        let Some((bytes, core)) = measure_idle(program, plan, workers, stop)? else {
             return Ok(());
         };
         for (figure, unit, value) in [
@@ -86,14 +86,14 @@
     }
 }
 
-fn stand(
+fn measure_idle(
     program: &Path,
     plan: &Plan,
     workers: u64,
     stop: &Stop,
 ) -> Result<Option<(f64, f64)>, String> {
     let text = |e: std::io::Error| e.to_string();
-    let (door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
+    let (listener, list_address) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(text)?;
     let spec = DiscoverySpec {
         min_publish_delay: 0,
@@ -108,7 +108,9 @@
     let rows: Vec<EndpointRecord> = (0..workers).map(|n| row(n, &zones)).collect();
     let list =
         DiscoveryService::new(spec, 1, 1, Default::default()).with_endpoints(driver.now(), &rows);
-    driver.add(Box::new(list), vec![door], None).map_err(text)?;
+    driver
+        .add(Box::new(list), vec![listener], None)
+        .map_err(text)?;
     let folder = std::env::temp_dir().join(format!(
         "sanddrum-capacity-{}-{workers}",
         std::process::id()
@@ -133,7 +135,7 @@
         "--listen",
         "127.0.0.1:0",
         "--list",
-        &list_at,
+        &list_address,
         "--edges",
         &routers,
         "--with-parent",
@@ -145,9 +147,9 @@
     let child = command
         .spawn()
         .map_err(|e| format!("{}: {e}", program.display()))?;
-    let standing = Standing { child, folder };
+    let process = EdgeProcess { child, folder };
     let wanted = format!("sanddrum_workers_listed {workers}");
-    let until = driver.now() + UP_WITHIN;
+    let until = driver.now() + STARTUP_TIMEOUT;
     while !std::fs::read_to_string(&address).is_ok_and(|at| metrics(at.trim()).contains(&wanted)) {
         if stop.is_set() {
             return Ok(None);
@@ -157,24 +159,25 @@
                 "an edge did not get its list of {workers} workers within half a minute"
             ));
         }
-        let next = driver.now() + LOOKS_EVERY;
+        let next = driver.now() + POLL_INTERVAL;
         driver.run_until(next).map_err(text)?;
     }
     let mut wait = |span: Micros| {
         let until = driver.now() + span;
         driver.run_until(until).map_err(text)
     };
-    let looked_at = plan
+    let measured_for = plan
         .settings
         .duration_us("router-plays.stands-by-us")
         .max(1);
-    wait(looked_at / 2)?;
-    let before = ticks(&standing.child)?;
-    wait(looked_at)?;
-    let spent = (ticks(&standing.child)? - before) / rustix::param::clock_ticks_per_second() as f64;
+    wait(measured_for / 2)?;
+    let before = cpu_ticks(&process.child)?;
+    wait(measured_for)?;
+    let spent =
+        (cpu_ticks(&process.child)? - before) / rustix::param::clock_ticks_per_second() as f64;
     Ok(Some((
-        resident(&standing.child)?,
-        spent / (looked_at as f64 / 1e6),
+        resident_bytes(&process.child)?,
+        spent / (measured_for as f64 / 1e6),
     )))
 }
 
@@ -191,14 +194,14 @@
     page().unwrap_or_default()
 }
 
-fn of_process(child: &Child, file: &str) -> Result<String, String> {
+fn read_proc_file(child: &Child, file: &str) -> Result<String, String> {
     let file = format!("/proc/{}/{file}", child.id());
     std::fs::read_to_string(&file).map_err(|e| format!("{file}: {e}"))
 }
 
 /// Resident memory, in bytes.
-fn resident(child: &Child) -> Result<f64, String> {
-    let text = of_process(child, "statm")?;
+fn resident_bytes(child: &Child) -> Result<f64, String> {
+    let text = read_proc_file(child, "statm")?;
     let pages: Option<f64> = text
         .split_whitespace()
         .nth(1)
@@ -207,8 +210,8 @@
 }
 
 /// Ticks of processor time, of its own and within the kernel.
-fn ticks(child: &Child) -> Result<f64, String> {
-    let text = of_process(child, "stat")?;
+fn cpu_ticks(child: &Child) -> Result<f64, String> {
+    let text = read_proc_file(child, "stat")?;
     // The name, in brackets, may have spaces in it.
     let after = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<f64> = after
--- a/crates/sanddrum-lab/src/capacity/fit.rs
+++ b/crates/sanddrum-lab/src/capacity/fit.rs
@@ -1,70 +1,71 @@
-//! What a figure does along its axis: a line, a power law, or neither.
+//! Fits a line and a power law to the points of a slope.
 
 use serde::Serialize;
 
-/// Fewer points tell no slope.
-const FEW_POINTS: usize = 3;
-/// A figure that stays within this part of its mean counts as flat.
-const FLAT: f64 = 0.05;
-/// A fit that misses by more than this part of the figure, in the mean, is none.
-const NO_FIT: f64 = 0.2;
+/// A slope needs at least this many points.
+const MIN_POINTS: usize = 3;
+/// A slope is flat if all values are within this fraction of their mean.
+const FLAT_TOLERANCE: f64 = 0.05;
+/// A fit with a larger relative residual is rejected.
+const MAX_RESIDUAL: f64 = 0.2;
 
-/// What shape a slope has.
+/// The shape of a slope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
+pub enum FitShape {
     /// Fewer than three points.
     TooFew,
-    /// The same at each size.
+    /// Nearly the same value at each size.
     Flat,
     Line,
     Power,
-    /// Neither a line nor a power law comes near all points.
+    /// Neither a line nor a power law fits the points.
     Neither,
 }
 
-/// A slope's shape with both fits; residuals are relative: the root of the mean square of what a fit misses by, as a
-/// part of the figure.
+/// The shape of a slope and both fits. Residuals are root mean squares of the relative errors.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    pub shape: Form,
-    /// `line.0 + line.1 * at`, fitted to relative misses, as sizes are decades apart.
+    pub shape: FitShape,
+    /// `line.0 + line.1 * at`. Minimizes relative errors, because sizes are decades apart.
     pub line: (f64, f64),
     pub line_residual: f64,
-    /// `power.0 * at.powf(power.1)`, fitted to logarithms; none where a figure isn't above nought.
+    /// `power.0 * at.powf(power.1)`, fitted to logarithms; `None` unless all positions and values are above zero.
     pub power: Option<(f64, f64)>,
     pub power_residual: Option<f64>,
 }
 
 impl Fit {
-    /// The residual of the shape that it has.
+    /// The residual of the chosen shape; of the better fit if neither was chosen.
     pub fn residual(&self) -> f64 {
         match self.shape {
-            Form::Power => self.power_residual.unwrap_or(self.line_residual),
-            Form::Neither => self
+            FitShape::Power => self.power_residual.unwrap_or(self.line_residual),
+            FitShape::Neither => self
                 .line_residual
                 .min(self.power_residual.unwrap_or(f64::INFINITY)),
             _ => self.line_residual,
         }
     }
-    /// The slope in words, as `6.1 * at^0.48 (power law, residual 3 %)`.
+    /// The slope in words, for example `6.1 * at^0.48 (power law, residual 3.0 %)`.
     pub fn text(&self) -> String {
         let residual = self.residual() * 100.0;
         let (a, b) = self.line;
         match (self.shape, self.power) {
-            (Form::TooFew, _) => "too few points for a slope".into(),
-            (Form::Flat, _) => format!("flat at {} (residual {residual:.1} %)", figure(a)),
-            (Form::Line, _) => {
+            (FitShape::TooFew, _) => "too few points for a slope".into(),
+            (FitShape::Flat, _) => {
+                format!("flat at {} (residual {residual:.1} %)", format_value(a))
+            }
+            (FitShape::Line, _) => {
                 format!(
                     "{} + {} * at (line, residual {residual:.1} %)",
-                    figure(a),
-                    figure(b)
+                    format_value(a),
+                    format_value(b)
                 )
             }
-            (Form::Power, Some((c, k))) => {
+            (FitShape::Power, Some((c, k))) => {
                 format!(
                     "{} * at^{k:.2} (power law, residual {residual:.1} %)",
-                    figure(c)
+                    format_value(c)
                 )
             }
             _ => format!("neither line nor power law (residual {residual:.0} %)"),
@@ -72,8 +73,8 @@
     }
 }
 
-/// Four digits that count.
-pub(crate) fn figure(n: f64) -> String {
+/// Formats a number with four significant digits.
+pub(crate) fn format_value(n: f64) -> String {
     if n == 0.0 || !n.is_finite() {
         return n.to_string();
     }
@@ -84,60 +85,60 @@
     format!("{n:.*}", digits as usize)
 }
 
-/// Fits points in the order of their axis.
+/// Fits the points of a slope.
 pub fn fit(points: &[(f64, f64)]) -> Fit {
     let line = line(points);
     let line_residual = residual(points, |at| line.0 + line.1 * at);
     let power = power(points);
     let power_residual = power.map(|(c, k)| residual(points, |at| c * at.powf(k)));
     let mut fit = Fit {
-        shape: Form::TooFew,
+        shape: FitShape::TooFew,
         line,
         line_residual,
         power,
         power_residual,
     };
-    if points.len() < FEW_POINTS {
+    if points.len() < MIN_POINTS {
         return fit;
     }
     let mean = points.iter().map(|p| p.1).sum::<f64>() / points.len() as f64;
     if points
         .iter()
-        .all(|p| (p.1 - mean).abs() <= FLAT * mean.abs())
+        .all(|p| (p.1 - mean).abs() <= FLAT_TOLERANCE * mean.abs())
     {
         let line_residual = residual(points, |_| mean);
         return Fit {
-            shape: Form::Flat,
+            shape: FitShape::Flat,
             line: (mean, 0.0),
             line_residual,
             ..fit
         };
     }
     fit.shape = match power_residual {
-        Some(power) if power < line_residual => Form::Power,
-        _ => Form::Line,
+        Some(power) if power < line_residual => FitShape::Power,
+        _ => FitShape::Line,
     };
-    if fit.residual() > NO_FIT {
-        fit.shape = Form::Neither;
+    if fit.residual() > MAX_RESIDUAL {
+        fit.shape = FitShape::Neither;
     }
     fit
 }
 
 fn residual(points: &[(f64, f64)], of: impl Fn(f64) -> f64) -> f64 {
-    let misses = points
+    let squares = points
         .iter()
-        .map(|(at, value)| miss(of(*at), *value).powi(2));
-    (misses.sum::<f64>() / points.len().max(1) as f64).sqrt()
+        .map(|(at, value)| relative_error(of(*at), *value).powi(2));
+    (squares.sum::<f64>() / points.len().max(1) as f64).sqrt()
 }
 
-fn miss(fitted: f64, value: f64) -> f64 {
+fn relative_error(fitted: f64, value: f64) -> f64 {
     if value == 0.0 {
         return if fitted == 0.0 { 0.0 } else { 1.0 };
     }
     (fitted - value) / value
 }
 
-/// The line with the least relative misses; a figure of nought weighs as the least of the others.
+/// The line with the least relative errors; a zero has the weight of the smallest nonzero value.
 fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let least = points
         .iter()
@@ -159,7 +160,7 @@
     let (w, x, y) = (sum(&|_| 1.0), sum(&|p| p.0), sum(&|p| p.1));
     let (xx, xy) = (sum(&|p| p.0 * p.0), sum(&|p| p.0 * p.1));
     let spread = w * xx - x * x;
-    // One size tells no slope; rounding leaves a little where all are the same.
+    // A single size has no slope. The threshold allows for rounding where all positions are equal.
     if spread <= 1e-12 * w * xx {
         return (y / w, 0.0);
     }
--- a/crates/sanddrum-lab/src/capacity/sizes.rs
+++ b/crates/sanddrum-lab/src/capacity/message_sizes.rs
@@ -10,35 +10,35 @@
 };
 
 /// Bytes of frames; TLS and what is below it aren't in them.
-pub(crate) struct Bytes {
+pub(crate) struct MessageSizes {
     /// An order or an ask with its answer.
-    pub hold: u64,
-    pub probe: u64,
+    pub load: u64,
+    pub health_check: u64,
     pub cancel: u64,
     pub unload: u64,
     /// Both greetings.
-    pub hellos: u64,
+    pub hello_exchange: u64,
     list: u64,
     row: u64,
 }
 
 /// A number as long-lived connections and processes have it.
-const NUMBER: u64 = 1 << 20;
+const SAMPLE_NUMBER: u64 = 1 << 20;
 
-impl Bytes {
+impl MessageSizes {
     pub fn new(functions: &Functions) -> Self {
         let last = functions.all.last();
         let function = last.map(|f| f.name.clone()).unwrap_or_default();
-        let (memory_mb, lanes) = last.map_or((0.0, 1), |f| (f.memory_mb, f.lanes));
-        let hold = Load {
-            id: NUMBER,
+        let (memory_mb, concurrency) = last.map_or((0.0, 1), |f| (f.memory_mb, f.concurrency));
+        let load = Load {
+            id: SAMPLE_NUMBER,
             function: function.clone(),
             instances: 1,
             memory_mb,
-            concurrency: lanes,
+            concurrency,
         };
-        let held = LoadDone {
-            id: NUMBER,
+        let load_done = LoadDone {
+            id: SAMPLE_NUMBER,
             status: ExecutionStatus::Finished,
             instances: 1,
         };
@@ -53,7 +53,7 @@
         let hello = Hello {
             version: VERSION,
             name: "worker-10000".into(),
-            incarnation: NUMBER,
+            incarnation: SAMPLE_NUMBER,
             age_us: Some(1 << 40),
         };
         let row = EndpointRecord {
@@ -62,33 +62,33 @@
             zone: "zone-10".into(),
             size: 8.0,
             phase: Phase::Ready,
-            incarnation: NUMBER,
+            incarnation: SAMPLE_NUMBER,
             age_us: 1 << 40,
             ..EndpointRecord::default()
         };
         let rows = |n: usize| {
             let rows = vec![row.clone(); n];
             let rows = EndpointUpdate {
-                version: NUMBER,
-                service_incarnation: NUMBER,
+                version: SAMPLE_NUMBER,
+                service_incarnation: SAMPLE_NUMBER,
                 is_full_snapshot: false,
-                base_version: NUMBER,
+                base_version: SAMPLE_NUMBER,
                 endpoints: rows,
             };
             encode_frame(&FromDiscovery::Endpoints(rows)).len() as u64
         };
         let to = |message: &ToWorker| encode_frame(message).len() as u64;
         let from = |message: &FromWorker| encode_frame(message).len() as u64;
-        Bytes {
-            hold: to(&ToWorker::Load(hold)) + from(&FromWorker::LoadDone(held)),
-            probe: to(&ToWorker::HealthCheck(HealthCheck { id: NUMBER }))
+        MessageSizes {
+            load: to(&ToWorker::Load(load)) + from(&FromWorker::LoadDone(load_done)),
+            health_check: to(&ToWorker::HealthCheck(HealthCheck { id: SAMPLE_NUMBER }))
                 + from(&FromWorker::HealthStatus(HealthStatus {
-                    id: NUMBER,
+                    id: SAMPLE_NUMBER,
                     report: Some(report),
                 })),
-            cancel: to(&ToWorker::Cancel(Cancel { id: NUMBER })),
+            cancel: to(&ToWorker::Cancel(Cancel { id: SAMPLE_NUMBER })),
             unload: to(&ToWorker::Unload(Unload { function })),
-            hellos: to(&ToWorker::Hello(hello.clone())) + from(&FromWorker::Hello(hello)),
+            hello_exchange: to(&ToWorker::Hello(hello.clone())) + from(&FromWorker::Hello(hello)),
             list: rows(0),
             row: rows(2) - rows(1),
         }
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -1,6 +1,6 @@
 //! The list service with a meter on it: what reaches it and leaves it, by second, and the processor time within its core.
 
-use super::clock::Clock;
+use super::cpu_clock::ThreadCpuClock;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, PeerIdentity};
 use sanddrum_wire::{FrameDecoder, FromDiscovery, ToDiscovery};
 use std::cell::{Cell, RefCell};
@@ -9,17 +9,17 @@
 
 /// What fell on the list service within a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListSecond {
+pub struct SecondStats {
     /// Connections made, and those that it broke off itself.
     pub connections: u64,
-    pub turned_away: u64,
+    pub resets: u64,
     /// Greetings of routers.
-    pub greetings: u64,
+    pub hellos: u64,
     /// Calls for the list, a question on a standing connection among them.
-    pub calls: u64,
+    pub watches: u64,
     /// Workers' own tellings, and their beats.
-    pub registers: u64,
-    pub beats: u64,
+    pub registrations: u64,
+    pub heartbeats: u64,
     /// Messages and bytes out, as encoded.
     pub messages: u64,
     pub bytes: u64,
@@ -29,41 +29,41 @@
 
 /// Something said between the list service and a router, in the order in which the service heard or said it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
-    Asks {
+pub enum DiscoveryMessage {
+    Watch {
         router: String,
-        run: u64,
+        service_incarnation: u64,
         version: u64,
     },
-    Told {
+    Update {
         router: String,
-        run: u64,
+        service_incarnation: u64,
         version: u64,
-        whole: bool,
+        is_full: bool,
         rows: usize,
     },
 }
 
 #[derive(Debug, Default)]
-pub struct Tally {
-    pub seconds: BTreeMap<Micros, ListSecond>,
+pub struct DiscoveryStats {
+    pub seconds: BTreeMap<Micros, SecondStats>,
     /// Kept only where asked for, as all that is said is read then.
-    pub said: Option<Vec<(Micros, Said)>>,
+    pub message_log: Option<Vec<(Micros, DiscoveryMessage)>>,
 }
 
-impl Tally {
-    fn second(&mut self, now: Micros) -> &mut ListSecond {
+impl DiscoveryStats {
+    fn second(&mut self, now: Micros) -> &mut SecondStats {
         self.seconds.entry(now.div_euclid(1_000_000)).or_default()
     }
     /// Of the seconds that begin within a span, the most of a figure.
-    pub fn worst(&self, from: Micros, to: Micros, figure: impl Fn(&ListSecond) -> u64) -> u64 {
+    pub fn worst(&self, from: Micros, to: Micros, figure: impl Fn(&SecondStats) -> u64) -> u64 {
         self.within(from, to).map(figure).max().unwrap_or(0)
     }
     /// And the sum.
-    pub fn sum(&self, from: Micros, to: Micros, figure: impl Fn(&ListSecond) -> u64) -> u64 {
+    pub fn sum(&self, from: Micros, to: Micros, figure: impl Fn(&SecondStats) -> u64) -> u64 {
         self.within(from, to).map(figure).sum()
     }
-    fn within(&self, from: Micros, to: Micros) -> impl Iterator<Item = &ListSecond> {
+    fn within(&self, from: Micros, to: Micros) -> impl Iterator<Item = &SecondStats> {
         let (from, to) = (from.div_euclid(1_000_000), to.div_euclid(1_000_000));
         self.seconds
             .range(from..to.max(from + 1))
@@ -80,8 +80,8 @@
 
 impl FrameCount {
     /// How many frames end within these bytes.
-    fn ends(&mut self, mut bytes: &[u8]) -> u64 {
-        let mut ends = 0;
+    fn count_ends(&mut self, mut bytes: &[u8]) -> u64 {
+        let mut ended = 0;
         while !bytes.is_empty() {
             if self.content == 0 {
                 let (more, rest) = bytes.split_at(bytes.len().min(4 - self.prefix.len()));
@@ -90,45 +90,45 @@
                 if let Some(length) = self.prefix.first_chunk::<4>() {
                     self.content = u32::from_be_bytes(*length) as usize;
                     self.prefix.clear();
-                    ends += u64::from(self.content == 0);
+                    ended += u64::from(self.content == 0);
                 }
                 continue;
             }
             let taken = self.content.min(bytes.len());
             self.content -= taken;
             bytes = &bytes[taken..];
-            ends += u64::from(self.content == 0);
+            ended += u64::from(self.content == 0);
         }
-        ends
+        ended
     }
 }
 
 #[derive(Default)]
-struct Wire {
+struct MeteredConnection {
     router: String,
-    inn: FrameDecoder,
+    incoming: FrameDecoder,
     out: FrameCount,
-    told: FrameDecoder,
+    outgoing: FrameDecoder,
 }
 
 /// The largest frame that the meter reads.
-const MOST: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
 pub struct Metered<C> {
     core: C,
-    wires: BTreeMap<ConnectionId, Wire>,
-    tally: Rc<RefCell<Tally>>,
-    clock: Clock,
+    connections: BTreeMap<ConnectionId, MeteredConnection>,
+    stats: Rc<RefCell<DiscoveryStats>>,
+    clock: ThreadCpuClock,
     now: Cell<Micros>,
 }
 
 impl<C: Core> Metered<C> {
-    pub fn new(core: C, tally: Rc<RefCell<Tally>>) -> Self {
-        let (wires, clock, now) = (BTreeMap::new(), Clock::new(), Cell::new(0));
+    pub fn new(core: C, stats: Rc<RefCell<DiscoveryStats>>) -> Self {
+        let (connections, clock, now) = (BTreeMap::new(), ThreadCpuClock::new(), Cell::new(0));
         Metered {
             core,
-            wires,
-            tally,
+            connections,
+            stats,
             clock,
             now,
         }
@@ -137,55 +137,57 @@
         self.now.set(now);
         let Metered {
             core,
-            wires,
-            tally,
+            connections,
+            stats,
             clock,
             ..
         } = self;
-        let mut counted = Counted {
+        let mut metered_io = MeteredIo {
             io,
-            wires,
-            tally,
+            connections,
+            stats,
             now,
             clock,
-            outside: 0,
+            excluded: 0,
         };
-        let before = Clock::now();
-        what(core, &mut counted);
-        let within = clock.passed(before).saturating_sub(counted.outside);
-        tally.borrow_mut().second(now).nanoseconds += within;
+        let before = ThreadCpuClock::now();
+        what(core, &mut metered_io);
+        let within = clock
+            .elapsed_since(before)
+            .saturating_sub(metered_io.excluded);
+        stats.borrow_mut().second(now).nanoseconds += within;
     }
-    fn heard(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
-        let Some(wire) = self.wires.get_mut(&conn) else {
+    fn count_incoming(&mut self, now: Micros, conn: ConnectionId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        wire.inn.push_bytes(bytes);
-        let mut tally = self.tally.borrow_mut();
-        while let Ok(Some(message)) = wire.inn.next_message::<ToDiscovery>() {
+        connection.incoming.push_bytes(bytes);
+        let mut stats = self.stats.borrow_mut();
+        while let Ok(Some(message)) = connection.incoming.next_message::<ToDiscovery>() {
             match message {
                 ToDiscovery::Hello(hello) => {
-                    tally.second(now).greetings += 1;
-                    wire.router = hello.name;
+                    stats.second(now).hellos += 1;
+                    connection.router = hello.name;
                 }
                 ToDiscovery::Watch(watch) => {
-                    tally.second(now).calls += 1;
-                    let (router, run, version) = (
-                        wire.router.clone(),
+                    stats.second(now).watches += 1;
+                    let (router, service_incarnation, version) = (
+                        connection.router.clone(),
                         watch.service_incarnation,
                         watch.version,
                     );
-                    let asks = Said::Asks {
+                    let watch_message = DiscoveryMessage::Watch {
                         router,
-                        run,
+                        service_incarnation,
                         version,
                     };
-                    tally
-                        .said
+                    stats
+                        .message_log
                         .iter_mut()
-                        .for_each(|said| said.push((now, asks.clone())));
+                        .for_each(|log| log.push((now, watch_message.clone())));
                 }
-                ToDiscovery::Register(_) => tally.second(now).registers += 1,
-                ToDiscovery::Heartbeat(_) => tally.second(now).beats += 1,
+                ToDiscovery::Register(_) => stats.second(now).registrations += 1,
+                ToDiscovery::Heartbeat(_) => stats.second(now).heartbeats += 1,
             }
         }
     }
@@ -198,19 +200,22 @@
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Accepted { conn, .. } => {
-                self.tally.borrow_mut().second(now).connections += 1;
-                let (inn, told) = (FrameDecoder::new(MOST), FrameDecoder::new(MOST));
-                self.wires.insert(
+                self.stats.borrow_mut().second(now).connections += 1;
+                let (incoming, outgoing) = (
+                    FrameDecoder::new(MAX_FRAME_BYTES),
+                    FrameDecoder::new(MAX_FRAME_BYTES),
+                );
+                self.connections.insert(
                     conn,
-                    Wire {
-                        inn,
-                        told,
-                        ..Wire::default()
+                    MeteredConnection {
+                        incoming,
+                        outgoing,
+                        ..MeteredConnection::default()
                     },
                 );
             }
-            Event::Bytes { conn, bytes } => self.heard(now, conn, bytes),
-            Event::Closed { conn, .. } => drop(self.wires.remove(&conn)),
+            Event::Bytes { conn, bytes } => self.count_incoming(now, conn, bytes),
+            Event::Closed { conn, .. } => drop(self.connections.remove(&conn)),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
         self.call(now, io, |core, io| core.on_event(now, event, io));
@@ -219,10 +224,10 @@
         self.call(now, io, |core, io| core.process(now, io));
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        let before = Clock::now();
+        let before = ThreadCpuClock::now();
         let wake = self.core.next_wakeup();
-        let within = self.clock.passed(before);
-        self.tally.borrow_mut().second(self.now.get()).nanoseconds += within;
+        let within = self.clock.elapsed_since(before);
+        self.stats.borrow_mut().second(self.now.get()).nanoseconds += within;
         wake
     }
     fn is_done(&self) -> bool {
@@ -231,50 +236,52 @@
 }
 
 /// Passes on what the core asks of its driver, whose time is not the core's.
-struct Counted<'a> {
+struct MeteredIo<'a> {
     io: &'a mut dyn Io,
-    wires: &'a mut BTreeMap<ConnectionId, Wire>,
-    tally: &'a Rc<RefCell<Tally>>,
+    connections: &'a mut BTreeMap<ConnectionId, MeteredConnection>,
+    stats: &'a Rc<RefCell<DiscoveryStats>>,
     now: Micros,
-    clock: &'a Clock,
-    outside: u64,
+    clock: &'a ThreadCpuClock,
+    excluded: u64,
 }
 
-impl Counted<'_> {
-    fn outside<T>(&mut self, what: impl FnOnce(&mut Self) -> T) -> T {
-        let before = Clock::now();
+impl MeteredIo<'_> {
+    fn exclude<T>(&mut self, what: impl FnOnce(&mut Self) -> T) -> T {
+        let before = ThreadCpuClock::now();
         let done = what(self);
         // Of the two readings, one is within what has passed and one is not; neither is the core's.
-        self.outside += Clock::now() - before + self.clock.reading();
+        self.excluded += ThreadCpuClock::now() - before + self.clock.overhead();
         done
     }
-    fn wrote(&mut self, conn: ConnectionId, bytes: &[u8]) {
-        let Some(wire) = self.wires.get_mut(&conn) else {
+    fn count_outgoing(&mut self, conn: ConnectionId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let mut tally = self.tally.borrow_mut();
-        let second = tally.second(self.now);
-        second.messages += wire.out.ends(bytes);
+        let mut stats = self.stats.borrow_mut();
+        let second = stats.second(self.now);
+        second.messages += connection.out.count_ends(bytes);
         second.bytes += bytes.len() as u64;
-        let Some(said) = &mut tally.said else { return };
-        wire.told.push_bytes(bytes);
-        while let Ok(Some(message)) = wire.told.next_message::<FromDiscovery>() {
+        let Some(log) = &mut stats.message_log else {
+            return;
+        };
+        connection.outgoing.push_bytes(bytes);
+        while let Ok(Some(message)) = connection.outgoing.next_message::<FromDiscovery>() {
             let FromDiscovery::Endpoints(rows) = message else {
                 continue;
             };
-            let (router, count) = (wire.router.clone(), rows.endpoints.len());
-            let (run, version, whole) = (
+            let (router, count) = (connection.router.clone(), rows.endpoints.len());
+            let (service_incarnation, version, is_full) = (
                 rows.service_incarnation,
                 rows.version,
                 rows.is_full_snapshot,
             );
-            said.push((
+            log.push((
                 self.now,
-                Said::Told {
+                DiscoveryMessage::Update {
                     router,
-                    run,
+                    service_incarnation,
                     version,
-                    whole,
+                    is_full,
                     rows: count,
                 },
             ));
@@ -282,12 +289,12 @@
     }
 }
 
-impl Io for Counted<'_> {
+impl Io for MeteredIo<'_> {
     fn connect(&mut self, to: &str) -> ConnectionId {
-        self.outside(|this| this.io.connect(to))
+        self.exclude(|this| this.io.connect(to))
     }
     fn connect_named(&mut self, to: &str, name: &str) -> ConnectionId {
-        self.outside(|this| this.io.connect_named(to, name))
+        self.exclude(|this| this.io.connect_named(to, name))
     }
     fn peer(&self, conn: ConnectionId) -> Option<PeerIdentity> {
         self.io.peer(conn)
@@ -302,32 +309,32 @@
         self.io.is_poll_overdue()
     }
     fn write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
-        self.outside(|this| {
+        self.exclude(|this| {
             let wrote = this.io.write(conn, bytes);
-            this.wrote(conn, &bytes[..wrote.min(bytes.len())]);
+            this.count_outgoing(conn, &bytes[..wrote.min(bytes.len())]);
             wrote
         })
     }
     fn close(&mut self, conn: ConnectionId) {
-        self.outside(|this| this.io.close(conn));
+        self.exclude(|this| this.io.close(conn));
     }
     fn reset(&mut self, conn: ConnectionId) {
-        self.outside(|this| {
-            this.wires.remove(&conn);
-            this.tally.borrow_mut().second(this.now).turned_away += 1;
+        self.exclude(|this| {
+            this.connections.remove(&conn);
+            this.stats.borrow_mut().second(this.now).resets += 1;
             this.io.reset(conn);
         });
     }
     fn pause(&mut self, conn: ConnectionId, paused: bool) {
-        self.outside(|this| this.io.pause(conn, paused));
+        self.exclude(|this| this.io.pause(conn, paused));
     }
     fn save_state(&mut self, state: &[u8]) {
-        self.outside(|this| this.io.save_state(state));
+        self.exclude(|this| this.io.save_state(state));
     }
     fn save_state_later(&mut self, state: &[u8]) {
-        self.outside(|this| this.io.save_state_later(state));
+        self.exclude(|this| this.io.save_state_later(state));
     }
     fn audit(&mut self, line: &str) {
-        self.outside(|this| this.io.audit(line));
+        self.exclude(|this| this.io.audit(line));
     }
 }
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -1,5 +1,5 @@
-//! What stands in for workers, functions and callers in hollow plays: the stand-in worker's own machine without its
-//! connections, the shape of the calls, and what the routers that aren't played would have had loaded.
+//! The models of workers, functions and clients in simulated fleets: the emulated worker's own machine without its
+//! connections, the popularity of functions, and the load of routers that are not simulated.
 
 use super::Plan;
 use sanddrum::{FunctionId, Micros, WorkerId};
@@ -13,116 +13,116 @@
     name: "model",
     prefix: "model",
     occurrence: Occurrence::Once,
-    description: "hollow workers, their store and the calls",
+    description: "simulated workers, their function store and the requests",
     keys: &[
         key(
             "cores",
             ValueType::Integer(1.0, 1e3),
             Some("8"),
-            "of a worker",
+            "cores of a worker",
         ),
         key(
             "queue",
             ValueType::Integer(0.0, 1e5),
             Some("64"),
-            "jobs that wait at a worker; more are full",
+            "requests that wait at a worker; further ones are rejected",
         ),
         key(
             "memory",
             ValueType::Memory,
             Some("12GB"),
-            "of a worker, for copies",
+            "memory of a worker for instances",
         ),
         key(
             "loads-at-once",
             ValueType::Integer(1.0, 1e3),
             Some("4"),
-            "at a worker; twice as many wait",
+            "concurrent loads at a worker; twice as many wait",
         ),
         key(
             "load",
             ValueType::Duration,
             Some("600ms"),
-            "a load, in the middle",
+            "median time of a load",
         ),
         key(
             "load-spread",
             ValueType::Number(0.0, 2.0),
             Some("0.3"),
-            "the deviation of its logarithm",
+            "standard deviation of the logarithm of the load time",
         ),
         key(
             "work",
             ValueType::Duration,
             Some("20ms"),
-            "of a call, in the mean; drawn exponentially",
+            "mean work of a request, exponentially distributed",
         ),
         key(
             "report-every",
             ValueType::Duration,
             Some("250ms"),
-            "how old a load report may be",
+            "maximum age of a load report",
         ),
         key(
             "same-zone",
             ValueType::Duration,
             Some("200us"),
-            "a message's way within a zone",
+            "latency of a message within a zone",
         ),
         key(
             "cross-zone",
             ValueType::Duration,
             Some("600us"),
-            "and between two",
+            "latency of a message between two zones",
         ),
         key(
             "notice-least",
             ValueType::Duration,
             Some("200ms"),
-            "changes of the list reach a router after",
+            "minimum delay until changes of the endpoint list are published",
         ),
         key(
             "notice-most",
             ValueType::Duration,
             Some("1s"),
-            "and at the latest after",
+            "maximum delay until changes of the endpoint list are published",
         ),
         key(
             "silent-after",
             ValueType::Duration,
             Some("4s"),
-            "a worker unheard for so long counts as gone",
+            "a worker without heartbeats for this time counts as gone",
         ),
         key(
             "zipf",
             ValueType::Number(0.0, 5.0),
             Some("1.1"),
-            "how uneven the popularity of functions is",
+            "Zipf exponent of the popularity of functions",
         ),
         key(
             "rare-part",
             ValueType::Number(0.0, 0.99),
             Some("90%"),
-            "functions called less than once a minute",
+            "fraction of functions called less than once a minute",
         ),
     ],
 };
 
-/// Why a model can't be.
+/// Rejects settings that can't be modelled.
 pub(crate) fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
     if l.count("functions") == 0 {
         let remedy = "add (function \"f-*\" (workload \"...\"))";
         return Err(l.error_at(
             "",
-            "no function is set, and nothing would be called",
+            "no function is set, so there would be no requests",
             remedy,
         ));
     }
     let (called, first) = (l.text("functions.0.workload"), l.text("workloads.0.name"));
     if called != first {
         let what = format!(
-            "functions.0.workload: calls are of the first function, which is of {called:?}"
+            "functions.0.workload: requests are for the first function, which belongs to workload {called:?}"
         );
         return Err(l.error_at(
             "functions.0.workload",
@@ -134,38 +134,38 @@
         let name = format!("functions.{n}.memory-mb");
         if l.number(&name) > l.number("model.memory-mb") {
             let what = format!(
-                "a copy takes {} MB, which is more than model.memory holds",
+                "an instance takes {} MB, which is more than model.memory holds",
                 l.number(&name)
             );
-            return Err(l.error_at(&name, what, "set it smaller, or model.memory larger"));
+            return Err(l.error_at(&name, what, "set a smaller size, or a larger model.memory"));
         }
     }
     if l.duration_us("model.notice-least-us") > l.duration_us("model.notice-most-us") {
         let what = "model.notice-least is above model.notice-most";
-        return Err(l.error_at("model.notice-least-us", what, "as 200ms and 1s"));
+        return Err(l.error_at("model.notice-least-us", what, "for example 200ms and 1s"));
     }
     Ok(())
 }
 
-/// The figures of the model, as set.
+/// The settings of the model.
 #[derive(Clone, Debug)]
 pub struct Model {
     pub size: MachineConfig,
     pub load: Micros,
     pub load_spread: f64,
     pub work: Micros,
-    pub report_every: Micros,
+    pub report_interval: Micros,
     pub same_zone: Micros,
     pub cross_zone: Micros,
-    pub notice: (Micros, Micros),
-    pub silent_after: Micros,
-    pub connect_time_out: Micros,
+    pub publish_delay: (Micros, Micros),
+    pub heartbeat_timeout: Micros,
+    pub connect_timeout: Micros,
     pub idle_close: Micros,
-    /// Executions that a connection carries, and connections to a worker.
-    pub streams: usize,
-    pub connections: usize,
-    pub order_time_out: Micros,
-    pub probe_time_out: Micros,
+    /// Concurrent executions on a connection, and connections from a router to a worker.
+    pub max_streams: usize,
+    pub max_connections: usize,
+    pub load_timeout: Micros,
+    pub health_check_timeout: Micros,
     pub time_limit: Micros,
     pub drain_grace: Micros,
 }
@@ -186,7 +186,7 @@
                 } else {
                     OnMiss::Load
                 },
-                // The whole of a load is drawn.
+                // `sample_load_time` gives the complete duration of a load.
                 start_us_per_mb: 0.0,
                 initial_capacity: l.number("rules.cold-from"),
                 warm_up: l.duration_us("rules.cold-us"),
@@ -196,60 +196,60 @@
             load: span("load"),
             load_spread: l.number("model.load-spread"),
             work: span("work"),
-            report_every: span("report-every"),
+            report_interval: span("report-every"),
             same_zone: span("same-zone"),
             cross_zone: span("cross-zone"),
-            notice: (span("notice-least"), span("notice-most")),
-            silent_after: span("silent-after"),
-            connect_time_out: l.duration_us("limits.connect-time-out-us"),
+            publish_delay: (span("notice-least"), span("notice-most")),
+            heartbeat_timeout: span("silent-after"),
+            connect_timeout: l.duration_us("limits.connect-time-out-us"),
             idle_close: l.duration_us("limits.idle-close-us"),
-            streams: l.integer("limits.streams"),
-            connections: l.integer("limits.connections"),
-            order_time_out: l.duration_us("limits.order-time-out-us"),
-            probe_time_out: l.duration_us("limits.probe-time-out-us"),
+            max_streams: l.integer("limits.streams"),
+            max_connections: l.integer("limits.connections"),
+            load_timeout: l.duration_us("limits.order-time-out-us"),
+            health_check_timeout: l.duration_us("limits.probe-time-out-us"),
             time_limit: l.duration_us("workloads.0.time-limit-us")
                 - l.duration_us("limits.answer-ahead-us"),
             drain_grace: l.duration_us("rules.drain-grace-us"),
         }
     }
-    /// What a load takes, drawn about the middle one.
-    pub fn draw_load(&self, chance: &mut Rng) -> Micros {
-        // A normal draw, by Box and Muller.
-        let (u, v) = (1.0 - chance.next_f64(), chance.next_f64());
+    /// A random load time, log-normally distributed around the median.
+    pub fn sample_load_time(&self, rng: &mut Rng) -> Micros {
+        // A normally distributed value, by the Box-Muller transform.
+        let (u, v) = (1.0 - rng.next_f64(), rng.next_f64());
         let normal = (-2.0 * u.ln()).sqrt() * (std::f64::consts::TAU * v).cos();
         (self.load as f64 * (self.load_spread * normal).exp()).max(1.0) as Micros
     }
 }
 
-/// A function as hollow parts know it.
+/// A function of the simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Function {
     pub id: FunctionId,
-    /// `workload/function`, as workers know it.
+    /// The name on the wire: `workload/function`.
     pub name: String,
     pub memory_mb: f64,
-    pub lanes: u32,
-    /// What a load usually takes, where that is set.
+    pub concurrency: u32,
+    /// The usual load time, if set.
     pub load: Option<Micros>,
-    /// Called less than once a minute, by all routers together.
+    /// Called less than once a minute by all routers together.
     pub rare: bool,
 }
 
-/// Functions and how often each is called.
+/// The functions and their shares of the requests.
 #[derive(Clone, Debug)]
 pub struct Functions {
     pub all: Vec<Function>,
-    /// Parts of all calls, summed up.
+    /// Cumulative fractions of all requests.
     sums: Vec<f64>,
 }
 
-/// How popular functions are.
+/// The distribution of requests over functions.
 #[derive(Clone, Copy, Debug)]
-pub enum Shape {
-    /// By rank, to the power of this.
+pub enum Popularity {
+    /// A Zipf distribution with this exponent.
     Zipf(f64),
-    /// The same for those that aren't rare; this part is called between once an hour and once a minute, where there
-    /// are so many calls a second in all.
+    /// The fraction `part` of the functions is rare: each is called between once an hour and once a minute, out of
+    /// `calls` requests a second in total. The others have a Zipf distribution.
     Rare { zipf: f64, part: f64, calls: f64 },
 }
 
@@ -257,28 +257,28 @@
 const ONCE_AN_HOUR: f64 = 1.0 / 3600.0;
 
 impl Functions {
-    /// So many of the plan's first function pattern.
-    pub fn new(l: &LoadedSettings, count: usize, shape: Shape, seed: u64) -> Self {
+    /// Creates `count` functions that match the plan's first function pattern.
+    pub fn new(l: &LoadedSettings, count: usize, shape: Popularity, seed: u64) -> Self {
         let prefix = l.text("functions.0.name").trim_end_matches('*').to_string();
         let workload = l.text("functions.0.workload").to_string();
-        let (memory_mb, lanes) = (
+        let (memory_mb, concurrency) = (
             l.number("functions.0.memory-mb"),
             l.integer("functions.0.lanes") as u32,
         );
         let load = l
             .contains("functions.0.load-us")
             .then(|| l.duration_us("functions.0.load-us"));
-        let mut chance = Rng::new(seed ^ 0xf0);
+        let mut rng = Rng::new(seed ^ 0xf0);
         let (zipf, frequent, calls) = match shape {
-            Shape::Zipf(zipf) => (zipf, count, 1.0),
-            Shape::Rare { zipf, part, calls } => (
+            Popularity::Zipf(zipf) => (zipf, count, 1.0),
+            Popularity::Rare { zipf, part, calls } => (
                 zipf,
                 ((count as f64 * (1.0 - part)).round() as usize).clamp(1, count),
                 calls,
             ),
         };
         let rates: Vec<f64> = (frequent..count)
-            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(chance.next_f64()))
+            .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(rng.next_f64()))
             .collect();
         let of_rare = rates.iter().sum::<f64>() / calls;
         let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
@@ -298,7 +298,7 @@
                 id: FunctionId(stable_id(&name)),
                 name,
                 memory_mb,
-                lanes,
+                concurrency,
                 load,
                 rare: n >= frequent,
             }
@@ -308,15 +308,15 @@
             sums,
         }
     }
-    /// One, as often as it is called.
-    pub fn draw(&self, chance: &mut Rng) -> usize {
+    /// A random function, weighted by its share of the requests.
+    pub fn draw(&self, rng: &mut Rng) -> usize {
         let all = self.sums.last().copied().unwrap_or(1.0);
-        let at = chance.next_f64() * all;
+        let at = rng.next_f64() * all;
         self.sums
             .partition_point(|sum| *sum <= at)
             .min(self.all.len().saturating_sub(1))
     }
-    /// Its part of all calls.
+    /// The function's fraction of all requests.
     pub fn part(&self, n: usize) -> f64 {
         let before = n
             .checked_sub(1)
@@ -327,24 +327,24 @@
     }
 }
 
-/// What the routers that aren't played do to workers: copies that their calls would have had loaded stand with the
-/// chance that the calls imply, drawn anew each keep-alive, and their jobs count in reports. How they crowd the lanes of
-/// a copy isn't modelled.
+/// The effect on workers of the routers that are not simulated. An instance that their requests would have loaded exists
+/// with the probability that the request rate implies, sampled anew in each keep-alive period, and their requests count
+/// in load reports. Their use of an instance's concurrency isn't modelled.
 #[derive(Clone, Copy, Debug)]
-pub struct Others {
-    /// Calls a second of all of them together.
+pub struct BackgroundRouters {
+    /// Requests a second of all these routers together.
     pub calls: f64,
     pub seed: u64,
 }
 
-/// A function's calls go to two workers at least, and to more where each would have more than this part of a mean
-/// worker's calls from it.
-const PLACES: f64 = 2.0;
-const PLACE_PART: f64 = 0.5;
+/// The requests for a function are spread over at least `MIN_WORKERS_PER_FUNCTION` workers, and over more if the function
+/// would otherwise take more than the fraction `MAX_WORKER_SHARE` of the mean request rate of a worker.
+const MIN_WORKERS_PER_FUNCTION: f64 = 2.0;
+const MAX_WORKER_SHARE: f64 = 0.5;
 
-impl Others {
-    /// Whether a copy stands at a worker to which a played router turns.
-    fn stands(
+impl BackgroundRouters {
+    /// Whether a worker that a simulated router contacts already has an instance of function `n`.
+    fn has_instance(
         &self,
         now: Micros,
         at: &SimulatedWorker,
@@ -354,26 +354,27 @@
     ) -> bool {
         let keep = at.machine.config.keep_alive.max(1);
         let part = functions.part(n);
-        let places = (part * workers as f64 / PLACE_PART)
-            .ceil()
-            .clamp(PLACES, (workers as f64).max(PLACES));
-        let expected = part * self.calls * (keep as f64 / 1e6) / places;
+        let workers_with_instance = (part * workers as f64 / MAX_WORKER_SHARE).ceil().clamp(
+            MIN_WORKERS_PER_FUNCTION,
+            (workers as f64).max(MIN_WORKERS_PER_FUNCTION),
+        );
+        let expected = part * self.calls * (keep as f64 / 1e6) / workers_with_instance;
         let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
         Rng::new(self.seed ^ draw).next_f64() < 1.0 - (-expected).exp()
     }
-    /// A report with the others' jobs in it.
-    fn in_report(
+    /// Adds the requests of these routers to a load report.
+    fn add_to_report(
         &self,
         now: Micros,
         at: &SimulatedWorker,
         report: LoadReport,
         jobs: f64,
     ) -> LoadReport {
-        let mut chance = Rng::new(self.seed ^ at.id.0 ^ now as u64);
-        // A Poisson draw, by the gaps between arrivals; jobs at a worker are few.
-        let (mut more, mut gone) = (0.0, chance.exponential(1.0));
+        let mut rng = Rng::new(self.seed ^ at.id.0 ^ now as u64);
+        // A Poisson-distributed value from the gaps between arrivals; fast enough, as a worker has few requests.
+        let (mut more, mut gone) = (0.0, rng.exponential(1.0));
         while gone < jobs {
-            (more, gone) = (more + 1.0, gone + chance.exponential(1.0));
+            (more, gone) = (more + 1.0, gone + rng.exponential(1.0));
         }
         let cores = at.machine.config.cores.max(1) as f64;
         LoadReport {
@@ -384,22 +385,22 @@
     }
 }
 
-/// A worker without connections.
+/// A worker without connections: messages reach its machine directly.
 pub struct SimulatedWorker {
     pub id: WorkerId,
     pub zone: usize,
     pub machine: Machine,
     pub incarnation: u64,
-    /// It answers; one that doesn't is silent.
+    /// The worker answers; messages to a worker that isn't up are lost.
     pub up: bool,
     pub drains: bool,
-    /// When its own time comes next.
+    /// When the machine has to be advanced next.
     pub wake: Option<Micros>,
     report: Option<(Micros, LoadReport)>,
 }
 
 impl SimulatedWorker {
-    /// One that has run for long.
+    /// A worker that has been running for a long time, in its first incarnation.
     pub fn new(n: usize, zones: usize, size: &MachineConfig, seed: u64) -> Self {
         let id = WorkerId(stable_id(&crate::Scenario::worker_name(n)));
         let seed = seed.wrapping_mul(31).wrapping_add(n as u64);
@@ -416,7 +417,7 @@
             report: None,
         }
     }
-    /// It starts anew, empty and cold.
+    /// Starts a new incarnation without instances.
     pub fn restart(&mut self, now: Micros) {
         let size = self.machine.config.clone();
         self.incarnation += 1;
@@ -427,30 +428,32 @@
         &mut self,
         now: Micros,
         every: Micros,
-        others: Option<(Others, f64)>,
+        background: Option<(BackgroundRouters, f64)>,
     ) -> LoadReport {
         match self.report {
             Some((at, report)) if now < at + every => report,
             _ => {
                 let own = self.machine.load_report();
-                let report =
-                    others.map_or(own, |(others, jobs)| others.in_report(now, self, own, jobs));
+                let report = background.map_or(own, |(background, jobs)| {
+                    background.add_to_report(now, self, own, jobs)
+                });
                 self.report = Some((now, report));
                 report
             }
         }
     }
-    pub(crate) fn others_had(
+    pub(crate) fn add_background_instances(
         &mut self,
         now: Micros,
-        others: Others,
+        background: BackgroundRouters,
         functions: &Functions,
         n: usize,
         workers: usize,
     ) {
-        if others.stands(now, self, functions, n, workers) {
+        if background.has_instance(now, self, functions, n, workers) {
             let f = &functions.all[n];
-            self.machine.preload(now, &f.name, f.memory_mb, f.lanes);
+            self.machine
+                .preload(now, &f.name, f.memory_mb, f.concurrency);
         }
     }
 }
--- a/crates/sanddrum-lab/src/capacity/output.rs
+++ b/crates/sanddrum-lab/src/capacity/output.rs
@@ -1,15 +1,15 @@
-//! The files that a run leaves: all in one JSON file, and points and slopes as CSV. Each is written beside itself and
-//! renamed, so that there is a whole one at any time.
+//! The result files of a run: a JSON file with all results, and CSV files of points and slopes. Each file is written
+//! under a temporary name and renamed, so that a complete file exists at any time.
 
-use super::fit::figure;
+use super::fit::format_value;
 use super::point::{slopes, Point, Slope};
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 
-/// What was measured, with what.
+/// The results of a run, with the plan and the seed that produced them.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// All that was asked for was measured; a run that was cut short leaves `false`.
+    /// Everything that was requested has been measured; `false` after an interrupted run.
     pub complete: bool,
     pub plan: String,
     pub seed: u64,
@@ -23,7 +23,7 @@
 }
 
 #[derive(Serialize)]
-struct Whole<'a> {
+struct Results<'a> {
     complete: bool,
     seed: u64,
     machine: Machine,
@@ -42,7 +42,7 @@
     points: String,
     not_finished: String,
     worked_out: bool,
-    shape: super::Form,
+    shape: super::FitShape,
     line_at_nought: f64,
     line_slope: f64,
     line_residual: f64,
@@ -52,14 +52,14 @@
 }
 
 impl Summary {
-    /// All slopes, one a line, for people.
+    /// A human-readable table of all slopes, one per line.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for s in slopes(&self.points) {
             let each = |points: &[(f64, f64)]| {
                 let each = points
                     .iter()
-                    .map(|(at, value)| format!("{}: {}", figure(*at), figure(*value)));
+                    .map(|(at, value)| format!("{}: {}", format_value(*at), format_value(*value)));
                 each.collect::<Vec<_>>().join(", ")
             };
             let cut = match s.not_finished.is_empty() {
@@ -82,20 +82,20 @@
     }
 }
 
-/// The folder that a run's files go to.
+/// The folder of the result files.
 #[derive(Clone, Debug)]
 pub struct Output {
     folder: PathBuf,
 }
 
-/// The file that has all.
-pub const WHOLE: &str = "capacity.json";
+/// The file with all results.
+pub const RESULTS_FILE: &str = "capacity.json";
 
 impl Output {
-    /// Makes the folder.
+    /// Creates the folder if it doesn't exist.
     ///
     /// # Errors
-    /// It can't be made.
+    /// The folder can't be created.
     pub fn new(folder: &Path) -> Result<Self, String> {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         Ok(Output {
@@ -104,7 +104,7 @@
     }
     pub(crate) fn write(&self, summary: &Summary) -> Result<(), String> {
         let slopes = slopes(&summary.points);
-        let whole = Whole {
+        let results = Results {
             complete: summary.complete,
             seed: summary.seed,
             machine: Machine {
@@ -115,8 +115,8 @@
             slopes: &slopes,
             points: &summary.points,
         };
-        let json = serde_json::to_vec_pretty(&whole).map_err(|e| e.to_string())?;
-        self.replace(WHOLE, &json)?;
+        let json = serde_json::to_vec_pretty(&results).map_err(|e| e.to_string())?;
+        self.replace(RESULTS_FILE, &json)?;
         self.replace("points.csv", &csv(&summary.points)?)?;
         let rows: Vec<Row> = slopes.iter().map(row).collect();
         self.replace("slopes.csv", &csv(&rows)?)
--- a/crates/sanddrum-lab/src/capacity/plan.rs
+++ b/crates/sanddrum-lab/src/capacity/plan.rs
@@ -1,113 +1,113 @@
-//! What is to be measured, at which sizes: a deployment, and what each play says beside it.
+//! Capacity plans: the expected deployment and the sizes at which each benchmark measures.
 
-use super::{model, PLAYS};
+use super::{model, BENCHMARKS};
 use sanddrum_settings::{key, LoadedSettings, Occurrence, Section, SettingsError, ValueType};
 use std::path::PathBuf;
 
-/// The operators' sizes; a fifth to a third of an hour.
+/// The sizes that the operators expect; takes 12 to 20 minutes.
 pub const DEFAULT_PLAN: &str = include_str!("../../scenarios/capacity.sx");
-/// The same plays at sizes that take seconds.
+/// The same benchmarks at sizes that take seconds.
 pub const SHORT_PLAN: &str = include_str!("../../scenarios/capacity-short.sx");
 
 const DEPLOYMENT: Section = Section {
     name: "capacity",
     prefix: "capacity",
     occurrence: Occurrence::Once,
-    description: "what the operators expect to run",
+    description: "the deployment that the operators expect",
     keys: &[
         key(
             "routers",
             ValueType::Integer(1.0, 1e6),
             Some("4200"),
-            "of all zones together",
+            "number of routers in all zones",
         ),
         key(
             "workers",
             ValueType::Integer(1.0, 1e6),
             Some("10000"),
-            "of all zones together",
+            "number of workers in all zones",
         ),
         key(
             "functions",
             ValueType::Integer(1.0, 1e8),
             Some("200000"),
-            "that are called at all",
+            "number of functions that are called at all",
         ),
         key(
             "calls",
             ValueType::Number(0.1, 1e9),
             Some("670000"),
-            "a second, at all routers together",
+            "requests a second at all routers together",
         ),
         key(
             "changes",
             ValueType::Number(0.0, 1e9),
             Some("12000"),
-            "of the configuration a day",
+            "configuration changes a day",
         ),
         key(
             "failed",
             ValueType::Number(0.0, 1e6),
             Some("23"),
-            "workers that fail on a day",
+            "workers that fail a day",
         ),
         key(
             "replaced",
             ValueType::Number(0.0, 1e6),
             Some("340"),
-            "workers restarted or replaced on a day",
+            "workers restarted or replaced a day",
         ),
         key(
             "zones",
             ValueType::Integer(1.0, 1e4),
             Some("19"),
-            "in all regions",
+            "number of zones in all regions",
         ),
         key(
             "regions",
             ValueType::Integer(1.0, 1e3),
             Some("5"),
-            "that may lose each other",
+            "number of regions, which may lose contact with each other",
         ),
         key(
             "start-within",
             ValueType::Duration,
             Some("1800ms"),
-            "a cold start takes no longer for nearly all",
+            "the time within which nearly all cold starts complete",
         ),
         key(
             "start-part",
             ValueType::Number(0.0, 1.0),
             Some("99%"),
-            "nearly all",
+            "the fraction of cold starts that counts as nearly all",
         ),
         key(
             "in-force-within",
             ValueType::Duration,
             Some("15s"),
-            "a change of configuration is in force everywhere",
+            "the time within which a configuration change applies everywhere",
         ),
         key(
             "time-a-point",
             ValueType::Duration,
             Some("60s"),
-            "real time after which a point counts as not finished",
+            "real time after which a point is reported as not finished",
         ),
     ],
 };
 
-/// The machine's memory, and how much of it a play may use.
+/// The machine's memory, and how much of it a benchmark may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Memory {
-    /// In bytes.
+    /// The machine's memory in bytes.
     pub total: u64,
 }
 
 impl Memory {
-    /// As the kernel tells it.
+    /// Reads the size from `/proc/meminfo`.
     ///
     /// # Errors
-    /// It doesn't.
+    /// The file can't be read or doesn't contain the size.
     pub fn of_machine() -> Result<Self, String> {
         let file = "/proc/meminfo";
         let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
@@ -117,8 +117,8 @@
         let total = kilobytes.ok_or_else(|| format!("{file}: no MemTotal"))? * 1024;
         Ok(Memory { total })
     }
-    /// Half of it, in bytes.
-    pub fn most(self) -> u64 {
+    /// The memory that a benchmark may use, in bytes: half of the total.
+    pub fn limit(self) -> u64 {
         self.total / 2
     }
 }
@@ -130,19 +130,19 @@
     pub text: String,
     pub seed: u64,
     pub memory: Memory,
-    /// The program that runs parts as processes; without it those plays are left out.
+    /// The executable that runs an edge as a process of its own; measurements that need it are skipped without it.
     pub program: Option<PathBuf>,
 }
 
 impl Plan {
-    /// Reads a plan and checks it.
+    /// Parses and validates a plan.
     ///
     /// # Errors
-    /// What is wrong with it, and where: what can't be played is refused here, with its key.
+    /// The plan can't be parsed or can't be measured; the error names the key and its position.
     pub fn read(file: &str, text: &str, seed: u64, memory: Memory) -> Result<Self, SettingsError> {
         let sections: Vec<Section> = [DEPLOYMENT, model::SECTION]
             .into_iter()
-            .chain(PLAYS.iter().map(|play| play.section))
+            .chain(BENCHMARKS.iter().map(|benchmark| benchmark.section))
             .collect();
         let settings = sanddrum_settings::read_with(file, text, &sections)?;
         let plan = Plan {
@@ -153,28 +153,30 @@
             program: None,
         };
         model::check(&plan)?;
-        PLAYS.iter().try_for_each(|play| (play.check)(&plan))?;
+        BENCHMARKS
+            .iter()
+            .try_for_each(|benchmark| (benchmark.check)(&plan))?;
         Ok(plan)
     }
-    /// Refuses sizes that need more than half of the machine's memory.
+    /// Rejects sizes that need more than half of the machine's memory.
     ///
     /// # Errors
-    /// With this key.
-    pub fn fits(&self, key: &str, what: &str, bytes: u64) -> Result<(), SettingsError> {
-        let most = self.memory.most();
-        if bytes <= most {
+    /// `bytes` is above that limit; the error names `key`.
+    pub fn check_memory(&self, key: &str, what: &str, bytes: u64) -> Result<(), SettingsError> {
+        let limit = self.memory.limit();
+        if bytes <= limit {
             return Ok(());
         }
         let mb = |bytes: u64| bytes / (1 << 20);
         let what = format!(
             "{key}: {what} need about {} MB, more than half of this machine's memory ({} MB)",
             mb(bytes),
-            mb(most)
+            mb(limit)
         );
-        Err(self.problem(key, what, "set a smaller size"))
+        Err(self.error(key, what, "set a smaller size"))
     }
-    /// A problem that concerns a setting or a list, with its place in the file.
-    pub fn problem(
+    /// An error about a setting or a list of settings, with its position in the file.
+    pub fn error(
         &self,
         key: &str,
         what: impl Into<String>,
@@ -188,14 +190,18 @@
         };
         self.settings.error_at(at, what, remedy)
     }
-    /// A list of sizes; an empty one is refused.
+    /// A list of sizes.
     ///
     /// # Errors
-    /// With this key.
+    /// The list is empty; the error names `key`.
     pub fn sizes(&self, key: &str) -> Result<Vec<u64>, SettingsError> {
         let sizes = self.settings.integers(key);
         if sizes.is_empty() {
-            return Err(self.problem(key, format!("{key}: no size is named"), "as 10 100 1000"));
+            return Err(self.error(
+                key,
+                format!("{key}: no size is named"),
+                "for example 10 100 1000",
+            ));
         }
         Ok(sizes)
     }
--- a/crates/sanddrum-lab/src/capacity/point.rs
+++ b/crates/sanddrum-lab/src/capacity/point.rs
@@ -1,9 +1,9 @@
-//! One measured figure, and the slopes that several of them make.
+//! Measured points, and the slopes fitted to them.
 
 use super::fit::{fit, Fit};
 use serde::Serialize;
 
-/// Whose cost it is.
+/// The part of the deployment whose cost a point measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -15,37 +15,37 @@
     StartTarget,
 }
 
-/// Where a figure comes from.
+/// Where the value of a point comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
-    /// Measured in a play.
+    /// Measured in a benchmark run.
     Played,
-    /// Worked out from the counters of other plays.
+    /// Computed from the counters of other runs.
     WorkedOut,
-    /// The play passed its bound on real time: what was measured until then. Left out of slopes.
+    /// The run exceeded its limit on real time; the value covers the part measured until then and is left out of slopes.
     NotFinished,
 }
 
-/// One figure at one size.
+/// The value of one figure at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Point {
     pub role: Role,
-    /// Which play, as `router alone, orders off`.
+    /// The benchmark run, for example `router among others, orders off`.
     pub play: String,
-    /// What was measured, as `processor time a call`.
+    /// What was measured, for example `processor time a call`.
     pub figure: String,
-    /// Its unit, as `us`.
+    /// The unit of the value, for example `us`.
     pub unit: &'static str,
-    /// What grows along the slope, as `workers`.
+    /// The quantity that is varied, for example `workers`.
     pub axis: &'static str,
-    /// How many of them.
+    /// The position on the axis.
     pub at: f64,
     pub value: f64,
     pub source: Source,
 }
 
-/// A figure over its axis.
+/// The values of one figure along its axis, and their fit.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
     pub role: Role,
@@ -53,15 +53,15 @@
     pub figure: String,
     pub unit: &'static str,
     pub axis: &'static str,
-    /// Where and what, in the order of the axis; the mean where a size was measured several times.
+    /// Position and value, sorted by position; the mean where a size was measured several times.
     pub points: Vec<(f64, f64)>,
-    /// Sizes that were not finished, with what was measured until then.
+    /// Position and partial value of the sizes that were not finished.
     pub not_finished: Vec<(f64, f64)>,
     pub worked_out: bool,
     pub fit: Fit,
 }
 
-/// Points of one role, play, figure and axis make a slope, in the order they first came.
+/// Groups points of the same role, play, figure, axis and unit into slopes, in the order of their first point.
 pub fn slopes(points: &[Point]) -> Vec<Slope> {
     let mut slopes: Vec<Slope> = Vec::new();
     for p in points {
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real_edge.rs
@@ -1,10 +1,10 @@
 //! The real thing beside the hollow one: an edge's core with the stand-in workers, list service and store on the virtual
 //! network, and the same calls and lists given to a hollow router.
 
-use super::clock::Clock;
-use super::decision_host::{Decision, Written};
-use super::model::{Functions, Model, Shape};
-use super::simulated::{Call, Calls, Fleet, Lists, Loads, Spec};
+use super::cpu_clock::ThreadCpuClock;
+use super::decision_host::{Decision, RecordedDecisions};
+use super::model::{Functions, Model, Popularity};
+use super::simulated::{Arrival, Arrivals, Fleet, FleetSpec, ListSource, LoadTimes};
 use crate::{play, Recording, Scenario, VirtualEnvironment};
 use sanddrum::{Decisions, EndpointList, EventBatch, Micros, Request, Router};
 use sanddrum_edge::{DecisionModule, Edge, EdgeOptions};
@@ -14,9 +14,9 @@
 
 /// What a real edge was seen to do.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ObservedEdge {
     /// Jobs and lists as they came to the module, and what it decided.
-    pub jobs: Vec<(Micros, Request)>,
+    pub requests: Vec<(Micros, Request)>,
     pub lists: Vec<(Micros, EndpointList)>,
     pub decisions: Vec<(Micros, Decision)>,
     /// Processor time of the whole edge and of its module's rounds, in nanoseconds.
@@ -27,53 +27,56 @@
     seed: u64,
 }
 
-type Shared = Rc<RefCell<Seen>>;
+type Shared = Rc<RefCell<ObservedEdge>>;
 
 /// A module whose news and decisions are seen.
-struct Watched {
+struct RecordingModule {
     module: Router,
-    seen: Shared,
-    clock: Clock,
+    observed: Shared,
+    clock: ThreadCpuClock,
 }
 
-impl DecisionModule for Watched {
+impl DecisionModule for RecordingModule {
     fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
-        let mut written = Written::default();
-        let began = Clock::now();
+        let mut written = RecordedDecisions::default();
+        let began = ThreadCpuClock::now();
         self.module.handle(now, round, &mut written);
-        let took = self.clock.passed(began);
-        let mut seen = self.seen.borrow_mut();
-        seen.module_nanoseconds += took;
-        seen.rounds.push((now, round.clone()));
-        seen.jobs
-            .extend(round.requests.iter().map(|job| (now, *job)));
-        seen.lists
+        let took = self.clock.elapsed_since(began);
+        let mut observed = self.observed.borrow_mut();
+        observed.module_nanoseconds += took;
+        observed.rounds.push((now, round.clone()));
+        observed
+            .requests
+            .extend(round.requests.iter().map(|request| (now, *request)));
+        observed
+            .lists
             .extend(round.endpoint_lists.iter().map(|list| (now, list.clone())));
-        seen.decisions
+        observed
+            .decisions
             .extend(written.0.iter().map(|decision| (now, decision.clone())));
-        drop(seen);
+        drop(observed);
         written.0.iter().for_each(|decision| decision.write(out));
     }
 }
 
 /// A core whose processor time is taken.
-struct Timed {
+struct TimedCore {
     core: Box<dyn Core>,
-    seen: Shared,
-    clock: Clock,
+    observed: Shared,
+    clock: ThreadCpuClock,
 }
 
-impl Timed {
+impl TimedCore {
     fn time<T>(&mut self, what: impl FnOnce(&mut dyn Core) -> T) -> T {
-        let began = Clock::now();
+        let began = ThreadCpuClock::now();
         let gives = what(&mut *self.core);
-        let took = self.clock.passed(began);
-        self.seen.borrow_mut().edge_nanoseconds += took;
+        let took = self.clock.elapsed_since(began);
+        self.observed.borrow_mut().edge_nanoseconds += took;
         gives
     }
 }
 
-impl Core for Timed {
+impl Core for TimedCore {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.time(|core| core.start(now, io));
     }
@@ -116,7 +119,7 @@
 }
 
 /// Links that take the same time for each message.
-pub fn even_links() -> LinkModel {
+pub fn uniform_links() -> LinkModel {
     LinkModel {
         jitter: 0.0,
         split_probability: 0.0,
@@ -129,35 +132,36 @@
 ///
 /// # Errors
 /// The scenario can't be set up.
-pub fn real(mut scenario: Scenario) -> Result<Seen, String> {
+pub fn run_real_edge(mut scenario: Scenario) -> Result<ObservedEdge, String> {
     scenario.edges = 1;
     scenario
         .calls
         .iter_mut()
         .for_each(|calls| calls.exact = true);
-    let seen: Shared = Rc::new(RefCell::new(Seen::default()));
-    let (recording, shared) = (Recording::default(), seen.clone());
+    let observed: Shared = Rc::new(RefCell::new(ObservedEdge::default()));
+    let (recording, shared) = (Recording::default(), observed.clone());
     let make_edge = move |start: EdgeOptions| -> Box<dyn Core> {
         shared.borrow_mut().seed = start.seed;
         let module = Router::new(start.seed, &start.settings.decision_settings());
-        let module = Watched {
+        let module = RecordingModule {
             module,
-            seen: shared.clone(),
-            clock: Clock::new(),
+            observed: shared.clone(),
+            clock: ThreadCpuClock::new(),
         };
         let core = Box::new(Edge::with_module(start, module));
-        Box::new(Timed {
+        Box::new(TimedCore {
             core,
-            seen: shared.clone(),
-            clock: Clock::new(),
+            observed: shared.clone(),
+            clock: ThreadCpuClock::new(),
         })
     };
-    let stage = VirtualEnvironment::new(scenario, even_links(), &recording, Box::new(make_edge));
-    let mut stage = stage.map_err(|e| e.to_string())?;
-    let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
-    let mut seen = seen.take();
-    seen.finished = outcome.verdict.finished as usize;
-    Ok(seen)
+    let environment =
+        VirtualEnvironment::new(scenario, uniform_links(), &recording, Box::new(make_edge));
+    let mut environment = environment.map_err(|e| e.to_string())?;
+    let outcome = play(&mut environment, &recording).map_err(|e| e.to_string())?;
+    let mut observed = observed.take();
+    observed.finished = outcome.verdict.finished as usize;
+    Ok(observed)
 }
 
 /// A hollow fleet that gets the calls and lists that a real edge got, at the same instants, with workers of the same
@@ -165,16 +169,16 @@
 ///
 /// # Errors
 /// The scenario's edge can't be set up.
-pub fn hollow(scenario: &Scenario, seen: &Seen) -> Result<Fleet, String> {
+pub fn simulated_fleet(scenario: &Scenario, observed: &ObservedEdge) -> Result<Fleet, String> {
     let address = "127.0.0.1:1";
     let alone = Scenario {
         edges: 1,
         ..scenario.clone()
     };
     let edge = alone.edge(0, address, address).map_err(|e| e.to_string())?;
-    let (l, links) = (&scenario.settings, even_links());
+    let (l, links) = (&scenario.settings, uniform_links());
     let count = l.integer("traffic.functions");
-    let functions = Functions::new(l, count, Shape::Zipf(1.0), scenario.seed);
+    let functions = Functions::new(l, count, Popularity::Zipf(1.0), scenario.seed);
     let worker = scenario.worker(0, address, address, address);
     let mut model = Model::of(l);
     model.size.cores = worker.machine.cores;
@@ -183,38 +187,38 @@
     model.size.memory_mb = worker.machine.memory_mb;
     model.size.concurrent_loads = worker.machine.concurrent_loads;
     model.size.start_us_per_mb = worker.machine.start_us_per_mb;
-    model.report_every = worker.report_interval;
+    model.report_interval = worker.report_interval;
     (model.same_zone, model.cross_zone) = (links.same_zone_latency, links.cross_zone_latency);
-    let numbered = |(at, job): &(Micros, Request)| {
-        let function = functions.all.iter().position(|f| f.id == job.function);
+    let numbered = |(at, request): &(Micros, Request)| {
+        let function = functions.all.iter().position(|f| f.id == request.function);
         let function = function.ok_or("a call of a function that isn't known")?;
-        let work = job.expected_work.unwrap_or_default() as f64;
-        Ok(Call {
+        let work = request.expected_work.unwrap_or_default() as f64;
+        Ok(Arrival {
             at: *at,
             router: 0,
             function,
             work,
-            due: job.deadline,
-            hint: job.expected_work,
+            due: request.deadline,
+            hint: request.expected_work,
         })
     };
-    let calls = seen
-        .jobs
+    let calls = observed
+        .requests
         .iter()
         .map(numbered)
-        .collect::<Result<Vec<Call>, String>>()?;
-    Ok(Fleet::new(Spec {
-        modules: vec![(seen.seed, edge.decision_settings())],
+        .collect::<Result<Vec<Arrival>, String>>()?;
+    Ok(Fleet::new(FleetSpec {
+        modules: vec![(observed.seed, edge.decision_settings())],
         workers: scenario.workers,
         zones: scenario.zones.len(),
         model,
         functions: Rc::new(functions),
-        calls: Calls::Given(calls),
-        lists: Lists::Given(seen.lists.clone()),
-        loads: Loads::Store {
+        calls: Arrivals::Given(calls),
+        lists: ListSource::Given(observed.lists.clone()),
+        loads: LoadTimes::Store {
             us_per_mb: l.number("store.per-mb-us"),
         },
-        others: None,
+        background: None,
         seed: scenario.seed,
     }))
 }
--- a/crates/sanddrum-lab/src/capacity/result_sink.rs
+++ b/crates/sanddrum-lab/src/capacity/result_sink.rs
@@ -1,11 +1,11 @@
-//! Where measured points go, and how a run is told to stop.
+//! Collects measured points and carries the request to stop a run.
 
 use super::output::{Output, Summary};
 use super::point::Point;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A request to stop, as by Ctrl-C. Plays look at it between points, and within one where it takes long.
+/// A request to stop, for example by Ctrl-C. Benchmarks check it between points, and within points that take long.
 #[derive(Clone, Debug, Default)]
 pub struct Stop(Arc<AtomicBool>);
 
@@ -16,41 +16,41 @@
     pub fn set(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
-    /// The flag itself, for a signal handler.
+    /// The flag, for a signal handler.
     pub fn flag(&self) -> Arc<AtomicBool> {
         self.0.clone()
     }
 }
 
-/// Takes points as they are measured: keeps them, tells of them, and writes the files anew.
+/// Collects points as they are measured, reports progress and rewrites the result files after each.
 #[derive(Default)]
 pub struct Sink {
     summary: Summary,
     output: Option<Output>,
-    tells: bool,
+    verbose: bool,
 }
 
 impl Sink {
-    /// One that only keeps the points, for tests.
+    /// A sink that only collects the points, for tests.
     pub fn quiet() -> Self {
         Sink::default()
     }
-    /// One that tells of its progress on stderr and writes to these files.
+    /// A sink that reports progress on stderr and writes the result files.
     pub fn new(output: Output, summary: Summary) -> Self {
         Sink {
             summary,
             output: Some(output),
-            tells: true,
+            verbose: true,
         }
     }
-    /// Takes a point.
+    /// Adds a point.
     ///
     /// # Errors
-    /// The files could not be written.
+    /// The result files could not be written.
     pub fn point(&mut self, point: Point) -> Result<(), String> {
-        let at = super::fit::figure(point.at);
-        let value = super::fit::figure(point.value);
-        self.told(&format!(
+        let at = super::fit::format_value(point.at);
+        let value = super::fit::format_value(point.value);
+        self.progress(&format!(
             "{}: {} {value} {} at {at} {}{}",
             point.play,
             point.figure,
@@ -65,9 +65,9 @@
         self.summary.points.push(point);
         self.write()
     }
-    /// Progress.
-    pub fn told(&self, what: &str) {
-        if self.tells {
+    /// Prints a line of progress to stderr unless the sink is quiet.
+    pub fn progress(&self, what: &str) {
+        if self.verbose {
             eprintln!("{what}");
         }
     }
@@ -77,10 +77,10 @@
     pub fn summary(&self) -> &Summary {
         &self.summary
     }
-    /// Nothing more is measured; the files say whether all was.
+    /// Ends the run and writes the result files, which say whether it was complete.
     ///
     /// # Errors
-    /// The files could not be written.
+    /// The result files could not be written.
     pub fn finish(&mut self, complete: bool) -> Result<(), String> {
         self.summary.complete = complete;
         self.write()
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -1,106 +1,109 @@
-//! What one router costs: its decision module as one of many, over workers, functions, calls a second and the count of
-//! routers; and what a change of the worker list costs it.
+//! The costs of a single router among many: its decision module over the numbers of workers, functions, requests a second
+//! and routers, and the cost of changes of the endpoint list.
 
 use super::decision_host::Counts;
-use super::model::{Functions, Model, Others, Shape};
-use super::simulated::{Calls, Fleet, Lists, Loads, Played, Spec, BEGIN};
-use super::{beside, edge_process, memory, workers, Plan, Play, Point, Role, Sink, Source, Stop};
+use super::model::{BackgroundRouters, Functions, Model, Popularity};
+use super::simulated::{Arrivals, Fleet, FleetSpec, ListSource, LoadTimes, RunStatus, START_TIME};
+use super::{
+    derived, edge_comparison, edge_process, memory, Benchmark, Plan, Point, Role, Sink, Source,
+    Stop,
+};
 use sanddrum::{Micros, Settings, Value};
 use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-pub const PLAY: Play = Play {
+pub const BENCHMARK: Benchmark = Benchmark {
     name: "router",
     section: Section {
         name: "router-plays",
         prefix: "router-plays",
         occurrence: Occurrence::Once,
-        description: "one router as one of many",
+        description: "one router among many",
         keys: &[
             key(
                 "workers",
                 ValueType::Integers(1.0, 1e6),
                 Some("100 1000 10000"),
-                "sizes along the workers",
+                "numbers of workers to measure",
             ),
             key(
                 "functions",
                 ValueType::Integers(1.0, 1e8),
                 Some("2000 20000 200000 2000000"),
-                "along the functions",
+                "numbers of functions to measure",
             ),
             key(
                 "calls",
                 ValueType::Integers(1.0, 1e6),
                 Some("16 160 1600"),
-                "a second at the router",
+                "requests a second at the router to measure",
             ),
             key(
                 "routers",
                 ValueType::Integers(1.0, 1e6),
                 Some("42 420 4200"),
-                "along the count of routers",
+                "numbers of routers to measure",
             ),
             key(
                 "changes",
                 ValueType::Integers(1.0, 1e9),
                 Some("1200 12000 120000"),
-                "of the worker list a day",
+                "changes of the endpoint list a day",
             ),
             key(
                 "real-workers",
                 ValueType::Integers(1.0, 1e4),
                 Some("10 100 1000"),
-                "beside a real edge, as long as length",
+                "numbers of workers for the comparison with a real edge, which takes length",
             ),
             key(
                 "at-workers",
                 ValueType::Integer(1.0, 1e6),
                 Some("10000"),
-                "workers along the other axes",
+                "number of workers when another quantity is varied",
             ),
             key(
                 "warm-up",
                 ValueType::Duration,
                 Some("16s"),
-                "before anything is counted",
+                "virtual time before counting starts",
             ),
             key(
                 "length",
                 ValueType::Duration,
                 Some("32s"),
-                "for so long it is",
+                "virtual time for which counts are taken",
             ),
             key(
                 "weigh",
                 ValueType::Duration,
                 Some("30s"),
-                "real time in which a module's memory is told, or isn't",
+                "limit on the real time for measuring a module's memory",
             ),
             key(
                 "stands-by",
                 ValueType::Duration,
                 Some("5s"),
-                "real time for which an edge process without calls is looked at",
+                "real time for which an idle edge process is measured",
             ),
             key(
                 "list-changes",
                 ValueType::Integer(0.0, 1e6),
                 Some("300"),
-                "of the list, to tell what one costs",
+                "changes of the endpoint list from which the mean cost is measured",
             ),
         ],
     },
     check,
-    play,
+    run,
 };
 
-/// About what a hollow worker and a row of the list take, with the copies there; measured with room to spare.
-const BYTES_A_WORKER: u64 = 8 << 10;
-const BYTES_A_FUNCTION: u64 = 512;
-/// A router's module knows each worker.
-const BYTES_A_KNOWN_WORKER: u64 = 1 << 10;
+/// Approximate memory of a simulated worker with its instances and row in the endpoint list; measured, with a margin.
+const BYTES_PER_WORKER: u64 = 8 << 10;
+const BYTES_PER_FUNCTION: u64 = 512;
+/// Approximate memory of the router's module for each worker in the endpoint list.
+const BYTES_PER_KNOWN_WORKER: u64 = 1 << 10;
 
 fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
@@ -115,16 +118,16 @@
         let key = format!("router-plays.{name}");
         let sizes = plan.sizes(&key)?;
         let each = match name {
-            "workers" | "real-workers" => BYTES_A_WORKER + BYTES_A_KNOWN_WORKER,
-            "functions" => BYTES_A_FUNCTION,
+            "workers" | "real-workers" => BYTES_PER_WORKER + BYTES_PER_KNOWN_WORKER,
+            "functions" => BYTES_PER_FUNCTION,
             _ => 0,
         };
         let most = sizes.into_iter().max().unwrap_or(0);
-        plan.fits(&key, &format!("{most} {name}"), most.saturating_mul(each))?;
+        plan.check_memory(&key, &format!("{most} {name}"), most.saturating_mul(each))?;
     }
     let most = l.integer("router-plays.at-workers") as u64;
-    let each = BYTES_A_WORKER + BYTES_A_KNOWN_WORKER;
-    plan.fits(
+    let each = BYTES_PER_WORKER + BYTES_PER_KNOWN_WORKER;
+    plan.check_memory(
         "router-plays.at-workers",
         &format!("{most} workers"),
         most.saturating_mul(each),
@@ -133,53 +136,54 @@
         let key = "router-plays.length-us";
         return Err(l.error_at(
             key,
-            "router-plays.length: nothing would be counted",
-            "set it above 0s",
+            "router-plays.length: nothing would be counted in 0s",
+            "set a length above 0s",
         ));
     }
     Ok(())
 }
 
-/// A router, in one way to play it.
+/// A variant of the benchmark of a single router.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Variant {
     name: &'static str,
     orders: bool,
-    others: bool,
-    /// The module is told how many routers there are, whether it may order, and nothing else: it may not probe either.
-    bare: bool,
+    background: bool,
+    /// The module gets only the number of routers, whether it may send load commands and what a cold miss does; without
+    /// further settings it sends no health checks either.
+    minimal: bool,
 }
 
-const fn way(name: &'static str, orders: bool, others: bool, bare: bool) -> Way {
-    Way {
+const fn variant(name: &'static str, orders: bool, background: bool, minimal: bool) -> Variant {
+    Variant {
         name,
         orders,
-        others,
-        bare,
+        background,
+        minimal,
     }
 }
 
-const WAYS: [Way; 4] = [
-    way("bare module alone, orders off", false, false, true),
-    way("bare module alone, orders on", true, false, true),
-    way("router among others, orders off", false, true, false),
-    way("router among others, orders on", true, true, false),
+const VARIANTS: [Variant; 4] = [
+    variant("bare module alone, orders off", false, false, true),
+    variant("bare module alone, orders on", true, false, true),
+    variant("router among others, orders off", false, true, false),
+    variant("router among others, orders on", true, true, false),
 ];
-/// The way that an edge goes by default.
-const USUAL: Way = WAYS[3];
+/// The variant that matches an edge with default settings.
+const DEFAULT_VARIANT: Variant = VARIANTS[3];
 
-/// One size.
+/// The size of the deployment in one measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub workers: usize,
     pub functions: usize,
-    /// A second at the router.
+    /// Requests a second at the router.
     pub calls: f64,
     pub routers: usize,
 }
 
 impl Size {
-    fn usual(plan: &Plan) -> Self {
+    fn from_plan(plan: &Plan) -> Self {
         let l = &plan.settings;
         let routers = l.integer("capacity.routers");
         Size {
@@ -191,10 +195,10 @@
     }
 }
 
-/// The module's settings as an edge of this number makes them from its own.
+/// The decision module's settings, as the edge with this number derives them from the plan.
 ///
 /// # Errors
-/// A setting is refused.
+/// A setting is rejected.
 pub fn module_settings(
     plan: &Plan,
     number: usize,
@@ -221,9 +225,9 @@
     Ok(l.decision_settings())
 }
 
-impl Way {
+impl Variant {
     fn settings(&self, plan: &Plan, routers: usize) -> Result<Settings, String> {
-        if !self.bare {
+        if !self.minimal {
             return module_settings(plan, 0, routers, self.orders);
         }
         let mut settings = Settings::default();
@@ -241,31 +245,37 @@
     }
 }
 
-/// A module's seed, as a scenario gives them to edges.
+/// The seed of a decision module, computed as scenarios do for edges.
 pub fn module_seed(plan: &Plan, number: usize) -> u64 {
     plan.seed
         .wrapping_mul(1009)
         .wrapping_add(number as u64 * 101 + 1)
 }
 
-/// One router's fleet at a size, with these settings of its module.
-pub fn alone(plan: &Plan, size: &Size, settings: Settings, others: bool, until: Micros) -> Fleet {
+/// A fleet with a single simulated router.
+pub fn single_router_fleet(
+    plan: &Plan,
+    size: &Size,
+    settings: Settings,
+    background: bool,
+    until: Micros,
+) -> Fleet {
     let l = &plan.settings;
-    let shape = Shape::Zipf(l.number("model.zipf"));
+    let shape = Popularity::Zipf(l.number("model.zipf"));
     let rest = size.calls * (size.routers - 1) as f64;
-    Fleet::new(Spec {
+    Fleet::new(FleetSpec {
         modules: vec![(module_seed(plan, 0), settings)],
         workers: size.workers,
         zones: l.names("zones").len(),
         model: Model::of(l),
         functions: Rc::new(Functions::new(l, size.functions, shape, plan.seed)),
-        calls: Calls::Drawn {
+        calls: Arrivals::Random {
             rate: size.calls,
             until,
         },
-        lists: Lists::AtStart,
-        loads: Loads::Drawn,
-        others: others.then_some(Others {
+        lists: ListSource::AtStart,
+        loads: LoadTimes::Random,
+        background: background.then_some(BackgroundRouters {
             calls: rest,
             seed: plan.seed,
         }),
@@ -273,118 +283,125 @@
     })
 }
 
-/// What a play of one router gave.
-pub struct Measured {
+/// The result of a run with a single router.
+pub struct Measurement {
     pub counts: Counts,
-    /// Virtual seconds for which it was counted.
+    /// Virtual seconds that the counts cover.
     pub seconds: f64,
-    pub links: usize,
-    pub played: Played,
-    /// Rounds of the whole play, to play them again.
+    pub connections: usize,
+    pub status: RunStatus,
+    /// All rounds of the run, so that they can be replayed.
     pub rounds: Vec<(Micros, sanddrum::EventBatch)>,
-    /// Kept, as its memory, once freed, would be what a module that is weighed gets.
+    /// Kept alive: once freed, its memory would be reused by the modules whose memory is measured next.
     pub fleet: Fleet,
 }
 
-/// Plays one router through its warm-up and what is counted, within a bound on real time.
+/// Runs a single router through the warm-up and the counted time, within the limit on real time.
 pub fn measure(
     plan: &Plan,
     size: &Size,
     settings: &Settings,
-    others: bool,
+    background: bool,
     stop: &Stop,
-) -> Measured {
+) -> Measurement {
     let l = &plan.settings;
-    let warm = BEGIN + l.duration_us("router-plays.warm-up-us");
+    let warm = START_TIME + l.duration_us("router-plays.warm-up-us");
     let until = warm + l.duration_us("router-plays.length-us");
-    let mut fleet = alone(plan, size, settings.clone(), others, until);
+    let mut fleet = single_router_fleet(plan, size, settings.clone(), background, until);
     fleet.rounds = Some(Vec::new());
     let deadline = Instant::now()
         + Duration::from_micros(l.duration_us("capacity.time-a-point-us").max(0) as u64);
-    let mut played = fleet.run_until(warm, deadline, stop);
+    let mut status = fleet.run_until(warm, deadline, stop);
     let mut before = fleet.counts();
-    if played == Played::Done {
-        played = fleet.run_until(until, deadline, stop);
+    if status == RunStatus::Done {
+        status = fleet.run_until(until, deadline, stop);
     } else {
-        // What there is counts from the start, warm-up and all.
+        // The partial result counts from the start, including the warm-up.
         before = Counts::default();
     }
-    let since = if before.calls > 0 { warm } else { BEGIN };
-    Measured {
+    let since = if before.calls > 0 { warm } else { START_TIME };
+    Measurement {
         counts: fleet.counts().since(&before),
         seconds: ((fleet.now() - since) as f64 / 1e6).max(1e-6),
-        links: fleet.links(),
-        played,
+        connections: fleet.connections(),
+        status,
         rounds: fleet.rounds.take().unwrap_or_default(),
         fleet,
     }
 }
 
-impl Measured {
-    /// Each figure with its unit.
+impl Measurement {
+    /// The name, unit and value of each figure.
     pub fn figures(&self) -> Vec<(&'static str, &'static str, f64)> {
         let c = &self.counts;
-        let a_call = |n: u64| n as f64 / c.calls.max(1) as f64;
-        let a_second = |n: u64| n as f64 / self.seconds;
+        let per_call = |n: u64| n as f64 / c.calls.max(1) as f64;
+        let per_second = |n: u64| n as f64 / self.seconds;
         vec![
-            ("processor time a call", "us", a_call(c.nanoseconds) / 1e3),
-            ("asks a call", "", a_call(c.asks)),
-            ("orders a call", "", a_call(c.orders)),
-            ("probes a call", "", a_call(c.probes)),
-            ("executions a call", "", a_call(c.executions)),
-            ("loads a call", "", a_call(c.loads)),
+            ("processor time a call", "us", per_call(c.nanoseconds) / 1e3),
+            ("asks a call", "", per_call(c.load_queries)),
+            ("orders a call", "", per_call(c.load_commands)),
+            ("probes a call", "", per_call(c.health_checks)),
+            ("executions a call", "", per_call(c.attempts)),
+            ("loads a call", "", per_call(c.loads)),
             (
                 "finished",
                 "of calls",
                 c.finished as f64 / c.ended().max(1) as f64,
             ),
-            ("cancels a second", "1/s", a_second(c.cancels)),
-            ("handshakes a second", "1/s", a_second(c.handshakes)),
-            ("connections kept", "", self.links as f64),
-            ("control messages a second", "1/s", a_second(c.messages)),
-            ("control bytes a second", "B/s", a_second(c.bytes)),
+            ("cancels a second", "1/s", per_second(c.cancels)),
+            ("handshakes a second", "1/s", per_second(c.handshakes)),
+            ("connections kept", "", self.connections as f64),
+            ("control messages a second", "1/s", per_second(c.messages)),
+            ("control bytes a second", "B/s", per_second(c.bytes)),
             (
                 "processor time of all decisions",
                 "of a core",
-                a_second(c.nanoseconds) / 1e9,
+                per_second(c.nanoseconds) / 1e9,
             ),
             (
                 "processor time of rounds without calls",
                 "of a core",
-                a_second(c.control_nanoseconds) / 1e9,
+                per_second(c.control_nanoseconds) / 1e9,
             ),
             (
                 "processor time of the connection module",
                 "of a core",
-                a_second(c.connection_nanoseconds) / 1e9,
+                per_second(c.connection_nanoseconds) / 1e9,
             ),
         ]
     }
 }
 
-fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    let usual = Size::usual(plan);
+fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+    let base = Size::from_plan(plan);
     let sizes = |name: &str| plan.settings.integers(&format!("router-plays.{name}"));
-    for way in WAYS {
+    for variant in VARIANTS {
         for workers in sizes("workers") {
             let size = Size {
                 workers: workers as usize,
-                ..usual
+                ..base
             };
-            one(plan, sink, stop, way, ("workers", workers as f64), &size)?;
+            run_size(
+                plan,
+                sink,
+                stop,
+                variant,
+                ("workers", workers as f64),
+                &size,
+            )?;
         }
     }
-    workers::work_out(plan, sink)?;
+    derived::derive_points(plan, sink)?;
     for functions in sizes("functions") {
         let size = Size {
             functions: functions as usize,
-            ..usual
+            ..base
         };
-        one(
+        run_size(
             plan,
             sink,
             stop,
-            USUAL,
+            DEFAULT_VARIANT,
             ("functions", functions as f64),
             &size,
         )?;
@@ -392,13 +409,13 @@
     for calls in sizes("calls") {
         let size = Size {
             calls: calls as f64,
-            ..usual
+            ..base
         };
-        one(
+        run_size(
             plan,
             sink,
             stop,
-            USUAL,
+            DEFAULT_VARIANT,
             ("calls a second", calls as f64),
             &size,
         )?;
@@ -406,12 +423,19 @@
     for routers in sizes("routers") {
         let size = Size {
             routers: routers as usize,
-            ..usual
+            ..base
         };
-        one(plan, sink, stop, USUAL, ("routers", routers as f64), &size)?;
+        run_size(
+            plan,
+            sink,
+            stop,
+            DEFAULT_VARIANT,
+            ("routers", routers as f64),
+            &size,
+        )?;
     }
-    beside::play(plan, sink, stop)?;
-    edge_process::play(plan, sink, stop)?;
+    edge_comparison::run(plan, sink, stop)?;
+    edge_process::run(plan, sink, stop)?;
     for workers in sizes("workers") {
         list_changes(
             plan,
@@ -419,35 +443,35 @@
             stop,
             &Size {
                 workers: workers as usize,
-                ..usual
+                ..base
             },
         )?;
     }
     Ok(())
 }
 
-fn one(
+fn run_size(
     plan: &Plan,
     sink: &mut Sink,
     stop: &Stop,
-    way: Way,
+    variant: Variant,
     (axis, at): (&'static str, f64),
     size: &Size,
 ) -> Result<(), String> {
     if stop.is_set() {
         return Ok(());
     }
-    sink.told(&format!("{}, {axis} {at}: {size:?}", way.name));
-    let settings = way.settings(plan, size.routers)?;
-    let measured = measure(plan, size, &settings, way.others, stop);
-    let source = match measured.played {
-        Played::Done => Source::Played,
-        Played::OutOfTime => Source::NotFinished,
-        Played::Stopped => return Ok(()),
+    sink.progress(&format!("{}, {axis} {at}: {size:?}", variant.name));
+    let settings = variant.settings(plan, size.routers)?;
+    let measured = measure(plan, size, &settings, variant.background, stop);
+    let source = match measured.status {
+        RunStatus::Done => Source::Played,
+        RunStatus::OutOfTime => Source::NotFinished,
+        RunStatus::Stopped => return Ok(()),
     };
     let point = |figure: &str, unit: &'static str, value: f64, source: Source| Point {
         role: Role::Router,
-        play: way.name.to_string(),
+        play: variant.name.to_string(),
         figure: figure.to_string(),
         unit,
         axis,
@@ -458,10 +482,10 @@
     for (figure, unit, value) in measured.figures() {
         sink.point(point(figure, unit, value, source))?;
     }
-    if measured.played == Played::Done {
+    if measured.status == RunStatus::Done {
         let limit =
             Duration::from_micros(plan.settings.duration_us("router-plays.weigh-us").max(0) as u64);
-        if let Some(bytes) = memory::of_module(
+        if let Some(bytes) = memory::module_memory(
             &settings,
             module_seed(plan, 0),
             &measured.rounds,
@@ -479,7 +503,7 @@
     Ok(())
 }
 
-/// What a change of the list and a whole list cost a router that has its usual calls.
+/// Measures the cost of a change and of a full endpoint list for a router with its usual request rate.
 fn list_changes(plan: &Plan, sink: &mut Sink, stop: &Stop, size: &Size) -> Result<(), String> {
     let changes = plan.settings.integer("router-plays.list-changes");
     if stop.is_set() || changes == 0 {
@@ -501,7 +525,7 @@
         })
     };
     for (figure, unit, value) in [
-        ("processor time a whole list", "us", costs.whole_us),
+        ("processor time a whole list", "us", costs.full_list_us),
         ("processor time a change", "us", costs.change_us),
         ("bytes a change", "B", costs.change_bytes),
     ] {
@@ -518,18 +542,18 @@
         return Ok(());
     }
     for changes in plan.settings.integers("router-plays.changes") {
-        let (at, a_second) = (changes as f64, changes as f64 / SECONDS_A_DAY);
+        let (at, per_second) = (changes as f64, changes as f64 / SECONDS_PER_DAY);
         for (figure, unit, value) in [
             (
                 "processor time of changes",
                 "of a core",
-                costs.change_us / 1e6 * a_second,
+                costs.change_us / 1e6 * per_second,
             ),
-            ("messages of changes a second", "1/s", a_second),
+            ("messages of changes a second", "1/s", per_second),
             (
                 "bytes of changes a second",
                 "B/s",
-                costs.change_bytes * a_second,
+                costs.change_bytes * per_second,
             ),
         ] {
             point(figure, unit, "changes a day", at, value, Source::WorkedOut)?;
@@ -538,4 +562,4 @@
     Ok(())
 }
 
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
