--- a/crates/sanddrum-lab/src/capacity/simulated.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated.rs
@@ -1,14 +1,15 @@
-//! The hollow fleet: decision modules as they are, with hollow hosts, workers and callers, in virtual time. One queue
-//! of events in one order; equal seeds give equal plays.
+//! The simulated fleet: real decision modules with simulated hosts, workers and clients in virtual time. A single queue
+//! orders all events, so equal seeds give equal runs.
 
 use super::decision_host::{
-    end_of, order_end_of, report_of, warmth_of, Asked, Counts, Decision, Host, HostedJob,
+    execution_outcome, load_outcome, report_from_wire, warmth_from_wire, Counts, Decision,
+    DecisionHost, HostedRequest, PendingControl,
 };
-use super::decision_host::{Mark, Out, Written};
-use super::model::{Functions, Model, Others, SimulatedWorker};
-use super::sizes::Bytes;
-use super::starts::Starts;
-use super::{clock::Clock, Stop};
+use super::decision_host::{Attempt, MessageTag, RecordedDecisions};
+use super::message_sizes::MessageSizes;
+use super::model::{BackgroundRouters, Functions, Model, SimulatedWorker};
+use super::start_stats::StartStats;
+use super::{cpu_clock::ThreadCpuClock, Stop};
 use sanddrum::{
     CellId, Endpoint, EndpointList, EndpointListKind, EventBatch, FunctionId, HealthCheckResult,
     KindId, LoadReport, LoadResult, Micros, Outcome, Request, RequestId, Settings, Warmth,
@@ -22,96 +23,97 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-mod links;
+mod connections;
 mod routers;
 mod workers;
 
-/// Virtual time starts here, well after nought, which stands for long ago.
-pub const BEGIN: Micros = 1_000_000_000;
-/// Rounds of a module in one turn, as an edge has them.
-const ROUNDS_A_TURN: usize = 4;
-/// Real time is looked at once in so many events.
-const LOOK_AT_TIME: u64 = 64;
-/// A worker that is replaced is away so long, and its work is waited for no longer than that.
-const REPLACED_WITHIN: Micros = 5_000_000;
-const DRAINED_WITHIN: Micros = 10_000_000;
-/// How often a drained worker is looked at.
-const DRAIN_LOOK: Micros = 100_000;
+/// Start of virtual time. Well above zero, which stands for a time long ago.
+pub const START_TIME: Micros = 1_000_000_000;
+/// Rounds of a decision module in one turn of its host, as in an edge.
+const MAX_ROUNDS_PER_TURN: usize = 4;
+/// Number of events after which the real time and the stop request are checked.
+const EVENTS_PER_TIME_CHECK: u64 = 64;
+/// Time for which a replaced worker is gone.
+const RESTART_DELAY: Micros = 5_000_000;
+/// Longest time to wait for the work of a draining worker.
+const MAX_DRAIN_TIME: Micros = 10_000_000;
+/// How often a draining worker is checked for remaining work.
+const DRAIN_CHECK_INTERVAL: Micros = 100_000;
 
-/// How a fetch of a function takes.
+/// How long it takes to fetch a function.
 #[derive(Clone, Copy, Debug)]
-pub enum Loads {
-    /// As the model draws it.
-    Drawn,
-    /// As from the stand-in store at full pace, which is in the first zone.
+pub enum LoadTimes {
+    /// A random time from the model.
+    Random,
+    /// The time that the emulated function store in the first zone takes without contention.
     Store { us_per_mb: f64 },
 }
 
-/// A call that reaches a router at a given instant.
+/// A request that arrives at a router at a given time.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
+pub struct Arrival {
     pub at: Micros,
     pub router: usize,
     pub function: usize,
     pub work: f64,
     pub due: Micros,
-    /// What its caller says of its work.
+    /// The amount of work that the client declares.
     pub hint: Option<Micros>,
 }
 
-/// Where a router's worker lists come from.
+/// Where the routers' endpoint lists come from.
 #[derive(Clone, Debug)]
-pub enum Lists {
-    /// The whole at the beginning, and changes as things happen.
+pub enum ListSource {
+    /// A full list at the start, and deltas when workers change.
     AtStart,
-    /// The first router gets these, and no others.
+    /// The first router gets exactly these lists.
     Given(Vec<(Micros, EndpointList)>),
 }
 
-/// Where calls come from.
+/// Where requests come from.
 #[derive(Clone, Debug)]
-pub enum Calls {
-    /// So many a second at each router, each for itself, until then.
-    Drawn {
+pub enum Arrivals {
+    /// Poisson arrivals with `rate` requests a second at each router, independent of the others, until `until`.
+    Random {
         rate: f64,
         until: Micros,
     },
-    Given(Vec<Call>),
+    Given(Vec<Arrival>),
 }
 
-/// A fleet that is to be played.
-pub struct Spec {
-    /// Seed and settings of each module that is played; there are as many routers.
+/// The parameters of a simulated fleet.
+pub struct FleetSpec {
+    /// Seed and settings of the decision module of each simulated router.
     pub modules: Vec<(u64, Settings)>,
     pub workers: usize,
     pub zones: usize,
     pub model: Model,
     pub functions: Rc<Functions>,
-    pub calls: Calls,
-    pub lists: Lists,
-    pub loads: Loads,
-    pub others: Option<Others>,
+    pub calls: Arrivals,
+    pub lists: ListSource,
+    pub loads: LoadTimes,
+    pub background: Option<BackgroundRouters>,
     pub seed: u64,
 }
 
-/// What goes wrong, or changes.
+/// A scripted failure or change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// A machine fails without a word.
+pub enum ScriptedEvent {
+    /// A worker fails without notice.
     Fail(usize),
-    /// A worker is drained and starts anew, empty and cold.
+    /// A worker drains and restarts without instances.
     Replace(usize),
     ZoneLost(usize),
-    ZoneBack(usize),
-    /// The list tells of a worker as it is, for nothing.
-    Tell(usize),
+    ZoneRestored(usize),
+    /// The endpoint list publishes an unchanged worker again.
+    Republish(usize),
 }
 
-/// How a play went on until an instant.
+/// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Played {
+pub enum RunStatus {
     Done,
-    /// The bound on real time was reached before.
+    /// The limit on real time was reached first.
     OutOfTime,
     Stopped,
 }
@@ -126,33 +128,33 @@
     Cancel {
         id: u64,
     },
-    Hold {
+    Load {
         id: u64,
         function: usize,
-        copies: u32,
+        instances: u32,
     },
     Unload {
         function: usize,
     },
-    Probe {
+    HealthCheck {
         id: u64,
     },
 }
 
 enum Answer {
-    Done {
+    ExecutionDone {
         id: u64,
-        ended: ExecutionStatus,
-        copy: Option<InstanceState>,
+        status: ExecutionStatus,
+        instance: Option<InstanceState>,
         report: WireLoadReport,
         worker: usize,
     },
-    Held {
+    LoadDone {
         id: u64,
-        ended: ExecutionStatus,
-        copies: u32,
+        status: ExecutionStatus,
+        instances: u32,
     },
-    Probed {
+    HealthChecked {
         id: u64,
         report: WireLoadReport,
         worker: usize,
@@ -160,10 +162,10 @@
 }
 
 enum Event {
-    /// The next call that a router draws.
-    Call(usize),
-    Given(Call),
-    Turn(usize),
+    /// The next random request at a router.
+    NextArrival(usize),
+    Given(Arrival),
+    RouterWakeup(usize),
     ToWorker {
         worker: usize,
         incarnation: u64,
@@ -174,83 +176,83 @@
         router: usize,
         answer: Answer,
     },
-    WorkerTurn(usize),
+    WorkerWakeup(usize),
     Fetched {
         worker: usize,
         incarnation: u64,
         load: u64,
     },
-    ExecutionLate {
+    AttemptTimeout {
         router: usize,
         id: u64,
     },
-    OrderLate {
+    LoadTimeout {
         router: usize,
         id: u64,
     },
-    ProbeLate {
+    HealthCheckTimeout {
         router: usize,
         id: u64,
     },
-    LinkUp {
+    ConnectionUp {
         router: usize,
-        link: WorkerConnectionId,
+        connection: WorkerConnectionId,
     },
-    /// A connection is to be looked at.
-    Link {
+    /// Checks a connection for its connect timeout, idle timeout or retirement.
+    CheckConnection {
         router: usize,
-        link: WorkerConnectionId,
+        connection: WorkerConnectionId,
     },
-    LinkBroken {
+    ConnectionBroken {
         router: usize,
-        link: WorkerConnectionId,
+        connection: WorkerConnectionId,
     },
     List {
         router: usize,
         list: Rc<EndpointList>,
     },
-    Act(Act),
-    /// A drained worker may have nothing left to do.
+    Scripted(ScriptedEvent),
+    /// Checks whether a draining worker has finished its work.
     Drained {
         worker: usize,
         since: Micros,
     },
-    Back(usize),
-    Noticed(Vec<usize>),
+    WorkerBack(usize),
+    EndpointsPublished(Vec<usize>),
 }
 
 pub struct Fleet {
     now: Micros,
     queue: BTreeMap<(Micros, u64), Event>,
-    posted: u64,
-    pub hosts: Vec<Host>,
+    sequence: u64,
+    pub hosts: Vec<DecisionHost>,
     pub workers: Vec<SimulatedWorker>,
     by_id: BTreeMap<WorkerId, usize>,
     by_function: BTreeMap<FunctionId, usize>,
     functions: Rc<Functions>,
     model: Model,
-    calls: Calls,
-    loads: Loads,
-    others: Option<Others>,
+    calls: Arrivals,
+    loads: LoadTimes,
+    background: Option<BackgroundRouters>,
     zones: usize,
     lost_zones: BTreeSet<usize>,
-    chance: Rng,
+    rng: Rng,
     seed: u64,
-    touched_workers: BTreeSet<usize>,
-    touched_routers: BTreeSet<usize>,
-    bytes: Bytes,
-    /// Calls that came since then count.
-    pub starts: Starts,
-    /// Decisions with their instants and routers, where they are asked for.
+    workers_to_process: BTreeSet<usize>,
+    routers_to_process: BTreeSet<usize>,
+    message_sizes: MessageSizes,
+    /// Start times of the requests that arrive in its window.
+    pub starts: StartStats,
+    /// All decisions with their times and routers, if recording was requested.
     pub log: Option<Vec<(Micros, usize, Decision)>>,
-    /// The first router's rounds, where they are asked for.
+    /// The first router's rounds, if recording was requested.
     pub rounds: Option<Vec<(Micros, EventBatch)>>,
-    clock: Clock,
+    clock: ThreadCpuClock,
 }
 
 impl Fleet {
-    pub fn new(spec: Spec) -> Self {
-        let Spec {
+    pub fn new(spec: FleetSpec) -> Self {
+        let FleetSpec {
             modules,
             workers,
             zones,
@@ -259,18 +261,18 @@
             calls,
             lists,
             loads,
-            others,
+            background,
             seed,
         } = spec;
-        let hollow = (0..workers).map(|n| SimulatedWorker::new(n, zones, &model.size, seed));
-        let workers: Vec<SimulatedWorker> = hollow.collect();
+        let simulated = (0..workers).map(|n| SimulatedWorker::new(n, zones, &model.size, seed));
+        let workers: Vec<SimulatedWorker> = simulated.collect();
         let host = |(n, (seed, settings)): (usize, &(u64, Settings))| {
-            Host::new(*seed, settings, n % zones.max(1))
+            DecisionHost::new(*seed, settings, n % zones.max(1))
         };
         let mut fleet = Fleet {
-            now: BEGIN,
+            now: START_TIME,
             queue: BTreeMap::new(),
-            posted: 0,
+            sequence: 0,
             hosts: modules.iter().enumerate().map(host).collect(),
             by_id: workers.iter().enumerate().map(|(n, w)| (w.id, n)).collect(),
             workers,
@@ -280,45 +282,45 @@
                 .enumerate()
                 .map(|(n, f)| (f.id, n))
                 .collect(),
-            bytes: Bytes::new(&functions),
+            message_sizes: MessageSizes::new(&functions),
             functions,
             model,
             calls,
             loads,
-            others,
+            background,
             zones,
             lost_zones: BTreeSet::new(),
-            chance: Rng::new(seed ^ 0xf1ee7),
+            rng: Rng::new(seed ^ 0xf1ee7),
             seed,
-            touched_workers: BTreeSet::new(),
-            touched_routers: BTreeSet::new(),
-            starts: Starts::default(),
+            workers_to_process: BTreeSet::new(),
+            routers_to_process: BTreeSet::new(),
+            starts: StartStats::default(),
             log: None,
             rounds: None,
-            clock: Clock::new(),
+            clock: ThreadCpuClock::new(),
         };
-        fleet.post_lists(lists);
+        fleet.schedule_lists(lists);
         match fleet.calls.clone() {
-            Calls::Drawn { .. } => {
-                (0..fleet.hosts.len()).for_each(|router| fleet.post_call(router))
+            Arrivals::Random { .. } => {
+                (0..fleet.hosts.len()).for_each(|router| fleet.schedule_arrival(router))
             }
-            Calls::Given(calls) => calls.into_iter().for_each(|call| {
-                fleet.post(call.at, Event::Given(call));
+            Arrivals::Given(calls) => calls.into_iter().for_each(|call| {
+                fleet.schedule(call.at, Event::Given(call));
             }),
         }
         fleet
     }
-    fn post_lists(&mut self, lists: Lists) {
+    fn schedule_lists(&mut self, lists: ListSource) {
         match lists {
-            Lists::AtStart => {
+            ListSource::AtStart => {
                 let rows = (0..self.workers.len()).map(|n| self.row(n)).collect();
                 let list = Rc::new(EndpointList {
                     kind: EndpointListKind::Full,
                     endpoints: rows,
                 });
                 for router in 0..self.hosts.len() {
-                    self.post(
-                        BEGIN,
+                    self.schedule(
+                        START_TIME,
                         Event::List {
                             router,
                             list: list.clone(),
@@ -326,8 +328,8 @@
                     );
                 }
             }
-            Lists::Given(lists) => lists.into_iter().for_each(|(at, list)| {
-                self.post(
+            ListSource::Given(lists) => lists.into_iter().for_each(|(at, list)| {
+                self.schedule(
                     at,
                     Event::List {
                         router: 0,
@@ -340,30 +342,35 @@
     pub fn now(&self) -> Micros {
         self.now
     }
-    /// Has something go wrong at an instant.
-    pub fn script(&mut self, at: Micros, act: Act) {
-        self.post(at, Event::Act(act));
+    /// Schedules a failure or change.
+    pub fn schedule_event(&mut self, at: Micros, event: ScriptedEvent) {
+        self.schedule(at, Event::Scripted(event));
     }
-    /// What all routers counted.
+    /// The sum of the counts of all routers.
     pub fn counts(&self) -> Counts {
         let mut all = Counts::default();
         self.hosts.iter().for_each(|host| all.add(&host.counts));
         all
     }
-    /// Bytes on the wire of a list message of so many rows.
+    /// The size on the wire of a list message with `rows` rows.
     pub fn list_bytes(&self, rows: usize) -> u64 {
-        self.bytes.list(rows)
+        self.message_sizes.list(rows)
     }
-    /// Connections to workers that the routers keep now.
-    pub fn links(&self) -> usize {
+    /// The number of established connections from routers to workers.
+    pub fn connections(&self) -> usize {
         self.hosts
             .iter()
-            .map(|host| host.links.values().filter(|link| link.up).count())
+            .map(|host| {
+                host.connections
+                    .values()
+                    .filter(|connection| connection.up)
+                    .count()
+            })
             .sum()
     }
 
-    /// Plays everything up to this instant, unless the bound on real time or a stop comes before.
-    pub fn run_until(&mut self, until: Micros, deadline: Instant, stop: &Stop) -> Played {
+    /// Processes all events up to `until`, unless the limit on real time is reached or `stop` is set first.
+    pub fn run_until(&mut self, until: Micros, deadline: Instant, stop: &Stop) -> RunStatus {
         let mut steps = 0u64;
         while let Some(at) = self
             .queue
@@ -372,39 +379,39 @@
             .filter(|at| *at <= until)
         {
             steps += 1;
-            if steps.is_multiple_of(LOOK_AT_TIME) {
+            if steps.is_multiple_of(EVENTS_PER_TIME_CHECK) {
                 if stop.is_set() {
-                    return Played::Stopped;
+                    return RunStatus::Stopped;
                 }
                 if Instant::now() >= deadline {
-                    return Played::OutOfTime;
+                    return RunStatus::OutOfTime;
                 }
             }
             self.now = self.now.max(at);
             while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= at) {
                 let event = entry.remove();
-                self.event(event);
+                self.handle_event(event);
             }
-            while let Some(worker) = self.touched_workers.pop_first() {
-                self.worker_turn(worker);
+            while let Some(worker) = self.workers_to_process.pop_first() {
+                self.process_worker(worker);
             }
-            while let Some(router) = self.touched_routers.pop_first() {
-                self.router_turn(router);
-                // What its own turn brings waits for the next, as in an edge.
-                self.touched_routers.remove(&router);
+            while let Some(router) = self.routers_to_process.pop_first() {
+                self.process_router(router);
+                // Events that a turn causes wait for the next turn, as in an edge.
+                self.routers_to_process.remove(&router);
             }
         }
         self.now = self.now.max(until);
-        Played::Done
+        RunStatus::Done
     }
 
-    fn post(&mut self, at: Micros, event: Event) -> (Micros, u64) {
-        self.posted += 1;
-        let key = (at.max(self.now), self.posted);
+    fn schedule(&mut self, at: Micros, event: Event) -> (Micros, u64) {
+        self.sequence += 1;
+        let key = (at.max(self.now), self.sequence);
         self.queue.insert(key, event);
         key
     }
-    fn way(&self, one: usize, other: usize) -> Micros {
+    fn latency_between(&self, one: usize, other: usize) -> Micros {
         if one == other {
             self.model.same_zone
         } else {
@@ -429,14 +436,14 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Call(router) => self.draw_call(router),
-            Event::Given(call) => self.call(call),
-            Event::Turn(router) => {
-                if self.hosts[router].turn_at == Some(self.now) {
-                    self.hosts[router].turn_at = None;
-                    self.touched_routers.insert(router);
+            Event::NextArrival(router) => self.generate_arrival(router),
+            Event::Given(call) => self.accept_request(call),
+            Event::RouterWakeup(router) => {
+                if self.hosts[router].scheduled_wakeup == Some(self.now) {
+                    self.hosts[router].scheduled_wakeup = None;
+                    self.routers_to_process.insert(router);
                 }
             }
             Event::ToWorker {
@@ -446,14 +453,14 @@
                 message,
             } => {
                 if self.workers[worker].up && self.workers[worker].incarnation == incarnation {
-                    self.message(worker, router, message);
-                    self.touched_workers.insert(worker);
+                    self.handle_message(worker, router, message);
+                    self.workers_to_process.insert(worker);
                 }
             }
-            Event::ToRouter { router, answer } => self.answer(router, answer),
-            Event::WorkerTurn(worker) => {
+            Event::ToRouter { router, answer } => self.handle_answer(router, answer),
+            Event::WorkerWakeup(worker) => {
                 if self.workers[worker].wake == Some(self.now) {
-                    self.touched_workers.insert(worker);
+                    self.workers_to_process.insert(worker);
                 }
             }
             Event::Fetched {
@@ -464,41 +471,47 @@
                 let (now, w) = (self.now, &mut self.workers[worker]);
                 if w.up && w.incarnation == incarnation {
                     w.machine.finish_fetch(now, load, true);
-                    self.touched_workers.insert(worker);
+                    self.workers_to_process.insert(worker);
                 }
             }
-            Event::ExecutionLate { router, id } => self.execution_late(router, id),
-            Event::OrderLate { router, id } => self.end_order(router, id, Outcome::TimedOut, 0),
-            Event::ProbeLate { router, id } => self.end_probe(router, id, Outcome::TimedOut, None),
-            Event::LinkUp { router, link } => self.link_up(router, link),
-            Event::Link { router, link } => self.look_at_link(router, link),
-            Event::LinkBroken { router, link } => self.end_link(router, link, Outcome::Reset),
+            Event::AttemptTimeout { router, id } => self.attempt_timed_out(router, id),
+            Event::LoadTimeout { router, id } => self.end_load(router, id, Outcome::TimedOut, 0),
+            Event::HealthCheckTimeout { router, id } => {
+                self.end_health_check(router, id, Outcome::TimedOut, None)
+            }
+            Event::ConnectionUp { router, connection } => self.connection_up(router, connection),
+            Event::CheckConnection { router, connection } => {
+                self.check_connection(router, connection)
+            }
+            Event::ConnectionBroken { router, connection } => {
+                self.end_connection(router, connection, Outcome::Reset)
+            }
             Event::List { router, list } => {
-                let bytes = self.bytes.list(list.endpoints.len());
+                let bytes = self.message_sizes.list(list.endpoints.len());
                 let host = &mut self.hosts[router];
                 host.counts.rows += list.endpoints.len() as u64;
                 (host.counts.messages, host.counts.bytes) =
                     (host.counts.messages + 1, host.counts.bytes + bytes);
                 host.round.endpoint_lists.push((*list).clone());
-                self.listed(router, &list);
-                self.touched_routers.insert(router);
+                self.apply_endpoint_list(router, &list);
+                self.routers_to_process.insert(router);
             }
-            Event::Act(act) => self.act(act),
-            Event::Drained { worker, since } => self.look_at_drained(worker, since),
-            Event::Back(worker) => {
-                self.break_links(worker);
+            Event::Scripted(event) => self.apply_scripted(event),
+            Event::Drained { worker, since } => self.check_drained(worker, since),
+            Event::WorkerBack(worker) => {
+                self.break_connections(worker);
                 self.workers[worker].restart(self.now);
-                self.notice(vec![worker], 0);
+                self.schedule_publish(vec![worker], 0);
             }
-            Event::Noticed(workers) => {
+            Event::EndpointsPublished(workers) => {
                 let rows = workers.into_iter().map(|n| self.row(n)).collect();
                 let list = Rc::new(EndpointList {
                     kind: EndpointListKind::Delta,
                     endpoints: rows,
                 });
                 for router in 0..self.hosts.len() {
-                    let at = self.now + self.way(0, self.hosts[router].zone);
-                    self.post(
+                    let at = self.now + self.latency_between(0, self.hosts[router].zone);
+                    self.schedule(
                         at,
                         Event::List {
                             router,
@@ -510,29 +523,28 @@
         }
     }
 
-    // ---- Calls
+    // ---- Requests
 
-    fn post_call(&mut self, router: usize) {
-        let Calls::Drawn { rate, until } = self.calls else {
+    fn schedule_arrival(&mut self, router: usize) {
+        let Arrivals::Random { rate, until } = self.calls else {
             return;
         };
-        let at =
-            self.now + (self.chance.exponential(1e6 / rate.max(1e-9)).min(1e12) as Micros).max(1);
+        let at = self.now + (self.rng.exponential(1e6 / rate.max(1e-9)).min(1e12) as Micros).max(1);
         if at < until {
-            self.post(at, Event::Call(router));
+            self.schedule(at, Event::NextArrival(router));
         }
     }
-    fn draw_call(&mut self, router: usize) {
-        self.post_call(router);
-        let function = self.functions.draw(&mut self.chance);
-        let work = self.chance.exponential(self.model.work as f64).max(1.0);
-        // What a lost zone's routers would have got goes to the others.
+    fn generate_arrival(&mut self, router: usize) {
+        self.schedule_arrival(router);
+        let function = self.functions.draw(&mut self.rng);
+        let work = self.rng.exponential(self.model.work as f64).max(1.0);
+        // Requests for routers in a lost zone go to the others.
         let mut to = router;
         while self.lost_zones.contains(&self.hosts[to].zone) && self.lost_zones.len() < self.zones {
-            to = self.chance.index(self.hosts.len());
+            to = self.rng.index(self.hosts.len());
         }
         let due = self.now + self.model.time_limit;
-        self.call(Call {
+        self.accept_request(Arrival {
             at: self.now,
             router: to,
             function,
@@ -541,9 +553,9 @@
             hint: None,
         });
     }
-    fn call(&mut self, call: Call) {
+    fn accept_request(&mut self, call: Arrival) {
         let (now, host) = (self.now, &mut self.hosts[call.router]);
-        let Call {
+        let Arrival {
             router,
             function,
             work,
@@ -552,13 +564,13 @@
             ..
         } = call;
         let f = &self.functions.all[function];
-        let id = host.take(HostedJob {
+        let id = host.add_request(HostedRequest {
             function,
             work,
             due,
-            came: now,
-            executions: Vec::new(),
-            out: 0,
+            arrived: now,
+            attempts: Vec::new(),
+            in_flight: 0,
             closed: false,
         });
         host.counts.calls += 1;
@@ -569,15 +581,15 @@
             customer: sanddrum::CustomerId(0),
             deadline: due,
             memory_mb: f.memory_mb,
-            concurrency: f64::from(f.lanes),
+            concurrency: f64::from(f.concurrency),
             load_time: f.load,
             expected_work: hint,
             is_retry: false,
         });
-        self.touched_routers.insert(router);
+        self.routers_to_process.insert(router);
     }
-    /// A seed of its own for what is scripted.
-    pub fn chance(&self) -> Rng {
+    /// A separate random generator for scripted events.
+    pub fn script_rng(&self) -> Rng {
         Rng::new(self.seed ^ 0xac75)
     }
 }
--- a/crates/sanddrum-lab/src/capacity/simulated/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/routers.rs
@@ -1,24 +1,24 @@
-//! What hollow hosts do for their modules: decisions carried out, and what comes back.
+//! The hosts of the decision modules: they carry out decisions and report the results.
 
 use super::*;
 use sanddrum_upstream::WorkerLoad;
 
 impl Fleet {
-    pub(super) fn router_turn(&mut self, router: usize) {
-        for _ in 0..ROUNDS_A_TURN {
+    pub(super) fn process_router(&mut self, router: usize) {
+        for _ in 0..MAX_ROUNDS_PER_TURN {
             let host = &mut self.hosts[router];
             let due = host.wake.is_some_and(|at| at <= self.now);
-            if !due && !host.has_news() {
+            if !due && !host.has_events() {
                 break;
             }
             let mut round = std::mem::take(&mut host.round);
             if due {
                 (round.timer, host.wake) = (true, None);
             }
-            let mut written = Written::default();
-            let began = Clock::now();
+            let mut written = RecordedDecisions::default();
+            let began = ThreadCpuClock::now();
             host.module.handle(self.now, &round, &mut written);
-            let took = self.clock.passed(began);
+            let took = self.clock.elapsed_since(began);
             host.counts.nanoseconds += took;
             if round.requests.is_empty() && round.attempt_results.is_empty() {
                 host.counts.control_nanoseconds += took;
@@ -31,26 +31,27 @@
                 if let Some(log) = &mut self.log {
                     log.push((self.now, router, decision.clone()));
                 }
-                self.carry_out(router, decision);
+                self.execute_decision(router, decision);
             }
         }
-        self.connect(router);
+        self.run_connection_policy(router);
         self.flush(router);
         let host = &mut self.hosts[router];
-        let news = (host.has_news() || !host.news.is_empty()).then_some(self.now);
-        let again = news
+        let connection_events =
+            (host.has_events() || !host.connection_events.is_empty()).then_some(self.now);
+        let again = connection_events
             .into_iter()
             .chain(host.wake)
-            .chain(host.connect_wake)
+            .chain(host.connection_wake)
             .min();
         let again = again.map(|at| at.max(self.now + 1));
-        if let Some(at) = again.filter(|at| host.turn_at.is_none_or(|set| *at < set)) {
-            host.turn_at = Some(at);
-            self.post(at, Event::Turn(router));
+        if let Some(at) = again.filter(|at| host.scheduled_wakeup.is_none_or(|set| *at < set)) {
+            host.scheduled_wakeup = Some(at);
+            self.schedule(at, Event::RouterWakeup(router));
         }
     }
 
-    pub(super) fn carry_out(&mut self, router: usize, decision: Decision) {
+    pub(super) fn execute_decision(&mut self, router: usize, decision: Decision) {
         let now = self.now;
         let host = &mut self.hosts[router];
         match decision {
@@ -59,15 +60,15 @@
                 worker,
                 limit,
             } => {
-                let execution = host.next_execution();
-                let Some(job) = host.jobs.get_mut(&id) else {
+                let execution = host.next_attempt_id();
+                let Some(request) = host.requests.get_mut(&id) else {
                     return;
                 };
-                let (number, limit) = (job.executions.len(), limit.min(job.due - now).max(0));
-                job.executions.push(execution);
-                job.out += 1;
-                let (function, work, closed) = (job.function, job.work, job.closed);
-                host.counts.executions += 1;
+                let (index, limit) = (request.attempts.len(), limit.min(request.due - now).max(0));
+                request.attempts.push(execution);
+                request.in_flight += 1;
+                let (function, work, closed) = (request.function, request.work, request.closed);
+                host.counts.attempts += 1;
                 let message = Message::Execute {
                     id: execution,
                     function,
@@ -77,14 +78,16 @@
                 let due = now + limit;
                 let sent = match closed {
                     true => Err(Outcome::CancelledBeforeStart),
-                    false => self.send(router, worker, Mark::Execution(execution), message, due),
+                    false => {
+                        self.send(router, worker, MessageTag::Attempt(execution), message, due)
+                    }
                 };
-                let (link, late) = match sent {
-                    Ok(link) => (
-                        link,
-                        self.post(
+                let (connection, timeout) = match sent {
+                    Ok(connection) => (
+                        connection,
+                        self.schedule(
                             due,
-                            Event::ExecutionLate {
+                            Event::AttemptTimeout {
                                 router,
                                 id: execution,
                             },
@@ -92,81 +95,85 @@
                     ),
                     Err(_) => (WorkerConnectionId(u64::MAX), (0, 0)),
                 };
-                let out = Out {
-                    job: id,
-                    number,
+                let attempt = Attempt {
+                    request: id,
+                    index,
                     worker,
                     sent: now,
-                    late,
-                    link,
+                    timeout,
+                    connection,
                 };
-                self.hosts[router].executions.insert(execution, out);
+                self.hosts[router].attempts.insert(execution, attempt);
                 if let Err(end) = sent {
-                    self.end_execution(router, execution, end);
+                    self.end_attempt(router, execution, end);
                 }
             }
-            Decision::Cancel { job, execution } => {
-                let Some(job) = host.jobs.get(&job) else {
+            Decision::Cancel {
+                job: request,
+                execution,
+            } => {
+                let Some(request) = host.requests.get(&request) else {
                     return;
                 };
-                let Some(id) = job.executions.get(execution).copied() else {
+                let Some(id) = request.attempts.get(execution).copied() else {
                     return;
                 };
-                let Some(link) = host.executions.get(&id).map(|out| out.link) else {
+                let Some(connection) = host.attempts.get(&id).map(|attempt| attempt.connection)
+                else {
                     return;
                 };
-                if self.take_back(router, id) {
-                    return self.end_execution(router, id, Outcome::CancelledBeforeStart);
+                if self.unsend(router, id) {
+                    return self.end_attempt(router, id, Outcome::CancelledBeforeStart);
                 }
-                self.count_control(router, 1, self.bytes.cancel);
+                self.count_control(router, 1, self.message_sizes.cancel);
                 self.hosts[router].counts.cancels += 1;
-                self.tell(router, link, Message::Cancel { id });
-                self.end_execution(router, id, Outcome::Cancelled);
+                self.send_unanswered(router, connection, Message::Cancel { id });
+                self.end_attempt(router, id, Outcome::Cancelled);
             }
             Decision::PushBack { job, .. } => {
-                host.counts.pushed_back += 1;
+                host.counts.rejected += 1;
                 self.give_up(router, job);
             }
             Decision::Kill { job } => {
-                host.counts.killed += 1;
+                host.counts.failed += 1;
                 self.give_up(router, job);
             }
             Decision::Hold {
                 worker,
                 function,
-                copies,
+                copies: instances,
             } => {
-                let id = host.next_asked();
-                let counted = if copies > 0 {
-                    &mut host.counts.orders
+                let id = host.next_control_id();
+                let counted = if instances > 0 {
+                    &mut host.counts.load_commands
                 } else {
-                    &mut host.counts.asks
+                    &mut host.counts.load_queries
                 };
                 *counted += 1;
-                if copies > 0 {
-                    host.ordered.insert(function, now);
+                if instances > 0 {
+                    host.last_load_sent.insert(function, now);
                 }
                 let Some(n) = self.by_function.get(&function).copied() else {
                     return;
                 };
-                self.count_control(router, 2, self.bytes.hold);
-                let due = now + self.model.order_time_out;
-                let message = Message::Hold {
+                self.count_control(router, 2, self.message_sizes.load);
+                let due = now + self.model.load_timeout;
+                let message = Message::Load {
                     id,
                     function: n,
-                    copies,
+                    instances,
                 };
-                match self.send(router, worker, Mark::Order(id), message, due) {
-                    Ok(link) => {
-                        let late = self.post(due, Event::OrderLate { router, id });
-                        let asked = Asked {
+                match self.send(router, worker, MessageTag::Load(id), message, due) {
+                    Ok(connection) => {
+                        let timeout = self.schedule(due, Event::LoadTimeout { router, id });
+                        let pending = PendingControl {
                             worker,
                             function,
                             sent: now,
-                            late,
-                            link,
+                            timeout,
+                            connection,
                         };
-                        self.hosts[router].orders.insert(id, asked);
+                        self.hosts[router].load_commands.insert(id, pending);
                     }
                     Err(end) => {
                         let end = LoadResult {
@@ -185,34 +192,40 @@
                 let Some(function) = self.by_function.get(&function).copied() else {
                     return;
                 };
-                self.count_control(router, 1, self.bytes.unload);
-                let due = now + self.model.order_time_out;
-                // Nothing is owed for it: where it can't be sent the copies lapse by themselves.
+                self.count_control(router, 1, self.message_sizes.unload);
+                let due = now + self.model.load_timeout;
+                // Unload commands have no result. If this one can't be sent, the instances expire after their keep-alive.
                 let _ = self.send(
                     router,
                     worker,
-                    Mark::Other,
+                    MessageTag::Unanswered,
                     Message::Unload { function },
                     due,
                 );
             }
             Decision::Probe { worker } => {
-                let id = host.next_asked();
-                host.counts.probes += 1;
-                self.count_control(router, 2, self.bytes.probe);
-                let due = now + self.model.probe_time_out;
-                match self.send(router, worker, Mark::Probe(id), Message::Probe { id }, due) {
-                    Ok(link) => {
-                        let late = self.post(due, Event::ProbeLate { router, id });
+                let id = host.next_control_id();
+                host.counts.health_checks += 1;
+                self.count_control(router, 2, self.message_sizes.health_check);
+                let due = now + self.model.health_check_timeout;
+                match self.send(
+                    router,
+                    worker,
+                    MessageTag::HealthCheck(id),
+                    Message::HealthCheck { id },
+                    due,
+                ) {
+                    Ok(connection) => {
+                        let timeout = self.schedule(due, Event::HealthCheckTimeout { router, id });
                         let function = FunctionId::default();
-                        let asked = Asked {
+                        let pending = PendingControl {
                             worker,
                             function,
                             sent: now,
-                            late,
-                            link,
+                            timeout,
+                            connection,
                         };
-                        self.hosts[router].probes.insert(id, asked);
+                        self.hosts[router].health_checks.insert(id, pending);
                     }
                     Err(end) => {
                         let end = HealthCheckResult {
@@ -226,7 +239,7 @@
                 }
             }
             Decision::WakeAt(at) => host.wake = Some(host.wake.map_or(at, |set| set.min(at))),
-            // The list tells by itself.
+            // Endpoint lists are delivered without a subscription.
             Decision::Subscribe => {}
         }
     }
@@ -235,130 +248,159 @@
         (counts.messages, counts.bytes) = (counts.messages + messages, counts.bytes + bytes);
     }
 
-    pub(super) fn end_execution(&mut self, router: usize, id: u64, end: Outcome) {
-        if let Some(out) =
-            self.hosts[router].execution_ended(self.now, id, end, Warmth::Unknown, None, None)
+    pub(super) fn end_attempt(&mut self, router: usize, id: u64, end: Outcome) {
+        if let Some(attempt) =
+            self.hosts[router].attempt_ended(self.now, id, end, Warmth::Unknown, None, None)
         {
-            self.queue.remove(&out.late);
-            self.release(router, out.link, Mark::Execution(id));
+            self.queue.remove(&attempt.timeout);
+            self.release(router, attempt.connection, MessageTag::Attempt(id));
         }
-        self.touched_routers.insert(router);
+        self.routers_to_process.insert(router);
     }
-    pub(super) fn end_order(&mut self, router: usize, id: u64, end: Outcome, copies: u32) {
-        if let Some(asked) = self.hosts[router].order_ended(self.now, id, end, copies) {
-            self.queue.remove(&asked.late);
-            self.release(router, asked.link, Mark::Order(id));
+    pub(super) fn end_load(&mut self, router: usize, id: u64, end: Outcome, instances: u32) {
+        if let Some(pending) = self.hosts[router].load_ended(self.now, id, end, instances) {
+            self.queue.remove(&pending.timeout);
+            self.release(router, pending.connection, MessageTag::Load(id));
         }
-        self.touched_routers.insert(router);
+        self.routers_to_process.insert(router);
     }
-    pub(super) fn end_probe(
+    pub(super) fn end_health_check(
         &mut self,
         router: usize,
         id: u64,
         end: Outcome,
         report: Option<WireLoadReport>,
     ) {
-        let report = report.as_ref().map(report_of);
-        if let Some(asked) = self.hosts[router].probe_ended(self.now, id, end, report) {
-            self.queue.remove(&asked.late);
-            self.release(router, asked.link, Mark::Probe(id));
+        let report = report.as_ref().map(report_from_wire);
+        if let Some(pending) = self.hosts[router].health_check_ended(self.now, id, end, report) {
+            self.queue.remove(&pending.timeout);
+            self.release(router, pending.connection, MessageTag::HealthCheck(id));
         }
-        self.touched_routers.insert(router);
+        self.routers_to_process.insert(router);
     }
-    pub(super) fn execution_late(&mut self, router: usize, id: u64) {
-        let end = if self.take_back(router, id) {
+    pub(super) fn attempt_timed_out(&mut self, router: usize, id: u64) {
+        let end = if self.unsend(router, id) {
             Outcome::NoConnection
         } else {
             Outcome::TimedOut
         };
-        self.end_execution(router, id, end);
+        self.end_attempt(router, id, end);
     }
-    /// A final answer that is not *finished*.
+    /// Ends a request that got a final answer other than *finished*.
     pub(super) fn give_up(&mut self, router: usize, id: RequestId) {
-        let Some(job) = self.hosts[router].jobs.get(&id).filter(|job| !job.closed) else {
+        let Some(request) = self.hosts[router]
+            .requests
+            .get(&id)
+            .filter(|request| !request.closed)
+        else {
             return;
         };
-        let (rare, came) = (self.functions.all[job.function].rare, job.came);
-        let loads = self.waited_for_load(router, job, self.now);
-        self.starts.call(came, rare, loads, None);
-        self.recall(router, id);
+        let (rare, arrived) = (self.functions.all[request.function].rare, request.arrived);
+        let loads = self.waited_for_load(router, request, self.now);
+        self.starts.record(arrived, rare, loads, None);
+        self.close_request(router, id);
     }
-    /// A copy of the job's function was ordered while it was held here, before what is sent at this instant.
-    pub(super) fn waited_for_load(&self, router: usize, job: &HostedJob, sent: Micros) -> bool {
-        let function = self.functions.all[job.function].id;
+    /// Whether a load command for the request's function was sent between the request's arrival and `sent`.
+    pub(super) fn waited_for_load(
+        &self,
+        router: usize,
+        request: &HostedRequest,
+        sent: Micros,
+    ) -> bool {
+        let function = self.functions.all[request.function].id;
         self.hosts[router]
-            .ordered
+            .last_load_sent
             .get(&function)
-            .is_some_and(|at| (job.came..sent).contains(at))
+            .is_some_and(|at| (request.arrived..sent).contains(at))
     }
-    /// Closes a job; what still waits to be written for it is not sent any more.
-    pub(super) fn recall(&mut self, router: usize, id: RequestId) {
+    /// Closes a request and withdraws its unsent attempts.
+    pub(super) fn close_request(&mut self, router: usize, id: RequestId) {
         let all = self.hosts[router]
-            .jobs
+            .requests
             .get(&id)
-            .map(|job| job.executions.clone())
+            .map(|request| request.attempts.clone())
             .unwrap_or_default();
         self.hosts[router].close(id);
         for execution in all {
-            if self.take_back(router, execution) {
-                self.end_execution(router, execution, Outcome::CancelledBeforeStart);
+            if self.unsend(router, execution) {
+                self.end_attempt(router, execution, Outcome::CancelledBeforeStart);
             }
         }
     }
 
-    pub(super) fn answer(&mut self, router: usize, answer: Answer) {
+    pub(super) fn handle_answer(&mut self, router: usize, answer: Answer) {
         let now = self.now;
         match answer {
-            Answer::Done {
+            Answer::ExecutionDone {
                 id,
-                ended,
-                copy,
+                status,
+                instance,
                 report,
                 worker,
             } => {
                 let host = &self.hosts[router];
-                let Some(out) = host.executions.get(&id).copied() else {
+                let Some(attempt) = host.attempts.get(&id).copied() else {
                     return;
                 };
-                let (end, warmth) = (end_of(ended), warmth_of(copy));
-                let open = host.jobs.get(&out.job).filter(|job| !job.closed);
-                if let (Outcome::Finished, Some(job)) = (end, open) {
-                    let (rare, came, work) =
-                        (self.functions.all[job.function].rare, job.came, job.work);
+                let (end, warmth) = (execution_outcome(status), warmth_from_wire(instance));
+                let open = host
+                    .requests
+                    .get(&attempt.request)
+                    .filter(|request| !request.closed);
+                if let (Outcome::Finished, Some(request)) = (end, open) {
+                    let (rare, arrived, work) = (
+                        self.functions.all[request.function].rare,
+                        request.arrived,
+                        request.work,
+                    );
                     let loads = matches!(warmth, Warmth::StartedLoad | Warmth::WaitedForLoad)
-                        || self.waited_for_load(router, job, out.sent);
-                    let way = self.way(self.hosts[router].zone, self.workers[worker].zone);
-                    self.starts
-                        .call(came, rare, loads, Some(now - way - work as Micros - came));
+                        || self.waited_for_load(router, request, attempt.sent);
+                    let latency =
+                        self.latency_between(self.hosts[router].zone, self.workers[worker].zone);
+                    self.starts.record(
+                        arrived,
+                        rare,
+                        loads,
+                        Some(now - latency - work as Micros - arrived),
+                    );
                     self.hosts[router].counts.finished += 1;
-                    self.recall(router, out.job);
+                    self.close_request(router, attempt.request);
                 }
-                let report = Some(report_of(&report));
-                let ended = self.hosts[router].execution_ended(now, id, end, warmth, None, report);
-                if let Some(out) = ended {
-                    self.queue.remove(&out.late);
-                    self.release(router, out.link, Mark::Execution(id));
+                let report = Some(report_from_wire(&report));
+                let status = self.hosts[router].attempt_ended(now, id, end, warmth, None, report);
+                if let Some(attempt) = status {
+                    self.queue.remove(&attempt.timeout);
+                    self.release(router, attempt.connection, MessageTag::Attempt(id));
                 }
-                self.reported(router, worker, report.as_ref());
-                self.touched_routers.insert(router);
+                self.report_to_connection_policy(router, worker, report.as_ref());
+                self.routers_to_process.insert(router);
             }
-            Answer::Held { id, ended, copies } => {
-                self.end_order(router, id, order_end_of(ended), copies);
+            Answer::LoadDone {
+                id,
+                status,
+                instances,
+            } => {
+                self.end_load(router, id, load_outcome(status), instances);
             }
-            Answer::Probed { id, report, worker } => {
-                self.reported(router, worker, Some(&report_of(&report)));
-                self.end_probe(router, id, Outcome::Finished, Some(report));
+            Answer::HealthChecked { id, report, worker } => {
+                self.report_to_connection_policy(router, worker, Some(&report_from_wire(&report)));
+                self.end_health_check(router, id, Outcome::Finished, Some(report));
             }
         }
     }
-    /// What a worker told of itself, for the connection module.
-    fn reported(&mut self, router: usize, worker: usize, report: Option<&LoadReport>) {
-        let told = report.and_then(|report| Some(report.in_flight? + report.queued?));
+    /// Passes the number of requests in a worker's load report to the connection policy.
+    fn report_to_connection_policy(
+        &mut self,
+        router: usize,
+        worker: usize,
+        report: Option<&LoadReport>,
+    ) {
+        let in_progress = report.and_then(|report| Some(report.in_flight? + report.queued?));
         let id = self.workers[worker].id;
         self.hosts[router]
-            .news
+            .connection_events
             .load_reports
-            .extend(told.map(|requests| WorkerLoad {
+            .extend(in_progress.map(|requests| WorkerLoad {
                 worker: id,
                 requests,
             }));
--- a/crates/sanddrum-lab/src/capacity/simulated/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/workers.rs
@@ -1,22 +1,22 @@
-//! What hollow workers do with their messages, and what goes wrong with them.
+//! Simulated workers: handling of messages, and scripted failures.
 
 use super::*;
 
 impl Fleet {
-    pub(super) fn message(&mut self, n: usize, router: usize, message: Message) {
+    pub(super) fn handle_message(&mut self, n: usize, router: usize, message: Message) {
         let (now, functions, count) = (self.now, self.functions.clone(), self.workers.len());
-        let of_others = self.others_jobs();
-        let every = self.model.report_every;
+        let background_load = self.background_load();
+        let every = self.model.report_interval;
         let zone = self.hosts[router].zone;
-        let way = self.way(zone, self.workers[n].zone);
+        let latency = self.latency_between(zone, self.workers[n].zone);
         let worker = &mut self.workers[n];
         worker.machine.advance(now);
         let named = match &message {
-            Message::Execute { function, .. } | Message::Hold { function, .. } => Some(*function),
+            Message::Execute { function, .. } | Message::Load { function, .. } => Some(*function),
             _ => None,
         };
-        if let (Some(others), Some(function)) = (self.others, named) {
-            worker.others_had(now, others, &functions, function, count);
+        if let (Some(background), Some(function)) = (self.background, named) {
+            worker.add_background_instances(now, background, &functions, function, count);
         }
         match message {
             Message::Execute {
@@ -33,7 +33,7 @@
                     },
                     function: f.name.clone(),
                     memory_mb: f.memory_mb,
-                    concurrency: f.lanes,
+                    concurrency: f.concurrency,
                     work,
                     idempotency_key: None,
                     deadline: now + limit,
@@ -44,19 +44,20 @@
                 connection: router as u64,
                 id,
             }),
-            Message::Hold {
+            Message::Load {
                 id,
                 function,
-                copies,
+                instances,
             } => {
                 let f = &functions.all[function];
-                let (function, memory_mb, lanes) = (f.name.clone(), f.memory_mb, f.lanes);
-                let hold = Load {
+                let (function, memory_mb, concurrency) =
+                    (f.name.clone(), f.memory_mb, f.concurrency);
+                let load = Load {
                     id,
                     function,
-                    instances: copies,
+                    instances,
                     memory_mb,
-                    concurrency: lanes,
+                    concurrency,
                 };
                 worker.machine.load_instances(
                     now,
@@ -64,33 +65,34 @@
                         connection: router as u64,
                         id,
                     },
-                    &hold,
+                    &load,
                     worker.drains,
                 );
             }
             Message::Unload { function } => worker.machine.unload(&functions.all[function].name),
-            Message::Probe { id } => {
-                let report = worker.report(now, every, of_others);
-                let answer = Answer::Probed {
+            Message::HealthCheck { id } => {
+                let report = worker.report(now, every, background_load);
+                let answer = Answer::HealthChecked {
                     id,
                     report,
                     worker: n,
                 };
-                self.post(now + way, Event::ToRouter { router, answer });
+                self.schedule(now + latency, Event::ToRouter { router, answer });
             }
         }
     }
-    /// Jobs that the others hold at a worker, in the mean.
-    pub(super) fn others_jobs(&self) -> Option<(Others, f64)> {
-        let each = |others: Others| {
-            let jobs =
-                others.calls * self.model.work as f64 / 1e6 / self.workers.len().max(1) as f64;
-            (others, jobs)
+    /// The mean number of requests of background routers at a worker.
+    pub(super) fn background_load(&self) -> Option<(BackgroundRouters, f64)> {
+        let each = |background: BackgroundRouters| {
+            let requests =
+                background.calls * self.model.work as f64 / 1e6 / self.workers.len().max(1) as f64;
+            (background, requests)
         };
-        self.others.map(each)
+        self.background.map(each)
     }
-    pub(super) fn worker_turn(&mut self, n: usize) {
-        let (now, every, of_others) = (self.now, self.model.report_every, self.others_jobs());
+    pub(super) fn process_worker(&mut self, n: usize) {
+        let (now, every, background_load) =
+            (self.now, self.model.report_interval, self.background_load());
         if !self.workers[n].up {
             return;
         }
@@ -100,14 +102,14 @@
                 match effect {
                     Effect::Fetch { load, size_mb, .. } => {
                         let takes = match self.loads {
-                            Loads::Drawn => self.model.draw_load(&mut self.chance),
-                            Loads::Store { us_per_mb } => {
-                                let way = self.way(0, self.workers[n].zone);
-                                (size_mb * us_per_mb).max(1.0).ceil() as Micros + 2 * way
+                            LoadTimes::Random => self.model.sample_load_time(&mut self.rng),
+                            LoadTimes::Store { us_per_mb } => {
+                                let latency = self.latency_between(0, self.workers[n].zone);
+                                (size_mb * us_per_mb).max(1.0).ceil() as Micros + 2 * latency
                             }
                         };
                         let incarnation = self.workers[n].incarnation;
-                        self.post(
+                        self.schedule(
                             now + takes,
                             Event::Fetched {
                                 worker: n,
@@ -125,15 +127,15 @@
                                 connection: router,
                                 id,
                             },
-                        status: ended,
-                        instance: copy,
+                        status,
+                        instance,
                         ..
                     } => {
-                        let report = self.workers[n].report(now, every, of_others);
-                        let answer = Answer::Done {
+                        let report = self.workers[n].report(now, every, background_load);
+                        let answer = Answer::ExecutionDone {
                             id,
-                            ended,
-                            copy,
+                            status,
+                            instance,
                             report,
                             worker: n,
                         };
@@ -145,14 +147,22 @@
                                 connection: router,
                                 id,
                             },
-                        status: ended,
-                        instances: copies,
+                        status,
+                        instances,
                     } => {
-                        self.answer_router(n, router as usize, Answer::Held { id, ended, copies });
+                        self.answer_router(
+                            n,
+                            router as usize,
+                            Answer::LoadDone {
+                                id,
+                                status,
+                                instances,
+                            },
+                        );
                     }
                     Effect::Collapsed => {
                         self.workers[n].up = false;
-                        self.break_links(n);
+                        self.break_connections(n);
                     }
                 }
             }
@@ -164,7 +174,7 @@
         if wake != self.workers[n].wake {
             self.workers[n].wake = wake;
             if let Some(at) = wake {
-                self.post(at, Event::WorkerTurn(n));
+                self.schedule(at, Event::WorkerWakeup(n));
             }
         }
     }
@@ -172,64 +182,68 @@
         let Some(host) = self.hosts.get(router) else {
             return;
         };
-        let at = self.now + self.way(host.zone, self.workers[worker].zone);
-        self.post(at, Event::ToRouter { router, answer });
+        let at = self.now + self.latency_between(host.zone, self.workers[worker].zone);
+        self.schedule(at, Event::ToRouter { router, answer });
     }
 
-    // ---- What goes wrong
+    // ---- Failures
 
-    pub(super) fn act(&mut self, act: Act) {
+    pub(super) fn apply_scripted(&mut self, event: ScriptedEvent) {
         let in_zone = |fleet: &Self, zone: usize| -> Vec<usize> {
             (0..fleet.workers.len())
                 .filter(|n| fleet.workers[*n].zone == zone)
                 .collect()
         };
-        match act {
-            Act::Fail(n) => {
+        match event {
+            ScriptedEvent::Fail(n) => {
                 self.workers[n].up = false;
-                self.notice(vec![n], self.model.silent_after);
+                self.schedule_publish(vec![n], self.model.heartbeat_timeout);
             }
-            Act::Replace(n) => {
+            ScriptedEvent::Replace(n) => {
                 self.workers[n].drains = true;
-                self.notice(vec![n], 0);
+                self.schedule_publish(vec![n], 0);
                 let since = self.now;
-                self.post(
+                self.schedule(
                     self.now + self.model.drain_grace,
                     Event::Drained { worker: n, since },
                 );
             }
-            Act::ZoneLost(zone) => {
+            ScriptedEvent::ZoneLost(zone) => {
                 self.lost_zones.insert(zone);
                 let all = in_zone(self, zone);
                 all.iter().for_each(|n| self.workers[*n].up = false);
-                self.notice(all, self.model.silent_after);
+                self.schedule_publish(all, self.model.heartbeat_timeout);
             }
-            Act::ZoneBack(zone) => {
+            ScriptedEvent::ZoneRestored(zone) => {
                 self.lost_zones.remove(&zone);
                 let all = in_zone(self, zone);
                 all.iter().for_each(|n| {
-                    self.break_links(*n);
+                    self.break_connections(*n);
                     self.workers[*n].restart(self.now);
                 });
-                self.notice(all, 0);
+                self.schedule_publish(all, 0);
             }
-            Act::Tell(n) => self.notice(vec![n], 0),
+            ScriptedEvent::Republish(n) => self.schedule_publish(vec![n], 0),
         }
     }
-    /// The list service notices after so long, and tells a little later.
-    pub(super) fn notice(&mut self, workers: Vec<usize>, after: Micros) {
-        let (least, most) = self.model.notice;
-        let tells = least + (self.chance.next_f64() * (most - least) as f64) as Micros;
-        self.post(self.now + after + tells, Event::Noticed(workers));
+    /// Schedules an endpoint update: the discovery service notices the change after `after` and publishes it after a
+    /// further random delay.
+    pub(super) fn schedule_publish(&mut self, workers: Vec<usize>, after: Micros) {
+        let (least, most) = self.model.publish_delay;
+        let delay = least + (self.rng.next_f64() * (most - least) as f64) as Micros;
+        self.schedule(self.now + after + delay, Event::EndpointsPublished(workers));
     }
-    pub(super) fn look_at_drained(&mut self, n: usize, since: Micros) {
-        if !self.workers[n].machine.is_idle() && self.now < since + DRAINED_WITHIN {
-            self.post(self.now + DRAIN_LOOK, Event::Drained { worker: n, since });
+    pub(super) fn check_drained(&mut self, n: usize, since: Micros) {
+        if !self.workers[n].machine.is_idle() && self.now < since + MAX_DRAIN_TIME {
+            self.schedule(
+                self.now + DRAIN_CHECK_INTERVAL,
+                Event::Drained { worker: n, since },
+            );
             return;
         }
         self.workers[n].up = false;
-        self.break_links(n);
-        self.notice(vec![n], 0);
-        self.post(self.now + REPLACED_WITHIN, Event::Back(n));
+        self.break_connections(n);
+        self.schedule_publish(vec![n], 0);
+        self.schedule(self.now + RESTART_DELAY, Event::WorkerBack(n));
     }
 }
--- a/crates/sanddrum-lab/src/capacity/simulated_router.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated_router.rs
@@ -1,5 +1,5 @@
-//! A router as the list service knows it: the product's decisions on when to call and to ask, and on what follows on what
-//! is known. It is hollow behind that, as it keeps no rows and serves nobody.
+//! A router as the discovery service sees it. It decides with the product's own code when to connect and to poll and
+//! which update follows the known version, but it keeps no endpoints and serves no requests.
 
 use sanddrum::Settings;
 use sanddrum_bootstrap::{Bootstrap, Decisions, DiscoveryEvent};
@@ -12,115 +12,118 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What one router has been told.
+/// The state of the endpoint list at one router.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Follower {
-    pub known: DiscoveryVersion,
-    /// When its present start was told the list first.
-    pub told: Option<Micros>,
-    /// When the version that it knows was last moved on.
-    pub moved: Micros,
+    pub known_version: DiscoveryVersion,
+    /// When the router got its first update since its last start.
+    pub first_update: Option<Micros>,
+    /// When the known version last advanced.
+    pub last_advanced: Micros,
 }
 
-/// What all routers did and were told.
+/// The state and the counters of all routers.
 #[derive(Debug, Default)]
-pub struct Followers {
+pub struct FollowerStats {
     pub routers: Vec<Follower>,
-    /// Calls begun, and those that were refused, broken off or given up.
-    pub calls: u64,
-    pub losses: u64,
-    pub whole_lists: u64,
+    /// Connection attempts.
+    pub connects: u64,
+    /// Connections that were rejected, broken or closed by the router.
+    pub disconnects: u64,
+    pub full_lists: u64,
     pub gaps: u64,
 }
 
-pub struct HollowRouterSpec {
-    /// Its place among the followers.
-    pub number: usize,
+/// The parameters of a simulated router.
+pub struct SimulatedRouterSpec {
+    /// The router's index in [`FollowerStats::routers`].
+    pub index: usize,
     pub name: String,
-    /// The list service's address.
-    pub list: String,
+    /// The address of the discovery service.
+    pub discovery_address: String,
     pub incarnation: u64,
     pub seed: u64,
-    /// What it had kept over its restart.
-    pub kept: Option<DiscoveryVersion>,
-    /// The largest frame that it takes, in bytes.
+    /// The version of the endpoint list that was cached before the restart.
+    pub cached_version: Option<DiscoveryVersion>,
+    /// The largest frame that the router accepts, in bytes.
     pub largest_frame: usize,
 }
 
 pub struct SimulatedRouter {
-    spec: HollowRouterSpec,
-    start: Bootstrap,
-    known: DiscoveryVersion,
+    spec: SimulatedRouterSpec,
+    bootstrap: Bootstrap,
+    known_version: DiscoveryVersion,
     conn: Option<ConnectionId>,
     out: Outbox<()>,
     frames: FrameDecoder,
-    /// When to decide again; what fell due before is of an earlier call.
-    next: Micros,
-    followers: Rc<RefCell<Followers>>,
+    /// When to run the bootstrap logic again; replaces earlier wakeups.
+    next_wakeup_at: Micros,
+    followers: Rc<RefCell<FollowerStats>>,
 }
 
 #[derive(Default)]
-struct Wanted {
-    calls: bool,
-    asks: bool,
-    hangs_up: bool,
-    wake: Micros,
+struct CollectedDecisions {
+    connect_requested: bool,
+    poll_requested: bool,
+    disconnect_requested: bool,
+    wakeup: Micros,
 }
 
-impl Decisions for Wanted {
+impl Decisions for CollectedDecisions {
     fn connect(&mut self) {
-        self.calls = true;
+        self.connect_requested = true;
     }
     fn poll(&mut self) {
-        self.asks = true;
+        self.poll_requested = true;
     }
     fn disconnect(&mut self) {
-        self.hangs_up = true;
+        self.disconnect_requested = true;
     }
     fn wake_at(&mut self, at: Micros) {
-        self.wake = at;
+        self.wakeup = at;
     }
 }
 
 impl SimulatedRouter {
-    /// `settings` are those that the edge gives its module for starts.
+    /// `settings` are those that an edge passes to its bootstrap logic.
     pub fn new(
-        spec: HollowRouterSpec,
+        spec: SimulatedRouterSpec,
         settings: &Settings,
-        followers: Rc<RefCell<Followers>>,
+        followers: Rc<RefCell<FollowerStats>>,
     ) -> Self {
         SimulatedRouter {
-            // The edge's own seed for it.
-            start: Bootstrap::new(spec.seed ^ 0x57, settings),
-            known: spec.kept.unwrap_or_default(),
+            // Derives the same seed as an edge.
+            bootstrap: Bootstrap::new(spec.seed ^ 0x57, settings),
+            known_version: spec.cached_version.unwrap_or_default(),
             conn: None,
             out: Outbox::new(spec.largest_frame),
             frames: FrameDecoder::new(spec.largest_frame),
-            next: 0,
+            next_wakeup_at: 0,
             followers,
             spec,
         }
     }
-    fn follow(&mut self, now: Micros, news: &[DiscoveryEvent], io: &mut dyn Io) {
-        let mut wanted = Wanted::default();
-        self.start.handle(now, news, &mut wanted);
-        if wanted.hangs_up {
-            self.leave(io);
+    fn run_bootstrap(&mut self, now: Micros, events: &[DiscoveryEvent], io: &mut dyn Io) {
+        let mut decisions = CollectedDecisions::default();
+        self.bootstrap.handle(now, events, &mut decisions);
+        if decisions.disconnect_requested {
+            self.disconnect(io);
         }
-        if wanted.calls {
-            self.call(io);
+        if decisions.connect_requested {
+            self.connect(io);
         }
-        if wanted.asks {
-            let _ = self
-                .out
-                .push((), &encode_frame(&ToDiscovery::Watch(self.known.watch())));
+        if decisions.poll_requested {
+            let _ = self.out.push(
+                (),
+                &encode_frame(&ToDiscovery::Watch(self.known_version.watch())),
+            );
             self.flush(io);
         }
-        self.next = wanted.wake.max(now + 1);
+        self.next_wakeup_at = decisions.wakeup.max(now + 1);
     }
-    fn call(&mut self, io: &mut dyn Io) {
-        self.leave(io);
-        self.conn = Some(io.connect(&self.spec.list));
+    fn connect(&mut self, io: &mut dyn Io) {
+        self.disconnect(io);
+        self.conn = Some(io.connect(&self.spec.discovery_address));
         self.out = Outbox::new(self.spec.largest_frame);
         self.frames = FrameDecoder::new(self.spec.largest_frame);
         let (name, incarnation) = (self.spec.name.clone(), self.spec.incarnation);
@@ -131,15 +134,16 @@
             age_us: None,
         };
         let _ = self.out.push((), &encode_frame(&ToDiscovery::Hello(hello)));
-        let _ = self
-            .out
-            .push((), &encode_frame(&ToDiscovery::Watch(self.known.watch())));
-        self.followers.borrow_mut().calls += 1;
+        let _ = self.out.push(
+            (),
+            &encode_frame(&ToDiscovery::Watch(self.known_version.watch())),
+        );
+        self.followers.borrow_mut().connects += 1;
     }
-    fn leave(&mut self, io: &mut dyn Io) {
+    fn disconnect(&mut self, io: &mut dyn Io) {
         if let Some(conn) = self.conn.take() {
             io.reset(conn);
-            self.followers.borrow_mut().losses += 1;
+            self.followers.borrow_mut().disconnects += 1;
         }
     }
     fn flush(&mut self, io: &mut dyn Io) {
@@ -147,25 +151,25 @@
             .into_iter()
             .for_each(|conn| self.out.flush(conn, io));
     }
-    fn rows(&mut self, now: Micros, rows: EndpointUpdateHead, io: &mut dyn Io) {
-        if !self.known.is_followed_by(rows) {
+    fn apply_update(&mut self, now: Micros, update: EndpointUpdateHead, io: &mut dyn Io) {
+        if !self.known_version.is_followed_by(update) {
             self.followers.borrow_mut().gaps += 1;
-            return self.follow(now, &[DiscoveryEvent::Gap], io);
+            return self.run_bootstrap(now, &[DiscoveryEvent::Gap], io);
         }
-        self.follow(now, &[DiscoveryEvent::Answered], io);
-        let before = self.known;
-        let taken = self.known.advance(rows);
+        self.run_bootstrap(now, &[DiscoveryEvent::Answered], io);
+        let before = self.known_version;
+        let is_newer = self.known_version.advance(update);
         let mut followers = self.followers.borrow_mut();
-        followers.whole_lists += u64::from(rows.is_full_snapshot);
+        followers.full_lists += u64::from(update.is_full_snapshot);
         if let Some(follower) = followers
             .routers
-            .get_mut(self.spec.number)
-            .filter(|_| taken)
+            .get_mut(self.spec.index)
+            .filter(|_| is_newer)
         {
-            follower.known = self.known;
-            follower.told = follower.told.or(Some(now));
-            if before != self.known {
-                follower.moved = now;
+            follower.known_version = self.known_version;
+            follower.first_update = follower.first_update.or(Some(now));
+            if before != self.known_version {
+                follower.last_advanced = now;
             }
         }
     }
@@ -173,11 +177,13 @@
         while self.conn.is_some() {
             match self.frames.next_message::<FromDiscoveryHead>() {
                 Ok(None) => break,
-                Ok(Some(FromDiscoveryHead::Endpoints(rows))) => self.rows(now, rows, io),
+                Ok(Some(FromDiscoveryHead::Endpoints(update))) => {
+                    self.apply_update(now, update, io)
+                }
                 Ok(Some(FromDiscoveryHead::Hello(_))) => {}
                 Err(_) => {
-                    self.leave(io);
-                    return self.follow(now, &[DiscoveryEvent::Disconnected], io);
+                    self.disconnect(io);
+                    return self.run_bootstrap(now, &[DiscoveryEvent::Disconnected], io);
                 }
             }
         }
@@ -186,19 +192,14 @@
 
 impl Core for SimulatedRouter {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
-        let kept = self.spec.kept.is_some();
-        if let Some(follower) = self
-            .followers
-            .borrow_mut()
-            .routers
-            .get_mut(self.spec.number)
-        {
+        let has_cache = self.spec.cached_version.is_some();
+        if let Some(follower) = self.followers.borrow_mut().routers.get_mut(self.spec.index) {
             *follower = Follower {
-                known: self.known,
+                known_version: self.known_version,
                 ..Follower::default()
             };
         }
-        self.follow(now, &[DiscoveryEvent::Started { has_cache: kept }], io);
+        self.run_bootstrap(now, &[DiscoveryEvent::Started { has_cache }], io);
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let conn = match event {
@@ -223,18 +224,18 @@
             }
             Event::Closed { .. } => {
                 self.conn = None;
-                self.followers.borrow_mut().losses += 1;
-                self.follow(now, &[DiscoveryEvent::Disconnected], io);
+                self.followers.borrow_mut().disconnects += 1;
+                self.run_bootstrap(now, &[DiscoveryEvent::Disconnected], io);
             }
             Event::Accepted { .. } => {}
         }
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        if now >= self.next {
-            self.follow(now, &[], io);
+        if now >= self.next_wakeup_at {
+            self.run_bootstrap(now, &[], io);
         }
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        Some(self.next)
+        Some(self.next_wakeup_at)
     }
 }
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -1,12 +1,14 @@
-//! The part of calls begun in time where most functions are called less than once a minute: many modules together, on a
-//! calm day, with a day's failed and replaced workers, and through the loss of a zone.
+//! The fraction of requests that start in time when most functions are called less than once a minute: many routers
+//! together, without failures, with a day's failed and replaced workers, and through the loss of a zone.
 
 use super::decision_host::Counts;
-use super::model::{Functions, Model, Shape};
+use super::model::{Functions, Model, Popularity};
 use super::router::{module_seed, module_settings};
-use super::simulated::{Act, Calls, Fleet, Lists, Loads, Played, Spec, BEGIN};
-use super::starts::{Begun, Starts};
-use super::{Plan, Play, Point, Role, Sink, Source, Stop};
+use super::simulated::{
+    Arrivals, Fleet, FleetSpec, ListSource, LoadTimes, RunStatus, ScriptedEvent, START_TIME,
+};
+use super::start_stats::{StartCounts, StartStats};
+use super::{Benchmark, Plan, Point, Role, Sink, Source, Stop};
 use sanddrum::Micros;
 use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::collections::BTreeMap;
@@ -15,67 +17,67 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-pub const PLAY: Play = Play {
+pub const BENCHMARK: Benchmark = Benchmark {
     name: "start-target",
     section: Section {
         name: "start-target-plays",
         prefix: "start-target-plays",
         occurrence: Occurrence::Once,
-        description: "many routers together; the n-th of each list makes a size",
+        description: "many routers together; the n-th values of the lists form a size",
         keys: &[
             key(
                 "routers",
                 ValueType::Integers(1.0, 1e5),
                 Some("4 42 420"),
-                "modules that are played",
+                "number of simulated routers",
             ),
             key(
                 "workers",
                 ValueType::Integers(1.0, 1e6),
                 Some("10 100 1000"),
-                "of each size",
+                "number of workers",
             ),
             key(
                 "functions",
                 ValueType::Integers(1.0, 1e7),
                 Some("200 2000 20000"),
-                "of each size",
+                "number of functions",
             ),
             key(
                 "warm-up",
                 ValueType::Duration,
                 Some("20s"),
-                "before calls count",
+                "virtual time before counting starts",
             ),
             key(
                 "length",
                 ValueType::Duration,
                 Some("40s"),
-                "calls that come in this time count",
+                "virtual time whose requests are counted",
             ),
             key(
                 "time-a-point",
                 ValueType::Duration,
                 Some("300s"),
-                "real time after which a run counts as not finished",
+                "real time after which a run is reported as not finished",
             ),
             key(
                 "threads",
                 ValueType::Integer(1.0, 64.0),
                 Some("2"),
-                "runs at a time",
+                "number of concurrent runs",
             ),
         ],
     },
     check,
-    play,
+    run,
 };
 
-const BYTES_A_WORKER: u64 = 16 << 10;
-/// A worker as one module knows it, with the copies there.
-const BYTES_A_KNOWN_WORKER: u64 = 1 << 10;
-/// A call that is under way, with its events.
-const BYTES_A_CALL: u64 = 1 << 10;
+const BYTES_PER_WORKER: u64 = 16 << 10;
+/// Memory of a decision module for each worker, with its instances.
+const BYTES_PER_KNOWN_WORKER: u64 = 1 << 10;
+/// Memory of a request in progress, with its events.
+const BYTES_PER_CALL: u64 = 1 << 10;
 
 /// One size of the fleet.
 #[derive(Clone, Copy, Debug)]
@@ -96,7 +98,7 @@
                 at(name),
                 routers.len()
             );
-            return Err(plan.problem(&at(name), what, "name as many of each"));
+            return Err(plan.error(&at(name), what, "set the same number of values for each"));
         }
     }
     let each = routers.iter().zip(&workers).zip(&functions);
@@ -116,47 +118,51 @@
     let limit = l.duration_us("workloads.0.time-limit-us") as f64 / 1e6;
     for size in sizes(plan)? {
         let (routers, workers) = (size.routers as u64, size.workers as u64);
-        let bytes = workers * BYTES_A_WORKER
+        let bytes = workers * BYTES_PER_WORKER
             + routers
                 .saturating_mul(workers)
-                .saturating_mul(BYTES_A_KNOWN_WORKER)
-            + (calls * limit * routers as f64) as u64 * BYTES_A_CALL;
+                .saturating_mul(BYTES_PER_KNOWN_WORKER)
+            + (calls * limit * routers as f64) as u64 * BYTES_PER_CALL;
         let runs = l.integer("start-target-plays.threads") as u64;
         let what = format!("{routers} routers and {workers} workers, {runs} runs at a time,");
-        plan.fits(
+        plan.check_memory(
             "start-target-plays.routers",
             &what,
             bytes.saturating_mul(runs),
         )?;
     }
-    // The copies that calls need at a time: more than memory holds can't stand.
+    // Rejects a request rate whose concurrent instances don't fit in the workers' memory.
     let (work, memory) = (l.number("model.work-us") / 1e6, l.number("model.memory-mb"));
     for size in sizes(plan)? {
         let at_work = calls * size.routers as f64 * work / l.number("functions.0.lanes").max(1.0);
         let holds = (memory / l.number("functions.0.memory-mb")).floor() * size.workers as f64;
         if at_work > holds {
             let what = format!(
-                "start-target-plays.workers: calls of {} routers keep {at_work:.0} copies at work, and {} workers hold {holds}",
+                "start-target-plays.workers: requests of {} routers keep {at_work:.0} instances busy, but {} workers hold only {holds}",
                 size.routers, size.workers
             );
-            let remedy = "name more workers, or set model.memory larger";
-            return Err(plan.problem("start-target-plays.workers", what, remedy));
+            let remedy = "set more workers, or a larger model.memory";
+            return Err(plan.error("start-target-plays.workers", what, remedy));
         }
     }
     match l.duration_us("start-target-plays.length-us") {
         0 => {
-            let what = "start-target-plays.length: no call would count";
-            Err(l.error_at("start-target-plays.length-us", what, "set it above 0s"))
+            let what = "start-target-plays.length: no request would be counted in 0s";
+            Err(l.error_at(
+                "start-target-plays.length-us",
+                what,
+                "set a length above 0s",
+            ))
         }
         _ => Ok(()),
     }
 }
 
-/// What happens meanwhile.
+/// The failures during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Day {
     Calm,
-    /// As many workers fail and are replaced as on a whole day.
+    /// As many workers fail and are replaced as in a whole day.
     Failures,
     ZoneLost,
 }
@@ -174,18 +180,18 @@
 }
 
 struct Run {
-    starts: Starts,
+    starts: StartStats,
     counts: Counts,
     seconds: f64,
-    links: usize,
-    played: Played,
+    connections: usize,
+    status: RunStatus,
 }
 
-fn run(plan: &Plan, size: &Size, day: Day, stop: &Stop) -> Result<Run, String> {
+fn run_once(plan: &Plan, size: &Size, day: Day, stop: &Stop) -> Result<Run, String> {
     let l = &plan.settings;
     let span = |name: &str| l.duration_us(&format!("start-target-plays.{name}-us"));
     let calls = l.number("capacity.calls") / l.number("capacity.routers");
-    let shape = Shape::Rare {
+    let shape = Popularity::Rare {
         zipf: l.number("model.zipf"),
         part: l.number("model.rare-part"),
         calls: calls * size.routers as f64,
@@ -198,43 +204,43 @@
     };
     let modules: Result<Vec<_>, String> = (0..size.routers).map(module).collect();
     let (warm, until) = (
-        BEGIN + span("warm-up"),
-        BEGIN + span("warm-up") + span("length"),
+        START_TIME + span("warm-up"),
+        START_TIME + span("warm-up") + span("length"),
     );
     let zones = l.names("zones").len();
-    let mut fleet = Fleet::new(Spec {
+    let mut fleet = Fleet::new(FleetSpec {
         modules: modules?,
         workers: size.workers,
         zones,
         model: Model::of(l),
         functions: Rc::new(Functions::new(l, size.functions, shape, plan.seed)),
-        calls: Calls::Drawn { rate: calls, until },
-        lists: Lists::AtStart,
-        loads: Loads::Drawn,
-        others: None,
+        calls: Arrivals::Random { rate: calls, until },
+        lists: ListSource::AtStart,
+        loads: LoadTimes::Random,
+        background: None,
         seed: plan.seed,
     });
-    fleet.starts = Starts::new(warm, until, l.duration_us("capacity.start-within-us"));
+    fleet.starts = StartStats::new(warm, until, l.duration_us("capacity.start-within-us"));
     match day {
         Day::Calm => {}
         Day::Failures => failures(plan, &mut fleet, size, warm, until),
         Day::ZoneLost => {
             let quarter = (until - warm) / 4;
-            fleet.script(warm + quarter, Act::ZoneLost(zones / 2));
-            fleet.script(until - quarter, Act::ZoneBack(zones / 2));
+            fleet.schedule_event(warm + quarter, ScriptedEvent::ZoneLost(zones / 2));
+            fleet.schedule_event(until - quarter, ScriptedEvent::ZoneRestored(zones / 2));
         }
     }
     let deadline = Instant::now() + Duration::from_micros(span("time-a-point").max(0) as u64);
-    let mut played = fleet.run_until(warm, deadline, stop);
+    let mut status = fleet.run_until(warm, deadline, stop);
     let before = fleet.counts();
-    if played == Played::Done {
-        played = fleet.run_until(until, deadline, stop);
+    if status == RunStatus::Done {
+        status = fleet.run_until(until, deadline, stop);
     }
-    let (counts, links) = (fleet.counts().since(&before), fleet.links());
+    let (counts, connections) = (fleet.counts().since(&before), fleet.connections());
     let seconds = ((fleet.now() - warm) as f64 / 1e6).max(1e-6);
-    if played == Played::Done {
-        // Calls that came in time and have no answer yet get theirs.
-        played = fleet.run_until(
+    if status == RunStatus::Done {
+        // Waits for the answers of counted requests.
+        status = fleet.run_until(
             until + l.duration_us("workloads.0.time-limit-us"),
             deadline,
             stop,
@@ -244,12 +250,13 @@
         starts: fleet.starts,
         counts,
         seconds,
-        links,
-        played,
+        connections,
+        status,
     })
 }
 
-/// As many as fall on so many workers on a day, one at least, spread over the time.
+/// Schedules a day's failures and replacements, scaled to the number of workers but at least one of each, at random times
+/// of the run.
 fn failures(plan: &Plan, fleet: &mut Fleet, size: &Size, from: Micros, until: Micros) {
     let l = &plan.settings;
     let scaled = |name: &str| {
@@ -259,38 +266,38 @@
             .max(1.0) as usize
     };
     let (failed, replaced) = (scaled("failed"), scaled("replaced"));
-    let mut chance = fleet.chance();
+    let mut rng = fleet.script_rng();
     let mut left: Vec<usize> = (0..size.workers).collect();
     for n in 0..(failed + replaced).min(size.workers / 2) {
-        let worker = left.swap_remove(chance.index(left.len()));
-        let at = from + (chance.next_f64() * (until - from) as f64) as Micros;
-        fleet.script(
+        let worker = left.swap_remove(rng.index(left.len()));
+        let at = from + (rng.next_f64() * (until - from) as f64) as Micros;
+        fleet.schedule_event(
             at,
             if n < failed {
-                Act::Fail(worker)
+                ScriptedEvent::Fail(worker)
             } else {
-                Act::Replace(worker)
+                ScriptedEvent::Replace(worker)
             },
         );
     }
 }
 
-fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let sizes = sizes(plan).map_err(|e| e.to_string())?;
     let runs: Vec<(Size, Day)> = sizes
         .iter()
         .flat_map(|size| DAYS.map(|day| (*size, day)))
         .collect();
     let next = AtomicUsize::new(0);
-    let (tell, told) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     std::thread::scope(|scope| {
         for _ in 0..plan.settings.integer("start-target-plays.threads").max(1) {
-            let (tell, next, runs) = (tell.clone(), &next, &runs);
+            let (sender, next, runs) = (sender.clone(), &next, &runs);
             scope.spawn(move || {
                 while let Some((size, day)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     if stop.is_set()
-                        || tell
-                            .send((*size, *day, run(plan, size, *day, stop)))
+                        || sender
+                            .send((*size, *day, run_once(plan, size, *day, stop)))
                             .is_err()
                     {
                         break;
@@ -298,41 +305,42 @@
                 }
             });
         }
-        drop(tell);
+        drop(sender);
         let mut days: BTreeMap<(usize, Day), Run> = BTreeMap::new();
-        let taken = told.into_iter().try_for_each(|(size, day, run)| {
+        let taken = receiver.into_iter().try_for_each(|(size, day, run)| {
             let run = run?;
             points(sink, &size, day.name(), &run)?;
             days.insert((size.workers, day), run);
             if day == Day::ZoneLost {
                 Ok(())
             } else {
-                whole_day(sink, &size, &days)
+                extrapolate_day(sink, &size, &days)
             }
         });
-        // What can't be written is measured no further.
+        // Stops the other runs if the results can't be written.
         taken.inspect_err(|_| stop.set())
     })
 }
 
-/// What the failed and replaced workers of a day, played at once, come to over the whole day.
-fn whole_day(
+/// Computes the fractions over a whole day, in which the failures of the run with failed and replaced workers are spread
+/// over the day.
+fn extrapolate_day(
     sink: &mut Sink,
     size: &Size,
     days: &BTreeMap<(usize, Day), Run>,
 ) -> Result<(), String> {
     let of = |day| {
         days.get(&(size.workers, day))
-            .filter(|run| run.played == Played::Done)
+            .filter(|run| run.status == RunStatus::Done)
     };
     let (Some(calm), Some(failures)) = (of(Day::Calm), of(Day::Failures)) else {
         return Ok(());
     };
-    let struck = failures.seconds / SECONDS_A_DAY;
-    let over_day = |of: fn(&Starts) -> Begun| {
+    let failure_share = failures.seconds / SECONDS_PER_DAY;
+    let over_day = |of: fn(&StartStats) -> StartCounts| {
         let (calm, failures) = (of(&calm.starts), of(&failures.starts));
-        let part = calm.part() * (1.0 - struck) + failures.part() * struck;
-        (calm.calls > 0 && failures.calls > 0).then_some(part)
+        let part = calm.fraction() * (1.0 - failure_share) + failures.fraction() * failure_share;
+        (calm.requests > 0 && failures.requests > 0).then_some(part)
     };
     for (figure, value) in [
         (
@@ -362,13 +370,13 @@
     Ok(())
 }
 
-const SECONDS_A_DAY: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 fn points(sink: &mut Sink, size: &Size, play: &str, run: &Run) -> Result<(), String> {
-    let source = match run.played {
-        Played::Done => Source::Played,
-        Played::OutOfTime => Source::NotFinished,
-        Played::Stopped => return Ok(()),
+    let source = match run.status {
+        RunStatus::Done => Source::Played,
+        RunStatus::OutOfTime => Source::NotFinished,
+        RunStatus::Stopped => return Ok(()),
     };
     let at = size.workers as f64;
     let mut point = |role: Role, figure: &str, unit: &'static str, value: f64| {
@@ -384,52 +392,52 @@
             source,
         })
     };
-    let Starts {
+    let StartStats {
         all,
         rare,
         cold,
         warm,
-        cold_after,
+        cold_start_times,
         ..
     } = &run.starts;
-    if let Some(times) = cold_after.as_ref().filter(|times| !times.is_empty()) {
+    if let Some(times) = cold_start_times.as_ref().filter(|times| !times.is_empty()) {
         for (quantile, name) in [(0.5, "median"), (0.99, "99 in 100")] {
             let ms = times.value_at_quantile(quantile) as f64 / 1e3;
             point(Role::StartTarget, &format!("cold start, {name}"), "ms", ms)?;
         }
     }
-    for (name, begun) in [
+    for (name, counts) in [
         ("calls", all),
         ("cold starts", cold),
         ("warm starts", warm),
         ("calls of rare functions", rare),
     ] {
-        let Begun { calls, .. } = *begun;
+        let StartCounts { requests, .. } = *counts;
         point(
             Role::StartTarget,
             &format!("{name} counted"),
             "",
-            calls as f64,
+            requests as f64,
         )?;
-        if calls > 0 {
+        if requests > 0 {
             point(
                 Role::StartTarget,
                 &format!("{name} begun within the target"),
                 "of them",
-                begun.part(),
+                counts.fraction(),
             )?;
         }
     }
     let c = &run.counts;
-    let a_call = |n: u64| n as f64 / c.calls.max(1) as f64;
-    let at_a_worker = |n: u64| n as f64 / run.seconds / at;
+    let per_call = |n: u64| n as f64 / c.calls.max(1) as f64;
+    let per_worker_second = |n: u64| n as f64 / run.seconds / at;
     for (figure, unit, value) in [
-        ("processor time a call", "us", a_call(c.nanoseconds) / 1e3),
-        ("asks a call", "", a_call(c.asks)),
-        ("orders a call", "", a_call(c.orders)),
-        ("probes a call", "", a_call(c.probes)),
-        ("executions a call", "", a_call(c.executions)),
-        ("loads a call", "", a_call(c.loads)),
+        ("processor time a call", "us", per_call(c.nanoseconds) / 1e3),
+        ("asks a call", "", per_call(c.load_queries)),
+        ("orders a call", "", per_call(c.load_commands)),
+        ("probes a call", "", per_call(c.health_checks)),
+        ("executions a call", "", per_call(c.attempts)),
+        ("loads a call", "", per_call(c.loads)),
         (
             "finished",
             "of calls",
@@ -439,15 +447,20 @@
         point(Role::Router, figure, unit, value)?;
     }
     for (figure, value) in [
-        ("asks a second", at_a_worker(c.asks)),
-        ("orders a second", at_a_worker(c.orders)),
-        ("probes a second", at_a_worker(c.probes)),
-        ("handshakes a second", at_a_worker(c.handshakes)),
-        ("executions a second", at_a_worker(c.executions)),
+        ("asks a second", per_worker_second(c.load_queries)),
+        ("orders a second", per_worker_second(c.load_commands)),
+        ("probes a second", per_worker_second(c.health_checks)),
+        ("handshakes a second", per_worker_second(c.handshakes)),
+        ("executions a second", per_worker_second(c.attempts)),
     ] {
         point(Role::Worker, figure, "1/s", value)?;
     }
-    point(Role::Worker, "connections kept", "", run.links as f64 / at)?;
+    point(
+        Role::Worker,
+        "connections kept",
+        "",
+        run.connections as f64 / at,
+    )?;
     point(
         Role::Store,
         "fetches a second",
--- a/crates/sanddrum-lab/tests/capacity_counts.rs
+++ b/crates/sanddrum-lab/tests/capacity_counts.rs
@@ -1,8 +1,8 @@
-//! Counters of one router that the capacity page says don't grow with the fleet: counts, not times.
+//! Counters of a single router that, as documented, don't grow with the fleet. They are counts, not times.
 
 use rstest::rstest;
 use sanddrum_lab::capacity::router::{measure, module_settings, Size};
-use sanddrum_lab::capacity::simulated::Played;
+use sanddrum_lab::capacity::simulated::RunStatus;
 use sanddrum_lab::capacity::{Memory, Plan, Stop};
 
 const PLAN: &str = r#"(deployment (name "counts") (zones "a" "b" "c"))
@@ -29,8 +29,8 @@
     (mean, spread / n)
 }
 
-/// Asks for each call that finished, of one router among so many.
-fn asks(workers: usize, routers: usize, seed: u64) -> f64 {
+/// Load queries per finished request of one router among `routers`.
+fn load_queries(workers: usize, routers: usize, seed: u64) -> f64 {
     let plan = plan(seed);
     let size = Size {
         workers,
@@ -40,23 +40,23 @@
     };
     let settings = module_settings(&plan, 0, routers, true).unwrap();
     let measured = measure(&plan, &size, &settings, true, &Stop::default());
-    assert_eq!(measured.played, Played::Done);
-    measured.counts.asks as f64 / measured.counts.finished as f64
+    assert_eq!(measured.status, RunStatus::Done);
+    measured.counts.load_queries as f64 / measured.counts.finished as f64
 }
 
 #[rstest]
-// Alone no copy is presumed to stand, so each function that isn't known is asked for.
+// A single router assumes that unknown functions have no instances, so it sends load queries for each of them.
 #[case::alone(1)]
 #[case::many_routers(4200)]
-fn asks_a_served_call_do_not_grow_with_the_fleet(#[case] routers: usize) {
-    let (small, small_error) = over_seeds(|seed| asks(30, routers, seed));
+fn load_queries_per_finished_request_do_not_grow_with_the_fleet(#[case] routers: usize) {
+    let (small, small_error) = over_seeds(|seed| load_queries(30, routers, seed));
     for workers in [100, 300] {
-        let (large, large_error) = over_seeds(|seed| asks(workers, routers, seed));
-        // Four standard errors of the difference, and a twentieth of an ask for what single calls bring in few seeds.
-        let chance = 4.0 * (small_error + large_error).sqrt() + 0.05;
+        let (large, large_error) = over_seeds(|seed| load_queries(workers, routers, seed));
+        // Four standard errors of the difference, and a twentieth of a query for single requests, as there are few seeds.
+        let margin = 4.0 * (small_error + large_error).sqrt() + 0.05;
         assert!(
-            large <= small + chance,
-            "{small:.3} asks a call with 30 workers, {large:.3} with {workers}; chance brings {chance:.3}"
+            large <= small + margin,
+            "{small:.3} load queries per request with 30 workers, {large:.3} with {workers}; random variation accounts for {margin:.3}"
         );
     }
 }
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -1,10 +1,11 @@
-//! The list service's plays: hollow routers do what whole edges do, and counters that may not grow do not.
+//! The discovery service benchmark: simulated routers exchange the same messages as real edges, and counters that must
+//! stay constant with the fleet size do.
 
 use rstest::rstest;
 use sanddrum_emulator::DiscoverySpec;
 use sanddrum_lab::capacity::{
-    run, DiscoveryEnvironment, DiscoveryEnvironmentSpec, Followers, Memory, Plan, Point, Said,
-    Sink, Source, Stop,
+    run, DiscoveryEnvironment, DiscoveryEnvironmentSpec, DiscoveryMessage, FollowerStats, Memory,
+    Plan, Point, Sink, Source, Stop,
 };
 use sanddrum_net::{LinkModel, Micros};
 use std::time::Duration;
@@ -12,7 +13,7 @@
 const MEMORY: Memory = Memory { total: 24 << 30 };
 const SECOND: Micros = 1_000_000;
 
-/// A plan with these sizes of the list service's plays.
+/// A plan with these sizes for the discovery service benchmark.
 fn plan(sizes: &str, limits: &str) -> Plan {
     read(sizes, limits, MEMORY).unwrap()
 }
@@ -30,17 +31,17 @@
            (capacity (zones 2) (regions 2) (time-a-point 600s))
            (list-service-plays {sizes})"#
     );
-    Plan::read("story", &text, 1, memory)
+    Plan::read("plan.sx", &text, 1, memory)
 }
 
-fn stage(
+fn environment(
     plan: &Plan,
     routers: usize,
     rows: usize,
     list: DiscoverySpec,
-    whole_edges: bool,
+    real_edges: bool,
 ) -> DiscoveryEnvironment {
-    // Links without chance, so that what others send moves no draw.
+    // Links without randomness: a message of one host must not shift the random numbers of another.
     let links = LinkModel {
         jitter: 0.0,
         loss_probability: 0.0,
@@ -54,102 +55,113 @@
         routers,
         rows,
         zones: 2,
-        beat_every: 200_000,
+        heartbeat_interval: 200_000,
         links,
-        whole_edges,
+        real_edges,
     };
     DiscoveryEnvironment::new(spec, Stop::default(), Duration::from_secs(600)).unwrap()
 }
 
-fn list(whole: Micros, most: usize) -> DiscoverySpec {
+fn list(snapshot_cost: Micros, max_pending_watches: usize) -> DiscoverySpec {
     DiscoverySpec {
         min_publish_delay: 200_000,
         max_publish_delay: SECOND,
         heartbeat_timeout: 3_600 * SECOND,
         change_history: 8,
-        snapshot_cost: whole,
-        delta_cost: whole / 10,
-        max_pending_watches: most,
+        snapshot_cost,
+        delta_cost: snapshot_cost / 10,
+        max_pending_watches,
     }
 }
 
-/// Starts, changes, a service that is gone and comes back, and routers that come back with their lists and without.
-fn day(seed: u64, list: DiscoverySpec, whole_edges: bool) -> Vec<(Micros, Said)> {
+/// Records all messages of a scenario: router starts, worker changes, an outage and restart of the service, and router
+/// restarts with and without a cached list.
+fn record_messages(
+    seed: u64,
+    list: DiscoverySpec,
+    real_edges: bool,
+) -> Vec<(Micros, DiscoveryMessage)> {
     let mut plan = plan("", "(list-check 3s) (list-retry-most 2s)");
     plan.seed = seed;
-    let mut stage = stage(&plan, 5, 12, list, whole_edges);
-    stage.tally.borrow_mut().said = Some(Vec::new());
-    stage.start_routers(5, false).unwrap();
-    stage.run_for(5 * SECOND).unwrap();
-    stage.add_workers(12);
+    let mut environment = environment(&plan, 5, 12, list, real_edges);
+    environment.stats.borrow_mut().message_log = Some(Vec::new());
+    environment.start_routers(5, false).unwrap();
+    environment.run_for(5 * SECOND).unwrap();
+    environment.add_workers(12);
     for n in 0..12 {
-        stage.run_for(150_000).unwrap();
-        stage.restart_worker(n);
+        environment.run_for(150_000).unwrap();
+        environment.restart_worker(n);
     }
-    stage.run_for(8 * SECOND).unwrap();
-    stage.stop_list();
-    stage.run_for(7 * SECOND).unwrap();
-    stage.start_list();
-    stage.run_for(10 * SECOND).unwrap();
-    stage.stop_routers(3);
-    (0..4).for_each(|n| stage.restart_worker(n));
-    stage.run_for(3 * SECOND).unwrap();
-    stage.start_routers(3, true).unwrap();
-    stage.run_for(5 * SECOND).unwrap();
-    stage.stop_routers(2);
-    stage.run_for(SECOND).unwrap();
-    stage.start_routers(2, false).unwrap();
-    stage.run_for(10 * SECOND).unwrap();
-    let said = stage.tally.borrow_mut().said.take();
-    said.unwrap()
+    environment.run_for(8 * SECOND).unwrap();
+    environment.stop_list();
+    environment.run_for(7 * SECOND).unwrap();
+    environment.start_list();
+    environment.run_for(10 * SECOND).unwrap();
+    environment.stop_routers(3);
+    (0..4).for_each(|n| environment.restart_worker(n));
+    environment.run_for(3 * SECOND).unwrap();
+    environment.start_routers(3, true).unwrap();
+    environment.run_for(5 * SECOND).unwrap();
+    environment.stop_routers(2);
+    environment.run_for(SECOND).unwrap();
+    environment.start_routers(2, false).unwrap();
+    environment.run_for(10 * SECOND).unwrap();
+    let log = environment.stats.borrow_mut().message_log.take();
+    log.unwrap()
 }
 
-/// Every question and every answer, to the microsecond and to the row.
+/// Compares every watch and every update, to the microsecond and the number of rows.
 #[rstest]
-#[case::one(1, list(5_000, 64))]
-#[case::another(2, list(5_000, 64))]
-#[case::that_turns_callers_away(3, list(120_000, 2))]
-#[case::that_is_slower_than_it_is_waited_for(4, list(400_000, 64))]
-fn hollow_routers_ask_and_are_told_as_whole_edges_are(
+#[case::first_seed(1, list(5_000, 64))]
+#[case::second_seed(2, list(5_000, 64))]
+#[case::rejects_excess_watches(3, list(120_000, 2))]
+#[case::slower_than_the_response_timeout(4, list(400_000, 64))]
+fn simulated_routers_exchange_the_same_messages_as_real_edges(
     #[case] seed: u64,
     #[case] list: DiscoverySpec,
 ) {
-    let (hollow, whole) = (day(seed, list.clone(), false), day(seed, list, true));
-    let asked = hollow
+    let (simulated, real) = (
+        record_messages(seed, list.clone(), false),
+        record_messages(seed, list, true),
+    );
+    let watches = simulated
         .iter()
-        .filter(|(_, said)| matches!(said, Said::Asks { .. }))
+        .filter(|(_, message)| matches!(message, DiscoveryMessage::Watch { .. }))
         .count();
-    let changes = hollow.iter().filter(|(_, said)| {
+    let changes = simulated.iter().filter(|(_, message)| {
         matches!(
-            said,
-            Said::Told {
-                whole: false,
+            message,
+            DiscoveryMessage::Update {
+                is_full: false,
                 rows: 1,
                 ..
             }
         )
     });
     assert!(
-        asked >= 20 && changes.count() >= 50,
-        "a day on which little was said: {hollow:?}"
+        watches >= 20 && changes.count() >= 50,
+        "too few messages to compare: {simulated:?}"
     );
-    let differs = hollow
+    let differs = simulated
         .iter()
-        .zip(&whole)
-        .position(|(hollow, whole)| hollow != whole);
+        .zip(&real)
+        .position(|(simulated, real)| simulated != real);
     if let Some(n) = differs {
-        panic!("message {n}: hollow {:?}, whole {:?}", hollow[n], whole[n]);
+        panic!(
+            "message {n}: simulated {:?}, real {:?}",
+            simulated[n], real[n]
+        );
     }
-    assert_eq!(hollow.len(), whole.len());
+    assert_eq!(simulated.len(), real.len());
 }
 
-fn played(plan: &Plan) -> Vec<Point> {
+fn run_benchmark(plan: &Plan) -> Vec<Point> {
     let mut sink = Sink::quiet();
     run(plan, &["list-service".into()], &mut sink, &Stop::default()).unwrap();
     sink.points().to_vec()
 }
 
-/// A figure by its size, in the order of sizes.
+/// The values of a figure with their sizes, in the order of measurement.
 fn figures(points: &[Point], play: &str, axis: &str, figure: &str) -> Vec<(u64, f64)> {
     let of = |p: &&Point| p.play.starts_with(play) && p.axis == axis && p.figure == figure;
     let found: Vec<(u64, f64)> = points
@@ -166,13 +178,13 @@
                      (quiet 20s) (gone 20s)";
 
 #[rstest]
-fn what_the_list_service_says_grows_as_the_page_has_it() {
-    let points = played(&plan(SMALL, ""));
+fn discovery_traffic_grows_as_documented() {
+    let points = run_benchmark(&plan(SMALL, ""));
     assert!(
         points.iter().all(|p| p.source != Source::NotFinished),
         "{points:?}"
     );
-    // One message to each router for each change, however many rows there are and however fast they change.
+    // Each change sends one message to each router, independent of the number of rows and the rate of changes.
     for (at, messages) in figures(&points, "changes", "routers", "messages out a change") {
         assert_eq!(messages, at as f64, "at {at} routers");
     }
@@ -181,7 +193,7 @@
             assert_eq!(messages, 6.0, "at {at} {axis}");
         }
     }
-    // A router that starts without a list, or after the service has, is told one whole list.
+    // A router that starts without a cached list, or after the service restarted, receives one full list.
     for play in [
         "all routers start, ",
         "one zone's routers start",
@@ -189,50 +201,51 @@
     ] {
         for axis in ["routers", "rows"] {
             let lists = figures(&points, play, axis, "whole lists");
-            let told = |at: u64| if axis == "rows" { 6 } else { at };
+            let expected = |at: u64| if axis == "rows" { 6 } else { at };
             let each = if play.starts_with("all") { 1 } else { 2 };
             assert!(
                 lists
                     .iter()
-                    .all(|(at, lists)| *lists == told(*at).div_ceil(each) as f64),
+                    .all(|(at, lists)| *lists == expected(*at).div_ceil(each) as f64),
                 "{play}: {lists:?}"
             );
         }
     }
-    // One that kept its list is not.
-    let kept = figures(
+    // A router with a cached list receives no full list.
+    let cached = figures(
         &points,
         "all routers start with kept lists",
         "routers",
         "whole lists",
     );
-    assert!(kept.iter().all(|(_, lists)| *lists == 0.0), "{kept:?}");
-    // A message of a change is as long for each router, and a zone of 27 workers has 81 changes in a minute.
+    assert!(cached.iter().all(|(_, lists)| *lists == 0.0), "{cached:?}");
+    // The message of a change has the same length for each router. Replacing a zone of 27 workers in a minute makes 81
+    // changes.
     let bytes = figures(&points, "changes", "routers", "bytes out a change");
     let each: Vec<f64> = bytes.iter().map(|(at, bytes)| bytes / *at as f64).collect();
     assert!(
         each.windows(2).all(|two| (two[0] - two[1]).abs() < 1.0),
         "{bytes:?}"
     );
-    let rolls = figures(
+    let replacements = figures(
         &points,
         "a zone's workers replaced in a minute",
         "routers",
         "messages out a second",
     );
     assert!(
-        rolls
+        replacements
             .iter()
             .all(|(at, a_second)| (a_second - 1.35 * *at as f64).abs() < 1e-9),
-        "{rolls:?}"
+        "{replacements:?}"
     );
-    // Workers beat five times a second each.
+    // Each worker sends five heartbeats a second.
     let beats = figures(&points, "all workers beat", "rows", "beats a second");
     assert!(
         beats.iter().all(|(at, beats)| *beats == 5.0 * *at as f64),
         "{beats:?}"
     );
-    // A quiet time asks once in about ten seconds, whatever the rows.
+    // Without changes, routers poll about once in ten seconds, independent of the number of rows.
     let quiet = figures(&points, "a quiet time", "rows", "messages out a second");
     assert!(
         quiet.windows(2).all(|two| two[0].1 == two[1].1),
@@ -240,23 +253,25 @@
     );
 }
 
-/// A whole list has each row once.
+/// A full list contains each worker once.
 #[rstest]
 #[case(3)]
 #[case(30)]
 #[case(300)]
-fn a_whole_list_has_as_many_rows_as_there_are_workers(#[case] rows: usize) {
-    let mut stage = stage(&plan("", ""), 3, rows, list(5_000, 64), false);
-    stage.tally.borrow_mut().said = Some(Vec::new());
-    stage.start_routers(3, false).unwrap();
-    let told = |f: &Followers| f.routers.iter().all(|router| router.told.is_some());
-    stage.run_until_true(60 * SECOND, told).unwrap();
-    let said = stage.tally.borrow_mut().said.take().unwrap();
-    let lists: Vec<usize> = said
+fn a_full_list_has_one_row_per_worker(#[case] rows: usize) {
+    let mut environment = environment(&plan("", ""), 3, rows, list(5_000, 64), false);
+    environment.stats.borrow_mut().message_log = Some(Vec::new());
+    environment.start_routers(3, false).unwrap();
+    let updated = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
+    environment.run_until_true(60 * SECOND, updated).unwrap();
+    let log = environment.stats.borrow_mut().message_log.take().unwrap();
+    let lists: Vec<usize> = log
         .iter()
-        .filter_map(|(_, said)| match said {
-            Said::Told {
-                whole: true, rows, ..
+        .filter_map(|(_, message)| match message {
+            DiscoveryMessage::Update {
+                is_full: true,
+                rows,
+                ..
             } => Some(*rows),
             _ => None,
         })
@@ -265,26 +280,26 @@
 }
 
 #[rstest]
-fn a_plan_that_needs_more_than_half_of_the_memory_is_refused_by_its_key() {
-    // Other plays' sizes fit.
+fn a_plan_that_needs_more_than_half_of_the_memory_is_rejected_with_its_key() {
+    // The sizes of the other benchmarks fit.
     let sizes = "(routers 4 40000) (rows 10 10000)";
-    let problem = read(sizes, "", MEMORY).unwrap_err();
+    let error = read(sizes, "", MEMORY).unwrap_err();
     assert!(
-        problem.to_string().contains("list-service-plays.routers"),
-        "{problem}"
+        error.to_string().contains("list-service-plays.routers"),
+        "{error}"
     );
 }
 
 #[rstest]
-#[case::notice("(notice-least 2s)", "notice-least")]
+#[case::publish_delay("(notice-least 2s)", "notice-least")]
 #[case::no_sizes("(routers)", "list-service-plays.routers")]
-fn a_plan_that_cannot_be_is_refused(#[case] sizes: &str, #[case] named: &str) {
-    let problem = read(sizes, "", MEMORY).unwrap_err();
-    assert!(problem.to_string().contains(named), "{problem}");
+fn an_invalid_plan_is_rejected(#[case] sizes: &str, #[case] named: &str) {
+    let error = read(sizes, "", MEMORY).unwrap_err();
+    assert!(error.to_string().contains(named), "{error}");
 }
 
 #[rstest]
-fn told_to_stop_it_leaves_what_was_measured() {
+fn a_stopped_run_is_incomplete_and_measures_nothing_more() {
     let stop = Stop::default();
     stop.set();
     let mut sink = Sink::quiet();
@@ -293,23 +308,23 @@
 }
 
 #[rstest]
-fn time_that_is_up_is_told_as_not_finished() {
-    let text_time = plan(SMALL, "");
-    let mut hurried = text_time.clone();
-    hurried
+fn points_over_the_time_limit_are_reported_as_not_finished() {
+    let base = plan(SMALL, "");
+    let mut without_time = base.clone();
+    without_time
         .settings
-        .override_value("capacity.time-a-point", "0s", "story")
+        .override_value("capacity.time-a-point", "0s", "test")
         .unwrap();
-    let points = played(&hurried);
+    let points = run_benchmark(&without_time);
     assert!(
         points.iter().any(|p| p.source == Source::NotFinished),
         "{points:?}"
     );
 }
 
-/// No mechanism carries the configuration to routers today, and the row says so.
+/// No mechanism distributes the configuration to all routers today; the report must say so.
 #[rstest]
-fn the_configurations_row_says_that_nothing_carries_it() {
+fn the_configuration_benchmark_reports_that_no_mechanism_exists() {
     let mut sink = Sink::quiet();
     run(
         &plan(SMALL, ""),
@@ -329,8 +344,8 @@
     );
 }
 
-/// Four times list-calls whatever the number of routers, and what chance adds (docs/measurements.md): as all start
-/// without lists and with, and as a service is back that was gone.
+/// The bound is four times `list-calls` plus half of that for random variation (docs/measurements.md), independent of
+/// the number of routers: when all start without or with cached lists, and when the service restarts after an outage.
 #[rstest]
 #[case::no_more_than_start_in_five_seconds(80)]
 #[case::four_times_as_many(320)]
@@ -338,46 +353,46 @@
 fn calls_in_the_worst_second_do_not_grow_with_the_fleet(#[case] routers: usize) {
     const LIST_CALLS: f64 = 16.0;
     let bound = (4.0 * LIST_CALLS * 1.5) as u64;
-    // Standing connections are asked about apart from calls.
+    // Polls on open connections would count as well, so this interval is longer than the test.
     let plan = plan("", "(list-calls 16) (list-check 3000s)");
-    let mut stage = stage(&plan, routers, 3, list(1_000, 1_000), false);
-    let told = |f: &Followers| f.routers.iter().all(|router| router.told.is_some());
+    let mut environment = environment(&plan, routers, 3, list(1_000, 1_000), false);
+    let updated = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
     let within = (routers as f64 / LIST_CALLS + 10.0) as Micros * SECOND;
-    for keep in [false, true] {
-        let from = stage.to_whole_second().unwrap();
-        stage.start_routers(routers, keep).unwrap();
-        stage.run_until_true(within, told).unwrap();
-        let worst = stage
-            .tally
+    for keep_cache in [false, true] {
+        let from = environment.to_whole_second().unwrap();
+        environment.start_routers(routers, keep_cache).unwrap();
+        environment.run_until_true(within, updated).unwrap();
+        let worst = environment
+            .stats
             .borrow()
-            .worst(from, stage.now() + SECOND, |s| s.calls);
+            .worst(from, environment.now() + SECOND, |s| s.watches);
         assert!(
             worst <= bound,
-            "{worst} calls in the worst second of a start, kept lists: {keep}"
+            "{worst} calls in the worst second of a start, cached lists: {keep_cache}"
         );
-        stage.stop_routers(routers);
-        stage.run_for(SECOND).unwrap();
+        environment.stop_routers(routers);
+        environment.run_for(SECOND).unwrap();
     }
-    stage.start_routers(routers, true).unwrap();
-    stage.run_until_true(within, told).unwrap();
-    stage.run_for(within).unwrap();
-    stage.stop_list();
-    stage.run_for(SECOND).unwrap();
-    stage.start_list();
-    let (from, run) = (stage.now(), stage.list_run());
-    stage
+    environment.start_routers(routers, true).unwrap();
+    environment.run_until_true(within, updated).unwrap();
+    environment.run_for(within).unwrap();
+    environment.stop_list();
+    environment.run_for(SECOND).unwrap();
+    environment.start_list();
+    let (from, incarnation) = (environment.now(), environment.service_incarnation());
+    environment
         .run_until_true(2 * within, |f| {
             f.routers
                 .iter()
-                .all(|router| router.known.service_incarnation == run)
+                .all(|router| router.known_version.service_incarnation == incarnation)
         })
         .unwrap();
-    let worst = stage
-        .tally
+    let worst = environment
+        .stats
         .borrow()
-        .worst(from, stage.now() + SECOND, |s| s.calls);
+        .worst(from, environment.now() + SECOND, |s| s.watches);
     assert!(
         worst <= bound,
-        "{worst} calls in the worst second after the service was gone"
+        "{worst} calls in the worst second after the service restarted"
     );
 }
--- a/crates/sanddrum-lab/tests/capacity_rows.rs
+++ b/crates/sanddrum-lab/tests/capacity_rows.rs
@@ -1,5 +1,5 @@
-//! Rows of the worker list that a decision copies, by what it allocates. The only test here, as what others allocate
-//! meanwhile would count.
+//! The number of endpoint rows that a decision copies, derived from its allocations. This file has a single test, because
+//! allocations of concurrent tests would be counted too.
 
 use rstest::rstest;
 use sanddrum::{
@@ -18,10 +18,10 @@
     Plan::read("rows.sx", SHORT_PLAN, 1, Memory { total: 24 << 30 }).unwrap()
 }
 
-/// Nothing is kept of what is decided.
-struct Unkept;
+/// Discards all decisions.
+struct DiscardDecisions;
 
-impl Decisions for Unkept {
+impl Decisions for DiscardDecisions {
     fn dispatch(&mut self, _: RequestId, _: WorkerId, _: i64) {}
     fn cancel(&mut self, _: RequestId, _: usize) {}
     fn reject(&mut self, _: RequestId, _: i64) {}
@@ -34,11 +34,14 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// Bytes that a module allocates for the decision on one job, in the mean over jobs of different functions that come
+/// The mean number of bytes that a module allocates for the decision on a request, over requests for different functions
 /// between two sweeps.
-fn allocated_for_a_decision(workers: u64, orders: bool) -> f64 {
-    const JOBS: u64 = 200;
-    let mut module = Router::new(1, &module_settings(&plan(), 0, 4200, orders).unwrap());
+fn bytes_per_decision(workers: u64, load_commands: bool) -> f64 {
+    const REQUESTS: u64 = 200;
+    let mut module = Router::new(
+        1,
+        &module_settings(&plan(), 0, 4200, load_commands).unwrap(),
+    );
     let row = |n| Endpoint {
         worker: WorkerId(n),
         size: 8.0,
@@ -56,9 +59,9 @@
             endpoint_lists: vec![list],
             ..EventBatch::default()
         },
-        &mut Unkept,
+        &mut DiscardDecisions,
     );
-    let job = |n| Request {
+    let request = |n| Request {
         id: RequestId(n),
         function: FunctionId(n),
         workload: WorkloadId(0),
@@ -70,31 +73,32 @@
         expected_work: None,
         is_retry: false,
     };
-    let rounds: Vec<EventBatch> = (0..JOBS)
+    let rounds: Vec<EventBatch> = (0..REQUESTS)
         .map(|n| EventBatch {
-            requests: vec![job(n)],
+            requests: vec![request(n)],
             ..EventBatch::default()
         })
         .collect();
     let region = Region::new(COUNTED);
     rounds
         .iter()
-        .for_each(|round| module.handle(now + 1, round, &mut Unkept));
-    region.change().bytes_allocated as f64 / JOBS as f64
+        .for_each(|round| module.handle(now + 1, round, &mut DiscardDecisions));
+    region.change().bytes_allocated as f64 / REQUESTS as f64
 }
 
 #[rstest]
-fn rows_copied_for_a_decision_do_not_grow_with_the_fleet() {
-    // A row that is copied takes eight bytes at least. A hundredth of a row for each further worker is no copy; in small
-    // fleets a draw's path, which grows until its tree is filled, may come to less than one.
-    for (from, to, row_a_worker) in [(1000, 10_000, 0.01), (100, 1000, 0.5)] {
-        for orders in [false, true] {
-            let of = |workers| allocated_for_a_decision(workers, orders);
+fn rows_copied_per_decision_do_not_grow_with_the_fleet() {
+    // A copied row takes at least eight bytes. Up to a hundredth of a row per additional worker means that no rows are
+    // copied. In small fleets the path of a random selection grows until its tree is full, which may take up to half a row
+    // per worker.
+    for (from, to, rows_per_worker) in [(1000, 10_000, 0.01), (100, 1000, 0.5)] {
+        for load_commands in [false, true] {
+            let of = |workers| bytes_per_decision(workers, load_commands);
             let (small, large) = (of(from), of(to));
             let rows = (large - small) / 8.0;
             assert!(
-                rows < (to - from) as f64 * row_a_worker,
-                "orders {orders}: {small:.0} bytes with {from} workers, {large:.0} with {to}, as of {rows:.0} rows more"
+                rows < (to - from) as f64 * rows_per_worker,
+                "load commands {load_commands}: {small:.0} bytes with {from} workers, {large:.0} with {to}, the equivalent of {rows:.0} more rows"
             );
         }
     }
