--- a/crates/sanddrum-lab/src/capacity.rs
+++ b/crates/sanddrum-lab/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Capacity benchmarks: what routers, workers, the function store, the discovery service and configuration changes cost
-//! as a deployment grows. Each figure is measured at several sizes and fitted to a slope. Simulated parts run the
+//! Capacity benchmarks: what routers, workers, the function store, the discovery service and configuration changes
+//! cost as a deployment grows. Each figure is measured at several sizes and fitted to a slope. Simulated parts run the
 //! product's own cores and decision modules; only what these exchange messages with is simplified.
 
 mod charts;
@@ -60,8 +60,8 @@
     configuration::BENCHMARK,
 ];
 
-/// Runs the named benchmarks, or all if `only` is empty, until they are done or `stop` is set. The sink holds the points
-/// measured so far in either case.
+/// Runs the named benchmarks, or all if `only` is empty, until they are done or `stop` is set. The sink holds the
+/// points measured so far in either case.
 ///
 /// # Errors
 /// A benchmark could not be set up, or the result files could not be written.
--- a/crates/sanddrum-lab/src/capacity/charts.rs
+++ b/crates/sanddrum-lab/src/capacity/charts.rs
@@ -1,11 +1,12 @@
-//! Slopes as pictures: one for each figure, a line for each play, over the logarithm of the axis.
+//! Charts of the slopes: one per figure with a line per run, over the logarithm of the axis.
 
 use super::point::{slopes, Point, Slope};
 use crate::plots::{lines, Line};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Draws each figure that has two points into this folder, as `router-asks-a-call-by-workers.svg`.
+/// Draws a chart of each figure with at least two points into the folder, for example
+/// `router-asks-a-call-by-workers.svg`.
 ///
 /// # Errors
 /// A file can't be written.
--- a/crates/sanddrum-lab/src/capacity/configuration.rs
+++ b/crates/sanddrum-lab/src/capacity/configuration.rs
@@ -1,5 +1,5 @@
-//! How long a change of the configuration takes from its writing to the last router that acts on it. No mechanism
-//! carries one to all routers today; what exists is told.
+//! The time until a configuration change reaches all routers. No mechanism distributes changes to all routers today,
+//! so this reports the intervals at which routers check their local files.
 
 use super::{Benchmark, Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_settings::{Occurrence, Section, SettingsError};
@@ -10,7 +10,7 @@
         name: "configuration-plays",
         prefix: "configuration-plays",
         occurrence: Occurrence::Once,
-        description: "nothing is to be set: no mechanism carries the configuration to routers",
+        description: "without settings, as no mechanism distributes the configuration to routers",
         keys: &[],
     },
     check,
@@ -21,13 +21,13 @@
     Ok(())
 }
 
-/// A router on the platform looks at its start configuration on SIGHUP, and as seldom as this (sanddrum-cli,
-/// platform.rs). It takes the feed's address alone; the rest holds from its next start.
-const PLATFORM: f64 = 3_600.0;
+/// Interval in seconds at which a router on the platform checks its start configuration, besides SIGHUP (sanddrum-cli,
+/// platform.rs). Only the address of the control feed is applied; everything else needs a restart.
+const PLATFORM_CHECK_INTERVAL_S: f64 = 3_600.0;
 
-/// What routers read anew while they run, with how often they look, once somebody has put the file on their machine.
-/// On SIGHUP they look at once.
-const WATCHED: [(&str, &str); 2] = [
+/// Files that running routers reload, with the setting of the check interval. They have to be copied to each router's
+/// machine by other means. SIGHUP triggers a check at once.
+const WATCHED_FILES: [(&str, &str); 2] = [
     (
         "the key set, by each router from its own file",
         "identity.watch-every-us",
@@ -41,7 +41,7 @@
 fn run(plan: &Plan, sink: &mut Sink, _: &Stop) -> Result<(), String> {
     let l = &plan.settings;
     let routers = l.number("capacity.routers");
-    let mut tell = |play: &str, figure: &str, unit: &'static str, value: f64| {
+    let mut record = |play: &str, figure: &str, unit: &'static str, value: f64| {
         sink.point(Point {
             role: Role::Configuration,
             play: play.into(),
@@ -53,15 +53,15 @@
             source: Source::WorkedOut,
         })
     };
-    tell(
+    record(
         "a change of the configuration: no mechanism today carries it to all routers",
         "mechanisms",
         "mechanisms",
         0.0,
     )?;
-    for (what, every) in WATCHED {
+    for (what, every) in WATCHED_FILES {
         let play = format!("a file that is already on every router's machine: {what}");
-        tell(
+        record(
             &play,
             "looked at every",
             "s",
@@ -70,12 +70,12 @@
     }
     let play = "a file that is already on every router's machine: the start configuration on the platform, of which only \
                 the feed's address is taken up";
-    tell(play, "looked at every", "s", PLATFORM)?;
-    let a_day = l.number("capacity.changes");
-    tell(
+    record(play, "looked at every", "s", PLATFORM_CHECK_INTERVAL_S)?;
+    let changes_per_day = l.number("capacity.changes");
+    record(
         "changes of the configuration",
         "a second, in the mean",
         "changes",
-        a_day / 86_400.0,
+        changes_per_day / 86_400.0,
     )
 }
--- a/crates/sanddrum-lab/src/capacity/cpu_clock.rs
+++ b/crates/sanddrum-lab/src/capacity/cpu_clock.rs
@@ -1,6 +1,6 @@
-//! Processor time of a thread.
+//! Measures the processor time of a thread.
 
-/// Processor time of this thread, less what reading it takes.
+/// Measures the processor time of the current thread, without the overhead of reading the clock.
 pub(crate) struct ThreadCpuClock {
     overhead: u64,
 }
@@ -20,7 +20,7 @@
             overhead: (Self::now() - start) / READINGS,
         }
     }
-    /// What one reading takes, in nanoseconds.
+    /// The processor time of a single reading, in nanoseconds.
     pub fn overhead(&self) -> u64 {
         self.overhead
     }
--- a/crates/sanddrum-lab/src/capacity/decision_host.rs
+++ b/crates/sanddrum-lab/src/capacity/decision_host.rs
@@ -1,5 +1,5 @@
-//! The host of a decision module in a simulated router: the requests, attempts and connections that an edge manages. The
-//! host makes no decisions itself.
+//! The host of a decision module in a simulated router: the requests, attempts and connections that an edge manages.
+//! The host makes no decisions itself.
 
 use super::simulated::Message;
 use sanddrum::{
@@ -111,7 +111,7 @@
 /// The counters of a run, of one router or of all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
-    pub calls: u64,
+    pub requests: u64,
     pub finished: u64,
     pub rejected: u64,
     pub failed: u64,
@@ -159,7 +159,7 @@
     }
     fn fields(&mut self) -> [&mut u64; 20] {
         let Counts {
-            calls,
+            requests,
             finished,
             rejected,
             failed,
@@ -181,7 +181,7 @@
             loads,
         } = self;
         [
-            calls,
+            requests,
             finished,
             rejected,
             failed,
@@ -259,14 +259,14 @@
     pub retired: bool,
     /// Messages that aren't written yet.
     pub unsent: Vec<(MessageTag, Message)>,
-    pub in_use: BTreeSet<MessageTag>,
+    pub in_flight: BTreeSet<MessageTag>,
     pub idle_since: Micros,
 }
 
 impl WorkerConnection {
     pub fn new(to: usize, worker: WorkerId, now: Micros) -> Self {
         let (open_started, up, retired, incarnation) = (false, false, false, 0);
-        let (unsent, in_use, idle_since) = (Vec::new(), BTreeSet::new(), now);
+        let (unsent, in_flight, idle_since) = (Vec::new(), BTreeSet::new(), now);
         WorkerConnection {
             to,
             worker,
@@ -275,7 +275,7 @@
             up,
             retired,
             unsent,
-            in_use,
+            in_flight,
             idle_since,
         }
     }
@@ -381,7 +381,7 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: Outcome,
+        outcome: Outcome,
         warmth: Warmth,
         function_in_flight: Option<u32>,
         report: Option<LoadReport>,
@@ -395,7 +395,7 @@
             None => true,
         };
         self.remove_if_done(attempt.request);
-        self.counts.misses += u64::from(end == Outcome::ColdMiss);
+        self.counts.misses += u64::from(outcome == Outcome::ColdMiss);
         let Attempt {
             request,
             index,
@@ -408,7 +408,7 @@
             request,
             attempt: index,
             worker,
-            outcome: end,
+            outcome,
             latency,
             is_final,
             warmth,
@@ -421,8 +421,8 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: Outcome,
-        copies: u32,
+        outcome: Outcome,
+        instances: u32,
     ) -> Option<PendingControl> {
         let pending = self.load_commands.remove(&id)?;
         let PendingControl {
@@ -434,9 +434,9 @@
         self.round.load_results.push(LoadResult {
             worker,
             function,
-            outcome: end,
+            outcome,
             latency: now - sent,
-            instances: copies,
+            instances,
         });
         Some(pending)
     }
@@ -444,13 +444,13 @@
         &mut self,
         now: Micros,
         id: u64,
-        end: Outcome,
+        outcome: Outcome,
         report: Option<LoadReport>,
     ) -> Option<PendingControl> {
         let pending = self.health_checks.remove(&id)?;
         self.round.health_check_results.push(HealthCheckResult {
             worker: pending.worker,
-            outcome: end,
+            outcome,
             latency: now - pending.sent,
             report,
         });
--- a/crates/sanddrum-lab/src/capacity/derived.rs
+++ b/crates/sanddrum-lab/src/capacity/derived.rs
@@ -1,15 +1,17 @@
-//! What all routers together ask of one worker and of the store, worked out from what one router was counted to.
+//! The load that all routers together put on a worker and on the function store, computed from the counts of a single
+//! router.
 
 use super::{Plan, Point, Role, Sink, Source};
 
-/// From this play's figures along the workers.
+/// The run whose figures over the number of workers are used.
 const SOURCE_NAME: &str = "router among others, orders on";
 const DERIVED_NAME: &str = "all routers, worked out";
 
-/// Gives the workers' and the store's points for each size that one router was played at.
+/// Adds the points of the workers and of the function store for each number of workers that a single router was
+/// measured with.
 ///
 /// # Errors
-/// The files could not be written.
+/// The result files could not be written.
 pub(crate) fn derive_points(plan: &Plan, sink: &mut Sink) -> Result<(), String> {
     let l = &plan.settings;
     let (calls, routers) = (l.number("capacity.calls"), l.number("capacity.routers"));
--- a/crates/sanddrum-lab/src/capacity/discovery_environment.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -1,5 +1,5 @@
-//! The list service with hollow routers and the workers of one zone, in virtual time; what is done to them, one thing
-//! after the other.
+//! A discovery service with simulated routers and the workers of one zone, in virtual time, and the steps of scenarios
+//! with them.
 
 use super::metered::{DiscoveryStats, Metered};
 use super::simulated_router::{FollowerStats, SimulatedRouter, SimulatedRouterSpec};
@@ -19,38 +19,38 @@
 use std::time::{Duration, Instant};
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Virtual time starts here, well after nought, which stands for long ago.
+/// Start of virtual time. Well above zero, which stands for a time long ago.
 const START_TIME: Micros = 1_000 * SECOND;
-const LIST: &str = "10.3.0.1:1000";
-const STORE: &str = "10.3.0.2:1000";
-/// How often it is looked at whether something has come about.
+const DISCOVERY_ADDRESS: &str = "10.3.0.1:1000";
+const STORE_ADDRESS: &str = "10.3.0.2:1000";
+/// How often conditions, the stop request and the real time are checked.
 const STEP: Micros = 100_000;
 
-/// Why something did not come to its end.
+/// Why a step of a scenario did not complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Interrupted {
-    /// Told to stop.
+    /// A stop was requested.
     Stopped,
-    /// It took more real time than it may.
+    /// The limit on real time was exceeded.
     DeadlineExceeded,
-    /// It did not come about within this virtual time.
+    /// The condition was not met within this virtual time.
     ConditionNotMet(Micros),
 }
 
-/// Who plays.
+/// The parameters of a discovery environment.
 #[derive(Clone, Debug)]
 pub struct DiscoveryEnvironmentSpec {
     pub settings: LoadedSettings,
-    pub list: DiscoverySpec,
+    pub service: DiscoverySpec,
     pub seed: u64,
     pub routers: usize,
     /// Workers that the service knows from the start.
     pub rows: usize,
     pub zones: usize,
-    /// How often a worker tells that it runs.
+    /// How often a worker sends a heartbeat.
     pub heartbeat_interval: Micros,
     pub links: LinkModel,
-    /// Whole edges in the place of hollow routers, to compare them.
+    /// Uses real edges instead of simulated routers, to compare them.
     pub real_edges: bool,
 }
 
@@ -58,7 +58,7 @@
     spec: DiscoveryEnvironmentSpec,
     net: VirtualNet,
     router_settings: Settings,
-    list: HostId,
+    service: HostId,
     routers: Vec<HostId>,
     starts: u64,
     workers: Vec<HostId>,
@@ -70,7 +70,7 @@
     deadline: Instant,
 }
 
-/// Takes connections and nothing else: the store that workers call.
+/// Accepts connections and does nothing else. Stands for the function store that workers connect to.
 struct IdleCore;
 
 impl Core for IdleCore {
@@ -86,7 +86,7 @@
     format!("10.{kind}.{}.{}:1000", n / 250, n % 250 + 1)
 }
 
-/// A worker's row as the service knows it from the start.
+/// The row of a worker that the service knows from the start.
 pub(crate) fn row(n: usize, zones: usize) -> EndpointRecord {
     EndpointRecord {
         name: Scenario::worker_name(n),
@@ -102,10 +102,10 @@
 }
 
 impl DiscoveryEnvironment {
-    /// Nothing has started yet but the list service, which knows its rows.
+    /// Creates the environment with only the discovery service running, which knows its rows.
     ///
     /// # Errors
-    /// The settings take no such number of routers.
+    /// The settings don't allow this number of routers.
     pub fn new(
         spec: DiscoveryEnvironmentSpec,
         stop: Stop,
@@ -119,12 +119,12 @@
             spec.links.clone(),
             Box::new(NullObserver),
         );
-        net.add(0, &[STORE], Box::new(IdleCore));
-        let list = net.add(0, &[LIST], Box::new(IdleCore));
+        net.add(0, &[STORE_ADDRESS], Box::new(IdleCore));
+        let service_host = net.add(0, &[DISCOVERY_ADDRESS], Box::new(IdleCore));
         let mut environment = DiscoveryEnvironment {
             net,
             router_settings: settings.decision_settings(),
-            list,
+            service: service_host,
             routers: Vec::new(),
             starts: 0,
             workers: Vec::new(),
@@ -136,42 +136,42 @@
             deadline: Instant::now() + time_limit,
             spec,
         };
-        environment.start_list();
+        environment.start_service();
         Ok(environment)
     }
-    /// From now on so much real time is allowed.
+    /// Sets the limit on real time, counted from now.
     pub fn set_time_limit(&mut self, time_limit: Duration) {
         self.deadline = Instant::now() + time_limit;
     }
     pub fn now(&self) -> Micros {
         self.net.now()
     }
-    /// The service starts with a list that it had kept, in a run of its own.
-    pub fn start_list(&mut self) {
+    /// Starts a new incarnation of the service with its cached list.
+    pub fn start_service(&mut self) {
         self.service_incarnation += 1;
         let rows: Vec<EndpointRecord> = (0..self.spec.rows)
             .map(|n| row(n, self.spec.zones))
             .collect();
         let faults = Rc::new(RefCell::new(DiscoveryFaults::default()));
         let service = DiscoveryService::new(
-            self.spec.list.clone(),
+            self.spec.service.clone(),
             self.spec.seed ^ 0x115,
             self.service_incarnation,
             faults,
         );
         let service = service.with_endpoints(self.now(), &rows);
         self.net.replace(
-            self.list,
+            self.service,
             Box::new(Metered::new(service, self.stats.clone())),
         );
     }
-    pub fn stop_list(&mut self) {
-        self.net.kill(self.list);
+    pub fn stop_service(&mut self) {
+        self.net.kill(self.service);
     }
-    /// The first so many routers start at this instant, each with what it had kept or without a list.
+    /// Starts the first `count` routers now, with their cached lists or without.
     ///
     /// # Errors
-    /// The settings are none for an edge.
+    /// The settings are invalid for an edge.
     pub fn start_routers(&mut self, count: usize, keep_cache: bool) -> Result<(), SettingsError> {
         for n in 0..count.min(self.spec.routers) {
             self.starts += 1;
@@ -205,7 +205,7 @@
         let mut settings = self.spec.settings.clone();
         for (name, value) in [
             ("edge.name", Scenario::edge_name(n)),
-            ("edge.list", LIST.to_string()),
+            ("edge.list", DISCOVERY_ADDRESS.to_string()),
             ("edge.edges", self.spec.routers.max(1).to_string()),
             ("edge.number", n.to_string()),
         ] {
@@ -237,7 +237,7 @@
         let spec = SimulatedRouterSpec {
             index: n,
             name: Scenario::edge_name(n),
-            discovery_address: LIST.into(),
+            discovery_address: DISCOVERY_ADDRESS.into(),
             incarnation: self.starts,
             seed,
             cached_version: known_version
@@ -280,8 +280,8 @@
             },
             reports_function_in_flight: false,
             report_interval: SECOND,
-            discovery_address: LIST.into(),
-            store_address: STORE.into(),
+            discovery_address: DISCOVERY_ADDRESS.into(),
+            store_address: STORE_ADDRESS.into(),
             heartbeat_interval: self.spec.heartbeat_interval,
         };
         let started = if incarnation > 1 { now } else { 0 };
@@ -299,7 +299,7 @@
             idempotency_keys,
         ))
     }
-    /// So many workers have run for long, each of them the stand-in's own core.
+    /// Adds emulated workers that have been running for a long time, up to `count` in total.
     pub fn add_workers(&mut self, count: usize) {
         for n in self.workers.len()..count.min(self.spec.rows) {
             let core = self.worker(n, 1);
@@ -311,7 +311,7 @@
     pub fn stop_workers(&mut self) {
         self.workers.iter().for_each(|host| self.net.kill(*host));
     }
-    /// A worker starts anew, at once where it still ran.
+    /// Restarts a worker, running or not, in a new incarnation.
     pub fn restart_worker(&mut self, n: usize) {
         let Some((host, incarnation)) = self
             .workers
@@ -332,22 +332,24 @@
     pub fn spec(&self) -> &DiscoveryEnvironmentSpec {
         &self.spec
     }
-    /// Events carried out so far.
+    /// The number of events processed so far.
     pub fn steps(&self) -> u64 {
         self.net.processed_events()
     }
 
-    /// Goes on to the next whole second, so that what follows falls into seconds of its own.
+    /// Runs to the start of the next second, so that the statistics by second cover only what follows.
     ///
     /// # Errors
-    /// It took too long, or was told to stop.
-    pub fn to_whole_second(&mut self) -> Result<Micros, Interrupted> {
+    /// The limit on real time was exceeded, or a stop was requested.
+    pub fn run_to_next_second(&mut self) -> Result<Micros, Interrupted> {
         let next = (self.now().div_euclid(SECOND) + 1) * SECOND;
         self.run_until(next)?;
         Ok(next)
     }
+    /// Runs for this virtual time.
+    ///
     /// # Errors
-    /// It took too long, or was told to stop.
+    /// The limit on real time was exceeded, or a stop was requested.
     pub fn run_for(&mut self, span: Micros) -> Result<(), Interrupted> {
         self.run_until(self.now() + span)
     }
@@ -368,26 +370,26 @@
         }
         Ok(())
     }
-    /// Goes on until something holds, and no longer than so much virtual time.
+    /// Runs until the condition holds, for at most this virtual time.
     ///
     /// # Errors
-    /// It took too long, was told to stop, or never held.
+    /// The condition was not met, the limit on real time was exceeded, or a stop was requested.
     pub fn run_until_true(
         &mut self,
-        most: Micros,
-        holds: impl Fn(&FollowerStats) -> bool,
+        max_wait: Micros,
+        condition: impl Fn(&FollowerStats) -> bool,
     ) -> Result<(), Interrupted> {
-        let last = self.now() + most;
-        while !holds(&self.followers.borrow()) {
+        let last = self.now() + max_wait;
+        while !condition(&self.followers.borrow()) {
             if self.now() >= last {
-                return Err(Interrupted::ConditionNotMet(most));
+                return Err(Interrupted::ConditionNotMet(max_wait));
             }
             let next = self.now() + STEP;
             self.step(next)?;
         }
         Ok(())
     }
-    /// Which run of the service it is.
+    /// The incarnation of the running service.
     pub fn service_incarnation(&self) -> u64 {
         self.service_incarnation
     }
--- a/crates/sanddrum-lab/src/capacity/discovery_load.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_load.rs
@@ -1,9 +1,9 @@
-//! What the list service bears: its own core, with routers that decide by the product's modules when to call it, over
-//! numbers of routers, of rows and of changes; its worst seconds; and its memory.
+//! The load on the discovery service: its core with simulated routers, which decide with the product's own code when
+//! to connect, over the numbers of routers, rows and changes; the load in the worst second; and memory.
 
 use super::discovery_environment::{DiscoveryEnvironment, DiscoveryEnvironmentSpec, SECOND};
 use super::discovery_microbench::run_microbench;
-use super::discovery_scenarios::{run_all, seconds, source_of, DiscoveryRun, Reporter, MAX_WAIT};
+use super::discovery_scenarios::{run_all, seconds, source_from, DiscoveryRun, Reporter, MAX_WAIT};
 use super::simulated_router::FollowerStats;
 use super::{Benchmark, Plan, Sink, Stop};
 use sanddrum_emulator::DiscoverySpec;
@@ -17,91 +17,91 @@
         name: "list-service-plays",
         prefix: "list-service-plays",
         occurrence: Occurrence::Once,
-        description: "sizes at which the list service is measured, and the stand-in that it is",
+        description: "sizes at which the discovery service is measured, and the settings of the emulated service",
         keys: &[
             key(
                 "routers",
                 ValueType::Integers(1.0, 1e5),
                 Some("10 100 1000"),
-                "with the most rows",
+                "numbers of routers, with the largest number of rows",
             ),
             key(
                 "rows",
                 ValueType::Integers(1.0, 1e5),
                 Some("100 1000 10000"),
-                "with so many routers:",
+                "numbers of rows, with rows-routers routers",
             ),
             key(
                 "rows-routers",
                 ValueType::Integer(1.0, 1e5),
                 Some("1000"),
-                "while rows or changes grow",
+                "number of routers when rows or changes are varied",
             ),
             key(
                 "changes",
                 ValueType::Integers(1.0, 1e5),
                 Some("1 10 100"),
-                "a second, with the most rows",
+                "changes a second, with the largest number of rows",
             ),
             key(
                 "beating",
                 ValueType::Integers(1.0, 1e5),
                 Some("100 1000 10000"),
-                "workers that all tell that they run",
+                "numbers of workers that send heartbeats",
             ),
             key(
                 "quiet",
                 ValueType::Duration,
                 Some("60s"),
-                "how long a quiet time is looked at",
+                "virtual time for which the service is measured without changes",
             ),
             key(
                 "gone",
                 ValueType::Duration,
                 Some("60s"),
-                "how long the service is gone",
+                "virtual time for which the service is down",
             ),
             key(
                 "notice-least",
                 ValueType::Duration,
                 Some("200ms"),
-                "changes are told after",
+                "minimum delay until changes are published",
             ),
             key(
                 "notice-most",
                 ValueType::Duration,
                 Some("1s"),
-                "and at the latest after",
+                "maximum delay until changes are published",
             ),
             key(
                 "whole",
                 ValueType::Duration,
                 Some("5ms"),
-                "what a whole list takes it on its one core, as the stand-in has it",
+                "processing time of a full list on the emulated service's single core",
             ),
             key(
                 "change",
                 ValueType::Duration,
                 Some("200us"),
-                "what an answer of changes takes it",
+                "processing time of an update with changes",
             ),
             key(
                 "calls",
                 ValueType::Integer(1.0, 1e6),
                 Some("64"),
-                "calls in hand; whoever calls beyond that is closed",
+                "pending watches; connections with further ones are closed",
             ),
             key(
                 "changes-kept",
                 ValueType::Integer(1.0, 1e6),
                 Some("256"),
-                "for routers that come back",
+                "number of recent changes kept for routers that reconnect",
             ),
             key(
                 "beat-every",
                 ValueType::Duration,
                 Some("200ms"),
-                "how often a worker tells that it runs",
+                "interval of a worker's heartbeats",
             ),
         ],
     },
@@ -109,28 +109,28 @@
     run,
 };
 
-/// What a row takes at most on its way, in bytes, and how often it may be there at a time: at the service, on the way
-/// and where it is read.
+/// The largest size of a row in transit, in bytes.
 const ROW_BYTES: u64 = 60;
+/// How many copies of a row may exist at a time: at the service, in transit and at the reader.
 const MAX_COPIES: u64 = 2;
-/// Nobody is heard in these plays but the workers that are played.
+/// Only the workers that are simulated send heartbeats, so the others must not time out.
 const NO_HEARTBEAT_TIMEOUT: Micros = 86_400 * SECOND;
 const HEARTBEAT_RUN: Micros = 2 * SECOND;
 
-fn key_of(name: &str) -> String {
+fn key_name(name: &str) -> String {
     format!("list-service-plays.{name}")
 }
 
 fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
-    let most = |name: &str| plan.sizes(&key_of(name)).map(|sizes| largest(&sizes));
+    let most = |name: &str| plan.sizes(&key_name(name)).map(|sizes| largest(&sizes));
     let (routers, rows) = (most("routers")?, most("rows")?);
-    let base = l.integer("list-service-plays.rows-routers") as u64;
+    let base_routers = l.integer("list-service-plays.rows-routers") as u64;
     most("changes")?;
     most("beating")?;
-    let bytes = routers.max(base) * rows * ROW_BYTES * MAX_COPIES;
+    let bytes = routers.max(base_routers) * rows * ROW_BYTES * MAX_COPIES;
     plan.check_memory(
-        &key_of("routers"),
+        &key_name("routers"),
         &format!("{routers} routers with lists of {rows} rows"),
         bytes,
     )?;
@@ -140,7 +140,11 @@
     );
     if least > last {
         let what = "list-service-plays.notice-least is above notice-most";
-        return Err(l.error_at(&key_of("notice-least-us"), what, "as 200ms and 1s"));
+        return Err(l.error_at(
+            &key_name("notice-least-us"),
+            what,
+            "for example 200ms and 1s",
+        ));
     }
     Ok(())
 }
@@ -149,8 +153,8 @@
     sizes.iter().copied().max().unwrap_or(1)
 }
 
-/// The stand-in as the plan has it.
-pub(crate) fn list_spec(plan: &Plan) -> DiscoverySpec {
+/// The parameters of the emulated discovery service from the plan.
+pub(crate) fn discovery_spec(plan: &Plan) -> DiscoverySpec {
     let l = &plan.settings;
     let span = |name: &str| l.duration_us(&format!("list-service-plays.{name}-us"));
     DiscoverySpec {
@@ -172,7 +176,7 @@
 ) -> Result<DiscoveryEnvironment, String> {
     let spec = DiscoveryEnvironmentSpec {
         settings: plan.settings.clone(),
-        list: list_spec(plan),
+        service: discovery_spec(plan),
         seed: plan.seed,
         routers: routers as usize,
         rows: rows as usize,
@@ -188,16 +192,16 @@
 }
 
 fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    let sizes = |name: &str| plan.sizes(&key_of(name)).map_err(|e| e.to_string());
+    let sizes = |name: &str| plan.sizes(&key_name(name)).map_err(|e| e.to_string());
     let (routers, rows) = (sizes("routers")?, sizes("rows")?);
-    let base = plan.settings.integer("list-service-plays.rows-routers") as u64;
+    let base_routers = plan.settings.integer("list-service-plays.rows-routers") as u64;
     let most_rows = largest(&rows);
     run_microbench(plan, &routers, &rows, sink, stop)?;
     for at in sizes("beating")? {
-        heartbeats(plan, at, sink, stop)?;
+        measure_heartbeats(plan, at, sink, stop)?;
     }
-    let fleet =
-        |axis, at: u64, with, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
+    let run_fleet =
+        |axis, at: u64, fixed, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
             if stop.is_set() {
                 return Ok(());
             }
@@ -208,16 +212,23 @@
                     sink,
                     axis,
                     at: at as f64,
-                    with,
+                    fixed,
                 },
                 environment,
             })
         };
     for at in &rows {
-        fleet("rows", *at, format!("{base} routers"), base, *at, sink)?;
+        run_fleet(
+            "rows",
+            *at,
+            format!("{base_routers} routers"),
+            base_routers,
+            *at,
+            sink,
+        )?;
     }
     for at in &routers {
-        fleet(
+        run_fleet(
             "routers",
             *at,
             format!("{most_rows} rows"),
@@ -230,13 +241,13 @@
         if stop.is_set() {
             return Ok(());
         }
-        let environment = environment(plan, base, most_rows, stop)?;
-        let with = format!("{base} routers and {most_rows} rows");
+        let environment = environment(plan, base_routers, most_rows, stop)?;
+        let fixed = format!("{base_routers} routers and {most_rows} rows");
         let reporter = Reporter {
             sink,
             axis: "changes a second",
             at: at as f64,
-            with,
+            fixed,
         };
         let mut run = DiscoveryRun {
             plan,
@@ -244,21 +255,26 @@
             environment,
         };
         run.environment
-            .start_routers(base as usize, false)
+            .start_routers(base_routers as usize, false)
             .map_err(|e| e.to_string())?;
         let all = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
         run.reset_time_limit();
         if run.environment.run_until_true(MAX_WAIT, all).is_ok() {
             let zone =
                 (most_rows as usize).div_ceil(plan.settings.integer("capacity.zones").max(1));
-            run.changes(at, zone)?;
+            run.measure_changes(at, zone)?;
         }
     }
     Ok(())
 }
 
-/// Workers that all tell that they run, and nobody asks.
-fn heartbeats(plan: &Plan, workers: u64, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+/// Measures the heartbeats of workers without any router.
+fn measure_heartbeats(
+    plan: &Plan,
+    workers: u64,
+    sink: &mut Sink,
+    stop: &Stop,
+) -> Result<(), String> {
     if stop.is_set() {
         return Ok(());
     }
@@ -267,7 +283,7 @@
         sink,
         axis: "rows",
         at: workers as f64,
-        with: "no router".into(),
+        fixed: "no router".into(),
     };
     let mut run = DiscoveryRun {
         plan,
@@ -276,13 +292,13 @@
     };
     run.reset_time_limit();
     run.environment.add_workers(workers as usize);
-    let begun = run
+    let second_start = run
         .environment
         .run_for(SECOND)
-        .and_then(|()| run.environment.to_whole_second());
-    let from = *begun.as_ref().unwrap_or(&run.environment.now());
-    let ran = begun.and_then(|_| run.environment.run_for(HEARTBEAT_RUN));
-    let source = source_of(&ran);
+        .and_then(|()| run.environment.run_to_next_second());
+    let from = *second_start.as_ref().unwrap_or(&run.environment.now());
+    let ran = second_start.and_then(|_| run.environment.run_for(HEARTBEAT_RUN));
+    let source = source_from(&ran);
     let (heartbeats, nanoseconds) = {
         let stats = run.environment.stats.borrow();
         let to = run.environment.now();
--- a/crates/sanddrum-lab/src/capacity/discovery_microbench.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_microbench.rs
@@ -1,9 +1,9 @@
-//! What the list service holds, and what a whole list and a change take it: its core alone, with callers that take all
-//! that is written at once.
+//! Memory of the discovery service and its costs of full lists and changes, measured with its core alone and clients
+//! that accept all output at once.
 
 use super::cpu_clock::ThreadCpuClock;
 use super::discovery_environment::row;
-use super::discovery_load::{largest, list_spec};
+use super::discovery_load::{discovery_spec, largest};
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{DiscoveryFaults, DiscoveryService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
@@ -11,10 +11,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Whole lists, or changes, that are timed.
+/// The number of full lists or changes over which the processor time is averaged.
 const SAMPLES: u64 = 20;
 
-/// Takes all that is written.
+/// Accepts all output and counts its bytes.
 #[derive(Default)]
 struct CountingIo {
     bytes: u64,
@@ -34,7 +34,7 @@
     fn save_state(&mut self, _: &[u8]) {}
 }
 
-/// The memory that this process has in use, in bytes.
+/// This process's resident memory, in bytes.
 fn resident_bytes() -> Result<u64, String> {
     let file = "/proc/self/status";
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
@@ -45,7 +45,7 @@
         .ok_or_else(|| format!("{file}: no VmRSS"))
 }
 
-/// The service's core with callers that come one after the other, each once the one before has its answer.
+/// The service's core with routers that connect one after the other, each after the previous one got its list.
 struct ServiceBench {
     service: DiscoveryService,
     io: CountingIo,
@@ -53,16 +53,16 @@
     snapshot_cost: Micros,
     publish_delay: Micros,
     callers: u64,
-    /// How often the worker that changes has started.
+    /// The incarnation of the changing worker.
     incarnation: u64,
 }
 
-/// The worker that changes, beside all callers.
+/// The connection of the changing worker.
 const WORKER: ConnectionId = ConnectionId(u64::MAX);
 
 impl ServiceBench {
     fn new(plan: &Plan, rows: u64) -> Self {
-        let (spec, now) = (list_spec(plan), 1_000_000_000);
+        let (spec, now) = (discovery_spec(plan), 1_000_000_000);
         let zones = plan.settings.integer("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
         let (snapshot_cost, publish_delay) = (spec.snapshot_cost, spec.max_publish_delay);
@@ -92,7 +92,7 @@
         );
         bench
     }
-    /// A worker tells that it has started anew, and all callers are told.
+    /// Registers a restarted worker, and publishes the change to all routers.
     fn change(&mut self) {
         self.incarnation += 1;
         let register = ToDiscovery::Register(EndpointRecord {
@@ -107,7 +107,7 @@
         self.now += self.publish_delay + 1;
         self.service.process(self.now, &mut self.io);
     }
-    /// One more router calls and is told the whole list.
+    /// Connects another router, which gets the full list.
     fn add_caller(&mut self) {
         let (conn, listener) = (ConnectionId(self.callers), ListenerId(0));
         self.callers += 1;
@@ -166,8 +166,8 @@
     }
 }
 
-/// Memory against rows and against routers, and a whole list against rows. Memory is what the process has more of, so
-/// what is measured is kept until all is.
+/// Measures memory over rows and over routers, and the costs of full lists over rows and of changes over routers.
+/// Memory is the growth of the process, so everything is kept until the end.
 pub(super) fn run_microbench(
     plan: &Plan,
     routers: &[u64],
@@ -175,31 +175,31 @@
     sink: &mut Sink,
     stop: &Stop,
 ) -> Result<(), String> {
-    let most = largest(rows);
+    let max_rows = largest(rows);
     let mut benches = Vec::new();
     let mut reporter = Reporter { sink };
     for at in rows {
         if stop.is_set() {
             return Ok(());
         }
-        // Small ones several times over, as a process grows by pages.
-        let count = (most / at).max(1);
+        // Small services are created several times, because a process grows by pages.
+        let count = (max_rows / at).max(1);
         let before = resident_bytes()?;
         benches.extend((0..count).map(|_| ServiceBench::new(plan, *at)));
-        let each = resident_bytes()?.saturating_sub(before) as f64 / count as f64;
+        let per_service = resident_bytes()?.saturating_sub(before) as f64 / count as f64;
         reporter.record(
             "alone, no router".into(),
             "memory",
             "bytes",
             ("rows", *at),
-            each,
+            per_service,
         )?;
         let Some(bench) = benches.last_mut() else {
             continue;
         };
-        let (sent, began) = (bench.io.bytes, ThreadCpuClock::now());
+        let (sent, start) = (bench.io.bytes, ThreadCpuClock::now());
         (0..SAMPLES).for_each(|_| bench.add_caller());
-        let nanoseconds = (ThreadCpuClock::now() - began) as f64 / SAMPLES as f64;
+        let nanoseconds = (ThreadCpuClock::now() - start) as f64 / SAMPLES as f64;
         let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
         reporter.record(
             "a whole list".into(),
@@ -216,7 +216,7 @@
             bytes,
         )?;
     }
-    for rows in [rows.iter().copied().min().unwrap_or(1), most] {
+    for rows in [rows.iter().copied().min().unwrap_or(1), max_rows] {
         let mut bench = ServiceBench::new(plan, rows);
         let before = resident_bytes()?;
         for at in routers {
@@ -226,12 +226,12 @@
                     return Ok(());
                 }
             }
-            let more = resident_bytes()?.saturating_sub(before) as f64;
+            let growth = resident_bytes()?.saturating_sub(before) as f64;
             let (play, at) = (format!("alone, {rows} rows"), ("routers", *at));
-            reporter.record(play, "memory for routers", "bytes", at, more)?;
-            let (sent, began) = (bench.io.bytes, ThreadCpuClock::now());
+            reporter.record(play, "memory for routers", "bytes", at, growth)?;
+            let (sent, start) = (bench.io.bytes, ThreadCpuClock::now());
             (0..SAMPLES).for_each(|_| bench.change());
-            let nanoseconds = (ThreadCpuClock::now() - began) as f64 / SAMPLES as f64;
+            let nanoseconds = (ThreadCpuClock::now() - start) as f64 / SAMPLES as f64;
             let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
             let play = format!("a change, {rows} rows");
             reporter.record(play.clone(), "processor time", "us", at, nanoseconds / 1e3)?;
--- a/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
@@ -1,4 +1,4 @@
-//! What is played with one size of the list service's fleet, one thing after the other, and what is told of it.
+//! The scenarios that run one after the other at each size of the discovery service benchmark, and their figures.
 
 use super::discovery_environment::{DiscoveryEnvironment, Interrupted, SECOND};
 use super::metered::SecondStats;
@@ -6,30 +6,30 @@
 use sanddrum_net::Micros;
 use std::time::Duration;
 
-/// A list that has not reached all by then never will.
+/// A list that hasn't reached all routers by then is considered never to arrive.
 pub(super) const MAX_WAIT: Micros = 3_600 * SECOND;
 const SETTLE_TIME: Micros = 30 * SECOND;
-/// A play tells a dozen figures at once, and may take as long as so many points.
-const POINTS_PER_RUN: u32 = 4;
-/// Changes that a worker makes as it fails and is back, and as it drains, ends and is back.
+/// A scenario yields about a dozen figures, so its limit on real time is that of this many points.
+const TIME_LIMIT_POINTS: u32 = 4;
+/// Changes of a worker that fails and returns.
 const CHANGES_PER_FAILURE: f64 = 2.0;
+/// Changes of a worker that drains, ends and returns.
 const CHANGES_PER_REPLACEMENT: f64 = 3.0;
-/// Seconds.
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// An answer that tells nothing new, in bytes as encoded.
+/// The encoded size of an update without changes, in bytes.
 const EMPTY_UPDATE_BYTES: u64 = 17;
-/// How many changes a second, and for how long, show what one costs.
+/// Seconds for which changes are made to measure the cost of one; also the largest number of changes per worker.
 const CHANGE_SECONDS: u64 = 10;
-/// A worker is told gone and its notice is over by then.
+/// Time by which a failed worker has been published as gone.
 const REMOVAL_TIME: Micros = 10 * SECOND;
 
-/// Where figures go: at one size of one axis.
+/// Records figures at one position on an axis.
 pub(super) struct Reporter<'a> {
     pub sink: &'a mut Sink,
     pub axis: &'static str,
     pub at: f64,
-    /// What stays as it is along the axis.
-    pub with: String,
+    /// The quantities that are fixed along the axis, in words.
+    pub fixed: String,
 }
 
 impl Reporter<'_> {
@@ -43,7 +43,7 @@
     ) -> Result<(), String> {
         self.sink.point(Point {
             role: Role::ListService,
-            play: format!("{play}, {}", self.with),
+            play: format!("{play}, {}", self.fixed),
             figure: figure.into(),
             unit,
             axis: self.axis,
@@ -52,7 +52,7 @@
             source,
         })
     }
-    /// What fell on the service in its worst seconds since then.
+    /// Records the load on the service in the worst second since `from`.
     fn worst(
         &mut self,
         play: &str,
@@ -60,12 +60,12 @@
         from: Micros,
         source: Source,
     ) -> Result<(), String> {
-        for (name, unit, each, figure) in METRICS {
+        for (name, unit, scale, figure) in METRICS {
             let worst = environment
                 .stats
                 .borrow()
                 .worst(from, environment.now() + SECOND, figure) as f64
-                / each;
+                / scale;
             self.record(
                 play,
                 &format!("{name} in the worst second"),
@@ -76,7 +76,7 @@
         }
         Ok(())
     }
-    /// And in all.
+    /// Records the load in the worst second and in total since `from`.
     fn seconds(
         &mut self,
         play: &str,
@@ -85,12 +85,12 @@
         source: Source,
     ) -> Result<(), String> {
         self.worst(play, environment, from, source)?;
-        for (name, unit, each, figure) in METRICS {
+        for (name, unit, scale, figure) in METRICS {
             let all = environment
                 .stats
                 .borrow()
                 .sum(from, environment.now() + SECOND, figure) as f64
-                / each;
+                / scale;
             self.record(play, &format!("{name} in all"), unit, all, source)?;
         }
         Ok(())
@@ -99,7 +99,7 @@
 
 type Metric = (&'static str, &'static str, f64, fn(&SecondStats) -> u64);
 
-/// What is told of seconds: its name and unit, and how many of what was counted make one.
+/// The figures of the load on the service: name, unit, counts per unit, and the counter.
 const METRICS: [Metric; 6] = [
     ("calls", "calls", 1.0, |s| s.watches),
     ("connections", "connections", 1.0, |s| s.connections),
@@ -109,8 +109,8 @@
     ("processor time", "ms", 1e6, |s| s.nanoseconds),
 ];
 
-/// Ends a play at one size: what was measured until then is told as not finished.
-pub(super) fn source_of(result: &Result<(), Interrupted>) -> Source {
+/// The source of points from a run: an interrupted run is reported as not finished.
+pub(super) fn source_from(result: &Result<(), Interrupted>) -> Source {
     if result.is_ok() {
         Source::Played
     } else {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Messages and bytes out, a second or a change.
+/// Messages and bytes sent, per second or per change.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Traffic {
     pub messages: f64,
@@ -139,20 +139,25 @@
             .duration_us("capacity.time-a-point-us")
             .max(0) as u64;
         self.environment
-            .set_time_limit(Duration::from_micros(limit) * POINTS_PER_RUN);
+            .set_time_limit(Duration::from_micros(limit) * TIME_LIMIT_POINTS);
     }
-    /// Routers start at once; they have their lists once each was told one since.
-    fn starts(&mut self, play: &str, count: usize, keep: bool) -> Result<bool, String> {
+    /// Starts routers simultaneously and waits until each has got a list.
+    fn measure_router_start(
+        &mut self,
+        play: &str,
+        count: usize,
+        keep_cache: bool,
+    ) -> Result<bool, String> {
         self.reset_time_limit();
         self.environment.stop_routers(count);
         let settled = self
             .environment
             .run_for(SETTLE_TIME)
-            .and_then(|()| self.environment.to_whole_second());
+            .and_then(|()| self.environment.run_to_next_second());
         let Ok(from) = settled else { return Ok(false) };
         let before = self.environment.followers.borrow().full_lists;
         self.environment
-            .start_routers(count, keep)
+            .start_routers(count, keep_cache)
             .map_err(|e| e.to_string())?;
         let all_updated = self.environment.run_until_true(MAX_WAIT, |followers| {
             followers
@@ -161,19 +166,19 @@
                 .take(count)
                 .all(|follower| follower.first_update.is_some())
         });
-        let source = source_of(&all_updated);
+        let source = source_from(&all_updated);
         self.reporter
             .seconds(play, &self.environment, from, source)?;
-        let (whole, last) = {
+        let (full_lists, last) = {
             let followers = self.environment.followers.borrow();
-            let told = followers
+            let update_times = followers
                 .routers
                 .iter()
                 .take(count)
                 .map(|f| f.first_update.unwrap_or(self.environment.now()));
             (
                 followers.full_lists - before,
-                told.max().unwrap_or(from) - from,
+                update_times.max().unwrap_or(from) - from,
             )
         };
         self.reporter.record(
@@ -184,22 +189,24 @@
             source,
         )?;
         self.reporter
-            .record(play, "whole lists", "lists", whole as f64, source)?;
+            .record(play, "whole lists", "lists", full_lists as f64, source)?;
         Ok(all_updated.is_ok())
     }
-    fn quiet(&mut self) -> Result<Option<Traffic>, String> {
+    fn measure_idle(&mut self) -> Result<Option<Traffic>, String> {
         self.reset_time_limit();
         let span = self
             .plan
             .settings
             .duration_us("list-service-plays.quiet-us");
-        let begun = self
+        let second_start = self
             .environment
             .run_for(SETTLE_TIME)
-            .and_then(|()| self.environment.to_whole_second());
-        let Ok(from) = begun else { return Ok(None) };
+            .and_then(|()| self.environment.run_to_next_second());
+        let Ok(from) = second_start else {
+            return Ok(None);
+        };
         let ran = self.environment.run_for(span);
-        let source = source_of(&ran);
+        let source = source_from(&ran);
         let all: [u64; 4] = {
             let stats = self.environment.stats.borrow();
             let figures: [fn(&SecondStats) -> u64; 4] = [
@@ -210,7 +217,7 @@
             ];
             figures.map(|figure| stats.sum(from, self.environment.now(), figure))
         };
-        let each = 1.0 / seconds(self.environment.now() - from).max(1.0);
+        let scale = 1.0 / seconds(self.environment.now() - from).max(1.0);
         for (figure, unit, value) in [
             ("calls a second", "calls", all[0] as f64),
             ("messages out a second", "messages", all[1] as f64),
@@ -218,35 +225,41 @@
             ("processor time a second", "ms", all[3] as f64 / 1e6),
         ] {
             self.reporter
-                .record("a quiet time", figure, unit, value * each, source)?;
+                .record("a quiet time", figure, unit, value * scale, source)?;
         }
-        let (messages, bytes) = (all[1] as f64 * each, all[2] as f64 * each);
+        let (messages, bytes) = (all[1] as f64 * scale, all[2] as f64 * scale);
         Ok(ran.is_ok().then_some(Traffic { messages, bytes }))
     }
-    /// Workers of one zone start anew, one after the other, so many a second: one change each.
-    pub fn changes(&mut self, a_second: u64, workers: usize) -> Result<Option<Traffic>, String> {
+    /// Restarts workers of one zone one after the other at this rate, with one change each.
+    pub fn measure_changes(
+        &mut self,
+        per_second: u64,
+        workers: usize,
+    ) -> Result<Option<Traffic>, String> {
         self.reset_time_limit();
         self.environment.add_workers(workers);
-        let count = (a_second * CHANGE_SECONDS)
+        let count = (per_second * CHANGE_SECONDS)
             .min(workers as u64 * CHANGE_SECONDS)
             .max(1);
-        let begun = self
+        let second_start = self
             .environment
             .run_for(REMOVAL_TIME)
-            .and_then(|()| self.environment.to_whole_second());
-        let Ok(from) = begun else { return Ok(None) };
+            .and_then(|()| self.environment.run_to_next_second());
+        let Ok(from) = second_start else {
+            return Ok(None);
+        };
         let (version, mut last_change) = (self.version(), from);
         let mut ran = Ok(());
         for n in 0..count {
             last_change = self.environment.now();
             self.environment.restart_worker(n as usize % workers.max(1));
-            ran = ran.and_then(|()| self.environment.run_for(SECOND / a_second as Micros));
+            ran = ran.and_then(|()| self.environment.run_for(SECOND / per_second as Micros));
         }
-        ran = ran.and_then(|()| self.all_updated());
-        let source = source_of(&ran);
+        ran = ran.and_then(|()| self.wait_until_all_updated());
+        let source = source_from(&ran);
         let (messages, bytes) = {
             let (stats, to) = (self.environment.stats.borrow(), self.environment.now());
-            // Greetings and calls are answered as well, and nobody greets here.
+            // Answers to hello messages and watches don't count as changes. No router connects during this time.
             let answers = stats.sum(from, to, |s| s.hellos + s.watches);
             let bytes = stats
                 .sum(from, to, |s| s.bytes)
@@ -265,10 +278,10 @@
             .map(|f| f.last_advanced)
             .max()
             .unwrap_or(last_change);
-        let told = (self.version() - version).max(1) as f64;
+        let published = (self.version() - version).max(1) as f64;
         for (figure, unit, value) in [
-            ("messages out a change", "messages", messages / told),
-            ("bytes out a change", "bytes", bytes / told),
+            ("messages out a change", "messages", messages / published),
+            ("bytes out a change", "bytes", bytes / published),
             (
                 "from the last change to the last router",
                 "s",
@@ -281,53 +294,54 @@
         self.reporter
             .worst("changes", &self.environment, from, source)?;
         Ok(ran.is_ok().then_some(Traffic {
-            messages: messages / told,
-            bytes: bytes / told,
+            messages: messages / published,
+            bytes: bytes / published,
         }))
     }
-    /// A quiet time and changes, and what comes of both on an ordinary day and as a zone is replaced.
-    fn ordinary(&mut self, workers: usize) -> Result<bool, String> {
-        let Some(quiet) = self.quiet()? else {
+    /// Measures the idle load and the cost of a change, and derives the load on an ordinary day and while a zone's
+    /// workers are replaced.
+    fn measure_ordinary_day(&mut self, workers: usize) -> Result<bool, String> {
+        let Some(quiet) = self.measure_idle()? else {
             return Ok(false);
         };
-        let Some(change) = self.changes(1, 1)? else {
+        let Some(change) = self.measure_changes(1, 1)? else {
             return Ok(false);
         };
         let l = &self.plan.settings;
         let routers = self.environment.spec().routers as f64;
-        let a_day = l.number("capacity.failed") * CHANGES_PER_FAILURE
+        let changes_per_day = l.number("capacity.failed") * CHANGES_PER_FAILURE
             + l.number("capacity.replaced") * CHANGES_PER_REPLACEMENT;
-        let a_second = workers as f64 * CHANGES_PER_REPLACEMENT / 60.0;
+        let per_second = workers as f64 * CHANGES_PER_REPLACEMENT / 60.0;
         for (play, figure, unit, value) in [
             (
                 "an ordinary day",
                 "messages out",
                 "messages",
-                quiet.messages * SECONDS_PER_DAY + a_day * change.messages,
+                quiet.messages * SECONDS_PER_DAY + changes_per_day * change.messages,
             ),
             (
                 "an ordinary day",
                 "bytes out",
                 "bytes",
-                quiet.bytes * SECONDS_PER_DAY + a_day * change.bytes,
+                quiet.bytes * SECONDS_PER_DAY + changes_per_day * change.bytes,
             ),
             (
                 "a zone's workers replaced in a minute",
                 "messages out a second",
                 "messages",
-                a_second * change.messages,
+                per_second * change.messages,
             ),
             (
                 "a zone's workers replaced in a minute",
                 "bytes out a second",
                 "bytes",
-                a_second * change.bytes,
+                per_second * change.bytes,
             ),
             (
                 "a zone's workers replaced in a minute",
                 "bytes to a router a second",
                 "bytes",
-                a_second * change.bytes / routers,
+                per_second * change.bytes / routers,
             ),
         ] {
             self.reporter
@@ -335,8 +349,8 @@
         }
         Ok(true)
     }
-    /// Whatever has changed by now is told, and has reached every router.
-    fn all_updated(&mut self) -> Result<(), Interrupted> {
+    /// Waits until all changes made so far have been published and have reached every router.
+    fn wait_until_all_updated(&mut self) -> Result<(), Interrupted> {
         let publish_delay = self
             .plan
             .settings
@@ -363,41 +377,41 @@
             .max()
             .unwrap_or(0)
     }
-    fn service_gone(&mut self) -> Result<bool, String> {
+    fn measure_outage(&mut self) -> Result<bool, String> {
         self.reset_time_limit();
         let play = "the service gone for a minute";
         let settled = self
             .environment
             .run_for(SETTLE_TIME)
-            .and_then(|()| self.environment.to_whole_second());
+            .and_then(|()| self.environment.run_to_next_second());
         let Ok(from) = settled else { return Ok(false) };
         let before = self.environment.followers.borrow().connects;
-        self.environment.stop_list();
-        let gone = self
+        self.environment.stop_service();
+        let outage = self
             .environment
             .run_for(self.plan.settings.duration_us("list-service-plays.gone-us"));
         let failed_connects = self.environment.followers.borrow().connects - before;
-        let a_second = failed_connects as f64 / seconds(self.environment.now() - from).max(1.0);
-        let back = self.environment.now();
-        self.environment.start_list();
+        let per_second = failed_connects as f64 / seconds(self.environment.now() - from).max(1.0);
+        let restarted = self.environment.now();
+        self.environment.start_service();
         let run = self.environment.service_incarnation();
-        let all_updated = gone.and_then(|()| {
+        let all_updated = outage.and_then(|()| {
             self.environment.run_until_true(MAX_WAIT, |f| {
                 f.routers
                     .iter()
                     .all(|router| router.known_version.service_incarnation == run)
             })
         });
-        let source = source_of(&all_updated);
+        let source = source_from(&all_updated);
         self.reporter.record(
             play,
             "calls in vain a second while it is gone",
             "calls",
-            a_second,
+            per_second,
             source,
         )?;
         self.reporter
-            .seconds(play, &self.environment, back, source)?;
+            .seconds(play, &self.environment, restarted, source)?;
         let last = self
             .environment
             .followers
@@ -406,34 +420,34 @@
             .iter()
             .map(|f| f.last_advanced)
             .max()
-            .unwrap_or(back);
+            .unwrap_or(restarted);
         self.reporter.record(
             play,
             "until the last router has its list",
             "s",
-            seconds(last - back),
+            seconds(last - restarted),
             source,
         )?;
         Ok(all_updated.is_ok())
     }
-    /// A zone's workers are lost, and come back at one instant.
-    fn workers_return(&mut self, workers: usize) -> Result<bool, String> {
+    /// Stops the workers of a zone and restarts them simultaneously.
+    fn measure_zone_return(&mut self, workers: usize) -> Result<bool, String> {
         self.reset_time_limit();
         let play = "a zone of workers returns";
         self.environment.add_workers(workers);
         let mut ran = self.environment.run_for(REMOVAL_TIME);
         self.environment.stop_workers();
         ran = ran.and_then(|()| self.environment.run_for(REMOVAL_TIME));
-        let told = self.environment.workers() as u64;
-        ran = ran.and_then(|()| self.all_updated());
+        let count = self.environment.workers() as u64;
+        ran = ran.and_then(|()| self.wait_until_all_updated());
         self.reset_time_limit();
-        let from = match ran.and_then(|()| self.environment.to_whole_second()) {
+        let from = match ran.and_then(|()| self.environment.run_to_next_second()) {
             Ok(from) => from,
             Err(_) => return Ok(false),
         };
         (0..self.environment.workers()).for_each(|n| self.environment.restart_worker(n));
-        let ran = self.all_updated();
-        let source = source_of(&ran);
+        let ran = self.wait_until_all_updated();
+        let source = source_from(&ran);
         self.reporter
             .seconds(play, &self.environment, from, source)?;
         let last = self
@@ -453,7 +467,7 @@
             source,
         )?;
         self.reporter
-            .record(play, "workers", "workers", told as f64, source)?;
+            .record(play, "workers", "workers", count as f64, source)?;
         Ok(ran.is_ok())
     }
 }
@@ -462,7 +476,7 @@
     span as f64 / SECOND as f64
 }
 
-/// One after the other; what was cut short by the time it may take leaves the rest of this size unmeasured.
+/// Runs all scenarios one after the other. If one exceeds its limit on real time, the rest is skipped at this size.
 pub(super) fn run_all(run: &mut DiscoveryRun<'_>) -> Result<(), String> {
     let l = &run.plan.settings;
     let (zones, regions) = (
@@ -471,21 +485,21 @@
     );
     let routers = run.environment.spec().routers;
     let workers = run.environment.spec().rows.div_ceil(zones);
-    let whole = run.starts("all routers start", routers, false)?
-        && run.ordinary(workers)?
-        && run.starts("all routers start with kept lists", routers, true)?
-        && run.starts("one zone's routers start", routers.div_ceil(zones), false)?
-        && run.starts(
+    let complete = run.measure_router_start("all routers start", routers, false)?
+        && run.measure_ordinary_day(workers)?
+        && run.measure_router_start("all routers start with kept lists", routers, true)?
+        && run.measure_router_start("one zone's routers start", routers.div_ceil(zones), false)?
+        && run.measure_router_start(
             "one region's routers start",
             routers.div_ceil(regions),
             false,
         )?
-        && run.service_gone()?
-        && run.workers_return(workers)?;
-    if !whole {
+        && run.measure_outage()?
+        && run.measure_zone_return(workers)?;
+    if !complete {
         run.reporter.sink.progress(&format!(
-            "{routers} routers, {}: cut short, the rest isn't played",
-            run.reporter.with
+            "{routers} routers, {}: interrupted, the remaining scenarios are skipped",
+            run.reporter.fixed
         ));
     }
     Ok(())
--- a/crates/sanddrum-lab/src/capacity/edge_comparison.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_comparison.rs
@@ -1,4 +1,4 @@
-//! A real edge's core beside a hollow router with the same calls, where both fit.
+//! Compares a real edge's core with a simulated router that gets the same requests, at sizes that suit both.
 
 use super::decision_host::Decision;
 use super::real_edge::{run_real_edge, simulated_fleet};
@@ -7,7 +7,7 @@
 use crate::Scenario;
 use std::time::{Duration, Instant};
 
-/// A scenario of one edge with the plan's calls a router and the model's workers.
+/// A scenario with a single edge, the plan's request rate per router and the model's workers.
 fn scenario(plan: &Plan, workers: u64) -> Result<Scenario, String> {
     let l = &plan.settings;
     let zones: Vec<String> = l
@@ -42,17 +42,17 @@
     Scenario::read("beside.sx", &text, plan.seed).map_err(|e| e.to_string())
 }
 
-/// Plays both at each size; the hollow one must decide the same.
+/// Runs both at each size and checks that their decisions are equal.
 ///
 /// # Errors
-/// A scenario can't be set up, or the hollow router decided otherwise.
+/// A scenario can't be set up, or the simulated router made different decisions.
 pub(crate) fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     for workers in plan.settings.integers("router-plays.real-workers") {
         if stop.is_set() {
             return Ok(());
         }
         sink.progress(&format!(
-            "a real edge and a hollow router, {workers} workers"
+            "comparing a real edge with a simulated router, {workers} workers"
         ));
         let scenario = scenario(plan, workers)?;
         let observed = run_real_edge(scenario.clone())?;
@@ -64,19 +64,21 @@
         );
         let status = fleet.run_until(until, Instant::now() + limit, stop);
         let log = fleet.log.take().unwrap_or_default();
-        let same = |(one, other): &(&(i64, usize, Decision), &(i64, Decision))| {
-            (one.0, &one.2) == (other.0, &other.1)
+        let same = |(simulated, real): &(&(i64, usize, Decision), &(i64, Decision))| {
+            (simulated.0, &simulated.2) == (real.0, &real.1)
         };
-        if let Some((one, other)) = log.iter().zip(&observed.decisions).find(|pair| !same(pair)) {
-            let (one, other) = ((one.0, &one.2), (other.0, &other.1));
+        if let Some((simulated, real)) =
+            log.iter().zip(&observed.decisions).find(|pair| !same(pair))
+        {
+            let (simulated, real) = ((simulated.0, &simulated.2), (real.0, &real.1));
             return Err(format!(
-                "{workers} workers: the hollow router decided {one:?} where the edge did {other:?}"
+                "{workers} workers: the simulated router decided {simulated:?} where the edge decided {real:?}"
             ));
         }
         if status == RunStatus::Done && log.len() != observed.decisions.len() {
-            let (one, other) = (log.len(), observed.decisions.len());
+            let (simulated, real) = (log.len(), observed.decisions.len());
             return Err(format!(
-                "{workers} workers: {one} decisions of the hollow router, {other} of the edge"
+                "{workers} workers: the simulated router made {simulated} decisions, the edge {real}"
             ));
         }
         let source = match status {
@@ -84,38 +86,39 @@
             RunStatus::OutOfTime => Source::NotFinished,
             RunStatus::Stopped => return Ok(()),
         };
-        let calls = observed.requests.len().max(1) as f64;
+        let requests = observed.requests.len().max(1) as f64;
         let per_request = |figure: fn(&Decision) -> bool| {
             observed
                 .decisions
                 .iter()
                 .filter(|(_, decision)| figure(decision))
                 .count() as f64
-                / calls
+                / requests
         };
         let counts = fleet.counts();
-        let per_simulated_request = |n: u64| n as f64 / counts.calls.max(1) as f64;
-        let asks = per_request(|d| matches!(d, Decision::Hold { copies: 0, .. }));
-        let orders = per_request(|d| matches!(d, Decision::Hold { copies, .. } if *copies > 0));
-        let probes = per_request(|d| matches!(d, Decision::Probe { .. }));
-        let us = |nanoseconds: u64| nanoseconds as f64 / 1e3 / calls;
+        let per_simulated_request = |n: u64| n as f64 / counts.requests.max(1) as f64;
+        let load_queries = per_request(|d| matches!(d, Decision::Hold { copies: 0, .. }));
+        let load_commands =
+            per_request(|d| matches!(d, Decision::Hold { copies, .. } if *copies > 0));
+        let health_checks = per_request(|d| matches!(d, Decision::Probe { .. }));
+        let us_per_request = |nanoseconds: u64| nanoseconds as f64 / 1e3 / requests;
         let simulated_us = per_simulated_request(counts.nanoseconds) / 1e3;
         for (play, figure, unit, value) in [
             (
                 "real edge",
                 "processor time a call",
                 "us",
-                us(observed.edge_nanoseconds),
+                us_per_request(observed.edge_nanoseconds),
             ),
             (
                 "real edge",
                 "processor time a call, its module",
                 "us",
-                us(observed.module_nanoseconds),
+                us_per_request(observed.module_nanoseconds),
             ),
-            ("real edge", "asks a call", "", asks),
-            ("real edge", "orders a call", "", orders),
-            ("real edge", "probes a call", "", probes),
+            ("real edge", "asks a call", "", load_queries),
+            ("real edge", "orders a call", "", load_commands),
+            ("real edge", "probes a call", "", health_checks),
             (
                 "hollow, the same calls",
                 "processor time a call, its module",
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -1,4 +1,4 @@
-//! An edge as a process of its own, with the list of so many workers and no calls: what it takes when it stands by.
+//! Memory and processor time of an idle edge process with an endpoint list of a given size.
 
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
@@ -10,11 +10,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// It must have its list within this time.
+/// Time within which the edge must get its endpoint list.
 const STARTUP_TIMEOUT: Micros = 30_000_000;
 const POLL_INTERVAL: Micros = 100_000;
 
-/// A process and a folder that end with their owner.
+/// An edge process and its folder. Drop kills the process and removes the folder.
 struct EdgeProcess {
     child: Child,
     folder: PathBuf,
@@ -28,10 +28,11 @@
     }
 }
 
-/// Measures at each of the real sizes, and at those along the workers; nothing where the program isn't known.
+/// Measures an idle edge process for each number of workers of the router benchmark. Does nothing if the plan has no
+/// program.
 ///
 /// # Errors
-/// A process could not be started or did not get its list.
+/// A process could not be started or did not get its endpoint list.
 pub(crate) fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let Some(program) = &plan.program else {
         return Ok(());
@@ -40,7 +41,9 @@
         if stop.is_set() {
             return Ok(());
         }
-        sink.progress(&format!("an edge process with a list of {workers} workers"));
+        sink.progress(&format!(
+            "idle edge process with {workers} workers in its endpoint list"
+        ));
         let Some((bytes, core)) = measure_idle(program, plan, workers, stop)? else {
             return Ok(());
         };
@@ -156,7 +159,7 @@
         }
         if driver.now() > until {
             return Err(format!(
-                "an edge did not get its list of {workers} workers within half a minute"
+                "an edge did not get its endpoint list of {workers} workers within 30 s"
             ));
         }
         let next = driver.now() + POLL_INTERVAL;
@@ -181,7 +184,7 @@
     )))
 }
 
-/// The edge's metrics page; empty where it doesn't answer.
+/// The edge's metrics page; empty if the edge doesn't answer.
 fn metrics(address: &str) -> String {
     let page = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(address)?;
@@ -209,10 +212,10 @@
     Ok(pages.unwrap_or_default() * rustix::param::page_size() as f64)
 }
 
-/// Ticks of processor time, of its own and within the kernel.
+/// Processor time in user and kernel mode, in clock ticks.
 fn cpu_ticks(child: &Child) -> Result<f64, String> {
     let text = read_proc_file(child, "stat")?;
-    // The name, in brackets, may have spaces in it.
+    // The second field, the name in parentheses, may contain spaces.
     let after = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<f64> = after
         .split_whitespace()
--- a/crates/sanddrum-lab/src/capacity/memory.rs
+++ b/crates/sanddrum-lab/src/capacity/memory.rs
@@ -1,4 +1,4 @@
-//! Memory and list costs of a decision module, from rounds that were played before.
+//! Memory of a decision module and its costs of endpoint lists, measured by replaying recorded rounds.
 
 use super::cpu_clock::ThreadCpuClock;
 use super::decision_host::RecordedDecisions;
@@ -7,8 +7,8 @@
 use sanddrum::{EndpointList, EndpointListKind, EventBatch, Micros, Router, Settings, WorkerState};
 use std::time::{Duration, Instant};
 
-/// Modules are made until the process has grown by the first, as what was freed before is taken first, and then by the
-/// second; no more than so many.
+/// Modules are created until the process has grown by `MIN_GROWTH_BYTES`, because memory that was freed before is
+/// reused first. They are counted while it grows by further `MEASURED_GROWTH_BYTES`, up to `MAX_MODULES` in total.
 const MIN_GROWTH_BYTES: f64 = (1 << 20) as f64;
 const MEASURED_GROWTH_BYTES: f64 = (16 << 20) as f64;
 const MAX_MODULES: usize = 2000;
@@ -20,8 +20,9 @@
     Some(pages * rustix::param::page_size() as f64)
 }
 
-/// What a module takes after these rounds, in bytes: the same rounds are played to several, all kept, and what the
-/// process grows by is shared among them. None where that takes too long to tell.
+/// The memory of a decision module after these rounds, in bytes. Replays the rounds to several modules, which are all
+/// kept, and divides the growth of the process by their number. `None` if the growth can't be measured within the time
+/// limit.
 pub(crate) fn module_memory(
     settings: &Settings,
     seed: u64,
@@ -30,49 +31,50 @@
     stop: &Stop,
 ) -> Option<f64> {
     let deadline = Instant::now() + limit;
-    let one = || -> Option<Router> {
+    let replay = || -> Option<Router> {
         let mut module = Router::new(seed, settings);
-        let mut written = RecordedDecisions::default();
+        let mut decisions = RecordedDecisions::default();
         for (now, round) in rounds {
             if stop.is_set() || Instant::now() >= deadline {
                 return None;
             }
-            module.handle(*now, round, &mut written);
-            written.0.clear();
+            module.handle(*now, round, &mut decisions);
+            decisions.0.clear();
         }
         Some(module)
     };
-    let (mut modules, mut grows_from) = (Vec::new(), None);
+    let (mut modules, mut baseline) = (Vec::new(), None);
     let before = resident_bytes()?;
     while modules.len() < MAX_MODULES {
-        let Some(module) = one() else { break };
+        let Some(module) = replay() else { break };
         modules.push(module);
         let now = resident_bytes()?;
-        if grows_from.is_none() && now - before > MIN_GROWTH_BYTES {
-            grows_from = Some((modules.len(), now));
+        if baseline.is_none() && now - before > MIN_GROWTH_BYTES {
+            baseline = Some((modules.len(), now));
         }
-        let enough = grows_from.is_some_and(|(_, from)| now - from > MEASURED_GROWTH_BYTES);
+        let enough = baseline.is_some_and(|(_, from)| now - from > MEASURED_GROWTH_BYTES);
         if enough {
             break;
         }
     }
-    let (made, from) = grows_from?;
-    let since = modules.len() - made;
+    let (count, from) = baseline?;
+    let since = modules.len() - count;
     (since > 0).then_some((resident_bytes()? - from) / since.max(1) as f64)
 }
 
-/// What lists cost a module.
+/// The costs of endpoint lists for a decision module.
 pub(crate) struct ListCosts {
     pub full_list_us: f64,
-    /// Of one worker.
+    /// Processor time of a change of one worker.
     pub change_us: f64,
     pub change_bytes: f64,
 }
 
-/// What lists cost a module that has had its usual calls for a keep-alive; none where that takes too long to tell.
+/// Measures the costs of endpoint lists for a decision module after a keep-alive period with its usual requests.
+/// `None` if the time limit is reached before that.
 ///
 /// # Errors
-/// A setting is refused.
+/// A setting is rejected.
 pub(crate) fn list_costs(
     plan: &Plan,
     size: &Size,
@@ -95,35 +97,34 @@
         return Ok(None);
     };
     let mut module = Router::new(1, &settings);
-    let (mut written, mut now) = (RecordedDecisions::default(), 0);
+    let (mut decisions, mut now) = (RecordedDecisions::default(), 0);
     for (at, round) in &rounds {
         if stop.is_set() || Instant::now() >= deadline + limit {
             return Ok(None);
         }
-        module.handle(*at, round, &mut written);
-        (now, written.0) = (*at, Vec::new());
+        module.handle(*at, round, &mut decisions);
+        (now, decisions.0) = (*at, Vec::new());
     }
     let clock = ThreadCpuClock::new();
     let mut time = |lists: Vec<EndpointList>| {
         now += 1;
-        let (round, mut written) = (
+        let (round, mut decisions) = (
             EventBatch {
                 endpoint_lists: lists,
                 ..EventBatch::default()
             },
             RecordedDecisions::default(),
         );
-        let began = ThreadCpuClock::now();
-        module.handle(now, &round, &mut written);
-        clock.elapsed_since(began) as f64 / 1e3
+        let start = ThreadCpuClock::now();
+        module.handle(now, &round, &mut decisions);
+        clock.elapsed_since(start) as f64 / 1e3
     };
-    // A round's own cost isn't the list's; some of these rounds hold a sweep, which isn't either, so the middle counts.
+    // The cost of an empty round is subtracted. Some rounds contain a sweep, so the median is used.
     let mut empty_round_us: Vec<f64> = (0..changes).map(|_| time(Vec::new())).collect();
     let empty_round_us = median(&mut empty_round_us);
     const FULL_LISTS: usize = 9;
-    let mut full_list_us_samples: Vec<f64> =
-        (0..FULL_LISTS).map(|_| time(vec![list.clone()])).collect();
-    let full_list_us_samples = median(&mut full_list_us_samples) - empty_round_us;
+    let mut samples: Vec<f64> = (0..FULL_LISTS).map(|_| time(vec![list.clone()])).collect();
+    let full_list_us = median(&mut samples) - empty_round_us;
     let mut rows = list.endpoints.iter().cycle();
     let mut change = |state: WorkerState, row: sanddrum::Endpoint| {
         let rows = vec![sanddrum::Endpoint { state, ..row }];
@@ -132,19 +133,19 @@
             endpoints: rows,
         }])
     };
-    // Draining, gone and back, as one that is replaced.
-    let mut each: Vec<f64> = Vec::new();
+    // Draining, gone and ready again, like a worker that is replaced.
+    let mut change_costs: Vec<f64> = Vec::new();
     for _ in 0..changes.div_ceil(3) {
         let Some(row) = rows.next().copied() else {
             break;
         };
         for state in [WorkerState::Draining, WorkerState::Gone, WorkerState::Ready] {
-            each.push(change(state, row) - empty_round_us);
+            change_costs.push(change(state, row) - empty_round_us);
         }
     }
     Ok(Some(ListCosts {
-        full_list_us: full_list_us_samples.max(0.0),
-        change_us: (each.iter().sum::<f64>() / each.len().max(1) as f64).max(0.0),
+        full_list_us: full_list_us.max(0.0),
+        change_us: (change_costs.iter().sum::<f64>() / change_costs.len().max(1) as f64).max(0.0),
         change_bytes: fleet.list_bytes(1) as f64,
     }))
 }
--- a/crates/sanddrum-lab/src/capacity/message_sizes.rs
+++ b/crates/sanddrum-lab/src/capacity/message_sizes.rs
@@ -1,4 +1,4 @@
-//! What control messages take on the wire, each kind encoded once.
+//! The sizes of control messages on the wire. Each kind is encoded once.
 
 use super::model::Functions;
 use sanddrum_wire::{
@@ -9,20 +9,21 @@
     EndpointRecord, EndpointUpdate, HealthCheck, HealthStatus, ToWorker, Unload, VERSION,
 };
 
-/// Bytes of frames; TLS and what is below it aren't in them.
+/// Sizes of frames in bytes, without TLS and the layers below.
 pub(crate) struct MessageSizes {
-    /// An order or an ask with its answer.
+    /// A load command or query with its answer.
     pub load: u64,
+    /// A health check with its answer.
     pub health_check: u64,
     pub cancel: u64,
     pub unload: u64,
-    /// Both greetings.
+    /// The hello messages of both sides.
     pub hello_exchange: u64,
     list: u64,
     row: u64,
 }
 
-/// A number as long-lived connections and processes have it.
+/// A typical id on a long-lived connection, or version of a long-lived process.
 const SAMPLE_NUMBER: u64 = 1 << 20;
 
 impl MessageSizes {
@@ -42,13 +43,13 @@
             status: ExecutionStatus::Finished,
             instances: 1,
         };
-        let some = Some(0.3);
+        let sample = Some(0.3);
         let report = LoadReport {
-            in_flight: some,
-            queued: some,
-            busy: some,
-            memory_pinned: some,
-            loads_in_progress: some,
+            in_flight: sample,
+            queued: sample,
+            busy: sample,
+            memory_pinned: sample,
+            loads_in_progress: sample,
         };
         let hello = Hello {
             version: VERSION,
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -1,4 +1,4 @@
-//! The list service with a meter on it: what reaches it and leaves it, by second, and the processor time within its core.
+//! Wraps the discovery service and counts its messages, bytes and processor time in each second.
 
 use super::cpu_clock::ThreadCpuClock;
 use sanddrum_net::{ConnectionId, Core, Event, Io, Micros, PeerIdentity};
@@ -7,27 +7,30 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What fell on the list service within a second.
+/// The load on the discovery service within a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SecondStats {
-    /// Connections made, and those that it broke off itself.
+    /// Accepted connections.
     pub connections: u64,
+    /// Connections that the service reset.
     pub resets: u64,
-    /// Greetings of routers.
+    /// Hello messages of routers.
     pub hellos: u64,
-    /// Calls for the list, a question on a standing connection among them.
+    /// Watches by routers, including polls on open connections. Reports list them as calls.
     pub watches: u64,
-    /// Workers' own tellings, and their beats.
+    /// Registrations of workers.
     pub registrations: u64,
+    /// Heartbeats of workers.
     pub heartbeats: u64,
-    /// Messages and bytes out, as encoded.
+    /// Messages sent.
     pub messages: u64,
+    /// Bytes sent, as encoded.
     pub bytes: u64,
-    /// Processor time within its core, in nanoseconds.
+    /// Processor time of the service's core, in nanoseconds.
     pub nanoseconds: u64,
 }
 
-/// Something said between the list service and a router, in the order in which the service heard or said it.
+/// A message between the discovery service and a router, recorded when the service received or sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiscoveryMessage {
     Watch {
@@ -47,7 +50,7 @@
 #[derive(Debug, Default)]
 pub struct DiscoveryStats {
     pub seconds: BTreeMap<Micros, SecondStats>,
-    /// Kept only where asked for, as all that is said is read then.
+    /// All messages, if recording was requested; every update has to be decoded for it.
     pub message_log: Option<Vec<(Micros, DiscoveryMessage)>>,
 }
 
@@ -55,11 +58,11 @@
     fn second(&mut self, now: Micros) -> &mut SecondStats {
         self.seconds.entry(now.div_euclid(1_000_000)).or_default()
     }
-    /// Of the seconds that begin within a span, the most of a figure.
+    /// The largest value of a figure in the seconds that begin between `from` and `to`.
     pub fn worst(&self, from: Micros, to: Micros, figure: impl Fn(&SecondStats) -> u64) -> u64 {
         self.within(from, to).map(figure).max().unwrap_or(0)
     }
-    /// And the sum.
+    /// The sum of a figure over the seconds that begin between `from` and `to`.
     pub fn sum(&self, from: Micros, to: Micros, figure: impl Fn(&SecondStats) -> u64) -> u64 {
         self.within(from, to).map(figure).sum()
     }
@@ -71,7 +74,7 @@
     }
 }
 
-/// Frames of a stream, counted without being kept.
+/// Counts the frames of a stream without storing them.
 #[derive(Debug, Default)]
 struct FrameCount {
     prefix: Vec<u8>,
@@ -79,7 +82,7 @@
 }
 
 impl FrameCount {
-    /// How many frames end within these bytes.
+    /// The number of frames that end within these bytes.
     fn count_ends(&mut self, mut bytes: &[u8]) -> u64 {
         let mut ended = 0;
         while !bytes.is_empty() {
@@ -111,7 +114,7 @@
     outgoing: FrameDecoder,
 }
 
-/// The largest frame that the meter reads.
+/// The largest frame that can be decoded.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
 pub struct Metered<C> {
@@ -133,7 +136,12 @@
             now,
         }
     }
-    fn call(&mut self, now: Micros, io: &mut dyn Io, what: impl FnOnce(&mut C, &mut dyn Io)) {
+    fn measure(
+        &mut self,
+        now: Micros,
+        io: &mut dyn Io,
+        operation: impl FnOnce(&mut C, &mut dyn Io),
+    ) {
         self.now.set(now);
         let Metered {
             core,
@@ -151,7 +159,7 @@
             excluded: 0,
         };
         let before = ThreadCpuClock::now();
-        what(core, &mut metered_io);
+        operation(core, &mut metered_io);
         let within = clock
             .elapsed_since(before)
             .saturating_sub(metered_io.excluded);
@@ -195,7 +203,7 @@
 
 impl<C: Core> Core for Metered<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
-        self.call(now, io, |core, io| core.start(now, io));
+        self.measure(now, io, |core, io| core.start(now, io));
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
@@ -218,10 +226,10 @@
             Event::Closed { conn, .. } => drop(self.connections.remove(&conn)),
             Event::Connected { .. } | Event::Writable { .. } => {}
         }
-        self.call(now, io, |core, io| core.on_event(now, event, io));
+        self.measure(now, io, |core, io| core.on_event(now, event, io));
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        self.call(now, io, |core, io| core.process(now, io));
+        self.measure(now, io, |core, io| core.process(now, io));
     }
     fn next_wakeup(&self) -> Option<Micros> {
         let before = ThreadCpuClock::now();
@@ -235,7 +243,7 @@
     }
 }
 
-/// Passes on what the core asks of its driver, whose time is not the core's.
+/// Forwards I/O to the driver, whose processor time must not count as the core's.
 struct MeteredIo<'a> {
     io: &'a mut dyn Io,
     connections: &'a mut BTreeMap<ConnectionId, MeteredConnection>,
@@ -246,10 +254,11 @@
 }
 
 impl MeteredIo<'_> {
-    fn exclude<T>(&mut self, what: impl FnOnce(&mut Self) -> T) -> T {
+    fn exclude<T>(&mut self, operation: impl FnOnce(&mut Self) -> T) -> T {
         let before = ThreadCpuClock::now();
-        let done = what(self);
-        // Of the two readings, one is within what has passed and one is not; neither is the core's.
+        let done = operation(self);
+        // The measured time contains one of the two clock readings; the other is added. Neither counts as the core's
+        // time.
         self.excluded += ThreadCpuClock::now() - before + self.clock.overhead();
         done
     }
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -240,7 +240,7 @@
 pub struct Functions {
     pub all: Vec<Function>,
     /// Cumulative fractions of all requests.
-    sums: Vec<f64>,
+    cumulative: Vec<f64>,
 }
 
 /// The distribution of requests over functions.
@@ -248,9 +248,13 @@
 pub enum Popularity {
     /// A Zipf distribution with this exponent.
     Zipf(f64),
-    /// The fraction `part` of the functions is rare: each is called between once an hour and once a minute, out of
-    /// `calls` requests a second in total. The others have a Zipf distribution.
-    Rare { zipf: f64, part: f64, calls: f64 },
+    /// The given fraction of the functions is rare: each is called between once an hour and once a minute, out of
+    /// `request_rate` requests a second in total. The others have a Zipf distribution.
+    Rare {
+        zipf: f64,
+        fraction: f64,
+        request_rate: f64,
+    },
 }
 
 const ONCE_A_MINUTE: f64 = 1.0 / 60.0;
@@ -269,29 +273,33 @@
             .contains("functions.0.load-us")
             .then(|| l.duration_us("functions.0.load-us"));
         let mut rng = Rng::new(seed ^ 0xf0);
-        let (zipf, frequent, calls) = match shape {
+        let (zipf, frequent, request_rate) = match shape {
             Popularity::Zipf(zipf) => (zipf, count, 1.0),
-            Popularity::Rare { zipf, part, calls } => (
+            Popularity::Rare {
                 zipf,
-                ((count as f64 * (1.0 - part)).round() as usize).clamp(1, count),
-                calls,
+                fraction,
+                request_rate,
+            } => (
+                zipf,
+                ((count as f64 * (1.0 - fraction)).round() as usize).clamp(1, count),
+                request_rate,
             ),
         };
         let rates: Vec<f64> = (frequent..count)
             .map(|_| ONCE_AN_HOUR * (ONCE_A_MINUTE / ONCE_AN_HOUR).powf(rng.next_f64()))
             .collect();
-        let of_rare = rates.iter().sum::<f64>() / calls;
-        let whole: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
-        let parts =
-            (1..=frequent).map(|rank| (rank as f64).powf(-zipf) / whole * (1.0 - of_rare).max(0.0));
+        let rare_fraction = rates.iter().sum::<f64>() / request_rate;
+        let total_weight: f64 = (1..=frequent).map(|rank| (rank as f64).powf(-zipf)).sum();
+        let fractions = (1..=frequent)
+            .map(|rank| (rank as f64).powf(-zipf) / total_weight * (1.0 - rare_fraction).max(0.0));
         let mut sum = 0.0;
-        let sums = parts
-            .chain(rates.iter().map(|rate| rate / calls))
-            .map(|part| {
-                sum += part;
+        let cumulative = fractions
+            .chain(rates.iter().map(|rate| rate / request_rate))
+            .map(|fraction| {
+                sum += fraction;
                 sum
             });
-        let sums = sums.collect();
+        let cumulative = cumulative.collect();
         let function = |n: usize| {
             let name = format!("{workload}/{prefix}{n}");
             Function {
@@ -305,40 +313,41 @@
         };
         Functions {
             all: (0..count).map(function).collect(),
-            sums,
+            cumulative,
         }
     }
     /// A random function, weighted by its share of the requests.
-    pub fn draw(&self, rng: &mut Rng) -> usize {
-        let all = self.sums.last().copied().unwrap_or(1.0);
+    pub fn sample(&self, rng: &mut Rng) -> usize {
+        let all = self.cumulative.last().copied().unwrap_or(1.0);
         let at = rng.next_f64() * all;
-        self.sums
+        self.cumulative
             .partition_point(|sum| *sum <= at)
             .min(self.all.len().saturating_sub(1))
     }
     /// The function's fraction of all requests.
-    pub fn part(&self, n: usize) -> f64 {
+    pub fn fraction(&self, n: usize) -> f64 {
         let before = n
             .checked_sub(1)
-            .and_then(|n| self.sums.get(n))
+            .and_then(|n| self.cumulative.get(n))
             .copied()
             .unwrap_or(0.0);
-        self.sums.get(n).map_or(0.0, |sum| sum - before) / self.sums.last().copied().unwrap_or(1.0)
+        self.cumulative.get(n).map_or(0.0, |sum| sum - before)
+            / self.cumulative.last().copied().unwrap_or(1.0)
     }
 }
 
-/// The effect on workers of the routers that are not simulated. An instance that their requests would have loaded exists
-/// with the probability that the request rate implies, sampled anew in each keep-alive period, and their requests count
-/// in load reports. Their use of an instance's concurrency isn't modelled.
+/// The effect on workers of the routers that are not simulated. An instance that their requests would have loaded
+/// exists with the probability that the request rate implies, sampled anew in each keep-alive period, and their
+/// requests count in load reports. Their use of an instance's concurrency isn't modelled.
 #[derive(Clone, Copy, Debug)]
 pub struct BackgroundRouters {
     /// Requests a second of all these routers together.
-    pub calls: f64,
+    pub request_rate: f64,
     pub seed: u64,
 }
 
-/// The requests for a function are spread over at least `MIN_WORKERS_PER_FUNCTION` workers, and over more if the function
-/// would otherwise take more than the fraction `MAX_WORKER_SHARE` of the mean request rate of a worker.
+/// The requests for a function are spread over at least `MIN_WORKERS_PER_FUNCTION` workers, and over more if the
+/// function would otherwise take more than the fraction `MAX_WORKER_SHARE` of the mean request rate of a worker.
 const MIN_WORKERS_PER_FUNCTION: f64 = 2.0;
 const MAX_WORKER_SHARE: f64 = 0.5;
 
@@ -353,14 +362,15 @@
         workers: usize,
     ) -> bool {
         let keep = at.machine.config.keep_alive.max(1);
-        let part = functions.part(n);
-        let workers_with_instance = (part * workers as f64 / MAX_WORKER_SHARE).ceil().clamp(
+        let fraction = functions.fraction(n);
+        let workers_with_instance = (fraction * workers as f64 / MAX_WORKER_SHARE).ceil().clamp(
             MIN_WORKERS_PER_FUNCTION,
             (workers as f64).max(MIN_WORKERS_PER_FUNCTION),
         );
-        let expected = part * self.calls * (keep as f64 / 1e6) / workers_with_instance;
-        let draw = (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
-        Rng::new(self.seed ^ draw).next_f64() < 1.0 - (-expected).exp()
+        let expected = fraction * self.request_rate * (keep as f64 / 1e6) / workers_with_instance;
+        let sample_seed =
+            (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
+        Rng::new(self.seed ^ sample_seed).next_f64() < 1.0 - (-expected).exp()
     }
     /// Adds the requests of these routers to a load report.
     fn add_to_report(
@@ -368,18 +378,18 @@
         now: Micros,
         at: &SimulatedWorker,
         report: LoadReport,
-        jobs: f64,
+        requests: f64,
     ) -> LoadReport {
         let mut rng = Rng::new(self.seed ^ at.id.0 ^ now as u64);
         // A Poisson-distributed value from the gaps between arrivals; fast enough, as a worker has few requests.
-        let (mut more, mut gone) = (0.0, rng.exponential(1.0));
-        while gone < jobs {
-            (more, gone) = (more + 1.0, gone + rng.exponential(1.0));
+        let (mut added, mut elapsed) = (0.0, rng.exponential(1.0));
+        while elapsed < requests {
+            (added, elapsed) = (added + 1.0, elapsed + rng.exponential(1.0));
         }
         let cores = at.machine.config.cores.max(1) as f64;
         LoadReport {
-            in_flight: report.in_flight.map(|held| held + more),
-            busy: report.busy.map(|busy| (busy + more / cores).min(1.0)),
+            in_flight: report.in_flight.map(|held| held + added),
+            busy: report.busy.map(|busy| (busy + added / cores).min(1.0)),
             ..report
         }
     }
@@ -434,8 +444,8 @@
             Some((at, report)) if now < at + every => report,
             _ => {
                 let own = self.machine.load_report();
-                let report = background.map_or(own, |(background, jobs)| {
-                    background.add_to_report(now, self, own, jobs)
+                let report = background.map_or(own, |(background, requests)| {
+                    background.add_to_report(now, self, own, requests)
                 });
                 self.report = Some((now, report));
                 report
--- a/crates/sanddrum-lab/src/capacity/point.rs
+++ b/crates/sanddrum-lab/src/capacity/point.rs
@@ -23,7 +23,8 @@
     Played,
     /// Computed from the counters of other runs.
     WorkedOut,
-    /// The run exceeded its limit on real time; the value covers the part measured until then and is left out of slopes.
+    /// The run exceeded its limit on real time; the value covers the part measured until then and is left out of
+    /// slopes.
     NotFinished,
 }
 
--- a/crates/sanddrum-lab/src/capacity/real_edge.rs
+++ b/crates/sanddrum-lab/src/capacity/real_edge.rs
@@ -1,5 +1,5 @@
-//! The real thing beside the hollow one: an edge's core with the stand-in workers, list service and store on the virtual
-//! network, and the same calls and lists given to a hollow router.
+//! Runs a real edge with emulated workers, discovery service and function store on the virtual network, records it,
+//! and sets up a simulated router with the same requests and endpoint lists for comparison.
 
 use super::cpu_clock::ThreadCpuClock;
 use super::decision_host::{Decision, RecordedDecisions};
@@ -12,15 +12,17 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What a real edge was seen to do.
+/// The recorded inputs, decisions and processor time of a real edge.
 #[derive(Clone, Debug, Default)]
 pub struct ObservedEdge {
-    /// Jobs and lists as they came to the module, and what it decided.
+    /// Requests as they reached the decision module.
     pub requests: Vec<(Micros, Request)>,
+    /// Endpoint lists as they reached the decision module.
     pub lists: Vec<(Micros, EndpointList)>,
     pub decisions: Vec<(Micros, Decision)>,
-    /// Processor time of the whole edge and of its module's rounds, in nanoseconds.
+    /// Processor time of the whole edge, in nanoseconds.
     pub edge_nanoseconds: u64,
+    /// Processor time of the decision module's rounds, in nanoseconds.
     pub module_nanoseconds: u64,
     pub rounds: Vec<(Micros, EventBatch)>,
     pub finished: usize,
@@ -29,7 +31,7 @@
 
 type Shared = Rc<RefCell<ObservedEdge>>;
 
-/// A module whose news and decisions are seen.
+/// A decision module that records its events and decisions.
 struct RecordingModule {
     module: Router,
     observed: Shared,
@@ -38,12 +40,12 @@
 
 impl DecisionModule for RecordingModule {
     fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
-        let mut written = RecordedDecisions::default();
-        let began = ThreadCpuClock::now();
-        self.module.handle(now, round, &mut written);
-        let took = self.clock.elapsed_since(began);
+        let mut decisions = RecordedDecisions::default();
+        let start_time = ThreadCpuClock::now();
+        self.module.handle(now, round, &mut decisions);
+        let elapsed = self.clock.elapsed_since(start_time);
         let mut observed = self.observed.borrow_mut();
-        observed.module_nanoseconds += took;
+        observed.module_nanoseconds += elapsed;
         observed.rounds.push((now, round.clone()));
         observed
             .requests
@@ -53,13 +55,13 @@
             .extend(round.endpoint_lists.iter().map(|list| (now, list.clone())));
         observed
             .decisions
-            .extend(written.0.iter().map(|decision| (now, decision.clone())));
+            .extend(decisions.0.iter().map(|decision| (now, decision.clone())));
         drop(observed);
-        written.0.iter().for_each(|decision| decision.write(out));
+        decisions.0.iter().for_each(|decision| decision.write(out));
     }
 }
 
-/// A core whose processor time is taken.
+/// A core whose processor time is measured.
 struct TimedCore {
     core: Box<dyn Core>,
     observed: Shared,
@@ -68,11 +70,11 @@
 
 impl TimedCore {
     fn time<T>(&mut self, what: impl FnOnce(&mut dyn Core) -> T) -> T {
-        let began = ThreadCpuClock::now();
-        let gives = what(&mut *self.core);
-        let took = self.clock.elapsed_since(began);
-        self.observed.borrow_mut().edge_nanoseconds += took;
-        gives
+        let start_time = ThreadCpuClock::now();
+        let result = what(&mut *self.core);
+        let elapsed = self.clock.elapsed_since(start_time);
+        self.observed.borrow_mut().edge_nanoseconds += elapsed;
+        result
     }
 }
 
@@ -118,7 +120,7 @@
     }
 }
 
-/// Links that take the same time for each message.
+/// Links with a constant latency.
 pub fn uniform_links() -> LinkModel {
     LinkModel {
         jitter: 0.0,
@@ -127,8 +129,8 @@
     }
 }
 
-/// Plays a scenario with one real edge. Callers tell the work of each call as their hint, so that it can be played
-/// again.
+/// Runs a scenario with a single real edge. Clients declare the exact work of each request, so that the requests can
+/// be replayed.
 ///
 /// # Errors
 /// The scenario can't be set up.
@@ -164,8 +166,8 @@
     Ok(observed)
 }
 
-/// A hollow fleet that gets the calls and lists that a real edge got, at the same instants, with workers of the same
-/// size and a store at full pace.
+/// A simulated fleet that gets the recorded requests and endpoint lists of a real edge at the same times, with workers
+/// of the same size and a function store without contention.
 ///
 /// # Errors
 /// The scenario's edge can't be set up.
@@ -189,9 +191,10 @@
     model.size.start_us_per_mb = worker.machine.start_us_per_mb;
     model.report_interval = worker.report_interval;
     (model.same_zone, model.cross_zone) = (links.same_zone_latency, links.cross_zone_latency);
-    let numbered = |(at, request): &(Micros, Request)| {
+    let to_arrival = |(at, request): &(Micros, Request)| {
         let function = functions.all.iter().position(|f| f.id == request.function);
-        let function = function.ok_or("a call of a function that isn't known")?;
+        let function = function
+            .ok_or("the recording has a request for a function that isn't part of the scenario")?;
         let work = request.expected_work.unwrap_or_default() as f64;
         Ok(Arrival {
             at: *at,
@@ -205,7 +208,7 @@
     let calls = observed
         .requests
         .iter()
-        .map(numbered)
+        .map(to_arrival)
         .collect::<Result<Vec<Arrival>, String>>()?;
     Ok(Fleet::new(FleetSpec {
         modules: vec![(observed.seed, edge.decision_settings())],
@@ -213,7 +216,7 @@
         zones: scenario.zones.len(),
         model,
         functions: Rc::new(functions),
-        calls: Arrivals::Given(calls),
+        arrivals: Arrivals::Given(calls),
         lists: ListSource::Given(observed.lists.clone()),
         loads: LoadTimes::Store {
             us_per_mb: l.number("store.per-mb-us"),
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -1,5 +1,5 @@
-//! The costs of a single router among many: its decision module over the numbers of workers, functions, requests a second
-//! and routers, and the cost of changes of the endpoint list.
+//! The costs of a single router among many: its decision module over the numbers of workers, functions, requests a
+//! second and routers, and the cost of changes of the endpoint list.
 
 use super::decision_host::Counts;
 use super::model::{BackgroundRouters, Functions, Model, Popularity};
@@ -147,17 +147,22 @@
 #[derive(Clone, Copy, Debug)]
 struct Variant {
     name: &'static str,
-    orders: bool,
+    load_commands: bool,
     background: bool,
-    /// The module gets only the number of routers, whether it may send load commands and what a cold miss does; without
-    /// further settings it sends no health checks either.
+    /// The module gets only the number of routers, whether it may send load commands and what a cold miss does;
+    /// without further settings it sends no health checks either.
     minimal: bool,
 }
 
-const fn variant(name: &'static str, orders: bool, background: bool, minimal: bool) -> Variant {
+const fn variant(
+    name: &'static str,
+    load_commands: bool,
+    background: bool,
+    minimal: bool,
+) -> Variant {
     Variant {
         name,
-        orders,
+        load_commands,
         background,
         minimal,
     }
@@ -203,7 +208,7 @@
     plan: &Plan,
     number: usize,
     routers: usize,
-    orders: bool,
+    load_commands: bool,
 ) -> Result<Settings, String> {
     let mut l = plan.settings.clone();
     let zones = l.names("zones");
@@ -211,13 +216,13 @@
         .get(number % zones.len().max(1))
         .cloned()
         .unwrap_or_default();
-    let orders = if orders { "yes" } else { "no" };
+    let load_commands = if load_commands { "yes" } else { "no" };
     let (number, routers) = (number.to_string(), routers.to_string());
     for (name, value) in [
         ("edge.number", number.as_str()),
         ("edge.edges", routers.as_str()),
         ("edge.zone", zone.as_str()),
-        ("copies.orders", orders),
+        ("copies.orders", load_commands),
     ] {
         l.override_value(name, value, "capacity")
             .map_err(|e| e.to_string())?;
@@ -228,12 +233,12 @@
 impl Variant {
     fn settings(&self, plan: &Plan, routers: usize) -> Result<Settings, String> {
         if !self.minimal {
-            return module_settings(plan, 0, routers, self.orders);
+            return module_settings(plan, 0, routers, self.load_commands);
         }
         let mut settings = Settings::default();
         for (name, value) in [
             ("routers", Value::Number(routers as f64)),
-            ("copies.orders", Value::Flag(self.orders)),
+            ("copies.orders", Value::Flag(self.load_commands)),
             (
                 "copies.on-miss",
                 Value::Text(plan.settings.text("copies.on-miss").into()),
@@ -269,14 +274,14 @@
         zones: l.names("zones").len(),
         model: Model::of(l),
         functions: Rc::new(Functions::new(l, size.functions, shape, plan.seed)),
-        calls: Arrivals::Random {
+        arrivals: Arrivals::Random {
             rate: size.calls,
             until,
         },
         lists: ListSource::AtStart,
         loads: LoadTimes::Random,
         background: background.then_some(BackgroundRouters {
-            calls: rest,
+            request_rate: rest,
             seed: plan.seed,
         }),
         seed: plan.seed,
@@ -319,7 +324,11 @@
         // The partial result counts from the start, including the warm-up.
         before = Counts::default();
     }
-    let since = if before.calls > 0 { warm } else { START_TIME };
+    let since = if before.requests > 0 {
+        warm
+    } else {
+        START_TIME
+    };
     Measurement {
         counts: fleet.counts().since(&before),
         seconds: ((fleet.now() - since) as f64 / 1e6).max(1e-6),
@@ -334,7 +343,7 @@
     /// The name, unit and value of each figure.
     pub fn figures(&self) -> Vec<(&'static str, &'static str, f64)> {
         let c = &self.counts;
-        let per_call = |n: u64| n as f64 / c.calls.max(1) as f64;
+        let per_call = |n: u64| n as f64 / c.requests.max(1) as f64;
         let per_second = |n: u64| n as f64 / self.seconds;
         vec![
             ("processor time a call", "us", per_call(c.nanoseconds) / 1e3),
--- a/crates/sanddrum-lab/src/capacity/simulated.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet: real decision modules with simulated hosts, workers and clients in virtual time. A single queue
-//! orders all events, so equal seeds give equal runs.
+//! The simulated fleet: real decision modules with simulated hosts, workers and clients in virtual time. A single
+//! queue orders all events, so equal seeds give equal runs.
 
 use super::decision_host::{
     execution_outcome, load_outcome, report_from_wire, warmth_from_wire, Counts, Decision,
@@ -89,7 +89,7 @@
     pub zones: usize,
     pub model: Model,
     pub functions: Rc<Functions>,
-    pub calls: Arrivals,
+    pub arrivals: Arrivals,
     pub lists: ListSource,
     pub loads: LoadTimes,
     pub background: Option<BackgroundRouters>,
@@ -231,7 +231,7 @@
     by_function: BTreeMap<FunctionId, usize>,
     functions: Rc<Functions>,
     model: Model,
-    calls: Arrivals,
+    arrivals: Arrivals,
     loads: LoadTimes,
     background: Option<BackgroundRouters>,
     zones: usize,
@@ -258,7 +258,7 @@
             zones,
             model,
             functions,
-            calls,
+            arrivals,
             lists,
             loads,
             background,
@@ -285,7 +285,7 @@
             message_sizes: MessageSizes::new(&functions),
             functions,
             model,
-            calls,
+            arrivals,
             loads,
             background,
             zones,
@@ -300,12 +300,12 @@
             clock: ThreadCpuClock::new(),
         };
         fleet.schedule_lists(lists);
-        match fleet.calls.clone() {
+        match fleet.arrivals.clone() {
             Arrivals::Random { .. } => {
                 (0..fleet.hosts.len()).for_each(|router| fleet.schedule_arrival(router))
             }
-            Arrivals::Given(calls) => calls.into_iter().for_each(|call| {
-                fleet.schedule(call.at, Event::Given(call));
+            Arrivals::Given(arrivals) => arrivals.into_iter().for_each(|arrival| {
+                fleet.schedule(arrival.at, Event::Given(arrival));
             }),
         }
         fleet
@@ -439,7 +439,7 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::NextArrival(router) => self.generate_arrival(router),
-            Event::Given(call) => self.accept_request(call),
+            Event::Given(arrival) => self.accept_request(arrival),
             Event::RouterWakeup(router) => {
                 if self.hosts[router].scheduled_wakeup == Some(self.now) {
                     self.hosts[router].scheduled_wakeup = None;
@@ -526,7 +526,7 @@
     // ---- Requests
 
     fn schedule_arrival(&mut self, router: usize) {
-        let Arrivals::Random { rate, until } = self.calls else {
+        let Arrivals::Random { rate, until } = self.arrivals else {
             return;
         };
         let at = self.now + (self.rng.exponential(1e6 / rate.max(1e-9)).min(1e12) as Micros).max(1);
@@ -536,7 +536,7 @@
     }
     fn generate_arrival(&mut self, router: usize) {
         self.schedule_arrival(router);
-        let function = self.functions.draw(&mut self.rng);
+        let function = self.functions.sample(&mut self.rng);
         let work = self.rng.exponential(self.model.work as f64).max(1.0);
         // Requests for routers in a lost zone go to the others.
         let mut to = router;
@@ -553,8 +553,8 @@
             hint: None,
         });
     }
-    fn accept_request(&mut self, call: Arrival) {
-        let (now, host) = (self.now, &mut self.hosts[call.router]);
+    fn accept_request(&mut self, arrival: Arrival) {
+        let (now, host) = (self.now, &mut self.hosts[arrival.router]);
         let Arrival {
             router,
             function,
@@ -562,7 +562,7 @@
             due,
             hint,
             ..
-        } = call;
+        } = arrival;
         let f = &self.functions.all[function];
         let id = host.add_request(HostedRequest {
             function,
@@ -573,7 +573,7 @@
             in_flight: 0,
             closed: false,
         });
-        host.counts.calls += 1;
+        host.counts.requests += 1;
         host.round.requests.push(Request {
             id,
             function: f.id,
--- a/crates/sanddrum-lab/src/capacity/simulated/connections.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/connections.rs
@@ -27,8 +27,8 @@
     fn prewarm(&mut self, worker: WorkerId) {
         self.0.push(ConnectionDecision::Prewarm(worker));
     }
-    fn reject(&mut self, connection: WorkerConnectionId, why: RejectReason) {
-        self.0.push(ConnectionDecision::Reject(connection, why));
+    fn reject(&mut self, connection: WorkerConnectionId, reason: RejectReason) {
+        self.0.push(ConnectionDecision::Reject(connection, reason));
     }
     fn retire(&mut self, old: OutdatedConnection) {
         if let OutdatedConnection::Worker(connection) = old {
@@ -60,7 +60,13 @@
             .iter()
             .filter_map(|id| Some((id, host.connections.get(id)?)));
         let least = connections
-            .map(|(id, connection)| (connection.in_use.len(), Reverse(connection.idle_since), *id))
+            .map(|(id, connection)| {
+                (
+                    connection.in_flight.len(),
+                    Reverse(connection.idle_since),
+                    *id,
+                )
+            })
             .min();
         let id = match least.filter(|(carried, ..)| *carried < streams) {
             Some((.., id)) => id,
@@ -70,19 +76,19 @@
         let connection = host.connections.get_mut(&id).ok_or(Outcome::NoConnection)?;
         connection.unsent.push((tag, message));
         if tag != MessageTag::Unanswered {
-            connection.in_use.insert(tag);
+            connection.in_flight.insert(tag);
         }
-        let need = if matches!(tag, MessageTag::Attempt(_)) {
+        let purpose = if matches!(tag, MessageTag::Attempt(_)) {
             Purpose::Request
         } else {
             Purpose::Control
         };
-        let full = connection.in_use.len() as f64 / streams as f64;
+        let utilization = connection.in_flight.len() as f64 / streams as f64;
         if !connection.open_started {
             host.connection_events.requested.push(ConnectionRequest {
                 connection: id,
                 worker,
-                purpose: need,
+                purpose,
                 deadline: due,
             });
         }
@@ -90,7 +96,7 @@
             .utilization
             .push(ConnectionUtilization {
                 worker,
-                utilization: full,
+                utilization,
             });
         host.dirty.insert(id);
         Ok(id)
@@ -113,7 +119,7 @@
         router: usize,
         worker: WorkerId,
     ) -> Result<WorkerConnectionId, Outcome> {
-        let (now, most) = (self.now, self.model.max_connections);
+        let (now, max_connections) = (self.now, self.model.max_connections);
         let to = self
             .by_id
             .get(&worker)
@@ -121,7 +127,7 @@
             .ok_or(Outcome::NoConnection)?;
         let host = &mut self.hosts[router];
         let target = host.targets.get_mut(&worker).ok_or(Outcome::NoConnection)?;
-        if target.len() >= most {
+        if target.len() >= max_connections {
             return Err(Outcome::Rejected);
         }
         host.connections_created += 1;
@@ -153,9 +159,9 @@
         let Some(connection) = self.hosts[router].connections.get_mut(&id) else {
             return;
         };
-        connection.in_use.remove(&tag);
+        connection.in_flight.remove(&tag);
         connection.idle_since = now;
-        if connection.retired && connection.in_use.is_empty() {
+        if connection.retired && connection.in_flight.is_empty() {
             self.schedule(
                 now,
                 Event::CheckConnection {
@@ -175,25 +181,24 @@
             return;
         }
         host.connection_wake = None;
-        let (connection_events, mut decided) = (
+        let (events, mut decided) = (
             std::mem::take(&mut host.connection_events),
             CollectedDecisions::default(),
         );
-        let began = ThreadCpuClock::now();
-        host.connection_policy
-            .handle(now, &connection_events, &mut decided);
-        host.counts.connection_nanoseconds += self.clock.elapsed_since(began);
+        let start = ThreadCpuClock::now();
+        host.connection_policy.handle(now, &events, &mut decided);
+        host.counts.connection_nanoseconds += self.clock.elapsed_since(start);
         for decision in decided.0 {
             match decision {
                 ConnectionDecision::Open(connection) => self.open_connection(router, connection),
                 ConnectionDecision::Prewarm(worker) => self.prewarm_connection(router, worker),
-                ConnectionDecision::Reject(connection, why) => {
-                    let end = if why == RejectReason::HandshakeBudget {
+                ConnectionDecision::Reject(connection, reason) => {
+                    let outcome = if reason == RejectReason::HandshakeBudget {
                         Outcome::Rejected
                     } else {
                         Outcome::NoConnection
                     };
-                    self.end_connection(router, connection, end);
+                    self.end_connection(router, connection, outcome);
                 }
                 ConnectionDecision::Retire(connection) => {
                     self.retire_connection(router, connection)
@@ -246,11 +251,11 @@
         let Some(target) = host.targets.get(&worker) else {
             return;
         };
-        let to_come = target
+        let is_opening = target
             .iter()
             .filter_map(|id| host.connections.get(id))
             .any(|connection| !connection.up);
-        if to_come || target.len() >= self.model.max_connections {
+        if is_opening || target.len() >= self.model.max_connections {
             return;
         }
         if let Ok(connection) = self.new_connection(router, worker) {
@@ -291,14 +296,14 @@
         if !connection.up && connection.open_started && !connection.retired {
             return self.end_connection(router, id, Outcome::NoConnection);
         }
-        let empty = connection.in_use.is_empty();
+        let empty = connection.in_flight.is_empty();
         if empty && (connection.retired || (connection.unsent.is_empty() && idle <= now)) {
             return self.end_connection(router, id, Outcome::Reset);
         }
         if !connection.retired {
-            let again = if empty { idle } else { now + idle_close };
+            let next_check = if empty { idle } else { now + idle_close };
             self.schedule(
-                again.max(now + 1),
+                next_check.max(now + 1),
                 Event::CheckConnection {
                     router,
                     connection: id,
@@ -307,7 +312,12 @@
         }
     }
     /// Removes a connection and ends everything on it with the outcome `end`.
-    pub(super) fn end_connection(&mut self, router: usize, id: WorkerConnectionId, end: Outcome) {
+    pub(super) fn end_connection(
+        &mut self,
+        router: usize,
+        id: WorkerConnectionId,
+        outcome: Outcome,
+    ) {
         let host = &mut self.hosts[router];
         let Some(connection) = host.connections.remove(&id) else {
             return;
@@ -323,11 +333,11 @@
             &mut host.connection_events.closed
         }
         .push(id);
-        for tag in connection.in_use {
+        for tag in connection.in_flight {
             match tag {
-                MessageTag::Attempt(id) => self.end_attempt(router, id, end),
-                MessageTag::Load(id) => self.end_load(router, id, end, 0),
-                MessageTag::HealthCheck(id) => self.end_health_check(router, id, end, None),
+                MessageTag::Attempt(id) => self.end_attempt(router, id, outcome),
+                MessageTag::Load(id) => self.end_load(router, id, outcome, 0),
+                MessageTag::HealthCheck(id) => self.end_health_check(router, id, outcome, None),
                 MessageTag::Unanswered => {}
             }
         }
@@ -412,10 +422,10 @@
     }
     fn unsend_from_worker(&mut self, router: usize, worker: WorkerId) {
         let host = &mut self.hosts[router];
-        let mut back = Vec::new();
+        let mut withdrawn = Vec::new();
         for id in host.targets.get(&worker).into_iter().flatten() {
             if let Some(connection) = host.connections.get_mut(id) {
-                back.extend(
+                withdrawn.extend(
                     connection
                         .unsent
                         .iter()
@@ -427,7 +437,7 @@
                     .retain(|(tag, _)| *tag == MessageTag::Unanswered);
             }
         }
-        for tag in back {
+        for tag in withdrawn {
             match tag {
                 MessageTag::Attempt(id) => {
                     self.end_attempt(router, id, Outcome::CancelledBeforeStart)
--- a/crates/sanddrum-lab/src/capacity/simulated/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/routers.rs
@@ -15,19 +15,19 @@
             if due {
                 (round.timer, host.wake) = (true, None);
             }
-            let mut written = RecordedDecisions::default();
-            let began = ThreadCpuClock::now();
-            host.module.handle(self.now, &round, &mut written);
-            let took = self.clock.elapsed_since(began);
-            host.counts.nanoseconds += took;
+            let mut decisions = RecordedDecisions::default();
+            let start = ThreadCpuClock::now();
+            host.module.handle(self.now, &round, &mut decisions);
+            let elapsed = self.clock.elapsed_since(start);
+            host.counts.nanoseconds += elapsed;
             if round.requests.is_empty() && round.attempt_results.is_empty() {
-                host.counts.control_nanoseconds += took;
+                host.counts.control_nanoseconds += elapsed;
             }
             host.counts.rounds += 1;
             if let Some(rounds) = self.rounds.as_mut().filter(|_| router == 0) {
                 rounds.push((self.now, round));
             }
-            for decision in written.0 {
+            for decision in decisions.0 {
                 if let Some(log) = &mut self.log {
                     log.push((self.now, router, decision.clone()));
                 }
@@ -37,15 +37,15 @@
         self.run_connection_policy(router);
         self.flush(router);
         let host = &mut self.hosts[router];
-        let connection_events =
+        let ready_at =
             (host.has_events() || !host.connection_events.is_empty()).then_some(self.now);
-        let again = connection_events
+        let next_turn = ready_at
             .into_iter()
             .chain(host.wake)
             .chain(host.connection_wake)
             .min();
-        let again = again.map(|at| at.max(self.now + 1));
-        if let Some(at) = again.filter(|at| host.scheduled_wakeup.is_none_or(|set| *at < set)) {
+        let next_turn = next_turn.map(|at| at.max(self.now + 1));
+        if let Some(at) = next_turn.filter(|at| host.scheduled_wakeup.is_none_or(|set| *at < set)) {
             host.scheduled_wakeup = Some(at);
             self.schedule(at, Event::RouterWakeup(router));
         }
@@ -60,17 +60,17 @@
                 worker,
                 limit,
             } => {
-                let execution = host.next_attempt_id();
+                let attempt_id = host.next_attempt_id();
                 let Some(request) = host.requests.get_mut(&id) else {
                     return;
                 };
                 let (index, limit) = (request.attempts.len(), limit.min(request.due - now).max(0));
-                request.attempts.push(execution);
+                request.attempts.push(attempt_id);
                 request.in_flight += 1;
                 let (function, work, closed) = (request.function, request.work, request.closed);
                 host.counts.attempts += 1;
                 let message = Message::Execute {
-                    id: execution,
+                    id: attempt_id,
                     function,
                     work,
                     limit,
@@ -78,9 +78,13 @@
                 let due = now + limit;
                 let sent = match closed {
                     true => Err(Outcome::CancelledBeforeStart),
-                    false => {
-                        self.send(router, worker, MessageTag::Attempt(execution), message, due)
-                    }
+                    false => self.send(
+                        router,
+                        worker,
+                        MessageTag::Attempt(attempt_id),
+                        message,
+                        due,
+                    ),
                 };
                 let (connection, timeout) = match sent {
                     Ok(connection) => (
@@ -89,7 +93,7 @@
                             due,
                             Event::AttemptTimeout {
                                 router,
-                                id: execution,
+                                id: attempt_id,
                             },
                         ),
                     ),
@@ -103,19 +107,19 @@
                     timeout,
                     connection,
                 };
-                self.hosts[router].attempts.insert(execution, attempt);
-                if let Err(end) = sent {
-                    self.end_attempt(router, execution, end);
+                self.hosts[router].attempts.insert(attempt_id, attempt);
+                if let Err(outcome) = sent {
+                    self.end_attempt(router, attempt_id, outcome);
                 }
             }
             Decision::Cancel {
                 job: request,
-                execution,
+                execution: index,
             } => {
                 let Some(request) = host.requests.get(&request) else {
                     return;
                 };
-                let Some(id) = request.attempts.get(execution).copied() else {
+                let Some(id) = request.attempts.get(index).copied() else {
                     return;
                 };
                 let Some(connection) = host.attempts.get(&id).map(|attempt| attempt.connection)
@@ -132,11 +136,11 @@
             }
             Decision::PushBack { job, .. } => {
                 host.counts.rejected += 1;
-                self.give_up(router, job);
+                self.end_unfinished_request(router, job);
             }
             Decision::Kill { job } => {
                 host.counts.failed += 1;
-                self.give_up(router, job);
+                self.end_unfinished_request(router, job);
             }
             Decision::Hold {
                 worker,
@@ -144,12 +148,12 @@
                 copies: instances,
             } => {
                 let id = host.next_control_id();
-                let counted = if instances > 0 {
+                let counter = if instances > 0 {
                     &mut host.counts.load_commands
                 } else {
                     &mut host.counts.load_queries
                 };
-                *counted += 1;
+                *counter += 1;
                 if instances > 0 {
                     host.last_load_sent.insert(function, now);
                 }
@@ -175,15 +179,15 @@
                         };
                         self.hosts[router].load_commands.insert(id, pending);
                     }
-                    Err(end) => {
-                        let end = LoadResult {
+                    Err(outcome) => {
+                        let result = LoadResult {
                             worker,
                             function,
-                            outcome: end,
+                            outcome,
                             latency: 0,
                             instances: 0,
                         };
-                        self.hosts[router].round.load_results.push(end);
+                        self.hosts[router].round.load_results.push(result);
                     }
                 }
             }
@@ -194,7 +198,8 @@
                 };
                 self.count_control(router, 1, self.message_sizes.unload);
                 let due = now + self.model.load_timeout;
-                // Unload commands have no result. If this one can't be sent, the instances expire after their keep-alive.
+                // Unload commands have no result. If this one can't be sent, the instances expire after their
+                // keep-alive.
                 let _ = self.send(
                     router,
                     worker,
@@ -227,14 +232,14 @@
                         };
                         self.hosts[router].health_checks.insert(id, pending);
                     }
-                    Err(end) => {
-                        let end = HealthCheckResult {
+                    Err(outcome) => {
+                        let result = HealthCheckResult {
                             worker,
-                            outcome: end,
+                            outcome,
                             latency: 0,
                             report: None,
                         };
-                        self.hosts[router].round.health_check_results.push(end);
+                        self.hosts[router].round.health_check_results.push(result);
                     }
                 }
             }
@@ -248,17 +253,17 @@
         (counts.messages, counts.bytes) = (counts.messages + messages, counts.bytes + bytes);
     }
 
-    pub(super) fn end_attempt(&mut self, router: usize, id: u64, end: Outcome) {
+    pub(super) fn end_attempt(&mut self, router: usize, id: u64, outcome: Outcome) {
         if let Some(attempt) =
-            self.hosts[router].attempt_ended(self.now, id, end, Warmth::Unknown, None, None)
+            self.hosts[router].attempt_ended(self.now, id, outcome, Warmth::Unknown, None, None)
         {
             self.queue.remove(&attempt.timeout);
             self.release(router, attempt.connection, MessageTag::Attempt(id));
         }
         self.routers_to_process.insert(router);
     }
-    pub(super) fn end_load(&mut self, router: usize, id: u64, end: Outcome, instances: u32) {
-        if let Some(pending) = self.hosts[router].load_ended(self.now, id, end, instances) {
+    pub(super) fn end_load(&mut self, router: usize, id: u64, outcome: Outcome, instances: u32) {
+        if let Some(pending) = self.hosts[router].load_ended(self.now, id, outcome, instances) {
             self.queue.remove(&pending.timeout);
             self.release(router, pending.connection, MessageTag::Load(id));
         }
@@ -268,26 +273,27 @@
         &mut self,
         router: usize,
         id: u64,
-        end: Outcome,
+        outcome: Outcome,
         report: Option<WireLoadReport>,
     ) {
         let report = report.as_ref().map(report_from_wire);
-        if let Some(pending) = self.hosts[router].health_check_ended(self.now, id, end, report) {
+        if let Some(pending) = self.hosts[router].health_check_ended(self.now, id, outcome, report)
+        {
             self.queue.remove(&pending.timeout);
             self.release(router, pending.connection, MessageTag::HealthCheck(id));
         }
         self.routers_to_process.insert(router);
     }
     pub(super) fn attempt_timed_out(&mut self, router: usize, id: u64) {
-        let end = if self.unsend(router, id) {
+        let outcome = if self.unsend(router, id) {
             Outcome::NoConnection
         } else {
             Outcome::TimedOut
         };
-        self.end_attempt(router, id, end);
+        self.end_attempt(router, id, outcome);
     }
     /// Ends a request that got a final answer other than *finished*.
-    pub(super) fn give_up(&mut self, router: usize, id: RequestId) {
+    pub(super) fn end_unfinished_request(&mut self, router: usize, id: RequestId) {
         let Some(request) = self.hosts[router]
             .requests
             .get(&id)
@@ -321,9 +327,9 @@
             .map(|request| request.attempts.clone())
             .unwrap_or_default();
         self.hosts[router].close(id);
-        for execution in all {
-            if self.unsend(router, execution) {
-                self.end_attempt(router, execution, Outcome::CancelledBeforeStart);
+        for attempt_id in all {
+            if self.unsend(router, attempt_id) {
+                self.end_attempt(router, attempt_id, Outcome::CancelledBeforeStart);
             }
         }
     }
@@ -342,12 +348,12 @@
                 let Some(attempt) = host.attempts.get(&id).copied() else {
                     return;
                 };
-                let (end, warmth) = (execution_outcome(status), warmth_from_wire(instance));
+                let (outcome, warmth) = (execution_outcome(status), warmth_from_wire(instance));
                 let open = host
                     .requests
                     .get(&attempt.request)
                     .filter(|request| !request.closed);
-                if let (Outcome::Finished, Some(request)) = (end, open) {
+                if let (Outcome::Finished, Some(request)) = (outcome, open) {
                     let (rare, arrived, work) = (
                         self.functions.all[request.function].rare,
                         request.arrived,
@@ -367,8 +373,9 @@
                     self.close_request(router, attempt.request);
                 }
                 let report = Some(report_from_wire(&report));
-                let status = self.hosts[router].attempt_ended(now, id, end, warmth, None, report);
-                if let Some(attempt) = status {
+                let ended =
+                    self.hosts[router].attempt_ended(now, id, outcome, warmth, None, report);
+                if let Some(attempt) = ended {
                     self.queue.remove(&attempt.timeout);
                     self.release(router, attempt.connection, MessageTag::Attempt(id));
                 }
--- a/crates/sanddrum-lab/src/capacity/simulated/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/workers.rs
@@ -84,8 +84,9 @@
     /// The mean number of requests of background routers at a worker.
     pub(super) fn background_load(&self) -> Option<(BackgroundRouters, f64)> {
         let each = |background: BackgroundRouters| {
-            let requests =
-                background.calls * self.model.work as f64 / 1e6 / self.workers.len().max(1) as f64;
+            let requests = background.request_rate * self.model.work as f64
+                / 1e6
+                / self.workers.len().max(1) as f64;
             (background, requests)
         };
         self.background.map(each)
@@ -101,7 +102,7 @@
             for effect in std::mem::take(&mut self.workers[n].machine.effects) {
                 match effect {
                     Effect::Fetch { load, size_mb, .. } => {
-                        let takes = match self.loads {
+                        let duration = match self.loads {
                             LoadTimes::Random => self.model.sample_load_time(&mut self.rng),
                             LoadTimes::Store { us_per_mb } => {
                                 let latency = self.latency_between(0, self.workers[n].zone);
@@ -110,7 +111,7 @@
                         };
                         let incarnation = self.workers[n].incarnation;
                         self.schedule(
-                            now + takes,
+                            now + duration,
                             Event::Fetched {
                                 worker: n,
                                 incarnation,
--- a/crates/sanddrum-lab/src/capacity/start_stats.rs
+++ b/crates/sanddrum-lab/src/capacity/start_stats.rs
@@ -1,12 +1,12 @@
-//! How soon calls begin.
+//! Counts the requests that start within a target time.
 
 use hdrhistogram::Histogram;
 use sanddrum::Micros;
 
-/// The longest time until a begin that is told apart, in microseconds.
+/// The largest start time that the histogram distinguishes, in microseconds.
 const MAX_START_US: u64 = 3_600_000_000;
 
-/// Calls of one kind, and those begun in time.
+/// The number of requests of one kind, and of those that started in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartCounts {
     pub requests: u64,
@@ -19,7 +19,8 @@
     }
 }
 
-/// Calls that came in a window, by whether their function is rare and whether they needed a load.
+/// Start times of the requests that arrive in a window, by whether their function is rare and whether they needed a
+/// load.
 #[derive(Clone, Debug, Default)]
 pub struct StartStats {
     pub window_start: Micros,
@@ -27,19 +28,19 @@
     pub target: Micros,
     pub all: StartCounts,
     pub rare: StartCounts,
-    /// It had a load begun, waited for one, or was held while one was ordered.
+    /// Requests that started a load, waited for one, or were held while a load command was sent.
     pub cold: StartCounts,
-    /// Neither.
+    /// All other requests.
     pub warm: StartCounts,
-    /// Times until cold starts began, in microseconds; those that never did aren't in it.
+    /// Times from arrival to start of cold requests in microseconds, without those that never started.
     pub cold_start_times: Option<Histogram<u64>>,
 }
 
 impl StartStats {
-    /// Calls that come in this window count, and are in time if they begin so soon.
+    /// Counts requests that arrive in the window; they are in time if they start within `target` after their arrival.
     pub fn new(window_start: Micros, window_end: Micros, target: Micros) -> Self {
         let (all, rare, cold, warm) = Default::default();
-        // These bounds are ones that it can keep.
+        // Creation only fails for invalid bounds.
         let cold_start_times = Histogram::new_with_max(MAX_START_US, 3).ok();
         StartStats {
             window_start,
@@ -52,7 +53,8 @@
             cold_start_times,
         }
     }
-    /// A call has its final answer: it began so long after it came, or never.
+    /// Records a request with a final answer. `start_time` is the time from its arrival to its start, or `None` if it
+    /// never started.
     pub(crate) fn record(
         &mut self,
         arrived: Micros,
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -77,7 +77,7 @@
 /// Memory of a decision module for each worker, with its instances.
 const BYTES_PER_KNOWN_WORKER: u64 = 1 << 10;
 /// Memory of a request in progress, with its events.
-const BYTES_PER_CALL: u64 = 1 << 10;
+const BYTES_PER_REQUEST: u64 = 1 << 10;
 
 /// One size of the fleet.
 #[derive(Clone, Copy, Debug)]
@@ -91,10 +91,10 @@
     let at = |name: &str| format!("start-target-plays.{name}");
     let (routers, workers) = (plan.sizes(&at("routers"))?, plan.sizes(&at("workers"))?);
     let functions = plan.sizes(&at("functions"))?;
-    for (name, others) in [("workers", workers.len()), ("functions", functions.len())] {
-        if others != routers.len() {
+    for (name, count) in [("workers", workers.len()), ("functions", functions.len())] {
+        if count != routers.len() {
             let what = format!(
-                "{} has {others} sizes, and routers has {}",
+                "{} has {count} sizes, and routers has {}",
                 at(name),
                 routers.len()
             );
@@ -102,19 +102,19 @@
         }
     }
     let each = routers.iter().zip(&workers).zip(&functions);
-    let whole = |n: &u64| *n as usize;
+    let to_usize = |n: &u64| *n as usize;
     Ok(each
         .map(|((r, w), f)| Size {
-            routers: whole(r),
-            workers: whole(w),
-            functions: whole(f),
+            routers: to_usize(r),
+            workers: to_usize(w),
+            functions: to_usize(f),
         })
         .collect())
 }
 
 fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
-    let calls = l.number("capacity.calls") / l.number("capacity.routers");
+    let request_rate = l.number("capacity.calls") / l.number("capacity.routers");
     let limit = l.duration_us("workloads.0.time-limit-us") as f64 / 1e6;
     for size in sizes(plan)? {
         let (routers, workers) = (size.routers as u64, size.workers as u64);
@@ -122,7 +122,7 @@
             + routers
                 .saturating_mul(workers)
                 .saturating_mul(BYTES_PER_KNOWN_WORKER)
-            + (calls * limit * routers as f64) as u64 * BYTES_PER_CALL;
+            + (request_rate * limit * routers as f64) as u64 * BYTES_PER_REQUEST;
         let runs = l.integer("start-target-plays.threads") as u64;
         let what = format!("{routers} routers and {workers} workers, {runs} runs at a time,");
         plan.check_memory(
@@ -134,11 +134,12 @@
     // Rejects a request rate whose concurrent instances don't fit in the workers' memory.
     let (work, memory) = (l.number("model.work-us") / 1e6, l.number("model.memory-mb"));
     for size in sizes(plan)? {
-        let at_work = calls * size.routers as f64 * work / l.number("functions.0.lanes").max(1.0);
-        let holds = (memory / l.number("functions.0.memory-mb")).floor() * size.workers as f64;
-        if at_work > holds {
+        let busy =
+            request_rate * size.routers as f64 * work / l.number("functions.0.lanes").max(1.0);
+        let capacity = (memory / l.number("functions.0.memory-mb")).floor() * size.workers as f64;
+        if busy > capacity {
             let what = format!(
-                "start-target-plays.workers: requests of {} routers keep {at_work:.0} instances busy, but {} workers hold only {holds}",
+                "start-target-plays.workers: requests of {} routers keep {busy:.0} instances busy, but {} workers hold only {capacity}",
                 size.routers, size.workers
             );
             let remedy = "set more workers, or a larger model.memory";
@@ -190,11 +191,11 @@
 fn run_once(plan: &Plan, size: &Size, day: Day, stop: &Stop) -> Result<Run, String> {
     let l = &plan.settings;
     let span = |name: &str| l.duration_us(&format!("start-target-plays.{name}-us"));
-    let calls = l.number("capacity.calls") / l.number("capacity.routers");
+    let request_rate = l.number("capacity.calls") / l.number("capacity.routers");
     let shape = Popularity::Rare {
         zipf: l.number("model.zipf"),
-        part: l.number("model.rare-part"),
-        calls: calls * size.routers as f64,
+        fraction: l.number("model.rare-part"),
+        request_rate: request_rate * size.routers as f64,
     };
     let module = |n| {
         Ok((
@@ -214,7 +215,10 @@
         zones,
         model: Model::of(l),
         functions: Rc::new(Functions::new(l, size.functions, shape, plan.seed)),
-        calls: Arrivals::Random { rate: calls, until },
+        arrivals: Arrivals::Random {
+            rate: request_rate,
+            until,
+        },
         lists: ListSource::AtStart,
         loads: LoadTimes::Random,
         background: None,
@@ -255,8 +259,8 @@
     })
 }
 
-/// Schedules a day's failures and replacements, scaled to the number of workers but at least one of each, at random times
-/// of the run.
+/// Schedules a day's failures and replacements, scaled to the number of workers but at least one of each, at random
+/// times of the run.
 fn failures(plan: &Plan, fleet: &mut Fleet, size: &Size, from: Micros, until: Micros) {
     let l = &plan.settings;
     let scaled = |name: &str| {
@@ -322,8 +326,8 @@
     })
 }
 
-/// Computes the fractions over a whole day, in which the failures of the run with failed and replaced workers are spread
-/// over the day.
+/// Computes the fractions over a whole day, in which the failures of the run with failed and replaced workers are
+/// spread over the day.
 fn extrapolate_day(
     sink: &mut Sink,
     size: &Size,
@@ -429,7 +433,7 @@
         }
     }
     let c = &run.counts;
-    let per_call = |n: u64| n as f64 / c.calls.max(1) as f64;
+    let per_call = |n: u64| n as f64 / c.requests.max(1) as f64;
     let per_worker_second = |n: u64| n as f64 / run.seconds / at;
     for (figure, unit, value) in [
         ("processor time a call", "us", per_call(c.nanoseconds) / 1e3),
--- a/crates/sanddrum-lab/tests/capacity.rs
+++ b/crates/sanddrum-lab/tests/capacity.rs
@@ -142,7 +142,7 @@
     "(model (memory 100MB))",
     "an instance takes 128 MB, which is more than model.memory holds"
 )]
-#[case::copies(
+#[case::instances(
     "(model (memory 200MB) (work 1s))",
     "start-target-plays.workers: requests of 4 routers keep 638 instances"
 )]
@@ -270,20 +270,20 @@
 #[rstest]
 fn nine_in_ten_functions_are_called_less_than_once_a_minute() {
     let plan = Plan::read("capacity.sx", DEFAULT_PLAN, 1, MEMORY).unwrap();
-    let calls = 67_000.0;
+    let request_rate = 67_000.0;
     let shape = Popularity::Rare {
         zipf: 1.1,
-        part: 0.9,
-        calls,
+        fraction: 0.9,
+        request_rate,
     };
     let functions = Functions::new(&plan.settings, 20_000, shape, 1);
-    let a_minute = |n: usize| functions.part(n) * calls * 60.0;
+    let a_minute = |n: usize| functions.fraction(n) * request_rate * 60.0;
     let rare = (0..20_000).filter(|n| a_minute(*n) < 1.0).count();
     assert_eq!(
         (rare, functions.all.iter().filter(|f| f.rare).count()),
         (18_000, 18_000)
     );
-    let all: f64 = (0..20_000).map(|n| functions.part(n)).sum();
+    let all: f64 = (0..20_000).map(|n| functions.fraction(n)).sum();
     assert!((all - 1.0).abs() < 1e-9, "{all}");
 }
 
--- a/crates/sanddrum-lab/tests/capacity_counts.rs
+++ b/crates/sanddrum-lab/tests/capacity_counts.rs
@@ -52,7 +52,8 @@
     let (small, small_error) = over_seeds(|seed| load_queries(30, routers, seed));
     for workers in [100, 300] {
         let (large, large_error) = over_seeds(|seed| load_queries(workers, routers, seed));
-        // Four standard errors of the difference, and a twentieth of a query for single requests, as there are few seeds.
+        // Four standard errors of the difference, and a twentieth of a query for single requests, as there are few
+        // seeds.
         let margin = 4.0 * (small_error + large_error).sqrt() + 0.05;
         assert!(
             large <= small + margin,
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -38,7 +38,7 @@
     plan: &Plan,
     routers: usize,
     rows: usize,
-    list: DiscoverySpec,
+    service: DiscoverySpec,
     real_edges: bool,
 ) -> DiscoveryEnvironment {
     // Links without randomness: a message of one host must not shift the random numbers of another.
@@ -50,7 +50,7 @@
     };
     let spec = DiscoveryEnvironmentSpec {
         settings: plan.settings.clone(),
-        list,
+        service,
         seed: plan.seed,
         routers,
         rows,
@@ -62,7 +62,7 @@
     DiscoveryEnvironment::new(spec, Stop::default(), Duration::from_secs(600)).unwrap()
 }
 
-fn list(snapshot_cost: Micros, max_pending_watches: usize) -> DiscoverySpec {
+fn service(snapshot_cost: Micros, max_pending_watches: usize) -> DiscoverySpec {
     DiscoverySpec {
         min_publish_delay: 200_000,
         max_publish_delay: SECOND,
@@ -78,12 +78,12 @@
 /// restarts with and without a cached list.
 fn record_messages(
     seed: u64,
-    list: DiscoverySpec,
+    service: DiscoverySpec,
     real_edges: bool,
 ) -> Vec<(Micros, DiscoveryMessage)> {
     let mut plan = plan("", "(list-check 3s) (list-retry-most 2s)");
     plan.seed = seed;
-    let mut environment = environment(&plan, 5, 12, list, real_edges);
+    let mut environment = environment(&plan, 5, 12, service, real_edges);
     environment.stats.borrow_mut().message_log = Some(Vec::new());
     environment.start_routers(5, false).unwrap();
     environment.run_for(5 * SECOND).unwrap();
@@ -93,9 +93,9 @@
         environment.restart_worker(n);
     }
     environment.run_for(8 * SECOND).unwrap();
-    environment.stop_list();
+    environment.stop_service();
     environment.run_for(7 * SECOND).unwrap();
-    environment.start_list();
+    environment.start_service();
     environment.run_for(10 * SECOND).unwrap();
     environment.stop_routers(3);
     (0..4).for_each(|n| environment.restart_worker(n));
@@ -112,17 +112,17 @@
 
 /// Compares every watch and every update, to the microsecond and the number of rows.
 #[rstest]
-#[case::first_seed(1, list(5_000, 64))]
-#[case::second_seed(2, list(5_000, 64))]
-#[case::rejects_excess_watches(3, list(120_000, 2))]
-#[case::slower_than_the_response_timeout(4, list(400_000, 64))]
+#[case::first_seed(1, service(5_000, 64))]
+#[case::second_seed(2, service(5_000, 64))]
+#[case::rejects_excess_watches(3, service(120_000, 2))]
+#[case::slower_than_the_response_timeout(4, service(400_000, 64))]
 fn simulated_routers_exchange_the_same_messages_as_real_edges(
     #[case] seed: u64,
-    #[case] list: DiscoverySpec,
+    #[case] service: DiscoverySpec,
 ) {
     let (simulated, real) = (
-        record_messages(seed, list.clone(), false),
-        record_messages(seed, list, true),
+        record_messages(seed, service.clone(), false),
+        record_messages(seed, service, true),
     );
     let watches = simulated
         .iter()
@@ -259,7 +259,7 @@
 #[case(30)]
 #[case(300)]
 fn a_full_list_has_one_row_per_worker(#[case] rows: usize) {
-    let mut environment = environment(&plan("", ""), 3, rows, list(5_000, 64), false);
+    let mut environment = environment(&plan("", ""), 3, rows, service(5_000, 64), false);
     environment.stats.borrow_mut().message_log = Some(Vec::new());
     environment.start_routers(3, false).unwrap();
     let updated = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
@@ -355,11 +355,11 @@
     let bound = (4.0 * LIST_CALLS * 1.5) as u64;
     // Polls on open connections would count as well, so this interval is longer than the test.
     let plan = plan("", "(list-calls 16) (list-check 3000s)");
-    let mut environment = environment(&plan, routers, 3, list(1_000, 1_000), false);
+    let mut environment = environment(&plan, routers, 3, service(1_000, 1_000), false);
     let updated = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
     let within = (routers as f64 / LIST_CALLS + 10.0) as Micros * SECOND;
     for keep_cache in [false, true] {
-        let from = environment.to_whole_second().unwrap();
+        let from = environment.run_to_next_second().unwrap();
         environment.start_routers(routers, keep_cache).unwrap();
         environment.run_until_true(within, updated).unwrap();
         let worst = environment
@@ -376,9 +376,9 @@
     environment.start_routers(routers, true).unwrap();
     environment.run_until_true(within, updated).unwrap();
     environment.run_for(within).unwrap();
-    environment.stop_list();
+    environment.stop_service();
     environment.run_for(SECOND).unwrap();
-    environment.start_list();
+    environment.start_service();
     let (from, incarnation) = (environment.now(), environment.service_incarnation());
     environment
         .run_until_true(2 * within, |f| {
--- a/crates/sanddrum-lab/tests/capacity_rows.rs
+++ b/crates/sanddrum-lab/tests/capacity_rows.rs
@@ -1,5 +1,5 @@
-//! The number of endpoint rows that a decision copies, derived from its allocations. This file has a single test, because
-//! allocations of concurrent tests would be counted too.
+//! The number of endpoint rows that a decision copies, derived from its allocations. This file has a single test,
+//! because allocations of concurrent tests would be counted too.
 
 use rstest::rstest;
 use sanddrum::{
@@ -34,8 +34,8 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// The mean number of bytes that a module allocates for the decision on a request, over requests for different functions
-/// between two sweeps.
+/// The mean number of bytes that a module allocates for the decision on a request, over requests for different
+/// functions between two sweeps.
 fn bytes_per_decision(workers: u64, load_commands: bool) -> f64 {
     const REQUESTS: u64 = 200;
     let mut module = Router::new(
@@ -89,8 +89,8 @@
 #[rstest]
 fn rows_copied_per_decision_do_not_grow_with_the_fleet() {
     // A copied row takes at least eight bytes. Up to a hundredth of a row per additional worker means that no rows are
-    // copied. In small fleets the path of a random selection grows until its tree is full, which may take up to half a row
-    // per worker.
+    // copied. In small fleets the path of a random selection grows until its tree is full, which may take up to half a
+    // row per worker.
     for (from, to, rows_per_worker) in [(1000, 10_000, 0.01), (100, 1000, 0.5)] {
         for load_commands in [false, true] {
             let of = |workers| bytes_per_decision(workers, load_commands);
