--- a/crates/sanddrum-lab/src/capacity/decision_host.rs
+++ b/crates/sanddrum-lab/src/capacity/decision_host.rs
@@ -226,6 +226,7 @@
     pub connection: WorkerConnectionId,
 }
 
+/// A load command, query or health check that waits for its answer.
 #[derive(Clone, Copy)]
 pub(crate) struct PendingControl {
     pub worker: WorkerId,
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -161,8 +161,9 @@
     pub heartbeat_timeout: Micros,
     pub connect_timeout: Micros,
     pub idle_close: Micros,
-    /// Concurrent executions on a connection, and connections from a router to a worker.
+    /// Concurrent executions on a connection.
     pub max_streams: usize,
+    /// Connections from a router to a worker.
     pub max_connections: usize,
     pub load_timeout: Micros,
     pub health_check_timeout: Micros,
@@ -403,7 +404,7 @@
     pub incarnation: u64,
     /// The worker answers; messages to a worker that isn't up are lost.
     pub up: bool,
-    pub drains: bool,
+    pub is_draining: bool,
     /// When the machine has to be advanced next.
     pub wake: Option<Micros>,
     report: Option<(Micros, LoadReport)>,
@@ -422,17 +423,17 @@
             machine,
             incarnation: 1,
             up: true,
-            drains: false,
+            is_draining: false,
             wake: None,
             report: None,
         }
     }
-    /// Starts a new incarnation without instances.
+    /// Starts a new incarnation, which has no instances and is warming up.
     pub fn restart(&mut self, now: Micros) {
         let size = self.machine.config.clone();
         self.incarnation += 1;
         self.machine = Machine::new(size, self.id.0 ^ self.incarnation, now);
-        (self.up, self.drains, self.report, self.wake) = (true, false, None, None);
+        (self.up, self.is_draining, self.report, self.wake) = (true, false, None, None);
     }
     pub(crate) fn report(
         &mut self,
--- a/crates/sanddrum-lab/src/capacity/simulated.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated.rs
@@ -101,7 +101,7 @@
 pub enum ScriptedEvent {
     /// A worker fails without notice.
     Fail(usize),
-    /// A worker drains and restarts without instances.
+    /// A worker drains and restarts; it then has no instances and is warming up.
     Replace(usize),
     ZoneLost(usize),
     ZoneRestored(usize),
@@ -420,7 +420,7 @@
     }
     fn row(&self, n: usize) -> Endpoint {
         let worker = &self.workers[n];
-        let state = match (worker.up, worker.drains) {
+        let state = match (worker.up, worker.is_draining) {
             (false, _) => WorkerState::Gone,
             (true, true) => WorkerState::Draining,
             (true, false) => WorkerState::Ready,
--- a/crates/sanddrum-lab/src/capacity/simulated/connections.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/connections.rs
@@ -311,7 +311,7 @@
             );
         }
     }
-    /// Removes a connection and ends everything on it with the outcome `end`.
+    /// Removes a connection and ends everything on it with this outcome.
     pub(super) fn end_connection(
         &mut self,
         router: usize,
--- a/crates/sanddrum-lab/src/capacity/simulated/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/workers.rs
@@ -38,7 +38,7 @@
                     idempotency_key: None,
                     deadline: now + limit,
                 };
-                worker.machine.accept(now, task, worker.drains);
+                worker.machine.accept(now, task, worker.is_draining);
             }
             Message::Cancel { id } => worker.machine.cancel(Ticket {
                 connection: router as u64,
@@ -66,7 +66,7 @@
                         id,
                     },
                     &load,
-                    worker.drains,
+                    worker.is_draining,
                 );
             }
             Message::Unload { function } => worker.machine.unload(&functions.all[function].name),
@@ -201,7 +201,7 @@
                 self.schedule_publish(vec![n], self.model.heartbeat_timeout);
             }
             ScriptedEvent::Replace(n) => {
-                self.workers[n].drains = true;
+                self.workers[n].is_draining = true;
                 self.schedule_publish(vec![n], 0);
                 let since = self.now;
                 self.schedule(
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -161,21 +161,22 @@
 
 /// The failures during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Day {
+enum Conditions {
     Calm,
     /// As many workers fail and are replaced as in a whole day.
     Failures,
     ZoneLost,
 }
 
-const DAYS: [Day; 3] = [Day::Calm, Day::Failures, Day::ZoneLost];
+const ALL_CONDITIONS: [Conditions; 3] =
+    [Conditions::Calm, Conditions::Failures, Conditions::ZoneLost];
 
-impl Day {
+impl Conditions {
     fn name(self) -> &'static str {
         match self {
-            Day::Calm => "many routers, calm",
-            Day::Failures => "many routers, a day's failed and replaced workers at once",
-            Day::ZoneLost => "many routers, a zone lost for half the time",
+            Conditions::Calm => "many routers, calm",
+            Conditions::Failures => "many routers, a day's failed and replaced workers at once",
+            Conditions::ZoneLost => "many routers, a zone lost for half the time",
         }
     }
 }
@@ -188,7 +189,7 @@
     status: RunStatus,
 }
 
-fn run_once(plan: &Plan, size: &Size, day: Day, stop: &Stop) -> Result<Run, String> {
+fn run_once(plan: &Plan, size: &Size, conditions: Conditions, stop: &Stop) -> Result<Run, String> {
     let l = &plan.settings;
     let span = |name: &str| l.duration_us(&format!("start-target-plays.{name}-us"));
     let request_rate = l.number("capacity.calls") / l.number("capacity.routers");
@@ -225,10 +226,10 @@
         seed: plan.seed,
     });
     fleet.starts = StartStats::new(warm, until, l.duration_us("capacity.start-within-us"));
-    match day {
-        Day::Calm => {}
-        Day::Failures => failures(plan, &mut fleet, size, warm, until),
-        Day::ZoneLost => {
+    match conditions {
+        Conditions::Calm => {}
+        Conditions::Failures => failures(plan, &mut fleet, size, warm, until),
+        Conditions::ZoneLost => {
             let quarter = (until - warm) / 4;
             fleet.schedule_event(warm + quarter, ScriptedEvent::ZoneLost(zones / 2));
             fleet.schedule_event(until - quarter, ScriptedEvent::ZoneRestored(zones / 2));
@@ -288,9 +289,9 @@
 
 fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let sizes = sizes(plan).map_err(|e| e.to_string())?;
-    let runs: Vec<(Size, Day)> = sizes
+    let runs: Vec<(Size, Conditions)> = sizes
         .iter()
-        .flat_map(|size| DAYS.map(|day| (*size, day)))
+        .flat_map(|size| ALL_CONDITIONS.map(|conditions| (*size, conditions)))
         .collect();
     let next = AtomicUsize::new(0);
     let (sender, receiver) = mpsc::channel();
@@ -298,10 +299,11 @@
         for _ in 0..plan.settings.integer("start-target-plays.threads").max(1) {
             let (sender, next, runs) = (sender.clone(), &next, &runs);
             scope.spawn(move || {
-                while let Some((size, day)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
+                while let Some((size, conditions)) = runs.get(next.fetch_add(1, Ordering::Relaxed))
+                {
                     if stop.is_set()
                         || sender
-                            .send((*size, *day, run_once(plan, size, *day, stop)))
+                            .send((*size, *conditions, run_once(plan, size, *conditions, stop)))
                             .is_err()
                     {
                         break;
@@ -310,17 +312,19 @@
             });
         }
         drop(sender);
-        let mut days: BTreeMap<(usize, Day), Run> = BTreeMap::new();
-        let taken = receiver.into_iter().try_for_each(|(size, day, run)| {
-            let run = run?;
-            points(sink, &size, day.name(), &run)?;
-            days.insert((size.workers, day), run);
-            if day == Day::ZoneLost {
-                Ok(())
-            } else {
-                extrapolate_day(sink, &size, &days)
-            }
-        });
+        let mut finished_runs: BTreeMap<(usize, Conditions), Run> = BTreeMap::new();
+        let taken = receiver
+            .into_iter()
+            .try_for_each(|(size, conditions, run)| {
+                let run = run?;
+                points(sink, &size, conditions.name(), &run)?;
+                finished_runs.insert((size.workers, conditions), run);
+                if conditions == Conditions::ZoneLost {
+                    Ok(())
+                } else {
+                    extrapolate_day(sink, &size, &finished_runs)
+                }
+            });
         // Stops the other runs if the results can't be written.
         taken.inspect_err(|_| stop.set())
     })
@@ -331,13 +335,14 @@
 fn extrapolate_day(
     sink: &mut Sink,
     size: &Size,
-    days: &BTreeMap<(usize, Day), Run>,
+    finished_runs: &BTreeMap<(usize, Conditions), Run>,
 ) -> Result<(), String> {
-    let of = |day| {
-        days.get(&(size.workers, day))
+    let of = |conditions| {
+        finished_runs
+            .get(&(size.workers, conditions))
             .filter(|run| run.status == RunStatus::Done)
     };
-    let (Some(calm), Some(failures)) = (of(Day::Calm), of(Day::Failures)) else {
+    let (Some(calm), Some(failures)) = (of(Conditions::Calm), of(Conditions::Failures)) else {
         return Ok(());
     };
     let failure_share = failures.seconds / SECONDS_PER_DAY;
--- a/crates/sanddrum-lab/tests/capacity_rows.rs
+++ b/crates/sanddrum-lab/tests/capacity_rows.rs
@@ -89,8 +89,8 @@
 #[rstest]
 fn rows_copied_per_decision_do_not_grow_with_the_fleet() {
     // A copied row takes at least eight bytes. Up to a hundredth of a row per additional worker means that no rows are
-    // copied. In small fleets the path of a random selection grows until its tree is full, which may take up to half a
-    // row per worker.
+    // copied. In small fleets the path of a random selection grows until its tree is full, which may come to less than
+    // one row per worker.
     for (from, to, rows_per_worker) in [(1000, 10_000, 0.01), (100, 1000, 0.5)] {
         for load_commands in [false, true] {
             let of = |workers| bytes_per_decision(workers, load_commands);
