--- a/crates/sanddrum-lab/src/capacity/discovery_environment.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -1,8 +1,8 @@
-//! The list service with hollow routers and the workers of one zone, in virtual time; what is done to them, one thing
-//! after the other.
+//! A discovery service with simulated routers and the workers of one zone, in virtual time, and the steps of scenarios
+//! with them.
 
-use super::metered::{Metered, Tally};
-use super::simulated_router::{Followers, HollowRouterSpec, SimulatedRouter};
+use super::metered::{DiscoveryStats, Metered};
+use super::simulated_router::{FollowerStats, SimulatedRouter, SimulatedRouterSpec};
 use super::Stop;
 use crate::scenario::Scenario;
 use sanddrum::Settings;
@@ -19,61 +19,61 @@
 use std::time::{Duration, Instant};
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Virtual time starts here, well after nought, which stands for long ago.
-const BEGIN: Micros = 1_000 * SECOND;
-const LIST: &str = "10.3.0.1:1000";
-const STORE: &str = "10.3.0.2:1000";
-/// How often it is looked at whether something has come about.
+/// Start of virtual time. Well above zero, which stands for a time long ago.
+const START_TIME: Micros = 1_000 * SECOND;
+const DISCOVERY_ADDRESS: &str = "10.3.0.1:1000";
+const STORE_ADDRESS: &str = "10.3.0.2:1000";
+/// How often conditions, the stop request and the real time are checked.
 const STEP: Micros = 100_000;
 
-/// Why something did not come to its end.
+/// Why a step of a scenario did not complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// Told to stop.
+pub enum Interrupted {
+    /// A stop was requested.
     Stopped,
-    /// It took more real time than it may.
-    Late,
-    /// It did not come about within this virtual time.
-    Never(Micros),
+    /// The limit on real time was exceeded.
+    DeadlineExceeded,
+    /// The condition was not met within this virtual time.
+    ConditionNotMet(Micros),
 }
 
-/// Who plays.
+/// The parameters of a discovery environment.
 #[derive(Clone, Debug)]
 pub struct DiscoveryEnvironmentSpec {
     pub settings: LoadedSettings,
-    pub list: DiscoverySpec,
+    pub service: DiscoverySpec,
     pub seed: u64,
     pub routers: usize,
     /// Workers that the service knows from the start.
     pub rows: usize,
     pub zones: usize,
-    /// How often a worker tells that it runs.
-    pub beat_every: Micros,
+    /// How often a worker sends a heartbeat.
+    pub heartbeat_interval: Micros,
     pub links: LinkModel,
-    /// Whole edges in the place of hollow routers, to compare them.
-    pub whole_edges: bool,
+    /// Uses real edges instead of simulated routers, to compare them.
+    pub real_edges: bool,
 }
 
 pub struct DiscoveryEnvironment {
     spec: DiscoveryEnvironmentSpec,
     net: VirtualNet,
-    module: Settings,
-    list: HostId,
+    router_settings: Settings,
+    service: HostId,
     routers: Vec<HostId>,
     starts: u64,
     workers: Vec<HostId>,
     incarnations: Vec<u64>,
-    list_runs: u64,
-    pub tally: Rc<RefCell<Tally>>,
-    pub followers: Rc<RefCell<Followers>>,
+    service_incarnation: u64,
+    pub stats: Rc<RefCell<DiscoveryStats>>,
+    pub followers: Rc<RefCell<FollowerStats>>,
     stop: Stop,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// Takes connections and nothing else: the store that workers call.
-struct Deaf;
+/// Accepts connections and does nothing else. Stands for the function store that workers connect to.
+struct IdleCore;
 
-impl Core for Deaf {
+impl Core for IdleCore {
     fn start(&mut self, _: Micros, _: &mut dyn Io) {}
     fn on_event(&mut self, _: Micros, _: Event<'_>, _: &mut dyn Io) {}
     fn process(&mut self, _: Micros, _: &mut dyn Io) {}
@@ -86,7 +86,7 @@
     format!("10.{kind}.{}.{}:1000", n / 250, n % 250 + 1)
 }
 
-/// A worker's row as the service knows it from the start.
+/// The row of a worker that the service knows from the start.
 pub(crate) fn row(n: usize, zones: usize) -> EndpointRecord {
     EndpointRecord {
         name: Scenario::worker_name(n),
@@ -102,72 +102,77 @@
 }
 
 impl DiscoveryEnvironment {
-    /// Nothing has started yet but the list service, which knows its rows.
+    /// Creates the environment with only the discovery service running, which knows its rows.
     ///
     /// # Errors
-    /// The settings take no such number of routers.
+    /// The settings don't allow this number of routers.
     pub fn new(
         spec: DiscoveryEnvironmentSpec,
         stop: Stop,
-        takes: Duration,
+        time_limit: Duration,
     ) -> Result<Self, SettingsError> {
         let mut settings = spec.settings.clone();
         settings.override_value("edge.edges", &spec.routers.max(1).to_string(), "capacity")?;
-        let mut net = VirtualNet::new(spec.seed, BEGIN, spec.links.clone(), Box::new(NullObserver));
-        net.add(0, &[STORE], Box::new(Deaf));
-        let list = net.add(0, &[LIST], Box::new(Deaf));
-        let mut stage = DiscoveryEnvironment {
+        let mut net = VirtualNet::new(
+            spec.seed,
+            START_TIME,
+            spec.links.clone(),
+            Box::new(NullObserver),
+        );
+        net.add(0, &[STORE_ADDRESS], Box::new(IdleCore));
+        let service_host = net.add(0, &[DISCOVERY_ADDRESS], Box::new(IdleCore));
+        let mut environment = DiscoveryEnvironment {
             net,
-            module: settings.decision_settings(),
-            list,
+            router_settings: settings.decision_settings(),
+            service: service_host,
             routers: Vec::new(),
             starts: 0,
             workers: Vec::new(),
             incarnations: Vec::new(),
-            list_runs: 0,
-            tally: Rc::default(),
+            service_incarnation: 0,
+            stats: Rc::default(),
             followers: Rc::default(),
             stop,
-            until: Instant::now() + takes,
+            deadline: Instant::now() + time_limit,
             spec,
         };
-        stage.start_list();
-        Ok(stage)
+        environment.start_service();
+        Ok(environment)
     }
-    /// From now on so much real time is allowed.
-    pub fn allow(&mut self, takes: Duration) {
-        self.until = Instant::now() + takes;
+    /// Sets the limit on real time, counted from now.
+    pub fn set_time_limit(&mut self, time_limit: Duration) {
+        self.deadline = Instant::now() + time_limit;
     }
     pub fn now(&self) -> Micros {
         self.net.now()
     }
-    /// The service starts with a list that it had kept, in a run of its own.
-    pub fn start_list(&mut self) {
-        self.list_runs += 1;
+    /// Starts a new incarnation of the service with its cached list.
+    pub fn start_service(&mut self) {
+        self.service_incarnation += 1;
         let rows: Vec<EndpointRecord> = (0..self.spec.rows)
             .map(|n| row(n, self.spec.zones))
             .collect();
         let faults = Rc::new(RefCell::new(DiscoveryFaults::default()));
         let service = DiscoveryService::new(
-            self.spec.list.clone(),
+            self.spec.service.clone(),
             self.spec.seed ^ 0x115,
-            self.list_runs,
+            self.service_incarnation,
             faults,
         );
         let service = service.with_endpoints(self.now(), &rows);
         self.net.replace(
-            self.list,
-            Box::new(Metered::new(service, self.tally.clone())),
+            self.service,
+            Box::new(Metered::new(service, self.stats.clone())),
         );
     }
-    pub fn stop_list(&mut self) {
-        self.net.kill(self.list);
+    pub fn stop_service(&mut self) {
+        self.net.kill(self.service);
     }
-    /// The first so many routers start at this instant, each with what it had kept or without a list.
+    /// Starts the first `count` routers now, with their cached lists or without.
     ///
     /// # Errors
-    /// The settings are none for an edge.
-    pub fn start_routers(&mut self, count: usize, keep: bool) -> Result<(), SettingsError> {
+    /// The settings are invalid for an edge.
+    pub fn start_routers(&mut self, count: usize, keep_cache: bool) -> Result<(), SettingsError> {
         for n in 0..count.min(self.spec.routers) {
             self.starts += 1;
             let seed = self
@@ -175,10 +180,10 @@
                 .seed
                 .wrapping_mul(1009)
                 .wrapping_add(n as u64 * 101 + self.starts);
-            let core = if self.spec.whole_edges {
-                self.edge(n, seed, keep)?
+            let core = if self.spec.real_edges {
+                self.real_edge(n, seed, keep_cache)?
             } else {
-                self.hollow(n, seed, keep)
+                self.simulated_router(n, seed, keep_cache)
             };
             match self.routers.get(n) {
                 Some(host) => self.net.replace(*host, core),
@@ -191,51 +196,57 @@
         }
         Ok(())
     }
-    fn edge(&self, n: usize, seed: u64, keep: bool) -> Result<Box<dyn Core>, SettingsError> {
+    fn real_edge(
+        &self,
+        n: usize,
+        seed: u64,
+        keep_cache: bool,
+    ) -> Result<Box<dyn Core>, SettingsError> {
         let mut settings = self.spec.settings.clone();
         for (name, value) in [
             ("edge.name", Scenario::edge_name(n)),
-            ("edge.list", LIST.to_string()),
+            ("edge.list", DISCOVERY_ADDRESS.to_string()),
             ("edge.edges", self.spec.routers.max(1).to_string()),
             ("edge.number", n.to_string()),
         ] {
             settings.override_value(name, &value, "capacity")?;
         }
-        let kept = self
+        let cached_state = self
             .routers
             .get(n)
             .and_then(|host| self.net.saved_state(*host))
-            .filter(|_| keep);
+            .filter(|_| keep_cache);
         let incarnation = self.starts;
         let start = EdgeOptions {
             settings,
             seed,
-            cached_state: kept,
+            cached_state,
             incarnation,
             metrics_page: None,
             platform: None,
         };
         Ok(Box::new(Edge::new(start)))
     }
-    fn hollow(&self, n: usize, seed: u64, keep: bool) -> Box<dyn Core> {
-        let known = self
+    fn simulated_router(&self, n: usize, seed: u64, keep_cache: bool) -> Box<dyn Core> {
+        let known_version = self
             .followers
             .borrow()
             .routers
             .get(n)
-            .map(|follower| follower.known);
-        let spec = HollowRouterSpec {
-            number: n,
+            .map(|follower| follower.known_version);
+        let spec = SimulatedRouterSpec {
+            index: n,
             name: Scenario::edge_name(n),
-            list: LIST.into(),
+            discovery_address: DISCOVERY_ADDRESS.into(),
             incarnation: self.starts,
             seed,
-            kept: known.filter(|known| keep && *known != DiscoveryVersion::default()),
+            cached_version: known_version
+                .filter(|version| keep_cache && *version != DiscoveryVersion::default()),
             largest_frame: self.spec.settings.integer("limits.largest-frame-bytes"),
         };
         Box::new(SimulatedRouter::new(
             spec,
-            &self.module,
+            &self.router_settings,
             self.followers.clone(),
         ))
     }
@@ -269,19 +280,26 @@
             },
             reports_function_in_flight: false,
             report_interval: SECOND,
-            discovery_address: LIST.into(),
-            store_address: STORE.into(),
-            heartbeat_interval: self.spec.beat_every,
+            discovery_address: DISCOVERY_ADDRESS.into(),
+            store_address: STORE_ADDRESS.into(),
+            heartbeat_interval: self.spec.heartbeat_interval,
         };
         let started = if incarnation > 1 { now } else { 0 };
-        let (faults, marks) = (
+        let (faults, idempotency_keys) = (
             Rc::new(RefCell::new(WorkerFaults::default())),
             Rc::new(RefCell::new(IdempotencyKeys::new(0))),
         );
         let seed = self.spec.seed.wrapping_mul(31).wrapping_add(n as u64);
-        Box::new(Worker::new(spec, seed, started, incarnation, faults, marks))
+        Box::new(Worker::new(
+            spec,
+            seed,
+            started,
+            incarnation,
+            faults,
+            idempotency_keys,
+        ))
     }
-    /// So many workers have run for long, each of them the stand-in's own core.
+    /// Adds emulated workers that have been running for a long time, up to `count` in total.
     pub fn add_workers(&mut self, count: usize) {
         for n in self.workers.len()..count.min(self.spec.rows) {
             let core = self.worker(n, 1);
@@ -293,7 +311,7 @@
     pub fn stop_workers(&mut self) {
         self.workers.iter().for_each(|host| self.net.kill(*host));
     }
-    /// A worker starts anew, at once where it still ran.
+    /// Restarts a worker, running or not, in a new incarnation.
     pub fn restart_worker(&mut self, n: usize) {
         let Some((host, incarnation)) = self
             .workers
@@ -314,63 +332,65 @@
     pub fn spec(&self) -> &DiscoveryEnvironmentSpec {
         &self.spec
     }
-    /// Events carried out so far.
+    /// The number of events processed so far.
     pub fn steps(&self) -> u64 {
         self.net.processed_events()
     }
 
-    /// Goes on to the next whole second, so that what follows falls into seconds of its own.
+    /// Runs to the start of the next second, so that the statistics by second cover only what follows.
     ///
     /// # Errors
-    /// It took too long, or was told to stop.
-    pub fn to_whole_second(&mut self) -> Result<Micros, Cut> {
+    /// The limit on real time was exceeded, or a stop was requested.
+    pub fn run_to_next_second(&mut self) -> Result<Micros, Interrupted> {
         let next = (self.now().div_euclid(SECOND) + 1) * SECOND;
         self.run_until(next)?;
         Ok(next)
     }
+    /// Runs for this virtual time.
+    ///
     /// # Errors
-    /// It took too long, or was told to stop.
-    pub fn run_for(&mut self, span: Micros) -> Result<(), Cut> {
+    /// The limit on real time was exceeded, or a stop was requested.
+    pub fn run_for(&mut self, span: Micros) -> Result<(), Interrupted> {
         self.run_until(self.now() + span)
     }
-    fn run_until(&mut self, at: Micros) -> Result<(), Cut> {
+    fn run_until(&mut self, at: Micros) -> Result<(), Interrupted> {
         while self.now() < at {
             let next = at.min(self.now() + STEP);
             self.step(next)?;
         }
         Ok(())
     }
-    fn step(&mut self, next: Micros) -> Result<(), Cut> {
+    fn step(&mut self, next: Micros) -> Result<(), Interrupted> {
         self.net.run_until(next);
         if self.stop.is_set() {
-            return Err(Cut::Stopped);
+            return Err(Interrupted::Stopped);
         }
-        if Instant::now() >= self.until {
-            return Err(Cut::Late);
+        if Instant::now() >= self.deadline {
+            return Err(Interrupted::DeadlineExceeded);
         }
         Ok(())
     }
-    /// Goes on until something holds, and no longer than so much virtual time.
+    /// Runs until the condition holds, for at most this virtual time.
     ///
     /// # Errors
-    /// It took too long, was told to stop, or never held.
+    /// The condition was not met, the limit on real time was exceeded, or a stop was requested.
     pub fn run_until_true(
         &mut self,
-        most: Micros,
-        holds: impl Fn(&Followers) -> bool,
-    ) -> Result<(), Cut> {
-        let last = self.now() + most;
-        while !holds(&self.followers.borrow()) {
+        max_wait: Micros,
+        condition: impl Fn(&FollowerStats) -> bool,
+    ) -> Result<(), Interrupted> {
+        let last = self.now() + max_wait;
+        while !condition(&self.followers.borrow()) {
             if self.now() >= last {
-                return Err(Cut::Never(most));
+                return Err(Interrupted::ConditionNotMet(max_wait));
             }
             let next = self.now() + STEP;
             self.step(next)?;
         }
         Ok(())
     }
-    /// Which run of the service it is.
-    pub fn list_run(&self) -> u64 {
-        self.list_runs
+    /// The incarnation of the running service.
+    pub fn service_incarnation(&self) -> u64 {
+        self.service_incarnation
     }
 }
--- a/crates/sanddrum-lab/src/capacity/discovery_load.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_load.rs
@@ -1,136 +1,136 @@
-//! What the list service bears: its own core, with routers that decide by the product's modules when to call it, over
-//! numbers of routers, of rows and of changes; its worst seconds; and its memory.
+//! The load on the discovery service: its core with simulated routers, which decide with the product's own code when
+//! to connect, over the numbers of routers, rows and changes; the load in the worst second; and memory.
 
-use super::discovery_alone::alone;
 use super::discovery_environment::{DiscoveryEnvironment, DiscoveryEnvironmentSpec, SECOND};
-use super::discovery_scenarios::{play_all, seconds, source_of, Played, Told, NEVER};
-use super::simulated_router::Followers;
-use super::{Plan, Play, Sink, Stop};
+use super::discovery_microbench::run_microbench;
+use super::discovery_scenarios::{run_all, seconds, source_from, DiscoveryRun, Reporter, MAX_WAIT};
+use super::simulated_router::FollowerStats;
+use super::{Benchmark, Plan, Sink, Stop};
 use sanddrum_emulator::DiscoverySpec;
 use sanddrum_net::{LinkModel, Micros};
 use sanddrum_settings::{key, Occurrence, Section, SettingsError, ValueType};
 use std::time::Duration;
 
-pub const PLAY: Play = Play {
+pub const BENCHMARK: Benchmark = Benchmark {
     name: "list-service",
     section: Section {
         name: "list-service-plays",
         prefix: "list-service-plays",
         occurrence: Occurrence::Once,
-        description: "sizes at which the list service is measured, and the stand-in that it is",
+        description: "sizes at which the discovery service is measured, and the settings of the emulated service",
         keys: &[
             key(
                 "routers",
                 ValueType::Integers(1.0, 1e5),
                 Some("10 100 1000"),
-                "with the most rows",
+                "numbers of routers, with the largest number of rows",
             ),
             key(
                 "rows",
                 ValueType::Integers(1.0, 1e5),
                 Some("100 1000 10000"),
-                "with so many routers:",
+                "numbers of rows, with rows-routers routers",
             ),
             key(
                 "rows-routers",
                 ValueType::Integer(1.0, 1e5),
                 Some("1000"),
-                "while rows or changes grow",
+                "number of routers when rows or changes are varied",
             ),
             key(
                 "changes",
                 ValueType::Integers(1.0, 1e5),
                 Some("1 10 100"),
-                "a second, with the most rows",
+                "changes a second, with the largest number of rows",
             ),
             key(
                 "beating",
                 ValueType::Integers(1.0, 1e5),
                 Some("100 1000 10000"),
-                "workers that all tell that they run",
+                "numbers of workers that send heartbeats",
             ),
             key(
                 "quiet",
                 ValueType::Duration,
                 Some("60s"),
-                "how long a quiet time is looked at",
+                "virtual time for which the service is measured without changes",
             ),
             key(
                 "gone",
                 ValueType::Duration,
                 Some("60s"),
-                "how long the service is gone",
+                "virtual time for which the service is down",
             ),
             key(
                 "notice-least",
                 ValueType::Duration,
                 Some("200ms"),
-                "changes are told after",
+                "minimum delay until changes are published",
             ),
             key(
                 "notice-most",
                 ValueType::Duration,
                 Some("1s"),
-                "and at the latest after",
+                "maximum delay until changes are published",
             ),
             key(
                 "whole",
                 ValueType::Duration,
                 Some("5ms"),
-                "what a whole list takes it on its one core, as the stand-in has it",
+                "processing time of a full list on the emulated service's single core",
             ),
             key(
                 "change",
                 ValueType::Duration,
                 Some("200us"),
-                "what an answer of changes takes it",
+                "processing time of an update with changes",
             ),
             key(
                 "calls",
                 ValueType::Integer(1.0, 1e6),
                 Some("64"),
-                "calls in hand; whoever calls beyond that is closed",
+                "pending watches; connections with further ones are closed",
             ),
             key(
                 "changes-kept",
                 ValueType::Integer(1.0, 1e6),
                 Some("256"),
-                "for routers that come back",
+                "number of recent changes kept for routers that reconnect",
             ),
             key(
                 "beat-every",
                 ValueType::Duration,
                 Some("200ms"),
-                "how often a worker tells that it runs",
+                "interval of a worker's heartbeats",
             ),
         ],
     },
     check,
-    play,
+    run,
 };
 
-/// What a row takes at most on its way, in bytes, and how often it may be there at a time: at the service, on the way
-/// and where it is read.
+/// The largest size of a row in transit, in bytes.
 const ROW_BYTES: u64 = 60;
-const COPIES: u64 = 2;
-/// Nobody is heard in these plays but the workers that are played.
-const NEVER_SILENT: Micros = 86_400 * SECOND;
-const BEATING: Micros = 2 * SECOND;
+/// How many copies of a row may exist at a time: at the service, in transit and at the reader.
+const MAX_COPIES: u64 = 2;
+/// Only the workers that are simulated send heartbeats, so the others must not time out.
+const NO_HEARTBEAT_TIMEOUT: Micros = 86_400 * SECOND;
+const HEARTBEAT_RUN: Micros = 2 * SECOND;
 
-fn key_of(name: &str) -> String {
+fn key_name(name: &str) -> String {
     format!("list-service-plays.{name}")
 }
 
 fn check(plan: &Plan) -> Result<(), SettingsError> {
     let l = &plan.settings;
-    let most = |name: &str| plan.sizes(&key_of(name)).map(|sizes| most_of(&sizes));
+    let most = |name: &str| plan.sizes(&key_name(name)).map(|sizes| largest(&sizes));
     let (routers, rows) = (most("routers")?, most("rows")?);
-    let base = l.integer("list-service-plays.rows-routers") as u64;
+    let base_routers = l.integer("list-service-plays.rows-routers") as u64;
     most("changes")?;
     most("beating")?;
-    let bytes = routers.max(base) * rows * ROW_BYTES * COPIES;
-    plan.fits(
-        &key_of("routers"),
+    let bytes = routers.max(base_routers) * rows * ROW_BYTES * MAX_COPIES;
+    plan.check_memory(
+        &key_name("routers"),
         &format!("{routers} routers with lists of {rows} rows"),
         bytes,
     )?;
@@ -140,23 +140,27 @@
     );
     if least > last {
         let what = "list-service-plays.notice-least is above notice-most";
-        return Err(l.error_at(&key_of("notice-least-us"), what, "as 200ms and 1s"));
+        return Err(l.error_at(
+            &key_name("notice-least-us"),
+            what,
+            "for example 200ms and 1s",
+        ));
     }
     Ok(())
 }
 
-pub(super) fn most_of(sizes: &[u64]) -> u64 {
+pub(super) fn largest(sizes: &[u64]) -> u64 {
     sizes.iter().copied().max().unwrap_or(1)
 }
 
-/// The stand-in as the plan has it.
-pub(crate) fn list_spec(plan: &Plan) -> DiscoverySpec {
+/// The parameters of the emulated discovery service from the plan.
+pub(crate) fn discovery_spec(plan: &Plan) -> DiscoverySpec {
     let l = &plan.settings;
     let span = |name: &str| l.duration_us(&format!("list-service-plays.{name}-us"));
     DiscoverySpec {
         min_publish_delay: span("notice-least"),
         max_publish_delay: span("notice-most"),
-        heartbeat_timeout: NEVER_SILENT,
+        heartbeat_timeout: NO_HEARTBEAT_TIMEOUT,
         change_history: l.integer("list-service-plays.changes-kept"),
         snapshot_cost: span("whole"),
         delta_cost: span("change"),
@@ -164,7 +168,7 @@
     }
 }
 
-fn stage_of(
+fn environment(
     plan: &Plan,
     routers: u64,
     rows: u64,
@@ -172,14 +176,14 @@
 ) -> Result<DiscoveryEnvironment, String> {
     let spec = DiscoveryEnvironmentSpec {
         settings: plan.settings.clone(),
-        list: list_spec(plan),
+        service: discovery_spec(plan),
         seed: plan.seed,
         routers: routers as usize,
         rows: rows as usize,
         links: LinkModel::default(),
-        whole_edges: false,
+        real_edges: false,
         zones: plan.settings.integer("capacity.zones"),
-        beat_every: plan
+        heartbeat_interval: plan
             .settings
             .duration_us("list-service-plays.beat-every-us")
             .max(1000),
@@ -187,37 +191,44 @@
     DiscoveryEnvironment::new(spec, stop.clone(), Duration::MAX / 4).map_err(|e| e.to_string())
 }
 
-fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
-    let sizes = |name: &str| plan.sizes(&key_of(name)).map_err(|e| e.to_string());
+fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+    let sizes = |name: &str| plan.sizes(&key_name(name)).map_err(|e| e.to_string());
     let (routers, rows) = (sizes("routers")?, sizes("rows")?);
-    let base = plan.settings.integer("list-service-plays.rows-routers") as u64;
-    let most_rows = most_of(&rows);
-    alone(plan, &routers, &rows, sink, stop)?;
+    let base_routers = plan.settings.integer("list-service-plays.rows-routers") as u64;
+    let most_rows = largest(&rows);
+    run_microbench(plan, &routers, &rows, sink, stop)?;
     for at in sizes("beating")? {
-        beats(plan, at, sink, stop)?;
+        measure_heartbeats(plan, at, sink, stop)?;
     }
-    let fleet =
-        |axis, at: u64, with, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
+    let run_fleet =
+        |axis, at: u64, fixed, routers: u64, rows: u64, sink: &mut Sink| -> Result<(), String> {
             if stop.is_set() {
                 return Ok(());
             }
-            let stage = stage_of(plan, routers, rows, stop)?;
-            play_all(&mut Played {
+            let environment = environment(plan, routers, rows, stop)?;
+            run_all(&mut DiscoveryRun {
                 plan,
-                told: Told {
+                reporter: Reporter {
                     sink,
                     axis,
                     at: at as f64,
-                    with,
+                    fixed,
                 },
-                stage,
+                environment,
             })
         };
     for at in &rows {
-        fleet("rows", *at, format!("{base} routers"), base, *at, sink)?;
+        run_fleet(
+            "rows",
+            *at,
+            format!("{base_routers} routers"),
+            base_routers,
+            *at,
+            sink,
+        )?;
     }
     for at in &routers {
-        fleet(
+        run_fleet(
             "routers",
             *at,
             format!("{most_rows} rows"),
@@ -230,80 +241,92 @@
         if stop.is_set() {
             return Ok(());
         }
-        let stage = stage_of(plan, base, most_rows, stop)?;
-        let with = format!("{base} routers and {most_rows} rows");
-        let told = Told {
+        let environment = environment(plan, base_routers, most_rows, stop)?;
+        let fixed = format!("{base_routers} routers and {most_rows} rows");
+        let reporter = Reporter {
             sink,
             axis: "changes a second",
             at: at as f64,
-            with,
+            fixed,
         };
-        let mut played = Played { plan, told, stage };
-        played
-            .stage
-            .start_routers(base as usize, false)
+        let mut run = DiscoveryRun {
+            plan,
+            reporter,
+            environment,
+        };
+        run.environment
+            .start_routers(base_routers as usize, false)
             .map_err(|e| e.to_string())?;
-        let all = |f: &Followers| f.routers.iter().all(|router| router.told.is_some());
-        played.allow();
-        if played.stage.run_until_true(NEVER, all).is_ok() {
+        let all = |f: &FollowerStats| f.routers.iter().all(|router| router.first_update.is_some());
+        run.reset_time_limit();
+        if run.environment.run_until_true(MAX_WAIT, all).is_ok() {
             let zone =
                 (most_rows as usize).div_ceil(plan.settings.integer("capacity.zones").max(1));
-            played.changes(at, zone)?;
+            run.measure_changes(at, zone)?;
         }
     }
     Ok(())
 }
 
-/// Workers that all tell that they run, and nobody asks.
-fn beats(plan: &Plan, workers: u64, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+/// Measures the heartbeats of workers without any router.
+fn measure_heartbeats(
+    plan: &Plan,
+    workers: u64,
+    sink: &mut Sink,
+    stop: &Stop,
+) -> Result<(), String> {
     if stop.is_set() {
         return Ok(());
     }
-    let stage = stage_of(plan, 1, workers, stop)?;
-    let told = Told {
+    let environment = environment(plan, 1, workers, stop)?;
+    let reporter = Reporter {
         sink,
         axis: "rows",
         at: workers as f64,
-        with: "no router".into(),
+        fixed: "no router".into(),
+    };
+    let mut run = DiscoveryRun {
+        plan,
+        reporter,
+        environment,
     };
-    let mut played = Played { plan, told, stage };
-    played.allow();
-    played.stage.add_workers(workers as usize);
-    let begun = played
-        .stage
+    run.reset_time_limit();
+    run.environment.add_workers(workers as usize);
+    let second_start = run
+        .environment
         .run_for(SECOND)
-        .and_then(|()| played.stage.to_whole_second());
-    let from = *begun.as_ref().unwrap_or(&played.stage.now());
-    let ran = begun.and_then(|_| played.stage.run_for(BEATING));
-    let source = source_of(&ran);
-    let (beats, nanoseconds) = {
-        let tally = played.stage.tally.borrow();
-        let to = played.stage.now();
+        .and_then(|()| run.environment.run_to_next_second());
+    let from = *second_start.as_ref().unwrap_or(&run.environment.now());
+    let ran = second_start.and_then(|_| run.environment.run_for(HEARTBEAT_RUN));
+    let source = source_from(&ran);
+    let (heartbeats, nanoseconds) = {
+        let stats = run.environment.stats.borrow();
+        let to = run.environment.now();
         (
-            tally.sum(from, to, |s| s.beats) as f64,
-            tally.sum(from, to, |s| s.nanoseconds) as f64,
+            stats.sum(from, to, |s| s.heartbeats) as f64,
+            stats.sum(from, to, |s| s.nanoseconds) as f64,
         )
     };
-    let span = seconds(played.stage.now() - from).max(seconds(SECOND) / 10.0);
-    played.told.tell(
+    let span = seconds(run.environment.now() - from).max(seconds(SECOND) / 10.0);
+    run.reporter.record(
         "all workers beat",
         "beats a second",
         "beats",
-        beats / span,
+        heartbeats / span,
         source,
     )?;
-    played.told.tell(
+    run.reporter.record(
         "all workers beat",
         "processor time a second",
         "ms",
         nanoseconds / 1e6 / span,
         source,
     )?;
-    played.told.tell(
+    run.reporter.record(
         "all workers beat",
         "processor time a beat",
         "us",
-        nanoseconds / 1e3 / beats.max(1.0),
+        nanoseconds / 1e3 / heartbeats.max(1.0),
         source,
     )
 }
--- a/crates/sanddrum-lab/src/capacity/discovery_alone.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_microbench.rs
@@ -1,9 +1,9 @@
-//! What the list service holds, and what a whole list and a change take it: its core alone, with callers that take all
-//! that is written at once.
+//! Memory of the discovery service and its costs of full lists and changes, measured with its core alone and clients
+//! that accept all output at once.
 
-use super::clock::Clock;
+use super::cpu_clock::ThreadCpuClock;
 use super::discovery_environment::row;
-use super::discovery_load::{list_spec, most_of};
+use super::discovery_load::{discovery_spec, largest};
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{DiscoveryFaults, DiscoveryService};
 use sanddrum_net::{ConnectionId, Core, Event, Io, ListenerId, Micros};
@@ -11,16 +11,16 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Whole lists, or changes, that are timed.
-const TIMED: u64 = 20;
+/// The number of full lists or changes over which the processor time is averaged.
+const SAMPLES: u64 = 20;
 
-/// Takes all that is written.
+/// Accepts all output and counts its bytes.
 #[derive(Default)]
-struct Takes {
+struct CountingIo {
     bytes: u64,
 }
 
-impl Io for Takes {
+impl Io for CountingIo {
     fn connect(&mut self, _: &str) -> ConnectionId {
         ConnectionId(0)
     }
@@ -34,8 +34,8 @@
     fn save_state(&mut self, _: &[u8]) {}
 }
 
-/// The memory that this process has in use, in bytes.
-fn resident() -> Result<u64, String> {
+/// This process's resident memory, in bytes.
+fn resident_bytes() -> Result<u64, String> {
     let file = "/proc/self/status";
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -45,27 +45,27 @@
         .ok_or_else(|| format!("{file}: no VmRSS"))
 }
 
-/// The service's core with callers that come one after the other, each once the one before has its answer.
-struct Alone {
+/// The service's core with routers that connect one after the other, each after the previous one got its list.
+struct ServiceBench {
     service: DiscoveryService,
-    io: Takes,
+    io: CountingIo,
     now: Micros,
-    whole: Micros,
-    notice: Micros,
+    snapshot_cost: Micros,
+    publish_delay: Micros,
     callers: u64,
-    /// How often the worker that changes has started.
+    /// The incarnation of the changing worker.
     incarnation: u64,
 }
 
-/// The worker that changes, beside all callers.
+/// The connection of the changing worker.
 const WORKER: ConnectionId = ConnectionId(u64::MAX);
 
-impl Alone {
+impl ServiceBench {
     fn new(plan: &Plan, rows: u64) -> Self {
-        let (spec, now) = (list_spec(plan), 1_000_000_000);
+        let (spec, now) = (discovery_spec(plan), 1_000_000_000);
         let zones = plan.settings.integer("capacity.zones");
         let rows: Vec<_> = (0..rows as usize).map(|n| row(n, zones)).collect();
-        let (whole, notice) = (spec.snapshot_cost, spec.max_publish_delay);
+        let (snapshot_cost, publish_delay) = (spec.snapshot_cost, spec.max_publish_delay);
         let service = DiscoveryService::new(
             spec,
             plan.seed,
@@ -73,26 +73,26 @@
             Rc::new(RefCell::new(DiscoveryFaults::default())),
         );
         let service = service.with_endpoints(now, &rows);
-        let mut alone = Alone {
+        let mut bench = ServiceBench {
             service,
-            io: Takes::default(),
+            io: CountingIo::default(),
             now,
-            whole,
-            notice,
+            snapshot_cost,
+            publish_delay,
             callers: 0,
             incarnation: 1,
         };
-        alone.service.on_event(
+        bench.service.on_event(
             now,
             Event::Accepted {
                 conn: WORKER,
                 listener: ListenerId(0),
             },
-            &mut alone.io,
+            &mut bench.io,
         );
-        alone
+        bench
     }
-    /// A worker tells that it has started anew, and all callers are told.
+    /// Registers a restarted worker, and publishes the change to all routers.
     fn change(&mut self) {
         self.incarnation += 1;
         let register = ToDiscovery::Register(EndpointRecord {
@@ -104,14 +104,14 @@
             bytes: &encode_frame(&register),
         };
         self.service.on_event(self.now, event, &mut self.io);
-        self.now += self.notice + 1;
+        self.now += self.publish_delay + 1;
         self.service.process(self.now, &mut self.io);
     }
-    /// One more router calls and is told the whole list.
-    fn caller(&mut self) {
-        let (conn, door) = (ConnectionId(self.callers), ListenerId(0));
+    /// Connects another router, which gets the full list.
+    fn add_caller(&mut self) {
+        let (conn, listener) = (ConnectionId(self.callers), ListenerId(0));
         self.callers += 1;
-        self.now += self.whole + 1;
+        self.now += self.snapshot_cost + 1;
         let name = crate::Scenario::edge_name(self.callers as usize);
         let hello = ToDiscovery::Hello(Hello {
             version: VERSION,
@@ -124,14 +124,8 @@
             encode_frame(&ToDiscovery::Watch(Watch::default())),
         ]
         .concat();
-        self.service.on_event(
-            self.now,
-            Event::Accepted {
-                conn,
-                listener: door,
-            },
-            &mut self.io,
-        );
+        self.service
+            .on_event(self.now, Event::Accepted { conn, listener }, &mut self.io);
         self.service.on_event(
             self.now,
             Event::Bytes {
@@ -144,12 +138,12 @@
     }
 }
 
-struct Telling<'a> {
+struct Reporter<'a> {
     sink: &'a mut Sink,
 }
 
-impl Telling<'_> {
-    fn tell(
+impl Reporter<'_> {
+    fn record(
         &mut self,
         play: String,
         figure: &str,
@@ -172,49 +166,49 @@
     }
 }
 
-/// Memory against rows and against routers, and a whole list against rows. Memory is what the process has more of, so
-/// what is measured is kept until all is.
-pub(super) fn alone(
+/// Measures memory over rows and over routers, and the costs of full lists over rows and of changes over routers.
+/// Memory is the growth of the process, so everything is kept until the end.
+pub(super) fn run_microbench(
     plan: &Plan,
     routers: &[u64],
     rows: &[u64],
     sink: &mut Sink,
     stop: &Stop,
 ) -> Result<(), String> {
-    let most = most_of(rows);
-    let mut kept = Vec::new();
-    let mut telling = Telling { sink };
+    let max_rows = largest(rows);
+    let mut benches = Vec::new();
+    let mut reporter = Reporter { sink };
     for at in rows {
         if stop.is_set() {
             return Ok(());
         }
-        // Small ones several times over, as a process grows by pages.
-        let copies = (most / at).max(1);
-        let before = resident()?;
-        kept.extend((0..copies).map(|_| Alone::new(plan, *at)));
-        let each = resident()?.saturating_sub(before) as f64 / copies as f64;
-        telling.tell(
+        // Small services are created several times, because a process grows by pages.
+        let count = (max_rows / at).max(1);
+        let before = resident_bytes()?;
+        benches.extend((0..count).map(|_| ServiceBench::new(plan, *at)));
+        let per_service = resident_bytes()?.saturating_sub(before) as f64 / count as f64;
+        reporter.record(
             "alone, no router".into(),
             "memory",
             "bytes",
             ("rows", *at),
-            each,
+            per_service,
         )?;
-        let Some(alone) = kept.last_mut() else {
+        let Some(bench) = benches.last_mut() else {
             continue;
         };
-        let (sent, began) = (alone.io.bytes, Clock::now());
-        (0..TIMED).for_each(|_| alone.caller());
-        let nanoseconds = (Clock::now() - began) as f64 / TIMED as f64;
-        let bytes = (alone.io.bytes - sent) as f64 / TIMED as f64;
-        telling.tell(
+        let (sent, start) = (bench.io.bytes, ThreadCpuClock::now());
+        (0..SAMPLES).for_each(|_| bench.add_caller());
+        let nanoseconds = (ThreadCpuClock::now() - start) as f64 / SAMPLES as f64;
+        let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
+        reporter.record(
             "a whole list".into(),
             "processor time",
             "us",
             ("rows", *at),
             nanoseconds / 1e3,
         )?;
-        telling.tell(
+        reporter.record(
             "a whole list".into(),
             "bytes out",
             "bytes",
@@ -222,28 +216,28 @@
             bytes,
         )?;
     }
-    for rows in [rows.iter().copied().min().unwrap_or(1), most] {
-        let mut alone = Alone::new(plan, rows);
-        let before = resident()?;
+    for rows in [rows.iter().copied().min().unwrap_or(1), max_rows] {
+        let mut bench = ServiceBench::new(plan, rows);
+        let before = resident_bytes()?;
         for at in routers {
-            while alone.callers < *at {
-                alone.caller();
+            while bench.callers < *at {
+                bench.add_caller();
                 if stop.is_set() {
                     return Ok(());
                 }
             }
-            let more = resident()?.saturating_sub(before) as f64;
+            let growth = resident_bytes()?.saturating_sub(before) as f64;
             let (play, at) = (format!("alone, {rows} rows"), ("routers", *at));
-            telling.tell(play, "memory for routers", "bytes", at, more)?;
-            let (sent, began) = (alone.io.bytes, Clock::now());
-            (0..TIMED).for_each(|_| alone.change());
-            let nanoseconds = (Clock::now() - began) as f64 / TIMED as f64;
-            let bytes = (alone.io.bytes - sent) as f64 / TIMED as f64;
+            reporter.record(play, "memory for routers", "bytes", at, growth)?;
+            let (sent, start) = (bench.io.bytes, ThreadCpuClock::now());
+            (0..SAMPLES).for_each(|_| bench.change());
+            let nanoseconds = (ThreadCpuClock::now() - start) as f64 / SAMPLES as f64;
+            let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
             let play = format!("a change, {rows} rows");
-            telling.tell(play.clone(), "processor time", "us", at, nanoseconds / 1e3)?;
-            telling.tell(play, "bytes out", "bytes", at, bytes)?;
+            reporter.record(play.clone(), "processor time", "us", at, nanoseconds / 1e3)?;
+            reporter.record(play, "bytes out", "bytes", at, bytes)?;
         }
-        kept.push(alone);
+        benches.push(bench);
     }
     Ok(())
 }
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -1,4 +1,4 @@
-//! An edge as a process of its own, with the list of so many workers and no calls: what it takes when it stands by.
+//! Memory and processor time of an idle edge process with an endpoint list of a given size.
 
 use super::{Plan, Point, Role, Sink, Source, Stop};
 use sanddrum_emulator::{DiscoveryService, DiscoverySpec};
@@ -10,17 +10,17 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// It must have its list within this time.
-const UP_WITHIN: Micros = 30_000_000;
-const LOOKS_EVERY: Micros = 100_000;
+/// Time within which the edge must get its endpoint list.
+const STARTUP_TIMEOUT: Micros = 30_000_000;
+const POLL_INTERVAL: Micros = 100_000;
 
-/// A process and a folder that end with their owner.
-struct Standing {
+/// An edge process and its folder. Drop kills the process and removes the folder.
+struct EdgeProcess {
     child: Child,
     folder: PathBuf,
 }
 
-impl Drop for Standing {
+impl Drop for EdgeProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -28,11 +28,12 @@
     }
 }
 
-/// Measures at each of the real sizes, and at those along the workers; nothing where the program isn't known.
+/// Measures an idle edge process for each number of workers of the router benchmark. Does nothing if the plan has no
+/// program.
 ///
 /// # Errors
-/// A process could not be started or did not get its list.
-pub(crate) fn play(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
+/// A process could not be started or did not get its endpoint list.
+pub(crate) fn run(plan: &Plan, sink: &mut Sink, stop: &Stop) -> Result<(), String> {
     let Some(program) = &plan.program else {
         return Ok(());
     };
@@ -40,8 +41,10 @@
         if stop.is_set() {
             return Ok(());
         }
-        sink.told(&format!("an edge process with a list of {workers} workers"));
-        let Some((bytes, core)) = stand(program, plan, workers, stop)? else {
+        sink.progress(&format!(
+            "idle edge process with {workers} workers in its endpoint list"
+        ));
+        let Some((bytes, core)) = measure_idle(program, plan, workers, stop)? else {
             return Ok(());
         };
         for (figure, unit, value) in [
@@ -86,14 +89,14 @@
     }
 }
 
-fn stand(
+fn measure_idle(
     program: &Path,
     plan: &Plan,
     workers: u64,
     stop: &Stop,
 ) -> Result<Option<(f64, f64)>, String> {
     let text = |e: std::io::Error| e.to_string();
-    let (door, list_at) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
+    let (listener, list_address) = EventLoop::bind("127.0.0.1:0").map_err(text)?;
     let mut driver = EventLoop::new(Box::new(NullObserver)).map_err(text)?;
     let spec = DiscoverySpec {
         min_publish_delay: 0,
@@ -108,7 +111,9 @@
     let rows: Vec<EndpointRecord> = (0..workers).map(|n| row(n, &zones)).collect();
     let list =
         DiscoveryService::new(spec, 1, 1, Default::default()).with_endpoints(driver.now(), &rows);
-    driver.add(Box::new(list), vec![door], None).map_err(text)?;
+    driver
+        .add(Box::new(list), vec![listener], None)
+        .map_err(text)?;
     let folder = std::env::temp_dir().join(format!(
         "sanddrum-capacity-{}-{workers}",
         std::process::id()
@@ -133,7 +138,7 @@
         "--listen",
         "127.0.0.1:0",
         "--list",
-        &list_at,
+        &list_address,
         "--edges",
         &routers,
         "--with-parent",
@@ -145,40 +150,41 @@
     let child = command
         .spawn()
         .map_err(|e| format!("{}: {e}", program.display()))?;
-    let standing = Standing { child, folder };
+    let process = EdgeProcess { child, folder };
     let wanted = format!("sanddrum_workers_listed {workers}");
-    let until = driver.now() + UP_WITHIN;
+    let until = driver.now() + STARTUP_TIMEOUT;
     while !std::fs::read_to_string(&address).is_ok_and(|at| metrics(at.trim()).contains(&wanted)) {
         if stop.is_set() {
             return Ok(None);
         }
         if driver.now() > until {
             return Err(format!(
-                "an edge did not get its list of {workers} workers within half a minute"
+                "an edge did not get its endpoint list of {workers} workers within 30 s"
             ));
         }
-        let next = driver.now() + LOOKS_EVERY;
+        let next = driver.now() + POLL_INTERVAL;
         driver.run_until(next).map_err(text)?;
     }
     let mut wait = |span: Micros| {
         let until = driver.now() + span;
         driver.run_until(until).map_err(text)
     };
-    let looked_at = plan
+    let measured_for = plan
         .settings
         .duration_us("router-plays.stands-by-us")
         .max(1);
-    wait(looked_at / 2)?;
-    let before = ticks(&standing.child)?;
-    wait(looked_at)?;
-    let spent = (ticks(&standing.child)? - before) / rustix::param::clock_ticks_per_second() as f64;
+    wait(measured_for / 2)?;
+    let before = cpu_ticks(&process.child)?;
+    wait(measured_for)?;
+    let spent =
+        (cpu_ticks(&process.child)? - before) / rustix::param::clock_ticks_per_second() as f64;
     Ok(Some((
-        resident(&standing.child)?,
-        spent / (looked_at as f64 / 1e6),
+        resident_bytes(&process.child)?,
+        spent / (measured_for as f64 / 1e6),
     )))
 }
 
-/// The edge's metrics page; empty where it doesn't answer.
+/// The edge's metrics page; empty if the edge doesn't answer.
 fn metrics(address: &str) -> String {
     let page = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(address)?;
@@ -191,14 +197,14 @@
     page().unwrap_or_default()
 }
 
-fn of_process(child: &Child, file: &str) -> Result<String, String> {
+fn read_proc_file(child: &Child, file: &str) -> Result<String, String> {
     let file = format!("/proc/{}/{file}", child.id());
     std::fs::read_to_string(&file).map_err(|e| format!("{file}: {e}"))
 }
 
 /// Resident memory, in bytes.
-fn resident(child: &Child) -> Result<f64, String> {
-    let text = of_process(child, "statm")?;
+fn resident_bytes(child: &Child) -> Result<f64, String> {
+    let text = read_proc_file(child, "statm")?;
     let pages: Option<f64> = text
         .split_whitespace()
         .nth(1)
@@ -206,10 +212,10 @@
     Ok(pages.unwrap_or_default() * rustix::param::page_size() as f64)
 }
 
-/// Ticks of processor time, of its own and within the kernel.
-fn ticks(child: &Child) -> Result<f64, String> {
-    let text = of_process(child, "stat")?;
-    // The name, in brackets, may have spaces in it.
+/// Processor time in user and kernel mode, in clock ticks.
+fn cpu_ticks(child: &Child) -> Result<f64, String> {
+    let text = read_proc_file(child, "stat")?;
+    // The second field, the name in parentheses, may contain spaces.
     let after = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<f64> = after
         .split_whitespace()
