--- a/crates/sanddrum-cli/tests/clock_steps.rs
+++ b/crates/sanddrum-cli/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! The wall clock of a router's machine is stepped while it runs, or is wrong from its start: a model server that has just
-//! started is in slow start all the same.
+//! The wall clock of the router's machine is wrong from the start or is stepped while the router runs. A model server
+//! that has just started must be in slow start all the same.
 
 mod steered;
 
@@ -11,12 +11,13 @@
 use steered::*;
 
 const HOUR_US: i64 = 3_600_000_000;
-/// Requests played, each for a function of its own, so that each may go to either server.
+/// Number of requests, each for a function of its own, so that each may go to either server.
 const REQUESTS: usize = 120;
-/// A server that counts as warm gets half of them; one in slow start, a fifth of what that would be and less.
-const MOST_IN_SLOW_START: usize = REQUESTS / 4;
+/// A server that counts as warm gets half of the requests; one in slow start gets at most about a fifth of that half.
+const MAX_IN_SLOW_START: usize = REQUESTS / 4;
 
-/// When the wall clock steps, by how much, and whether the servers' clock is the same one.
+/// By how much the router's wall clock is stepped before the start and while running, and whether the servers' clock
+/// steps with it.
 #[derive(Clone, Copy)]
 struct Step {
     before_start_us: i64,
@@ -24,7 +25,7 @@
     servers_step_too: bool,
 }
 
-fn slow_start(feed: &str, server: &str) -> Value {
+fn slow_start_configuration(feed: &str, server: &str) -> Value {
     let mut configuration = configuration(feed, server, "repeatable");
     let settings = &mut configuration["settings"];
     settings["family-info"] = json!({"if-cold": "load", "idle-life-us": 9_000_000});
@@ -37,44 +38,54 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     now.as_millis() as i64 + offset_us / 1000
 }
-fn asks_for(id: u16, n: usize) -> Vec<u8> {
+fn encode_nth_request(id: u16, n: usize) -> Vec<u8> {
     let (call, function) = (format!("{:016x}", n + 1), format!("{:016x}", 0x7000 + n));
-    asks_function(id, &call, &function, 4000, call.as_bytes())
+    encode_request_for(id, &call, &function, 4000, call.as_bytes())
 }
-/// Serves what comes to either server until all requests are answered; how many the second one got.
-fn served(web: &mut Web, servers: &mut [Worker; 2], from: usize, requests: usize) -> usize {
+/// Sends this many requests, one after the other, and serves each at the server that receives it. Returns how many the
+/// second server received.
+fn serve_in_turn(
+    web: &mut WebServer,
+    servers: &mut [Worker; 2],
+    from: usize,
+    requests: usize,
+) -> usize {
     let mut second = 0;
     for n in from..from + requests {
-        web.says(&asks_for(1, n));
+        web.send(&encode_nth_request(1, n));
         let (server, request) = next_request(servers);
         second += usize::from(server == 1);
         servers[server].serve(&request);
-        assert_eq!(web.answer().unwrap().status(), "200");
+        assert_eq!(web.response().unwrap().status(), "200");
     }
     second
 }
 
 #[rstest]
-#[case::back_for_all(Step { before_start_us: 0, while_running_us: -HOUR_US, servers_step_too: true })]
-#[case::forward_here_only(Step { before_start_us: 0, while_running_us: HOUR_US, servers_step_too: false })]
+#[case::backward_on_all_machines(Step { before_start_us: 0, while_running_us: -HOUR_US, servers_step_too: true })]
+#[case::forward_on_the_router_only(Step { before_start_us: 0, while_running_us: HOUR_US, servers_step_too: false })]
 #[case::ahead_from_the_start(Step { before_start_us: HOUR_US, while_running_us: 0, servers_step_too: false })]
-fn a_server_told_after_a_step_of_the_wall_clock_is_in_slow_start(#[case] step: Step) {
-    let ((first, first_at), (second, second_at), (feeds, feed_at)) =
-        (Worker::listens(), Worker::listens(), listener());
+fn a_server_announced_after_a_wall_clock_step_is_in_slow_start(#[case] step: Step) {
+    let ((first, first_address), (second, second_address), (feeds, feed_address)) =
+        (Worker::listen(), Worker::listen(), listener());
     let name = format!("step-{}-{}", step.before_start_us, step.while_running_us);
     let faults = FaultControl::create(
         &std::env::temp_dir().join(format!("sanddrum-faults-{name}-{}", std::process::id())),
     )
     .unwrap();
     faults.step_wall_clock(step.before_start_us).unwrap();
-    let router = Router::start_with(&name, &slow_start(&feed_at, &first_at), Some(&faults));
+    let router = Router::start_with(
+        &name,
+        &slow_start_configuration(&feed_address, &first_address),
+        Some(&faults),
+    );
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let (mut web, mut servers) = (Web::connects(&router.at), [first, second]);
+    next_poll(&mut feed);
+    let (mut web, mut servers) = (WebServer::connect(&router.address), [first, second]);
     assert_eq!(
-        served(&mut web, &mut servers, 0, 30),
+        serve_in_turn(&mut web, &mut servers, 0, 30),
         0,
-        "the other one is not told yet"
+        "the second server has not been announced yet"
     );
     faults
         .step_wall_clock(step.before_start_us + step.while_running_us)
@@ -84,49 +95,53 @@
     } else {
         0
     };
-    let mut starts = member("c", &second_at, "in_service");
-    starts["up_since_ms"] = json!(wall_ms(servers_offset) - 200);
-    feed.write_all(&told(2, json!([event(2, starts)]))).unwrap();
-    question(&mut feed);
-    let got = served(&mut web, &mut servers, 30, REQUESTS);
+    let mut started = member("c", &second_address, "in_service");
+    started["up_since_ms"] = json!(wall_ms(servers_offset) - 200);
+    feed.write_all(&feed_response(2, json!([event(2, started)])))
+        .unwrap();
+    next_poll(&mut feed);
+    let received = serve_in_turn(&mut web, &mut servers, 30, REQUESTS);
     assert!(
         faults.get(Word::WallReadsStepped).unwrap() > 0,
-        "the step never came"
+        "the router never read the stepped wall clock"
     );
     assert!(
-        got <= MOST_IN_SLOW_START,
-        "{got} of {REQUESTS} went to a server that has just started"
+        received <= MAX_IN_SLOW_START,
+        "{received} of {REQUESTS} requests went to a server that has just started"
     );
 }
 
 #[rstest]
-fn a_server_that_starts_again_under_its_id_after_a_step_back_is_in_slow_start() {
-    let ((first, first_at), (second, second_at), (feeds, feed_at)) =
-        (Worker::listens(), Worker::listens(), listener());
+fn a_server_restarted_under_its_id_after_a_backward_clock_step_is_in_slow_start() {
+    let ((first, first_address), (second, second_address), (feeds, feed_address)) =
+        (Worker::listen(), Worker::listen(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-faults-again-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
     let server = |since_ms: i64| {
-        let mut server = member("c", &second_at, "in_service");
+        let mut server = member("c", &second_address, "in_service");
         server["up_since_ms"] = json!(since_ms);
         server
     };
-    let mut configuration = slow_start(&feed_at, &first_at);
-    let long_warm = [
-        member("w", &first_at, "in_service"),
+    let mut configuration = slow_start_configuration(&feed_address, &first_address);
+    let warm_members = [
+        member("w", &first_address, "in_service"),
         server(wall_ms(0) - 120_000),
     ];
-    configuration["known"]["events"][0]["members"]["members"] = json!(long_warm);
+    configuration["known"]["events"][0]["members"]["members"] = json!(warm_members);
     let router = Router::start_with("again", &configuration, Some(&faults));
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let (mut web, mut servers) = (Web::connects(&router.at), [first, second]);
+    next_poll(&mut feed);
+    let (mut web, mut servers) = (WebServer::connect(&router.address), [first, second]);
     faults.step_wall_clock(-HOUR_US).unwrap();
-    feed.write_all(&told(2, json!([event(2, server(wall_ms(-HOUR_US) - 200))])))
-        .unwrap();
-    question(&mut feed);
-    let got = served(&mut web, &mut servers, 0, REQUESTS);
+    feed.write_all(&feed_response(
+        2,
+        json!([event(2, server(wall_ms(-HOUR_US) - 200))]),
+    ))
+    .unwrap();
+    next_poll(&mut feed);
+    let received = serve_in_turn(&mut web, &mut servers, 0, REQUESTS);
     assert!(
-        got <= MOST_IN_SLOW_START,
-        "{got} of {REQUESTS} went to a server that has just started"
+        received <= MAX_IN_SLOW_START,
+        "{received} of {REQUESTS} requests went to a server that has just started"
     );
 }
--- a/crates/sanddrum-cli/tests/discovery_outage.rs
+++ b/crates/sanddrum-cli/tests/discovery_outage.rs
@@ -1,11 +1,12 @@
-//! Discovery is out of reach for longer than the platform's clocks, and a busy model server drains meanwhile (incident
-//! 624c95). A router as a process, with outages of several kinds, signals and clock steps: after the time at which the drain
-//! counts as told, and the grace, nothing new may come to that server, and the others go on being used.
+//! The discovery service is unavailable for longer than the platform's time limits while a busy model server starts
+//! to drain (incident 624c95). Runs the router as a process with several kinds of outages, signals and clock steps.
+//! Once the drain counts as announced and the grace period is over, the router must send that server nothing new and
+//! keep using the others.
 
 mod outage;
 mod steered;
 
-use outage::{Discovery, ModelServer, Reach};
+use outage::{Discovery, FeedState, ModelServer};
 use rstest::rstest;
 use sanddrum_fastcgi::{encode_params, write_begin_request, write_stream, RecordType};
 use sanddrum_lab::faults::FaultControl;
@@ -17,35 +18,36 @@
 use std::time::{Duration, Instant};
 use steered::*;
 
-/// What discovery would have told counts as told this long after its outage began, at the latest.
-const NOTIFIED_AFTER: Duration = Duration::from_secs(7);
+/// A change that discovery would have announced counts as announced at most this long after the start of the outage.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(7);
 const GRACE: Duration = Duration::from_millis(250);
-/// Time limits of the rules are so much longer on sockets.
-const ON_SOCKETS: Duration = Duration::from_millis(50);
-/// So long after that the router is watched.
-const WATCHED: Duration = Duration::from_secs(2);
+/// Tolerance added to the time limits of the rules on real sockets.
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+/// How long the router is observed once the drain counts as announced and the grace period is over.
+const OBSERVATION: Duration = Duration::from_secs(2);
 const SERVERS: usize = 3;
-/// Functions that are called. Each server has an instance of each, which runs one request at a time.
+/// Number of functions. Each server has one instance of each, which runs one request at a time.
 const FUNCTIONS: u64 = 4;
-/// Clients that call at a time: the servers that are left when one drains have a queue now and then.
+/// Number of concurrent clients. With one server draining, requests occasionally queue at the remaining servers.
 const CLIENTS: u64 = 12;
 
-/// The number of the next call; no two calls have one.
+/// The ID of the next call; each call has its own.
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
-/// What happens beside the drain.
+/// What goes wrong while the server drains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    Outage(Reach),
-    /// A new configuration moves discovery to where nobody listens.
-    MovedToNowhere,
-    /// The connection is refused, and the wall clock steps.
+    Outage(FeedState),
+    /// A new configuration moves discovery to an address on which nothing listens.
+    MovedToClosedPort,
+    /// The feed refuses connections, and the wall clock steps.
     ClockStep(i64),
-    /// The connection is refused, and the process is stopped for a while.
+    /// The feed refuses connections, and the router's process is stopped for a while.
     Stopped(Duration),
 }
 
-struct Scene {
+/// A router with its model servers, its control feed and fault injection.
+struct TestSetup {
     servers: Vec<Arc<ModelServer>>,
     discovery: Arc<Discovery>,
     router: Router,
@@ -65,8 +67,8 @@
     settings
 }
 
-impl Scene {
-    fn start(name: &str) -> Scene {
+impl TestSetup {
+    fn start(name: &str) -> TestSetup {
         let servers: Vec<_> = (0..SERVERS).map(|_| ModelServer::start()).collect();
         let discovery = Discovery::start();
         let faults = FaultControl::create(
@@ -75,7 +77,7 @@
         .unwrap();
         let settings = settings(&discovery.address, &servers);
         let router = Router::start_with(name, &settings, Some(&faults));
-        Scene {
+        TestSetup {
             servers,
             discovery,
             router,
@@ -85,21 +87,21 @@
 
     fn begin(&self, fault: Fault) {
         match fault {
-            Fault::Outage(reach) => self.discovery.set_reach(reach),
-            Fault::MovedToNowhere => {
-                let (nowhere, address) = listener();
-                drop(nowhere);
+            Fault::Outage(state) => self.discovery.set_state(state),
+            Fault::MovedToClosedPort => {
+                let (closed, address) = listener();
+                drop(closed);
                 let moved = settings(&address, &self.servers).to_string();
                 std::fs::write(&self.router.file, moved).unwrap();
                 self.router.signal("HUP");
-                self.discovery.set_reach(Reach::Refusing);
+                self.discovery.set_state(FeedState::Refusing);
             }
             Fault::ClockStep(by) => {
-                self.discovery.set_reach(Reach::Refusing);
+                self.discovery.set_state(FeedState::Refusing);
                 self.faults.step_wall_clock(by).unwrap();
             }
             Fault::Stopped(span) => {
-                self.discovery.set_reach(Reach::Refusing);
+                self.discovery.set_state(FeedState::Refusing);
                 self.router.stall();
                 thread::sleep(span);
                 self.router.resume();
@@ -111,24 +113,28 @@
         self.servers[server].set_draining(phase != "in_service");
         let address = &self.servers[server].address;
         self.discovery
-            .tell(&member(&format!("s{server}"), address, phase));
+            .publish(&member(&format!("s{server}"), address, phase));
     }
 
-    /// The server that got the most since this instant. Which servers a router uses is its choice.
+    /// The server that received the most since this instant. The router chooses which servers it uses, so a fixed one
+    /// might be idle.
     fn busiest_server(&self, since: Instant) -> usize {
         let sends = |server: &usize| self.servers[*server].sends_since(since);
         let busiest = (0..SERVERS).max_by_key(sends).unwrap();
-        assert!(sends(&busiest) > 0, "the server that drains is a busy one");
+        assert!(
+            sends(&busiest) > 0,
+            "no server received a request, so none is busy enough to drain"
+        );
         busiest
     }
 
-    /// Clients call the functions until then, each one after the other. Tells how many requests were served, and how many
-    /// were not.
+    /// Has all clients call the functions until then, each client one request at a time. Returns the numbers of
+    /// requests served and not served.
     fn call_until(&self, until: Instant) -> (usize, usize) {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|client| {
-                let at = self.router.at.clone();
-                thread::spawn(move || call_in_turn(&at, client, until))
+                let address = self.router.address.clone();
+                thread::spawn(move || call_sequentially(&address, client, until))
             })
             .collect();
         let results = clients.into_iter().map(|client| client.join().unwrap());
@@ -136,14 +142,14 @@
     }
 }
 
-fn call_in_turn(at: &str, client: u64, until: Instant) -> (usize, usize) {
-    let mut web = Web::connects(at);
+fn call_sequentially(address: &str, client: u64, until: Instant) -> (usize, usize) {
+    let mut web = WebServer::connect(address);
     let function = format!("{:016x}", client % FUNCTIONS);
     let (mut served, mut not_served) = (0, 0);
     while Instant::now() < until {
         let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
-        web.says(&one_at_a_time(call, &function));
-        match web.answer().unwrap().status() {
+        web.send(&encode_single_lane_request(call, &function));
+        match web.response().unwrap().status() {
             "200" => served += 1,
             _ => not_served += 1,
         }
@@ -151,8 +157,8 @@
     (served, not_served)
 }
 
-/// A request for a function whose instances run one at a time.
-fn one_at_a_time(call: u64, function: &str) -> Vec<u8> {
+/// Encodes a request for a function whose instances run one request at a time.
+fn encode_single_lane_request(call: u64, function: &str) -> Vec<u8> {
     let call = format!("{call:016x}");
     let pairs = [
         ("SCRIPT_NAME", "/rpc/job"),
@@ -168,90 +174,91 @@
     out
 }
 
-/// What came of one outage: sends to the draining server after the grace, and requests served and not served since.
-struct Watched {
+/// The result of one outage: requests and load commands sent to the draining server after the grace period, and
+/// requests served and not served since.
+struct OutageResult {
     fault: Fault,
     late_sends: usize,
     served: usize,
     not_served: usize,
 }
 
-impl Watched {
-    fn is_good(&self) -> bool {
+impl OutageResult {
+    fn is_correct(&self) -> bool {
         self.late_sends == 0 && self.served > 100 && self.served > 20 * self.not_served
     }
 }
 
-impl fmt::Display for Watched {
+impl fmt::Display for OutageResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:?}: {} sends to the draining server after the grace, {} requests served since, {} not",
+            "{:?}: {} sends to the draining server after the grace period, {} requests served since, {} not",
             self.fault, self.late_sends, self.served, self.not_served
         )
     }
 }
 
-fn watch(name: &str, fault: Fault) -> Watched {
-    let scene = Scene::start(name);
-    let begun = Instant::now();
-    scene.call_until(begun + Duration::from_secs(1));
-    let drained = scene.busiest_server(begun);
-    let outage_began = Instant::now();
-    scene.begin(fault);
-    scene.set_phase(drained, "terminating");
-    let counted_from = outage_began + NOTIFIED_AFTER + GRACE + ON_SOCKETS;
-    scene.call_until(counted_from);
-    let (served, not_served) = scene.call_until(counted_from + WATCHED);
-    Watched {
+fn drain_during(name: &str, fault: Fault) -> OutageResult {
+    let setup = TestSetup::start(name);
+    let started = Instant::now();
+    setup.call_until(started + Duration::from_secs(1));
+    let draining = setup.busiest_server(started);
+    let outage_start = Instant::now();
+    setup.begin(fault);
+    setup.set_phase(draining, "terminating");
+    let counted_from = outage_start + ANNOUNCED_AFTER + GRACE + SOCKET_TOLERANCE;
+    setup.call_until(counted_from);
+    let (served, not_served) = setup.call_until(counted_from + OBSERVATION);
+    OutageResult {
         fault,
-        late_sends: scene.servers[drained].sends_since(counted_from),
+        late_sends: setup.servers[draining].sends_since(counted_from),
         served,
         not_served,
     }
 }
 
 #[rstest]
-fn a_server_that_drains_while_discovery_is_away_gets_nothing_new() {
+fn a_server_that_drains_during_a_discovery_outage_is_sent_nothing_new() {
     let faults = [
-        ("refused", Fault::Outage(Reach::Refusing)),
-        ("silent", Fault::Outage(Reach::Silent)),
-        ("cut", Fault::Outage(Reach::Cutting)),
-        ("moved", Fault::MovedToNowhere),
+        ("refused", Fault::Outage(FeedState::Refusing)),
+        ("silent", Fault::Outage(FeedState::Silent)),
+        ("cut", Fault::Outage(FeedState::Truncating)),
+        ("moved", Fault::MovedToClosedPort),
         ("back", Fault::ClockStep(-3_600_000_000)),
         ("ahead", Fault::ClockStep(3_600_000_000)),
         ("stopped", Fault::Stopped(Duration::from_secs(3))),
     ];
-    let watches = faults.map(|(name, fault)| thread::spawn(move || watch(name, fault)));
-    let results = watches.map(|watch| watch.join().unwrap());
-    let all_good = results.iter().all(Watched::is_good);
-    let told: Vec<String> = results.iter().map(Watched::to_string).collect();
-    assert!(all_good, "{}", told.join("\n"));
+    let threads = faults.map(|(name, fault)| thread::spawn(move || drain_during(name, fault)));
+    let results = threads.map(|thread| thread.join().unwrap());
+    let all_correct = results.iter().all(OutageResult::is_correct);
+    let summaries: Vec<String> = results.iter().map(OutageResult::to_string).collect();
+    assert!(all_correct, "{}", summaries.join("\n"));
 }
 
 #[rstest]
-fn a_server_that_is_back_after_the_outage_is_used_again() {
-    let scene = Scene::start("back-again");
-    let begun = Instant::now();
-    scene.call_until(begun + Duration::from_millis(500));
-    let drained = scene.busiest_server(begun);
-    scene.begin(Fault::Outage(Reach::Refusing));
-    scene.set_phase(drained, "terminating");
-    scene.call_until(Instant::now() + Duration::from_secs(4));
-    scene.set_phase(drained, "in_service");
-    scene.discovery.set_reach(Reach::Well);
-    let back = Instant::now();
-    until(|| {
-        scene.call_until(Instant::now() + Duration::from_millis(100));
-        scene.servers[drained].sends_since(back) > 3
+fn a_server_back_in_service_after_an_outage_is_used_again() {
+    let setup = TestSetup::start("back-again");
+    let started = Instant::now();
+    setup.call_until(started + Duration::from_millis(500));
+    let draining = setup.busiest_server(started);
+    setup.begin(Fault::Outage(FeedState::Refusing));
+    setup.set_phase(draining, "terminating");
+    setup.call_until(Instant::now() + Duration::from_secs(4));
+    setup.set_phase(draining, "in_service");
+    setup.discovery.set_state(FeedState::Available);
+    let outage_end = Instant::now();
+    wait_until(|| {
+        setup.call_until(Instant::now() + Duration::from_millis(100));
+        setup.servers[draining].sends_since(outage_end) > 3
     });
 }
 
 #[rstest]
-fn an_outage_is_logged_with_its_reason_and_its_end() {
-    let scene = Scene::start("logged");
-    scene.begin(Fault::Outage(Reach::Refusing));
-    until(|| scene.router.said_so_far().contains("\"list-stale\""));
-    scene.discovery.set_reach(Reach::Well);
-    until(|| scene.router.said_so_far().contains("\"list-current\""));
+fn the_start_and_the_end_of_an_outage_are_logged() {
+    let setup = TestSetup::start("logged");
+    setup.begin(Fault::Outage(FeedState::Refusing));
+    wait_until(|| setup.router.logged_so_far().contains("\"list-stale\""));
+    setup.discovery.set_state(FeedState::Available);
+    wait_until(|| setup.router.logged_so_far().contains("\"list-current\""));
 }
--- a/crates/sanddrum-cli/tests/interrupted_reads.rs
+++ b/crates/sanddrum-cli/tests/interrupted_reads.rs
@@ -1,4 +1,4 @@
-//! The tests' own peers read on while the test process is interrupted.
+//! The read helper of the tests' peers retries when a system call is interrupted.
 
 mod socket_reads;
 
@@ -21,7 +21,7 @@
 }
 
 #[rstest]
-fn a_read_goes_on_while_other_threads_start_and_reap_children() {
+fn a_read_completes_while_other_threads_start_and_reap_children() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut reader = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     reader
--- a/crates/sanddrum-cli/tests/outage/mod.rs
+++ b/crates/sanddrum-cli/tests/outage/mod.rs
@@ -1,7 +1,7 @@
-//! The peers of a router whose discovery is taken away: model servers that drain, and a control feed that a test makes
-//! unreachable in different ways. Each runs on threads of its own and records when something new came to it.
+//! Peers for tests of discovery outages: model servers that can drain and record what is sent to them, and a control
+//! feed that a test makes unavailable in different ways. Each runs on its own threads.
 
-use crate::steered::{listener, told};
+use crate::steered::{feed_response, listener};
 use sanddrum_platform::frames;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -17,13 +17,13 @@
 const CODE_FULL: u8 = 100;
 const FRAME_HEAD: usize = 16;
 const FRAME_CHECK: usize = 4;
-/// What a request takes.
+/// The execution time of a request.
 const WORK: Duration = Duration::from_millis(10);
 
-/// A model server, with all that was sent to it anew: requests and commands to load.
+/// A model server that records when each request and load command arrived.
 pub struct ModelServer {
     pub address: String,
-    drains: AtomicBool,
+    is_draining: AtomicBool,
     sends: Mutex<Vec<Instant>>,
 }
 
@@ -32,7 +32,7 @@
         let (listener, address) = listener();
         let server = Arc::new(ModelServer {
             address,
-            drains: AtomicBool::new(false),
+            is_draining: AtomicBool::new(false),
             sends: Mutex::default(),
         });
         let accepting = server.clone();
@@ -45,12 +45,12 @@
         server
     }
 
-    /// From now on it finishes what it has and turns away what is new, as long as it is up.
-    pub fn set_draining(&self, drains: bool) {
-        self.drains.store(drains, Ordering::SeqCst);
+    /// Starts or stops draining. While it drains, the server completes its current requests and rejects new ones.
+    pub fn set_draining(&self, is_draining: bool) {
+        self.is_draining.store(is_draining, Ordering::SeqCst);
     }
 
-    /// What was sent to it at this instant or later.
+    /// The number of requests and load commands that arrived at this instant or later.
     pub fn sends_since(&self, from: Instant) -> usize {
         let sends = self.sends.lock().unwrap();
         sends.iter().filter(|at| **at >= from).count()
@@ -59,7 +59,7 @@
     fn serve(&self, mut conn: TcpStream) {
         let mut head = [0; FRAME_HEAD];
         while conn.read_exact(&mut head).is_ok() {
-            let came = Instant::now();
+            let received = Instant::now();
             let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
             let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
             let id = u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n]));
@@ -68,7 +68,8 @@
                 return;
             }
             let text = String::from_utf8_lossy(&rest[..fields]).into_owned();
-            let Some(answer) = self.answer(came, head[1], id, &text, &rest[fields..fields + body])
+            let Some(answer) =
+                self.answer(received, head[1], id, &text, &rest[fields..fields + body])
             else {
                 continue;
             };
@@ -78,21 +79,21 @@
         }
     }
 
-    /// As measured at the platform's model servers: one that drains rejects every request, and answers a command to load
-    /// with success where the instances are loaded already.
+    /// Behaves as the platform's model servers were measured to: a draining server rejects every request, but answers
+    /// a load command with success if the instances are already loaded.
     fn answer(
         &self,
-        came: Instant,
+        received: Instant,
         code: u8,
         id: u64,
         fields: &str,
         body: &[u8],
     ) -> Option<Vec<u8>> {
-        let drains = self.drains.load(Ordering::SeqCst);
+        let is_draining = self.is_draining.load(Ordering::SeqCst);
         match code {
             CODE_REQUEST => {
-                self.sends.lock().unwrap().push(came);
-                if drains {
+                self.sends.lock().unwrap().push(received);
+                if is_draining {
                     return Some(frames::response(CODE_FULL, id, "", b""));
                 }
                 thread::sleep(WORK);
@@ -100,7 +101,7 @@
             }
             CODE_LOAD => {
                 if !fields.contains("copies=0") {
-                    self.sends.lock().unwrap().push(came);
+                    self.sends.lock().unwrap().push(received);
                 }
                 Some(frames::response(CODE_OK, id, "copies=1", b""))
             }
@@ -109,33 +110,33 @@
     }
 }
 
-/// How discovery is out of reach.
+/// Whether and how the control feed is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
-    /// It answers.
-    Well,
-    /// Connections are reset, and new ones are closed at once.
+pub enum FeedState {
+    /// Polls are answered.
+    Available,
+    /// Open connections are closed, and new ones are closed immediately.
     Refusing,
-    /// Connections are accepted and polls are not answered.
+    /// Connections are accepted, but polls are not answered.
     Silent,
-    /// Answers break off in the middle.
-    Cutting,
+    /// Responses are cut off in the middle.
+    Truncating,
 }
 
-/// The control feed: numbered events, and how they can be reached.
+/// The control feed: numbered events and its present state.
 pub struct Discovery {
     pub address: String,
-    reach: Mutex<Reach>,
+    state: Mutex<FeedState>,
     events: Mutex<Vec<Value>>,
 }
 
 impl Discovery {
-    /// A feed whose first event, which the start configuration has, is number one.
+    /// Starts a feed without events of its own. Event 1 is the one in the router's start configuration.
     pub fn start() -> Arc<Discovery> {
         let (listener, address) = listener();
         let discovery = Arc::new(Discovery {
             address,
-            reach: Mutex::new(Reach::Well),
+            state: Mutex::new(FeedState::Available),
             events: Mutex::default(),
         });
         let accepting = discovery.clone();
@@ -143,24 +144,24 @@
         discovery
     }
 
-    pub fn set_reach(&self, reach: Reach) {
-        *self.reach.lock().unwrap() = reach;
+    pub fn set_state(&self, state: FeedState) {
+        *self.state.lock().unwrap() = state;
     }
 
-    /// Adds an event that changes a member.
-    pub fn tell(&self, member: &Value) {
+    /// Publishes an event that changes one member.
+    pub fn publish(&self, member: &Value) {
         let mut events = self.events.lock().unwrap();
         let number = events.len() + 2;
         events.push(json!({"n": number, "members": {"complete": false, "members": [member]}}));
     }
 
-    fn reach(&self) -> Reach {
-        *self.reach.lock().unwrap()
+    fn state(&self) -> FeedState {
+        *self.state.lock().unwrap()
     }
 
     fn accept(self: Arc<Self>, listener: &TcpListener) {
         for conn in listener.incoming().flatten() {
-            if self.reach() == Reach::Refusing {
+            if self.state() == FeedState::Refusing {
                 continue;
             }
             let serving = self.clone();
@@ -172,22 +173,22 @@
         while let Some((seen, wait)) = read_poll(&mut conn) {
             let until = Instant::now() + wait;
             let answer = loop {
-                let reach = self.reach();
+                let state = self.state();
                 let events = self.events.lock().unwrap().clone();
                 let last = events.len() as u64 + 1;
-                if reach == Reach::Refusing {
+                if state == FeedState::Refusing {
                     return;
                 }
-                if reach != Reach::Silent && (last > seen || Instant::now() >= until) {
+                if state != FeedState::Silent && (last > seen || Instant::now() >= until) {
                     let unseen: Vec<Value> = events
                         .into_iter()
                         .filter(|event| event["n"].as_u64() > Some(seen))
                         .collect();
-                    break told(last, json!(unseen));
+                    break feed_response(last, json!(unseen));
                 }
                 thread::sleep(Duration::from_millis(2));
             };
-            if self.reach() == Reach::Cutting {
+            if self.state() == FeedState::Truncating {
                 let _ = conn.write_all(&answer[..answer.len() / 2]);
                 return;
             }
@@ -198,7 +199,7 @@
     }
 }
 
-/// The number of the last event that a poll has, and how long it may be held.
+/// Reads a poll: the number of the last event that the router has, and how long the feed may hold the poll open.
 fn read_poll(conn: &mut TcpStream) -> Option<(u64, Duration)> {
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with("\r\n\r\n") {
--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -1,5 +1,5 @@
-//! A router of the platform as a process, on real sockets: started by its environment alone, serving, reading its
-//! configuration again, and ending.
+//! Runs a router of the platform as a process on real sockets: it is started with environment variables only, serves
+//! requests, rereads its configuration and shuts down.
 
 mod socket_reads;
 
@@ -16,8 +16,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// A worker that holds every copy it is asked for and gives each job its own body back.
-fn worker(listener: TcpListener) {
+/// Runs a worker that accepts every load command and returns the body of each request.
+fn run_worker(listener: TcpListener) {
     for conn in listener.incoming().flatten() {
         thread::spawn(move || serve(conn));
     }
@@ -38,13 +38,13 @@
         conn.write_all(&answer).unwrap();
     }
 }
-/// A feed that has nothing new to tell, and tells who asked.
-fn feed(listener: TcpListener, asked: mpsc::Sender<String>) {
+/// Runs a control feed without new events that passes each poll it receives to the test.
+fn run_feed(listener: TcpListener, polls: mpsc::Sender<String>) {
     for mut conn in listener.incoming().flatten() {
         let mut bytes = [0; 1024];
         while let Ok(n @ 1..) = read(&mut conn, &mut bytes) {
-            let question = String::from_utf8_lossy(&bytes[..n]).into_owned();
-            if asked.send(question).is_err() {
+            let poll = String::from_utf8_lossy(&bytes[..n]).into_owned();
+            if polls.send(poll).is_err() {
                 return;
             }
             thread::sleep(Duration::from_millis(50));
@@ -60,8 +60,8 @@
 }
 fn listener() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap().to_string();
-    (listener, at)
+    let address = listener.local_addr().unwrap().to_string();
+    (listener, address)
 }
 
 struct Router(Child, PathBuf);
@@ -114,19 +114,22 @@
     })
 }
 
-/// One request on a connection of its own; the text of its answer.
-fn asked(at: &str, pairs: &[(&str, &str)], body: &[u8]) -> String {
-    let mut conn = TcpStream::connect(at).unwrap();
+/// Sends one request on a new connection and returns the text of the response.
+fn send_request(address: &str, pairs: &[(&str, &str)], body: &[u8]) -> String {
+    let mut conn = TcpStream::connect(address).unwrap();
     let mut out = Vec::new();
     write_begin_request(&mut out, 1, true);
     write_stream(&mut out, RecordType::Params, 1, &encode_params(pairs));
     write_stream(&mut out, RecordType::Stdin, 1, body);
     conn.write_all(&out).unwrap();
-    let (mut bytes, mut text, mut piece) = (Vec::new(), String::new(), [0; 4096]);
+    let (mut bytes, mut text, mut chunk) = (Vec::new(), String::new(), [0; 4096]);
     loop {
-        let n = read(&mut conn, &mut piece).unwrap();
-        assert!(n > 0, "closed before its end: {text}");
-        bytes.extend_from_slice(&piece[..n]);
+        let n = read(&mut conn, &mut chunk).unwrap();
+        assert!(
+            n > 0,
+            "connection closed before the end of the response: {text}"
+        );
+        bytes.extend_from_slice(&chunk[..n]);
         while let Some((record, took)) = Record::read(&bytes).unwrap() {
             match record.record_type {
                 RecordType::EndRequest => return text,
@@ -136,7 +139,7 @@
         }
     }
 }
-fn job(at: &str, call: &str) -> String {
+fn call_function(address: &str, call: &str) -> String {
     let pairs = [
         ("SCRIPT_NAME", "/rpc/job"),
         ("HTTP_X_CALL_ID", call),
@@ -144,64 +147,68 @@
         ("HTTP_X_ENTITY", "7f3a9c21e0b4d655"),
         ("HTTP_X_INFO", "memory_mb:100;lanes:4;load_ms:300"),
     ];
-    asked(at, &pairs, call.as_bytes())
+    send_request(address, &pairs, call.as_bytes())
 }
 
 #[rstest]
-fn a_router_serves_follows_its_feed_and_ends_in_order() {
-    let ((w, worker_at), (f, feed_at), (moved, moved_at)) = (listener(), listener(), listener());
-    // Its own address: bound to learn a free one, and let go.
+fn a_router_serves_requests_follows_its_feed_and_shuts_down_gracefully() {
+    let (worker_listener, worker_address) = listener();
+    let (feed_listener, feed_address) = listener();
+    let (moved_feed_listener, moved_feed_address) = listener();
+    // Binding and closing a listener finds a free port for the router.
     let (_, listen) = listener();
-    let (tell, told) = mpsc::channel();
-    let (tell_moved, told_moved) = mpsc::channel();
-    thread::spawn(|| worker(w));
-    thread::spawn(|| feed(f, tell));
-    thread::spawn(|| feed(moved, tell_moved));
+    let (poll_sender, polls) = mpsc::channel();
+    let (moved_poll_sender, moved_polls) = mpsc::channel();
+    thread::spawn(|| run_worker(worker_listener));
+    thread::spawn(|| run_feed(feed_listener, poll_sender));
+    thread::spawn(|| run_feed(moved_feed_listener, moved_poll_sender));
     let mut router = Router::start(
         "serves",
-        &configuration(&listen, &feed_at, &worker_at).to_string(),
+        &configuration(&listen, &feed_address, &worker_address).to_string(),
         &listen,
     );
-    // It asks its feed once it is up and listens.
-    assert!(told
+    // The router polls its feed once it listens.
+    assert!(polls
         .recv_timeout(Duration::from_secs(20))
         .unwrap()
         .starts_with("GET /v1/events?SUB=1&wait="));
-    assert!(asked(&listen, &[("SCRIPT_NAME", "/health")], b"").starts_with("Status: 200\r\n"));
-    let answer = job(&listen, "00000000000000a1");
+    assert!(
+        send_request(&listen, &[("SCRIPT_NAME", "/health")], b"").starts_with("Status: 200\r\n")
+    );
+    let answer = call_function(&listen, "00000000000000a1");
     assert!(
         answer.starts_with("Status: 200\r\n") && answer.ends_with("\r\n\r\n00000000000000a1"),
         "{answer}"
     );
     std::fs::write(
         &router.1,
-        configuration(&listen, &moved_at, &worker_at).to_string(),
+        configuration(&listen, &moved_feed_address, &worker_address).to_string(),
     )
     .unwrap();
     router.signal("HUP");
-    assert!(told_moved
+    assert!(moved_polls
         .recv_timeout(Duration::from_secs(20))
         .unwrap()
         .contains("SUB=1&"));
     router.signal("TERM");
-    // What still comes is served.
-    assert!(job(&listen, "00000000000000a2").starts_with("Status: 200\r\n"));
+    // Requests that arrive during the shutdown are still served.
+    assert!(call_function(&listen, "00000000000000a2").starts_with("Status: 200\r\n"));
     assert_eq!(router.0.wait().unwrap().code(), Some(0));
 }
 
 #[rstest]
-fn a_configuration_that_can_not_be_used_ends_the_start_and_names_the_key() {
+fn an_invalid_configuration_fails_the_start_with_an_error_that_names_the_key() {
     let mut json = configuration("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1");
     json["feed"] = json!("nowhere");
     let mut router = Router::start("bad", &json.to_string(), "127.0.0.1:1");
-    let mut said = String::new();
+    let mut log = String::new();
     router
         .0
         .stderr
         .take()
         .unwrap()
-        .read_to_string(&mut said)
+        .read_to_string(&mut log)
         .unwrap();
     assert_eq!(router.0.wait().unwrap().code(), Some(2));
-    assert!(said.contains("feed"), "{said}");
+    assert!(log.contains("feed"), "{log}");
 }
--- a/crates/sanddrum-cli/tests/processes.rs
+++ b/crates/sanddrum-cli/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The edge as a process: signals, restarts, and what is said about wrong settings.
+//! Tests the edge as a process (signals, restarts, keys, certificates) and the commands that check settings.
 
 mod socket_reads;
 
@@ -40,19 +40,19 @@
 
 struct Edge {
     child: Child,
-    at: String,
+    address: String,
 }
 
 impl Edge {
-    /// Starts one and learns its door from its log.
+    /// Starts an edge and reads the address of its listener from its log.
     fn start(folder: &Folder, listen: &str) -> Edge {
-        Edge::start_by(
+        Edge::start_with(
             folder,
             listen,
             Command::new(env!("CARGO_BIN_EXE_sanddrum-edge")),
         )
     }
-    fn start_by(folder: &Folder, listen: &str, mut command: Command) -> Edge {
+    fn start_with(folder: &Folder, listen: &str, mut command: Command) -> Edge {
         let (settings, state) = (folder.0.join("settings.sx"), folder.0.join("state"));
         command.args([
             "--settings",
@@ -77,19 +77,19 @@
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
-        let at = loop {
+        let address = loop {
             line.clear();
             assert!(
                 log.read_line(&mut line).unwrap() > 0,
-                "it ended before it listened"
+                "the edge exited before it listened"
             );
             if let Some((_, rest)) = line.split_once("\"listen\":\"") {
                 break rest.split('"').next().unwrap().to_string();
             }
         };
-        // Its further lines are read away, so that it never waits for a full pipe.
+        // Discards the rest of the log, so that the edge never blocks on a full pipe.
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Edge { child, at }
+        Edge { child, address }
     }
     fn signal(&self, which: &str) {
         let sent = Command::new("sh")
@@ -97,15 +97,15 @@
             .status();
         assert!(sent.unwrap().success());
     }
-    fn ends_with(&mut self) -> Option<i32> {
-        let until = Instant::now() + Duration::from_secs(20);
-        while Instant::now() < until {
+    fn wait_for_exit(&mut self) -> Option<i32> {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
             std::thread::yield_now();
         }
-        panic!("it did not end");
+        panic!("the edge did not exit");
     }
 }
 
@@ -116,70 +116,75 @@
     }
 }
 
-fn call(socket: &mut TcpStream) {
+fn send_call(socket: &mut TcpStream) {
     socket
         .write_all(&http::encode_request("POST", "/v1/calls/job/f1", &[], b""))
         .unwrap();
 }
 
-fn answer(socket: &mut TcpStream) -> http::Response {
+fn read_response(socket: &mut TcpStream) -> http::Response {
     socket
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
     let mut bytes = Vec::new();
-    let mut piece = [0; 4096];
+    let mut chunk = [0; 4096];
     loop {
-        if let Some((answer, _)) = http::parse_response(&bytes).unwrap() {
-            return answer;
+        if let Some((response, _)) = http::parse_response(&bytes).unwrap() {
+            return response;
         }
-        let n = read(socket, &mut piece).unwrap();
-        assert!(n > 0, "closed without an answer");
-        bytes.extend_from_slice(&piece[..n]);
+        let n = read(socket, &mut chunk).unwrap();
+        assert!(n > 0, "connection closed without a response");
+        bytes.extend_from_slice(&chunk[..n]);
     }
 }
 
-/// Asked for its health, it has read all that came before; one that knows no worker says that it is of no use yet.
-fn healthy(at: &str) -> u16 {
-    let mut socket = TcpStream::connect(at).unwrap();
+/// Returns the status of a health check. Once it is answered, the edge has read everything sent to it before. An edge
+/// that knows no worker reports that it is not ready (503).
+fn health_status(address: &str) -> u16 {
+    let mut socket = TcpStream::connect(address).unwrap();
     socket
         .write_all(&http::encode_request("GET", "/health", &[], b""))
         .unwrap();
-    answer(&mut socket).status
+    read_response(&mut socket).status
 }
 
 #[rstest]
-fn sigterm_ends_it_in_order_with_an_answer_for_each_held_job() {
+fn sigterm_shuts_the_edge_down_gracefully_with_a_response_to_each_open_request() {
     let folder = Folder::new("sigterm");
     let mut edge = Edge::start(&folder, "127.0.0.1:0");
-    let mut client = TcpStream::connect(&edge.at).unwrap();
-    call(&mut client);
-    assert_eq!(healthy(&edge.at), 503, "no list yet");
+    let mut client = TcpStream::connect(&edge.address).unwrap();
+    send_call(&mut client);
+    assert_eq!(health_status(&edge.address), 503, "no endpoint list yet");
     edge.signal("TERM");
-    let status = answer(&mut client).status;
+    let status = read_response(&mut client).status;
     assert!(status == 502 || status == 503, "{status}");
-    assert_eq!(edge.ends_with(), Some(0));
+    assert_eq!(edge.wait_for_exit(), Some(0));
 }
 
 #[rstest]
-fn after_sigkill_it_comes_back_on_the_same_port() {
+fn an_edge_killed_with_sigkill_restarts_on_the_same_port() {
     let folder = Folder::new("sigkill");
     let mut edge = Edge::start(&folder, "127.0.0.1:0");
-    let mut client = TcpStream::connect(&edge.at).unwrap();
-    call(&mut client);
-    assert_eq!(healthy(&edge.at), 503, "no list yet");
+    let mut client = TcpStream::connect(&edge.address).unwrap();
+    send_call(&mut client);
+    assert_eq!(health_status(&edge.address), 503, "no endpoint list yet");
     edge.signal("KILL");
-    assert_eq!(edge.ends_with(), None);
+    assert_eq!(edge.wait_for_exit(), None);
     std::fs::write(folder.0.join("state"), b"torn").unwrap();
-    let again = Edge::start(&folder, &edge.at);
-    assert_eq!(healthy(&again.at), 503, "no list yet");
+    let restarted = Edge::start(&folder, &edge.address);
+    assert_eq!(
+        health_status(&restarted.address),
+        503,
+        "no endpoint list yet"
+    );
     assert!(
         folder.0.join("state.set-aside").exists(),
-        "a foreign state file is set aside"
+        "an unreadable state file is set aside"
     );
 }
 
 #[rstest]
-fn without_free_descriptors_it_waits_and_goes_on_once_there_are_some() {
+fn an_edge_without_free_descriptors_resumes_once_some_are_released() {
     let folder = Folder::new("descriptors");
     let mut command = Command::new("sh");
     command.args([
@@ -187,12 +192,12 @@
         "ulimit -n 40; exec \"$0\" \"$@\"",
         env!("CARGO_BIN_EXE_sanddrum-edge"),
     ]);
-    let edge = Edge::start_by(&folder, "127.0.0.1:0", command);
+    let edge = Edge::start_with(&folder, "127.0.0.1:0", command);
     let clients: Vec<TcpStream> = (0..60)
-        .map(|_| TcpStream::connect(&edge.at).unwrap())
+        .map(|_| TcpStream::connect(&edge.address).unwrap())
         .collect();
     drop(clients);
-    assert_eq!(healthy(&edge.at), 503, "no list yet");
+    assert_eq!(health_status(&edge.address), 503, "no endpoint list yet");
 }
 
 fn text(output: &Output) -> String {
@@ -200,7 +205,7 @@
 }
 
 #[rstest]
-fn wrong_settings_are_refused_with_their_place() {
+fn invalid_settings_are_rejected_with_their_line_and_column() {
     let folder = Folder::new("config");
     let file = folder.0.join("settings.sx");
     let path = file.to_str().unwrap();
@@ -250,9 +255,9 @@
     assert!(first.contains("timeline_digest"));
 }
 
-/// What an operator does with keys, against an edge that runs.
+/// Creates, lists and revokes keys and issues tokens as an operator would, while an edge runs.
 #[rstest]
-fn keys_are_made_rotated_and_revoked_while_an_edge_runs() {
+fn keys_are_created_and_revoked_while_an_edge_runs() {
     let folder = Folder::new("keys");
     let path = |name: &str| folder.0.join(name).to_str().unwrap().to_string();
     let (keys, secrets, settings) = (path("keys.json"), path("secrets"), path("settings.sx"));
@@ -289,7 +294,7 @@
             "job",
             "f1",
             "--edge",
-            &edge.at,
+            &edge.address,
             "--token",
             file,
             "--time-limit",
@@ -297,10 +302,10 @@
         ]))
     };
     let good = token("obs-brest");
-    let answered = call(&good);
+    let response = call(&good);
     assert!(
-        answered.contains("not-in-time") || answered.contains("time-limit"),
-        "{answered}"
+        response.contains("not-in-time") || response.contains("time-limit"),
+        "{response}"
     );
     assert!(call(&token("xenon")).contains("not-allowed"));
     let explained = run(&[
@@ -314,14 +319,17 @@
     assert!(text(&explained).contains("denied by (deny") && explained.status.code() == Some(1));
     let good = token("obs-brest");
     assert_eq!(run(&["keys", "revoke", &keys, "a"]).status.code(), Some(0));
-    let until = Instant::now() + Duration::from_secs(20);
+    let deadline = Instant::now() + Duration::from_secs(20);
     while !call(&good).contains("token-key-revoked") {
-        assert!(Instant::now() < until, "the edge never heard of it");
+        assert!(
+            Instant::now() < deadline,
+            "the edge did not pick up the revocation"
+        );
     }
     assert!(text(&run(&["keys", "list", &keys])).contains("a: revoked"));
     use std::os::unix::fs::PermissionsExt;
     std::fs::set_permissions(&secret, std::fs::Permissions::from_mode(0o644)).unwrap();
-    let loose = run(&[
+    let readable_by_others = run(&[
         "token",
         "issue",
         "--secret",
@@ -330,15 +338,17 @@
         "obs-brest",
     ]);
     assert!(
-        loose.status.code() == Some(1) && text(&loose).contains("chmod 600"),
+        readable_by_others.status.code() == Some(1)
+            && text(&readable_by_others).contains("chmod 600"),
         "{}",
-        text(&loose)
+        text(&readable_by_others)
     );
 }
 
-/// Clients of a TLS door show certificates; the key of one is denied in service, and a foreign one never gets in.
+/// Clients of a TLS listener authenticate with certificates. The key of one client is denied while the edge runs; a
+/// certificate of another authority is never accepted.
 #[rstest]
-fn client_certificates_say_who_calls_until_their_key_is_denied() {
+fn client_certificates_identify_the_customer_until_their_key_is_denied() {
     let folder = Folder::new("certificates");
     let file = |name: &str| folder.0.join(name).to_str().unwrap().to_string();
     let certs = |args: &[&str]| text(&sanddrum(&[&["certs"], args].concat()).output().unwrap());
@@ -346,7 +356,7 @@
     certs(&["make", &file("theirs"), "gw-1"]);
     std::fs::write(folder.0.join("denied"), "").unwrap();
     let f = |name: &str| format!("{:?}", file(name));
-    let door = format!(
+    let listener = format!(
         r#"(door (speaks tls) (certificate-file {}) (key-file {}) (certificates required) (roots-file {})
             (denied-file {})) (tls (watch-every 10ms)) (customer "school" (certificates "gw-*"))"#,
         f("ours/localhost.pem"),
@@ -354,24 +364,28 @@
         f("ours/roots.pem"),
         f("denied")
     );
-    std::fs::write(folder.0.join("settings.sx"), format!("{SETTINGS}{door}")).unwrap();
+    std::fs::write(
+        folder.0.join("settings.sx"),
+        format!("{SETTINGS}{listener}"),
+    )
+    .unwrap();
     let edge = Edge::start(&folder, "127.0.0.1:0");
-    let call = |whose: &str| {
+    let call = |authority: &str| {
         let (roots, chain, key) = (
             file("ours/roots.pem"),
-            file(&format!("{whose}/gw-1.pem")),
-            file(&format!("{whose}/gw-1.key")),
+            file(&format!("{authority}/gw-1.pem")),
+            file(&format!("{authority}/gw-1.key")),
         );
         let args = [
             "call",
             "--edge",
-            &edge.at,
+            &edge.address,
             "--name",
             "localhost",
             "--roots",
             &roots,
         ];
-        let shown = [
+        let credentials = [
             "--certificate",
             &chain,
             "--key",
@@ -382,14 +396,14 @@
             "f1",
         ];
         text(
-            &sanddrum(&[&args[..], &shown[..]].concat())
+            &sanddrum(&[&args[..], &credentials[..]].concat())
                 .output()
                 .unwrap(),
         )
     };
     assert!(
         call("ours").contains("(503)"),
-        "taken, and no worker is there: {}",
+        "the call must be accepted, though without a worker: {}",
         call("ours")
     );
     assert!(!call("theirs").contains("(503)"));
@@ -400,13 +414,16 @@
         "--remark",
         "stolen",
     ]);
-    let until = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while call("ours").contains("(503)") {
-        assert!(Instant::now() < until, "a denied key is believed on");
+        assert!(
+            Instant::now() < deadline,
+            "a certificate with a denied key is still accepted"
+        );
     }
     certs(&["make", &file("ours"), "gw-1"]);
     assert!(
         call("ours").contains("(503)"),
-        "with a new key it is believed again"
+        "a certificate with a new key must be accepted"
     );
 }
--- a/crates/sanddrum-cli/tests/races.rs
+++ b/crates/sanddrum-cli/tests/races.rs
@@ -1,4 +1,4 @@
-//! Bad orders of events around a router as a process, with signals and real connections, each forced.
+//! Forces unfavourable orders of events around a router as a process, with signals and real connections.
 
 mod steered;
 
@@ -12,110 +12,129 @@
 const A: &str = "00000000000000a1";
 const B: &str = "00000000000000b2";
 
-// ---- The end
+// ---- Shutdown
 
 #[rstest]
-#[case::that_may_not_run_twice("once", "502")]
-#[case::that_may("repeatable", "503")]
-fn asked_to_end_it_answers_a_request_whose_worker_does_not_before_it_is_killed(
+#[case::that_may_run_only_once("once", "502")]
+#[case::that_may_be_repeated("repeatable", "503")]
+fn a_shutdown_answers_a_request_whose_worker_is_silent_before_the_process_would_be_killed(
     #[case] effect: &str,
     #[case] status: &str,
 ) {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let mut router = Router::start(&format!("end-{effect}"), &feed_at, &worker_at, effect);
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let mut router = Router::start(
+        &format!("end-{effect}"),
+        &feed_address,
+        &worker_address,
+        effect,
+    );
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.says(&asks(1, A, 11_000, b"in"));
-    worker.request();
-    let begun = std::time::Instant::now();
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send(&encode_request(1, A, 11_000, b"in"));
+    worker.next_request();
+    let shutdown_start = std::time::Instant::now();
     router.signal("TERM");
-    // What it will never read whole, and what a reset would take the answer with.
-    web.says(&asks(2, B, 11_000, b"in")[..40]);
-    let answer = web.answer().unwrap();
-    assert!(begun.elapsed().as_millis() < 3_700, "killed by then");
+    // A partial request that never completes. If its bytes made the router reset the connection, the response would
+    // be lost.
+    web.send(&encode_request(2, B, 11_000, b"in")[..40]);
+    let answer = web.response().unwrap();
+    assert!(
+        shutdown_start.elapsed().as_millis() < 3_700,
+        "the process would have been killed before it answered"
+    );
     assert_eq!((answer.id, answer.status()), (1, status));
-    assert!(web.answer().is_none(), "an orderly end behind the answer");
-    assert_eq!(router.ends().code(), Some(0));
+    assert!(
+        web.response().is_none(),
+        "the connection is closed normally after the response"
+    );
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 #[rstest]
-fn a_request_whose_dial_hangs_as_it_is_asked_to_end_gets_its_answer() {
-    let ((_hangs, worker_at, _full), (feeds, feed_at)) = (full_listener(), listener());
-    let mut router = Router::start("end-dial", &feed_at, &worker_at, "once");
+fn a_request_whose_connection_attempt_hangs_at_shutdown_is_answered() {
+    let ((_listener, worker_address, _backlog), (feeds, feed_address)) =
+        (listener_with_full_backlog(), listener());
+    let mut router = Router::start("end-dial", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.says(&asks(1, A, 11_000, b"in"));
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send(&encode_request(1, A, 11_000, b"in"));
     router.signal("TERM");
-    let status = web.answer().unwrap().status().to_string();
-    assert_eq!(status, "503", "it was never sent");
-    assert!(web.answer().is_none());
-    assert_eq!(router.ends().code(), Some(0));
+    let status = web.response().unwrap().status().to_string();
+    assert_eq!(
+        status, "503",
+        "the request was never sent, so the client may retry it"
+    );
+    assert!(web.response().is_none());
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 #[rstest]
-fn a_request_on_a_kept_connection_and_a_half_read_one_are_served_after_it_was_asked_to_end() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let mut router = Router::start("end-kept", &feed_at, &worker_at, "once");
+fn requests_on_an_open_connection_and_partly_read_requests_are_served_during_shutdown() {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let mut router = Router::start("end-open", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let (mut kept, mut half) = (Web::connects(&router.at), Web::connects(&router.at));
-    kept.calls(1, A);
-    let first = worker.request();
+    next_poll(&mut feed);
+    let (mut open, mut partial) = (
+        WebServer::connect(&router.address),
+        WebServer::connect(&router.address),
+    );
+    open.send_request(1, A);
+    let first = worker.next_request();
     worker.serve(&first);
-    assert_eq!(kept.answer().unwrap().status(), "200");
-    let rest = asks(1, B, 4000, b"whole");
-    half.says(&rest[..60]);
+    assert_eq!(open.response().unwrap().status(), "200");
+    let bytes = encode_request(1, B, 4000, b"whole");
+    partial.send(&bytes[..60]);
     router.signal("TERM");
-    kept.calls(2, "00000000000000c3");
-    let next = worker.request();
-    half.says(&rest[60..]);
+    open.send_request(2, "00000000000000c3");
+    let next = worker.next_request();
+    partial.send(&bytes[60..]);
     worker.serve(&next);
-    assert_eq!(kept.answer().unwrap().status(), "200");
-    let last = worker.request();
+    assert_eq!(open.response().unwrap().status(), "200");
+    let last = worker.next_request();
     assert_eq!(last.1.body, b"whole");
     worker.serve(&last);
-    assert_eq!(half.answer().unwrap().status(), "200");
-    assert!(kept.answer().is_none() && half.answer().is_none());
-    assert_eq!(router.ends().code(), Some(0));
+    assert_eq!(partial.response().unwrap().status(), "200");
+    assert!(open.response().is_none() && partial.response().is_none());
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 #[rstest]
-fn a_half_written_answer_is_written_to_its_end_before_it_ends() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let mut router = Router::start("end-written", &feed_at, &worker_at, "once");
+fn a_partly_written_response_is_completed_before_the_router_exits() {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let mut router = Router::start("end-written", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects_narrowly(&router.at);
-    // More than the buffers on the way hold, of which nothing is read yet.
+    next_poll(&mut feed);
+    let mut web = WebServer::connect_with_small_buffer(&router.address);
+    // Larger than the socket buffers on the way; nothing of it is read yet.
     let body = vec![b'x'; 150_000];
-    (1..=6).for_each(|id| web.says(&asks(id, &format!("{id:016x}"), 11_000, b"in")));
+    (1..=6).for_each(|id| web.send(&encode_request(id, &format!("{id:016x}"), 11_000, b"in")));
     for served in 0..6 {
-        let (n, request) = worker.request();
-        worker.says(n, &frames::response(97, request.id, "remark=hot", &body));
+        let (n, request) = worker.next_request();
+        worker.send(n, &frames::response(97, request.id, "remark=hot", &body));
         if served == 0 {
             router.signal("TERM");
         }
     }
     for _ in 0..6 {
-        let answer = web.answer().unwrap();
+        let answer = web.response().unwrap();
         assert!(
             answer.status() == "200" && answer.text.len() > 150_000,
             "{}",
             answer.text.len()
         );
     }
-    assert!(web.answer().is_none());
-    assert_eq!(router.ends().code(), Some(0));
+    assert!(web.response().is_none());
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 // ---- Signals
 
 #[rstest]
-fn a_signal_before_it_is_ready_is_heard_once_it_is(#[values("HUP", "TERM")] which: &str) {
-    let ((_workers, worker_at), (feeds, feed_at)) = (listener(), listener());
-    // Its configuration is a pipe: opened, it has begun and read nothing.
+fn a_signal_before_the_router_is_ready_is_handled_once_it_is(#[values("HUP", "TERM")] which: &str) {
+    let ((_worker, worker_address), (feeds, feed_address)) = (listener(), listener());
+    // The configuration is a pipe: once it opens for writing, the router has started but has read nothing.
     let file = std::env::temp_dir().join(format!(
         "sanddrum-race-early-{which}-{}",
         std::process::id()
@@ -126,15 +145,17 @@
         .unwrap()
         .success());
     let child = Router::command(&file).spawn().unwrap();
-    let router = Router::of(child, file.clone());
+    let router = Router::from_child(child, file.clone());
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
     router.signal(which);
-    let text = configuration(&feed_at, &worker_at, "once").to_string();
+    let text = configuration(&feed_address, &worker_address, "once").to_string();
     pipe.write_all(text.as_bytes()).unwrap();
     drop(pipe);
-    // It listens once it has read that; before, a second text would be read behind the first.
-    let mut router = router.begins();
-    // It reads it again whenever it looks; nothing is there to be read where it has ended.
+    // The router listens once it has read the first text. A second one written earlier would be read as part of the
+    // first.
+    let mut router = router.wait_until_listening();
+    // Supplies the text each time the router reads the file again. Once the router has exited, nothing reads from the
+    // pipe.
     let writer = file.clone();
     std::thread::spawn(move || loop {
         let open = std::fs::OpenOptions::new().write(true).open(&writer);
@@ -143,199 +164,209 @@
         drop(pipe);
         std::thread::yield_now();
     });
-    assert_eq!(question(&mut accept(&feeds)), 1);
+    assert_eq!(next_poll(&mut accept(&feeds)), 1);
     if which == "HUP" {
         router.signal("TERM");
     }
-    assert_eq!(router.ends().code(), Some(0));
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 #[rstest]
-#[case::just_before(&["HUP", "TERM"])]
-#[case::just_after(&["TERM", "HUP"])]
-#[case::two_running(&["HUP", "HUP", "TERM"])]
-fn a_new_configuration_around_the_end_is_taken_and_nothing_is_lost(#[case] signals: &[&str]) {
-    let ((mut worker, worker_at), (feeds, feed_at), (moved, moved_at)) =
-        (Worker::listens(), listener(), listener());
+#[case::reload_just_before(&["HUP", "TERM"])]
+#[case::reload_just_after(&["TERM", "HUP"])]
+#[case::two_reloads_in_a_row(&["HUP", "HUP", "TERM"])]
+fn a_new_configuration_around_a_shutdown_is_applied_and_no_request_is_lost(
+    #[case] signals: &[&str],
+) {
+    let ((mut worker, worker_address), (feeds, feed_address), (moved, moved_address)) =
+        (Worker::listen(), listener(), listener());
     let mut router = Router::start(
         &format!("hup-{}", signals.join("-")),
-        &feed_at,
-        &worker_at,
+        &feed_address,
+        &worker_address,
         "once",
     );
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let request = worker.request();
-    let text = configuration(&moved_at, &worker_at, "once").to_string();
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let request = worker.next_request();
+    let text = configuration(&moved_address, &worker_address, "once").to_string();
     std::fs::write(&router.file, text).unwrap();
     signals.iter().for_each(|which| router.signal(which));
-    assert_eq!(question(&mut accept(&moved)), 1, "its numbers go on");
+    assert_eq!(
+        next_poll(&mut accept(&moved)),
+        1,
+        "the new feed is polled from the same event number"
+    );
     worker.serve(&request);
-    assert_eq!(web.answer().unwrap().status(), "200");
-    assert_eq!(router.ends().code(), Some(0));
+    assert_eq!(web.response().unwrap().status(), "200");
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 #[rstest]
-fn an_unreadable_configuration_leaves_the_old_one_in_force_and_says_why() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let mut router = Router::start("hup-bad", &feed_at, &worker_at, "once");
+fn an_invalid_configuration_is_logged_and_the_previous_one_stays_in_force() {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let mut router = Router::start("hup-bad", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
+    next_poll(&mut feed);
     std::fs::write(&router.file, "{\"feed\": 7").unwrap();
     router.signal("HUP");
-    feed.write_all(&told(1, json!([]))).unwrap();
-    assert_eq!(question(&mut feed), 1);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let request = worker.request();
+    feed.write_all(&feed_response(1, json!([]))).unwrap();
+    assert_eq!(next_poll(&mut feed), 1);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let request = worker.next_request();
     worker.serve(&request);
-    assert_eq!(web.answer().unwrap().status(), "200");
+    assert_eq!(web.response().unwrap().status(), "200");
     router.signal("TERM");
-    let log = router.log();
+    let log = router.log_until_exit();
     assert!(log.contains("configuration rejected"), "{log}");
-    assert_eq!(router.ends().code(), Some(0));
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
-// ---- The watch on the list
+// ---- Watch on the endpoint list
 
 #[rstest]
-fn a_silent_watch_is_asked_anew_and_its_late_answer_is_not_taken() {
-    let ((mut worker, worker_at), (feeds, feed_at), (_others, other_at)) =
-        (Worker::listens(), listener(), listener());
-    let _router = Router::start("watch-silent", &feed_at, &worker_at, "once");
+fn a_silent_poll_is_repeated_on_a_new_connection_and_its_late_response_is_ignored() {
+    let ((mut worker, worker_address), (feeds, feed_address), (_others, other_address)) =
+        (Worker::listen(), listener(), listener());
+    let router = Router::start("watch-silent", &feed_address, &worker_address, "once");
     let mut silent = accept(&feeds);
-    assert_eq!(question(&mut silent), 1);
-    let mut anew = accept(&feeds);
-    assert_eq!(question(&mut anew), 1);
-    // The old one speaks up after all; what it tells is not what holds.
-    let _ = silent.write_all(&told(
+    assert_eq!(next_poll(&mut silent), 1);
+    let mut repeated = accept(&feeds);
+    assert_eq!(next_poll(&mut repeated), 1);
+    // The silent connection answers after all; its event must be ignored.
+    let _ = silent.write_all(&feed_response(
         2,
-        json!([event(2, member("w", &other_at, "in_service"))]),
+        json!([event(2, member("w", &other_address, "in_service"))]),
     ));
-    anew.write_all(&told(
-        2,
-        json!([event(2, member("v", &other_at, "terminated"))]),
-    ))
-    .unwrap();
-    assert_eq!(question(&mut anew), 2);
-    let mut web = Web::connects(&_router.at);
-    web.calls(1, A);
-    // At the address that holds.
-    worker.request();
+    repeated
+        .write_all(&feed_response(
+            2,
+            json!([event(2, member("v", &other_address, "terminated"))]),
+        ))
+        .unwrap();
+    assert_eq!(next_poll(&mut repeated), 2);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    // The request arrives at the worker's original address.
+    worker.next_request();
 }
 
 #[rstest]
-#[case::in_order(false)]
-#[case::broken_in_an_event(true)]
-fn a_watch_that_closes_as_it_answers_is_taken_up_to_its_last_whole_event(#[case] breaks: bool) {
-    let ((_workers, worker_at), (feeds, feed_at)) = (listener(), listener());
+#[case::after_a_complete_response(false)]
+#[case::within_an_event(true)]
+fn events_of_a_feed_that_closes_while_it_answers_are_applied_only_if_complete(
+    #[case] is_cut: bool,
+) {
+    let ((_worker, worker_address), (feeds, feed_address)) = (listener(), listener());
     let _router = Router::start(
-        &format!("watch-closes-{breaks}"),
-        &feed_at,
-        &worker_at,
+        &format!("watch-closes-{is_cut}"),
+        &feed_address,
+        &worker_address,
         "once",
     );
     let mut feed = accept(&feeds);
-    assert_eq!(question(&mut feed), 1);
-    let answer = told(
+    assert_eq!(next_poll(&mut feed), 1);
+    let response = feed_response(
         2,
         json!([event(2, member("v", "127.0.0.1:9", "in_service"))]),
     );
-    let cut = if breaks {
-        answer.len() - 20
+    let sent = if is_cut {
+        response.len() - 20
     } else {
-        answer.len()
+        response.len()
     };
-    feed.write_all(&answer[..cut]).unwrap();
+    feed.write_all(&response[..sent]).unwrap();
     drop(feed);
-    assert_eq!(question(&mut accept(&feeds)), if breaks { 1 } else { 2 });
+    assert_eq!(next_poll(&mut accept(&feeds)), if is_cut { 1 } else { 2 });
 }
 
 #[rstest]
-fn nothing_goes_to_a_worker_told_to_drain_while_its_dial_hangs() {
-    let ((hangs, hangs_at, full), (mut worker, worker_at), (feeds, feed_at)) =
-        (full_listener(), Worker::listens(), listener());
-    let router = Router::start("watch-drain", &feed_at, &hangs_at, "once");
+fn nothing_is_sent_to_a_worker_that_drains_while_its_connection_attempt_hangs() {
+    let ((hanging, hanging_address, backlog), (mut worker, worker_address), (feeds, feed_address)) =
+        (listener_with_full_backlog(), Worker::listen(), listener());
+    let router = Router::start("watch-drain", &feed_address, &hanging_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    // Its dial hangs; the worker drains, and another one is there.
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    // The connection attempt hangs. The worker starts to drain, and another one is announced.
     let events = json!([
-        event(2, member("v", &worker_at, "in_service")),
-        event(3, member("w", &hangs_at, "terminating"))
+        event(2, member("v", &worker_address, "in_service")),
+        event(3, member("w", &hanging_address, "terminating"))
     ]);
-    feed.write_all(&told(3, events)).unwrap();
-    assert_eq!(question(&mut feed), 3);
-    let request = worker.request();
+    feed.write_all(&feed_response(3, events)).unwrap();
+    assert_eq!(next_poll(&mut feed), 3);
+    let request = worker.next_request();
     worker.serve(&request);
-    assert_eq!(web.answer().unwrap().status(), "200");
-    drop(full);
-    // Whatever still comes there says nothing.
-    let mut late = Worker::at(hangs);
-    web.calls(2, B);
-    let request = worker.request();
+    assert_eq!(web.response().unwrap().status(), "200");
+    drop(backlog);
+    // Connections that still arrive at the draining worker must carry no frames.
+    let mut draining = Worker::from_listener(hanging);
+    web.send_request(2, B);
+    let request = worker.next_request();
     worker.serve(&request);
-    assert_eq!(web.answer().unwrap().status(), "200");
-    assert!(late.codes().is_empty());
+    assert_eq!(web.response().unwrap().status(), "200");
+    assert!(draining.received_codes().is_empty());
 }
 
 // ---- Attempts
 
 #[rstest]
-fn a_client_that_leaves_while_the_dial_hangs_has_nothing_sent(
-    #[values(false, true)] withdraws: bool,
+fn a_request_whose_client_leaves_while_the_connection_attempt_hangs_is_never_sent(
+    #[values(false, true)] aborts: bool,
 ) {
-    let ((hangs, hangs_at, full), (feeds, feed_at)) = (full_listener(), listener());
+    let ((hanging, hanging_address, backlog), (feeds, feed_address)) =
+        (listener_with_full_backlog(), listener());
     let router = Router::start(
-        &format!("gone-dial-{withdraws}"),
-        &feed_at,
-        &hangs_at,
+        &format!("gone-dial-{aborts}"),
+        &feed_address,
+        &hanging_address,
         "once",
     );
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut leaves = Web::connects(&router.at);
-    leaves.calls(1, A);
-    if withdraws {
-        leaves.withdraws(1);
-        assert_eq!(leaves.answer().unwrap().text, "");
+    next_poll(&mut feed);
+    let mut leaves = WebServer::connect(&router.address);
+    leaves.send_request(1, A);
+    if aborts {
+        leaves.abort(1);
+        assert_eq!(leaves.response().unwrap().text, "");
     } else {
-        // Once another of its connections is answered, the close before it has been seen.
+        // The router has seen this close by the time it handles a request on a later connection.
         drop(leaves);
     }
-    let mut stays = Web::connects(&router.at);
-    stays.says(&asks(1, B, 11_000, b"stays"));
-    drop(full);
-    // The first request to come, on whatever connection, is the one that is still waited for.
-    let (_, request) = Worker::at(hangs).request();
+    let mut stays = WebServer::connect(&router.address);
+    stays.send(&encode_request(1, B, 11_000, b"stays"));
+    drop(backlog);
+    // The first request to arrive, on any connection, is the one whose client still waits.
+    let (_, request) = Worker::from_listener(hanging).next_request();
     assert_eq!(request.body, b"stays");
 }
 
 #[rstest]
-fn a_second_copy_of_an_answer_ends_no_other_attempt() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let router = Router::start("twice", &feed_at, &worker_at, "once");
+fn a_duplicate_response_does_not_end_another_attempt() {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let router = Router::start("twice", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let (first, request) = worker.request();
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let (first, request) = worker.next_request();
     let full = frames::response(100, request.id, "", b"");
-    worker.says(first, &full);
-    // Its next attempt is on another connection: on this one its id is spent.
-    let again = worker.request();
+    worker.send(first, &full);
+    // The next attempt uses another connection, because the request's ID is already used on this one.
+    let again = worker.next_request();
     assert_eq!(again.1.id, request.id);
     assert_ne!(again.0, first);
-    worker.says(first, &full);
-    worker.says(
+    worker.send(first, &full);
+    worker.send(
         first,
-        &frames::response(97, request.id, "remark=hot", b"the wrong one's"),
+        &frames::response(97, request.id, "remark=hot", b"of another attempt"),
     );
     worker.serve(&again);
-    let answer = web.answer().unwrap();
+    let answer = web.response().unwrap();
     assert!(
         answer.status() == "200" && answer.text.ends_with(A),
         "{answer:?}"
@@ -343,70 +374,77 @@
 }
 
 #[rstest]
-#[case::after_its_last_byte(true, "502")]
-#[case::once_it_was_answered_as_full(false, "200")]
-fn a_request_that_may_not_run_twice_is_sent_again_only_where_it_never_ran(
-    #[case] ran: bool,
+#[case::reset_after_its_last_byte(true, "502")]
+#[case::rejected_as_full(false, "200")]
+fn a_request_that_may_run_only_once_is_retried_only_if_it_never_ran(
+    #[case] may_have_run: bool,
     #[case] status: &str,
 ) {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let router = Router::start(&format!("reset-{status}"), &feed_at, &worker_at, "once");
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let router = Router::start(
+        &format!("reset-{status}"),
+        &feed_address,
+        &worker_address,
+        "once",
+    );
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let request = worker.request();
-    if ran {
-        worker.ends(request.0, true);
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let request = worker.next_request();
+    if may_have_run {
+        worker.close(request.0, true);
     } else {
-        worker.says(request.0, &frames::response(100, request.1.id, "", b""));
-        let again = worker.request();
+        worker.send(request.0, &frames::response(100, request.1.id, "", b""));
+        let again = worker.next_request();
         worker.serve(&again);
     }
-    assert_eq!(web.answer().unwrap().status(), status);
+    assert_eq!(web.response().unwrap().status(), status);
 }
 
 #[rstest]
-fn a_connection_that_its_worker_closed_idle_fails_no_request_that_may_run_again() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    // Whether the close has come by then is the kernel's: if not, the next request is written to it and may have run.
-    let router = Router::start("idle", &feed_at, &worker_at, "repeatable");
+fn an_idle_connection_closed_by_its_worker_fails_no_repeatable_request() {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    // The kernel decides whether the close arrives before the next request. If not, that request is written to the
+    // closing connection and may have run.
+    let router = Router::start("idle", &feed_address, &worker_address, "repeatable");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let request = worker.request();
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let request = worker.next_request();
     worker.serve(&request);
-    assert_eq!(web.answer().unwrap().status(), "200");
-    // Closed with the answer still on its way, and the next request behind it.
-    worker.ends(request.0, false);
-    feed.write_all(&told(1, json!([]))).unwrap();
-    question(&mut feed);
-    web.calls(2, B);
+    assert_eq!(web.response().unwrap().status(), "200");
+    // The worker closes the connection right after its response; the next request follows.
+    worker.close(request.0, false);
+    feed.write_all(&feed_response(1, json!([]))).unwrap();
+    next_poll(&mut feed);
+    web.send_request(2, B);
     std::thread::spawn(move || {
-        let request = worker.request();
+        let request = worker.next_request();
         worker.serve(&request);
     });
-    // Sent on another connection, or pushed back, as its only worker has just reset one; never failed for its client.
-    let answer = web.answer().unwrap();
+    // The request is served on another connection, or rejected because its only worker has just reset one, but never
+    // failed.
+    let answer = web.response().unwrap();
     assert!(matches!(answer.status(), "200" | "503"), "{answer:?}");
 }
 
 // ---- Descriptors
 
 #[rstest]
-#[case::as_many_as_it_is_told(64)]
-#[case::fewer_than_it_is_told(1024)]
-fn idle_clients_that_fill_the_descriptors_keep_nobody_from_the_list_the_workers_and_their_answers(
-    #[case] told: u64,
+#[case::as_many_as_configured(64)]
+#[case::fewer_than_configured(1024)]
+fn idle_clients_that_use_up_the_descriptors_do_not_block_discovery_workers_or_other_clients(
+    #[case] configured: u64,
 ) {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    // Nobody is there at the feed's address: discovery is down.
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    // Nothing listens at the feed's address: discovery is down.
     drop(feeds);
-    let mut json = configuration(&feed_at, &worker_at, "once");
-    json["limits"]["sockets"] = json!(told);
+    let mut json = configuration(&feed_address, &worker_address, "once");
+    json["limits"]["sockets"] = json!(configured);
     let file = std::env::temp_dir().join(format!(
-        "sanddrum-race-full-{told}-{}.json",
+        "sanddrum-race-full-{configured}-{}.json",
         std::process::id()
     ));
     std::fs::write(&file, json.to_string()).unwrap();
@@ -417,17 +455,17 @@
         &format!("ulimit -n 64; exec {program} --platform --log info"),
     ]);
     command.env("RELAY_CONFIG", &file).stderr(Stdio::piped());
-    let mut router = Router::of(command.spawn().unwrap(), file).begins();
-    let at = router.at.clone();
-    let _idle: Vec<Web> = (0..100).map(|_| Web::connects(&at)).collect();
-    let feeds = std::net::TcpListener::bind(&feed_at).unwrap();
+    let mut router = Router::from_child(command.spawn().unwrap(), file).wait_until_listening();
+    let at = router.address.clone();
+    let _idle: Vec<WebServer> = (0..100).map(|_| WebServer::connect(&at)).collect();
+    let feeds = std::net::TcpListener::bind(&feed_address).unwrap();
     let mut feed = accept(&feeds);
-    assert_eq!(question(&mut feed), 1);
-    let mut web = Web::connects(&at);
-    web.calls(1, A);
-    let request = worker.request();
+    assert_eq!(next_poll(&mut feed), 1);
+    let mut web = WebServer::connect(&at);
+    web.send_request(1, A);
+    let request = worker.next_request();
     worker.serve(&request);
-    assert_eq!(web.answer().unwrap().status(), "200");
+    assert_eq!(web.response().unwrap().status(), "200");
     router.signal("TERM");
-    assert_eq!(router.ends().code(), Some(0));
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
--- a/crates/sanddrum-cli/tests/socket_reads/mod.rs
+++ b/crates/sanddrum-cli/tests/socket_reads/mod.rs
@@ -1,11 +1,11 @@
-//! Reads of a test's own peers.
+//! Socket reads for the peers that a test runs itself.
 
 use std::io::{self, ErrorKind, Read};
 use std::net::TcpStream;
 
-/// Reads what has come, as [`Read::read`], and goes on where it is interrupted, which says nothing of the peer. A read with a
-/// timeout fails with EINTR also without a signal handler (signal(7)): as the process is stopped and continued, and as a
-/// child ends while another thread, whose signals are blocked for that moment, starts one.
+/// Reads like [`Read::read`], but retries when interrupted, which is no fault of the peer. A read with a timeout can
+/// fail with EINTR even without a signal handler (signal(7)): when the process is stopped and continued, and when a
+/// child exits while another thread, whose signals are blocked at that moment, starts one.
 pub fn read(socket: &mut TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         match socket.read(buffer) {
--- a/crates/sanddrum-cli/tests/stalls.rs
+++ b/crates/sanddrum-cli/tests/stalls.rs
@@ -1,5 +1,6 @@
-//! A router that gets no processor for a while, as one that was stopped and continued: what came meanwhile lies together in
-//! the kernel's buffers and is judged by when it came, as far as that can be known, not by when it is read.
+//! A router gets no CPU time for a while, simulated by stopping and continuing its process. Input that arrives
+//! meanwhile collects in the kernel's buffers. The router must treat it by its time of arrival, as far as that is
+//! known, not by the time at which it is read.
 
 mod steered;
 
@@ -7,187 +8,202 @@
 use std::time::{Duration, Instant};
 use steered::*;
 
-const LEFT: &str = "00000000000000a1";
-const STAYS: &str = "00000000000000b2";
-/// What a model server may be told beyond what the client has left.
-const SLACK: Duration = Duration::from_millis(150);
+const ABANDONED: &str = "00000000000000a1";
+const PENDING: &str = "00000000000000b2";
+/// How far the deadline sent to a model server may exceed the client's remaining time.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 const STALL: Duration = Duration::from_millis(600);
 
-/// On which connection a client asks while the router stands still.
+/// The connection on which a client sends a request during the stall.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum On {
-    Kept,
+enum Connection {
+    Open,
     New,
 }
 
-/// How a client goes while the router stands still.
+/// How a client cancels its request during the stall.
 #[derive(Clone, Copy)]
-enum Goes {
-    Closes,
-    Withdraws,
+enum Cancel {
+    Close,
+    Abort,
 }
 
-fn stalled_router(name: &str) -> (Router, Worker, Web, std::net::TcpStream) {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let router = Router::start(name, &feed_at, &worker_at, "once");
+fn stalled_router(name: &str) -> (Router, Worker, WebServer, std::net::TcpStream) {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let router = Router::start(name, &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    // A connection that has served before, and a worker that is known to be warm.
-    let mut kept = Web::connects(&router.at);
-    kept.calls(1, "00000000000000ff");
-    let first = worker.request();
+    next_poll(&mut feed);
+    // The connection has already served a request, and the router knows the worker to be warm.
+    let mut open = WebServer::connect(&router.address);
+    open.send_request(1, "00000000000000ff");
+    let first = worker.next_request();
     worker.serve(&first);
-    assert_eq!(kept.answer().unwrap().status(), "200");
+    assert_eq!(open.response().unwrap().status(), "200");
     router.stall();
-    (router, worker, kept, feed)
+    (router, worker, open, feed)
 }
 
 #[rstest]
-fn a_client_that_asked_and_left_during_a_stall_gets_no_attempt(
-    #[values(On::Kept, On::New)] on: On,
-    #[values(Goes::Closes, Goes::Withdraws)] goes: Goes,
+fn a_request_sent_and_cancelled_during_a_stall_is_not_attempted(
+    #[values(Connection::Open, Connection::New)] connection: Connection,
+    #[values(Cancel::Close, Cancel::Abort)] cancel: Cancel,
 ) {
-    let name = format!("left-{}-{}", on as u8, goes as u8);
-    let (router, mut worker, kept, _feed) = stalled_router(&name);
-    let mut client = if on == On::Kept {
-        kept
+    let name = format!("left-{}-{}", connection as u8, cancel as u8);
+    let (router, mut worker, open, _feed) = stalled_router(&name);
+    let mut client = if connection == Connection::Open {
+        open
     } else {
-        Web::connects(&router.at)
+        WebServer::connect(&router.address)
     };
-    client.calls(2, LEFT);
-    let client = match goes {
-        Goes::Closes => {
+    client.send_request(2, ABANDONED);
+    let client = match cancel {
+        Cancel::Close => {
             drop(client);
             None
         }
-        Goes::Withdraws => {
-            client.withdraws(2);
+        Cancel::Abort => {
+            client.abort(2);
             Some(client)
         }
     };
     std::thread::sleep(Duration::from_millis(250));
     router.resume();
-    let mut stays = Web::connects(&router.at);
-    stays.calls(1, STAYS);
-    let next = worker.request();
+    let mut pending = WebServer::connect(&router.address);
+    pending.send_request(1, PENDING);
+    let next = worker.next_request();
     assert_eq!(
         next.1.body,
-        STAYS.as_bytes(),
-        "an attempt for a client that had left"
+        PENDING.as_bytes(),
+        "an attempt was made for a client that had left"
     );
     worker.serve(&next);
-    assert_eq!(stays.answer().unwrap().status(), "200");
+    assert_eq!(pending.response().unwrap().status(), "200");
     drop(client);
 }
 
 #[rstest]
-fn a_deadline_passed_on_after_a_stall_is_what_the_client_has_left(
-    #[values(On::Kept, On::New)] on: On,
+fn a_deadline_sent_after_a_stall_is_the_clients_remaining_time(
+    #[values(Connection::Open, Connection::New)] connection: Connection,
 ) {
-    let (router, mut worker, kept, _feed) = stalled_router(&format!("deadline-{}", on as u8));
-    let mut client = if on == On::Kept {
-        kept
+    let (router, mut worker, open, _feed) =
+        stalled_router(&format!("deadline-{}", connection as u8));
+    let mut client = if connection == Connection::Open {
+        open
     } else {
-        Web::connects(&router.at)
+        WebServer::connect(&router.address)
     };
-    let (sent, patience) = (Instant::now(), Duration::from_millis(3000));
-    client.says(&asks(2, STAYS, patience.as_millis() as u32, b"in"));
+    let (sent, time_limit) = (Instant::now(), Duration::from_millis(3000));
+    client.send(&encode_request(
+        2,
+        PENDING,
+        time_limit.as_millis() as u32,
+        b"in",
+    ));
     std::thread::sleep(STALL);
     router.resume();
-    let next = worker.request();
-    let left = patience.saturating_sub(sent.elapsed());
+    let next = worker.next_request();
+    let left = time_limit.saturating_sub(sent.elapsed());
     assert!(
-        deadline(&next.1) <= left + SLACK,
-        "{:?} where {left:?} are left",
+        deadline(&next.1) <= left + DEADLINE_TOLERANCE,
+        "sent {:?}, but the client has {left:?} left",
         deadline(&next.1)
     );
     worker.serve(&next);
-    assert_eq!(client.answer().unwrap().status(), "200");
+    assert_eq!(client.response().unwrap().status(), "200");
 }
 
 #[rstest]
-fn a_deadline_passed_on_over_a_slow_dial_is_what_the_client_has_left() {
-    let ((listener, worker_at, full), (feeds, feed_at)) = (full_listener(), listener());
-    let mut configuration = configuration(&feed_at, &worker_at, "once");
+fn a_deadline_sent_on_a_slowly_made_connection_is_the_clients_remaining_time() {
+    let ((listener, worker_address, backlog), (feeds, feed_address)) =
+        (listener_with_full_backlog(), listener());
+    let mut configuration = configuration(&feed_address, &worker_address, "once");
     configuration["settings"]["limits"]["connect-timeout-us"] = serde_json::json!(3_000_000);
-    // The request itself goes on the connection that is being made, with no order before it.
+    // The request itself is sent first on the new connection, with no load command before it.
     configuration["settings"]["family-info"] =
         serde_json::json!({"if-cold": "load", "idle-life-us": 9_000_000});
     let router = Router::start_with("slow-dial", &configuration, None);
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut client = Web::connects(&router.at);
-    let (sent, patience) = (Instant::now(), Duration::from_millis(8000));
-    client.says(&asks(1, STAYS, patience.as_millis() as u32, b"in"));
+    next_poll(&mut feed);
+    let mut client = WebServer::connect(&router.address);
+    let (sent, time_limit) = (Instant::now(), Duration::from_millis(8000));
+    client.send(&encode_request(
+        1,
+        PENDING,
+        time_limit.as_millis() as u32,
+        b"in",
+    ));
     std::thread::sleep(STALL);
-    // Room at last: the dial comes up, at the latest when it is tried again by the kernel.
-    drop(full);
-    let mut worker = Worker::at(listener);
-    let next = worker.request();
-    let left = patience.saturating_sub(sent.elapsed());
+    // Frees the backlog: the connection is established, at the latest when the kernel retries it.
+    drop(backlog);
+    let mut worker = Worker::from_listener(listener);
+    let next = worker.next_request();
+    let left = time_limit.saturating_sub(sent.elapsed());
     assert!(
-        deadline(&next.1) <= left + SLACK,
-        "{:?} where {left:?} are left",
+        deadline(&next.1) <= left + DEADLINE_TOLERANCE,
+        "sent {:?}, but the client has {left:?} left",
         deadline(&next.1)
     );
     worker.serve(&next);
-    assert_eq!(client.answer().unwrap().status(), "200");
+    assert_eq!(client.response().unwrap().status(), "200");
 }
 
 #[rstest]
-fn a_request_that_waits_unread_keeps_its_connection_though_a_new_client_wants_the_place() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
-    let mut configuration = configuration(&feed_at, &worker_at, "once");
+fn a_connection_with_an_unread_request_is_not_closed_to_make_room_for_a_new_client() {
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let mut configuration = configuration(&feed_address, &worker_address, "once");
     configuration["limits"]["sockets"] = serde_json::json!(64);
-    let places = 64 / 3;
+    let max_clients = 64 / 3;
     let router = Router::start_with("place", &configuration, None);
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    // As many as there are places for, each with a request behind it; the first has been idle for longest.
-    let mut clients: Vec<Web> = (0..places).map(|_| Web::connects(&router.at)).collect();
+    next_poll(&mut feed);
+    // As many clients as the router has room for, each with one completed request. The first has been idle the
+    // longest.
+    let mut clients: Vec<WebServer> = (0..max_clients)
+        .map(|_| WebServer::connect(&router.address))
+        .collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.calls(1, &format!("{:016x}", n + 1));
-        let next = worker.request();
+        client.send_request(1, &format!("{:016x}", n + 1));
+        let next = worker.next_request();
         worker.serve(&next);
-        assert_eq!(client.answer().unwrap().status(), "200");
+        assert_eq!(client.response().unwrap().status(), "200");
     }
     router.stall();
-    let mut new = Web::connects(&router.at);
-    new.calls(1, LEFT);
-    clients[0].calls(2, STAYS);
+    let mut new = WebServer::connect(&router.address);
+    new.send_request(1, ABANDONED);
+    clients[0].send_request(2, PENDING);
     std::thread::sleep(Duration::from_millis(200));
     router.resume();
     for _ in 0..2 {
-        let next = worker.request();
+        let next = worker.next_request();
         worker.serve(&next);
     }
-    assert_eq!(new.answer().unwrap().status(), "200");
+    assert_eq!(new.response().unwrap().status(), "200");
     assert_eq!(
         clients[0]
-            .answer()
-            .expect("not closed with its request unread")
+            .response()
+            .expect("the connection was closed with its request unread")
             .status(),
         "200"
     );
 }
 
 #[rstest]
-fn a_request_that_waits_unread_past_the_end_of_a_shutdown_is_answered() {
-    let ((_worker, worker_at), (_feeds, feed_at)) = (listener(), listener());
-    let mut settings = configuration(&feed_at, &worker_at, "repeatable");
+fn a_request_still_unread_at_the_end_of_a_shutdown_is_answered() {
+    let ((_worker, worker_address), (_feeds, feed_address)) = (listener(), listener());
+    let mut settings = configuration(&feed_address, &worker_address, "repeatable");
     // The shutdown ends 0.6 s after the longest deadline.
     settings["settings"]["classes"][0]["deadline-us"] = serde_json::json!(1_000_000);
     settings["settings"]["classes"][0]["aim-us"] = serde_json::json!(500_000);
     let router = Router::start_with("end-stalled", &settings, None);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, "00000000000000e1");
-    assert!(web.answer().is_some());
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, "00000000000000e1");
+    assert!(web.response().is_some());
     router.signal("TERM");
-    until(|| router.said_so_far().contains("graceful shutdown started"));
+    wait_until(|| router.logged_so_far().contains("graceful shutdown started"));
     router.stall();
-    web.calls(2, "00000000000000e2");
+    web.send_request(2, "00000000000000e2");
     std::thread::sleep(Duration::from_millis(2_000));
     router.resume();
-    let answer = web.answer();
+    let answer = web.response();
     assert_eq!(answer.map(|answer| answer.id), Some(2));
 }
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/steered/mod.rs
@@ -1,5 +1,6 @@
-//! A router of the platform as a process, between a web server, a worker and a control feed that a story steers step by
-//! step: each waits for what it is to see, and fails where that does not come.
+//! Runs a router of the platform as a process between a web server, workers and a control feed that the test controls
+//! step by step. Each of these peers waits for the event that the test expects and panics if it does not arrive in
+//! time.
 #![allow(dead_code)]
 
 #[path = "../socket_reads/mod.rs"]
@@ -22,40 +23,44 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// What does not come within this does not come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a peer waits for an expected event before the test fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until it is so; a test that would wait for ever fails.
-pub fn until(so: impl Fn() -> bool) {
+/// Waits until the condition holds; panics after [`TIMEOUT`].
+pub fn wait_until(condition: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
-    while !so() {
-        assert!(begun.elapsed() < PATIENCE, "it never came about");
+    while !condition() {
+        assert!(
+            begun.elapsed() < TIMEOUT,
+            "timed out waiting for a condition"
+        );
         std::thread::yield_now();
     }
 }
 pub fn listener() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap().to_string();
-    (listener, at)
+    let address = listener.local_addr().unwrap().to_string();
+    (listener, address)
 }
-/// A listener on which dials hang until what fills its backlog is dropped and accepted.
-pub fn full_listener() -> (TcpListener, String, Vec<Socket>) {
+/// A listener whose backlog is full, so that new connection attempts hang. They can complete once the returned
+/// sockets are dropped and the listener accepts.
+pub fn listener_with_full_backlog() -> (TcpListener, String, Vec<Socket>) {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener
         .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
         .unwrap();
     listener.listen(0).unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let mut waiting = Vec::new();
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         if socket
-            .connect_timeout(&at, Duration::from_millis(100))
+            .connect_timeout(&address, Duration::from_millis(100))
             .is_err()
         {
             return (
                 listener.into(),
-                at.as_socket().unwrap().to_string(),
+                address.as_socket().unwrap().to_string(),
                 waiting,
             );
         }
@@ -69,17 +74,17 @@
         match listener.accept() {
             Ok((conn, _)) => {
                 conn.set_nonblocking(false).unwrap();
-                conn.set_read_timeout(Some(PATIENCE)).unwrap();
+                conn.set_read_timeout(Some(TIMEOUT)).unwrap();
                 return conn;
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock && begun.elapsed() < PATIENCE => {
+            Err(e) if e.kind() == ErrorKind::WouldBlock && begun.elapsed() < TIMEOUT => {
                 std::thread::yield_now();
             }
-            Err(e) => panic!("nobody connects: {e}"),
+            Err(e) => panic!("no connection arrived: {e}"),
         }
     }
 }
-// ---- The worker's side
+// ---- Worker
 
 #[derive(Debug, PartialEq)]
 pub struct Frame {
@@ -88,34 +93,35 @@
     pub fields: String,
     pub body: Vec<u8>,
 }
-/// The deadline that a request passes on.
+/// The deadline that the router sent to the worker with this request.
 pub fn deadline(request: &Frame) -> Duration {
-    let told = request
+    let milliseconds = request
         .fields
         .split(',')
         .find_map(|field| field.strip_prefix("max="));
-    Duration::from_millis(told.unwrap().parse().unwrap())
+    Duration::from_millis(milliseconds.unwrap().parse().unwrap())
 }
-/// A worker: every connection to it, in the order in which they came, with what is read of it.
+/// A worker. Holds every connection to it in the order of arrival (`None` once closed) and the bytes read from it
+/// that are not parsed yet.
 pub struct Worker {
     listener: TcpListener,
     pub conns: Vec<(Option<TcpStream>, Vec<u8>)>,
 }
 
 impl Worker {
-    pub fn at(listener: TcpListener) -> Worker {
+    pub fn from_listener(listener: TcpListener) -> Worker {
         listener.set_nonblocking(true).unwrap();
         Worker {
             listener,
             conns: Vec::new(),
         }
     }
-    pub fn listens() -> (Worker, String) {
-        let (listener, at) = listener();
-        (Worker::at(listener), at)
+    pub fn listen() -> (Worker, String) {
+        let (listener, address) = listener();
+        (Worker::from_listener(listener), address)
     }
-    /// Takes in what has come: new connections, bytes, ends.
-    fn look(&mut self) {
+    /// Accepts pending connections, reads the bytes that have arrived and notes closed connections, without blocking.
+    fn poll_connections(&mut self) {
         while let Ok((conn, _)) = self.listener.accept() {
             conn.set_nonblocking(true).unwrap();
             self.conns.push((Some(conn), Vec::new()));
@@ -144,9 +150,9 @@
             if bytes.len() < 20 + fields + body {
                 continue;
             }
-            let whole: Vec<u8> = bytes.drain(..20 + fields + body).collect();
-            let text = String::from_utf8(whole[16..16 + fields].to_vec()).unwrap();
-            let body = whole[16 + fields..16 + fields + body].to_vec();
+            let frame: Vec<u8> = bytes.drain(..20 + fields + body).collect();
+            let text = String::from_utf8(frame[16..16 + fields].to_vec()).unwrap();
+            let body = frame[16 + fields..16 + fields + body].to_vec();
             return Some((
                 n,
                 Frame {
@@ -159,34 +165,35 @@
         }
         None
     }
-    /// The next request, and the connection that it came by; orders and pings before it are answered.
-    pub fn request(&mut self) -> (usize, Frame) {
+    /// Waits for the next request and returns it with the number of its connection. Answers load commands and pings
+    /// that precede it.
+    pub fn next_request(&mut self) -> (usize, Frame) {
         next_request(std::slice::from_mut(self)).1
     }
-    /// A request that has come, if one has; orders and pings before it are answered.
-    fn request_that_came(&mut self) -> Option<(usize, Frame)> {
-        self.look();
+    /// Returns a request that has already arrived, if any. Answers load commands and pings that precede it.
+    fn try_next_request(&mut self) -> Option<(usize, Frame)> {
+        self.poll_connections();
         loop {
             match self.next_frame()? {
                 (n, frame) if frame.code == 65 => return Some((n, frame)),
                 (n, frame) if frame.code == 69 => {
-                    self.says(n, &frames::response(97, frame.id, "copies=1", b""))
+                    self.send(n, &frames::response(97, frame.id, "copies=1", b""))
                 }
                 (n, frame) if frame.code == 67 => {
-                    self.says(n, &frames::response(103, frame.id, "", b""))
+                    self.send(n, &frames::response(103, frame.id, "", b""))
                 }
                 _ => {}
             }
         }
     }
-    /// What kinds of frames have come and are not taken yet.
-    pub fn codes(&mut self) -> Vec<u8> {
-        self.look();
+    /// Takes all frames that have arrived and returns their codes.
+    pub fn received_codes(&mut self) -> Vec<u8> {
+        self.poll_connections();
         std::iter::from_fn(|| self.next_frame())
             .map(|(_, frame)| frame.code)
             .collect()
     }
-    pub fn says(&mut self, n: usize, bytes: &[u8]) {
+    pub fn send(&mut self, n: usize, bytes: &[u8]) {
         if let Some(conn) = &mut self.conns[n].0 {
             conn.set_nonblocking(false).unwrap();
             conn.write_all(bytes).unwrap();
@@ -194,51 +201,53 @@
         }
     }
     pub fn serve(&mut self, (n, request): &(usize, Frame)) {
-        self.says(
+        self.send(
             *n,
             &frames::response(97, request.id, "remark=hot", &request.body),
         );
     }
-    /// Ends a connection in order, or as a dead process does.
-    pub fn ends(&mut self, n: usize, resets: bool) {
+    /// Closes a connection, optionally with a reset as if the worker's process had died.
+    pub fn close(&mut self, n: usize, with_reset: bool) {
         if let Some(conn) = self.conns[n].0.take() {
-            let linger = resets.then_some(Duration::ZERO);
+            let linger = with_reset.then_some(Duration::ZERO);
             SockRef::from(&conn).set_linger(linger).unwrap();
         }
     }
 }
 
-/// The next request to any of these workers: which one has it, the connection that it came by, and the request.
+/// Waits for the next request to any of these workers. Returns the index of the worker, the number of the connection
+/// and the request.
 pub fn next_request(workers: &mut [Worker]) -> (usize, (usize, Frame)) {
     let begun = std::time::Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < TIMEOUT {
         for (n, worker) in workers.iter_mut().enumerate() {
-            if let Some(request) = worker.request_that_came() {
+            if let Some(request) = worker.try_next_request() {
                 return (n, request);
             }
         }
         std::thread::yield_now();
     }
-    panic!("no request comes");
+    panic!("no request arrived");
 }
 
-// ---- The web server's side
+// ---- Web server
 
-pub struct Web {
+/// A FastCGI connection from a web server to the router.
+pub struct WebServer {
     conn: TcpStream,
     bytes: Vec<u8>,
     texts: BTreeMap<u16, String>,
 }
 
-/// What came of a request: the CGI response and the protocol status.
+/// The response to a request: its CGI text and the FastCGI protocol status.
 #[derive(Debug, PartialEq)]
-pub struct Answered {
+pub struct Response {
     pub id: u16,
     pub text: String,
-    pub protocol: u8,
+    pub protocol_status: u8,
 }
 
-impl Answered {
+impl Response {
     pub fn status(&self) -> &str {
         self.text
             .lines()
@@ -248,21 +257,21 @@
     }
 }
 
-pub fn asks(id: u16, call: &str, patience_ms: u32, body: &[u8]) -> Vec<u8> {
-    asks_function(id, call, "7f3a9c21e0b4d655", patience_ms, body)
+pub fn encode_request(id: u16, call: &str, time_limit_ms: u32, body: &[u8]) -> Vec<u8> {
+    encode_request_for(id, call, "7f3a9c21e0b4d655", time_limit_ms, body)
 }
-pub fn asks_function(
+pub fn encode_request_for(
     id: u16,
     call: &str,
     function: &str,
-    patience_ms: u32,
+    time_limit_ms: u32,
     body: &[u8],
 ) -> Vec<u8> {
-    let patience = patience_ms.to_string();
+    let time_limit = time_limit_ms.to_string();
     let pairs = [
         ("SCRIPT_NAME", "/rpc/job"),
         ("HTTP_X_CALL_ID", call),
-        ("HTTP_X_PATIENCE_MS", patience.as_str()),
+        ("HTTP_X_PATIENCE_MS", time_limit.as_str()),
         ("HTTP_X_ENTITY", function),
         ("HTTP_X_INFO", "memory_mb:100;lanes:40;load_ms:300"),
     ];
@@ -273,42 +282,42 @@
     out
 }
 
-impl Web {
-    pub fn connects(at: &str) -> Web {
-        let conn = TcpStream::connect(at).unwrap();
-        conn.set_read_timeout(Some(PATIENCE)).unwrap();
-        Web {
+impl WebServer {
+    pub fn connect(address: &str) -> WebServer {
+        let conn = TcpStream::connect(address).unwrap();
+        conn.set_read_timeout(Some(TIMEOUT)).unwrap();
+        WebServer {
             conn,
             bytes: Vec::new(),
             texts: BTreeMap::new(),
         }
     }
-    /// The same with little room for what it does not read.
-    pub fn connects_narrowly(at: &str) -> Web {
+    /// Connects with a small receive buffer, so that unread responses soon block the router's writes.
+    pub fn connect_with_small_buffer(address: &str) -> WebServer {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         socket
-            .connect(&at.parse::<SocketAddr>().unwrap().into())
+            .connect(&address.parse::<SocketAddr>().unwrap().into())
             .unwrap();
         let conn = TcpStream::from(socket);
-        conn.set_read_timeout(Some(PATIENCE)).unwrap();
-        Web {
+        conn.set_read_timeout(Some(TIMEOUT)).unwrap();
+        WebServer {
             conn,
             bytes: Vec::new(),
             texts: BTreeMap::new(),
         }
     }
-    pub fn says(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         self.conn.write_all(bytes).unwrap();
     }
-    pub fn calls(&mut self, id: u16, call: &str) {
-        self.says(&asks(id, call, 4000, call.as_bytes()));
+    pub fn send_request(&mut self, id: u16, call: &str) {
+        self.send(&encode_request(id, call, 4000, call.as_bytes()));
     }
-    pub fn withdraws(&mut self, id: u16) {
-        self.says(&encode_header(RecordType::AbortRequest, id, 0));
+    pub fn abort(&mut self, id: u16) {
+        self.send(&encode_header(RecordType::AbortRequest, id, 0));
     }
-    /// The next answer, or none where the connection has ended in order. A reset fails the story.
-    pub fn answer(&mut self) -> Option<Answered> {
+    /// Waits for the next response. Returns `None` if the connection was closed normally; panics if it was reset.
+    pub fn response(&mut self) -> Option<Response> {
         let mut piece = [0; 4096];
         loop {
             while let Some((record, took)) = Record::read(&self.bytes).unwrap() {
@@ -317,10 +326,10 @@
                 match kind {
                     RecordType::EndRequest => {
                         let text = self.texts.remove(&id).unwrap_or_default();
-                        return Some(Answered {
+                        return Some(Response {
                             id,
                             text,
-                            protocol: content[4],
+                            protocol_status: content[4],
                         });
                     }
                     _ => {
@@ -339,15 +348,15 @@
     }
 }
 
-// ---- The control feed's side
+// ---- Control feed
 
-/// The number that the next question names.
-pub fn question(conn: &mut TcpStream) -> u64 {
+/// Waits for the next poll on this connection and returns the event number that it names.
+pub fn next_poll(conn: &mut TcpStream) -> u64 {
     let (mut text, mut byte) = (String::new(), [0]);
     while !text.ends_with("\r\n\r\n") {
         assert!(
             read(conn, &mut byte).unwrap() > 0,
-            "closed before its question"
+            "connection closed before a complete poll"
         );
         text.push(byte[0] as char);
     }
@@ -357,34 +366,36 @@
         .and_then(|rest| rest.split('&').next());
     number.unwrap().parse().unwrap()
 }
-pub fn told(last: u64, events: Value) -> Vec<u8> {
+/// The HTTP response to a poll: these events, of which `last` is the number of the latest.
+pub fn feed_response(last: u64, events: Value) -> Vec<u8> {
     let body = json!({"n": last, "events": events}).to_string();
     sanddrum_wire::http::encode_response(200, &[], body.as_bytes(), true)
 }
+/// A watch event that changes one member.
 pub fn event(n: u64, member: Value) -> Value {
     json!({"n": n, "members": {"complete": false, "members": [member]}})
 }
-pub fn member(id: &str, at: &str, phase: &str) -> Value {
-    json!({"id": id, "host_port": at, "locality": "here", "phase": phase, "size": 4})
+pub fn member(id: &str, address: &str, phase: &str) -> Value {
+    json!({"id": id, "host_port": address, "locality": "here", "phase": phase, "size": 4})
 }
 
-// ---- The router
+// ---- Router
 
 pub struct Router {
     child: Child,
     pub file: PathBuf,
-    /// Where it listens; the system gives the port, so that no other story has it.
-    pub at: String,
-    said: Arc<Mutex<String>>,
-    /// Reads what the router logs, so that it never waits for room to log more.
-    reader: Option<JoinHandle<()>>,
+    /// The address of its listener. The operating system assigns the port, so that tests do not collide.
+    pub address: String,
+    log: Arc<Mutex<String>>,
+    /// Reads the router's log continuously, so that the router never blocks on a full pipe.
+    log_reader: Option<JoinHandle<()>>,
 }
 
-fn read_log(stderr: ChildStderr, said: &Mutex<String>) {
+fn read_log(stderr: ChildStderr, log: &Mutex<String>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-        let mut said = said.lock().unwrap();
-        said.push_str(&line);
-        said.push('\n');
+        let mut log = log.lock().unwrap();
+        log.push_str(&line);
+        log.push('\n');
     }
 }
 
@@ -393,16 +404,16 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
-            eprintln!("the router said:\n{}", self.log());
+            eprintln!("log of the router:\n{}", self.log_until_exit());
         }
         let _ = std::fs::remove_file(&self.file);
     }
 }
 
 pub fn configuration(feed: &str, worker: &str, effect: &str) -> Value {
-    let first = json!({"n": 1, "members": {"complete": true, "members": [member("w", worker, "in_service")]}});
+    let first_event = json!({"n": 1, "members": {"complete": true, "members": [member("w", worker, "in_service")]}});
     json!({
-        "name": "n1", "listen": "127.0.0.1:0", "seed": "5", "feed": feed, "known": {"n": 1, "events": [first]},
+        "name": "n1", "listen": "127.0.0.1:0", "seed": "5", "feed": feed, "known": {"n": 1, "events": [first_event]},
         "limits": {"sockets": 256, "memory_mb": 32},
         "settings": {
             "azs": ["here"], "az": 0, "me": 0, "balancers": 1,
@@ -426,46 +437,46 @@
             .stderr(Stdio::piped());
         command
     }
-    /// One that has been started, whether it has begun or not.
-    pub fn of(mut child: Child, file: PathBuf) -> Router {
-        let (stderr, said) = (
+    /// Wraps a started process, which need not listen yet.
+    pub fn from_child(mut child: Child, file: PathBuf) -> Router {
+        let (stderr, log) = (
             child.stderr.take().unwrap(),
             Arc::<Mutex<String>>::default(),
         );
-        let into = said.clone();
-        let reader = std::thread::spawn(move || read_log(stderr, &into));
+        let shared_log = log.clone();
+        let log_reader = std::thread::spawn(move || read_log(stderr, &shared_log));
         Router {
             child,
             file,
-            at: String::new(),
-            said,
-            reader: Some(reader),
+            address: String::new(),
+            log,
+            log_reader: Some(log_reader),
         }
     }
-    /// Waits until it listens, and learns where.
-    pub fn begins(mut self) -> Router {
+    /// Waits until the router listens and reads its address from the log.
+    pub fn wait_until_listening(mut self) -> Router {
         let begun = std::time::Instant::now();
-        while self.at.is_empty() {
+        while self.address.is_empty() {
             assert!(
-                begun.elapsed() < PATIENCE && self.child.try_wait().unwrap().is_none(),
-                "it never began"
+                begun.elapsed() < TIMEOUT && self.child.try_wait().unwrap().is_none(),
+                "the router did not start to listen"
             );
-            let said = self.said.lock().unwrap().clone();
-            let line = said
+            let log = self.log.lock().unwrap().clone();
+            let line = log
                 .lines()
                 .find(|line| line.contains("a router of the platform begins"));
-            let at =
+            let address =
                 line.and_then(|line| line.split('"').find(|text| text.starts_with("127.0.0.1:")));
-            self.at = at.unwrap_or_default().to_string();
+            self.address = address.unwrap_or_default().to_string();
             std::thread::yield_now();
         }
         self
     }
-    /// Starts one whose worker and feed are at these addresses.
+    /// Starts a router with a worker and a control feed at these addresses.
     pub fn start(name: &str, feed: &str, worker: &str, effect: &str) -> Router {
         Router::start_with(name, &configuration(feed, worker, effect), None)
     }
-    /// Starts one with this configuration, and with injected faults where a control of them is given.
+    /// Starts a router with this configuration, and with fault injection if a fault control is given.
     pub fn start_with(name: &str, configuration: &Value, faults: Option<&FaultControl>) -> Router {
         let file =
             std::env::temp_dir().join(format!("sanddrum-race-{name}-{}.json", std::process::id()));
@@ -474,13 +485,13 @@
         faults
             .iter()
             .for_each(|faults| faults.preload(&mut command).unwrap());
-        Router::of(command.spawn().unwrap(), file).begins()
+        Router::from_child(command.spawn().unwrap(), file).wait_until_listening()
     }
-    /// Stops the process, as one that gets no processor, and waits until it stands still.
+    /// Stops the process as if it got no CPU time, and waits until it has stopped.
     pub fn stall(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until(|| std::fs::read_to_string(&stat).unwrap().contains(") T "));
+        wait_until(|| std::fs::read_to_string(&stat).unwrap().contains(") T "));
     }
     pub fn resume(&self) {
         self.signal("CONT");
@@ -491,19 +502,19 @@
             .status();
         assert!(sent.unwrap().success());
     }
-    pub fn ends(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
-    /// What it has logged by now.
-    pub fn said_so_far(&self) -> String {
-        self.said.lock().unwrap().clone()
+    /// The log up to now.
+    pub fn logged_so_far(&self) -> String {
+        self.log.lock().unwrap().clone()
     }
-    /// What it logged until its end.
-    pub fn log(&mut self) -> String {
-        self.reader
+    /// Waits until the process closes its log and returns all of it.
+    pub fn log_until_exit(&mut self) -> String {
+        self.log_reader
             .take()
             .into_iter()
             .for_each(|reader| reader.join().unwrap());
-        self.said.lock().unwrap().clone()
+        self.log.lock().unwrap().clone()
     }
 }
