--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -1,5 +1,6 @@
-//! A checker that has not been seen to fail proves nothing: for each rule an edge is broken on purpose and caught, on
-//! a day on which the edge as it is keeps the rule.
+//! Tests that the checker detects violations, since a checker that was never seen to fail proves nothing. For each
+//! rule, a scenario runs once with the real edge, which must pass, and once with an edge that is defective on
+//! purpose, which the checker must catch.
 
 use rstest::rstest;
 use sanddrum::*;
@@ -10,62 +11,69 @@
 use sanddrum_net::{Core, Event, FileError, Io};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum How {
-    AnswersNothingItGivesUp,
-    RepeatsRunOnceJobs,
-    PushesBackWhatMayHaveRun,
-    MissesDrains,
-    MissesColdStarts,
-    LoadsWithoutRation,
+enum Defect {
+    OmitsRejectionsAndFailures,
+    RetriesRunOnceRequests,
+    RejectsRequestsThatMayHaveRun,
+    IgnoresDraining,
+    IgnoresColdStarts,
+    IgnoresLoadLimit,
 }
 
-/// The decision module, with something kept from it or done behind its back.
-struct Broken {
+/// The decision module with a defect in the events that it receives or the decisions that it makes.
+struct DefectiveModule {
     router: Router,
-    how: How,
+    defect: Defect,
 }
 
-impl DecisionModule for Broken {
-    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
-        let mut round = round.clone();
-        for row in round
+impl DecisionModule for DefectiveModule {
+    fn handle(&mut self, now: Micros, batch: &EventBatch, out: &mut impl Decisions) {
+        let mut batch = batch.clone();
+        for row in batch
             .endpoint_lists
             .iter_mut()
             .flat_map(|list| &mut list.endpoints)
         {
-            match self.how {
-                How::MissesDrains => row.state = WorkerState::Ready,
-                How::MissesColdStarts => row.started_at = 0,
+            match self.defect {
+                Defect::IgnoresDraining => row.state = WorkerState::Ready,
+                Defect::IgnoresColdStarts => row.started_at = 0,
                 _ => {}
             }
         }
-        self.router
-            .handle(now, &round, &mut Crooked { out, how: self.how });
+        self.router.handle(
+            now,
+            &batch,
+            &mut DefectiveDecisions {
+                out,
+                defect: self.defect,
+            },
+        );
     }
 }
 
-struct Crooked<'a, D> {
+/// Passes decisions on, except for those that the defect suppresses or replaces.
+struct DefectiveDecisions<'a, D> {
     out: &'a mut D,
-    how: How,
+    defect: Defect,
 }
 
-impl<D: Decisions> Decisions for Crooked<'_, D> {
-    fn dispatch(&mut self, job: RequestId, worker: WorkerId, limit: Micros) {
-        self.out.dispatch(job, worker, limit);
+impl<D: Decisions> Decisions for DefectiveDecisions<'_, D> {
+    fn dispatch(&mut self, request: RequestId, worker: WorkerId, limit: Micros) {
+        self.out.dispatch(request, worker, limit);
     }
-    fn cancel(&mut self, job: RequestId, execution: usize) {
-        self.out.cancel(job, execution);
+    fn cancel(&mut self, request: RequestId, execution: usize) {
+        self.out.cancel(request, execution);
     }
-    fn reject(&mut self, job: RequestId, wait: Micros) {
-        if self.how != How::AnswersNothingItGivesUp {
-            self.out.reject(job, wait);
+    fn reject(&mut self, request: RequestId, wait: Micros) {
+        if self.defect != Defect::OmitsRejectionsAndFailures {
+            self.out.reject(request, wait);
         }
     }
-    fn fail(&mut self, job: RequestId) {
-        match self.how {
-            How::AnswersNothingItGivesUp => {}
-            How::PushesBackWhatMayHaveRun => self.out.reject(job, 0),
-            _ => self.out.fail(job),
+    fn fail(&mut self, request: RequestId) {
+        match self.defect {
+            Defect::OmitsRejectionsAndFailures => {}
+            Defect::RejectsRequestsThatMayHaveRun => self.out.reject(request, 0),
+            _ => self.out.fail(request),
         }
     }
     fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u32) {
@@ -88,29 +96,29 @@
     }
 }
 
-fn broken_edge(how: How) -> MakeEdge {
+fn defective_edge(defect: Defect) -> MakeEdge {
     Box::new(move |start| {
         let mut settings = start.settings.decision_settings();
-        match how {
-            How::RepeatsRunOnceJobs => {
+        match defect {
+            Defect::RetriesRunOnceRequests => {
                 settings.0.insert(
                     "workloads.0.effect".into(),
                     Value::Text("restartable".into()),
                 );
             }
-            How::LoadsWithoutRation => drop(settings.0.remove("copies.load-window-us")),
+            Defect::IgnoresLoadLimit => drop(settings.0.remove("copies.load-window-us")),
             _ => {}
         }
-        let module = Broken {
+        let module = DefectiveModule {
             router: Router::new(start.seed, &settings),
-            how,
+            defect,
         };
-        // The edge itself keeps some of the rules whatever its module decides; the checker has to see them broken.
+        // The edge enforces some rules itself, whatever its module decides. That is off here, so that they get broken.
         Box::new(Edge::with_module(start, module).allowing_violations())
     })
 }
 
-fn day(effect: &str, rest: &str) -> Scenario {
+fn scenario_with(effect: &str, rest: &str) -> Scenario {
     let text = format!(
         r#"
         (workload "job" (start-target 1s) (time-limit 2s) (effect {effect}))
@@ -120,7 +128,7 @@
         (calls "job" (work 40ms))
         {rest}"#
     );
-    Scenario::read("day.sx", &text, 3).unwrap()
+    Scenario::read("test.sx", &text, 3).unwrap()
 }
 
 const HANG: &str = r#"
@@ -134,27 +142,27 @@
     (rules (cold-from 2%) (cold 20s) (fall-multiple 1.5) (fall 2s))
     (traffic (length 8s) (rate 260) (functions 6))
     (trouble "crash" (at 2s) (length 1s) (count 3))"#;
-const RATION: &str = r#"
+const LOAD_LIMIT: &str = r#"
     (copies (on-miss miss) (load-window 2s) (load-free 3) (load-share 1%) (keep-alive 1s))
     (traffic (length 6s) (rate 100) (functions 60))"#;
 
 #[rstest]
-#[case::silence(How::AnswersNothingItGivesUp, 1, "run-once", HANG)]
-#[case::repeats(How::RepeatsRunOnceJobs, 2, "run-once", HANG)]
-#[case::pushback(How::PushesBackWhatMayHaveRun, 2, "run-once", HANG)]
-#[case::drains(How::MissesDrains, 3, "restartable", DRAIN)]
-#[case::cold(How::MissesColdStarts, 4, "restartable", COLD)]
-#[case::ration(How::LoadsWithoutRation, 5, "restartable", RATION)]
-fn a_broken_edge_is_caught_and_the_true_one_is_not(
-    #[case] how: How,
+#[case::missing_answers(Defect::OmitsRejectionsAndFailures, 1, "run-once", HANG)]
+#[case::repeated_execution(Defect::RetriesRunOnceRequests, 2, "run-once", HANG)]
+#[case::rejection_after_execution(Defect::RejectsRequestsThatMayHaveRun, 2, "run-once", HANG)]
+#[case::draining(Defect::IgnoresDraining, 3, "restartable", DRAIN)]
+#[case::cold_start(Defect::IgnoresColdStarts, 4, "restartable", COLD)]
+#[case::load_limit(Defect::IgnoresLoadLimit, 5, "restartable", LOAD_LIMIT)]
+fn a_defective_edge_is_caught_and_the_real_one_passes(
+    #[case] defect: Defect,
     #[case] rule: u8,
     #[case] effect: &str,
     #[case] rest: &str,
 ) {
-    let scenario = day(effect, rest);
+    let scenario = scenario_with(effect, rest);
     let good = play_virtually(scenario.clone(), product_edge()).unwrap();
     assert!(good.is_good(), "{}", good.text());
-    let bad = play_virtually(scenario, broken_edge(how)).unwrap();
+    let bad = play_virtually(scenario, defective_edge(defect)).unwrap();
     assert!(
         bad.verdict.broken.iter().any(|b| b.rule == rule),
         "{}",
@@ -162,21 +170,21 @@
     );
 }
 
-/// What the edge's core itself makes impossible, as a log would show it.
+/// Hand-written logs: violations that the edge's core never commits, and one correct log.
 #[rstest]
 #[case::two_answers(vec![(200, 200), (300, 503)], None, 1)]
 #[case::sent_after_the_answer(vec![(200, 503)], Some(900_000), 1)]
 #[case::too_late(vec![(2_400_000, 504)], None, 1)]
-#[case::in_order(vec![(200, 200)], Some(100), 0)]
-fn what_a_client_and_a_worker_saw_is_judged(
+#[case::correct(vec![(200, 200)], Some(100), 0)]
+fn the_answers_and_executions_in_a_log_are_checked(
     #[case] answers: Vec<(i64, u16)>,
-    #[case] run: Option<i64>,
+    #[case] executed_at: Option<i64>,
     #[case] rule: u8,
 ) {
-    let scenario = day("restartable", "");
+    let scenario = scenario_with("restartable", "");
     let limit = 2_000_000;
     let (workload, edge) = ("job".to_string(), "edge-0".to_string());
-    let one = Try {
+    let attempt = Try {
         workload: workload.clone(),
         edge: edge.clone(),
         limit,
@@ -184,10 +192,10 @@
         ..Try::default()
     };
     let mut log = Log {
-        tries: vec![one],
+        tries: vec![attempt],
         ..Log::default()
     };
-    log.runs.extend(run.map(|came| Run {
+    log.runs.extend(executed_at.map(|came| Run {
         worker: 0,
         edge,
         came,
@@ -203,13 +211,13 @@
     );
 }
 
-/// An edge that takes up its first key set and never hears of another.
-struct Deaf<C> {
+/// An edge that loads its first key set and ignores every later one.
+struct KeepsFirstKeySet<C> {
     core: C,
-    heard: bool,
+    has_key_set: bool,
 }
 
-impl<C: Core> Core for Deaf<C> {
+impl<C: Core> Core for KeepsFirstKeySet<C> {
     fn start(&mut self, now: Micros, io: &mut dyn Io) {
         self.core.start(now, io);
     }
@@ -229,14 +237,14 @@
         content: Result<&[u8], &FileError>,
         io: &mut dyn Io,
     ) {
-        if !std::mem::replace(&mut self.heard, true) {
+        if !std::mem::replace(&mut self.has_key_set, true) {
             self.core.on_file(now, name, content, io);
         }
     }
 }
 
 #[rstest]
-fn an_edge_that_goes_on_under_a_revoked_key_is_caught() {
+fn an_edge_that_accepts_a_revoked_key_is_caught() {
     let text = r#"
         (workload "job" (start-target 1s) (time-limit 2s) (effect restartable))
         (function "f-*" (workload "job") (memory 200MB) (lanes 2))
@@ -254,13 +262,13 @@
         "{}",
         good.text()
     );
-    let deaf: MakeEdge = Box::new(|start| {
-        Box::new(Deaf {
+    let outdated: MakeEdge = Box::new(|start| {
+        Box::new(KeepsFirstKeySet {
             core: Edge::new(start),
-            heard: false,
+            has_key_set: false,
         })
     });
-    let bad = play_virtually(scenario, deaf).unwrap();
+    let bad = play_virtually(scenario, outdated).unwrap();
     assert!(
         bad.verdict
             .broken
@@ -271,9 +279,9 @@
     );
 }
 
-/// Every day that a hunt draws is a scenario, and its seed's alone.
+/// Every scenario that a hunt generates is valid and depends only on its seed.
 #[rstest]
-fn a_hunt_draws_days_that_can_be_played() {
+fn a_hunt_generates_valid_and_reproducible_scenarios() {
     use sanddrum_lab::hunt::Day;
     for seed in 1..=300 {
         let day = Day::drawn(seed);
@@ -282,21 +290,21 @@
     }
 }
 
-/// What a find does not need for what it breaks is taken out of it, and what is no scenario without it stays.
+/// Reducing a find removes every part that the violation does not need, but keeps what a valid scenario requires.
 #[rstest]
-fn a_find_is_made_as_small_as_it_goes() {
+fn a_find_is_reduced_to_the_parts_that_break_the_rule() {
     use sanddrum_lab::hunt::Day;
-    let breaks = |day: &Day| -> Result<_, String> {
+    let violations = |day: &Day| -> Result<_, String> {
         Scenario::read("day", &day.text(), day.seed).map_err(|e| e.to_string())?;
         let broken =
             day.troubles.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
         let rules: std::collections::BTreeSet<u8> = broken.then_some(3).into_iter().collect();
         Ok((rules, vec!["rule 3".to_string()]))
     };
-    let whole = (1..)
+    let original = (1..)
         .map(Day::drawn)
-        .find(|day| day.troubles.len() > 4 && !breaks(day).unwrap().0.is_empty());
-    let find = whole.unwrap().shrunk_by(breaks).unwrap();
+        .find(|day| day.troubles.len() > 4 && !violations(day).unwrap().0.is_empty());
+    let find = original.unwrap().shrunk_by(violations).unwrap();
     assert_eq!(find.day.troubles.len(), 1, "{}", find.text());
     assert!(find.day.troubles[0].contains("drain") && find.text().contains("; rule 3"));
     assert!(find
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker alone, on traffic written down by hand.
+//! Tests the checker alone, on traffic logs written by hand.
 
 use rstest::rstest;
 use sanddrum_lab::checker::judge;
@@ -7,7 +7,7 @@
 use sanddrum_lab::{Scenario, SchedulingDelays, RUNNER};
 use std::collections::BTreeMap;
 
-const RATION: &str = r#"
+const LOAD_LIMIT: &str = r#"
     (deployment (zones "a"))
     (workload "job" (start-target 1s) (time-limit 3s) (effect restartable))
     (function "f-*" (workload "job"))
@@ -15,12 +15,12 @@
     (calls "job" (share 1) (work 20ms))"#;
 
 #[rstest]
-#[case::one_that_ran_on(None, 1)]
-#[case::one_that_was_killed_between(Some((1_500_000, Some(1_600_000))), 0)]
-#[case::another_one_that_was_killed(Some((100_000, Some(200_000))), 1)]
-fn an_edge_keeps_its_ration_from_its_own_start_on(
+#[case::never_restarted(None, 1)]
+#[case::restarted_within_the_window(Some((1_500_000, Some(1_600_000))), 0)]
+#[case::restarted_before_the_first_load_command(Some((100_000, Some(200_000))), 1)]
+fn the_load_limit_of_an_edge_counts_from_its_last_start(
     #[case] down: Option<(i64, Option<i64>)>,
-    #[case] broken: usize,
+    #[case] violations: usize,
 ) {
     let order = |came| Order {
         worker: 0,
@@ -40,20 +40,20 @@
         down,
         ..Log::default()
     };
-    let scenario = Scenario::read("story", RATION, 1).unwrap();
+    let scenario = Scenario::read("test", LOAD_LIMIT, 1).unwrap();
     let verdict = judge(&log, &scenario, 0, 0);
-    assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
+    assert_eq!(verdict.broken.len(), violations, "{:?}", verdict.broken);
 }
 
 #[rstest]
-#[case::it_had_time(3_000_000, None, 1)]
-#[case::its_client_waited_less_long_than_the_machine_may_hold_it_up(30_000, None, 0)]
-#[case::its_edge_stood_still(3_000_000, Some((2_000_000, Some(7_000_000))), 0)]
-#[case::its_edge_stood_still_long_before(3_000_000, Some((100_000, Some(400_000))), 1)]
-fn a_call_without_an_answer_breaks_a_rule_where_an_edge_could_have_given_one(
+#[case::the_edge_had_time(3_000_000, None, 1)]
+#[case::the_time_limit_is_shorter_than_a_possible_scheduling_delay(30_000, None, 0)]
+#[case::the_edge_was_stopped_meanwhile(3_000_000, Some((2_000_000, Some(7_000_000))), 0)]
+#[case::the_edge_was_stopped_long_before(3_000_000, Some((100_000, Some(400_000))), 1)]
+fn an_unanswered_call_breaks_a_rule_if_an_edge_could_have_answered(
     #[case] limit: i64,
     #[case] stopped: Option<(i64, Option<i64>)>,
-    #[case] broken: usize,
+    #[case] violations: usize,
 ) {
     let (edge, workload) = ("edge-0".to_string(), "job".to_string());
     let stopped = stopped
@@ -75,40 +75,41 @@
         holds_up: 500_000,
         ..Log::default()
     };
-    let verdict = judge(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 0);
-    assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
+    let verdict = judge(&log, &Scenario::read("test", LOAD_LIMIT, 1).unwrap(), 0, 0);
+    assert_eq!(verdict.broken.len(), violations, "{:?}", verdict.broken);
 }
 
-/// A client's time is up after 3 s, at 4 s; its edge is looked at every 50 ms.
+/// A call is sent at 1 s with a time limit of 3 s, so it expires at 4 s. The scheduling delays are sampled every 50
+/// ms.
 #[rstest]
-#[case::nothing_held_it_up(4_001_000, &[], 1)]
-#[case::it_came_in_time(3_999_000, &[], 0)]
-#[case::it_came_long_before(1_200_000, &[("edge-0", 2_000_000, 3_100_000)], 0)]
-#[case::its_edge_waited_as_long(4_030_000, &[("edge-0", 4_000_000, 30_000)], 0)]
-#[case::its_edge_waited_less_long(4_030_001, &[("edge-0", 4_000_000, 30_000)], 1)]
-#[case::it_is_later_than_any_process_is_held_up_by_rule(4_900_000, &[("edge-0", 4_000_000, 900_000)], 0)]
-#[case::both_waited(4_090_000, &[("edge-0", 4_000_000, 30_000), (RUNNER, 4_050_000, 30_000)], 0)]
-#[case::both_waited_less_long(4_090_001, &[("edge-0", 4_000_000, 30_000), (RUNNER, 4_050_000, 30_000)], 1)]
-#[case::the_call_was_read_late(4_030_000, &[("edge-0", 1_050_000, 30_000)], 0)]
-#[case::its_edge_waited_between(4_030_000, &[("edge-0", 2_000_000, 900_000)], 1)]
+#[case::no_delay(4_001_000, &[], 1)]
+#[case::it_arrived_in_time(3_999_000, &[], 0)]
+#[case::it_arrived_long_before_the_limit(1_200_000, &[("edge-0", 2_000_000, 3_100_000)], 0)]
+#[case::its_edge_waited_as_long_as_it_is_late(4_030_000, &[("edge-0", 4_000_000, 30_000)], 0)]
+#[case::its_edge_waited_less(4_030_001, &[("edge-0", 4_000_000, 30_000)], 1)]
+#[case::its_edge_waited_longer_than_the_assumed_maximum(4_900_000, &[("edge-0", 4_000_000, 900_000)], 0)]
+#[case::its_edge_and_runner_waited(4_090_000, &[("edge-0", 4_000_000, 30_000), (RUNNER, 4_050_000, 30_000)], 0)]
+#[case::its_edge_and_runner_waited_less(4_090_001, &[("edge-0", 4_000_000, 30_000), (RUNNER, 4_050_000, 30_000)], 1)]
+#[case::its_edge_waited_when_it_read_the_call(4_030_000, &[("edge-0", 1_050_000, 30_000)], 0)]
+#[case::its_edge_waited_at_another_time(4_030_000, &[("edge-0", 2_000_000, 900_000)], 1)]
 #[case::another_edge_waited(4_030_000, &[("edge-1", 4_000_000, 900_000)], 1)]
-fn an_answer_of_a_process_is_late_by_what_held_it_up_at_most(
-    #[case] came: i64,
+fn an_answer_may_be_late_by_at_most_the_scheduling_delays(
+    #[case] answered_at: i64,
     #[case] waited: &[(&str, i64, i64)],
-    #[case] broken: usize,
+    #[case] violations: usize,
 ) {
     let mut waits: BTreeMap<String, SchedulingDelays> = BTreeMap::new();
     for at in (1..=100).map(|n| n * 50_000) {
         for name in ["edge-0", "edge-1", RUNNER] {
-            let by = waited
+            let delay = waited
                 .iter()
                 .filter(|(of, when, _)| *of == name && *when == at)
-                .map(|(.., by)| *by);
-            waits.entry(name.into()).or_default().add(at, by.sum());
+                .map(|(.., delay)| *delay);
+            waits.entry(name.into()).or_default().add(at, delay.sum());
         }
     }
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
-    let answers = vec![(came, 504)];
+    let answers = vec![(answered_at, 504)];
     let tries = vec![Try {
         edge,
         workload,
@@ -126,21 +127,22 @@
     };
     let verdict = judge(
         &log,
-        &Scenario::read("story", RATION, 1).unwrap(),
+        &Scenario::read("test", LOAD_LIMIT, 1).unwrap(),
         0,
         500_000,
     );
-    assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
+    assert_eq!(verdict.broken.len(), violations, "{:?}", verdict.broken);
 }
 
-/// Clients of processes stay to see how late an answer comes; one from an edge that stood still is as good as none.
+/// Clients of edge processes wait past the time limit to see how late an answer is. A late answer from an edge that
+/// was stopped counts as lost with the edge, like a missing one.
 #[rstest]
-#[case::it_stood_still_in_the_clients_time((2_000_000, Some(7_000_000)), 0)]
-#[case::it_stood_still_before((100_000, Some(400_000)), 1)]
-#[case::it_stood_still_later((4_600_000, None), 1)]
-fn a_late_answer_of_a_process_that_stood_still_is_lost_with_it(
+#[case::stopped_within_the_time_limit((2_000_000, Some(7_000_000)), 0)]
+#[case::stopped_before_the_call((100_000, Some(400_000)), 1)]
+#[case::stopped_after_the_time_limit((4_600_000, None), 1)]
+fn a_late_answer_of_a_stopped_edge_counts_as_lost_with_the_edge(
     #[case] (from, until): (i64, Option<i64>),
-    #[case] broken: usize,
+    #[case] violations: usize,
 ) {
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let stopped = vec![(edge.clone(), from, until)];
@@ -164,27 +166,27 @@
     };
     let verdict = judge(
         &log,
-        &Scenario::read("story", RATION, 1).unwrap(),
+        &Scenario::read("test", LOAD_LIMIT, 1).unwrap(),
         0,
         500_000,
     );
     assert_eq!(
         (verdict.broken.len(), verdict.lost_with_edge),
-        (broken, 1 - broken as u64)
+        (violations, 1 - violations as u64)
     );
 }
 
-/// 4 cores, 100 ms a job: in a window of 2 s just after the start a fifth of the cores does 16 jobs, of which 2.5 times as
-/// many are allowed: 40, and 2 roots of that and 2 more are put down to chance.
+/// With 4 cores and 100 ms per request, a fifth of the cores completes 16 requests in a window of 2 s just after the
+/// start. 2.5 times as many are allowed, which is 40. A further 2 * sqrt(40) + 2 are attributed to random variation.
 #[rstest]
-#[case::as_many_as_chance_brings(54, 1_000_000, true)]
-#[case::more(55, 1_000_000, false)]
-#[case::more_but_before_it_started(200, -3_000_000, true)]
-#[case::more_but_long_warm(200, 20_000_000, true)]
-fn what_a_cold_worker_got_is_held_against_what_is_allowed_and_chance(
-    #[case] jobs: i64,
-    #[case] after_its_start: i64,
-    #[case] within: bool,
+#[case::as_many_as_random_variation_explains(54, 1_000_000, true)]
+#[case::one_more(55, 1_000_000, false)]
+#[case::more_but_before_the_start(200, -3_000_000, true)]
+#[case::more_but_long_after_the_cold_period(200, 20_000_000, true)]
+fn requests_to_a_cold_worker_are_limited_to_the_allowed_number_plus_random_variation(
+    #[case] requests: i64,
+    #[case] offset_from_start: i64,
+    #[case] is_within_limit: bool,
 ) {
     let text = r#"
         (deployment (zones "a"))
@@ -194,29 +196,29 @@
         (fleet (workers 1) (cores 4))
         (calls "job" (share 1) (work 100ms))"#;
     let started = 50_000_000;
-    let came = |n: i64| started + after_its_start + n;
+    let arrival = |n: i64| started + offset_from_start + n;
     let run = |n| Run {
         worker: 0,
         edge: format!("edge-{}", n % 7),
-        came: came(n),
+        came: arrival(n),
         call: n as u64,
         number: 0,
         workload: "job".into(),
         answers: vec![],
     };
-    let mut scenario = Scenario::read("story", text, 1).unwrap();
-    if after_its_start > 10_000_000 {
+    let mut scenario = Scenario::read("test", text, 1).unwrap();
+    if offset_from_start > 10_000_000 {
         scenario
             .settings
-            .override_value("rules.cold", "10 s", "story")
+            .override_value("rules.cold", "10 s", "test")
             .unwrap();
     }
     let log = Log {
-        runs: (0..jobs).map(run).collect(),
+        runs: (0..requests).map(run).collect(),
         starts: vec![(0, started)],
         ..Log::default()
     };
     let windows = cold::windows(&log, &scenario);
     assert_eq!(windows.len(), 1);
-    assert_eq!(windows[0].part() <= 1.0, within, "{windows:?}");
+    assert_eq!(windows[0].part() <= 1.0, is_within_limit, "{windows:?}");
 }
--- a/crates/sanddrum-lab/tests/fleet_summary.rs
+++ b/crates/sanddrum-lab/tests/fleet_summary.rs
@@ -1,4 +1,4 @@
-//! The fleet summary, from traffic logs written by hand.
+//! Tests the fleet summary on traffic logs written by hand.
 
 use rstest::rstest;
 use sanddrum_lab::fleet_summary::{amplification, edge_service_range, inversions};
@@ -8,14 +8,14 @@
 
 fn scenario() -> Scenario {
     let text = r#"(deployment (name "w") (zones "a"))
-        (workload "dear" (start-target 1s) (time-limit 3s) (effect restartable) (importance 4))
-        (workload "cheap" (start-target 1s) (time-limit 3s) (effect restartable) (importance 1))
-        (function "d-*" (workload "dear") (memory 9MB) (lanes 2))
-        (function "c-*" (workload "cheap") (memory 9MB) (lanes 2))
-        (calls "dear" (share 0.5) (work 20ms)) (calls "cheap" (share 0.5) (work 10ms))"#;
-    Scenario::read("whole", text, 1).unwrap_or_else(|e| panic!("{e}"))
+        (workload "important" (start-target 1s) (time-limit 3s) (effect restartable) (importance 4))
+        (workload "minor" (start-target 1s) (time-limit 3s) (effect restartable) (importance 1))
+        (function "i-*" (workload "important") (memory 9MB) (lanes 2))
+        (function "m-*" (workload "minor") (memory 9MB) (lanes 2))
+        (calls "important" (share 0.5) (work 20ms)) (calls "minor" (share 0.5) (work 10ms))"#;
+    Scenario::read("test", text, 1).unwrap_or_else(|e| panic!("{e}"))
 }
-/// Tries of a workload answered so in a second.
+/// Tries of a workload that were answered with this status in this second.
 fn tries(workload: &str, second: Micros, status: u16, count: u64) -> Vec<Try> {
     let at = second * 1_000_000 + 500;
     let call = |n: u64| Try {
@@ -30,27 +30,27 @@
 }
 
 #[rstest]
-#[case::the_cheap_are_turned_away(&[("dear", 1, 200, 5), ("cheap", 1, 503, 9)], 0.0)]
-#[case::in_another_second(&[("dear", 1, 503, 5), ("cheap", 2, 200, 9)], 0.0)]
-#[case::as_much_as_fits(&[("dear", 1, 503, 5), ("cheap", 1, 200, 4)], 0.4)]
-#[case::all_of_it(&[("dear", 1, 503, 5), ("cheap", 1, 200, 40)], 1.0)]
-fn priority_inversions_are_the_rejected_value_that_cheaper_work_displaced(
-    #[case] seen: &[(&str, Micros, u16, u64)],
-    #[case] part: f64,
+#[case::only_minor_requests_are_rejected(&[("important", 1, 200, 5), ("minor", 1, 503, 9)], 0.0)]
+#[case::minor_requests_are_served_in_another_second(&[("important", 1, 503, 5), ("minor", 2, 200, 9)], 0.0)]
+#[case::part_of_the_rejected_importance_is_displaced(&[("important", 1, 503, 5), ("minor", 1, 200, 4)], 0.4)]
+#[case::all_of_the_rejected_importance_is_displaced(&[("important", 1, 503, 5), ("minor", 1, 200, 40)], 1.0)]
+fn priority_inversions_are_the_rejected_importance_that_less_important_requests_displaced(
+    #[case] answered: &[(&str, Micros, u16, u64)],
+    #[case] expected: f64,
 ) {
-    let tries = seen
+    let tries = answered
         .iter()
         .flat_map(|(workload, at, status, n)| tries(workload, *at, *status, *n));
     let log = Log {
         tries: tries.collect(),
         ..Log::default()
     };
-    assert!((inversions(&log, &scenario()) - part).abs() < 1e-9);
+    assert!((inversions(&log, &scenario()) - expected).abs() < 1e-9);
 }
 
 #[rstest]
 fn the_range_of_service_over_edges_is_reported() {
-    let mut all = tries("dear", 1, 200, 200);
+    let mut all = tries("important", 1, 200, 200);
     all.iter_mut()
         .filter(|t| t.edge == "edge-1")
         .step_by(4)
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -8,7 +8,7 @@
 use sanddrum_net::LinkModel;
 
 #[rstest]
-fn the_bad_day_ends_well_and_twice_alike(#[values(1, 2, 3)] seed: u64) {
+fn the_bad_day_passes_and_is_deterministic(#[values(1, 2, 3)] seed: u64) {
     let scenario = Scenario::read("bad-day.sx", BAD_DAY, seed).unwrap();
     let first = play_virtually(scenario.clone(), product_edge()).unwrap();
     assert!(first.is_good(), "{}", first.text());
@@ -16,7 +16,7 @@
     assert_eq!(first.json(), second.json());
 }
 
-/// Two seconds of trouble on real sockets; the long one is the demo.
+/// Two seconds of faults on real sockets. The demo runs the long version.
 #[rstest]
 fn a_short_bad_day_on_sockets_ends_well() {
     let text = r#"
@@ -37,13 +37,14 @@
         (trouble "tear" (at 600ms) (count 2))
         (trouble "edge-crash" (at 900ms) (length 200ms))
         (trouble "list-away" (at 700ms) (length 500ms))"#;
-    let folder = std::env::temp_dir().join(format!("sanddrum-story-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("sanddrum-scenario-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let scenario = Scenario::read("short.sx", text, 5).unwrap();
     let recording = Recording::default();
     let edges = EdgeMode::InProcess(product_edge());
-    let mut stage = SocketEnvironment::new(scenario, &recording, edges, folder.clone()).unwrap();
-    let outcome = play(&mut stage, &recording).unwrap();
+    let mut environment =
+        SocketEnvironment::new(scenario, &recording, edges, folder.clone()).unwrap();
+    let outcome = play(&mut environment, &recording).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(outcome.is_good(), "{}", outcome.text());
     assert!(outcome.verdict.finished > 100, "{}", outcome.text());
@@ -52,10 +53,10 @@
 const KEYS: &str = include_str!("../scenarios/keys.sx");
 const CERTIFICATES: &str = include_str!("../scenarios/certificates.sx");
 
-/// Keys change while everything else goes wrong, too; refusals are final answers and nothing is taken under a revoked
-/// key.
+/// Keys are rotated and revoked while other faults occur. Rejections are final answers, and no request is accepted
+/// under a revoked key.
 #[rstest]
-fn keys_are_rotated_and_revoked_in_mid_run(#[values(1, 2, 3, 4)] seed: u64) {
+fn keys_are_rotated_and_revoked_during_a_run(#[values(1, 2, 3, 4)] seed: u64) {
     let outcome = play_virtually(
         Scenario::read("keys.sx", KEYS, seed).unwrap(),
         product_edge(),
@@ -69,9 +70,9 @@
     );
 }
 
-/// The bad day again with every worker behind TLS: connections cut in mid-frame, a zone back cold and all.
+/// The bad day with TLS to every worker, including connections cut within a frame and a zone that returns cold.
 #[rstest]
-fn the_bad_day_ends_well_over_tls(#[values(1, 2)] seed: u64) {
+fn the_bad_day_passes_over_tls(#[values(1, 2)] seed: u64) {
     let tls = r#"(tls (workers verified) (roots-file "roots.pem"))"#;
     let scenario = Scenario::read("bad-day.sx", &format!("{BAD_DAY}{tls}"), seed).unwrap();
     let outcome = play_virtually(scenario, product_edge()).unwrap();
@@ -82,17 +83,17 @@
     );
 }
 
-/// Roots and all certificates change in the middle of the bad day, and one worker comes back with what a foreign
-/// authority signed: no byte of a job reaches it until it is itself again.
+/// The roots and all certificates are replaced during the bad day, and one worker returns with a certificate signed
+/// by a foreign authority. No byte of a request reaches that worker until it has its own certificate again.
 #[rstest]
-fn certificates_change_in_the_middle_of_the_bad_day(#[values(1, 2, 3)] seed: u64) {
+fn certificates_are_replaced_during_the_bad_day(#[values(1, 2, 3)] seed: u64) {
     let scenario = Scenario::read("certificates.sx", CERTIFICATES, seed).unwrap();
     let recording = Recording::default();
-    let mut stage =
+    let mut environment =
         VirtualEnvironment::new(scenario, LinkModel::default(), &recording, product_edge())
             .unwrap();
-    let start = stage.now();
-    let outcome = play(&mut stage, &recording).unwrap();
+    let start = environment.now();
+    let outcome = play(&mut environment, &recording).unwrap();
     assert!(
         outcome.is_good() && outcome.runs > 4000,
         "{}",
@@ -114,14 +115,14 @@
     };
     assert!(
         log.runs.iter().any(|run| after(&run)),
-        "and it serves again"
+        "the worker serves again with its own certificate"
     );
 }
 
-/// Handshakes that take long, a zone back cold and every connection cut at once: rule 1 holds for what waits for a
-/// connection, too.
+/// Handshakes are slow, a zone returns cold and all connections are cut at once. Rule 1 (nothing is sent after the
+/// final answer) also holds for requests that wait for a connection.
 #[rstest]
-fn a_reconnecting_storm_sends_nothing_after_the_answer(#[values(1, 2)] seed: u64) {
+fn simultaneous_reconnects_send_nothing_after_the_answer(#[values(1, 2)] seed: u64) {
     let text = r#"
         (deployment (zones "a" "b" "c"))
         (workload "job" (start-target 1s) (time-limit 3s) (effect restartable))
@@ -146,9 +147,10 @@
     );
 }
 
-/// Variants are run on the same seeds, so one beside itself differs in nothing, and a worse one clearly.
+/// All variants run on the same seeds: a variant compared with itself shows no difference, a worse one a clear
+/// difference.
 #[rstest]
-fn an_experiment_tells_apart_what_differs() {
+fn an_experiment_distinguishes_only_variants_that_differ() {
     let text = r#"
         (workload "job" (start-target 1s) (time-limit 3s) (effect restartable))
         (function "f-*" (workload "job") (memory 200MB) (lanes 2))
@@ -159,15 +161,20 @@
         (experiment (seeds 4))
         (variant "as built") (variant "the same") (variant "random" (decides random))"#;
     let experiment = sanddrum_lab::Experiment::read("e.sx", text, None).unwrap();
-    let figures = experiment.run_all(2, |_| ()).unwrap();
-    let of = |n: usize| figures[n].iter().map(|f| f.loads).collect::<Vec<f64>>();
-    let same = sanddrum_lab::difference(&of(0), &of(1));
+    let results = experiment.run_all(2, |_| ()).unwrap();
+    let loads = |n: usize| {
+        results[n]
+            .iter()
+            .map(|result| result.loads)
+            .collect::<Vec<f64>>()
+    };
+    let same = sanddrum_lab::difference(&loads(0), &loads(1));
     assert_eq!(
         (same.mean, same.least, same.most, same.is_clear()),
         (0.0, 0.0, 0.0, false)
     );
-    assert!(sanddrum_lab::difference(&of(0), &of(2)).is_clear());
-    let page = sanddrum_lab::report::html(&experiment, &figures).unwrap();
+    assert!(sanddrum_lab::difference(&loads(0), &loads(2)).is_clear());
+    let page = sanddrum_lab::report::html(&experiment, &results).unwrap();
     assert!(
         page.contains("<svg") && page.contains("random") && page.contains("Warning: only 4 seeds")
     );
