--- a/crates/sanddrum-cli/tests/clock_steps.rs
+++ b/crates/sanddrum-cli/tests/clock_steps.rs
@@ -1,14 +1,14 @@
 //! The wall clock of the router's machine is wrong from the start or is stepped while the router runs. A model server
 //! that has just started must be in slow start all the same.
 
-mod steered;
+mod router_harness;
 
+use router_harness::*;
 use rstest::rstest;
 use sanddrum_lab::faults::{FaultControl, Word};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
-use steered::*;
 
 const HOUR_US: i64 = 3_600_000_000;
 /// Number of requests, each for a function of its own, so that each may go to either server.
--- a/crates/sanddrum-cli/tests/discovery_outage.rs
+++ b/crates/sanddrum-cli/tests/discovery_outage.rs
@@ -4,9 +4,10 @@
 //! keep using the others.
 
 mod outage;
-mod steered;
+mod router_harness;
 
 use outage::{Discovery, FeedState, ModelServer};
+use router_harness::*;
 use rstest::rstest;
 use sanddrum_fastcgi::{encode_params, write_begin_request, write_stream, RecordType};
 use sanddrum_lab::faults::FaultControl;
@@ -16,7 +17,6 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use steered::*;
 
 /// A change that discovery would have announced counts as announced at most this long after the start of the outage.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(7);
--- a/crates/sanddrum-cli/tests/hunt.rs
+++ b/crates/sanddrum-cli/tests/hunt.rs
@@ -1,7 +1,8 @@
 //! Faults of the router as a process that were found by going through the rules one by one: each story had failed before.
 
-mod steered;
+mod router_harness;
 
+use router_harness::*;
 use rstest::rstest;
 use sanddrum_fastcgi::{
     encode_header, encode_params, write_begin_request, write_stream, RecordType,
@@ -12,7 +13,6 @@
 use std::io::Write;
 use std::process::Stdio;
 use std::time::Duration;
-use steered::*;
 
 const A: &str = "00000000000000a1";
 const B: &str = "00000000000000b2";
--- a/crates/sanddrum-cli/tests/outage/mod.rs
+++ b/crates/sanddrum-cli/tests/outage/mod.rs
@@ -1,7 +1,7 @@
 //! Peers for tests of discovery outages: model servers that can drain and record what is sent to them, and a control
 //! feed that a test makes unavailable in different ways. Each runs on its own threads.
 
-use crate::steered::{feed_response, listener};
+use crate::router_harness::{feed_response, listener};
 use sanddrum_platform::frames;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
--- a/crates/sanddrum-cli/tests/platform_process.rs
+++ b/crates/sanddrum-cli/tests/platform_process.rs
@@ -30,12 +30,12 @@
         let id = u64::from_be_bytes([8, 9, 10, 11, 12, 13, 14, 15].map(|n| head[n]));
         let mut rest = vec![0; fields + body + 4];
         conn.read_exact(&mut rest).unwrap();
-        let answer = match head[1] {
+        let response = match head[1] {
             65 => frames::response(97, id, "remark=hot", &rest[fields..fields + body]),
             69 => frames::response(97, id, "copies=1", b""),
             _ => continue,
         };
-        conn.write_all(&answer).unwrap();
+        conn.write_all(&response).unwrap();
     }
 }
 /// Runs a control feed without new events that passes each poll it receives to the test.
@@ -175,10 +175,10 @@
     assert!(
         send_request(&listen, &[("SCRIPT_NAME", "/health")], b"").starts_with("Status: 200\r\n")
     );
-    let answer = call_function(&listen, "00000000000000a1");
+    let response = call_function(&listen, "00000000000000a1");
     assert!(
-        answer.starts_with("Status: 200\r\n") && answer.ends_with("\r\n\r\n00000000000000a1"),
-        "{answer}"
+        response.starts_with("Status: 200\r\n") && response.ends_with("\r\n\r\n00000000000000a1"),
+        "{response}"
     );
     std::fs::write(
         &router.1,
--- a/crates/sanddrum-cli/tests/races.rs
+++ b/crates/sanddrum-cli/tests/races.rs
@@ -1,13 +1,13 @@
 //! Forces unfavourable orders of events around a router as a process, with signals and real connections.
 
-mod steered;
+mod router_harness;
 
+use router_harness::*;
 use rstest::rstest;
 use sanddrum_platform::frames;
 use serde_json::json;
 use std::io::Write;
 use std::process::{Command, Stdio};
-use steered::*;
 
 const A: &str = "00000000000000a1";
 const B: &str = "00000000000000b2";
@@ -38,12 +38,12 @@
     // A partial request that never completes. If its bytes made the router reset the connection, the response would
     // be lost.
     web.send(&encode_request(2, B, 11_000, b"in")[..40]);
-    let answer = web.response().unwrap();
+    let response = web.response().unwrap();
     assert!(
         shutdown_start.elapsed().as_millis() < 3_700,
         "the process would have been killed before it answered"
     );
-    assert_eq!((answer.id, answer.status()), (1, status));
+    assert_eq!((response.id, response.status()), (1, status));
     assert!(
         web.response().is_none(),
         "the connection is closed normally after the response"
@@ -118,11 +118,11 @@
         }
     }
     for _ in 0..6 {
-        let answer = web.response().unwrap();
+        let response = web.response().unwrap();
         assert!(
-            answer.status() == "200" && answer.text.len() > 150_000,
+            response.status() == "200" && response.text.len() > 150_000,
             "{}",
-            answer.text.len()
+            response.text.len()
         );
     }
     assert!(web.response().is_none());
@@ -366,10 +366,10 @@
         &frames::response(97, request.id, "remark=hot", b"of another attempt"),
     );
     worker.serve(&again);
-    let answer = web.response().unwrap();
+    let response = web.response().unwrap();
     assert!(
-        answer.status() == "200" && answer.text.ends_with(A),
-        "{answer:?}"
+        response.status() == "200" && response.text.ends_with(A),
+        "{response:?}"
     );
 }
 
@@ -426,8 +426,8 @@
     });
     // The request is served on another connection, or rejected because its only worker has just reset one, but never
     // failed.
-    let answer = web.response().unwrap();
-    assert!(matches!(answer.status(), "200" | "503"), "{answer:?}");
+    let response = web.response().unwrap();
+    assert!(matches!(response.status(), "200" | "503"), "{response:?}");
 }
 
 // ---- Descriptors
--- a/crates/sanddrum-cli/tests/steered/mod.rs
+++ b/crates/sanddrum-cli/tests/router_harness/mod.rs
@@ -28,10 +28,10 @@
 
 /// Waits until the condition holds; panics after [`TIMEOUT`].
 pub fn wait_until(condition: impl Fn() -> bool) {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while !condition() {
         assert!(
-            begun.elapsed() < TIMEOUT,
+            started.elapsed() < TIMEOUT,
             "timed out waiting for a condition"
         );
         std::thread::yield_now();
@@ -69,7 +69,7 @@
 }
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     loop {
         match listener.accept() {
             Ok((conn, _)) => {
@@ -77,7 +77,7 @@
                 conn.set_read_timeout(Some(TIMEOUT)).unwrap();
                 return conn;
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock && begun.elapsed() < TIMEOUT => {
+            Err(e) if e.kind() == ErrorKind::WouldBlock && started.elapsed() < TIMEOUT => {
                 std::thread::yield_now();
             }
             Err(e) => panic!("no connection arrived: {e}"),
@@ -126,11 +126,11 @@
             conn.set_nonblocking(true).unwrap();
             self.conns.push((Some(conn), Vec::new()));
         }
-        let mut piece = [0; 65536];
+        let mut buffer = [0; 65536];
         for (conn, bytes) in &mut self.conns {
             let Some(open) = conn else { continue };
-            match read(open, &mut piece) {
-                Ok(n @ 1..) => bytes.extend_from_slice(&piece[..n]),
+            match read(open, &mut buffer) {
+                Ok(n @ 1..) => bytes.extend_from_slice(&buffer[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 _ => *conn = None,
             }
@@ -218,8 +218,8 @@
 /// Waits for the next request to any of these workers. Returns the index of the worker, the number of the connection
 /// and the request.
 pub fn next_request(workers: &mut [Worker]) -> (usize, (usize, Frame)) {
-    let begun = std::time::Instant::now();
-    while begun.elapsed() < TIMEOUT {
+    let started = std::time::Instant::now();
+    while started.elapsed() < TIMEOUT {
         for (n, worker) in workers.iter_mut().enumerate() {
             if let Some(request) = worker.try_next_request() {
                 return (n, request);
@@ -318,7 +318,7 @@
     }
     /// Waits for the next response. Returns `None` if the connection was closed normally; panics if it was reset.
     pub fn response(&mut self) -> Option<Response> {
-        let mut piece = [0; 4096];
+        let mut buffer = [0; 4096];
         loop {
             while let Some((record, took)) = Record::read(&self.bytes).unwrap() {
                 let (kind, id, content) = (record.record_type, record.id, record.content.to_vec());
@@ -340,9 +340,9 @@
                     }
                 }
             }
-            match read(&mut self.conn, &mut piece).unwrap() {
+            match read(&mut self.conn, &mut buffer).unwrap() {
                 0 => return None,
-                n => self.bytes.extend_from_slice(&piece[..n]),
+                n => self.bytes.extend_from_slice(&buffer[..n]),
             }
         }
     }
@@ -455,10 +455,10 @@
     }
     /// Waits until the router listens and reads its address from the log.
     pub fn wait_until_listening(mut self) -> Router {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         while self.address.is_empty() {
             assert!(
-                begun.elapsed() < TIMEOUT && self.child.try_wait().unwrap().is_none(),
+                started.elapsed() < TIMEOUT && self.child.try_wait().unwrap().is_none(),
                 "the router did not start to listen"
             );
             let log = self.log.lock().unwrap().clone();
--- a/crates/sanddrum-cli/tests/stalls.rs
+++ b/crates/sanddrum-cli/tests/stalls.rs
@@ -2,11 +2,11 @@
 //! meanwhile collects in the kernel's buffers. The router must treat it by its time of arrival, as far as that is
 //! known, not by the time at which it is read.
 
-mod steered;
+mod router_harness;
 
+use router_harness::*;
 use rstest::rstest;
 use std::time::{Duration, Instant};
-use steered::*;
 
 const ABANDONED: &str = "00000000000000a1";
 const PENDING: &str = "00000000000000b2";
@@ -204,6 +204,6 @@
     web.send_request(2, "00000000000000e2");
     std::thread::sleep(Duration::from_millis(2_000));
     router.resume();
-    let answer = web.response();
-    assert_eq!(answer.map(|answer| answer.id), Some(2));
+    let response = web.response();
+    assert_eq!(response.map(|response| response.id), Some(2));
 }
