--- a/crates/sanddrum-cli/tests/router_faults.rs
+++ b/crates/sanddrum-cli/tests/router_faults.rs
@@ -1,8 +1,9 @@
 //! Regression tests of the router process, one for each fault that a systematic review of the rules found. Each test
 //! failed before its fault was fixed.
 
-mod steered;
+mod router_harness;
 
+use router_harness::*;
 use rstest::rstest;
 use sanddrum_fastcgi::{
     encode_header, encode_params, write_begin_request, write_stream, RecordType,
@@ -13,7 +14,6 @@
 use std::io::Write;
 use std::process::Stdio;
 use std::time::Duration;
-use steered::*;
 
 const A: &str = "00000000000000a1";
 const B: &str = "00000000000000b2";
@@ -25,11 +25,11 @@
 
 #[rstest]
 fn requests_with_interleaved_bodies_on_one_connection_are_all_served() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
+    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
     let router = Router::start("in-turn", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
     let requests = 1..=24u16;
     let body = vec![b'x'; MAX_BODY_BYTES];
     for id in requests.clone() {
@@ -43,23 +43,23 @@
         ];
         write_begin_request(&mut out, id, true);
         write_stream(&mut out, RecordType::Params, id, &encode_params(&pairs));
-        web.says(&out);
+        web.send(&out);
     }
     // First all bodies, then all ends of bodies, so that no request is complete before all bodies have been sent.
     for id in requests.clone() {
         let mut out = encode_header(RecordType::Stdin, id, body.len()).to_vec();
         out.extend_from_slice(&body);
-        web.says(&out);
+        web.send(&out);
     }
     requests
         .clone()
-        .for_each(|id| web.says(&encode_header(RecordType::Stdin, id, 0)));
+        .for_each(|id| web.send(&encode_header(RecordType::Stdin, id, 0)));
     for _ in requests {
-        let next = worker.request();
+        let next = worker.next_request();
         assert_eq!(next.1.body.len(), MAX_BODY_BYTES);
         worker.serve(&next);
         assert_eq!(
-            web.answer()
+            web.response()
                 .expect("a connection with open requests is not closed")
                 .status(),
             "200"
@@ -72,10 +72,10 @@
 #[rstest]
 fn a_full_list_of_the_largest_fleet_is_accepted() {
     let ((_first, first_at), (mut second, second_at), (feeds, feed_at)) =
-        (listener(), Worker::listens(), listener());
+        (listener(), Worker::listen(), listener());
     let router = Router::start("large-list", &feed_at, &first_at, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
+    next_poll(&mut feed);
     // The largest fleet has 3,200 model servers, which drain here; one further server is in service.
     let draining_member = |n: usize| {
         let at = format!("10.{}.{}.9:8080", n / 250, n % 250);
@@ -88,17 +88,17 @@
     let mut members: Vec<Value> = (0..3_200).map(draining_member).collect();
     members.push(member("stands", &second_at, "in_service"));
     let list = json!({"n": 2, "members": {"revision": 2, "complete": true, "members": members}});
-    feed.write_all(&told(2, json!([list]))).unwrap();
+    feed.write_all(&feed_response(2, json!([list]))).unwrap();
     assert_eq!(
-        question(&mut feed),
+        next_poll(&mut feed),
         2,
         "the list is accepted, and the next change is requested"
     );
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let next = second.request();
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let next = second.next_request();
     second.serve(&next);
-    assert_eq!(web.answer().unwrap().status(), "200");
+    assert_eq!(web.response().unwrap().status(), "200");
 }
 
 #[rstest]
@@ -107,21 +107,21 @@
         (listener(), listener(), listener());
     let router = Router::start("half-configured", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
+    next_poll(&mut feed);
     let complete = configuration(&moved_at, &worker_at, "once").to_string();
     std::fs::write(&router.file, &complete[..complete.len() / 2]).unwrap();
     router.signal("HUP");
     // The log shows that the incomplete file was read.
-    until(|| router.said_so_far().contains("configuration rejected"));
+    wait_until(|| router.logged_so_far().contains("configuration rejected"));
     std::fs::write(&router.file, &complete).unwrap();
-    assert_eq!(question(&mut accept(&moved)), 1);
+    assert_eq!(next_poll(&mut accept(&moved)), 1);
 }
 
 // ---- The process
 
 #[rstest]
 fn an_unread_log_does_not_block_requests() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
+    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
     let (free, at) = listener();
     drop(free);
     let mut json = configuration(&feed_at, &worker_at, "once");
@@ -132,14 +132,14 @@
     let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
     let unread_log = child.stderr.take().unwrap();
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&at);
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&at);
     // Several lines per request are logged at this level, far more in total than a pipe buffers.
     for n in 1..=400u64 {
-        web.calls(1, &format!("{n:016x}"));
-        let next = worker.request();
+        web.send_request(1, &format!("{n:016x}"));
+        let next = worker.next_request();
         worker.serve(&next);
-        assert_eq!(web.answer().unwrap().status(), "200");
+        assert_eq!(web.response().unwrap().status(), "200");
     }
     child.kill().unwrap();
     child.wait().unwrap();
@@ -149,35 +149,35 @@
 
 #[rstest]
 fn a_second_sigterm_does_not_abort_open_requests() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
+    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
     let mut router = Router::start("twice", &feed_at, &worker_at, "once");
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let first = worker.request();
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let first = worker.next_request();
     router.signal("TERM");
     // Two pending signals would be merged into one, so the second is sent after the first has been handled.
-    until(|| router.said_so_far().contains("graceful shutdown started"));
+    wait_until(|| router.logged_so_far().contains("graceful shutdown started"));
     router.signal("TERM");
-    web.calls(2, B);
-    let second = worker.request();
+    web.send_request(2, B);
+    let second = worker.next_request();
     std::thread::sleep(Duration::from_millis(50));
-    worker.says(
+    worker.send(
         first.0,
         &frames::response(97, first.1.id, "remark=hot", &first.1.body),
     );
     worker.serve(&second);
-    assert_eq!(web.answer().unwrap().status(), "200");
-    assert_eq!(web.answer().unwrap().status(), "200");
-    assert_eq!(router.ends().code(), Some(0));
+    assert_eq!(web.response().unwrap().status(), "200");
+    assert_eq!(web.response().unwrap().status(), "200");
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 // ---- System calls that fail
 
 #[rstest]
 fn a_router_starts_although_socket_creation_fails_at_first() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
+    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-socket-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
     faults.set(Word::Socket, 1_000_000).unwrap();
@@ -190,20 +190,20 @@
     });
     // The fault settings are shared through a file, which is opened again here to wait for the fault and to end it.
     let control = FaultControl::open(&file).unwrap();
-    until(|| control.get(Word::SocketsFailed).unwrap() > 0);
+    wait_until(|| control.get(Word::SocketsFailed).unwrap() > 0);
     control.set(Word::Socket, 0).unwrap();
     let (router, _faults) = startup.join().unwrap();
-    question(&mut accept(&feeds));
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let next = worker.request();
+    next_poll(&mut accept(&feeds));
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let next = worker.next_request();
     worker.serve(&next);
-    assert_eq!(web.answer().unwrap().status(), "200");
+    assert_eq!(web.response().unwrap().status(), "200");
 }
 
 #[rstest]
 fn a_temporary_poller_failure_ends_neither_the_router_nor_open_requests() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listens(), listener());
+    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-poller-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
     let router = Router::start_with(
@@ -212,21 +212,21 @@
         Some(&faults),
     );
     let mut feed = accept(&feeds);
-    question(&mut feed);
-    let mut web = Web::connects(&router.at);
-    web.calls(1, A);
-    let open = worker.request();
+    next_poll(&mut feed);
+    let mut web = WebServer::connect(&router.address);
+    web.send_request(1, A);
+    let open = worker.next_request();
     faults.set(Word::Control, 1_000_000).unwrap();
     faults.set(Word::Wait, 1_000_000).unwrap();
-    until(|| faults.get(Word::ControlsFailed).unwrap() >= 20);
+    wait_until(|| faults.get(Word::ControlsFailed).unwrap() >= 20);
     faults.set(Word::Wait, 0).unwrap();
     faults.set(Word::Control, 0).unwrap();
     worker.serve(&open);
-    assert_eq!(web.answer().unwrap().status(), "200");
+    assert_eq!(web.response().unwrap().status(), "200");
     // A new client is served as well, so the listener is still polled.
-    let mut new_client = Web::connects(&router.at);
-    new_client.calls(1, B);
-    let next = worker.request();
+    let mut new_client = WebServer::connect(&router.address);
+    new_client.send_request(1, B);
+    let next = worker.next_request();
     worker.serve(&next);
-    assert_eq!(new_client.answer().unwrap().status(), "200");
+    assert_eq!(new_client.response().unwrap().status(), "200");
 }
