--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -10,21 +10,21 @@
 
 /// What a scenario changes about the traffic while it runs.
 #[derive(Clone, Debug)]
-pub struct Mood {
+pub struct TrafficOverrides {
     /// Times the usual rate.
-    pub rate: f64,
+    pub rate_factor: f64,
     /// This part of the calls goes to functions that were not called before, so many of each workload.
-    pub hot: f64,
+    pub hot_function_fraction: f64,
     /// This part of the calls is the last customer's, whatever its share.
-    pub greedy: f64,
+    pub last_customer_fraction: f64,
 }
 
-impl Default for Mood {
+impl Default for TrafficOverrides {
     fn default() -> Self {
-        Mood {
-            rate: 1.0,
-            hot: 0.0,
-            greedy: 0.0,
+        TrafficOverrides {
+            rate_factor: 1.0,
+            hot_function_fraction: 0.0,
+            last_customer_fraction: 0.0,
         }
     }
 }
@@ -60,7 +60,7 @@
 pub struct Callers {
     scenario: Scenario,
     edges: Vec<String>,
-    mood: Shared<Mood>,
+    traffic_overrides: Shared<TrafficOverrides>,
     wallet: Option<Shared<TokenIssuer>>,
     chance: Rng,
     ends: Micros,
@@ -82,7 +82,7 @@
     pub fn new(
         scenario: &Scenario,
         edges: Vec<String>,
-        mood: Shared<Mood>,
+        traffic_overrides: Shared<TrafficOverrides>,
         wallet: Option<Shared<TokenIssuer>>,
         seed: u64,
     ) -> Self {
@@ -107,7 +107,7 @@
             popularity: popularity.collect(),
             idle: vec![VecDeque::new(); edges.len()],
             edges,
-            mood,
+            traffic_overrides,
             wallet,
             chance: Rng::new(seed),
             ends: 0,
@@ -130,8 +130,8 @@
             .min(sums.len().saturating_sub(1))
     }
     fn begin(&mut self, now: Micros, io: &mut dyn Io) {
-        let mood = self.mood.borrow().clone();
-        let rate = self.scenario.settings.number("traffic.rate") * mood.rate;
+        let traffic_overrides = self.traffic_overrides.borrow().clone();
+        let rate = self.scenario.settings.number("traffic.rate") * traffic_overrides.rate_factor;
         if now >= self.ends || rate <= 0.0 {
             return;
         }
@@ -149,7 +149,10 @@
             .collect();
         let of = Self::pick(&mut self.chance, &shares);
         let what = &self.scenario.calls[of];
-        let function = if self.chance.random_bool(mood.hot) {
+        let function = if self
+            .chance
+            .random_bool(traffic_overrides.hot_function_fraction)
+        {
             format!("{}hot-{}", what.prefix, self.chance.index(HOT))
         } else {
             format!(
@@ -170,7 +173,10 @@
                 Some(*sum)
             })
             .collect();
-        let greedy = mood.greedy > 0.0 && self.chance.random_bool(mood.greedy);
+        let greedy = traffic_overrides.last_customer_fraction > 0.0
+            && self
+                .chance
+                .random_bool(traffic_overrides.last_customer_fraction);
         let customer = match shares.len() {
             0 => None,
             n if greedy => Some(n - 1),
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The cores of a scenario, made as they are needed, with the handles through which it scripts their faults.
 
-use crate::callers::{Callers, Mood};
+use crate::callers::{Callers, TrafficOverrides};
 use crate::plaintext_capture::{bounds, Authority, PlaintextCapture};
 use crate::recorder::{Recording, Role};
 use crate::scenario::Scenario;
@@ -40,7 +40,7 @@
     pub workers: Vec<Shared<WorkerFaults>>,
     pub store: Shared<StoreFaults>,
     pub list: Shared<DiscoveryFaults>,
-    pub mood: Shared<Mood>,
+    pub traffic_overrides: Shared<TrafficOverrides>,
     /// Where callers show tokens.
     pub wallet: Option<Shared<TokenIssuer>>,
     /// Where workers are spoken to over TLS: who signs for them, and who did before while both are believed.
@@ -116,7 +116,7 @@
                 .collect(),
             store: shared(StoreFaults::default()),
             list: shared(DiscoveryFaults::default()),
-            mood: shared(Mood::default()),
+            traffic_overrides: shared(TrafficOverrides::default()),
             marks: (0..scenario.workers.max(1))
                 .map(|_| shared(IdempotencyKeys::new(window)))
                 .collect(),
@@ -288,7 +288,7 @@
         let callers = Callers::new(
             &self.scenario,
             edges,
-            self.mood.clone(),
+            self.traffic_overrides.clone(),
             self.wallet.clone(),
             seed,
         );
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -41,7 +41,7 @@
 mod token_issuer;
 
 pub use baselines::{Baseline, Choice};
-pub use callers::{Callers, Mood};
+pub use callers::{Callers, TrafficOverrides};
 pub use environment::{product_edge, Environment, MakeEdge, VirtualEnvironment};
 pub use experiment::{difference, Difference, Experiment, Figures, Variant, FEW_SEEDS, MEASURES};
 pub use fleet::{Addresses, Fleet, Who};
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -383,9 +383,27 @@
             "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = true,
             "list-away" => self.kill(&[Who::List]),
             "list-lag" => self.stage.fleet().list.borrow_mut().delay = (size * 1e6) as Micros,
-            "overload" => self.stage.fleet().mood.borrow_mut().rate = size,
-            "hot-functions" => self.stage.fleet().mood.borrow_mut().hot = size.min(1.0),
-            "greedy-customer" => self.stage.fleet().mood.borrow_mut().greedy = size.min(1.0),
+            "overload" => {
+                self.stage
+                    .fleet()
+                    .traffic_overrides
+                    .borrow_mut()
+                    .rate_factor = size
+            }
+            "hot-functions" => {
+                self.stage
+                    .fleet()
+                    .traffic_overrides
+                    .borrow_mut()
+                    .hot_function_fraction = size.min(1.0)
+            }
+            "greedy-customer" => {
+                self.stage
+                    .fleet()
+                    .traffic_overrides
+                    .borrow_mut()
+                    .last_customer_fraction = size.min(1.0)
+            }
             _ => {}
         }
         Ok(())
@@ -424,9 +442,27 @@
             "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = false,
             "list-away" => self.bring_back(&[Who::List])?,
             "list-lag" => self.stage.fleet().list.borrow_mut().delay = 0,
-            "overload" => self.stage.fleet().mood.borrow_mut().rate = 1.0,
-            "hot-functions" => self.stage.fleet().mood.borrow_mut().hot = 0.0,
-            "greedy-customer" => self.stage.fleet().mood.borrow_mut().greedy = 0.0,
+            "overload" => {
+                self.stage
+                    .fleet()
+                    .traffic_overrides
+                    .borrow_mut()
+                    .rate_factor = 1.0
+            }
+            "hot-functions" => {
+                self.stage
+                    .fleet()
+                    .traffic_overrides
+                    .borrow_mut()
+                    .hot_function_fraction = 0.0
+            }
+            "greedy-customer" => {
+                self.stage
+                    .fleet()
+                    .traffic_overrides
+                    .borrow_mut()
+                    .last_customer_fraction = 0.0
+            }
             _ => return Ok(()),
         }
         self.act(&format!("{} ends", t.kind), whom);
