--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -353,7 +353,7 @@
     fn drains(&mut self) {
         let grace = self.scenario.grace() + self.slack;
         let mut told: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
-        for t in &self.log.told {
+        for t in &self.log.endpoint_updates {
             told.entry((&t.edge, &t.worker))
                 .or_default()
                 .push((t.at, t.phase == Phase::Ready));
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -66,7 +66,7 @@
 
 /// What an edge was told of a worker.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct EndpointUpdate {
     pub edge: String,
     pub at: Micros,
     pub worker: String,
@@ -78,7 +78,7 @@
     pub tries: Vec<Try>,
     pub runs: Vec<Run>,
     pub orders: Vec<Order>,
-    pub told: Vec<Told>,
+    pub endpoint_updates: Vec<EndpointUpdate>,
     /// Workers' starts, from cold, as the scenario made them.
     pub starts: Vec<(usize, Micros)>,
     /// When edges were down, by name: from, and until (if they came back).
@@ -396,7 +396,7 @@
                     };
                     log.load(Target::List, now).whole_lists += u64::from(rows.is_full_snapshot);
                     for row in rows.endpoints {
-                        log.told.push(Told {
+                        log.endpoint_updates.push(EndpointUpdate {
                             edge: edge.clone(),
                             at: now,
                             worker: row.name,
