--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -365,7 +365,7 @@
             .map(|r| (r.came, r.worker, &r.edge, "a job"));
         let ordered = self
             .log
-            .orders
+            .load_commands
             .iter()
             .map(|o| (o.came, o.worker, &o.edge, "an order to load"));
         let mut broken = Vec::new();
@@ -481,12 +481,17 @@
             return;
         }
         let (free, share) = (l.number("copies.load-free"), l.number("copies.load-share"));
-        let edges: BTreeSet<&str> = self.log.orders.iter().map(|o| o.edge.as_str()).collect();
+        let edges: BTreeSet<&str> = self
+            .log
+            .load_commands
+            .iter()
+            .map(|o| o.edge.as_str())
+            .collect();
         let mut broken = Vec::new();
         for edge in edges {
             let mut orders: Vec<Micros> = self
                 .log
-                .orders
+                .load_commands
                 .iter()
                 .filter(|o| o.edge == edge)
                 .map(|o| o.came)
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -181,7 +181,7 @@
             finished: v.finished as f64,
             pushed_back: v.pushed_back as f64,
             executions: outcome.runs as f64,
-            loads: outcome.orders as f64,
+            loads: outcome.load_commands as f64,
             broken: v.broken.len() as f64,
             seconds: v.seconds.clone(),
         }
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -25,8 +25,8 @@
         "executions": each(log.runs.len() as u64),
         "misses": of(|l| l.misses),
         "probes": of(|l| l.probes),
-        "asks": of(|l| l.asks),
-        "orders": of(|l| l.orders),
+        "asks": of(|l| l.load_queries),
+        "orders": of(|l| l.load_commands),
         "handshakes": of(|l| l.handshakes),
     })
 }
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -57,11 +57,11 @@
 
 /// An order to load that reached a worker.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct LoadCommand {
     pub worker: usize,
     pub edge: String,
     pub came: Micros,
-    pub copies: u32,
+    pub instances: u32,
 }
 
 /// What an edge was told of a worker.
@@ -77,7 +77,7 @@
 pub struct Log {
     pub tries: Vec<Try>,
     pub runs: Vec<Run>,
-    pub orders: Vec<Order>,
+    pub load_commands: Vec<LoadCommand>,
     pub endpoint_updates: Vec<EndpointUpdate>,
     /// Workers' starts, from cold, as the scenario made them.
     pub starts: Vec<(usize, Micros)>,
@@ -113,8 +113,8 @@
     pub whole_lists: u64,
     pub bytes: u64,
     pub probes: u64,
-    pub asks: u64,
-    pub orders: u64,
+    pub load_queries: u64,
+    pub load_commands: u64,
     pub misses: u64,
 }
 
@@ -324,16 +324,16 @@
                             });
                         }
                         ToWorker::Load(h) if h.instances == 0 => {
-                            log.load(Target::Worker(*n), now).asks += 1
+                            log.load(Target::Worker(*n), now).load_queries += 1
                         }
                         ToWorker::HealthCheck(_) => log.load(Target::Worker(*n), now).probes += 1,
                         ToWorker::Load(h) => {
-                            log.load(Target::Worker(*n), now).orders += 1;
-                            log.orders.push(Order {
+                            log.load(Target::Worker(*n), now).load_commands += 1;
+                            log.load_commands.push(LoadCommand {
                                 worker: *n,
                                 edge: edge.clone(),
                                 came: now,
-                                copies: h.instances,
+                                instances: h.instances,
                             });
                         }
                         _ => {}
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -20,7 +20,7 @@
     /// What was done when, in words.
     pub acts: Vec<(Micros, String)>,
     pub runs: usize,
-    pub orders: usize,
+    pub load_commands: usize,
     /// What fell on the list service and on workers.
     pub harm: Value,
     /// How the edges behaved as one.
@@ -38,8 +38,8 @@
         "worker": {
             "handshakes": log.worst(false, |l| l.handshakes),
             "probes": log.worst(false, |l| l.probes),
-            "asks": log.worst(false, |l| l.asks),
-            "orders": log.worst(false, |l| l.orders),
+            "asks": log.worst(false, |l| l.load_queries),
+            "orders": log.worst(false, |l| l.load_commands),
             "misses": log.worst(false, |l| l.misses),
         },
     })
@@ -101,7 +101,7 @@
     let acts = player.acts;
     let recorder = recording.0.borrow();
     let verdict = judge(&recorder.log, &scenario, start, slack);
-    let (runs, orders) = (recorder.log.runs.len(), recorder.log.orders.len());
+    let (runs, orders) = (recorder.log.runs.len(), recorder.log.load_commands.len());
     let (harm, whole) = (
         harm(&recorder.log),
         crate::fleet_summary::of(&recorder.log, &scenario),
@@ -113,7 +113,7 @@
         digest: recorder.digest(),
         acts,
         runs,
-        orders,
+        load_commands: orders,
         harm,
         whole,
     })
@@ -531,7 +531,7 @@
         let _ = writeln!(
             out,
             "executions {}, orders to load {}",
-            self.runs, self.orders
+            self.runs, self.load_commands
         );
         let (each, edges) = (&self.whole["for_each_finished"], &self.whole["edges"]);
         let _ = writeln!(
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use sanddrum_lab::checker::judge;
 use sanddrum_lab::cold;
-use sanddrum_lab::recorder::{Log, Order, Run, Try};
+use sanddrum_lab::recorder::{LoadCommand, Log, Run, Try};
 use sanddrum_lab::{Scenario, SchedulingDelays, OURS};
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
     #[case] down: Option<(i64, Option<i64>)>,
     #[case] broken: usize,
 ) {
-    let order = |came| Order {
+    let order = |came| LoadCommand {
         worker: 0,
         edge: "edge-0".into(),
         came,
-        copies: 1,
+        instances: 1,
     };
     let orders = [1_000_000, 1_100_000, 1_200_000, 1_700_000]
         .map(order)
@@ -36,7 +36,7 @@
         .map(|(from, until)| ("edge-0".to_string(), from, until))
         .collect();
     let log = Log {
-        orders,
+        load_commands: orders,
         down,
         ..Log::default()
     };
