--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -236,7 +236,7 @@
             of.edges,
             told(of.service, 3),
             told(of.from, 1),
-            of.broken
+            of.violations
         );
         for (name, figure) in &of.worst {
             println!("    {name}: {}", told(*figure, 0));
@@ -252,7 +252,7 @@
         sanddrum_lab::plot_sizes(folder, &name, &all)
     });
     match drawn {
-        Ok(()) => ExitCode::from(if all.iter().all(|of| of.broken == 0) {
+        Ok(()) => ExitCode::from(if all.iter().all(|of| of.violations == 0) {
             exit::GOOD
         } else {
             exit::BAD
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -11,35 +11,35 @@
 
 /// A rule that was broken, once, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// 1 to 5 as the users number them; nought for an account that does not add up.
     pub rule: u8,
     pub at: Micros,
-    pub what: String,
+    pub description: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "rule {} at {:.3} s: {}",
             self.rule,
             self.at as f64 / 1e6,
-            self.what
+            self.description
         )
     }
 }
 
 pub struct Verdict {
-    pub taken: u64,
+    pub accepted: u64,
     pub finished: u64,
-    pub pushed_back: u64,
-    pub killed: u64,
+    pub rejected: u64,
+    pub failed: u64,
     /// What an edge held when it was killed; its clients may try again.
     pub lost_with_edge: u64,
     /// Calls of which nothing reached any edge.
     pub unreached: u64,
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// Importance answered within the start target over importance asked.
     pub service: f64,
     pub latency: Histogram<u64>,
@@ -52,46 +52,50 @@
 /// Broken rules told of one kind; the rest is only counted.
 const TOLD: usize = 100;
 
-struct Judge<'a> {
+struct Checker<'a> {
     log: &'a Log,
     scenario: &'a Scenario,
     workloads: BTreeMap<&'a str, &'a Calls>,
     /// What a message takes on its way at most, for comparing times at two ends.
     slack: Micros,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
 /// Judges a log that began at `start`; `slack` is what a message takes on its way at most.
-pub fn judge(log: &Log, scenario: &Scenario, start: Micros, slack: Micros) -> Verdict {
+pub fn check_log(log: &Log, scenario: &Scenario, start: Micros, slack: Micros) -> Verdict {
     let workloads = scenario
         .calls
         .iter()
         .map(|c| (c.workload.as_str(), c))
         .collect();
-    let mut judge = Judge {
+    let mut checker = Checker {
         log,
         scenario,
         workloads,
         slack,
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
-    let mut verdict = judge.answers(start);
-    judge.sent_after_the_answer();
-    judge.effects();
-    judge.drains();
-    judge.cold();
-    judge.ration();
-    judge.revoked_keys();
-    judge.broken.sort_by_key(|b| (b.at, b.rule));
-    judge.broken.iter_mut().for_each(|b| b.at -= start);
-    judge.broken.truncate(TOLD);
-    verdict.broken = judge.broken;
+    let mut verdict = checker.answers(start);
+    checker.sent_after_the_answer();
+    checker.effects();
+    checker.drains();
+    checker.cold();
+    checker.ration();
+    checker.revoked_keys();
+    checker.violations.sort_by_key(|b| (b.at, b.rule));
+    checker.violations.iter_mut().for_each(|b| b.at -= start);
+    checker.violations.truncate(TOLD);
+    verdict.violations = checker.violations;
     verdict
 }
 
-impl Judge<'_> {
-    fn breaks(&mut self, rule: u8, at: Micros, what: String) {
-        self.broken.push(Broken { rule, at, what });
+impl Checker<'_> {
+    fn add_violation(&mut self, rule: u8, at: Micros, description: String) {
+        self.violations.push(Violation {
+            rule,
+            at,
+            description,
+        });
     }
     /// Whether the edge was down, or stood still, at some time between.
     fn down(&self, edge: &str, from: Micros, to: Micros) -> bool {
@@ -132,13 +136,13 @@
             latency.unwrap_or_else(|_| unreachable!("a minute in three digits is within bounds"));
         latency.auto(true);
         let mut verdict = Verdict {
-            taken: 0,
+            accepted: 0,
             finished: 0,
-            pushed_back: 0,
-            killed: 0,
+            rejected: 0,
+            failed: 0,
             lost_with_edge: 0,
             unreached: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
             service: 0.0,
             latency,
             customers: BTreeMap::new(),
@@ -146,10 +150,10 @@
         };
         let mut refused = 0;
         for t in &self.log.tries {
-            verdict.taken += 1;
+            verdict.accepted += 1;
             let name = format!("call {} try {} at {}", t.call, t.number, t.edge);
             if t.answers.len() > 1 {
-                self.breaks(
+                self.add_violation(
                     1,
                     t.answers[1].0,
                     format!("{name} got {} answers", t.answers.len()),
@@ -165,8 +169,8 @@
                     match status {
                         200 => verdict.finished += 1,
                         // Refused for who asks: it has not run, and the client was told.
-                        401 | 403 | 503 => verdict.pushed_back += 1,
-                        502 | 504 => verdict.killed += 1,
+                        401 | 403 | 503 => verdict.rejected += 1,
+                        502 | 504 => verdict.failed += 1,
                         _ => refused += 1,
                     }
                     if late(*at) {
@@ -174,17 +178,17 @@
                         let what = format!(
                             "{name} was answered {late} us after its client's time, held up {held}"
                         );
-                        self.breaks(1, *at, what);
+                        self.add_violation(1, *at, what);
                     }
                 }
                 None if self.down(&t.edge, t.sent, t.broken.unwrap_or(t.sent + t.limit)) => {
                     verdict.lost_with_edge += 1
                 }
                 // Its client left before the machine let an edge answer: it was not taken.
-                None if t.limit < self.log.holds_up => verdict.taken -= 1,
+                None if t.limit < self.log.holds_up => verdict.accepted -= 1,
                 None => {
                     let at = t.broken.unwrap_or(t.sent + t.limit);
-                    self.breaks(
+                    self.add_violation(
                         1,
                         at,
                         format!(
@@ -195,7 +199,7 @@
                 }
             }
         }
-        verdict.taken -= refused;
+        verdict.accepted -= refused;
         self.service(start, &mut verdict);
         verdict
     }
@@ -261,7 +265,7 @@
                 let (call, n, late) = (run.call, run.number, run.came - at);
                 let what =
                     format!("call {call} try {n} went to a worker {late} us after its answer");
-                self.breaks(1, run.came, what);
+                self.add_violation(1, run.came, what);
             }
         }
     }
@@ -339,7 +343,7 @@
         }
         broken
             .into_iter()
-            .for_each(|(at, what)| self.breaks(2, at, what));
+            .for_each(|(at, what)| self.add_violation(2, at, what));
     }
     fn group(&self, calls: &Calls, worker: usize) -> usize {
         match calls.group.as_str() {
@@ -396,7 +400,7 @@
         }
         broken
             .into_iter()
-            .for_each(|(at, what)| self.breaks(3, at, what));
+            .for_each(|(at, what)| self.add_violation(3, at, what));
     }
 
     /// Rule 4: what reached a cold worker from all edges, against what it bears.
@@ -444,7 +448,7 @@
         }
         broken
             .into_iter()
-            .for_each(|(at, what)| self.breaks(4, at, what));
+            .for_each(|(at, what)| self.add_violation(4, at, what));
     }
 
     /// No call is taken under a key that was revoked, once every edge has had time to hear of it.
@@ -469,7 +473,7 @@
         }
         broken
             .into_iter()
-            .for_each(|(at, what)| self.breaks(0, at, what));
+            .for_each(|(at, what)| self.add_violation(0, at, what));
     }
 
     /// Rule 5: orders to load against jobs taken, by edge. One that was killed knows nothing of what it ordered before,
@@ -531,6 +535,6 @@
         }
         broken
             .into_iter()
-            .for_each(|(at, what)| self.breaks(5, at, what));
+            .for_each(|(at, what)| self.add_violation(5, at, what));
     }
 }
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -40,10 +40,10 @@
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub finished: f64,
-    pub pushed_back: f64,
+    pub rejected: f64,
     pub executions: f64,
     pub loads: f64,
-    pub broken: f64,
+    pub violations: f64,
     /// Calls begun in each second, and answered in time.
     pub seconds: Vec<(u32, u32)>,
 }
@@ -55,10 +55,10 @@
     ("p50 ms", false, |f| f.p50_ms),
     ("p99 ms", false, |f| f.p99_ms),
     ("finished", true, |f| f.finished),
-    ("pushed back", false, |f| f.pushed_back),
+    ("pushed back", false, |f| f.rejected),
     ("executions", false, |f| f.executions),
     ("orders to load", false, |f| f.loads),
-    ("rules broken", false, |f| f.broken),
+    ("rules broken", false, |f| f.violations),
 ];
 
 /// Fewer seeds than this tell little, and that is said.
@@ -179,10 +179,10 @@
             p50_ms: outcome.latency_ms(0.5),
             p99_ms: outcome.latency_ms(0.99),
             finished: v.finished as f64,
-            pushed_back: v.pushed_back as f64,
+            rejected: v.rejected as f64,
             executions: outcome.runs as f64,
             loads: outcome.load_commands as f64,
-            broken: v.broken.len() as f64,
+            violations: v.violations.len() as f64,
             seconds: v.seconds.clone(),
         }
     }
--- a/crates/sanddrum-lab/src/hunt.rs
+++ b/crates/sanddrum-lab/src/hunt.rs
@@ -152,10 +152,10 @@
     /// Which rules it breaks; nought stands for an account that does not add up.
     pub fn breaks(&self) -> Result<(BTreeSet<u8>, Vec<String>), String> {
         let outcome = self.play()?;
-        let mut rules: BTreeSet<u8> = outcome.verdict.broken.iter().map(|b| b.rule).collect();
+        let mut rules: BTreeSet<u8> = outcome.verdict.violations.iter().map(|b| b.rule).collect();
         let mut told: Vec<String> = outcome
             .verdict
-            .broken
+            .violations
             .iter()
             .take(3)
             .map(ToString::to_string)
--- a/crates/sanddrum-lab/src/reconnect_load.rs
+++ b/crates/sanddrum-lab/src/reconnect_load.rs
@@ -110,7 +110,7 @@
         calm: last_low.map_or(0.0, |n| (n as i64 + 1 - BACK).max(0) as f64),
         worst: after.iter().flatten().copied().max().unwrap_or(0),
         handshakes,
-        broken: outcome.verdict.broken.len(),
+        broken: outcome.verdict.violations.len(),
         p99_ms: outcome.latency_ms(0.99),
         seconds,
     }
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -1,6 +1,6 @@
 //! Plays a scenario's troubles on a stage, in their order, and has the traffic judged.
 
-use crate::checker::{judge, Verdict};
+use crate::checker::{check_log, Verdict};
 use crate::environment::Environment;
 use crate::fleet::Who;
 use crate::recorder::{Log, Recording};
@@ -100,7 +100,7 @@
     recording.0.borrow_mut().log.holds_up = player.stage.holds_up();
     let acts = player.acts;
     let recorder = recording.0.borrow();
-    let verdict = judge(&recorder.log, &scenario, start, slack);
+    let verdict = check_log(&recorder.log, &scenario, start, slack);
     let (runs, orders) = (recorder.log.runs.len(), recorder.log.load_commands.len());
     let (harm, whole) = (
         harm(&recorder.log),
@@ -478,13 +478,13 @@
     pub fn json(&self) -> Value {
         let v = &self.verdict;
         let mut line = json!({
-            "jobs_taken": v.taken,
+            "jobs_taken": v.accepted,
             "finished": v.finished,
-            "pushed_back": v.pushed_back,
-            "killed": v.killed,
+            "pushed_back": v.rejected,
+            "killed": v.failed,
             "lost_with_edge": v.lost_with_edge,
             "unreached": v.unreached,
-            "rules_broken": v.broken.iter().map(ToString::to_string).collect::<Vec<_>>(),
+            "rules_broken": v.violations.iter().map(ToString::to_string).collect::<Vec<_>>(),
             "service": (v.service * 1e4).round() / 1e4,
             "latency_ms": {
                 "p50": self.latency_ms(0.5),
@@ -507,7 +507,8 @@
     /// Whether all was answered once and every rule held.
     pub fn is_good(&self) -> bool {
         let v = &self.verdict;
-        v.broken.is_empty() && v.taken == v.finished + v.pushed_back + v.killed + v.lost_with_edge
+        v.violations.is_empty()
+            && v.accepted == v.finished + v.rejected + v.failed + v.lost_with_edge
     }
     /// The summary for people.
     pub fn text(&self) -> String {
@@ -526,7 +527,7 @@
         let _ = writeln!(
             out,
             "jobs taken {}: finished {}, pushed back {}, killed {}, lost with a killed edge {}; calls that reached no edge {}",
-            v.taken, v.finished, v.pushed_back, v.killed, v.lost_with_edge, v.unreached
+            v.accepted, v.finished, v.rejected, v.failed, v.lost_with_edge, v.unreached
         );
         let _ = writeln!(
             out,
@@ -578,10 +579,10 @@
             let part = *in_time as f64 / (*asked).max(1) as f64;
             let _ = writeln!(out, "  {name}: {in_time} of {asked} in time ({part:.3})");
         }
-        for b in &v.broken {
+        for b in &v.violations {
             let _ = writeln!(out, "BROKEN {b}");
         }
-        if v.broken.is_empty() {
+        if v.violations.is_empty() {
             out.push_str("all five rules held, as seen from the traffic\n");
         }
         out
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -17,7 +17,7 @@
     pub service: [f64; 3],
     /// The second from which on nine tenths of the calls are in time.
     pub from: [f64; 3],
-    pub broken: usize,
+    pub violations: usize,
     /// Named figures of worst seconds.
     pub worst: Vec<(&'static str, [f64; 3])>,
     /// Calls in time of calls begun, by second.
@@ -27,7 +27,7 @@
 struct Run {
     service: f64,
     from: f64,
-    broken: usize,
+    violations: usize,
     worst: Vec<(&'static str, f64)>,
     seconds: Vec<f64>,
 }
@@ -58,7 +58,7 @@
         Run {
             service: outcome.verdict.service,
             from: low.map_or(0.0, |n| n as f64 + 1.0),
-            broken: outcome.verdict.broken.len(),
+            violations: outcome.verdict.violations.len(),
             worst: worst.collect(),
             seconds,
         }
@@ -130,7 +130,7 @@
             edges: *n,
             service: spread(of.iter().map(|run| run.service)),
             from: spread(of.iter().map(|run| run.from)),
-            broken: of.iter().map(|run| run.broken).sum(),
+            violations: of.iter().map(|run| run.violations).sum(),
             worst: (0..WORST.len())
                 .map(|w| (WORST[w].0, spread(of.iter().map(|run| run.worst[w].1))))
                 .collect(),
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use sanddrum::*;
 use sanddrum_edge::{DecisionModule, Edge};
-use sanddrum_lab::checker::judge;
+use sanddrum_lab::checker::check_log;
 use sanddrum_lab::recorder::{Log, Run, Try};
 use sanddrum_lab::{play_virtually, product_edge, MakeEdge, Scenario};
 use sanddrum_net::{Core, Event, FileError, Io};
@@ -156,7 +156,7 @@
     assert!(good.is_good(), "{}", good.text());
     let bad = play_virtually(scenario, broken_edge(how)).unwrap();
     assert!(
-        bad.verdict.broken.iter().any(|b| b.rule == rule),
+        bad.verdict.violations.iter().any(|b| b.rule == rule),
         "{}",
         bad.text()
     );
@@ -196,9 +196,9 @@
         workload,
         answers: vec![],
     }));
-    let verdict = judge(&log, &scenario, 0, 100_000);
+    let verdict = check_log(&log, &scenario, 0, 100_000);
     assert_eq!(
-        verdict.broken.iter().map(|b| b.rule).max().unwrap_or(0),
+        verdict.violations.iter().map(|b| b.rule).max().unwrap_or(0),
         rule
     );
 }
@@ -250,7 +250,7 @@
     let scenario = Scenario::read("keys.sx", text, 1).unwrap();
     let good = play_virtually(scenario.clone(), product_edge()).unwrap();
     assert!(
-        good.is_good() && good.verdict.pushed_back > 20,
+        good.is_good() && good.verdict.rejected > 20,
         "{}",
         good.text()
     );
@@ -263,9 +263,9 @@
     let bad = play_virtually(scenario, deaf).unwrap();
     assert!(
         bad.verdict
-            .broken
+            .violations
             .iter()
-            .any(|b| b.what.contains("revoked key")),
+            .any(|b| b.description.contains("revoked key")),
         "{}",
         bad.text()
     );
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker alone, on traffic written down by hand.
 
 use rstest::rstest;
-use sanddrum_lab::checker::judge;
+use sanddrum_lab::checker::check_log;
 use sanddrum_lab::cold;
 use sanddrum_lab::recorder::{LoadCommand, Log, Run, Try};
 use sanddrum_lab::{Scenario, SchedulingDelays, OURS};
@@ -41,8 +41,8 @@
         ..Log::default()
     };
     let scenario = Scenario::read("story", RATION, 1).unwrap();
-    let verdict = judge(&log, &scenario, 0, 0);
-    assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
+    let verdict = check_log(&log, &scenario, 0, 0);
+    assert_eq!(verdict.violations.len(), broken, "{:?}", verdict.violations);
 }
 
 #[rstest]
@@ -75,8 +75,8 @@
         holds_up: 500_000,
         ..Log::default()
     };
-    let verdict = judge(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 0);
-    assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
+    let verdict = check_log(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 0);
+    assert_eq!(verdict.violations.len(), broken, "{:?}", verdict.violations);
 }
 
 /// A client's time is up after 3 s, at 4 s; its edge is looked at every 50 ms.
@@ -124,13 +124,13 @@
         holds_up: 500_000,
         ..Log::default()
     };
-    let verdict = judge(
+    let verdict = check_log(
         &log,
         &Scenario::read("story", RATION, 1).unwrap(),
         0,
         500_000,
     );
-    assert_eq!(verdict.broken.len(), broken, "{:?}", verdict.broken);
+    assert_eq!(verdict.violations.len(), broken, "{:?}", verdict.violations);
 }
 
 /// Clients of processes stay to see how late an answer comes; one from an edge that stood still is as good as none.
@@ -162,14 +162,14 @@
         holds_up: 500_000,
         ..Log::default()
     };
-    let verdict = judge(
+    let verdict = check_log(
         &log,
         &Scenario::read("story", RATION, 1).unwrap(),
         0,
         500_000,
     );
     assert_eq!(
-        (verdict.broken.len(), verdict.lost_with_edge),
+        (verdict.violations.len(), verdict.lost_with_edge),
         (broken, 1 - broken as u64)
     );
 }
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -63,7 +63,7 @@
     .unwrap();
     assert!(outcome.is_good(), "{}", outcome.text());
     assert!(
-        outcome.verdict.finished > 1000 && outcome.verdict.pushed_back > 50,
+        outcome.verdict.finished > 1000 && outcome.verdict.rejected > 50,
         "{}",
         outcome.text()
     );
