--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -127,7 +127,9 @@
         let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
         let reading = waited(1, t.sent, t.sent + ahead);
         let reading = waited(1, t.sent, t.sent + reading.max(ahead));
-        self.slack - self.log.holds_up + reading + waited(2, t.sent + t.limit - ahead, came)
+        self.slack - self.log.max_scheduling_delay
+            + reading
+            + waited(2, t.sent + t.limit - ahead, came)
     }
     /// Rule 1, and the account.
     fn answers(&mut self, start: Micros) -> Verdict {
@@ -185,7 +187,7 @@
                     verdict.lost_with_edge += 1
                 }
                 // Its client left before the machine let an edge answer: it was not taken.
-                None if t.limit < self.log.holds_up => verdict.accepted -= 1,
+                None if t.limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
                 None => {
                     let at = t.broken.unwrap_or(t.sent + t.limit);
                     self.add_violation(
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -19,25 +19,25 @@
     /// Starts what was killed; workers come back cold.
     fn start(&mut self, who: Who) -> io::Result<()>;
     fn freeze(&mut self, who: Who, frozen: bool);
-    fn tear(&mut self, who: Who);
+    fn reset_on_next_write(&mut self, who: Who);
     /// Something is wrong with the links of one to another, or no more.
-    fn bend(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()>;
+    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()>;
     /// The connections of one to another break.
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()>;
     /// What it kept for its next start is lost.
-    fn forget(&mut self, who: Who);
+    fn clear_saved_state(&mut self, who: Who);
     /// It is asked to end in order.
-    fn ask_to_end(&mut self, who: Who);
+    fn shut_down(&mut self, who: Who);
     /// The key set has changed: edges get it.
-    fn spread_keys(&mut self) -> io::Result<()>;
+    fn distribute_keys(&mut self) -> io::Result<()>;
     /// Certificates or roots have changed: workers and edges get them, one file after the other.
-    fn spread_papers(&mut self) -> io::Result<()>;
+    fn distribute_certificates(&mut self) -> io::Result<()>;
     /// Every call has ended.
-    fn calls_are_over(&self) -> bool;
+    fn is_traffic_finished(&self) -> bool;
     /// The longest that a message is on its way here.
     fn slack(&self) -> Micros;
     /// For how long the machine may hold a process up here: what a client waited for less long tells nothing.
-    fn holds_up(&self) -> Micros {
+    fn max_scheduling_delay(&self) -> Micros {
         0
     }
 }
@@ -68,13 +68,13 @@
         recording: &Recording,
         make_edge: MakeEdge,
     ) -> io::Result<Self> {
-        Self::seen_by(scenario, links, recording, make_edge, None)
+        Self::with_ground_truth(scenario, links, recording, make_edge, None)
     }
     /// The same with somebody who sees what is true of the workers.
     ///
     /// # Errors
     /// The scenario can't be set up.
-    pub fn seen_by(
+    pub fn with_ground_truth(
         scenario: Scenario,
         links: LinkModel,
         recording: &Recording,
@@ -213,11 +213,11 @@
         self.give_keys(who);
         Ok(())
     }
-    fn spread_keys(&mut self) -> io::Result<()> {
+    fn distribute_keys(&mut self) -> io::Result<()> {
         (0..self.fleet.scenario.edges).for_each(|n| self.give_keys(Who::Edge(n)));
         Ok(())
     }
-    fn spread_papers(&mut self) -> io::Result<()> {
+    fn distribute_certificates(&mut self) -> io::Result<()> {
         let roots = self.fleet.roots();
         for n in 0..self.fleet.scenario.edges {
             if let Some(host) = self.hosts.get(&Who::Edge(n)) {
@@ -227,7 +227,7 @@
         for n in 0..self.fleet.scenario.workers {
             let (chain, key) = self
                 .fleet
-                .worker_papers(n)?
+                .worker_tls_material(n)?
                 .certified_key
                 .unwrap_or_default();
             if let Some(host) = self.hosts.get(&Who::Worker(n)) {
@@ -237,25 +237,25 @@
         }
         Ok(())
     }
-    fn bend(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
         let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
             return Ok(());
         };
         let (there, back) = match fault {
             None => (None, None),
             Some(Fault::Delay(delay)) => {
-                let bend = Some(LinkFault {
+                let both = Some(LinkFault {
                     delay,
                     ..LinkFault::default()
                 });
-                (bend, bend)
+                (both, both)
             }
             Some(Fault::Slow(per_s)) => {
-                let bend = Some(LinkFault {
+                let both = Some(LinkFault {
                     bytes_per_second: per_s,
                     ..LinkFault::default()
                 });
-                (bend, bend)
+                (both, both)
             }
             Some(Fault::SilentTo) => (
                 Some(LinkFault {
@@ -272,11 +272,11 @@
                 }),
             ),
             Some(Fault::Unanswered) => {
-                let bend = Some(LinkFault {
+                let both = Some(LinkFault {
                     holds_data: true,
                     ..LinkFault::default()
                 });
-                (bend, bend)
+                (both, both)
             }
             Some(Fault::Refused) => (
                 Some(LinkFault {
@@ -300,12 +300,12 @@
         }
         Ok(())
     }
-    fn forget(&mut self, who: Who) {
+    fn clear_saved_state(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
             self.net.clear_saved_state(*host);
         }
     }
-    fn ask_to_end(&mut self, who: Who) {
+    fn shut_down(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
             self.net.shut_down(*host);
         }
@@ -315,12 +315,12 @@
             self.net.freeze(*host, frozen);
         }
     }
-    fn tear(&mut self, who: Who) {
+    fn reset_on_next_write(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
             self.net.reset_on_next_write(*host);
         }
     }
-    fn calls_are_over(&self) -> bool {
+    fn is_traffic_finished(&self) -> bool {
         self.hosts
             .get(&Who::Callers)
             .is_none_or(|host| self.net.is_core_done(*host))
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -126,8 +126,13 @@
         };
         let recording = Recording::default();
         let truth = sees_all.then_some(truth);
-        let mut stage =
-            VirtualEnvironment::seen_by(scenario, LinkModel::default(), &recording, make, truth)?;
+        let mut stage = VirtualEnvironment::with_ground_truth(
+            scenario,
+            LinkModel::default(),
+            &recording,
+            make,
+            truth,
+        )?;
         Ok(Figures::of(&play(&mut stage, &recording)?))
     }
     /// Runs every variant on every seed, on as many threads as are given; `told` hears how many are done. The figures by
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -181,7 +181,7 @@
         if self.authority.is_none() {
             return Ok(Box::new(worker));
         }
-        let papers = self.worker_papers(n)?;
+        let papers = self.worker_tls_material(n)?;
         // Recorded within its TLS, under a host beyond those of any driver.
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
@@ -204,7 +204,7 @@
     ///
     /// # Errors
     /// No certificate can be made for it.
-    pub fn worker_papers(&mut self, n: usize) -> std::io::Result<TlsMaterial> {
+    pub fn worker_tls_material(&mut self, n: usize) -> std::io::Result<TlsMaterial> {
         let Some(authority) = &self.authority else {
             return Ok(TlsMaterial::default());
         };
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -452,12 +452,12 @@
     fn freeze(&mut self, who: Who, frozen: bool) {
         self.signal(who, if frozen { Signal::STOP } else { Signal::CONT });
     }
-    fn tear(&mut self, who: Who) {
+    fn reset_on_next_write(&mut self, who: Who) {
         if let Some(door) = self.doors.get(&who) {
             door.steering.borrow_mut().reset(None);
         }
     }
-    fn bend(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
         let whom = Self::caller(from);
         if let Some(door) = self.door(from, to) {
             door.steering.borrow_mut().set(whom.as_deref(), fault);
@@ -471,24 +471,24 @@
         }
         Ok(())
     }
-    fn forget(&mut self, who: Who) {
+    fn clear_saved_state(&mut self, who: Who) {
         let _ = std::fs::remove_file(self.file(who, "state"));
     }
-    fn ask_to_end(&mut self, who: Who) {
+    fn shut_down(&mut self, who: Who) {
         self.signal(who, Signal::TERM);
         self.ending.insert(who);
     }
-    fn spread_keys(&mut self) -> io::Result<()> {
+    fn distribute_keys(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn spread_papers(&mut self) -> io::Result<()> {
+    fn distribute_certificates(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn calls_are_over(&self) -> bool {
+    fn is_traffic_finished(&self) -> bool {
         self.callers
             .is_none_or(|host| self.driver.is_core_done(host))
     }
-    fn holds_up(&self) -> Micros {
+    fn max_scheduling_delay(&self) -> Micros {
         SLACK
     }
     fn slack(&self) -> Micros {
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -86,7 +86,7 @@
     /// When edges stood still, likewise: they answer nobody meanwhile, and remember all.
     pub stopped: Vec<(String, Micros, Option<Micros>)>,
     /// The machine may hold a process up for so long.
-    pub holds_up: Micros,
+    pub max_scheduling_delay: Micros,
     /// How long it did, edges by their names; empty where nobody looked.
     pub waits: BTreeMap<String, SchedulingDelays>,
     /// Keys that were revoked, and from when on no edge takes a call under them.
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -97,7 +97,7 @@
         acts: Vec::new(),
     };
     player.all()?;
-    recording.0.borrow_mut().log.holds_up = player.stage.holds_up();
+    recording.0.borrow_mut().log.max_scheduling_delay = player.stage.max_scheduling_delay();
     let acts = player.acts;
     let recorder = recording.0.borrow();
     let verdict = check_log(&recorder.log, &scenario, start, slack);
@@ -143,11 +143,11 @@
                 if trouble.kind.starts_with("key-") {
                     self.change_keys(&trouble)?;
                 }
-                self.change_papers(&trouble, &targets[n], true)?;
+                self.change_certificates(&trouble, &targets[n], true)?;
             } else {
                 let whom = std::mem::take(&mut targets[n]);
                 self.end(&trouble, &whom)?;
-                self.change_papers(&trouble, &whom, false)?;
+                self.change_certificates(&trouble, &whom, false)?;
                 self.struck.retain(|who| !whom.contains(who));
             }
         }
@@ -160,7 +160,7 @@
             .max()
             .unwrap_or(0);
         let last = self.stage.now() + longest + AFTER;
-        while !self.stage.calls_are_over() && self.stage.now() < last {
+        while !self.stage.is_traffic_finished() && self.stage.now() < last {
             let next = self.stage.now() + 20_000;
             self.stage.run_until(next)?;
         }
@@ -268,7 +268,7 @@
     }
 
     /// Certificates and roots change; impostors come and go as workers that start anew.
-    fn change_papers(&mut self, t: &Trouble, whom: &[Who], begins: bool) -> io::Result<()> {
+    fn change_certificates(&mut self, t: &Trouble, whom: &[Who], begins: bool) -> io::Result<()> {
         match (t.kind.as_str(), begins) {
             ("certificates", true) => self.stage.fleet().renew_leaves(),
             ("roots", _) => self.stage.fleet().change_authority(begins)?,
@@ -287,7 +287,7 @@
             }
             _ => return Ok(()),
         }
-        self.stage.spread_papers()
+        self.stage.distribute_certificates()
     }
 
     fn change_keys(&mut self, t: &Trouble) -> io::Result<()> {
@@ -314,7 +314,7 @@
                 .map(|(kid, at)| (kid.clone(), at + bound));
             self.recording.0.borrow_mut().log.revoked = revoked.collect();
         }
-        self.stage.spread_keys()
+        self.stage.distribute_keys()
     }
 
     /// The links of these, as calling sides or as those called by the clients.
@@ -350,13 +350,13 @@
         match t.kind.as_str() {
             "crash" | "edge-crash" | "edge-anew" | "zone-loss" => self.kill(whom),
             "edge-end" => {
-                whom.iter().for_each(|who| self.stage.ask_to_end(*who));
+                whom.iter().for_each(|who| self.stage.shut_down(*who));
                 self.log_down(whom);
             }
             "list-stop" => self.stage.freeze(Who::List, true),
             "link" => {
                 for (from, to) in self.links(t, whom) {
-                    self.stage.bend(from, to, Some(t.fault))?;
+                    self.stage.set_link_fault(from, to, Some(t.fault))?;
                 }
             }
             "link-break" => {
@@ -378,7 +378,9 @@
             "garble" => self.faults(whom, |f| f.garble_once = true),
             "drain" => self.faults(whom, |f| f.is_draining = true),
             "flush" => self.faults(whom, |f| f.invalidate_once = true),
-            "tear" => whom.iter().for_each(|who| self.stage.tear(*who)),
+            "tear" => whom
+                .iter()
+                .for_each(|who| self.stage.reset_on_next_write(*who)),
             "store-stall" => self.stage.fleet().store.borrow_mut().is_stalled = true,
             "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = true,
             "list-away" => self.kill(&[Who::List]),
@@ -415,7 +417,8 @@
                 self.bring_back(whom)?
             }
             "edge-anew" => {
-                whom.iter().for_each(|who| self.stage.forget(*who));
+                whom.iter()
+                    .for_each(|who| self.stage.clear_saved_state(*who));
                 self.bring_back(whom)?;
             }
             "edge-stop" => {
@@ -431,7 +434,7 @@
             "list-stop" => self.stage.freeze(Who::List, false),
             "link" => {
                 for (from, to) in self.links(t, whom) {
-                    self.stage.bend(from, to, None)?;
+                    self.stage.set_link_fault(from, to, None)?;
                 }
             }
             "hang" => self.faults(whom, |f| f.is_hung = false),
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -102,8 +102,8 @@
             children: BTreeMap::new(),
             folder,
         };
-        stage.spread_keys()?;
-        stage.spread_papers()?;
+        stage.distribute_keys()?;
+        stage.distribute_certificates()?;
         let all = (0..workers)
             .map(Who::Worker)
             .chain((0..edges).map(Who::Edge));
@@ -372,7 +372,7 @@
         }
         Ok(())
     }
-    fn spread_keys(&mut self) -> io::Result<()> {
+    fn distribute_keys(&mut self) -> io::Result<()> {
         let Some(keys) = self.fleet.keys() else {
             return Ok(());
         };
@@ -380,7 +380,7 @@
         std::fs::write(&beside, keys)?;
         std::fs::rename(&beside, &file)
     }
-    fn spread_papers(&mut self) -> io::Result<()> {
+    fn distribute_certificates(&mut self) -> io::Result<()> {
         if self.fleet.authority.is_none() {
             return Ok(());
         }
@@ -393,7 +393,7 @@
         for n in 0..self.fleet.scenario.workers {
             let (chain, key) = self
                 .fleet
-                .worker_papers(n)?
+                .worker_tls_material(n)?
                 .certified_key
                 .unwrap_or_default();
             write(format!("{}.pem", Scenario::worker_name(n)), &chain)?;
@@ -401,20 +401,20 @@
         }
         Ok(())
     }
-    fn bend(&mut self, _: Who, _: Who, _: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(&mut self, _: Who, _: Who, _: Option<Fault>) -> io::Result<()> {
         Err(io::Error::other(
             "links are steered by lab fleet, and by lab run --virtual",
         ))
     }
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
-        self.bend(from, to, None)
+        self.set_link_fault(from, to, None)
     }
-    fn forget(&mut self, who: Who) {
+    fn clear_saved_state(&mut self, who: Who) {
         self.state_file(who)
             .iter()
             .for_each(|file| drop(std::fs::remove_file(file)));
     }
-    fn ask_to_end(&mut self, who: Who) {
+    fn shut_down(&mut self, who: Who) {
         if let (Who::Edge(n), EdgesAs::Processes(_)) = (who, &self.edges_as) {
             self.children
                 .get(&n)
@@ -434,12 +434,12 @@
             self.driver.freeze(*host, frozen);
         }
     }
-    fn tear(&mut self, who: Who) {
+    fn reset_on_next_write(&mut self, who: Who) {
         if let Some(host) = self.hosts.get(&who) {
             self.driver.reset_on_next_write(*host);
         }
     }
-    fn calls_are_over(&self) -> bool {
+    fn is_traffic_finished(&self) -> bool {
         self.hosts
             .get(&Who::Callers)
             .is_none_or(|host| self.driver.is_core_done(*host))
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -72,7 +72,7 @@
     let log = Log {
         tries,
         stopped,
-        holds_up: 500_000,
+        max_scheduling_delay: 500_000,
         ..Log::default()
     };
     let verdict = check_log(&log, &Scenario::read("story", RATION, 1).unwrap(), 0, 0);
@@ -121,7 +121,7 @@
     let log = Log {
         tries,
         waits,
-        holds_up: 500_000,
+        max_scheduling_delay: 500_000,
         ..Log::default()
     };
     let verdict = check_log(
@@ -159,7 +159,7 @@
         tries,
         stopped,
         waits,
-        holds_up: 500_000,
+        max_scheduling_delay: 500_000,
         ..Log::default()
     };
     let verdict = check_log(
