--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -18,17 +18,17 @@
     pub virtual_time: bool,
     pub digest: u64,
     /// What was done when, in words.
-    pub acts: Vec<(Micros, String)>,
+    pub timeline: Vec<(Micros, String)>,
     pub runs: usize,
     pub load_commands: usize,
     /// What fell on the list service and on workers.
-    pub harm: Value,
+    pub peak_load: Value,
     /// How the edges behaved as one.
-    pub whole: Value,
+    pub fleet_summary: Value,
 }
 
 /// What fell on the list service and on the worst worker in their worst seconds, from all edges together.
-fn harm(log: &Log) -> Value {
+fn peak_load(log: &Log) -> Value {
     json!({
         "list": {
             "calls": log.worst(true, |l| l.calls),
@@ -51,7 +51,7 @@
     scenario: Scenario,
     start: Micros,
     struck: BTreeSet<Who>,
-    acts: Vec<(Micros, String)>,
+    timeline: Vec<(Micros, String)>,
 }
 
 /// Calls that are still open when no more are made get this much longer than their time limits.
@@ -94,16 +94,16 @@
         scenario: scenario.clone(),
         start,
         struck: BTreeSet::new(),
-        acts: Vec::new(),
+        timeline: Vec::new(),
     };
     player.all()?;
     recording.0.borrow_mut().log.max_scheduling_delay = player.stage.max_scheduling_delay();
-    let acts = player.acts;
+    let acts = player.timeline;
     let recorder = recording.0.borrow();
     let verdict = check_log(&recorder.log, &scenario, start, slack);
     let (runs, orders) = (recorder.log.runs.len(), recorder.log.load_commands.len());
-    let (harm, whole) = (
-        harm(&recorder.log),
+    let (peak_load, whole) = (
+        peak_load(&recorder.log),
         crate::fleet_summary::of(&recorder.log, &scenario),
     );
     Ok(Outcome {
@@ -111,11 +111,11 @@
         seed,
         virtual_time: false,
         digest: recorder.digest(),
-        acts,
+        timeline: acts,
         runs,
         load_commands: orders,
-        harm,
-        whole,
+        peak_load,
+        fleet_summary: whole,
     })
 }
 
@@ -218,7 +218,7 @@
             format!(" {whom:?}")
         };
         tracing::info!(at_ms = now / 1000, "{what}{whom}");
-        self.acts.push((now, format!("{what}{whom}")));
+        self.timeline.push((now, format!("{what}{whom}")));
     }
     fn faults(&mut self, whom: &[Who], set: impl Fn(&mut sanddrum_emulator::WorkerFaults)) {
         for who in whom {
@@ -498,8 +498,8 @@
                 (name.clone(), json!((*in_time as f64 / (*asked).max(1) as f64 * 1e4).round() / 1e4))
             }).collect::<serde_json::Map<String, Value>>(),
             "seconds": v.seconds,
-            "worst_second": self.harm,
-            "whole": self.whole,
+            "worst_second": self.peak_load,
+            "whole": self.fleet_summary,
             "seed": self.seed,
         });
         if self.virtual_time {
@@ -518,7 +518,7 @@
         use std::fmt::Write;
         let v = &self.verdict;
         let mut out = String::new();
-        for (at, act) in &self.acts {
+        for (at, act) in &self.timeline {
             let _ = writeln!(out, "  {:7.3} s  {act}", *at as f64 / 1e6);
         }
         let _ = writeln!(out, "service a second (calls in time of calls begun):");
@@ -537,7 +537,10 @@
             "executions {}, orders to load {}",
             self.runs, self.load_commands
         );
-        let (each, edges) = (&self.whole["for_each_finished"], &self.whole["edges"]);
+        let (each, edges) = (
+            &self.fleet_summary["for_each_finished"],
+            &self.fleet_summary["edges"],
+        );
         let _ = writeln!(
             out,
             "for each finished job {} executions ({} misses), {} probes, {} asks, {} orders, {} handshakes",
@@ -551,9 +554,9 @@
         let _ = writeln!(
             out,
             "importance turned away while less dear work was served: {} of it; edges served from {} to {}",
-            self.whole["inversions"], edges["worst"], edges["best"]
+            self.fleet_summary["inversions"], edges["worst"], edges["best"]
         );
-        let (list, worker) = (&self.harm["list"], &self.harm["worker"]);
+        let (list, worker) = (&self.peak_load["list"], &self.peak_load["worker"]);
         let _ = writeln!(
             out,
             "worst second of the list service: {} calls, {} bytes (whole lists in all: {})",
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -52,9 +52,9 @@
             .map(|(begun, in_time)| f64::from(*in_time) / f64::from((*begun).max(1)))
             .collect();
         let low = seconds.iter().rposition(|part| *part < NEARLY_ALL);
-        let worst = WORST
-            .iter()
-            .map(|(name, whose, key)| (*name, outcome.harm[whose][key].as_f64().unwrap_or(0.0)));
+        let worst = WORST.iter().map(|(name, whose, key)| {
+            (*name, outcome.peak_load[whose][key].as_f64().unwrap_or(0.0))
+        });
         Run {
             service: outcome.verdict.service,
             from: low.map_or(0.0, |n| n as f64 + 1.0),
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -99,7 +99,7 @@
         outcome.text()
     );
     let (at, act) = outcome
-        .acts
+        .timeline
         .iter()
         .find(|(_, act)| act.starts_with("impostor begins"))
         .unwrap();
