--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -26,18 +26,18 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct ScriptedFault {
     pub kind: String,
     pub at: Micros,
-    pub length: Micros,
-    pub part: Option<f64>,
+    pub duration: Micros,
+    pub fraction: Option<f64>,
     pub count: Option<usize>,
     pub zone: Option<String>,
     pub size: f64,
     /// A link's two sides, the zone that its other side is in, and what is wrong with it.
     pub link: (String, String),
     pub to_zone: Option<String>,
-    pub fault: Fault,
+    pub link_fault: Fault,
 }
 
 #[derive(Clone, Debug)]
@@ -50,10 +50,10 @@
     pub edges: usize,
     pub length: Micros,
     pub calls: Vec<Calls>,
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<ScriptedFault>,
 }
 
-fn fault(name: &str, size: f64) -> Fault {
+fn link_fault(name: &str, size: f64) -> Fault {
     match name {
         "delay" => Fault::Delay((size * 1e6) as Micros),
         "silent-to" => Fault::SilentTo,
@@ -171,7 +171,7 @@
                 "add (calls \"a-workload\" (share 1) (work 30ms))",
             ));
         }
-        let mut troubles = Vec::new();
+        let mut faults = Vec::new();
         for n in 0..l.count("troubles") {
             let at = |key: &str| format!("troubles.{n}.{key}");
             let kind = l.text(&at("name")).to_string();
@@ -190,10 +190,10 @@
                     "add (zone \"...\")",
                 ));
             }
-            troubles.push(Trouble {
+            faults.push(ScriptedFault {
                 at: l.duration_us(&at("at-us")),
-                length: l.duration_us(&at("length-us")),
-                part: l.contains(&at("part")).then(|| l.number(&at("part"))),
+                duration: l.duration_us(&at("length-us")),
+                fraction: l.contains(&at("part")).then(|| l.number(&at("part"))),
                 count: l.contains(&at("count")).then(|| l.integer(&at("count"))),
                 link: (
                     l.text(&at("from")).to_string(),
@@ -202,7 +202,7 @@
                 to_zone: l
                     .contains(&at("to-zone"))
                     .then(|| l.text(&at("to-zone")).to_string()),
-                fault: fault(l.text(&at("fault")), l.number(&at("size"))),
+                link_fault: link_fault(l.text(&at("fault")), l.number(&at("size"))),
                 size: l.number(&at("size")),
                 kind,
                 zone,
@@ -215,7 +215,7 @@
             edges: l.integer("fleet.edges"),
             length: l.duration_us("traffic.length-us"),
             calls,
-            troubles,
+            faults,
             text: text.to_string(),
             settings: l,
         })
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Who;
 use crate::recorder::{Log, Recording};
 use crate::relay::Fault;
-use crate::scenario::{Scenario, Trouble};
+use crate::scenario::{Scenario, ScriptedFault};
 use sanddrum_net::{Micros, Rng};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -83,7 +83,7 @@
     let scenario = stage.fleet().scenario.clone();
     let start = stage.now();
     // What a message takes on its way, over links that are made late as well.
-    let late = scenario.troubles.iter().map(|t| match t.fault {
+    let late = scenario.faults.iter().map(|t| match t.link_fault {
         Fault::Delay(by) if t.kind == "link" => by,
         _ => 0,
     });
@@ -122,21 +122,21 @@
 impl Player<'_> {
     fn all(&mut self) -> io::Result<()> {
         let mut ahead: Vec<(Micros, bool, usize)> = Vec::new();
-        for (n, t) in self.scenario.troubles.iter().enumerate() {
+        for (n, t) in self.scenario.faults.iter().enumerate() {
             ahead.push((t.at, true, n));
-            ahead.push((t.at + t.length, false, n));
+            ahead.push((t.at + t.duration, false, n));
         }
         ahead.sort_by_key(|(at, begins, n)| (*at, *begins, *n));
-        let mut targets: Vec<Vec<Who>> = vec![Vec::new(); self.scenario.troubles.len()];
+        let mut targets: Vec<Vec<Who>> = vec![Vec::new(); self.scenario.faults.len()];
         for (at, begins, n) in ahead {
             if at > self.scenario.length && begins {
                 continue;
             }
             self.stage.run_until(self.start + at)?;
-            let trouble = self.scenario.troubles[n].clone();
+            let trouble = self.scenario.faults[n].clone();
             if begins {
                 targets[n] = self.targets(n, &trouble);
-                if trouble.length > 0 && !AT_ONCE.contains(&trouble.kind.as_str()) {
+                if trouble.duration > 0 && !AT_ONCE.contains(&trouble.kind.as_str()) {
                     self.struck.extend(&targets[n]);
                 }
                 self.begin(&trouble, &targets[n])?;
@@ -169,7 +169,7 @@
         self.stage.run_until(next)
     }
 
-    fn targets(&self, n: usize, t: &Trouble) -> Vec<Who> {
+    fn targets(&self, n: usize, t: &ScriptedFault) -> Vec<Who> {
         if NOBODYS.contains(&t.kind.as_str()) {
             return Vec::new();
         }
@@ -195,9 +195,9 @@
             .filter(|w| !self.struck.contains(w))
             .collect();
         let all = ["zone-loss", "flush", "link", "link-break"].contains(&t.kind.as_str())
-            && t.part.is_none()
+            && t.fraction.is_none()
             && t.count.is_none();
-        let wanted = match (t.count, t.part) {
+        let wanted = match (t.count, t.fraction) {
             (Some(count), _) => count,
             (None, Some(part)) => ((fit.len() as f64 * part).round() as usize).max(1),
             _ if all => fit.len(),
@@ -268,7 +268,12 @@
     }
 
     /// Certificates and roots change; impostors come and go as workers that start anew.
-    fn change_certificates(&mut self, t: &Trouble, whom: &[Who], begins: bool) -> io::Result<()> {
+    fn change_certificates(
+        &mut self,
+        t: &ScriptedFault,
+        whom: &[Who],
+        begins: bool,
+    ) -> io::Result<()> {
         match (t.kind.as_str(), begins) {
             ("certificates", true) => self.stage.fleet().renew_leaves(),
             ("roots", _) => self.stage.fleet().change_authority(begins)?,
@@ -290,13 +295,13 @@
         self.stage.distribute_certificates()
     }
 
-    fn change_keys(&mut self, t: &Trouble) -> io::Result<()> {
+    fn change_keys(&mut self, t: &ScriptedFault) -> io::Result<()> {
         let now = self.stage.now();
         if let Some(wallet) = self.stage.fleet().wallet.clone() {
             let mut wallet = wallet.borrow_mut();
             match t.kind.as_str() {
                 "key-new" => wallet.add(),
-                "key-rotate" => wallet.rotate(now, t.length),
+                "key-rotate" => wallet.rotate(now, t.duration),
                 _ => wallet.revoke(now),
             }
             let reach = self
@@ -318,7 +323,7 @@
     }
 
     /// The links of these, as calling sides or as those called by the clients.
-    fn links(&self, t: &Trouble, whom: &[Who]) -> Vec<(Who, Who)> {
+    fn links(&self, t: &ScriptedFault, whom: &[Who]) -> Vec<(Who, Who)> {
         let zone = |n: &usize| {
             t.to_zone
                 .as_ref()
@@ -344,7 +349,7 @@
             .collect()
     }
 
-    fn begin(&mut self, t: &Trouble, whom: &[Who]) -> io::Result<()> {
+    fn begin(&mut self, t: &ScriptedFault, whom: &[Who]) -> io::Result<()> {
         self.act(&format!("{} begins", t.kind), whom);
         let size = t.size;
         match t.kind.as_str() {
@@ -356,7 +361,7 @@
             "list-stop" => self.stage.freeze(Who::List, true),
             "link" => {
                 for (from, to) in self.links(t, whom) {
-                    self.stage.set_link_fault(from, to, Some(t.fault))?;
+                    self.stage.set_link_fault(from, to, Some(t.link_fault))?;
                 }
             }
             "link-break" => {
@@ -411,7 +416,7 @@
         Ok(())
     }
 
-    fn end(&mut self, t: &Trouble, whom: &[Who]) -> io::Result<()> {
+    fn end(&mut self, t: &ScriptedFault, whom: &[Who]) -> io::Result<()> {
         match t.kind.as_str() {
             "crash" | "edge-crash" | "edge-end" | "zone-loss" | "silent" | "drain" => {
                 self.bring_back(whom)?
