--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -193,7 +193,7 @@
     let names: Vec<String> = scenario
         .calls
         .iter()
-        .map(|c| format!("{}/{}1", c.workload, c.prefix))
+        .map(|c| format!("{}/{}1", c.workload, c.function_prefix))
         .collect();
     let kept = || -> Result<(), String> {
         let folder = Folder::new().map_err(|e| e.to_string())?;
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -153,18 +153,18 @@
             .chance
             .random_bool(traffic_overrides.hot_function_fraction)
         {
-            format!("{}hot-{}", what.prefix, self.chance.index(HOT))
+            format!("{}hot-{}", what.function_prefix, self.chance.index(HOT))
         } else {
             format!(
                 "{}{}",
-                what.prefix,
+                what.function_prefix,
                 Self::pick(&mut self.chance, &self.popularity)
             )
         };
         let work = self
             .chance
-            .exponential(what.work as f64)
-            .min(what.work as f64 * 6.0)
+            .exponential(what.mean_work as f64)
+            .min(what.mean_work as f64 * 6.0)
             .max(100.0) as Micros;
         let l = &self.scenario.settings;
         let shares: Vec<f64> = (0..l.count("customers"))
@@ -235,8 +235,8 @@
         }
         // A hint is right within a factor of two or so.
         let hint = (call.work as f64 * (0.5 + self.chance.next_f64() * 1.5)) as Micros;
-        let hint = if what.exact { call.work } else { hint }.to_string();
-        if what.hints || what.exact {
+        let hint = if what.exact_hints { call.work } else { hint }.to_string();
+        if what.hints || what.exact_hints {
             fields.push(("sanddrum-work-us", &hint));
         }
         if call.tries > 0 {
--- a/crates/sanddrum-lab/src/capacity/real.rs
+++ b/crates/sanddrum-lab/src/capacity/real.rs
@@ -134,7 +134,7 @@
     scenario
         .calls
         .iter_mut()
-        .for_each(|calls| calls.exact = true);
+        .for_each(|calls| calls.exact_hints = true);
     let seen: Shared = Rc::new(RefCell::new(Seen::default()));
     let (recording, shared) = (Recording::default(), seen.clone());
     let make_edge = move |start: EdgeOptions| -> Box<dyn Core> {
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -1,7 +1,7 @@
 //! Judges the five rules, and that nothing was lost, from recorded traffic alone.
 
 use crate::recorder::{Log, Run, Try};
-use crate::scenario::{Calls, Scenario};
+use crate::scenario::{Scenario, WorkloadTraffic};
 use crate::scheduling_delay::{SchedulingDelays, OURS};
 use hdrhistogram::Histogram;
 use sanddrum_net::Micros;
@@ -55,7 +55,7 @@
 struct Checker<'a> {
     log: &'a Log,
     scenario: &'a Scenario,
-    workloads: BTreeMap<&'a str, &'a Calls>,
+    workloads: BTreeMap<&'a str, &'a WorkloadTraffic>,
     /// What a message takes on its way at most, for comparing times at two ends.
     slack: Micros,
     violations: Vec<Violation>,
@@ -347,7 +347,7 @@
             .into_iter()
             .for_each(|(at, what)| self.add_violation(2, at, what));
     }
-    fn group(&self, calls: &Calls, worker: usize) -> usize {
+    fn group(&self, calls: &WorkloadTraffic, worker: usize) -> usize {
         match calls.group.as_str() {
             "zone" => self.scenario.zone_of(worker),
             "cell" => worker / self.scenario.settings.integer("fleet.cell-size").max(1),
@@ -425,7 +425,7 @@
                 .filter_map(|r| {
                     self.workloads
                         .get(r.workload.as_str())
-                        .map(|c| (r.came, c.work as f64))
+                        .map(|c| (r.came, c.mean_work as f64))
                 })
                 .collect();
             came.sort_by_key(|(at, _)| *at);
--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -38,7 +38,7 @@
     let mean = scenario
         .calls
         .iter()
-        .map(|c| c.share * c.work as f64)
+        .map(|c| c.share * c.mean_work as f64)
         .sum::<f64>()
         / shares.max(1e-9);
     let work_of = |workload: &str| {
@@ -46,7 +46,7 @@
             .calls
             .iter()
             .find(|c| c.workload == workload)
-            .map(|c| c.work as f64)
+            .map(|c| c.mean_work as f64)
     };
     let worst = |(worker, started): &(usize, Micros)| {
         let spec = scenario.worker(*worker, "", "", "");
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -111,7 +111,7 @@
         scenario
             .calls
             .iter_mut()
-            .for_each(|calls| calls.exact = sees_all);
+            .for_each(|calls| calls.exact_hints = sees_all);
         let truth = Rc::new(RefCell::new(GroundTruth::default()));
         let make: MakeEdge = match variant.decides {
             None => product_edge(),
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -55,7 +55,7 @@
         };
         let second = seconds.entry(at / 1_000_000).or_default();
         second.resize(scenario.calls.len(), Second::default());
-        let work = scenario.calls[n].work as f64;
+        let work = scenario.calls[n].mean_work as f64;
         match status {
             200 => second[n].served += work,
             503 => second[n].turned_away += work,
@@ -63,7 +63,8 @@
         }
     }
     // What a microsecond of a workload's work earns.
-    let earns = |n: &usize| scenario.calls[*n].importance / scenario.calls[*n].work.max(1) as f64;
+    let earns =
+        |n: &usize| scenario.calls[*n].importance / scenario.calls[*n].mean_work.max(1) as f64;
     let mut dearest: Vec<usize> = (0..scenario.calls.len()).collect();
     dearest.sort_by(|a, b| earns(b).total_cmp(&earns(a)));
     let (mut inverted, mut all) = (0.0, 0.0);
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -55,7 +55,7 @@
 pub use reconnect_load::{storm, ReconnectLoad, ReconnectLoadSpec};
 pub use recorder::Recording;
 pub use relay::{Fault, Greets, Relay, Steering};
-pub use scenario::{Calls, Scenario, ScriptedFault};
+pub use scenario::{Scenario, ScriptedFault, WorkloadTraffic};
 pub use scenario_runner::{play, Outcome};
 pub use scheduling_delay::{SchedulingDelays, OURS};
 pub use schema::{kinds, SCENARIO};
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -8,13 +8,13 @@
 use sanddrum_wire::{EndpointRecord, Phase};
 
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct WorkloadTraffic {
     pub workload: String,
     pub share: f64,
-    pub work: Micros,
+    pub mean_work: Micros,
     pub hints: bool,
     /// Hints are the work itself, for an oracle.
-    pub exact: bool,
+    pub exact_hints: bool,
     pub start_target: Micros,
     pub time_limit: Micros,
     pub importance: f64,
@@ -22,7 +22,7 @@
     pub group: String,
     pub repeat_window: Micros,
     /// The functions' common beginning, as set for this workload.
-    pub prefix: String,
+    pub function_prefix: String,
 }
 
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     pub workers: usize,
     pub edges: usize,
     pub length: Micros,
-    pub calls: Vec<Calls>,
+    pub calls: Vec<WorkloadTraffic>,
     pub faults: Vec<ScriptedFault>,
 }
 
@@ -147,18 +147,18 @@
                     "add (function \"a-*\" (workload ...))",
                 ));
             };
-            calls.push(Calls {
+            calls.push(WorkloadTraffic {
                 share: l.number(&at("share")),
-                work: l.duration_us(&at("work-us")),
+                mean_work: l.duration_us(&at("work-us")),
                 hints: l.flag(&at("hints")),
-                exact: false,
+                exact_hints: false,
                 start_target: l.duration_us(&of("start-target-us")),
                 time_limit: l.duration_us(&of("time-limit-us")),
                 importance: l.number(&of("importance")),
                 effect: l.text(&of("effect")).to_string(),
                 group: l.text(&of("group")).to_string(),
                 repeat_window: l.duration_us(&of("repeat-window-us")),
-                prefix: l
+                function_prefix: l
                     .text(&format!("functions.{function}.name"))
                     .trim_end_matches('*')
                     .to_string(),
