--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    hunt::Day, play, play_virtually, product_edge, report, EdgesAs, Environment, Experiment,
-    Outcome, Recording, Scenario, SocketEnvironment, BAD_DAY,
+    hunt::RandomScenario, play, play_virtually, product_edge, report, EdgesAs, Environment,
+    Experiment, Outcome, Recording, Scenario, SocketEnvironment, BAD_DAY,
 };
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Stdio};
@@ -349,21 +349,21 @@
     let began = std::time::Instant::now();
     let (next, played, found) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let one = |seed: u64| -> Result<(), String> {
-        let day = Day::drawn(seed);
-        let (rules, _) = day.breaks().map_err(|e| format!("day {seed}: {e}"))?;
+        let day = RandomScenario::generate(seed);
+        let (rules, _) = day.violations().map_err(|e| format!("day {seed}: {e}"))?;
         played.fetch_add(1, Ordering::Relaxed);
         if rules.is_empty() {
             return Ok(());
         }
         found.fetch_add(1, Ordering::Relaxed);
-        let find = day.shrunk()?;
+        let find = day.shrink()?;
         std::fs::create_dir_all(&args.keep).map_err(|e| e.to_string())?;
         let file = args.keep.join(format!("day-{seed}.sx"));
         std::fs::write(&file, find.text()).map_err(|e| format!("{}: {e}", file.display()))?;
         println!(
             "{}: {} after {} runs",
             file.display(),
-            find.broken.join("; "),
+            find.violations.join("; "),
             find.runs
         );
         Ok(())
--- a/crates/sanddrum-lab/src/hunt.rs
+++ b/crates/sanddrum-lab/src/hunt.rs
@@ -8,17 +8,17 @@
 
 /// A day in parts, so that parts can be taken out.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct RandomScenario {
     pub seed: u64,
-    pub head: Vec<String>,
-    pub troubles: Vec<String>,
+    pub sections: Vec<String>,
+    pub faults: Vec<String>,
 }
 
 /// A day that breaks something.
 #[derive(Clone, Debug)]
-pub struct Find {
-    pub day: Day,
-    pub broken: Vec<String>,
+pub struct Finding {
+    pub scenario: RandomScenario,
+    pub violations: Vec<String>,
     /// Runs that it took to make it small.
     pub runs: usize,
 }
@@ -36,9 +36,9 @@
     ("list-lag", 0.5, 5.0),
 ];
 
-impl Day {
+impl RandomScenario {
     /// A day drawn from a seed.
-    pub fn drawn(seed: u64) -> Day {
+    pub fn generate(seed: u64) -> RandomScenario {
         let mut chance = Rng::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         let pick = |chance: &mut Rng, of: &[&str]| of[chance.index(of.len())].to_string();
         let zones = 1 + chance.index(3);
@@ -58,7 +58,7 @@
             .collect();
         let tls = chance.random_bool(0.15);
         let (share, once) = (chance.next_f64(), chance.next_f64());
-        let mut head = vec![
+        let mut sections = vec![
             format!("(deployment (zones {}))", names.join(" ")),
             "(workload \"re\" (start-target 1s) (time-limit 3s) (effect restartable))".into(),
             format!(
@@ -89,26 +89,26 @@
             format!("(calls \"on\" (share {:.2}) (work {work_ms}ms))", (0.9 - 0.8 * share) * (1.0 - once)),
         ];
         if chance.random_bool(0.4) {
-            head.push("(customer \"one\" (share 60%)) (customer \"two\" (share 30%))".into());
+            sections.push("(customer \"one\" (share 60%)) (customer \"two\" (share 30%))".into());
         }
         if chance.random_bool(0.3) {
-            head.push("(sharing (shares yes))".into());
+            sections.push("(sharing (shares yes))".into());
         }
         if tls {
-            head.push("(tls (workers verified) (roots-file \"roots.pem\"))".into());
+            sections.push("(tls (workers verified) (roots-file \"roots.pem\"))".into());
         }
         let fits = |kind: &&&str| !LEFT_OUT.contains(kind) && (tls || !OF_TLS.contains(kind));
         let fit: Vec<&str> = kinds().iter().filter(fits).copied().collect();
-        let troubles = (0..1 + chance.index(7))
-            .map(|_| Self::trouble(&mut chance, &fit, zones))
+        let faults = (0..1 + chance.index(7))
+            .map(|_| Self::fault(&mut chance, &fit, zones))
             .collect();
-        Day {
+        RandomScenario {
             seed,
-            head,
-            troubles,
+            sections,
+            faults,
         }
     }
-    fn trouble(chance: &mut Rng, fit: &[&str], zones: usize) -> String {
+    fn fault(chance: &mut Rng, fit: &[&str], zones: usize) -> String {
         let kind = fit[chance.index(fit.len())];
         let (at, length) = (chance.index(8000), 200 + chance.index(4000));
         let mut out = format!("(trouble {kind:?} (at {at}ms) (length {length}ms)");
@@ -136,9 +136,9 @@
         out + ")"
     }
     pub fn text(&self) -> String {
-        self.head
+        self.sections
             .iter()
-            .chain(&self.troubles)
+            .chain(&self.faults)
             .fold(String::new(), |text, line| text + line + "\n")
     }
     /// Plays it.
@@ -150,7 +150,7 @@
         play_virtually(scenario, product_edge()).map_err(|e| e.to_string())
     }
     /// Which rules it breaks; nought stands for an account that does not add up.
-    pub fn breaks(&self) -> Result<(BTreeSet<u8>, Vec<String>), String> {
+    pub fn violations(&self) -> Result<(BTreeSet<u8>, Vec<String>), String> {
         let outcome = self.play()?;
         let mut rules: BTreeSet<u8> = outcome.verdict.violations.iter().map(|b| b.rule).collect();
         let mut told: Vec<String> = outcome
@@ -170,28 +170,28 @@
     ///
     /// # Errors
     /// It can't be played.
-    pub fn shrunk(self) -> Result<Find, String> {
-        self.shrunk_by(Day::breaks)
+    pub fn shrink(self) -> Result<Finding, String> {
+        self.shrink_with(RandomScenario::violations)
     }
     /// The same with another judge.
     ///
     /// # Errors
     /// The judge can't judge the whole day.
-    pub fn shrunk_by(
+    pub fn shrink_with(
         mut self,
-        breaks: impl Fn(&Day) -> Result<(BTreeSet<u8>, Vec<String>), String>,
-    ) -> Result<Find, String> {
+        breaks: impl Fn(&RandomScenario) -> Result<(BTreeSet<u8>, Vec<String>), String>,
+    ) -> Result<Finding, String> {
         let (rules, mut broken) = breaks(&self)?;
         let mut runs = 1;
         let mut gone_on = true;
         while gone_on {
             gone_on = false;
-            let (heads, troubles) = (self.head.len(), self.troubles.len());
-            for n in (0..heads + troubles).rev() {
+            let (sections, faults) = (self.sections.len(), self.faults.len());
+            for n in (0..sections + faults).rev() {
                 let mut less = self.clone();
-                match n.checked_sub(heads) {
-                    Some(n) => drop(less.troubles.remove(n)),
-                    None => drop(less.head.remove(n)),
+                match n.checked_sub(sections) {
+                    Some(n) => drop(less.faults.remove(n)),
+                    None => drop(less.sections.remove(n)),
                 }
                 runs += 1;
                 // What is no scenario any more is not smaller.
@@ -204,22 +204,22 @@
                 }
             }
         }
-        Ok(Find {
-            day: self,
-            broken,
+        Ok(Finding {
+            scenario: self,
+            violations: broken,
             runs,
         })
     }
 }
 
-impl Find {
+impl Finding {
     /// As a scenario file, with what it breaks in front.
     pub fn text(&self) -> String {
-        let broken: String = self.broken.iter().map(|b| format!("; {b}\n")).collect();
+        let broken: String = self.violations.iter().map(|b| format!("; {b}\n")).collect();
         format!(
             "; Found by a hunt; play it with seed {}. It breaks:\n{broken}\n{}",
-            self.day.seed,
-            self.day.text()
+            self.scenario.seed,
+            self.scenario.text()
         )
     }
 }
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -274,10 +274,10 @@
 /// Every day that a hunt draws is a scenario, and its seed's alone.
 #[rstest]
 fn a_hunt_draws_days_that_can_be_played() {
-    use sanddrum_lab::hunt::Day;
+    use sanddrum_lab::hunt::RandomScenario;
     for seed in 1..=300 {
-        let day = Day::drawn(seed);
-        assert_eq!(day.text(), Day::drawn(seed).text());
+        let day = RandomScenario::generate(seed);
+        assert_eq!(day.text(), RandomScenario::generate(seed).text());
         Scenario::read("day", &day.text(), seed).unwrap();
     }
 }
@@ -285,27 +285,30 @@
 /// What a find does not need for what it breaks is taken out of it, and what is no scenario without it stays.
 #[rstest]
 fn a_find_is_made_as_small_as_it_goes() {
-    use sanddrum_lab::hunt::Day;
-    let breaks = |day: &Day| -> Result<_, String> {
+    use sanddrum_lab::hunt::RandomScenario;
+    let breaks = |day: &RandomScenario| -> Result<_, String> {
         Scenario::read("day", &day.text(), day.seed).map_err(|e| e.to_string())?;
         let broken =
-            day.troubles.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
+            day.faults.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
         let rules: std::collections::BTreeSet<u8> = broken.then_some(3).into_iter().collect();
         Ok((rules, vec!["rule 3".to_string()]))
     };
     let whole = (1..)
-        .map(Day::drawn)
-        .find(|day| day.troubles.len() > 4 && !breaks(day).unwrap().0.is_empty());
-    let find = whole.unwrap().shrunk_by(breaks).unwrap();
-    assert_eq!(find.day.troubles.len(), 1, "{}", find.text());
-    assert!(find.day.troubles[0].contains("drain") && find.text().contains("; rule 3"));
+        .map(RandomScenario::generate)
+        .find(|day| day.faults.len() > 4 && !breaks(day).unwrap().0.is_empty());
+    let find = whole.unwrap().shrink_with(breaks).unwrap();
+    assert_eq!(find.scenario.faults.len(), 1, "{}", find.text());
+    assert!(find.scenario.faults[0].contains("drain") && find.text().contains("; rule 3"));
     assert!(find
-        .day
-        .head
+        .scenario
+        .sections
         .iter()
         .any(|line| line.starts_with("(traffic")));
     assert!(
-        find.day.head.iter().all(|line| !line.starts_with("(rules")),
+        find.scenario
+            .sections
+            .iter()
+            .all(|line| !line.starts_with("(rules")),
         "{}",
         find.text()
     );
