--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -235,7 +235,7 @@
             "{} edges: service {}, nine tenths from second {}, rules broken {}",
             of.edges,
             told(of.service, 3),
-            told(of.from, 1),
+            told(of.recovered_at, 1),
             of.violations
         );
         for (name, figure) in &of.worst {
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -3,8 +3,9 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    limits_at, lines, measure, storm, AtSize, Decides, Line, LoadGenerator, LoadGeneratorSpec,
-    LoadMeasurement, MeasureSpec, Measured, Policy, ReconnectLoad, ReconnectLoadSpec, Speaks,
+    lines, measure, measure_limits, storm, Decides, LimitsResult, Line, LoadGenerator,
+    LoadGeneratorSpec, LoadMeasurement, MeasureSpec, Measured, Policy, ReconnectLoad,
+    ReconnectLoadSpec, Speaks,
 };
 use sanddrum_net::{EventLoop, NullObserver};
 use serde_json::{json, Value};
@@ -360,25 +361,31 @@
     for edges in [10, 100, 300] {
         let mut plotted = Vec::new();
         for policy in [Policy::Seen, Policy::Even, Policy::None] {
-            let runs: Vec<AtSize> = (0..args.runs as u64)
-                .map(|seed| limits_at(edges, policy, seed))
+            let runs: Vec<LimitsResult> = (0..args.runs as u64)
+                .map(|seed| measure_limits(edges, policy, seed))
                 .collect();
-            let of =
-                |figure: &dyn Fn(&AtSize) -> f64| told(spread(runs.iter().map(figure).collect()));
+            let of = |figure: &dyn Fn(&LimitsResult) -> f64| {
+                told(spread(runs.iter().map(figure).collect()))
+            };
             let moved: Vec<String> = (0..8)
-                .map(|n| format!("{:.2}", spread(runs.iter().map(|r| r.moved[n]).collect()).1))
+                .map(|n| {
+                    format!(
+                        "{:.2}",
+                        spread(runs.iter().map(|r| r.moved_over_limit[n]).collect()).1
+                    )
+                })
                 .collect();
-            let back = of(&|r| r.back.unwrap_or(f64::INFINITY));
+            let back = of(&|r| r.recovery_seconds.unwrap_or(f64::INFINITY));
             println!(
                 "  {edges:3} edges, {policy:?}: honest beside a flood {}; limit spread {}, at one edge {}; moved, each second {}; lent share back after {back} s",
-                of(&|r| r.honest), of(&|r| r.spread), of(&|r| r.at_one), moved.join(" ")
+                of(&|r| r.honest_fraction), of(&|r| r.spread_over_limit), of(&|r| r.single_edge_over_limit), moved.join(" ")
             );
             let name = match policy {
                 Policy::Seen => "as decided",
                 Policy::Even => "an even split",
                 Policy::None => continue,
             };
-            let middle = |n: usize| spread(runs.iter().map(|r| r.moved[n]).collect()).1;
+            let middle = |n: usize| spread(runs.iter().map(|r| r.moved_over_limit[n]).collect()).1;
             let points = (0..8)
                 .map(|n| (n as f64 + 1.0, (middle(n) - 1.0).abs()))
                 .collect();
--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -13,7 +13,7 @@
 
 /// How a baseline chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum BaselineKind {
     Random,
     RoundRobin,
     /// Fewest own jobs in flight.
@@ -26,15 +26,15 @@
     Oracle,
 }
 
-impl Choice {
-    pub fn of(name: &str) -> Option<Choice> {
+impl BaselineKind {
+    pub fn of(name: &str) -> Option<BaselineKind> {
         Some(match name {
-            "random" => Choice::Random,
-            "round-robin" => Choice::RoundRobin,
-            "least" => Choice::Least,
-            "two-choices" => Choice::TwoChoices,
-            "bounded-hash" => Choice::BoundedHash,
-            "oracle" => Choice::Oracle,
+            "random" => BaselineKind::Random,
+            "round-robin" => BaselineKind::RoundRobin,
+            "least" => BaselineKind::Least,
+            "two-choices" => BaselineKind::TwoChoices,
+            "bounded-hash" => BaselineKind::BoundedHash,
+            "oracle" => BaselineKind::Oracle,
             _ => return None,
         })
     }
@@ -52,7 +52,7 @@
 }
 
 pub struct Baseline {
-    choice: Choice,
+    choice: BaselineKind,
     chance: Rng,
     truth: Shared<GroundTruth>,
     settings: Settings,
@@ -65,7 +65,12 @@
 }
 
 impl Baseline {
-    pub fn new(choice: Choice, seed: u64, settings: Settings, truth: Shared<GroundTruth>) -> Self {
+    pub fn new(
+        choice: BaselineKind,
+        seed: u64,
+        settings: Settings,
+        truth: Shared<GroundTruth>,
+    ) -> Self {
         Baseline {
             choice,
             chance: Rng::new(seed),
@@ -96,22 +101,22 @@
             return None;
         }
         match self.choice {
-            Choice::Random => all.get(self.chance.index(all.len())).copied(),
-            Choice::RoundRobin => {
+            BaselineKind::Random => all.get(self.chance.index(all.len())).copied(),
+            BaselineKind::RoundRobin => {
                 self.next += 1;
                 all.get(self.next % all.len()).copied()
             }
-            Choice::Least => {
+            BaselineKind::Least => {
                 // Ties by chance, or all routers would send to the first.
                 let from = self.chance.index(all.len());
                 let turned = all[from..].iter().chain(&all[..from]).copied();
                 turned.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
             }
-            Choice::TwoChoices => {
+            BaselineKind::TwoChoices => {
                 let two = [self.chance.index(all.len()), self.chance.index(all.len())];
                 self.least(two.into_iter().map(|n| all[n]))
             }
-            Choice::BoundedHash => {
+            BaselineKind::BoundedHash => {
                 let ring = |worker: &WorkerId| sanddrum_wire::stable_id(&format!("{}", worker.0));
                 let at = sanddrum_wire::stable_id(&format!("f{}", job.function.0));
                 let mut order: Vec<WorkerId> = all.clone();
@@ -130,7 +135,7 @@
                     .copied()
                     .or(order.first().copied())
             }
-            Choice::Oracle => self.best(now, job, &all),
+            BaselineKind::Oracle => self.best(now, job, &all),
         }
     }
     /// The worker that would be done first, from what is true of all of them, other routers' choices included.
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Variants of one scenario on the same seeds, and what their differences are worth.
 
-use crate::baselines::{Baseline, Choice};
+use crate::baselines::{Baseline, BaselineKind};
 use crate::environment::{product_edge, MakeEdge, VirtualEnvironment};
 use crate::recorder::Recording;
 use crate::scenario::Scenario;
@@ -22,7 +22,7 @@
     /// Settings over the scenario's, as `limits.repeats=100%`.
     pub set: Vec<String>,
     /// A baseline in the module's place.
-    pub decides: Option<Choice>,
+    pub decides: Option<BaselineKind>,
 }
 
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
 
 /// What one run came to.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct RunResult {
     pub service: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -49,7 +49,7 @@
 }
 
 /// Figures that are compared: their name, whether more is better, and where they are.
-pub type Measure = (&'static str, bool, fn(&Figures) -> f64);
+pub type Measure = (&'static str, bool, fn(&RunResult) -> f64);
 pub const MEASURES: [Measure; 8] = [
     ("service", true, |f| f.service),
     ("p50 ms", false, |f| f.p50_ms),
@@ -75,7 +75,7 @@
         let l = &scenario.settings;
         let variant = |(n, name): (usize, String)| Variant {
             set: l.names(&format!("variants.{n}.set")),
-            decides: Choice::of(l.text(&format!("variants.{n}.decides"))),
+            decides: BaselineKind::of(l.text(&format!("variants.{n}.decides"))),
             name,
         };
         let variants: Vec<Variant> = l
@@ -105,9 +105,9 @@
     fn scenario(&self, variant: &Variant, seed: u64) -> Result<Scenario, SettingsError> {
         Scenario::read_with(&self.file, &self.text, seed, &variant.set, &variant.name)
     }
-    fn run(&self, variant: &Variant, seed: u64) -> io::Result<Figures> {
+    fn run(&self, variant: &Variant, seed: u64) -> io::Result<RunResult> {
         let mut scenario = self.scenario(variant, seed).map_err(io::Error::other)?;
-        let sees_all = variant.decides == Some(Choice::Oracle);
+        let sees_all = variant.decides == Some(BaselineKind::Oracle);
         scenario
             .calls
             .iter_mut()
@@ -133,7 +133,7 @@
             make,
             truth,
         )?;
-        Ok(Figures::of(&play(&mut stage, &recording)?))
+        Ok(RunResult::of(&play(&mut stage, &recording)?))
     }
     /// Runs every variant on every seed, on as many threads as are given; `told` hears how many are done. The figures by
     /// variant and seed.
@@ -144,7 +144,7 @@
         &self,
         threads: usize,
         told: impl Fn(usize) + Sync,
-    ) -> io::Result<Vec<Vec<Figures>>> {
+    ) -> io::Result<Vec<Vec<RunResult>>> {
         let all: Vec<(usize, u64)> = (1..=self.seeds)
             .flat_map(|seed| (0..self.variants.len()).map(move |v| (v, seed)))
             .collect();
@@ -176,10 +176,10 @@
     }
 }
 
-impl Figures {
-    fn of(outcome: &Outcome) -> Figures {
+impl RunResult {
+    fn of(outcome: &Outcome) -> RunResult {
         let v = &outcome.verdict;
-        Figures {
+        RunResult {
             service: v.service,
             p50_ms: outcome.latency_ms(0.5),
             p99_ms: outcome.latency_ms(0.99),
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -40,12 +40,12 @@
 mod scheduling_delay;
 mod token_issuer;
 
-pub use baselines::{Baseline, Choice};
+pub use baselines::{Baseline, BaselineKind};
 pub use callers::{Callers, TrafficOverrides};
 pub use environment::{product_edge, Environment, MakeEdge, VirtualEnvironment};
-pub use experiment::{difference, Difference, Experiment, Figures, Variant, FEW_SEEDS, MEASURES};
+pub use experiment::{difference, Difference, Experiment, RunResult, Variant, FEW_SEEDS, MEASURES};
 pub use fleet::{Addresses, Fleet, Who};
-pub use limits_size::{limits_at, AtSize, Policy, Size, Stream};
+pub use limits_size::{measure_limits, LimitsResult, Policy, QuotaSimulation, RequestStream};
 pub use load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
 pub use measure::{measure, Decides, MeasureSpec, Measured, Speaks};
 pub use plots::{lines, Line};
@@ -59,7 +59,7 @@
 pub use scenario_runner::{play, Outcome};
 pub use scheduling_delay::{SchedulingDelays, OURS};
 pub use schema::{kinds, SCENARIO};
-pub use sizes::{plot_sizes, sizes, OfSize};
+pub use sizes::{plot_sizes, sizes, FleetSizeResult};
 pub use sockets::{EdgesAs, SocketEnvironment};
 
 use sanddrum_net::LinkModel;
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -26,13 +26,13 @@
 
 /// One kind of calls: whose, at which edge (none: at all, by chance), and how many a second.
 #[derive(Clone, Copy, Debug)]
-pub struct Stream {
+pub struct RequestStream {
     pub customer: usize,
     pub edge: Option<usize>,
     pub rate: f64,
 }
 
-pub struct Size {
+pub struct QuotaSimulation {
     edges: Vec<QuotaPolicy>,
     even: Vec<BTreeMap<usize, TokenBucket>>,
     news: Vec<AdmissionEvents>,
@@ -57,7 +57,7 @@
     fn reject(&mut self, _: RequestId, _: Rejection) {}
 }
 
-impl Size {
+impl QuotaSimulation {
     /// `capacity` is what the fleet finishes in a second; `set` are settings as the module reads them.
     pub fn new(
         edges: usize,
@@ -73,7 +73,7 @@
         map.insert("routers".into(), Value::Number(edges as f64));
         map.insert("sharing.shares".into(), Value::Flag(policy == Policy::Seen));
         let settings = Settings(map);
-        Size {
+        QuotaSimulation {
             edges: (0..edges).map(|_| QuotaPolicy::new(&settings)).collect(),
             even: vec![BTreeMap::new(); edges],
             news: vec![AdmissionEvents::default(); edges],
@@ -96,7 +96,7 @@
         bucket.take(self.now, rate, rate / 2.0).is_ok()
     }
     /// Plays so long; gives calls asked and finished a second, by customer.
-    pub fn play(&mut self, span: Micros, streams: &[Stream]) -> BTreeMap<usize, (f64, f64)> {
+    pub fn play(&mut self, span: Micros, streams: &[RequestStream]) -> BTreeMap<usize, (f64, f64)> {
         let mut done: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
         for _ in 0..span / STEP {
             self.now += STEP;
@@ -177,23 +177,23 @@
 
 /// What one policy did at one size.
 #[derive(Clone, Debug)]
-pub struct AtSize {
+pub struct LimitsResult {
     pub edges: usize,
     pub policy: Policy,
     /// Calls of an honest customer that finished, over asked, while another floods.
-    pub honest: f64,
+    pub honest_fraction: f64,
     /// A customer at three times its rate limit, spread over all edges: what it got over the limit.
-    pub spread: f64,
+    pub spread_over_limit: f64,
     /// The same at one edge.
-    pub at_one: f64,
+    pub single_edge_over_limit: f64,
     /// The same in the seconds after it moved to another edge, second by second.
-    pub moved: Vec<f64>,
+    pub moved_over_limit: Vec<f64>,
     /// Seconds until a customer that begins to ask has nine tenths of its share back from one that had borrowed it.
-    pub back: Option<f64>,
+    pub recovery_seconds: Option<f64>,
 }
 
 /// Plays the three scenes at one size.
-pub fn limits_at(edges: usize, policy: Policy, seed: u64) -> AtSize {
+pub fn measure_limits(edges: usize, policy: Policy, seed: u64) -> LimitsResult {
     let capacity = 2000.0;
     let two = [
         ("customers.count", 2.0),
@@ -201,42 +201,42 @@
         ("customers.1.share", 0.4),
     ];
     let flood = [
-        Stream {
+        RequestStream {
             customer: 0,
             edge: None,
             rate: 0.55 * capacity,
         },
-        Stream {
+        RequestStream {
             customer: 1,
             edge: None,
             rate: 4.0 * capacity,
         },
     ];
-    let mut size = Size::new(edges, capacity, policy, &two, seed);
+    let mut size = QuotaSimulation::new(edges, capacity, policy, &two, seed);
     size.play(5 * S, &flood);
     let got = size.play(10 * S, &flood);
     let honest = got.get(&0).map_or(0.0, |(asked, got)| got / asked);
 
     let limited = [&two[..], &[("customers.0.rate", 300.0)]].concat();
     let over = |edge| {
-        [Stream {
+        [RequestStream {
             customer: 0,
             edge,
             rate: 900.0,
         }]
     };
     let part = |got: &BTreeMap<usize, (f64, f64)>| got.get(&0).map_or(0.0, |(_, got)| got / 300.0);
-    let mut size = Size::new(edges, capacity, policy, &limited, seed);
+    let mut size = QuotaSimulation::new(edges, capacity, policy, &limited, seed);
     size.play(10 * S, &over(None));
     let spread = part(&size.play(10 * S, &over(None)));
-    let mut size = Size::new(edges, capacity, policy, &limited, seed);
+    let mut size = QuotaSimulation::new(edges, capacity, policy, &limited, seed);
     size.play(10 * S, &over(Some(0)));
     let at_one = part(&size.play(10 * S, &over(Some(0))));
     let moved = (0..8)
         .map(|_| part(&size.play(S, &over(Some(edges - 1)))))
         .collect();
 
-    let mut size = Size::new(edges, capacity, policy, &two, seed);
+    let mut size = QuotaSimulation::new(edges, capacity, policy, &two, seed);
     size.play(10 * S, &flood[1..]);
     let mut back = None;
     for n in 1..=40 {
@@ -245,13 +245,13 @@
             back = Some(f64::from(n) / 4.0);
         }
     }
-    AtSize {
+    LimitsResult {
         edges,
         policy,
-        honest,
-        spread,
-        at_one,
-        moved,
-        back,
+        honest_fraction: honest,
+        spread_over_limit: spread,
+        single_edge_over_limit: at_one,
+        moved_over_limit: moved,
+        recovery_seconds: back,
     }
 }
--- a/crates/sanddrum-lab/src/report.rs
+++ b/crates/sanddrum-lab/src/report.rs
@@ -1,10 +1,10 @@
 //! What an experiment came to, as lines for a terminal and as one HTML page that needs nothing else.
 
-use crate::experiment::{difference, Difference, Experiment, Figures, FEW_SEEDS, MEASURES};
+use crate::experiment::{difference, Difference, Experiment, RunResult, FEW_SEEDS, MEASURES};
 use crate::plots::{svg, Line};
 use std::fmt::Write;
 
-fn spread(figures: &[Figures], of: fn(&Figures) -> f64) -> (f64, f64, f64) {
+fn spread(figures: &[RunResult], of: fn(&RunResult) -> f64) -> (f64, f64, f64) {
     let each: Vec<f64> = figures.iter().map(of).collect();
     let mean = each.iter().sum::<f64>() / each.len().max(1) as f64;
     let edge = |pick: fn(f64, f64) -> f64, from: f64| each.iter().copied().fold(from, pick);
@@ -17,7 +17,7 @@
         _ => format!("{n:.3}"),
     }
 }
-fn compared(all: &[Vec<Figures>], n: usize, of: fn(&Figures) -> f64) -> Option<Difference> {
+fn compared(all: &[Vec<RunResult>], n: usize, of: fn(&RunResult) -> f64) -> Option<Difference> {
     let each = |n: usize| all.get(n).map(|f| f.iter().map(of).collect::<Vec<f64>>());
     (n > 0)
         .then(|| Some(difference(&each(0)?, &each(n)?)))
@@ -37,7 +37,7 @@
 }
 
 /// For a terminal.
-pub fn text(experiment: &Experiment, all: &[Vec<Figures>]) -> String {
+pub fn text(experiment: &Experiment, all: &[Vec<RunResult>]) -> String {
     let mut out = String::new();
     let first = &experiment.variants[0].name;
     let _ = writeln!(
@@ -78,7 +78,7 @@
 }
 
 /// The part of the calls of each second that were answered in time, over all seeds.
-fn service_over_time(figures: &[Figures]) -> Vec<(f64, f64)> {
+fn service_over_time(figures: &[RunResult]) -> Vec<(f64, f64)> {
     let longest = figures.iter().map(|f| f.seconds.len()).max().unwrap_or(0);
     let of_second = |n: usize| {
         let each = figures.iter().filter_map(|f| f.seconds.get(n));
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// A picture can't be drawn.
-pub fn html(experiment: &Experiment, all: &[Vec<Figures>]) -> Result<String, String> {
+pub fn html(experiment: &Experiment, all: &[Vec<RunResult>]) -> Result<String, String> {
     let mut rows = String::new();
     for (name, more_is_better, of) in MEASURES {
         let _ = write!(rows, "<tr><th>{name}</th>");
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -12,11 +12,11 @@
 
 /// What came of one size, each figure as the mean, the least and the most over the seeds.
 #[derive(Clone, Debug)]
-pub struct OfSize {
+pub struct FleetSizeResult {
     pub edges: usize,
     pub service: [f64; 3],
     /// The second from which on nine tenths of the calls are in time.
-    pub from: [f64; 3],
+    pub recovered_at: [f64; 3],
     pub violations: usize,
     /// Named figures of worst seconds.
     pub worst: Vec<(&'static str, [f64; 3])>,
@@ -24,9 +24,9 @@
     pub seconds: Vec<f64>,
 }
 
-struct Run {
+struct SeedResult {
     service: f64,
-    from: f64,
+    recovered_at: f64,
     violations: usize,
     worst: Vec<(&'static str, f64)>,
     seconds: Vec<f64>,
@@ -45,8 +45,8 @@
 ];
 const NEARLY_ALL: f64 = 0.9;
 
-impl Run {
-    fn of(outcome: &Outcome) -> Run {
+impl SeedResult {
+    fn of(outcome: &Outcome) -> SeedResult {
         let seconds = outcome.verdict.seconds.iter();
         let seconds: Vec<f64> = seconds
             .map(|(begun, in_time)| f64::from(*in_time) / f64::from((*begun).max(1)))
@@ -55,9 +55,9 @@
         let worst = WORST.iter().map(|(name, whose, key)| {
             (*name, outcome.peak_load[whose][key].as_f64().unwrap_or(0.0))
         });
-        Run {
+        SeedResult {
             service: outcome.verdict.service,
-            from: low.map_or(0.0, |n| n as f64 + 1.0),
+            recovered_at: low.map_or(0.0, |n| n as f64 + 1.0),
             violations: outcome.verdict.violations.len(),
             worst: worst.collect(),
             seconds,
@@ -86,7 +86,7 @@
     seeds: u64,
     threads: usize,
     told: impl Fn(usize) + Sync,
-) -> io::Result<Vec<OfSize>> {
+) -> io::Result<Vec<FleetSizeResult>> {
     let all: Vec<(usize, u64)> = edges
         .iter()
         .flat_map(|n| (0..seeds).map(move |more| (*n, scenario.seed + more)))
@@ -103,7 +103,7 @@
                         crate::play_virtually(scenario, product_edge())
                     });
                     let Ok(mut done) = done.lock() else { return };
-                    done.push((*n, *seed, run.map(|outcome| Run::of(&outcome))));
+                    done.push((*n, *seed, run.map(|outcome| SeedResult::of(&outcome))));
                     told(done.len());
                 }
             });
@@ -118,7 +118,7 @@
         runs.push((n, run?));
     }
     let of = |n: &usize| {
-        let of: Vec<&Run> = runs
+        let of: Vec<&SeedResult> = runs
             .iter()
             .filter(|(at, _)| at == n)
             .map(|(_, run)| run)
@@ -126,10 +126,10 @@
         let longest = of.iter().map(|run| run.seconds.len()).max().unwrap_or(0);
         let second =
             |at: usize| spread(of.iter().filter_map(|run| run.seconds.get(at).copied()))[0];
-        OfSize {
+        FleetSizeResult {
             edges: *n,
             service: spread(of.iter().map(|run| run.service)),
-            from: spread(of.iter().map(|run| run.from)),
+            recovered_at: spread(of.iter().map(|run| run.recovered_at)),
             violations: of.iter().map(|run| run.violations).sum(),
             worst: (0..WORST.len())
                 .map(|w| (WORST[w].0, spread(of.iter().map(|run| run.worst[w].1))))
@@ -144,7 +144,7 @@
 ///
 /// # Errors
 /// A file can't be written.
-pub fn plot_sizes(folder: &Path, name: &str, all: &[OfSize]) -> Result<(), String> {
+pub fn plot_sizes(folder: &Path, name: &str, all: &[FleetSizeResult]) -> Result<(), String> {
     let service = all.iter().map(|of| Line {
         name: format!("{} edges", of.edges),
         points: of
