--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -72,7 +72,7 @@
                 "--number",
                 &n.to_string(),
             ]);
-            command.args(["--edges", &scenario.told_edges().to_string()]);
+            command.args(["--edges", &scenario.configured_edges().to_string()]);
             command.args([
                 "--seed",
                 &start.seed.wrapping_add(n as u64 * 101).to_string(),
@@ -365,7 +365,7 @@
                 faults.clone(),
             );
             steered(
-                list.with_endpoints(now, &scenario.list_rows(&workers)),
+                list.with_endpoints(now, &scenario.endpoint_records(&workers)),
                 faults,
             )
         }
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -159,7 +159,7 @@
         "--number",
         &n.to_string(),
         "--edges",
-        &scenario.told_edges().to_string(),
+        &scenario.configured_edges().to_string(),
     ]);
     command.stdin(Stdio::null());
     command
@@ -244,7 +244,7 @@
                     home.join("roots.pem").display()
                 ));
             }
-            if fleet.wallet.is_some() {
+            if fleet.token_issuer.is_some() {
                 let file = home.join(fleet.scenario.settings.text("identity.keys-file"));
                 command
                     .arg("--set")
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -61,7 +61,7 @@
     scenario: Scenario,
     edges: Vec<String>,
     traffic_overrides: Shared<TrafficOverrides>,
-    wallet: Option<Shared<TokenIssuer>>,
+    token_issuer: Option<Shared<TokenIssuer>>,
     chance: Rng,
     ends: Micros,
     popularity: Vec<f64>,
@@ -83,7 +83,7 @@
         scenario: &Scenario,
         edges: Vec<String>,
         traffic_overrides: Shared<TrafficOverrides>,
-        wallet: Option<Shared<TokenIssuer>>,
+        token_issuer: Option<Shared<TokenIssuer>>,
         seed: u64,
     ) -> Self {
         let l = &scenario.settings;
@@ -108,7 +108,7 @@
             idle: vec![VecDeque::new(); edges.len()],
             edges,
             traffic_overrides,
-            wallet,
+            token_issuer,
             chance: Rng::new(seed),
             ends: 0,
             calls: BTreeMap::new(),
@@ -121,7 +121,7 @@
     }
     /// A client whose time is up stays for so long to see how late an answer comes; it makes nothing of it.
     #[must_use]
-    pub fn patient(self, patience: Micros) -> Self {
+    pub fn with_patience(self, patience: Micros) -> Self {
         Callers { patience, ..self }
     }
     fn pick(chance: &mut Rng, sums: &[f64]) -> usize {
@@ -227,8 +227,9 @@
         if let Some(customer) = &call.customer {
             fields.push(("sanddrum-customer", customer));
         }
-        let held = self.wallet.as_ref().zip(call.customer.as_ref());
-        let token = held.and_then(|(wallet, customer)| wallet.borrow_mut().token(now, customer));
+        let held = self.token_issuer.as_ref().zip(call.customer.as_ref());
+        let token = held
+            .and_then(|(token_issuer, customer)| token_issuer.borrow_mut().token(now, customer));
         let token = token.map(|token| format!("Bearer {token}"));
         if let Some(token) = &token {
             fields.push(("authorization", token));
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -134,7 +134,7 @@
                     metrics_page: None,
                     platform: None,
                 };
-                self.fleet.within_tls((self.make_edge)(start))?
+                self.fleet.with_tls((self.make_edge)(start))?
             }
         })
     }
@@ -178,7 +178,7 @@
         }
     }
     /// Events carried out so far.
-    pub fn steps(&self) -> u64 {
+    pub fn processed_events(&self) -> u64 {
         self.net.processed_events()
     }
 }
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -42,22 +42,22 @@
     pub list: Shared<DiscoveryFaults>,
     pub traffic_overrides: Shared<TrafficOverrides>,
     /// Where callers show tokens.
-    pub wallet: Option<Shared<TokenIssuer>>,
+    pub token_issuer: Option<Shared<TokenIssuer>>,
     /// Where workers are spoken to over TLS: who signs for them, and who did before while both are believed.
     pub authority: Option<Authority>,
-    former: Option<Authority>,
+    previous_authority: Option<Authority>,
     /// What each worker shows.
-    leaves: BTreeMap<usize, (Vec<u8>, Vec<u8>)>,
+    worker_certificates: BTreeMap<usize, (Vec<u8>, Vec<u8>)>,
     /// Workers that show what somebody else signed.
     pub impostors: BTreeSet<usize>,
     pub handshakes: Vec<Shared<HandshakeWork>>,
     /// Where an oracle sees what is true of the workers.
     pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
-    marks: Vec<Shared<IdempotencyKeys>>,
+    idempotency_keys: Vec<Shared<IdempotencyKeys>>,
     incarnations: Vec<u64>,
     edge_starts: Vec<u64>,
-    list_runs: u64,
+    discovery_starts: u64,
 }
 
 fn shared<T>(what: T) -> Shared<T> {
@@ -77,7 +77,7 @@
             _ => None,
         };
         let l = &scenario.settings;
-        let wallet = (l.text("identity.tokens") != "off").then(|| {
+        let token_issuer = (l.text("identity.tokens") != "off").then(|| {
             let (lasts, renewed) = (
                 l.duration_us("gateways.token-lasts-us"),
                 l.duration_us("gateways.renewed-every-us"),
@@ -97,8 +97,8 @@
             .unwrap_or(0);
         Ok(Fleet {
             authority,
-            former: None,
-            leaves: BTreeMap::new(),
+            previous_authority: None,
+            worker_certificates: BTreeMap::new(),
             impostors: BTreeSet::new(),
             truth: None,
             handshakes: (0..scenario.workers)
@@ -117,19 +117,19 @@
             store: shared(StoreFaults::default()),
             list: shared(DiscoveryFaults::default()),
             traffic_overrides: shared(TrafficOverrides::default()),
-            marks: (0..scenario.workers.max(1))
+            idempotency_keys: (0..scenario.workers.max(1))
                 .map(|_| shared(IdempotencyKeys::new(window)))
                 .collect(),
-            wallet,
+            token_issuer,
             incarnations: vec![1; scenario.workers],
             edge_starts: vec![0; scenario.edges],
-            list_runs: 0,
+            discovery_starts: 0,
             scenario,
             addresses,
         })
     }
     /// Workers of one group know each other's marks.
-    fn marks_of(&self, n: usize) -> Shared<IdempotencyKeys> {
+    fn idempotency_keys_of(&self, n: usize) -> Shared<IdempotencyKeys> {
         let groups: Vec<&str> = self
             .scenario
             .calls
@@ -143,7 +143,7 @@
         } else {
             0
         };
-        self.marks[group].clone()
+        self.idempotency_keys[group].clone()
     }
     /// A worker that has run for long, or one that starts now, empty and cold.
     ///
@@ -165,7 +165,7 @@
             started,
             self.incarnations[n],
             self.workers[n].clone(),
-            self.marks_of(n),
+            self.idempotency_keys_of(n),
         );
         let worker = match &self.truth {
             Some(truth) => worker.with_ground_truth(truth.clone()),
@@ -213,12 +213,13 @@
             let foreign = Authority::new().map_err(std::io::Error::other)?;
             return foreign.papers(&name).map_err(std::io::Error::other);
         }
-        if let std::collections::btree_map::Entry::Vacant(leaf) = self.leaves.entry(n) {
+        if let std::collections::btree_map::Entry::Vacant(leaf) = self.worker_certificates.entry(n)
+        {
             leaf.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
         }
         Ok(TlsMaterial {
             roots: self.roots(),
-            certified_key: self.leaves.get(&n).cloned(),
+            certified_key: self.worker_certificates.get(&n).cloned(),
             ..TlsMaterial::default()
         })
     }
@@ -226,14 +227,14 @@
     pub fn roots(&self) -> Vec<u8> {
         self.authority
             .iter()
-            .chain(&self.former)
+            .chain(&self.previous_authority)
             .map(Authority::roots)
             .collect::<String>()
             .into_bytes()
     }
     /// Workers get new certificates, from the authority as it is now.
-    pub fn renew_leaves(&mut self) {
-        self.leaves.clear();
+    pub fn renew_certificates(&mut self) {
+        self.worker_certificates.clear();
     }
     /// A new authority takes over; the old one is believed as long as it is kept.
     ///
@@ -241,11 +242,11 @@
     /// No authority can be made.
     pub fn change_authority(&mut self, keeps_old: bool) -> std::io::Result<()> {
         if keeps_old && self.authority.is_some() {
-            self.former = self
+            self.previous_authority = self
                 .authority
                 .replace(Authority::new().map_err(std::io::Error::other)?);
         } else {
-            self.former = None;
+            self.previous_authority = None;
         }
         Ok(())
     }
@@ -253,7 +254,7 @@
     ///
     /// # Errors
     /// The authority's certificate can't be read back.
-    pub fn within_tls(&self, edge: Box<dyn Core>) -> std::io::Result<Box<dyn Core>> {
+    pub fn with_tls(&self, edge: Box<dyn Core>) -> std::io::Result<Box<dyn Core>> {
         if self.authority.is_none() {
             return Ok(edge);
         }
@@ -275,9 +276,9 @@
         Box::new(Store::new(self.scenario.store(), self.store.clone()))
     }
     pub fn list(&mut self, now: Micros) -> Box<dyn Core> {
-        self.list_runs += 1;
-        let (seed, run) = (self.scenario.seed ^ 0x115, self.list_runs);
-        let rows = self.scenario.list_rows(&self.addresses.workers);
+        self.discovery_starts += 1;
+        let (seed, run) = (self.scenario.seed ^ 0x115, self.discovery_starts);
+        let rows = self.scenario.endpoint_records(&self.addresses.workers);
         let service = DiscoveryService::new(self.scenario.list(), seed, run, self.list.clone());
         Box::new(service.with_endpoints(now, &rows))
     }
@@ -289,16 +290,16 @@
             &self.scenario,
             edges,
             self.traffic_overrides.clone(),
-            self.wallet.clone(),
+            self.token_issuer.clone(),
             seed,
         );
-        Box::new(callers.patient(patience))
+        Box::new(callers.with_patience(patience))
     }
     /// The key set as edges are to have it now.
     pub fn keys(&self) -> Option<Vec<u8>> {
-        self.wallet
+        self.token_issuer
             .as_ref()
-            .map(|wallet| wallet.borrow().set.write())
+            .map(|token_issuer| token_issuer.borrow().set.write())
     }
     /// An edge's settings and seed for its next start.
     ///
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -221,7 +221,7 @@
         })
     }
     /// How many edges there are as edges are told, which may be wrong.
-    pub fn told_edges(&self) -> usize {
+    pub fn configured_edges(&self) -> usize {
         ((self.edges as f64 * self.settings.number("fleet.edges-told")).round() as usize).max(1)
     }
     pub fn zone_of(&self, n: usize) -> usize {
@@ -297,7 +297,7 @@
         }
     }
     /// The workers at these addresses, as the list service knows them from the start.
-    pub fn list_rows(&self, addresses: &[String]) -> Vec<EndpointRecord> {
+    pub fn endpoint_records(&self, addresses: &[String]) -> Vec<EndpointRecord> {
         let row = |(n, address): (usize, &String)| {
             let spec = self.worker(n, address, "", "");
             EndpointRecord {
@@ -330,7 +330,7 @@
             ("edge.listen", listen.to_string()),
             ("edge.list", list.to_string()),
             ("edge.zone", self.zones[self.zone_of(n)].clone()),
-            ("edge.edges", self.told_edges().to_string()),
+            ("edge.edges", self.configured_edges().to_string()),
             ("edge.number", n.to_string()),
         ] {
             l.override_value(name, &value, "scenario")?;
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -275,7 +275,7 @@
         begins: bool,
     ) -> io::Result<()> {
         match (t.kind.as_str(), begins) {
-            ("certificates", true) => self.stage.fleet().renew_leaves(),
+            ("certificates", true) => self.stage.fleet().renew_certificates(),
             ("roots", _) => self.stage.fleet().change_authority(begins)?,
             ("impostor", _) => {
                 for who in whom {
@@ -297,12 +297,12 @@
 
     fn change_keys(&mut self, t: &ScriptedFault) -> io::Result<()> {
         let now = self.stage.now();
-        if let Some(wallet) = self.stage.fleet().wallet.clone() {
-            let mut wallet = wallet.borrow_mut();
+        if let Some(token_issuer) = self.stage.fleet().token_issuer.clone() {
+            let mut token_issuer = token_issuer.borrow_mut();
             match t.kind.as_str() {
-                "key-new" => wallet.add(),
-                "key-rotate" => wallet.rotate(now, t.duration),
-                _ => wallet.revoke(now),
+                "key-new" => token_issuer.add(),
+                "key-rotate" => token_issuer.rotate(now, t.duration),
+                _ => token_issuer.revoke(now),
             }
             let reach = self
                 .scenario
@@ -313,7 +313,7 @@
                     .scenario
                     .settings
                     .duration_us("identity.watch-every-us");
-            let revoked = wallet
+            let revoked = token_issuer
                 .revoked
                 .iter()
                 .map(|(kid, at)| (kid.clone(), at + bound));
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -194,7 +194,7 @@
             .join(self.fleet.scenario.settings.text("identity.keys-file"))
     }
     fn watch_keys(&mut self, who: Who, host: HostId) {
-        if self.fleet.wallet.is_some() && matches!(who, Who::Edge(_)) {
+        if self.fleet.token_issuer.is_some() && matches!(who, Who::Edge(_)) {
             let every = self
                 .fleet
                 .scenario
@@ -261,7 +261,7 @@
                     EdgesAs::Cores(make) => make(start),
                     EdgesAs::Processes(_) => Box::new(Edge::new(start)),
                 };
-                self.fleet.within_tls(edge)?
+                self.fleet.with_tls(edge)?
             }
         })
     }
