--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -172,7 +172,10 @@
     let outcome = play(&mut stage, &recording).map_err(|e| e.to_string())?;
     eprintln!();
     let log = &recording.0.borrow().log;
-    let processes = log.waits.iter().filter(|(name, _)| *name != OURS);
+    let processes = log
+        .scheduling_delays
+        .iter()
+        .filter(|(name, _)| *name != OURS);
     let waited = processes
         .map(|(_, waits)| waits.worst_second())
         .max()
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -1,6 +1,6 @@
 //! Judges the five rules, and that nothing was lost, from recorded traffic alone.
 
-use crate::recorder::{Log, Run, Try};
+use crate::recorder::{ClientAttempt, Execution, Log};
 use crate::scenario::{Scenario, WorkloadTraffic};
 use crate::scheduling_delay::{SchedulingDelays, OURS};
 use hdrhistogram::Histogram;
@@ -99,7 +99,7 @@
     }
     /// Whether the edge was down, or stood still, at some time between.
     fn down(&self, edge: &str, from: Micros, to: Micros) -> bool {
-        let all = self.log.down.iter().chain(&self.log.stopped);
+        let all = self.log.edge_downtime.iter().chain(&self.log.edge_pauses);
         let mut spells = all.filter(|(name, ..)| name == edge);
         spells.any(|(_, down, up)| {
             *down <= to + self.slack && up.is_none_or(|up| up >= from - self.slack)
@@ -108,28 +108,28 @@
 
     /// Whether the edges are processes that were looked at.
     fn watched(&self) -> bool {
-        !self.log.waits.is_empty()
+        !self.log.scheduling_delays.is_empty()
     }
     /// How long an answer may have been held up: where processes are watched, by what its link is made late, and by
     /// what its edge and this process are seen to have waited as the call was read and as its answer was due.
-    fn held_up(&self, t: &Try, came: Micros) -> Micros {
+    fn held_up(&self, t: &ClientAttempt, came: Micros) -> Micros {
         if !self.watched() {
             return self.slack;
         }
         let of = |name: &str, from, to| {
             self.log
-                .waits
+                .scheduling_delays
                 .get(name)
                 .map_or(0, |w: &SchedulingDelays| w.between(from, to))
         };
         // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
         let waited = |ours, from, to| ours * of(OURS, from, to) + of(&t.edge, from, to);
         let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
-        let reading = waited(1, t.sent, t.sent + ahead);
-        let reading = waited(1, t.sent, t.sent + reading.max(ahead));
+        let reading = waited(1, t.sent_at, t.sent_at + ahead);
+        let reading = waited(1, t.sent_at, t.sent_at + reading.max(ahead));
         self.slack - self.log.max_scheduling_delay
             + reading
-            + waited(2, t.sent + t.limit - ahead, came)
+            + waited(2, t.sent_at + t.time_limit - ahead, came)
     }
     /// Rule 1, and the account.
     fn answers(&mut self, start: Micros) -> Verdict {
@@ -151,7 +151,7 @@
             seconds: Vec::new(),
         };
         let mut refused = 0;
-        for t in &self.log.tries {
+        for t in &self.log.client_attempts {
             verdict.accepted += 1;
             let name = format!("call {} try {} at {}", t.call, t.number, t.edge);
             if t.answers.len() > 1 {
@@ -162,9 +162,12 @@
                 );
             }
             // What a process answered too late, as clients that stay see it, counts as no answer where it stood still.
-            let late = |at: Micros| at > t.sent + t.limit + self.held_up(t, at);
-            let stood_still =
-                |at| self.watched() && late(at) && self.down(&t.edge, t.sent, t.sent + t.limit);
+            let late = |at: Micros| at > t.sent_at + t.time_limit + self.held_up(t, at);
+            let stood_still = |at| {
+                self.watched()
+                    && late(at)
+                    && self.down(&t.edge, t.sent_at, t.sent_at + t.time_limit)
+            };
             match t.answers.first() {
                 Some((at, _)) if stood_still(*at) => verdict.lost_with_edge += 1,
                 Some((at, status)) => {
@@ -176,26 +179,31 @@
                         _ => refused += 1,
                     }
                     if late(*at) {
-                        let (late, held) = (at - t.sent - t.limit, self.held_up(t, *at));
+                        let (late, held) = (at - t.sent_at - t.time_limit, self.held_up(t, *at));
                         let what = format!(
                             "{name} was answered {late} us after its client's time, held up {held}"
                         );
                         self.add_violation(1, *at, what);
                     }
                 }
-                None if self.down(&t.edge, t.sent, t.broken.unwrap_or(t.sent + t.limit)) => {
+                None if self.down(
+                    &t.edge,
+                    t.sent_at,
+                    t.closed_at.unwrap_or(t.sent_at + t.time_limit),
+                ) =>
+                {
                     verdict.lost_with_edge += 1
                 }
                 // Its client left before the machine let an edge answer: it was not taken.
-                None if t.limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
+                None if t.time_limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
                 None => {
-                    let at = t.broken.unwrap_or(t.sent + t.limit);
+                    let at = t.closed_at.unwrap_or(t.sent_at + t.time_limit);
                     self.add_violation(
                         1,
                         at,
                         format!(
                             "{name} got no answer in the {} us its client waited",
-                            at - t.sent
+                            at - t.sent_at
                         ),
                     );
                 }
@@ -208,9 +216,9 @@
 
     /// A call is served if one of its tries finished within the start target of its beginning.
     fn service(&self, start: Micros, verdict: &mut Verdict) {
-        let mut calls: BTreeMap<u64, Vec<&Try>> = BTreeMap::new();
+        let mut calls: BTreeMap<u64, Vec<&ClientAttempt>> = BTreeMap::new();
         self.log
-            .tries
+            .client_attempts
             .iter()
             .for_each(|t| calls.entry(t.call).or_default().push(t));
         let (mut asked, mut earned) = (0.0, 0.0);
@@ -224,7 +232,7 @@
                 .iter()
                 .flat_map(|t| &t.answers)
                 .find(|(_, status)| *status == 200);
-            let latency = finished.map(|(at, _)| at - first.began);
+            let latency = finished.map(|(at, _)| at - first.call_started_at);
             let in_time = latency.is_some_and(|l| l <= calls.start_target);
             if in_time {
                 earned += calls.importance;
@@ -237,7 +245,7 @@
                 let of = verdict.customers.entry(customer.clone()).or_default();
                 *of = (of.0 + 1, of.1 + u64::from(in_time));
             }
-            let second = ((first.began - start) / 1_000_000).max(0) as usize;
+            let second = ((first.call_started_at - start) / 1_000_000).max(0) as usize;
             if verdict.seconds.len() <= second {
                 verdict.seconds.resize(second + 1, (0, 0));
             }
@@ -255,26 +263,26 @@
     fn sent_after_the_answer(&mut self) {
         let answered: BTreeMap<(u64, u32), Micros> = self
             .log
-            .tries
+            .client_attempts
             .iter()
             .filter_map(|t| t.answers.first().map(|(at, _)| ((t.call, t.number), *at)))
             .collect();
-        for run in &self.log.runs {
+        for run in &self.log.executions {
             let Some(at) = answered.get(&(run.call, run.number)) else {
                 continue;
             };
-            if run.came > at + self.slack {
-                let (call, n, late) = (run.call, run.number, run.came - at);
+            if run.received_at > at + self.slack {
+                let (call, n, late) = (run.call, run.number, run.received_at - at);
                 let what =
                     format!("call {call} try {n} went to a worker {late} us after its answer");
-                self.add_violation(1, run.came, what);
+                self.add_violation(1, run.received_at, what);
             }
         }
     }
 
     /// Rule 2. An execution that reached a worker may have run unless the worker had answered that it did not.
     fn effects(&mut self) {
-        let not_run = |run: &Run, by: Micros| {
+        let not_run = |run: &Execution, by: Micros| {
             let no = |e: &ExecutionStatus| {
                 matches!(
                     e,
@@ -287,14 +295,14 @@
                 .first()
                 .is_some_and(|(at, ended)| *at <= by && no(ended))
         };
-        let mut runs: BTreeMap<(u64, u32), Vec<&Run>> = BTreeMap::new();
+        let mut runs: BTreeMap<(u64, u32), Vec<&Execution>> = BTreeMap::new();
         self.log
-            .runs
+            .executions
             .iter()
             .for_each(|run| runs.entry((run.call, run.number)).or_default().push(run));
         let pushed_back: BTreeMap<(u64, u32), Micros> = self
             .log
-            .tries
+            .client_attempts
             .iter()
             .filter_map(|t| {
                 t.answers
@@ -312,10 +320,13 @@
                 continue;
             };
             let mut runs = runs.clone();
-            runs.sort_by_key(|run| run.came);
+            runs.sort_by_key(|run| run.received_at);
             let name = format!("call {} try {} ({})", id.0, id.1, calls.effect);
             for (n, later) in runs.iter().enumerate() {
-                let Some(earlier) = runs[..n].iter().find(|run| !not_run(run, later.came)) else {
+                let Some(earlier) = runs[..n]
+                    .iter()
+                    .find(|run| !not_run(run, later.received_at))
+                else {
                     continue;
                 };
                 let allowed = match calls.effect.as_str() {
@@ -323,14 +334,16 @@
                     "fingerprinted" => {
                         let in_group =
                             self.group(calls, earlier.worker) == self.group(calls, later.worker);
-                        in_group && later.came < earlier.came + calls.repeat_window + self.slack
+                        in_group
+                            && later.received_at
+                                < earlier.received_at + calls.repeat_window + self.slack
                     }
                     _ => false,
                 };
                 if !allowed {
                     let (from, to) = (earlier.worker, later.worker);
                     broken.push((
-                        later.came,
+                        later.received_at,
                         format!("{name} went to worker {to} when it may have run at {from}"),
                     ));
                 }
@@ -366,14 +379,14 @@
         }
         let sent = self
             .log
-            .runs
+            .executions
             .iter()
-            .map(|r| (r.came, r.worker, &r.edge, "a job"));
+            .map(|r| (r.received_at, r.worker, &r.edge, "a job"));
         let ordered = self
             .log
             .load_commands
             .iter()
-            .map(|o| (o.came, o.worker, &o.edge, "an order to load"));
+            .map(|o| (o.received_at, o.worker, &o.edge, "an order to load"));
         let mut broken = Vec::new();
         for (came, worker, edge, what) in sent.chain(ordered) {
             let name = Scenario::worker_name(worker);
@@ -414,18 +427,20 @@
             l.duration_us("rules.fall-us"),
         );
         let mut broken = Vec::new();
-        for (worker, started) in &self.log.starts {
+        for (worker, started) in &self.log.worker_starts {
             let spec = self.scenario.worker(*worker, "", "", "");
             let capacity = spec.size();
             let mut came: Vec<(Micros, f64)> = self
                 .log
-                .runs
+                .executions
                 .iter()
-                .filter(|r| r.worker == *worker && (*started..started + cold).contains(&r.came))
+                .filter(|r| {
+                    r.worker == *worker && (*started..started + cold).contains(&r.received_at)
+                })
                 .filter_map(|r| {
                     self.workloads
                         .get(r.workload.as_str())
-                        .map(|c| (r.came, c.mean_work as f64))
+                        .map(|c| (r.received_at, c.mean_work as f64))
                 })
                 .collect();
             came.sort_by_key(|(at, _)| *at);
@@ -456,16 +471,16 @@
     /// No call is taken under a key that was revoked, once every edge has had time to hear of it.
     fn revoked_keys(&mut self) {
         let mut broken = Vec::new();
-        for t in &self.log.tries {
+        for t in &self.log.client_attempts {
             let since = t.key.as_ref().and_then(|key| self.log.revoked.get(key));
             let taken = t
                 .answers
                 .first()
                 .is_none_or(|(_, status)| !matches!(status, 401 | 403 | 503));
-            if let Some(since) = since.filter(|since| t.sent > **since && taken) {
-                let late = t.sent - since;
+            if let Some(since) = since.filter(|since| t.sent_at > **since && taken) {
+                let late = t.sent_at - since;
                 broken.push((
-                    t.sent,
+                    t.sent_at,
                     format!(
                         "call {} was taken under a revoked key, {late} us late",
                         t.call
@@ -500,18 +515,18 @@
                 .load_commands
                 .iter()
                 .filter(|o| o.edge == edge)
-                .map(|o| o.came)
+                .map(|o| o.received_at)
                 .collect();
             let mut taken: Vec<Micros> = self
                 .log
-                .tries
+                .client_attempts
                 .iter()
                 .filter(|t| t.edge == edge)
-                .map(|t| t.sent)
+                .map(|t| t.sent_at)
                 .collect();
             let starts: Vec<Micros> = self
                 .log
-                .down
+                .edge_downtime
                 .iter()
                 .filter(|(down, ..)| down == edge)
                 .filter_map(|(.., until)| *until)
--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -53,11 +53,11 @@
         let capacity = spec.size();
         let while_cold = |at: &Micros| (*started..started + cold).contains(at);
         let runs = log
-            .runs
+            .executions
             .iter()
-            .filter(|run| run.worker == *worker && while_cold(&run.came));
+            .filter(|run| run.worker == *worker && while_cold(&run.received_at));
         let mut came: Vec<(Micros, f64)> = runs
-            .filter_map(|run| Some((run.came, work_of(&run.workload)? / mean)))
+            .filter_map(|run| Some((run.received_at, work_of(&run.workload)? / mean)))
             .collect();
         came.sort_by_key(|(at, _)| *at);
         let mut worst = Window {
@@ -87,5 +87,5 @@
         }
         worst
     };
-    log.starts.iter().map(worst).collect()
+    log.worker_starts.iter().map(worst).collect()
 }
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -185,7 +185,7 @@
             p99_ms: outcome.latency_ms(0.99),
             finished: v.finished as f64,
             rejected: v.rejected as f64,
-            executions: outcome.runs as f64,
+            executions: outcome.executions as f64,
             loads: outcome.load_commands as f64,
             violations: v.violations.len() as f64,
             seconds: v.seconds.clone(),
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -2,7 +2,7 @@
 //! less dear work was served, and how far edges served apart. Read from the traffic, as the verdict is.
 
 use crate::cold;
-use crate::recorder::{Load, Log, Try};
+use crate::recorder::{ClientAttempt, Load, Log};
 use crate::scenario::Scenario;
 use sanddrum_net::Micros;
 use serde_json::{json, Value};
@@ -14,7 +14,7 @@
 /// What reached workers from all edges, for each job that they finished.
 pub fn amplification(log: &Log) -> Value {
     let finished = log
-        .tries
+        .client_attempts
         .iter()
         .filter(|t| status(t) == Some(200))
         .count()
@@ -22,7 +22,7 @@
     let each = |sum: u64| (sum as f64 / finished * 1e3).round() / 1e3;
     let of = |figure: fn(&Load) -> u64| each(log.sum(false, figure));
     json!({
-        "executions": each(log.runs.len() as u64),
+        "executions": each(log.executions.len() as u64),
         "misses": of(|l| l.misses),
         "probes": of(|l| l.probes),
         "asks": of(|l| l.load_queries),
@@ -31,7 +31,7 @@
     })
 }
 
-fn status(t: &Try) -> Option<u16> {
+fn status(t: &ClientAttempt) -> Option<u16> {
     t.answers.first().map(|(_, status)| *status)
 }
 
@@ -46,7 +46,7 @@
 /// turned away: as much as would have fitted in its place.
 pub fn inversions(log: &Log, scenario: &Scenario) -> f64 {
     let mut seconds: BTreeMap<Micros, Vec<Second>> = BTreeMap::new();
-    for t in &log.tries {
+    for t in &log.client_attempts {
         let Some((at, status)) = t.answers.first() else {
             continue;
         };
@@ -87,7 +87,7 @@
 /// The part of its calls, by their first try, that the worst and the best edge answered in time.
 pub fn edge_service_range(log: &Log, scenario: &Scenario) -> (f64, f64) {
     let mut firsts: BTreeMap<u64, (&str, bool)> = BTreeMap::new();
-    for t in &log.tries {
+    for t in &log.client_attempts {
         let target = scenario
             .calls
             .iter()
@@ -96,7 +96,7 @@
         let served = t
             .answers
             .first()
-            .is_some_and(|(at, s)| *s == 200 && at - t.began <= target);
+            .is_some_and(|(at, s)| *s == 200 && at - t.call_started_at <= target);
         firsts.entry(t.call).or_insert((&t.edge, false)).1 |= served;
     }
     let mut of: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -329,7 +329,10 @@
     /// How late this loop is, and how long each process has waited for a processor.
     fn watch_processes(&mut self, late: Micros) {
         let (now, log) = (self.driver.now(), &mut self.recording.0.borrow_mut().log);
-        log.waits.entry(OURS.into()).or_default().add(now, late);
+        log.scheduling_delays
+            .entry(OURS.into())
+            .or_default()
+            .add(now, late);
         if now < self.watched_at + scheduling_delay::every(self.children.len()) {
             return;
         }
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -24,30 +24,30 @@
 
 /// A try of a call, as its client sent it.
 #[derive(Clone, Debug, Default)]
-pub struct Try {
+pub struct ClientAttempt {
     pub call: u64,
     pub number: u32,
     pub workload: String,
     pub edge: String,
     /// When its call began, and when this try had gone out whole.
-    pub began: Micros,
-    pub sent: Micros,
-    pub limit: Micros,
+    pub call_started_at: Micros,
+    pub sent_at: Micros,
+    pub time_limit: Micros,
     pub customer: Option<String>,
     /// The key that its token names.
     pub key: Option<String>,
     /// When each answer had come whole, with its status.
     pub answers: Vec<(Micros, u16)>,
     /// When the connection ended with the try unanswered.
-    pub broken: Option<Micros>,
+    pub closed_at: Option<Micros>,
 }
 
 /// An execution that reached a worker whole.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Execution {
     pub worker: usize,
     pub edge: String,
-    pub came: Micros,
+    pub received_at: Micros,
     pub call: u64,
     pub number: u32,
     pub workload: String,
@@ -60,7 +60,7 @@
 pub struct LoadCommand {
     pub worker: usize,
     pub edge: String,
-    pub came: Micros,
+    pub received_at: Micros,
     pub instances: u32,
 }
 
@@ -75,20 +75,20 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    pub tries: Vec<Try>,
-    pub runs: Vec<Run>,
+    pub client_attempts: Vec<ClientAttempt>,
+    pub executions: Vec<Execution>,
     pub load_commands: Vec<LoadCommand>,
     pub endpoint_updates: Vec<EndpointUpdate>,
     /// Workers' starts, from cold, as the scenario made them.
-    pub starts: Vec<(usize, Micros)>,
+    pub worker_starts: Vec<(usize, Micros)>,
     /// When edges were down, by name: from, and until (if they came back).
-    pub down: Vec<(String, Micros, Option<Micros>)>,
+    pub edge_downtime: Vec<(String, Micros, Option<Micros>)>,
     /// When edges stood still, likewise: they answer nobody meanwhile, and remember all.
-    pub stopped: Vec<(String, Micros, Option<Micros>)>,
+    pub edge_pauses: Vec<(String, Micros, Option<Micros>)>,
     /// The machine may hold a process up for so long.
     pub max_scheduling_delay: Micros,
     /// How long it did, edges by their names; empty where nobody looked.
-    pub waits: BTreeMap<String, SchedulingDelays>,
+    pub scheduling_delays: BTreeMap<String, SchedulingDelays>,
     /// Keys that were revoked, and from when on no edge takes a call under them.
     pub revoked: BTreeMap<String, Micros>,
     pub bytes: u64,
@@ -211,18 +211,18 @@
             let token = request
                 .field("authorization")
                 .and_then(|a| a.split(' ').next_back());
-            *open = Some(log.tries.len());
-            log.tries.push(Try {
+            *open = Some(log.client_attempts.len());
+            log.client_attempts.push(ClientAttempt {
                 call,
                 number,
                 workload,
                 edge: edge.to_string(),
-                began: now - since,
-                sent: now,
-                limit: limit.unwrap_or(0) * 1000,
+                call_started_at: now - since,
+                sent_at: now,
+                time_limit: limit.unwrap_or(0) * 1000,
                 customer: request.field("sanddrum-customer").map(String::from),
                 key: token.and_then(sanddrum_identity::token::unverified_key_id),
-                ..Try::default()
+                ..ClientAttempt::default()
             });
         }
     }
@@ -292,8 +292,8 @@
                 while let Ok(Some((answer, took))) = http::parse_response(inn) {
                     inn.drain(..took);
                     // An answer with no try open belongs to the last one: it is one too many.
-                    let at = open.take().or(log.tries.len().checked_sub(1));
-                    if let Some(t) = at.and_then(|at| log.tries.get_mut(at)) {
+                    let at = open.take().or(log.client_attempts.len().checked_sub(1));
+                    if let Some(t) = at.and_then(|at| log.client_attempts.get_mut(at)) {
                         t.answers.push((now, answer.status));
                     }
                 }
@@ -310,13 +310,13 @@
                             let Some((call, number, _)) = trace else {
                                 continue;
                             };
-                            runs.insert(e.id, log.runs.len());
+                            runs.insert(e.id, log.executions.len());
                             let (worker, edge) = (*n, edge.clone());
                             let (workload, answers) = (e.workload, Vec::new());
-                            log.runs.push(Run {
+                            log.executions.push(Execution {
                                 worker,
                                 edge,
-                                came: now,
+                                received_at: now,
                                 call,
                                 number,
                                 workload,
@@ -332,7 +332,7 @@
                             log.load_commands.push(LoadCommand {
                                 worker: *n,
                                 edge: edge.clone(),
-                                came: now,
+                                received_at: now,
                                 instances: h.instances,
                             });
                         }
@@ -378,7 +378,10 @@
                     };
                     log.load(Target::Worker(*n), now).misses +=
                         u64::from(done.status == ExecutionStatus::ColdMiss);
-                    if let Some(run) = runs.get(&done.id).and_then(|at| log.runs.get_mut(*at)) {
+                    if let Some(run) = runs
+                        .get(&done.id)
+                        .and_then(|at| log.executions.get_mut(*at))
+                    {
                         run.answers.push((now, done.status));
                     }
                 }
@@ -413,8 +416,8 @@
         let this = &mut *self.0.borrow_mut();
         (now, host, conn, 3u8).hash(&mut this.digest);
         if let Some(Reader::Caller { open: Some(at), .. }) = this.readers.remove(&(host, conn)) {
-            if let Some(t) = this.log.tries.get_mut(at) {
-                t.broken = Some(now);
+            if let Some(t) = this.log.client_attempts.get_mut(at) {
+                t.closed_at = Some(now);
             }
         }
     }
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -19,7 +19,7 @@
     pub digest: u64,
     /// What was done when, in words.
     pub timeline: Vec<(Micros, String)>,
-    pub runs: usize,
+    pub executions: usize,
     pub load_commands: usize,
     /// What fell on the list service and on workers.
     pub peak_load: Value,
@@ -101,7 +101,10 @@
     let acts = player.timeline;
     let recorder = recording.0.borrow();
     let verdict = check_log(&recorder.log, &scenario, start, slack);
-    let (runs, orders) = (recorder.log.runs.len(), recorder.log.load_commands.len());
+    let (runs, orders) = (
+        recorder.log.executions.len(),
+        recorder.log.load_commands.len(),
+    );
     let (peak_load, whole) = (
         peak_load(&recorder.log),
         crate::fleet_summary::of(&recorder.log, &scenario),
@@ -112,7 +115,7 @@
         virtual_time: false,
         digest: recorder.digest(),
         timeline: acts,
-        runs,
+        executions: runs,
         load_commands: orders,
         peak_load,
         fleet_summary: whole,
@@ -244,7 +247,7 @@
     fn log_down(&mut self, whom: &[Who]) {
         let now = self.stage.now();
         let down = Self::edges(whom).map(|edge| (edge, now, None));
-        self.recording.0.borrow_mut().log.down.extend(down);
+        self.recording.0.borrow_mut().log.edge_downtime.extend(down);
     }
     fn bring_back(&mut self, whom: &[Who]) -> io::Result<()> {
         for who in whom {
@@ -253,10 +256,14 @@
             let now = self.stage.now();
             let log = &mut self.recording.0.borrow_mut().log;
             match who {
-                Who::Worker(n) => log.starts.push((*n, now)),
+                Who::Worker(n) => log.worker_starts.push((*n, now)),
                 Who::Edge(n) => {
                     let name = Scenario::edge_name(*n);
-                    if let Some(spell) = log.down.iter_mut().rev().find(|(edge, ..)| *edge == name)
+                    if let Some(spell) = log
+                        .edge_downtime
+                        .iter_mut()
+                        .rev()
+                        .find(|(edge, ..)| *edge == name)
                     {
                         spell.2 = Some(now);
                     }
@@ -374,7 +381,12 @@
                 whom.iter().for_each(|who| self.stage.freeze(*who, true));
                 let now = self.stage.now();
                 let stopped = Self::edges(whom).map(|edge| (edge, now, None));
-                self.recording.0.borrow_mut().log.stopped.extend(stopped);
+                self.recording
+                    .0
+                    .borrow_mut()
+                    .log
+                    .edge_pauses
+                    .extend(stopped);
             }
             "hang" => self.faults(whom, |f| f.is_hung = true),
             "slow" => self.faults(whom, |f| f.slowdown = size),
@@ -431,7 +443,7 @@
                 let (now, names) = (self.stage.now(), Self::edges(whom).collect::<BTreeSet<_>>());
                 let log = &mut self.recording.0.borrow_mut().log;
                 let open = log
-                    .stopped
+                    .edge_pauses
                     .iter_mut()
                     .filter(|(edge, _, until)| until.is_none() && names.contains(edge));
                 open.for_each(|spell| spell.2 = Some(now));
@@ -540,7 +552,7 @@
         let _ = writeln!(
             out,
             "executions {}, orders to load {}",
-            self.runs, self.load_commands
+            self.executions, self.load_commands
         );
         let (each, edges) = (
             &self.fleet_summary["for_each_finished"],
--- a/crates/sanddrum-lab/src/scheduling_delay.rs
+++ b/crates/sanddrum-lab/src/scheduling_delay.rs
@@ -65,7 +65,7 @@
         let before = before
             .filter(|(same, _)| *same == process)
             .map_or(0, |(_, waited)| waited);
-        log.waits
+        log.scheduling_delays
             .entry(name)
             .or_default()
             .add(now, (waited - before).max(0));
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -5,7 +5,7 @@
 use sanddrum::*;
 use sanddrum_edge::{DecisionModule, Edge};
 use sanddrum_lab::checker::check_log;
-use sanddrum_lab::recorder::{Log, Run, Try};
+use sanddrum_lab::recorder::{ClientAttempt, Execution, Log};
 use sanddrum_lab::{play_virtually, product_edge, MakeEdge, Scenario};
 use sanddrum_net::{Core, Event, FileError, Io};
 
@@ -176,21 +176,21 @@
     let scenario = day("restartable", "");
     let limit = 2_000_000;
     let (workload, edge) = ("job".to_string(), "edge-0".to_string());
-    let one = Try {
+    let one = ClientAttempt {
         workload: workload.clone(),
         edge: edge.clone(),
-        limit,
+        time_limit: limit,
         answers,
-        ..Try::default()
+        ..ClientAttempt::default()
     };
     let mut log = Log {
-        tries: vec![one],
+        client_attempts: vec![one],
         ..Log::default()
     };
-    log.runs.extend(run.map(|came| Run {
+    log.executions.extend(run.map(|came| Execution {
         worker: 0,
         edge,
-        came,
+        received_at: came,
         call: 0,
         number: 0,
         workload,
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use sanddrum_lab::checker::check_log;
 use sanddrum_lab::cold;
-use sanddrum_lab::recorder::{LoadCommand, Log, Run, Try};
+use sanddrum_lab::recorder::{ClientAttempt, Execution, LoadCommand, Log};
 use sanddrum_lab::{Scenario, SchedulingDelays, OURS};
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     let order = |came| LoadCommand {
         worker: 0,
         edge: "edge-0".into(),
-        came,
+        received_at: came,
         instances: 1,
     };
     let orders = [1_000_000, 1_100_000, 1_200_000, 1_700_000]
@@ -37,7 +37,7 @@
         .collect();
     let log = Log {
         load_commands: orders,
-        down,
+        edge_downtime: down,
         ..Log::default()
     };
     let scenario = Scenario::read("story", RATION, 1).unwrap();
@@ -61,17 +61,17 @@
         .map(|(from, until)| (edge.clone(), from, until))
         .collect();
     let sent = 1_000_000;
-    let tries = vec![Try {
+    let tries = vec![ClientAttempt {
         edge,
         workload,
-        began: sent,
-        sent,
-        limit,
-        ..Try::default()
+        call_started_at: sent,
+        sent_at: sent,
+        time_limit: limit,
+        ..ClientAttempt::default()
     }];
     let log = Log {
-        tries,
-        stopped,
+        client_attempts: tries,
+        edge_pauses: stopped,
         max_scheduling_delay: 500_000,
         ..Log::default()
     };
@@ -109,18 +109,18 @@
     }
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let answers = vec![(came, 504)];
-    let tries = vec![Try {
+    let tries = vec![ClientAttempt {
         edge,
         workload,
-        began: sent,
-        sent,
-        limit: 3_000_000,
+        call_started_at: sent,
+        sent_at: sent,
+        time_limit: 3_000_000,
         answers,
-        ..Try::default()
+        ..ClientAttempt::default()
     }];
     let log = Log {
-        tries,
-        waits,
+        client_attempts: tries,
+        scheduling_delays: waits,
         max_scheduling_delay: 500_000,
         ..Log::default()
     };
@@ -146,19 +146,19 @@
     let stopped = vec![(edge.clone(), from, until)];
     let waits = [(OURS.to_string(), SchedulingDelays::default())].into();
     let (began, limit, answers) = (sent, 3_000_000, vec![(7_100_000, 504)]);
-    let tries = vec![Try {
+    let tries = vec![ClientAttempt {
         edge,
         workload,
-        began,
-        sent,
-        limit,
+        call_started_at: began,
+        sent_at: sent,
+        time_limit: limit,
         answers,
-        ..Try::default()
+        ..ClientAttempt::default()
     }];
     let log = Log {
-        tries,
-        stopped,
-        waits,
+        client_attempts: tries,
+        edge_pauses: stopped,
+        scheduling_delays: waits,
         max_scheduling_delay: 500_000,
         ..Log::default()
     };
@@ -195,10 +195,10 @@
         (calls "job" (share 1) (work 100ms))"#;
     let started = 50_000_000;
     let came = |n: i64| started + after_its_start + n;
-    let run = |n| Run {
+    let run = |n| Execution {
         worker: 0,
         edge: format!("edge-{}", n % 7),
-        came: came(n),
+        received_at: came(n),
         call: n as u64,
         number: 0,
         workload: "job".into(),
@@ -212,8 +212,8 @@
             .unwrap();
     }
     let log = Log {
-        runs: (0..jobs).map(run).collect(),
-        starts: vec![(0, started)],
+        executions: (0..jobs).map(run).collect(),
+        worker_starts: vec![(0, started)],
         ..Log::default()
     };
     let windows = cold::windows(&log, &scenario);
--- a/crates/sanddrum-lab/tests/fleet_summary.rs
+++ b/crates/sanddrum-lab/tests/fleet_summary.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sanddrum_lab::fleet_summary::{amplification, edge_service_range, inversions};
-use sanddrum_lab::recorder::{Log, Try};
+use sanddrum_lab::recorder::{ClientAttempt, Log};
 use sanddrum_lab::Scenario;
 use sanddrum_net::Micros;
 
@@ -16,15 +16,15 @@
     Scenario::read("whole", text, 1).unwrap_or_else(|e| panic!("{e}"))
 }
 /// Tries of a workload answered so in a second.
-fn tries(workload: &str, second: Micros, status: u16, count: u64) -> Vec<Try> {
+fn tries(workload: &str, second: Micros, status: u16, count: u64) -> Vec<ClientAttempt> {
     let at = second * 1_000_000 + 500;
-    let call = |n: u64| Try {
+    let call = |n: u64| ClientAttempt {
         call: n + (at as u64 + u64::from(status)) * 1000 + workload.len() as u64 * 100,
         workload: workload.into(),
         edge: format!("edge-{}", n % 2),
-        began: at,
+        call_started_at: at,
         answers: vec![(at, status)],
-        ..Try::default()
+        ..ClientAttempt::default()
     };
     (0..count).map(call).collect()
 }
@@ -42,7 +42,7 @@
         .iter()
         .flat_map(|(workload, at, status, n)| tries(workload, *at, *status, *n));
     let log = Log {
-        tries: tries.collect(),
+        client_attempts: tries.collect(),
         ..Log::default()
     };
     assert!((inversions(&log, &scenario()) - part).abs() < 1e-9);
@@ -56,7 +56,7 @@
         .step_by(4)
         .for_each(|t| t.answers[0].1 = 503);
     let log = Log {
-        tries: all,
+        client_attempts: all,
         ..Log::default()
     };
     assert_eq!(edge_service_range(&log, &scenario()), (0.75, 1.0));
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -76,7 +76,7 @@
     let scenario = Scenario::read("bad-day.sx", &format!("{BAD_DAY}{tls}"), seed).unwrap();
     let outcome = play_virtually(scenario, product_edge()).unwrap();
     assert!(
-        outcome.is_good() && outcome.runs > 4000,
+        outcome.is_good() && outcome.executions > 4000,
         "{}",
         outcome.text()
     );
@@ -94,7 +94,7 @@
     let start = stage.now();
     let outcome = play(&mut stage, &recording).unwrap();
     assert!(
-        outcome.is_good() && outcome.runs > 4000,
+        outcome.is_good() && outcome.executions > 4000,
         "{}",
         outcome.text()
     );
@@ -105,15 +105,16 @@
         .unwrap();
     let impostor: usize = act.split(['(', ')']).nth(1).unwrap().parse().unwrap();
     let log = &recording.0.borrow().log;
-    let while_foreign = |run: &&sanddrum_lab::recorder::Run| {
-        run.worker == impostor && (start + at + 50_000..start + at + 3_000_000).contains(&run.came)
+    let while_foreign = |run: &&sanddrum_lab::recorder::Execution| {
+        run.worker == impostor
+            && (start + at + 50_000..start + at + 3_000_000).contains(&run.received_at)
     };
-    assert_eq!(log.runs.iter().filter(while_foreign).count(), 0);
-    let after = |run: &&sanddrum_lab::recorder::Run| {
-        run.worker == impostor && run.came > start + at + 3_000_000
+    assert_eq!(log.executions.iter().filter(while_foreign).count(), 0);
+    let after = |run: &&sanddrum_lab::recorder::Execution| {
+        run.worker == impostor && run.received_at > start + at + 3_000_000
     };
     assert!(
-        log.runs.iter().any(|run| after(&run)),
+        log.executions.iter().any(|run| after(&run)),
         "and it serves again"
     );
 }
