--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -370,7 +370,7 @@
 
     /// Rule 3: nothing new to a worker that the edge was told drains or is gone, but for a grace.
     fn drains(&mut self) {
-        let grace = self.scenario.grace() + self.slack;
+        let grace = self.scenario.drain_grace() + self.slack;
         let mut told: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
         for t in &self.log.endpoint_updates {
             told.entry((&t.edge, &t.worker))
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: scenarios with scripted troubles, played through the real edge on sockets or in virtual time, and
-//! a checker that judges the users' five rules from the traffic alone.
+//! The lab: runs scenarios with scripted faults through the real edge, on sockets or in virtual time, and checks the
+//! users' five rules from the recorded traffic alone.
 
 #![allow(
     clippy::missing_errors_doc,
@@ -65,20 +65,21 @@
 use sanddrum_net::LinkModel;
 use std::io;
 
-/// The bad day that the demo plays.
+/// The scenario that the demo runs: many faults in one run.
 pub const BAD_DAY: &str = include_str!("../scenarios/bad-day.sx");
 
-/// What is played by a fleet of processes where no scenario is given: the bad day has parts that processes don't play.
+/// The default scenario of a fleet of processes; the bad day has faults that a fleet of processes can't apply.
 pub const FLEET_DAY: &str = include_str!("../scenarios/fleet-day.sx");
 
-/// Plays a scenario in virtual time.
+/// Runs a scenario in virtual time.
 ///
 /// # Errors
 /// The scenario can't be set up.
 pub fn play_virtually(scenario: Scenario, make_edge: MakeEdge) -> io::Result<Outcome> {
     let recording = Recording::default();
-    let mut stage = VirtualEnvironment::new(scenario, LinkModel::default(), &recording, make_edge)?;
-    let mut outcome = play(&mut stage, &recording)?;
+    let mut environment =
+        VirtualEnvironment::new(scenario, LinkModel::default(), &recording, make_edge)?;
+    let mut outcome = play(&mut environment, &recording)?;
     outcome.virtual_time = true;
     Ok(outcome)
 }
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: a deployment, a fleet of stand-ins, traffic and troubles.
+//! A scenario: a deployment, an emulated fleet, its traffic and the scripted faults.
 
 use crate::relay::Fault;
 use crate::schema::{kinds, SCENARIO};
@@ -7,13 +7,16 @@
 use sanddrum_settings::{LoadedSettings, SettingsError};
 use sanddrum_wire::{EndpointRecord, Phase};
 
+/// The traffic of one workload, with the settings of the workload that the lab needs.
 #[derive(Clone, Debug)]
 pub struct WorkloadTraffic {
     pub workload: String,
+    /// Its share of all calls.
     pub share: f64,
     pub mean_work: Micros,
+    /// Clients send an estimate of the work.
     pub hints: bool,
-    /// Hints are the work itself, for an oracle.
+    /// The hint is the exact work, for the oracle.
     pub exact_hints: bool,
     pub start_target: Micros,
     pub time_limit: Micros,
@@ -21,20 +24,26 @@
     pub effect: String,
     pub group: String,
     pub repeat_window: Micros,
-    /// The functions' common beginning, as set for this workload.
+    /// The common prefix of the names of this workload's functions.
     pub function_prefix: String,
 }
 
+/// A fault that the scenario injects at a given time; see `schema::kinds` for the kinds.
 #[derive(Clone, Debug)]
 pub struct ScriptedFault {
     pub kind: String,
+    /// The start of the fault, counted from the start of the run.
     pub at: Micros,
     pub duration: Micros,
+    /// The fraction of the workers or edges that it affects.
     pub fraction: Option<f64>,
+    /// The number of workers or edges that it affects; takes precedence over `fraction`.
     pub count: Option<usize>,
+    /// Only workers or edges of this zone are affected.
     pub zone: Option<String>,
+    /// The severity, in the unit of the kind.
     pub size: f64,
-    /// A link's two sides, the zone that its other side is in, and what is wrong with it.
+    /// For link faults: the connecting and the accepting side, the zone of the accepting side, and the fault.
     pub link: (String, String),
     pub to_zone: Option<String>,
     pub link_fault: Fault,
@@ -64,56 +73,65 @@
     }
 }
 
-/// What a scenario tells each edge for itself, and what to give in its place.
-const EACH_EDGES: &[(&str, &str)] = &[
-    ("edge.name", "edges are named by their number"),
-    ("edge.listen", "the lab chooses where edges listen"),
-    ("edge.list", "the lab chooses where the list service is"),
+/// Settings that the lab sets for each edge, so that scenarios can't, and what to do instead.
+const PER_EDGE_SETTINGS: &[(&str, &str)] = &[
+    ("edge.name", "edges are named by number"),
+    (
+        "edge.listen",
+        "the lab chooses the listen addresses of the edges",
+    ),
+    (
+        "edge.list",
+        "the lab chooses the address of the discovery service",
+    ),
     (
         "edge.zone",
-        "edges are spread over the zones that the file names",
+        "edges are distributed over the zones of the deployment",
     ),
-    ("edge.edges", "give fleet.edges, or fleet.edges-told"),
-    ("edge.number", "edges are counted from 0 on"),
+    ("edge.edges", "set fleet.edges or fleet.edges-told"),
+    ("edge.number", "edges are numbered from 0"),
     (
         "edge.state-file",
-        "the lab chooses where edges keep their state",
+        "the lab chooses the state files of the edges",
     ),
 ];
 
-/// Gives settings over those of the file, each as `fleet.edges=1000`; `by` says whose they are.
-fn give_over(l: &mut LoadedSettings, set: &[String], by: &str) -> Result<(), SettingsError> {
+/// Overrides settings of the file, each written as `fleet.edges=1000`; `by` names the origin of the overrides.
+fn apply_overrides(l: &mut LoadedSettings, set: &[String], by: &str) -> Result<(), SettingsError> {
     for set in set {
-        let refused =
+        let rejected =
             |what: String, remedy: &str| SettingsError::new(by, format!("{set}: {what}"), remedy);
         let Some((name, value)) = set.split_once('=') else {
-            return Err(refused("it has no =".into(), "as fleet.edges=1000"));
+            return Err(rejected(
+                "it has no =".into(),
+                "write it as fleet.edges=1000",
+            ));
         };
-        if let Some((_, remedy)) = EACH_EDGES.iter().find(|(own, _)| *own == name) {
-            return Err(refused(
-                format!("{name} is told to each edge by the lab"),
+        if let Some((_, remedy)) = PER_EDGE_SETTINGS.iter().find(|(own, _)| *own == name) {
+            return Err(rejected(
+                format!("the lab sets {name} for each edge"),
                 remedy,
             ));
         }
         l.override_value(name, value, by)
-            .map_err(|problem| refused(problem.message, &problem.remedy))?;
+            .map_err(|problem| rejected(problem.message, &problem.remedy))?;
     }
     Ok(())
 }
 
 impl Scenario {
-    /// Reads a scenario from a text.
+    /// Reads a scenario from its text; `file` names it in error messages.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// The text is not a valid scenario; the error names the place.
     pub fn read(file: &str, text: &str, seed: u64) -> Result<Self, SettingsError> {
         Self::read_with(file, text, seed, &[], "")
     }
-    /// The same with settings over its own, each as `fleet.edges=1000`; `by` says whose they are, for a problem. All that
-    /// the scenario says is taken after them.
+    /// Reads a scenario and overrides settings of it, each written as `fleet.edges=1000`; `by` names the origin of the
+    /// overrides in error messages. All values of the scenario are read after the overrides are applied.
     ///
     /// # Errors
-    /// What is wrong with it, and where; a setting that is none, or that would change nothing, by its name.
+    /// The text is not a valid scenario, or an override is unknown, invalid or would have no effect; the error names it.
     pub fn read_with(
         file: &str,
         text: &str,
@@ -123,18 +141,18 @@
     ) -> Result<Self, SettingsError> {
         let mut l = sanddrum_settings::read_with(file, text, SCENARIO)?;
         if !set.is_empty() {
-            give_over(&mut l, set, by)?;
+            apply_overrides(&mut l, set, by)?;
             sanddrum_settings::check(&l)?;
         }
-        let problem = |what: String, remedy: &str| SettingsError::new(file, what, remedy);
+        let invalid = |what: String, remedy: &str| SettingsError::new(file, what, remedy);
         let workloads = l.names("workloads");
         let mut calls = Vec::new();
         for n in 0..l.count("calls") {
             let name = l.text(&format!("calls.{n}.name")).to_string();
             let Some(w) = workloads.iter().position(|w| *w == name) else {
-                return Err(problem(
-                    format!("calls of {name:?}, which is no workload"),
-                    "name one that is set",
+                return Err(invalid(
+                    format!("calls of {name:?}, which is not a workload of this scenario"),
+                    "name a workload that the scenario defines",
                 ));
             };
             let at = |key: &str| format!("calls.{n}.{key}");
@@ -142,8 +160,8 @@
             let function = (0..l.count("functions"))
                 .find(|f| l.text(&format!("functions.{f}.workload")) == name);
             let Some(function) = function else {
-                return Err(problem(
-                    format!("no function is set for {name:?}"),
+                return Err(invalid(
+                    format!("no function is defined for workload {name:?}"),
                     "add (function \"a-*\" (workload ...))",
                 ));
             };
@@ -166,8 +184,8 @@
             });
         }
         if calls.is_empty() {
-            return Err(problem(
-                "nothing is called".into(),
+            return Err(invalid(
+                "the scenario has no calls".into(),
                 "add (calls \"a-workload\" (share 1) (work 30ms))",
             ));
         }
@@ -176,8 +194,11 @@
             let at = |key: &str| format!("troubles.{n}.{key}");
             let kind = l.text(&at("name")).to_string();
             if !kinds().contains(&kind.as_str()) {
-                let remedy = format!("known are {}", kinds().join(", "));
-                return Err(problem(format!("{kind:?} is no kind of trouble"), &remedy));
+                let remedy = format!("use one of: {}", kinds().join(", "));
+                return Err(invalid(
+                    format!("{kind:?} is not a known kind of fault"),
+                    &remedy,
+                ));
             }
             let zone = l
                 .contains(&at("zone"))
@@ -185,9 +206,9 @@
             if zone.as_ref().is_some_and(|z| !l.names("zones").contains(z))
                 || (kind == "zone-loss" && zone.is_none())
             {
-                return Err(problem(
-                    format!("{kind}: a zone is wanted that is set"),
-                    "add (zone \"...\")",
+                return Err(invalid(
+                    format!("{kind} needs a zone of the deployment"),
+                    "add (zone \"...\") with one of its zones",
                 ));
             }
             faults.push(ScriptedFault {
@@ -220,14 +241,15 @@
             settings: l,
         })
     }
-    /// How many edges there are as edges are told, which may be wrong.
+    /// The number of edges that edges are configured with, which may differ from the real one.
     pub fn configured_edges(&self) -> usize {
         ((self.edges as f64 * self.settings.number("fleet.edges-told")).round() as usize).max(1)
     }
     pub fn zone_of(&self, n: usize) -> usize {
         n % self.zones.len().max(1)
     }
-    pub fn grace(&self) -> Micros {
+    /// How long after the news of a drain an edge may still use the worker.
+    pub fn drain_grace(&self) -> Micros {
         self.settings.duration_us("rules.drain-grace-us")
     }
     pub fn worker_name(n: usize) -> String {
@@ -236,7 +258,7 @@
     pub fn edge_name(n: usize) -> String {
         format!("edge-{n}")
     }
-    /// A worker as it stands in the fleet, at these addresses.
+    /// The specification of worker `n`, with the addresses of itself, the discovery service and the store.
     pub fn worker(&self, n: usize, address: &str, list: &str, store: &str) -> WorkerSpec {
         let l = &self.settings;
         let slow = Rng::new(self.seed ^ (n as u64 + 1).wrapping_mul(0x9e37_79b9))
@@ -296,9 +318,9 @@
             max_pending_calls: l.integer("list-service.calls"),
         }
     }
-    /// The workers at these addresses, as the list service knows them from the start.
+    /// The workers at these addresses as endpoint records, as the discovery service has them from the start.
     pub fn endpoint_records(&self, addresses: &[String]) -> Vec<EndpointRecord> {
-        let row = |(n, address): (usize, &String)| {
+        let record = |(n, address): (usize, &String)| {
             let spec = self.worker(n, address, "", "");
             EndpointRecord {
                 size: spec.size(),
@@ -312,12 +334,12 @@
                 kind: spec.kind,
             }
         };
-        addresses.iter().enumerate().map(row).collect()
+        addresses.iter().enumerate().map(record).collect()
     }
-    /// An edge's settings, at these addresses.
+    /// The settings of edge `n`, with the addresses of itself and the discovery service.
     ///
     /// # Errors
-    /// An address is none.
+    /// An address is invalid.
     pub fn edge(
         &self,
         n: usize,
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario's troubles on a stage, in their order, and has the traffic judged.
+//! Injects a scenario's faults into an environment, in their order, and checks the recorded traffic afterwards.
 
 use crate::checker::{check_log, Verdict};
 use crate::environment::Environment;
@@ -11,23 +11,23 @@
 use std::collections::BTreeSet;
 use std::io;
 
-/// What came of it.
+/// The result of one run of a scenario.
 pub struct Outcome {
     pub verdict: Verdict,
     pub seed: u64,
     pub virtual_time: bool,
     pub digest: u64,
-    /// What was done when, in words.
+    /// The faults that began and ended, with their times since the start.
     pub timeline: Vec<(Micros, String)>,
     pub executions: usize,
     pub load_commands: usize,
-    /// What fell on the list service and on workers.
+    /// The load on the discovery service and on the worst worker, in their worst seconds.
     pub peak_load: Value,
-    /// How the edges behaved as one.
+    /// How the edges performed together; see `fleet_summary`.
     pub fleet_summary: Value,
 }
 
-/// What fell on the list service and on the worst worker in their worst seconds, from all edges together.
+/// The load that all edges together put on the discovery service and on the worst worker, in their worst seconds.
 fn peak_load(log: &Log) -> Value {
     json!({
         "list": {
@@ -45,20 +45,20 @@
     })
 }
 
-struct Player<'a> {
-    stage: &'a mut dyn Environment,
+struct Runner<'a> {
+    environment: &'a mut dyn Environment,
     recording: &'a Recording,
     scenario: Scenario,
     start: Micros,
-    struck: BTreeSet<Who>,
+    faulted: BTreeSet<Who>,
     timeline: Vec<(Micros, String)>,
 }
 
-/// Calls that are still open when no more are made get this much longer than their time limits.
-const AFTER: Micros = 1_000_000;
+/// Calls that are open at the end of the traffic get this much longer than the longest time limit.
+const DRAIN_TIME: Micros = 1_000_000;
 
-/// Troubles that strike no worker or edge by name, and those that are over as soon as they are there.
-const NOBODYS: &[&str] = &[
+/// Faults that have no workers or edges as targets.
+const UNTARGETED_FAULTS: &[&str] = &[
     "store-stall",
     "store-refuse",
     "list-away",
@@ -73,39 +73,43 @@
     "certificates",
     "roots",
 ];
-const AT_ONCE: &[&str] = &["flush", "tear", "garble", "link", "link-break"];
+/// Faults whose targets stay available to other faults: those that are over at once, and those of links.
+const INSTANT_FAULTS: &[&str] = &["flush", "tear", "garble", "link", "link-break"];
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end.
 ///
 /// # Errors
-/// The stage could not go on, as when a port was lost.
-pub fn play(stage: &mut dyn Environment, recording: &Recording) -> io::Result<Outcome> {
-    let scenario = stage.fleet().scenario.clone();
-    let start = stage.now();
-    // What a message takes on its way, over links that are made late as well.
-    let late = scenario.faults.iter().map(|t| match t.link_fault {
+/// The environment failed, for example because a port was lost.
+pub fn play(environment: &mut dyn Environment, recording: &Recording) -> io::Result<Outcome> {
+    let scenario = environment.fleet().scenario.clone();
+    let start = environment.now();
+    // The longest time that a message may be in transit, link delays of the scenario included.
+    let link_delays = scenario.faults.iter().map(|t| match t.link_fault {
         Fault::Delay(by) if t.kind == "link" => by,
         _ => 0,
     });
-    let (seed, slack) = (scenario.seed, stage.slack() + late.max().unwrap_or(0));
-    let mut player = Player {
-        stage,
+    let (seed, slack) = (
+        scenario.seed,
+        environment.slack() + link_delays.max().unwrap_or(0),
+    );
+    let mut runner = Runner {
+        environment,
         recording,
         scenario: scenario.clone(),
         start,
-        struck: BTreeSet::new(),
+        faulted: BTreeSet::new(),
         timeline: Vec::new(),
     };
-    player.all()?;
-    recording.0.borrow_mut().log.max_scheduling_delay = player.stage.max_scheduling_delay();
-    let acts = player.timeline;
+    runner.run()?;
+    recording.0.borrow_mut().log.max_scheduling_delay = runner.environment.max_scheduling_delay();
+    let timeline = runner.timeline;
     let recorder = recording.0.borrow();
     let verdict = check_log(&recorder.log, &scenario, start, slack);
-    let (runs, orders) = (
+    let (executions, load_commands) = (
         recorder.log.executions.len(),
         recorder.log.load_commands.len(),
     );
-    let (peak_load, whole) = (
+    let (peak_load, fleet_summary) = (
         peak_load(&recorder.log),
         crate::fleet_summary::of(&recorder.log, &scenario),
     );
@@ -114,47 +118,48 @@
         seed,
         virtual_time: false,
         digest: recorder.digest(),
-        timeline: acts,
-        executions: runs,
-        load_commands: orders,
+        timeline,
+        executions,
+        load_commands,
         peak_load,
-        fleet_summary: whole,
+        fleet_summary,
     })
 }
 
-impl Player<'_> {
-    fn all(&mut self) -> io::Result<()> {
-        let mut ahead: Vec<(Micros, bool, usize)> = Vec::new();
+impl Runner<'_> {
+    fn run(&mut self) -> io::Result<()> {
+        let mut schedule: Vec<(Micros, bool, usize)> = Vec::new();
         for (n, t) in self.scenario.faults.iter().enumerate() {
-            ahead.push((t.at, true, n));
-            ahead.push((t.at + t.duration, false, n));
+            schedule.push((t.at, true, n));
+            schedule.push((t.at + t.duration, false, n));
         }
-        ahead.sort_by_key(|(at, begins, n)| (*at, *begins, *n));
+        schedule.sort_by_key(|(at, begins, n)| (*at, *begins, *n));
         let mut targets: Vec<Vec<Who>> = vec![Vec::new(); self.scenario.faults.len()];
-        for (at, begins, n) in ahead {
+        for (at, begins, n) in schedule {
             if at > self.scenario.length && begins {
                 continue;
             }
-            self.stage.run_until(self.start + at)?;
-            let trouble = self.scenario.faults[n].clone();
+            self.environment.run_until(self.start + at)?;
+            let fault = self.scenario.faults[n].clone();
             if begins {
-                targets[n] = self.targets(n, &trouble);
-                if trouble.duration > 0 && !AT_ONCE.contains(&trouble.kind.as_str()) {
-                    self.struck.extend(&targets[n]);
+                targets[n] = self.targets(n, &fault);
+                if fault.duration > 0 && !INSTANT_FAULTS.contains(&fault.kind.as_str()) {
+                    self.faulted.extend(&targets[n]);
                 }
-                self.begin(&trouble, &targets[n])?;
-                if trouble.kind.starts_with("key-") {
-                    self.change_keys(&trouble)?;
+                self.begin(&fault, &targets[n])?;
+                if fault.kind.starts_with("key-") {
+                    self.change_keys(&fault)?;
                 }
-                self.change_certificates(&trouble, &targets[n], true)?;
+                self.change_certificates(&fault, &targets[n], true)?;
             } else {
-                let whom = std::mem::take(&mut targets[n]);
-                self.end(&trouble, &whom)?;
-                self.change_certificates(&trouble, &whom, false)?;
-                self.struck.retain(|who| !whom.contains(who));
+                let targets = std::mem::take(&mut targets[n]);
+                self.end(&fault, &targets)?;
+                self.change_certificates(&fault, &targets, false)?;
+                self.faulted.retain(|who| !targets.contains(who));
             }
         }
-        self.stage.run_until(self.start + self.scenario.length)?;
+        self.environment
+            .run_until(self.start + self.scenario.length)?;
         let longest = self
             .scenario
             .calls
@@ -162,18 +167,18 @@
             .map(|c| c.time_limit)
             .max()
             .unwrap_or(0);
-        let last = self.stage.now() + longest + AFTER;
-        while !self.stage.is_traffic_finished() && self.stage.now() < last {
-            let next = self.stage.now() + 20_000;
-            self.stage.run_until(next)?;
+        let last = self.environment.now() + longest + DRAIN_TIME;
+        while !self.environment.is_traffic_finished() && self.environment.now() < last {
+            let next = self.environment.now() + 20_000;
+            self.environment.run_until(next)?;
         }
-        // What is still on its way, an execution sent too late say, is seen, too.
-        let next = self.stage.now() + AFTER;
-        self.stage.run_until(next)
+        // Run on so that late messages, such as an execution after the deadline, are recorded too.
+        let next = self.environment.now() + DRAIN_TIME;
+        self.environment.run_until(next)
     }
 
     fn targets(&self, n: usize, t: &ScriptedFault) -> Vec<Who> {
-        if NOBODYS.contains(&t.kind.as_str()) {
+        if UNTARGETED_FAULTS.contains(&t.kind.as_str()) {
             return Vec::new();
         }
         let edges = if t.kind.starts_with("link") {
@@ -192,49 +197,49 @@
                 .is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)])
         };
         let who = |n| if edges { Who::Edge(n) } else { Who::Worker(n) };
-        let mut fit: Vec<Who> = (0..count)
+        let mut candidates: Vec<Who> = (0..count)
             .filter(in_zone)
             .map(who)
-            .filter(|w| !self.struck.contains(w))
+            .filter(|w| !self.faulted.contains(w))
             .collect();
         let all = ["zone-loss", "flush", "link", "link-break"].contains(&t.kind.as_str())
             && t.fraction.is_none()
             && t.count.is_none();
         let wanted = match (t.count, t.fraction) {
             (Some(count), _) => count,
-            (None, Some(part)) => ((fit.len() as f64 * part).round() as usize).max(1),
-            _ if all => fit.len(),
+            (None, Some(part)) => ((candidates.len() as f64 * part).round() as usize).max(1),
+            _ if all => candidates.len(),
             _ => 1,
         };
-        let mut chance = Rng::new(self.scenario.seed ^ (0x7a46 + n as u64));
-        while fit.len() > wanted {
-            fit.remove(chance.index(fit.len()));
+        let mut rng = Rng::new(self.scenario.seed ^ (0x7a46 + n as u64));
+        while candidates.len() > wanted {
+            candidates.remove(rng.index(candidates.len()));
         }
-        fit
+        candidates
     }
 
-    fn act(&mut self, what: &str, whom: &[Who]) {
-        let now = self.stage.now() - self.start;
-        let whom = if whom.is_empty() {
+    fn record(&mut self, what: &str, targets: &[Who]) {
+        let now = self.environment.now() - self.start;
+        let targets = if targets.is_empty() {
             String::new()
         } else {
-            format!(" {whom:?}")
+            format!(" {targets:?}")
         };
-        tracing::info!(at_ms = now / 1000, "{what}{whom}");
-        self.timeline.push((now, format!("{what}{whom}")));
+        tracing::info!(at_ms = now / 1000, "{what}{targets}");
+        self.timeline.push((now, format!("{what}{targets}")));
     }
-    fn faults(&mut self, whom: &[Who], set: impl Fn(&mut sanddrum_emulator::WorkerFaults)) {
-        for who in whom {
+    fn faults(&mut self, targets: &[Who], set: impl Fn(&mut sanddrum_emulator::WorkerFaults)) {
+        for who in targets {
             if let Who::Worker(n) = who {
-                set(&mut self.stage.fleet().workers[*n].borrow_mut());
+                set(&mut self.environment.fleet().workers[*n].borrow_mut());
             }
         }
     }
-    fn kill(&mut self, whom: &[Who]) {
-        whom.iter().for_each(|who| self.stage.kill(*who));
-        self.log_down(whom);
+    fn kill(&mut self, targets: &[Who]) {
+        targets.iter().for_each(|who| self.environment.kill(*who));
+        self.record_downtime(targets);
     }
-    fn edges(whom: &[Who]) -> impl Iterator<Item = String> + '_ {
+    fn edges(targets: &[Who]) -> impl Iterator<Item = String> + '_ {
         let number = |who: &Who| {
             if let Who::Edge(n) = who {
                 Some(*n)
@@ -242,30 +247,30 @@
                 None
             }
         };
-        whom.iter().filter_map(number).map(Scenario::edge_name)
+        targets.iter().filter_map(number).map(Scenario::edge_name)
     }
-    fn log_down(&mut self, whom: &[Who]) {
-        let now = self.stage.now();
-        let down = Self::edges(whom).map(|edge| (edge, now, None));
+    fn record_downtime(&mut self, targets: &[Who]) {
+        let now = self.environment.now();
+        let down = Self::edges(targets).map(|edge| (edge, now, None));
         self.recording.0.borrow_mut().log.edge_downtime.extend(down);
     }
-    fn bring_back(&mut self, whom: &[Who]) -> io::Result<()> {
-        for who in whom {
-            self.stage.kill(*who);
-            self.stage.start(*who)?;
-            let now = self.stage.now();
+    fn restart(&mut self, targets: &[Who]) -> io::Result<()> {
+        for who in targets {
+            self.environment.kill(*who);
+            self.environment.start(*who)?;
+            let now = self.environment.now();
             let log = &mut self.recording.0.borrow_mut().log;
             match who {
                 Who::Worker(n) => log.worker_starts.push((*n, now)),
                 Who::Edge(n) => {
                     let name = Scenario::edge_name(*n);
-                    if let Some(spell) = log
+                    if let Some(downtime) = log
                         .edge_downtime
                         .iter_mut()
                         .rev()
                         .find(|(edge, ..)| *edge == name)
                     {
-                        spell.2 = Some(now);
+                        downtime.2 = Some(now);
                     }
                 }
                 _ => {}
@@ -274,20 +279,20 @@
         Ok(())
     }
 
-    /// Certificates and roots change; impostors come and go as workers that start anew.
+    /// Applies faults of certificates. An impostor is a worker that restarts with a certificate of a foreign authority.
     fn change_certificates(
         &mut self,
         t: &ScriptedFault,
-        whom: &[Who],
+        targets: &[Who],
         begins: bool,
     ) -> io::Result<()> {
         match (t.kind.as_str(), begins) {
-            ("certificates", true) => self.stage.fleet().renew_certificates(),
-            ("roots", _) => self.stage.fleet().change_authority(begins)?,
+            ("certificates", true) => self.environment.fleet().renew_certificates(),
+            ("roots", _) => self.environment.fleet().change_authority(begins)?,
             ("impostor", _) => {
-                for who in whom {
+                for who in targets {
                     if let Who::Worker(n) = who {
-                        let impostors = &mut self.stage.fleet().impostors;
+                        let impostors = &mut self.environment.fleet().impostors;
                         if begins {
                             impostors.insert(*n)
                         } else {
@@ -295,16 +300,16 @@
                         };
                     }
                 }
-                return self.bring_back(whom);
+                return self.restart(targets);
             }
             _ => return Ok(()),
         }
-        self.stage.distribute_certificates()
+        self.environment.distribute_certificates()
     }
 
     fn change_keys(&mut self, t: &ScriptedFault) -> io::Result<()> {
-        let now = self.stage.now();
-        if let Some(token_issuer) = self.stage.fleet().token_issuer.clone() {
+        let now = self.environment.now();
+        if let Some(token_issuer) = self.environment.fleet().token_issuer.clone() {
             let mut token_issuer = token_issuer.borrow_mut();
             match t.kind.as_str() {
                 "key-new" => token_issuer.add(),
@@ -326,11 +331,11 @@
                 .map(|(kid, at)| (kid.clone(), at + bound));
             self.recording.0.borrow_mut().log.revoked = revoked.collect();
         }
-        self.stage.distribute_keys()
+        self.environment.distribute_keys()
     }
 
-    /// The links of these, as calling sides or as those called by the clients.
-    fn links(&self, t: &ScriptedFault, whom: &[Who]) -> Vec<(Who, Who)> {
+    /// The links from the targets to the accepting side of the fault, or from the clients to the targets.
+    fn links(&self, t: &ScriptedFault, targets: &[Who]) -> Vec<(Who, Who)> {
         let zone = |n: &usize| {
             t.to_zone
                 .as_ref()
@@ -349,38 +354,46 @@
                 .collect(),
         };
         if t.link.0 == "callers" {
-            return whom.iter().map(|who| (Who::Callers, *who)).collect();
+            return targets.iter().map(|who| (Who::Callers, *who)).collect();
         }
-        whom.iter()
+        targets
+            .iter()
             .flat_map(|from| others.iter().map(|to| (*from, *to)))
             .collect()
     }
 
-    fn begin(&mut self, t: &ScriptedFault, whom: &[Who]) -> io::Result<()> {
-        self.act(&format!("{} begins", t.kind), whom);
+    fn begin(&mut self, t: &ScriptedFault, targets: &[Who]) -> io::Result<()> {
+        self.record(&format!("{} begins", t.kind), targets);
         let size = t.size;
         match t.kind.as_str() {
-            "crash" | "edge-crash" | "edge-anew" | "zone-loss" => self.kill(whom),
+            "crash" | "edge-crash" | "edge-anew" | "zone-loss" => self.kill(targets),
             "edge-end" => {
-                whom.iter().for_each(|who| self.stage.shut_down(*who));
-                self.log_down(whom);
+                targets
+                    .iter()
+                    .for_each(|who| self.environment.shut_down(*who));
+                self.record_downtime(targets);
             }
-            "list-stop" => self.stage.freeze(Who::List, true),
+            "list-stop" => self.environment.freeze(Who::List, true),
             "link" => {
-                for (from, to) in self.links(t, whom) {
-                    self.stage.set_link_fault(from, to, Some(t.link_fault))?;
+                for (from, to) in self.links(t, targets) {
+                    self.environment
+                        .set_link_fault(from, to, Some(t.link_fault))?;
                 }
             }
             "link-break" => {
-                for (from, to) in self.links(t, whom) {
-                    self.stage.break_link(from, to)?;
+                for (from, to) in self.links(t, targets) {
+                    self.environment.break_link(from, to)?;
                 }
             }
-            "silent" => whom.iter().for_each(|who| self.stage.freeze(*who, true)),
+            "silent" => targets
+                .iter()
+                .for_each(|who| self.environment.freeze(*who, true)),
             "edge-stop" => {
-                whom.iter().for_each(|who| self.stage.freeze(*who, true));
-                let now = self.stage.now();
-                let stopped = Self::edges(whom).map(|edge| (edge, now, None));
+                targets
+                    .iter()
+                    .for_each(|who| self.environment.freeze(*who, true));
+                let now = self.environment.now();
+                let stopped = Self::edges(targets).map(|edge| (edge, now, None));
                 self.recording
                     .0
                     .borrow_mut()
@@ -388,36 +401,36 @@
                     .edge_pauses
                     .extend(stopped);
             }
-            "hang" => self.faults(whom, |f| f.is_hung = true),
-            "slow" => self.faults(whom, |f| f.slowdown = size),
-            "lose-answers" => self.faults(whom, |f| f.answer_loss = size.min(1.0)),
-            "load-fails" => self.faults(whom, |f| f.load_failure = size.min(1.0)),
-            "garble" => self.faults(whom, |f| f.garble_once = true),
-            "drain" => self.faults(whom, |f| f.is_draining = true),
-            "flush" => self.faults(whom, |f| f.invalidate_once = true),
-            "tear" => whom
+            "hang" => self.faults(targets, |f| f.is_hung = true),
+            "slow" => self.faults(targets, |f| f.slowdown = size),
+            "lose-answers" => self.faults(targets, |f| f.answer_loss = size.min(1.0)),
+            "load-fails" => self.faults(targets, |f| f.load_failure = size.min(1.0)),
+            "garble" => self.faults(targets, |f| f.garble_once = true),
+            "drain" => self.faults(targets, |f| f.is_draining = true),
+            "flush" => self.faults(targets, |f| f.invalidate_once = true),
+            "tear" => targets
                 .iter()
-                .for_each(|who| self.stage.reset_on_next_write(*who)),
-            "store-stall" => self.stage.fleet().store.borrow_mut().is_stalled = true,
-            "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = true,
+                .for_each(|who| self.environment.reset_on_next_write(*who)),
+            "store-stall" => self.environment.fleet().store.borrow_mut().is_stalled = true,
+            "store-refuse" => self.environment.fleet().store.borrow_mut().rejects_all = true,
             "list-away" => self.kill(&[Who::List]),
-            "list-lag" => self.stage.fleet().list.borrow_mut().delay = (size * 1e6) as Micros,
+            "list-lag" => self.environment.fleet().list.borrow_mut().delay = (size * 1e6) as Micros,
             "overload" => {
-                self.stage
+                self.environment
                     .fleet()
                     .traffic_overrides
                     .borrow_mut()
                     .rate_factor = size
             }
             "hot-functions" => {
-                self.stage
+                self.environment
                     .fleet()
                     .traffic_overrides
                     .borrow_mut()
                     .hot_function_fraction = size.min(1.0)
             }
             "greedy-customer" => {
-                self.stage
+                self.environment
                     .fleet()
                     .traffic_overrides
                     .borrow_mut()
@@ -428,56 +441,62 @@
         Ok(())
     }
 
-    fn end(&mut self, t: &ScriptedFault, whom: &[Who]) -> io::Result<()> {
+    fn end(&mut self, t: &ScriptedFault, targets: &[Who]) -> io::Result<()> {
         match t.kind.as_str() {
             "crash" | "edge-crash" | "edge-end" | "zone-loss" | "silent" | "drain" => {
-                self.bring_back(whom)?
+                self.restart(targets)?
             }
             "edge-anew" => {
-                whom.iter()
-                    .for_each(|who| self.stage.clear_saved_state(*who));
-                self.bring_back(whom)?;
+                targets
+                    .iter()
+                    .for_each(|who| self.environment.clear_saved_state(*who));
+                self.restart(targets)?;
             }
             "edge-stop" => {
-                whom.iter().for_each(|who| self.stage.freeze(*who, false));
-                let (now, names) = (self.stage.now(), Self::edges(whom).collect::<BTreeSet<_>>());
+                targets
+                    .iter()
+                    .for_each(|who| self.environment.freeze(*who, false));
+                let (now, names) = (
+                    self.environment.now(),
+                    Self::edges(targets).collect::<BTreeSet<_>>(),
+                );
                 let log = &mut self.recording.0.borrow_mut().log;
                 let open = log
                     .edge_pauses
                     .iter_mut()
                     .filter(|(edge, _, until)| until.is_none() && names.contains(edge));
-                open.for_each(|spell| spell.2 = Some(now));
+                open.for_each(|pause| pause.2 = Some(now));
             }
-            "list-stop" => self.stage.freeze(Who::List, false),
+            "list-stop" => self.environment.freeze(Who::List, false),
             "link" => {
-                for (from, to) in self.links(t, whom) {
-                    self.stage.set_link_fault(from, to, None)?;
+                for (from, to) in self.links(t, targets) {
+                    self.environment.set_link_fault(from, to, None)?;
                 }
             }
-            "hang" => self.faults(whom, |f| f.is_hung = false),
-            "slow" => self.faults(whom, |f| f.slowdown = 0.0),
-            "lose-answers" => self.faults(whom, |f| f.answer_loss = 0.0),
-            "load-fails" => self.faults(whom, |f| f.load_failure = 0.0),
-            "store-stall" => self.stage.fleet().store.borrow_mut().is_stalled = false,
-            "store-refuse" => self.stage.fleet().store.borrow_mut().rejects_all = false,
-            "list-away" => self.bring_back(&[Who::List])?,
-            "list-lag" => self.stage.fleet().list.borrow_mut().delay = 0,
+            "hang" => self.faults(targets, |f| f.is_hung = false),
+            "slow" => self.faults(targets, |f| f.slowdown = 0.0),
+            "lose-answers" => self.faults(targets, |f| f.answer_loss = 0.0),
+            "load-fails" => self.faults(targets, |f| f.load_failure = 0.0),
+            "store-stall" => self.environment.fleet().store.borrow_mut().is_stalled = false,
+            "store-refuse" => self.environment.fleet().store.borrow_mut().rejects_all = false,
+            "list-away" => self.restart(&[Who::List])?,
+            "list-lag" => self.environment.fleet().list.borrow_mut().delay = 0,
             "overload" => {
-                self.stage
+                self.environment
                     .fleet()
                     .traffic_overrides
                     .borrow_mut()
                     .rate_factor = 1.0
             }
             "hot-functions" => {
-                self.stage
+                self.environment
                     .fleet()
                     .traffic_overrides
                     .borrow_mut()
                     .hot_function_fraction = 0.0
             }
             "greedy-customer" => {
-                self.stage
+                self.environment
                     .fleet()
                     .traffic_overrides
                     .borrow_mut()
@@ -485,7 +504,7 @@
             }
             _ => return Ok(()),
         }
-        self.act(&format!("{} ends", t.kind), whom);
+        self.record(&format!("{} ends", t.kind), targets);
         Ok(())
     }
 }
@@ -494,7 +513,7 @@
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         (self.verdict.latency.value_at_quantile(quantile) as f64 / 1000.0 * 100.0).round() / 100.0
     }
-    /// The summary's last line.
+    /// The summary as JSON, which is the last line of the output.
     pub fn json(&self) -> Value {
         let v = &self.verdict;
         let mut line = json!({
@@ -524,21 +543,21 @@
         }
         line
     }
-    /// Whether all was answered once and every rule held.
+    /// Whether every accepted call was answered exactly once and every rule held.
     pub fn is_good(&self) -> bool {
         let v = &self.verdict;
         v.violations.is_empty()
             && v.accepted == v.finished + v.rejected + v.failed + v.lost_with_edge
     }
-    /// The summary for people.
+    /// The summary as text.
     pub fn text(&self) -> String {
         use std::fmt::Write;
         let v = &self.verdict;
         let mut out = String::new();
-        for (at, act) in &self.timeline {
-            let _ = writeln!(out, "  {:7.3} s  {act}", *at as f64 / 1e6);
+        for (at, event) in &self.timeline {
+            let _ = writeln!(out, "  {:7.3} s  {event}", *at as f64 / 1e6);
         }
-        let _ = writeln!(out, "service a second (calls in time of calls begun):");
+        let _ = writeln!(out, "service by second (calls in time / calls started):");
         for (n, (begun, in_time)) in v.seconds.iter().enumerate() {
             let part = f64::from(*in_time) / f64::from((*begun).max(1));
             let bar = "#".repeat((part * 40.0).round() as usize);
@@ -546,12 +565,12 @@
         }
         let _ = writeln!(
             out,
-            "jobs taken {}: finished {}, pushed back {}, killed {}, lost with a killed edge {}; calls that reached no edge {}",
+            "requests accepted {}: finished {}, rejected {}, failed {}, lost with a killed edge {}; calls that reached no edge {}",
             v.accepted, v.finished, v.rejected, v.failed, v.lost_with_edge, v.unreached
         );
         let _ = writeln!(
             out,
-            "executions {}, orders to load {}",
+            "executions {}, load commands {}",
             self.executions, self.load_commands
         );
         let (each, edges) = (
@@ -560,7 +579,7 @@
         );
         let _ = writeln!(
             out,
-            "for each finished job {} executions ({} misses), {} probes, {} asks, {} orders, {} handshakes",
+            "for each finished request {} executions ({} cold misses), {} health checks, {} load queries, {} load commands, {} handshakes",
             each["executions"],
             each["misses"],
             each["probes"],
@@ -570,18 +589,18 @@
         );
         let _ = writeln!(
             out,
-            "importance turned away while less dear work was served: {} of it; edges served from {} to {}",
+            "rejected importance that less important work displaced: {} of all rejected; service of the edges from {} to {}",
             self.fleet_summary["inversions"], edges["worst"], edges["best"]
         );
         let (list, worker) = (&self.peak_load["list"], &self.peak_load["worker"]);
         let _ = writeln!(
             out,
-            "worst second of the list service: {} calls, {} bytes (whole lists in all: {})",
+            "worst second of the discovery service: {} calls, {} bytes (full snapshots in all: {})",
             list["calls"], list["bytes"], list["whole_lists"]
         );
         let _ = writeln!(
             out,
-            "worst second of a worker: {} handshakes, {} probes, {} asks, {} orders, {} misses",
+            "worst second of a worker: {} handshakes, {} health checks, {} load queries, {} load commands, {} cold misses",
             worker["handshakes"],
             worker["probes"],
             worker["asks"],
@@ -595,7 +614,7 @@
         );
         let _ = writeln!(
             out,
-            "service {:.3}; finished calls took {p50} ms (p50), {p99} (p99), {p999} (p999)",
+            "service {:.3}; latency of finished calls {p50} ms (p50), {p99} ms (p99), {p999} ms (p999)",
             v.service
         );
         for (name, (asked, in_time)) in &v.customers {
