--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A rule that was broken, once, and how.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// 1 to 5 as the users number them; nought for an account that does not add up.
+    /// 1 to 5 as the users number the rules; 0 for a violation of none of them, such as a call under a revoked key.
     pub rule: u8,
     pub at: Micros,
     pub description: String,
@@ -30,38 +30,39 @@
     }
 }
 
+/// The result of a check: the counts of client attempts by their outcome, the violations and the service level.
 pub struct Verdict {
     pub accepted: u64,
     pub finished: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// What an edge held when it was killed; its clients may try again.
+    /// Attempts in flight at an edge that was killed or paused; their clients may retry.
     pub lost_with_edge: u64,
-    /// Calls of which nothing reached any edge.
+    /// Calls that reached no edge.
     pub unreached: u64,
     pub violations: Vec<Violation>,
-    /// Importance answered within the start target over importance asked.
+    /// The importance of the calls that were answered within their start target, as a fraction of that of all calls.
     pub service: f64,
     pub latency: Histogram<u64>,
-    /// For each customer: calls asked, and those of them in time.
+    /// For each customer: the number of calls, and of those answered in time.
     pub customers: BTreeMap<String, (u64, u64)>,
-    /// For each second: calls begun, and those of them in time.
+    /// For each second: the number of calls started, and of those answered in time.
     pub seconds: Vec<(u32, u32)>,
 }
 
-/// Broken rules told of one kind; the rest is only counted.
-const TOLD: usize = 100;
+/// The most violations that a verdict lists; later ones are dropped.
+const MAX_VIOLATIONS: usize = 100;
 
 struct Checker<'a> {
     log: &'a Log,
     scenario: &'a Scenario,
     workloads: BTreeMap<&'a str, &'a WorkloadTraffic>,
-    /// What a message takes on its way at most, for comparing times at two ends.
+    /// The longest time that a message may be in transit, for comparing times at its two ends.
     slack: Micros,
     violations: Vec<Violation>,
 }
 
-/// Judges a log that began at `start`; `slack` is what a message takes on its way at most.
+/// Checks a log that began at `start`; `slack` is the longest time that a message may be in transit.
 pub fn check_log(log: &Log, scenario: &Scenario, start: Micros, slack: Micros) -> Verdict {
     let workloads = scenario
         .calls
@@ -76,15 +77,15 @@
         violations: Vec::new(),
     };
     let mut verdict = checker.answers(start);
-    checker.sent_after_the_answer();
-    checker.effects();
-    checker.drains();
-    checker.cold();
-    checker.ration();
+    checker.executions_after_answer();
+    checker.duplicate_executions();
+    checker.use_after_drain();
+    checker.cold_worker_load();
+    checker.load_command_rate();
     checker.revoked_keys();
     checker.violations.sort_by_key(|b| (b.at, b.rule));
     checker.violations.iter_mut().for_each(|b| b.at -= start);
-    checker.violations.truncate(TOLD);
+    checker.violations.truncate(MAX_VIOLATIONS);
     verdict.violations = checker.violations;
     verdict
 }
@@ -97,23 +98,23 @@
             description,
         });
     }
-    /// Whether the edge was down, or stood still, at some time between.
+    /// Whether the edge was down or paused at any time between `from` and `to`.
     fn down(&self, edge: &str, from: Micros, to: Micros) -> bool {
         let all = self.log.edge_downtime.iter().chain(&self.log.edge_pauses);
-        let mut spells = all.filter(|(name, ..)| name == edge);
-        spells.any(|(_, down, up)| {
+        let mut outages = all.filter(|(name, ..)| name == edge);
+        outages.any(|(_, down, up)| {
             *down <= to + self.slack && up.is_none_or(|up| up >= from - self.slack)
         })
     }
 
-    /// Whether the edges are processes that were looked at.
-    fn watched(&self) -> bool {
+    /// Whether the edges are processes whose scheduling delays were recorded.
+    fn has_scheduling_delays(&self) -> bool {
         !self.log.scheduling_delays.is_empty()
     }
-    /// How long an answer may have been held up: where processes are watched, by what its link is made late, and by
-    /// what its edge and this process are seen to have waited as the call was read and as its answer was due.
-    fn held_up(&self, t: &ClientAttempt, came: Micros) -> Micros {
-        if !self.watched() {
+    /// How late an answer may be without a violation. If scheduling delays were recorded: the delay of its link, plus
+    /// what its edge and the lab's process waited for a processor while the request was read and its answer was due.
+    fn allowed_delay(&self, t: &ClientAttempt, received_at: Micros) -> Micros {
+        if !self.has_scheduling_delays() {
             return self.slack;
         }
         let of = |name: &str, from, to| {
@@ -122,20 +123,22 @@
                 .get(name)
                 .map_or(0, |w: &SchedulingDelays| w.between(from, to))
         };
-        // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
+        // The lab's event loop handles a request once on its way to the edge, and its answer twice: from the edge, and
+        // to the client.
         let waited = |ours, from, to| ours * of(OURS, from, to) + of(&t.edge, from, to);
         let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
         let reading = waited(1, t.sent_at, t.sent_at + ahead);
         let reading = waited(1, t.sent_at, t.sent_at + reading.max(ahead));
         self.slack - self.log.max_scheduling_delay
             + reading
-            + waited(2, t.sent_at + t.time_limit - ahead, came)
+            + waited(2, t.sent_at + t.time_limit - ahead, received_at)
     }
-    /// Rule 1, and the account.
+    /// Rule 1 (each request gets exactly one answer, in time), and the counts of the verdict.
     fn answers(&mut self, start: Micros) -> Verdict {
         let latency = Histogram::new_with_max(60_000_000, 3);
-        let mut latency =
-            latency.unwrap_or_else(|_| unreachable!("a minute in three digits is within bounds"));
+        let mut latency = latency.unwrap_or_else(|_| {
+            unreachable!("one minute with three digits is a valid histogram range")
+        });
         latency.auto(true);
         let mut verdict = Verdict {
             accepted: 0,
@@ -150,7 +153,7 @@
             customers: BTreeMap::new(),
             seconds: Vec::new(),
         };
-        let mut refused = 0;
+        let mut other = 0;
         for t in &self.log.client_attempts {
             verdict.accepted += 1;
             let name = format!("call {} try {} at {}", t.call, t.number, t.edge);
@@ -161,27 +164,28 @@
                     format!("{name} got {} answers", t.answers.len()),
                 );
             }
-            // What a process answered too late, as clients that stay see it, counts as no answer where it stood still.
-            let late = |at: Micros| at > t.sent_at + t.time_limit + self.held_up(t, at);
-            let stood_still = |at| {
-                self.watched()
+            // An answer that a paused process sent too late counts as no answer; clients that keep waiting see it.
+            let late = |at: Micros| at > t.sent_at + t.time_limit + self.allowed_delay(t, at);
+            let was_paused = |at| {
+                self.has_scheduling_delays()
                     && late(at)
                     && self.down(&t.edge, t.sent_at, t.sent_at + t.time_limit)
             };
             match t.answers.first() {
-                Some((at, _)) if stood_still(*at) => verdict.lost_with_edge += 1,
+                Some((at, _)) if was_paused(*at) => verdict.lost_with_edge += 1,
                 Some((at, status)) => {
                     match status {
                         200 => verdict.finished += 1,
-                        // Refused for who asks: it has not run, and the client was told.
+                        // Rejected, also by authorization: it has not run, and the client knows that.
                         401 | 403 | 503 => verdict.rejected += 1,
                         502 | 504 => verdict.failed += 1,
-                        _ => refused += 1,
+                        _ => other += 1,
                     }
                     if late(*at) {
-                        let (late, held) = (at - t.sent_at - t.time_limit, self.held_up(t, *at));
+                        let (late, held) =
+                            (at - t.sent_at - t.time_limit, self.allowed_delay(t, *at));
                         let what = format!(
-                            "{name} was answered {late} us after its client's time, held up {held}"
+                            "{name} was answered {late} us after its time limit; allowed delay {held} us"
                         );
                         self.add_violation(1, *at, what);
                     }
@@ -194,7 +198,7 @@
                 {
                     verdict.lost_with_edge += 1
                 }
-                // Its client left before the machine let an edge answer: it was not taken.
+                // Its client left before the machine necessarily let an edge answer, so it doesn't count as accepted.
                 None if t.time_limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
                 None => {
                     let at = t.closed_at.unwrap_or(t.sent_at + t.time_limit);
@@ -202,43 +206,45 @@
                         1,
                         at,
                         format!(
-                            "{name} got no answer in the {} us its client waited",
+                            "{name} got no answer in the {} us that its client waited",
                             at - t.sent_at
                         ),
                     );
                 }
             }
         }
-        verdict.accepted -= refused;
+        verdict.accepted -= other;
         self.service(start, &mut verdict);
         verdict
     }
 
-    /// A call is served if one of its tries finished within the start target of its beginning.
+    /// A call is served if one of its attempts finished within the start target, counted from the start of the call.
     fn service(&self, start: Micros, verdict: &mut Verdict) {
         let mut calls: BTreeMap<u64, Vec<&ClientAttempt>> = BTreeMap::new();
         self.log
             .client_attempts
             .iter()
             .for_each(|t| calls.entry(t.call).or_default().push(t));
-        let (mut asked, mut earned) = (0.0, 0.0);
-        for tries in calls.values() {
-            let Some(first) = tries.first() else { continue };
+        let (mut total, mut served) = (0.0, 0.0);
+        for attempts in calls.values() {
+            let Some(first) = attempts.first() else {
+                continue;
+            };
             let Some(calls) = self.workloads.get(first.workload.as_str()) else {
                 continue;
             };
-            asked += calls.importance;
-            let finished = tries
+            total += calls.importance;
+            let finished = attempts
                 .iter()
                 .flat_map(|t| &t.answers)
                 .find(|(_, status)| *status == 200);
             let latency = finished.map(|(at, _)| at - first.call_started_at);
             let in_time = latency.is_some_and(|l| l <= calls.start_target);
             if in_time {
-                earned += calls.importance;
+                served += calls.importance;
             }
             if let Some(l) = latency {
-                // An auto-resizing histogram takes any span.
+                // An auto-resizing histogram accepts any value.
                 let _ = verdict.latency.record(l.max(0) as u64);
             }
             if let Some(customer) = &first.customer {
@@ -252,37 +258,39 @@
             verdict.seconds[second].0 += 1;
             verdict.seconds[second].1 += u32::from(in_time);
         }
-        // Calls are numbered through, so what is missing was asked and never got to an edge.
+        // Calls are numbered consecutively, so a missing number is a call that never reached an edge.
         let numbered = calls.last_key_value().map_or(0, |(last, _)| last + 1);
         verdict.unreached = numbered - calls.len() as u64;
-        asked *= numbered as f64 / calls.len().max(1) as f64;
-        verdict.service = if asked > 0.0 { earned / asked } else { 1.0 };
+        total *= numbered as f64 / calls.len().max(1) as f64;
+        verdict.service = if total > 0.0 { served / total } else { 1.0 };
     }
 
-    /// Rule 1: nothing more is sent for a job that has its final answer.
-    fn sent_after_the_answer(&mut self) {
+    /// Rule 1: no execution is sent for a request that has its final answer.
+    fn executions_after_answer(&mut self) {
         let answered: BTreeMap<(u64, u32), Micros> = self
             .log
             .client_attempts
             .iter()
             .filter_map(|t| t.answers.first().map(|(at, _)| ((t.call, t.number), *at)))
             .collect();
-        for run in &self.log.executions {
-            let Some(at) = answered.get(&(run.call, run.number)) else {
+        for execution in &self.log.executions {
+            let Some(at) = answered.get(&(execution.call, execution.number)) else {
                 continue;
             };
-            if run.received_at > at + self.slack {
-                let (call, n, late) = (run.call, run.number, run.received_at - at);
+            if execution.received_at > at + self.slack {
+                let (call, n, late) =
+                    (execution.call, execution.number, execution.received_at - at);
                 let what =
-                    format!("call {call} try {n} went to a worker {late} us after its answer");
-                self.add_violation(1, run.received_at, what);
+                    format!("call {call} try {n} was sent to a worker {late} us after its answer");
+                self.add_violation(1, execution.received_at, what);
             }
         }
     }
 
-    /// Rule 2. An execution that reached a worker may have run unless the worker had answered that it did not.
-    fn effects(&mut self) {
-        let not_run = |run: &Execution, by: Micros| {
+    /// Rule 2: a request is executed again only if its effect allows that. An execution that reached a worker may have
+    /// run, unless the worker had answered that it did not.
+    fn duplicate_executions(&mut self) {
+        let has_not_run = |execution: &Execution, by: Micros| {
             let no = |e: &ExecutionStatus| {
                 matches!(
                     e,
@@ -291,16 +299,19 @@
                         | ExecutionStatus::Dropped
                 )
             };
-            run.answers
+            execution
+                .answers
                 .first()
                 .is_some_and(|(at, ended)| *at <= by && no(ended))
         };
-        let mut runs: BTreeMap<(u64, u32), Vec<&Execution>> = BTreeMap::new();
-        self.log
-            .executions
-            .iter()
-            .for_each(|run| runs.entry((run.call, run.number)).or_default().push(run));
-        let pushed_back: BTreeMap<(u64, u32), Micros> = self
+        let mut executions: BTreeMap<(u64, u32), Vec<&Execution>> = BTreeMap::new();
+        self.log.executions.iter().for_each(|execution| {
+            executions
+                .entry((execution.call, execution.number))
+                .or_default()
+                .push(execution)
+        });
+        let rejected: BTreeMap<(u64, u32), Micros> = self
             .log
             .client_attempts
             .iter()
@@ -311,21 +322,21 @@
                     .map(|(at, _)| ((t.call, t.number), *at))
             })
             .collect();
-        let mut broken = Vec::new();
-        for (id, runs) in &runs {
-            let Some(calls) = runs
+        let mut violations = Vec::new();
+        for (id, executions) in &executions {
+            let Some(calls) = executions
                 .first()
-                .and_then(|run| self.workloads.get(run.workload.as_str()))
+                .and_then(|execution| self.workloads.get(execution.workload.as_str()))
             else {
                 continue;
             };
-            let mut runs = runs.clone();
-            runs.sort_by_key(|run| run.received_at);
+            let mut executions = executions.clone();
+            executions.sort_by_key(|execution| execution.received_at);
             let name = format!("call {} try {} ({})", id.0, id.1, calls.effect);
-            for (n, later) in runs.iter().enumerate() {
-                let Some(earlier) = runs[..n]
+            for (n, later) in executions.iter().enumerate() {
+                let Some(earlier) = executions[..n]
                     .iter()
-                    .find(|run| !not_run(run, later.received_at))
+                    .find(|execution| !has_not_run(execution, later.received_at))
                 else {
                     continue;
                 };
@@ -342,21 +353,24 @@
                 };
                 if !allowed {
                     let (from, to) = (earlier.worker, later.worker);
-                    broken.push((
+                    violations.push((
                         later.received_at,
-                        format!("{name} went to worker {to} when it may have run at {from}"),
+                        format!("{name} was sent to worker {to} although it may have run at worker {from}"),
                     ));
                 }
             }
             let harmless = calls.effect == "restartable"
                 || (calls.effect == "fingerprinted" && calls.group == "all");
-            if let Some(at) = pushed_back.get(id).filter(|_| !harmless) {
-                if runs.iter().any(|run| !not_run(run, *at)) {
-                    broken.push((*at, format!("{name} was pushed back when it may have run")));
+            if let Some(at) = rejected.get(id).filter(|_| !harmless) {
+                if executions
+                    .iter()
+                    .any(|execution| !has_not_run(execution, *at))
+                {
+                    violations.push((*at, format!("{name} was rejected although it may have run")));
                 }
             }
         }
-        broken
+        violations
             .into_iter()
             .for_each(|(at, what)| self.add_violation(2, at, what));
     }
@@ -368,12 +382,13 @@
         }
     }
 
-    /// Rule 3: nothing new to a worker that the edge was told drains or is gone, but for a grace.
-    fn drains(&mut self) {
+    /// Rule 3: an edge sends nothing new to a worker that it knows is draining or gone, after a grace period.
+    fn use_after_drain(&mut self) {
         let grace = self.scenario.drain_grace() + self.slack;
-        let mut told: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
+        let mut updates_by_worker: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
         for t in &self.log.endpoint_updates {
-            told.entry((&t.edge, &t.worker))
+            updates_by_worker
+                .entry((&t.edge, &t.worker))
                 .or_default()
                 .push((t.at, t.phase == Phase::Ready));
         }
@@ -381,61 +396,61 @@
             .log
             .executions
             .iter()
-            .map(|r| (r.received_at, r.worker, &r.edge, "a job"));
-        let ordered = self
+            .map(|r| (r.received_at, r.worker, &r.edge, "a request"));
+        let commands = self
             .log
             .load_commands
             .iter()
-            .map(|o| (o.received_at, o.worker, &o.edge, "an order to load"));
-        let mut broken = Vec::new();
-        for (came, worker, edge, what) in sent.chain(ordered) {
+            .map(|o| (o.received_at, o.worker, &o.edge, "a load command"));
+        let mut violations = Vec::new();
+        for (received_at, worker, edge, what) in sent.chain(commands) {
             let name = Scenario::worker_name(worker);
-            let Some(words) = told.get(&(edge.as_str(), name.as_str())) else {
+            let Some(updates) = updates_by_worker.get(&(edge.as_str(), name.as_str())) else {
                 continue;
             };
-            // The last word that it was fit, and the first after it that it was not.
-            let before = words.iter().take_while(|(at, _)| *at <= came);
-            let fit = before
+            // The last update that it was ready, and the first one after it that it was not.
+            let before = updates.iter().take_while(|(at, _)| *at <= received_at);
+            let ready_since = before
                 .clone()
                 .filter(|(_, ready)| *ready)
                 .map(|(at, _)| *at)
                 .last()
                 .unwrap_or(Micros::MIN);
-            let unfit = before
-                .filter(|(at, ready)| !*ready && *at > fit)
+            let unavailable_since = before
+                .filter(|(at, ready)| !*ready && *at > ready_since)
                 .map(|(at, _)| *at)
                 .next();
-            if let Some(at) = unfit.filter(|at| came > at + grace) {
-                let late = came - at;
-                broken.push((
-                    came,
-                    format!("{edge} sent {what} to {name} {late} us after word that it drains or is gone"),
+            if let Some(at) = unavailable_since.filter(|at| received_at > at + grace) {
+                let late = received_at - at;
+                violations.push((
+                    received_at,
+                    format!("{edge} sent {what} to {name} {late} us after the update that it is draining or gone"),
                 ));
             }
         }
-        broken
+        violations
             .into_iter()
             .for_each(|(at, what)| self.add_violation(3, at, what));
     }
 
-    /// Rule 4: what reached a cold worker from all edges, against what it bears.
-    fn cold(&mut self) {
+    /// Rule 4: the work that all edges together send to a cold worker stays within what it can bear.
+    fn cold_worker_load(&mut self) {
         let l = &self.scenario.settings;
-        let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
-        let (multiple, fall) = (
+        let (cold_time, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
+        let (multiple, window) = (
             l.number("rules.fall-multiple"),
             l.duration_us("rules.fall-us"),
         );
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (worker, started) in &self.log.worker_starts {
             let spec = self.scenario.worker(*worker, "", "", "");
             let capacity = spec.size();
-            let mut came: Vec<(Micros, f64)> = self
+            let mut arrivals: Vec<(Micros, f64)> = self
                 .log
                 .executions
                 .iter()
                 .filter(|r| {
-                    r.worker == *worker && (*started..started + cold).contains(&r.received_at)
+                    r.worker == *worker && (*started..started + cold_time).contains(&r.received_at)
                 })
                 .filter_map(|r| {
                     self.workloads
@@ -443,59 +458,59 @@
                         .map(|c| (r.received_at, c.mean_work as f64))
                 })
                 .collect();
-            came.sort_by_key(|(at, _)| *at);
+            arrivals.sort_by_key(|(at, _)| *at);
             let mut first = 0;
             let mut sum = 0.0;
-            for (at, work) in &came {
+            for (at, work) in &arrivals {
                 sum += work;
-                while came[first].0 <= at - fall {
-                    sum -= came[first].1;
+                while arrivals[first].0 <= at - window {
+                    sum -= arrivals[first].1;
                     first += 1;
                 }
-                let part = from + (1.0 - from) * (at - started) as f64 / cold.max(1) as f64;
-                let bears = multiple * part * capacity * fall as f64;
-                if sum > bears {
-                    broken.push((
+                let part = from + (1.0 - from) * (at - started) as f64 / cold_time.max(1) as f64;
+                let capacity_in_window = multiple * part * capacity * window as f64;
+                if sum > capacity_in_window {
+                    violations.push((
                         *at,
-                        format!("worker {worker} got {sum:.0} us of work while cold; it bears {bears:.0}"),
+                        format!("worker {worker} got {sum:.0} us of work while cold; it can bear {capacity_in_window:.0}"),
                     ));
                     break;
                 }
             }
         }
-        broken
+        violations
             .into_iter()
             .for_each(|(at, what)| self.add_violation(4, at, what));
     }
 
-    /// No call is taken under a key that was revoked, once every edge has had time to hear of it.
+    /// No call is accepted under a revoked key, once the revocation has had time to reach every edge.
     fn revoked_keys(&mut self) {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for t in &self.log.client_attempts {
             let since = t.key.as_ref().and_then(|key| self.log.revoked.get(key));
-            let taken = t
+            let accepted = t
                 .answers
                 .first()
                 .is_none_or(|(_, status)| !matches!(status, 401 | 403 | 503));
-            if let Some(since) = since.filter(|since| t.sent_at > **since && taken) {
+            if let Some(since) = since.filter(|since| t.sent_at > **since && accepted) {
                 let late = t.sent_at - since;
-                broken.push((
+                violations.push((
                     t.sent_at,
                     format!(
-                        "call {} was taken under a revoked key, {late} us late",
+                        "call {} was accepted under a revoked key, {late} us after its revocation took effect",
                         t.call
                     ),
                 ));
             }
         }
-        broken
+        violations
             .into_iter()
             .for_each(|(at, what)| self.add_violation(0, at, what));
     }
 
-    /// Rule 5: orders to load against jobs taken, by edge. One that was killed knows nothing of what it ordered before,
-    /// and begins anew.
-    fn ration(&mut self) {
+    /// Rule 5: the load commands of each edge stay within the allowance for the requests that it received. A killed edge
+    /// doesn't remember its earlier load commands and starts from zero.
+    fn load_command_rate(&mut self) {
         let l = &self.scenario.settings;
         let window = l.duration_us("copies.load-window-us");
         if window == 0 {
@@ -508,16 +523,16 @@
             .iter()
             .map(|o| o.edge.as_str())
             .collect();
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for edge in edges {
-            let mut orders: Vec<Micros> = self
+            let mut commands: Vec<Micros> = self
                 .log
                 .load_commands
                 .iter()
                 .filter(|o| o.edge == edge)
                 .map(|o| o.received_at)
                 .collect();
-            let mut taken: Vec<Micros> = self
+            let mut attempts: Vec<Micros> = self
                 .log
                 .client_attempts
                 .iter()
@@ -531,26 +546,26 @@
                 .filter(|(down, ..)| down == edge)
                 .filter_map(|(.., until)| *until)
                 .collect();
-            orders.sort_unstable();
-            taken.sort_unstable();
-            for (n, at) in orders.iter().enumerate() {
-                // Both are seen at the far ends, so each window is drawn in the edge's favour by the way there.
-                let begun = starts.iter().filter(|start| *start <= at).max();
-                let since =
-                    (at - window + self.slack).max(begun.map_or(Micros::MIN, |start| start - 1));
-                let ordered = n + 1 - orders.partition_point(|o| *o <= since);
-                let jobs = taken.partition_point(|t| t <= at)
-                    - taken.partition_point(|t| *t <= at - window - self.slack);
-                let allowed = free + share * jobs as f64;
-                if ordered as f64 > allowed {
-                    broken.push((
+            commands.sort_unstable();
+            attempts.sort_unstable();
+            for (n, at) in commands.iter().enumerate() {
+                // Both are recorded at the remote ends, so each window is adjusted by the transit time in the edge's favour.
+                let last_start = starts.iter().filter(|start| *start <= at).max();
+                let since = (at - window + self.slack)
+                    .max(last_start.map_or(Micros::MIN, |start| start - 1));
+                let commands_in_window = n + 1 - commands.partition_point(|o| *o <= since);
+                let attempts_in_window = attempts.partition_point(|t| t <= at)
+                    - attempts.partition_point(|t| *t <= at - window - self.slack);
+                let allowed = free + share * attempts_in_window as f64;
+                if commands_in_window as f64 > allowed {
+                    violations.push((
                         *at,
-                        format!("{edge} gave {ordered} orders to load in a window that allows {allowed:.1}"),
+                        format!("{edge} sent {commands_in_window} load commands in a window that allows {allowed:.1}"),
                     ));
                 }
             }
         }
-        broken
+        violations
             .into_iter()
             .for_each(|(at, what)| self.add_violation(5, at, what));
     }
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -1,4 +1,4 @@
-//! Where a scenario is played: the same acts on the virtual network and on sockets.
+//! The environments that run a scenario: the same operations on the virtual network, on sockets and on processes.
 
 use crate::fleet::{Addresses, Fleet, Who};
 use crate::recorder::{Recording, Role};
@@ -11,45 +11,50 @@
 use std::collections::BTreeMap;
 use std::io;
 
+/// The operations that a scenario needs of the environment that runs it.
 pub trait Environment {
     fn now(&self) -> Micros;
     fn fleet(&mut self) -> &mut Fleet;
     fn run_until(&mut self, at: Micros) -> io::Result<()>;
     fn kill(&mut self, who: Who);
-    /// Starts what was killed; workers come back cold.
+    /// Starts a process that was killed; workers start cold.
     fn start(&mut self, who: Who) -> io::Result<()>;
+    /// Stops a process without ending it, or continues it.
     fn freeze(&mut self, who: Who, frozen: bool);
+    /// Resets each of its connections when it writes to it next, so that messages are cut off.
     fn reset_on_next_write(&mut self, who: Who);
-    /// Something is wrong with the links of one to another, or no more.
+    /// Sets or removes a fault of the links from one to another.
     fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()>;
-    /// The connections of one to another break.
+    /// Resets the connections from one to another.
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()>;
-    /// What it kept for its next start is lost.
+    /// Deletes the state that it saved for its next start.
     fn clear_saved_state(&mut self, who: Who);
-    /// It is asked to end in order.
+    /// Starts its graceful shutdown.
     fn shut_down(&mut self, who: Who);
-    /// The key set has changed: edges get it.
+    /// Delivers the changed key set to the edges.
     fn distribute_keys(&mut self) -> io::Result<()>;
-    /// Certificates or roots have changed: workers and edges get them, one file after the other.
+    /// Delivers changed certificates and roots to workers and edges, one file after the other.
     fn distribute_certificates(&mut self) -> io::Result<()>;
-    /// Every call has ended.
+    /// Whether every call has ended.
     fn is_traffic_finished(&self) -> bool;
-    /// The longest that a message is on its way here.
+    /// The longest time that a message may be in transit in this environment.
     fn slack(&self) -> Micros;
-    /// For how long the machine may hold a process up here: what a client waited for less long tells nothing.
+    /// The longest time that the machine may delay a process here. A client that waited less than this for an answer
+    /// proves nothing about the edge.
     fn max_scheduling_delay(&self) -> Micros {
         0
     }
 }
 
-/// Makes the edge that a scenario is played with.
+/// Makes the edges of a scenario run.
 pub type MakeEdge = Box<dyn Fn(EdgeOptions) -> Box<dyn Core>>;
 
-/// The product's edge.
+/// Makes the edge of the product.
 pub fn product_edge() -> MakeEdge {
     Box::new(|start| Box::new(Edge::new(start)))
 }
 
+/// A scenario on the virtual network.
 pub struct VirtualEnvironment {
     net: VirtualNet,
     fleet: Fleet,
@@ -58,10 +63,12 @@
     slack: Micros,
 }
 
-/// Virtual time starts here, well after nought, which stands for long ago.
-const BEGIN: Micros = 1_000_000_000;
+/// The start of virtual time; well above zero, because times at zero stand for long ago.
+const START_TIME: Micros = 1_000_000_000;
 
 impl VirtualEnvironment {
+    /// # Errors
+    /// The scenario can't be set up.
     pub fn new(
         scenario: Scenario,
         links: LinkModel,
@@ -70,7 +77,7 @@
     ) -> io::Result<Self> {
         Self::with_ground_truth(scenario, links, recording, make_edge, None)
     }
-    /// The same with somebody who sees what is true of the workers.
+    /// Like `new`; the workers also keep their true state in `truth`, for the oracle.
     ///
     /// # Errors
     /// The scenario can't be set up.
@@ -90,17 +97,20 @@
         };
         let slack = 4 * links.cross_zone_latency + 2 * links.retransmit_after;
         let seed = scenario.seed;
-        let net = VirtualNet::new(seed, BEGIN, links, Box::new(recording.clone()));
+        let net = VirtualNet::new(seed, START_TIME, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
         fleet.truth = truth;
-        let mut stage = VirtualEnvironment {
+        let mut environment = VirtualEnvironment {
             net,
             fleet,
             hosts: BTreeMap::new(),
             make_edge,
             slack,
         };
-        let (workers, edges) = (stage.fleet.scenario.workers, stage.fleet.scenario.edges);
+        let (workers, edges) = (
+            environment.fleet.scenario.workers,
+            environment.fleet.scenario.edges,
+        );
         let all = (0..workers)
             .map(Who::Worker)
             .chain((0..edges).map(Who::Edge));
@@ -109,9 +119,9 @@
             .chain(all)
             .chain([Who::Callers])
         {
-            stage.set_up(who, recording)?;
+            environment.add_host(who, recording)?;
         }
-        Ok(stage)
+        Ok(environment)
     }
     fn core(&mut self, who: Who, cold: bool) -> io::Result<Box<dyn Core>> {
         let now = self.net.now();
@@ -122,14 +132,14 @@
             Who::Callers => self.fleet.callers(0),
             Who::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
-                let kept = self
+                let cached_state = self
                     .hosts
                     .get(&who)
                     .and_then(|host| self.net.saved_state(*host));
                 let start = EdgeOptions {
                     settings,
                     seed,
-                    cached_state: kept,
+                    cached_state: cached_state,
                     incarnation,
                     metrics_page: None,
                     platform: None,
@@ -138,9 +148,9 @@
             }
         })
     }
-    fn set_up(&mut self, who: Who, recording: &Recording) -> io::Result<()> {
+    fn add_host(&mut self, who: Who, recording: &Recording) -> io::Result<()> {
         let a = &self.fleet.addresses;
-        let (zone, door) = match who {
+        let (zone, listener) = match who {
             Who::Worker(n) => (self.fleet.scenario.zone_of(n), Some(a.workers[n].clone())),
             Who::Edge(n) => (self.fleet.scenario.zone_of(n), Some(a.edges[n].clone())),
             Who::List => (0, Some(a.list.clone())),
@@ -148,36 +158,39 @@
             Who::Callers => (0, None),
         };
         let role = match who {
-            // Under TLS it is recorded within.
+            // With TLS, the worker's traffic is recorded inside its TLS layer instead.
             Who::Worker(_) if self.fleet.authority.is_some() => Role::Other,
             Who::Worker(n) => Role::Worker(n),
             Who::List => Role::List,
             Who::Callers => Role::Callers,
             Who::Edge(_) | Who::Store => Role::Other,
         };
-        // The role must be known before its first connection.
+        // The recorder must know the role before the first connection.
         recording
             .0
             .borrow_mut()
             .role(HostId(self.hosts.len()), role);
-        if let (Who::Edge(n), Some(door)) = (who, &door) {
-            recording.0.borrow_mut().edge(door, &Scenario::edge_name(n));
+        if let (Who::Edge(n), Some(listener)) = (who, &listener) {
+            recording
+                .0
+                .borrow_mut()
+                .edge(listener, &Scenario::edge_name(n));
         }
         let core = self.core(who, false)?;
-        let doors: Vec<&str> = door.iter().map(String::as_str).collect();
-        let host = self.net.add(zone, &doors, core);
+        let listeners: Vec<&str> = listener.iter().map(String::as_str).collect();
+        let host = self.net.add(zone, &listeners, core);
         self.hosts.insert(who, host);
-        self.give_keys(who);
+        self.deliver_keys(who);
         Ok(())
     }
-    fn give_keys(&mut self, who: Who) {
+    fn deliver_keys(&mut self, who: Who) {
         if let (Who::Edge(_), Some(host), Some(keys)) =
             (who, self.hosts.get(&who), self.fleet.keys())
         {
             self.net.deliver_file(*host, KEYS_FILE, Ok(&keys));
         }
     }
-    /// Events carried out so far.
+    /// The number of events processed so far.
     pub fn processed_events(&self) -> u64 {
         self.net.processed_events()
     }
@@ -210,11 +223,11 @@
         if let Some(host) = self.hosts.get(&who) {
             self.net.replace(*host, core);
         }
-        self.give_keys(who);
+        self.deliver_keys(who);
         Ok(())
     }
     fn distribute_keys(&mut self) -> io::Result<()> {
-        (0..self.fleet.scenario.edges).for_each(|n| self.give_keys(Who::Edge(n)));
+        (0..self.fleet.scenario.edges).for_each(|n| self.deliver_keys(Who::Edge(n)));
         Ok(())
     }
     fn distribute_certificates(&mut self) -> io::Result<()> {
@@ -241,7 +254,7 @@
         let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
             return Ok(());
         };
-        let (there, back) = match fault {
+        let (forward, backward) = match fault {
             None => (None, None),
             Some(Fault::Delay(delay)) => {
                 let both = Some(LinkFault {
@@ -290,8 +303,8 @@
         if fault == Some(Fault::Refused) {
             self.net.reset_between(from, to);
         }
-        self.net.set_link_fault(from, to, there);
-        self.net.set_link_fault(to, from, back);
+        self.net.set_link_fault(from, to, forward);
+        self.net.set_link_fault(to, from, backward);
         Ok(())
     }
     fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -228,7 +228,11 @@
         tracing::info!(at_ms = now / 1000, "{what}{targets}");
         self.timeline.push((now, format!("{what}{targets}")));
     }
-    fn faults(&mut self, targets: &[Who], set: impl Fn(&mut sanddrum_emulator::WorkerFaults)) {
+    fn set_worker_faults(
+        &mut self,
+        targets: &[Who],
+        set: impl Fn(&mut sanddrum_emulator::WorkerFaults),
+    ) {
         for who in targets {
             if let Who::Worker(n) = who {
                 set(&mut self.environment.fleet().workers[*n].borrow_mut());
@@ -401,13 +405,13 @@
                     .edge_pauses
                     .extend(stopped);
             }
-            "hang" => self.faults(targets, |f| f.is_hung = true),
-            "slow" => self.faults(targets, |f| f.slowdown = size),
-            "lose-answers" => self.faults(targets, |f| f.answer_loss = size.min(1.0)),
-            "load-fails" => self.faults(targets, |f| f.load_failure = size.min(1.0)),
-            "garble" => self.faults(targets, |f| f.garble_once = true),
-            "drain" => self.faults(targets, |f| f.is_draining = true),
-            "flush" => self.faults(targets, |f| f.invalidate_once = true),
+            "hang" => self.set_worker_faults(targets, |f| f.is_hung = true),
+            "slow" => self.set_worker_faults(targets, |f| f.slowdown = size),
+            "lose-answers" => self.set_worker_faults(targets, |f| f.answer_loss = size.min(1.0)),
+            "load-fails" => self.set_worker_faults(targets, |f| f.load_failure = size.min(1.0)),
+            "garble" => self.set_worker_faults(targets, |f| f.garble_once = true),
+            "drain" => self.set_worker_faults(targets, |f| f.is_draining = true),
+            "flush" => self.set_worker_faults(targets, |f| f.invalidate_once = true),
             "tear" => targets
                 .iter()
                 .for_each(|who| self.environment.reset_on_next_write(*who)),
@@ -473,10 +477,10 @@
                     self.environment.set_link_fault(from, to, None)?;
                 }
             }
-            "hang" => self.faults(targets, |f| f.is_hung = false),
-            "slow" => self.faults(targets, |f| f.slowdown = 0.0),
-            "lose-answers" => self.faults(targets, |f| f.answer_loss = 0.0),
-            "load-fails" => self.faults(targets, |f| f.load_failure = 0.0),
+            "hang" => self.set_worker_faults(targets, |f| f.is_hung = false),
+            "slow" => self.set_worker_faults(targets, |f| f.slowdown = 0.0),
+            "lose-answers" => self.set_worker_faults(targets, |f| f.answer_loss = 0.0),
+            "load-fails" => self.set_worker_faults(targets, |f| f.load_failure = 0.0),
             "store-stall" => self.environment.fleet().store.borrow_mut().is_stalled = false,
             "store-refuse" => self.environment.fleet().store.borrow_mut().rejects_all = false,
             "list-away" => self.restart(&[Who::List])?,
