--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -1,5 +1,5 @@
-//! What crossed the sockets at clients, workers and the list service, read with the codecs and kept as a log. The
-//! edges' own state and logs are never looked at.
+//! Decodes the traffic at clients, workers and the discovery service and records it as a log. The edges' own state and
+//! logs are never used.
 
 use crate::scheduling_delay::SchedulingDelays;
 use sanddrum_net::{ConnectionId, HostId, Micros, Side, TrafficObserver};
@@ -12,37 +12,37 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
-/// Which of the things that are watched a core is.
+/// The role of a host, which decides how its traffic is decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Callers,
     Worker(usize),
     List,
-    /// Not read: what it says is seen at its other end.
+    /// Not decoded: its traffic is recorded at the other end.
     Other,
 }
 
-/// A try of a call, as its client sent it.
+/// One attempt of a client's call, as the client sent it.
 #[derive(Clone, Debug, Default)]
 pub struct ClientAttempt {
     pub call: u64,
     pub number: u32,
     pub workload: String,
     pub edge: String,
-    /// When its call began, and when this try had gone out whole.
     pub call_started_at: Micros,
+    /// When the attempt had been sent completely.
     pub sent_at: Micros,
     pub time_limit: Micros,
     pub customer: Option<String>,
-    /// The key that its token names.
+    /// The id of the key in its token.
     pub key: Option<String>,
-    /// When each answer had come whole, with its status.
+    /// When each answer had been received completely, with its status.
     pub answers: Vec<(Micros, u16)>,
-    /// When the connection ended with the try unanswered.
+    /// When its connection closed, if that left it unanswered.
     pub closed_at: Option<Micros>,
 }
 
-/// An execution that reached a worker whole.
+/// An execution that a worker received completely.
 #[derive(Clone, Debug)]
 pub struct Execution {
     pub worker: usize,
@@ -51,11 +51,11 @@
     pub call: u64,
     pub number: u32,
     pub workload: String,
-    /// What the worker answered to it, and when that left it.
+    /// The worker's answers, and when it sent them.
     pub answers: Vec<(Micros, ExecutionStatus)>,
 }
 
-/// An order to load that reached a worker.
+/// A load command that a worker received.
 #[derive(Clone, Debug)]
 pub struct LoadCommand {
     pub worker: usize,
@@ -64,7 +64,7 @@
     pub instances: u32,
 }
 
-/// What an edge was told of a worker.
+/// The state of a worker as the discovery service sent it to an edge.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
     pub edge: String,
@@ -73,42 +73,43 @@
     pub phase: Phase,
 }
 
+/// Everything that the checker knows of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     pub client_attempts: Vec<ClientAttempt>,
     pub executions: Vec<Execution>,
     pub load_commands: Vec<LoadCommand>,
     pub endpoint_updates: Vec<EndpointUpdate>,
-    /// Workers' starts, from cold, as the scenario made them.
+    /// Cold starts of workers, as the scenario caused them.
     pub worker_starts: Vec<(usize, Micros)>,
-    /// When edges were down, by name: from, and until (if they came back).
+    /// When edges were down: the name, from, and until (if they restarted).
     pub edge_downtime: Vec<(String, Micros, Option<Micros>)>,
-    /// When edges stood still, likewise: they answer nobody meanwhile, and remember all.
+    /// When edges were paused, likewise: they answer nothing meanwhile but keep their state.
     pub edge_pauses: Vec<(String, Micros, Option<Micros>)>,
-    /// The machine may hold a process up for so long.
+    /// The longest time that the machine may delay a process.
     pub max_scheduling_delay: Micros,
-    /// How long it did, edges by their names; empty where nobody looked.
+    /// The delays that were observed, by edge name; empty if they weren't observed.
     pub scheduling_delays: BTreeMap<String, SchedulingDelays>,
-    /// Keys that were revoked, and from when on no edge takes a call under them.
+    /// Revoked keys, and the time from which no edge may accept a call under them.
     pub revoked: BTreeMap<String, Micros>,
     pub bytes: u64,
-    /// What reached the list service and each worker, from all edges, by second.
+    /// What the discovery service and each worker received from all edges, by second.
     pub loads: BTreeMap<(Target, Micros), Load>,
 }
 
-/// Whom a load falls on.
+/// The receiver of load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
     List,
     Worker(usize),
 }
 
-/// What fell on it within a second.
+/// The load of one receiver within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Connections made.
+    /// Connections accepted.
     pub handshakes: u64,
-    /// Calls for the list.
+    /// Calls to the discovery service.
     pub calls: u64,
     pub whole_lists: u64,
     pub bytes: u64,
@@ -122,43 +123,43 @@
     fn load(&mut self, target: Target, now: Micros) -> &mut Load {
         self.loads.entry((target, now / 1_000_000)).or_default()
     }
-    /// The worst of a figure in any second, over all workers or at the list service.
-    pub fn worst(&self, list: bool, figure: impl Fn(&Load) -> u64) -> u64 {
-        let of = self
+    /// The maximum of a count in any second, at the discovery service (`list`) or at any worker.
+    pub fn worst(&self, list: bool, count: impl Fn(&Load) -> u64) -> u64 {
+        let seconds = self
             .loads
             .iter()
             .filter(|((target, _), _)| (*target == Target::List) == list);
-        of.map(|(_, load)| figure(load)).max().unwrap_or(0)
+        seconds.map(|(_, load)| count(load)).max().unwrap_or(0)
     }
-    /// The sum of a figure over the whole day.
-    pub fn sum(&self, list: bool, figure: impl Fn(&Load) -> u64) -> u64 {
-        let of = self
+    /// The sum of a count over the whole run.
+    pub fn sum(&self, list: bool, count: impl Fn(&Load) -> u64) -> u64 {
+        let seconds = self
             .loads
             .iter()
             .filter(|((target, _), _)| (*target == Target::List) == list);
-        of.map(|(_, load)| figure(load)).sum()
+        seconds.map(|(_, load)| count(load)).sum()
     }
 }
 
 enum Reader {
     Caller {
         edge: String,
-        out: Vec<u8>,
-        inn: Vec<u8>,
+        outgoing: Vec<u8>,
+        incoming: Vec<u8>,
         open: Option<usize>,
     },
     Worker {
         n: usize,
         edge: String,
-        inn: FrameDecoder,
-        out: FrameDecoder,
+        incoming: FrameDecoder,
+        outgoing: FrameDecoder,
         runs: BTreeMap<u64, usize>,
     },
     List {
         name: String,
         edge: Option<String>,
-        inn: FrameDecoder,
-        out: FrameDecoder,
+        incoming: FrameDecoder,
+        outgoing: FrameDecoder,
     },
 }
 
@@ -172,7 +173,7 @@
     digest: DefaultHasher,
 }
 
-const MOST: usize = 64 << 20;
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 impl Recorder {
     pub fn role(&mut self, host: HostId, role: Role) {
@@ -181,22 +182,24 @@
     pub fn edge(&mut self, address: &str, name: &str) {
         self.edges.insert(address.into(), name.into());
     }
-    /// A figure of everything that crossed, when and where: equal timelines have equal ones.
+    /// A hash of all recorded traffic with its times and places; equal timelines have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest.finish()
     }
 
-    fn caller_sent(
+    fn record_requests(
         log: &mut Log,
         now: Micros,
         edge: &str,
-        out: &mut Vec<u8>,
+        outgoing: &mut Vec<u8>,
         open: &mut Option<usize>,
     ) {
-        while let Ok(Parsed::Complete(request, took)) = http::parse_request(out, MOST, MOST) {
-            out.drain(..took);
+        while let Ok(Parsed::Complete(request, length)) =
+            http::parse_request(outgoing, MAX_MESSAGE_BYTES, MAX_MESSAGE_BYTES)
+        {
+            outgoing.drain(..length);
             let trace = request.field("sanddrum-trace").unwrap_or_default();
-            let Some((call, number, since)) = read_trace(trace) else {
+            let Some((call, number, age)) = parse_trace(trace) else {
                 continue;
             };
             let limit = request
@@ -217,7 +220,7 @@
                 number,
                 workload,
                 edge: edge.to_string(),
-                call_started_at: now - since,
+                call_started_at: now - age,
                 sent_at: now,
                 time_limit: limit.unwrap_or(0) * 1000,
                 customer: request.field("sanddrum-customer").map(String::from),
@@ -228,8 +231,8 @@
     }
 }
 
-/// `c<call>.<try>.<microseconds since the call began>`.
-fn read_trace(trace: &str) -> Option<(u64, u32, Micros)> {
+/// Parses `c<call>.<attempt>.<microseconds since the start of the call>`.
+fn parse_trace(trace: &str) -> Option<(u64, u32, Micros)> {
     let mut parts = trace.strip_prefix('c')?.split('.');
     let call = parts.next()?.parse().ok()?;
     let number = parts.next()?.parse().ok()?;
@@ -240,7 +243,7 @@
     ))
 }
 
-/// The recorder as a tap that a driver holds while the player holds it, too.
+/// A shared handle to the recorder; the driver and the scenario runner both hold one.
 #[derive(Clone, Default)]
 pub struct Recording(pub Rc<RefCell<Recorder>>);
 
@@ -254,27 +257,30 @@
                 let edge = this.edges.get(to).cloned().unwrap_or_default();
                 Reader::Caller {
                     edge,
-                    out: Vec::new(),
-                    inn: Vec::new(),
+                    outgoing: Vec::new(),
+                    incoming: Vec::new(),
                     open: None,
                 }
             }
             (Role::Worker(n), Side::Accepted) => {
                 this.log.load(Target::Worker(n), now).handshakes += 1;
-                let (inn, out) = (FrameDecoder::new(MOST), FrameDecoder::new(MOST));
+                let (incoming, outgoing) = (
+                    FrameDecoder::new(MAX_MESSAGE_BYTES),
+                    FrameDecoder::new(MAX_MESSAGE_BYTES),
+                );
                 Reader::Worker {
                     n,
                     edge: String::new(),
-                    inn,
-                    out,
+                    incoming,
+                    outgoing,
                     runs: BTreeMap::new(),
                 }
             }
             (Role::List, Side::Accepted) => Reader::List {
                 name: String::new(),
                 edge: None,
-                inn: FrameDecoder::new(MOST),
-                out: FrameDecoder::new(MOST),
+                incoming: FrameDecoder::new(MAX_MESSAGE_BYTES),
+                outgoing: FrameDecoder::new(MAX_MESSAGE_BYTES),
             },
             _ => return,
         };
@@ -287,11 +293,11 @@
         this.log.bytes += bytes.len() as u64;
         let log = &mut this.log;
         match this.readers.get_mut(&(host, conn)) {
-            Some(Reader::Caller { inn, open, .. }) => {
-                inn.extend_from_slice(bytes);
-                while let Ok(Some((answer, took))) = http::parse_response(inn) {
-                    inn.drain(..took);
-                    // An answer with no try open belongs to the last one: it is one too many.
+            Some(Reader::Caller { incoming, open, .. }) => {
+                incoming.extend_from_slice(bytes);
+                while let Ok(Some((answer, length))) = http::parse_response(incoming) {
+                    incoming.drain(..length);
+                    // An answer without an open attempt is a surplus answer of the last one.
                     let at = open.take().or(log.client_attempts.len().checked_sub(1));
                     if let Some(t) = at.and_then(|at| log.client_attempts.get_mut(at)) {
                         t.answers.push((now, answer.status));
@@ -299,14 +305,18 @@
                 }
             }
             Some(Reader::Worker {
-                n, edge, inn, runs, ..
+                n,
+                edge,
+                incoming,
+                runs,
+                ..
             }) => {
-                inn.push_bytes(bytes);
-                while let Ok(Some(message)) = inn.next_message::<ToWorker>() {
+                incoming.push_bytes(bytes);
+                while let Ok(Some(message)) = incoming.next_message::<ToWorker>() {
                     match message {
                         ToWorker::Hello(hello) => *edge = hello.name,
                         ToWorker::Execute(e) => {
-                            let trace = e.trace.as_deref().and_then(read_trace);
+                            let trace = e.trace.as_deref().and_then(parse_trace);
                             let Some((call, number, _)) = trace else {
                                 continue;
                             };
@@ -341,10 +351,13 @@
                 }
             }
             Some(Reader::List {
-                name, edge, inn, ..
+                name,
+                edge,
+                incoming,
+                ..
             }) => {
-                inn.push_bytes(bytes);
-                while let Ok(Some(message)) = inn.next_message::<ToDiscovery>() {
+                incoming.push_bytes(bytes);
+                while let Ok(Some(message)) = incoming.next_message::<ToDiscovery>() {
                     match message {
                         ToDiscovery::Hello(hello) => *name = hello.name,
                         ToDiscovery::Watch(_) => {
@@ -365,14 +378,19 @@
         let log = &mut this.log;
         match this.readers.get_mut(&(host, conn)) {
             Some(Reader::Caller {
-                edge, out, open, ..
+                edge,
+                outgoing,
+                open,
+                ..
             }) => {
-                out.extend_from_slice(bytes);
-                Recorder::caller_sent(log, now, edge, out, open);
+                outgoing.extend_from_slice(bytes);
+                Recorder::record_requests(log, now, edge, outgoing, open);
             }
-            Some(Reader::Worker { n, out, runs, .. }) => {
-                out.push_bytes(bytes);
-                while let Ok(Some(message)) = out.next_message::<FromWorker>() {
+            Some(Reader::Worker {
+                n, outgoing, runs, ..
+            }) => {
+                outgoing.push_bytes(bytes);
+                while let Ok(Some(message)) = outgoing.next_message::<FromWorker>() {
                     let FromWorker::Done(done) = message else {
                         continue;
                     };
@@ -388,12 +406,12 @@
             }
             Some(Reader::List {
                 edge: Some(edge),
-                out,
+                outgoing,
                 ..
             }) => {
-                out.push_bytes(bytes);
+                outgoing.push_bytes(bytes);
                 log.load(Target::List, now).bytes += bytes.len() as u64;
-                while let Ok(Some(message)) = out.next_message::<FromDiscovery>() {
+                while let Ok(Some(message)) = outgoing.next_message::<FromDiscovery>() {
                     let FromDiscovery::Endpoints(rows) = message else {
                         continue;
                     };
