--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Variants of one scenario on the same seeds, and what their differences are worth.
+//! Runs variants of one scenario with the same seeds, and estimates how significant their differences are.
 
 use crate::baselines::{Baseline, BaselineKind};
 use crate::environment::{product_edge, MakeEdge, VirtualEnvironment};
@@ -15,13 +15,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// One way to run the scenario.
+/// A variant of the scenario.
 #[derive(Clone, Debug)]
 pub struct Variant {
     pub name: String,
-    /// Settings over the scenario's, as `limits.repeats=100%`.
+    /// Settings that override those of the scenario, as `limits.repeats=100%`.
     pub set: Vec<String>,
-    /// A baseline in the module's place.
+    /// The baseline that replaces the decision module, if any.
     pub decides: Option<BaselineKind>,
 }
 
@@ -33,7 +33,7 @@
     pub variants: Vec<Variant>,
 }
 
-/// What one run came to.
+/// The result of one run.
 #[derive(Clone, Debug, Default)]
 pub struct RunResult {
     pub service: f64,
@@ -42,34 +42,34 @@
     pub finished: f64,
     pub rejected: f64,
     pub executions: f64,
-    pub loads: f64,
+    pub load_commands: f64,
     pub violations: f64,
-    /// Calls begun in each second, and answered in time.
+    /// For each second: the number of calls started, and of those answered in time.
     pub seconds: Vec<(u32, u32)>,
 }
 
-/// Figures that are compared: their name, whether more is better, and where they are.
+/// A measure that is compared: its name, whether more is better, and its value in a result.
 pub type Measure = (&'static str, bool, fn(&RunResult) -> f64);
 pub const MEASURES: [Measure; 8] = [
     ("service", true, |f| f.service),
     ("p50 ms", false, |f| f.p50_ms),
     ("p99 ms", false, |f| f.p99_ms),
     ("finished", true, |f| f.finished),
-    ("pushed back", false, |f| f.rejected),
+    ("rejected", false, |f| f.rejected),
     ("executions", false, |f| f.executions),
-    ("orders to load", false, |f| f.loads),
-    ("rules broken", false, |f| f.violations),
+    ("load commands", false, |f| f.load_commands),
+    ("rule violations", false, |f| f.violations),
 ];
 
-/// Fewer seeds than this tell little, and that is said.
+/// The results of fewer seeds than this come with a warning.
 pub const FEW_SEEDS: u64 = 10;
 const RESAMPLES: usize = 2000;
 
 impl Experiment {
-    /// Reads the variants that a scenario's text names.
+    /// Reads the experiment and its variants from the text of a scenario.
     ///
     /// # Errors
-    /// What is wrong with it, and where.
+    /// The text is not a valid scenario, has fewer than two variants, or a variant is invalid.
     pub fn read(file: &str, text: &str, seeds: Option<u64>) -> Result<Self, SettingsError> {
         let scenario = Scenario::read(file, text, 1)?;
         let l = &scenario.settings;
@@ -84,10 +84,13 @@
             .enumerate()
             .map(variant)
             .collect();
-        let told = |what: String, remedy: &str| SettingsError::new(file, what, remedy);
+        let invalid = |what: String, remedy: &str| SettingsError::new(file, what, remedy);
         if variants.len() < 2 {
             let remedy = "add (variant \"as built\") and (variant \"another\" (set \"limits.repeats=100%\"))";
-            return Err(told("an experiment needs two variants".into(), remedy));
+            return Err(invalid(
+                "an experiment needs at least two variants".into(),
+                remedy,
+            ));
         }
         let seeds = seeds.unwrap_or(l.integer("experiment.seeds") as u64);
         let experiment = Experiment {
@@ -96,7 +99,7 @@
             seeds,
             variants,
         };
-        // Each is looked at before the first is run.
+        // Validate every variant before the first run.
         for variant in &experiment.variants {
             experiment.scenario(variant, 1)?;
         }
@@ -107,11 +110,11 @@
     }
     fn run(&self, variant: &Variant, seed: u64) -> io::Result<RunResult> {
         let mut scenario = self.scenario(variant, seed).map_err(io::Error::other)?;
-        let sees_all = variant.decides == Some(BaselineKind::Oracle);
+        let is_oracle = variant.decides == Some(BaselineKind::Oracle);
         scenario
             .calls
             .iter_mut()
-            .for_each(|calls| calls.exact_hints = sees_all);
+            .for_each(|calls| calls.exact_hints = is_oracle);
         let truth = Rc::new(RefCell::new(GroundTruth::default()));
         let make: MakeEdge = match variant.decides {
             None => product_edge(),
@@ -125,25 +128,25 @@
             }
         };
         let recording = Recording::default();
-        let truth = sees_all.then_some(truth);
-        let mut stage = VirtualEnvironment::with_ground_truth(
+        let truth = is_oracle.then_some(truth);
+        let mut environment = VirtualEnvironment::with_ground_truth(
             scenario,
             LinkModel::default(),
             &recording,
             make,
             truth,
         )?;
-        Ok(RunResult::of(&play(&mut stage, &recording)?))
+        Ok(RunResult::of(&play(&mut environment, &recording)?))
     }
-    /// Runs every variant on every seed, on as many threads as are given; `told` hears how many are done. The figures by
-    /// variant and seed.
+    /// Runs every variant with every seed on `threads` threads, and returns the results by variant and seed. `progress`
+    /// is called with the number of finished runs.
     ///
     /// # Errors
     /// A run could not be set up.
     pub fn run_all(
         &self,
         threads: usize,
-        told: impl Fn(usize) + Sync,
+        progress: impl Fn(usize) + Sync,
     ) -> io::Result<Vec<Vec<RunResult>>> {
         let all: Vec<(usize, u64)> = (1..=self.seeds)
             .flat_map(|seed| (0..self.variants.len()).map(move |v| (v, seed)))
@@ -154,10 +157,10 @@
                 scope.spawn(|| {
                     while let Some((variant, seed)) = all.get(next.fetch_add(1, Ordering::Relaxed))
                     {
-                        let figures = self.run(&self.variants[*variant], *seed);
+                        let results = self.run(&self.variants[*variant], *seed);
                         let Ok(mut done) = done.lock() else { return };
-                        done.push((*variant, *seed, figures));
-                        told(done.len());
+                        done.push((*variant, *seed, results));
+                        progress(done.len());
                     }
                 });
             }
@@ -168,11 +171,11 @@
                 .map_err(|_| io::Error::other("a thread panicked"))?,
         );
         done.sort_by_key(|(variant, seed, _)| (*variant, *seed));
-        let mut figures = vec![Vec::new(); self.variants.len()];
+        let mut results = vec![Vec::new(); self.variants.len()];
         for (variant, _, of) in done {
-            figures[variant].push(of?);
+            results[variant].push(of?);
         }
-        Ok(figures)
+        Ok(results)
     }
 }
 
@@ -186,41 +189,38 @@
             finished: v.finished as f64,
             rejected: v.rejected as f64,
             executions: outcome.executions as f64,
-            loads: outcome.load_commands as f64,
+            load_commands: outcome.load_commands as f64,
             violations: v.violations.len() as f64,
             seconds: v.seconds.clone(),
         }
     }
 }
 
-/// A difference of paired runs.
+/// The mean difference of paired runs, with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference {
     pub mean: f64,
-    /// The mean lies between these with 95 in 100, by the bootstrap over seeds (percentiles of resampled means).
+    /// The bounds of the 95 % interval of the mean, by the bootstrap over seeds (percentiles of resampled means).
     pub least: f64,
     pub most: f64,
 }
 
 impl Difference {
-    /// Whether the interval leaves nought out.
+    /// Whether the interval excludes zero.
     pub fn is_clear(&self) -> bool {
         self.least > 0.0 || self.most < 0.0
     }
 }
 
-/// What `other` is more than `first`, seed by seed.
+/// The difference `other - first`, paired by seed.
 pub fn difference(first: &[f64], other: &[f64]) -> Difference {
     let each: Vec<f64> = first.iter().zip(other).map(|(a, b)| b - a).collect();
     let mean = |of: &[f64]| of.iter().sum::<f64>() / of.len().max(1) as f64;
-    let mut chance = Rng::new(0xb007);
+    let mut rng = Rng::new(0xb007);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            let drawn: Vec<f64> = each
-                .iter()
-                .map(|_| each[chance.index(each.len())])
-                .collect();
-            mean(&drawn)
+            let resampled: Vec<f64> = each.iter().map(|_| each[rng.index(each.len())]).collect();
+            mean(&resampled)
         })
         .collect();
     means.sort_by(f64::total_cmp);
--- a/crates/sanddrum-lab/src/report.rs
+++ b/crates/sanddrum-lab/src/report.rs
@@ -1,14 +1,14 @@
-//! What an experiment came to, as lines for a terminal and as one HTML page that needs nothing else.
+//! The results of an experiment, as text for a terminal and as a self-contained HTML page.
 
 use crate::experiment::{difference, Difference, Experiment, RunResult, FEW_SEEDS, MEASURES};
 use crate::plots::{svg, Line};
 use std::fmt::Write;
 
-fn spread(figures: &[RunResult], of: fn(&RunResult) -> f64) -> (f64, f64, f64) {
-    let each: Vec<f64> = figures.iter().map(of).collect();
+fn spread(results: &[RunResult], of: fn(&RunResult) -> f64) -> (f64, f64, f64) {
+    let each: Vec<f64> = results.iter().map(of).collect();
     let mean = each.iter().sum::<f64>() / each.len().max(1) as f64;
-    let edge = |pick: fn(f64, f64) -> f64, from: f64| each.iter().copied().fold(from, pick);
-    (mean, edge(f64::min, f64::MAX), edge(f64::max, f64::MIN))
+    let fold = |pick: fn(f64, f64) -> f64, from: f64| each.iter().copied().fold(from, pick);
+    (mean, fold(f64::min, f64::MAX), fold(f64::max, f64::MIN))
 }
 fn number(n: f64) -> String {
     match n.abs() {
@@ -24,10 +24,10 @@
         .flatten()
 }
 
-/// Warnings that whoever reads the figures has to see.
+/// Warnings about the reliability of the results.
 fn warnings(experiment: &Experiment) -> Vec<String> {
     let few = format!(
-        "only {} seeds: intervals from fewer than {FEW_SEEDS} tell little",
+        "only {} seeds: intervals from fewer than {FEW_SEEDS} seeds are unreliable",
         experiment.seeds
     );
     (experiment.seeds < FEW_SEEDS)
@@ -36,31 +36,31 @@
         .collect()
 }
 
-/// For a terminal.
+/// The results as text for a terminal.
 pub fn text(experiment: &Experiment, all: &[Vec<RunResult>]) -> String {
     let mut out = String::new();
     let first = &experiment.variants[0].name;
     let _ = writeln!(
         out,
-        "{}: {} seeds, virtual; mean (least to most), and the difference from {first:?} with its 95 in 100 interval",
+        "{}: {} seeds, virtual time; mean (min to max), and the difference from {first:?} with its 95 % interval",
         experiment.file, experiment.seeds
     );
     for (name, _, of) in MEASURES {
         let _ = writeln!(out, "{name}");
         for (n, variant) in experiment.variants.iter().enumerate() {
-            let (mean, least, most) = spread(&all[n], of);
+            let (mean, min, max) = spread(&all[n], of);
             let _ = write!(
                 out,
                 "  {:24} {} ({} to {})",
                 variant.name,
                 number(mean),
-                number(least),
-                number(most)
+                number(min),
+                number(max)
             );
             if let Some(d) = compared(all, n, of) {
                 let clear = if d.is_clear() { "" } else { "  not clear" };
-                let (mean, least, most) = (number(d.mean), number(d.least), number(d.most));
-                let _ = write!(out, "   {mean} [{least}, {most}]{clear}");
+                let (mean, min, max) = (number(d.mean), number(d.least), number(d.most));
+                let _ = write!(out, "   {mean} [{min}, {max}]{clear}");
             }
             out.push('\n');
         }
@@ -71,39 +71,39 @@
     out
 }
 
-fn tame(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
 }
 
-/// The part of the calls of each second that were answered in time, over all seeds.
-fn service_over_time(figures: &[RunResult]) -> Vec<(f64, f64)> {
-    let longest = figures.iter().map(|f| f.seconds.len()).max().unwrap_or(0);
+/// The fraction of the calls of each second that were answered in time, over all seeds.
+fn service_over_time(results: &[RunResult]) -> Vec<(f64, f64)> {
+    let longest = results.iter().map(|f| f.seconds.len()).max().unwrap_or(0);
     let of_second = |n: usize| {
-        let each = figures.iter().filter_map(|f| f.seconds.get(n));
+        let each = results.iter().filter_map(|f| f.seconds.get(n));
         let (begun, in_time) = each.fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
         (n as f64, f64::from(in_time) / f64::from(begun.max(1)))
     };
     (0..longest).map(of_second).collect()
 }
 
-/// One page with tables and pictures in it.
+/// The results as one HTML page with a table and a chart.
 ///
 /// # Errors
-/// A picture can't be drawn.
+/// The chart can't be drawn.
 pub fn html(experiment: &Experiment, all: &[Vec<RunResult>]) -> Result<String, String> {
     let mut rows = String::new();
     for (name, more_is_better, of) in MEASURES {
         let _ = write!(rows, "<tr><th>{name}</th>");
         for n in 0..experiment.variants.len() {
-            let (mean, least, most) = spread(&all[n], of);
+            let (mean, min, max) = spread(&all[n], of);
             let _ = write!(
                 rows,
                 "<td>{}<small> {} to {}</small>",
                 number(mean),
-                number(least),
-                number(most)
+                number(min),
+                number(max)
             );
             if let Some(d) = compared(all, n, of) {
                 let better = (d.mean > 0.0) == more_is_better;
@@ -112,20 +112,17 @@
                     (true, true) => "better",
                     (true, false) => "worse",
                 };
-                let (mean, least, most) = (number(d.mean), number(d.least), number(d.most));
-                let _ = write!(
-                    rows,
-                    "<br><span class={class}>{mean} [{least}, {most}]</span>"
-                );
+                let (mean, min, max) = (number(d.mean), number(d.least), number(d.most));
+                let _ = write!(rows, "<br><span class={class}>{mean} [{min}, {max}]</span>");
             }
             rows.push_str("</td>");
         }
         rows.push_str("</tr>\n");
     }
-    let heads: String = experiment
+    let header_cells: String = experiment
         .variants
         .iter()
-        .map(|v| format!("<th>{}</th>", tame(&v.name)))
+        .map(|v| format!("<th>{}</th>", escape_html(&v.name)))
         .collect();
     let line = |(n, v): (usize, &crate::Variant)| Line {
         name: v.name.clone(),
@@ -133,9 +130,9 @@
     };
     let lines: Vec<Line> = experiment.variants.iter().enumerate().map(line).collect();
     let picture = svg("Calls answered in time", ("second", "part"), &lines)?;
-    let warned: String = warnings(experiment)
+    let warnings_html: String = warnings(experiment)
         .iter()
-        .map(|w| format!("<p class=worse>Warning: {}</p>", tame(w)))
+        .map(|w| format!("<p class=worse>Warning: {}</p>", escape_html(w)))
         .collect();
     Ok(format!(
         "<!doctype html><html lang=en><meta charset=utf-8><title>{file}</title>\n<style>\
@@ -143,12 +140,12 @@
          table{{border-collapse:collapse}}td,th{{padding:.3rem .8rem;border-bottom:1px solid #ddd;text-align:left;\
          vertical-align:top}}small{{color:#666}}.better{{color:#176a2f}}.worse{{color:#a3211b}}.unclear{{color:#777}}\
          pre{{background:#f6f6f6;padding:1rem;overflow:auto}}svg{{max-width:100%;height:auto}}</style>\n\
-         <h1>{file}</h1><p>{seeds} seeds in virtual time, every variant on each. Means with their least and most; below \
-         the mean of the paired differences from the first variant, with its 95 in 100 bootstrap interval; grey where the \
-         interval holds nought.</p>{warned}\n<table><tr><th></th>{heads}</tr>\n{rows}</table>\n{picture}\n\
+         <h1>{file}</h1><p>{seeds} seeds in virtual time, each with every variant. Means with minimum and maximum; below \
+         them the mean of the paired differences from the first variant, with its 95 % bootstrap interval; grey where the \
+         interval includes zero.</p>{warnings_html}\n<table><tr><th></th>{header_cells}</tr>\n{rows}</table>\n{picture}\n\
          <h2>The scenario</h2><pre>{text}</pre></html>\n",
-        file = tame(&experiment.file),
+        file = escape_html(&experiment.file),
         seeds = experiment.seeds,
-        text = tame(&experiment.text),
+        text = escape_html(&experiment.text),
     ))
 }
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -161,7 +161,12 @@
         (variant "as built") (variant "the same") (variant "random" (decides random))"#;
     let experiment = sanddrum_lab::Experiment::read("e.sx", text, None).unwrap();
     let figures = experiment.run_all(2, |_| ()).unwrap();
-    let of = |n: usize| figures[n].iter().map(|f| f.loads).collect::<Vec<f64>>();
+    let of = |n: usize| {
+        figures[n]
+            .iter()
+            .map(|f| f.load_commands)
+            .collect::<Vec<f64>>()
+    };
     let same = sanddrum_lab::difference(&of(0), &of(1));
     assert_eq!(
         (same.mean, same.least, same.most, same.is_clear()),
