--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -201,14 +201,14 @@
 pub struct Difference {
     pub mean: f64,
     /// The bounds of the 95 % interval of the mean, by the bootstrap over seeds (percentiles of resampled means).
-    pub least: f64,
-    pub most: f64,
+    pub lower: f64,
+    pub upper: f64,
 }
 
 impl Difference {
     /// Whether the interval excludes zero.
     pub fn is_clear(&self) -> bool {
-        self.least > 0.0 || self.most < 0.0
+        self.lower > 0.0 || self.upper < 0.0
     }
 }
 
@@ -227,7 +227,7 @@
     let at = |part: f64| means[((RESAMPLES as f64 * part) as usize).min(RESAMPLES - 1)];
     Difference {
         mean: mean(&each),
-        least: at(0.025),
-        most: at(0.975),
+        lower: at(0.025),
+        upper: at(0.975),
     }
 }
--- a/crates/sanddrum-lab/src/report.rs
+++ b/crates/sanddrum-lab/src/report.rs
@@ -59,7 +59,7 @@
             );
             if let Some(d) = compared(all, n, of) {
                 let clear = if d.is_clear() { "" } else { "  not clear" };
-                let (mean, min, max) = (number(d.mean), number(d.least), number(d.most));
+                let (mean, min, max) = (number(d.mean), number(d.lower), number(d.upper));
                 let _ = write!(out, "   {mean} [{min}, {max}]{clear}");
             }
             out.push('\n');
@@ -112,7 +112,7 @@
                     (true, true) => "better",
                     (true, false) => "worse",
                 };
-                let (mean, min, max) = (number(d.mean), number(d.least), number(d.most));
+                let (mean, min, max) = (number(d.mean), number(d.lower), number(d.upper));
                 let _ = write!(rows, "<br><span class={class}>{mean} [{min}, {max}]</span>");
             }
             rows.push_str("</td>");
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -169,7 +169,7 @@
     };
     let same = sanddrum_lab::difference(&of(0), &of(1));
     assert_eq!(
-        (same.mean, same.least, same.most, same.is_clear()),
+        (same.mean, same.lower, same.upper, same.is_clear()),
         (0.0, 0.0, 0.0, false)
     );
     assert!(sanddrum_lab::difference(&of(0), &of(2)).is_clear());
