--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -1,6 +1,6 @@
-//! Other modules in the decision module's place, through the same interface, to compare it with: the usual policies,
-//! which look at less, and an oracle, which sees what is true. Each takes every job, loads what is missing, repeats what
-//! may be repeated and gives up at the limit; what differs is only how a worker is chosen.
+//! Baselines to compare the decision module with, through the same interface: common load-balancing policies, which use
+//! less information, and an oracle, which sees the true state of the workers. Each accepts every request, loads missing
+//! functions, retries what may be retried and stops at the limits; they differ only in how they choose a worker.
 
 use sanddrum::{
     Decisions, EventBatch, FunctionId, Micros, Outcome, Request, RequestId, Settings, WorkerId,
@@ -11,18 +11,18 @@
 use sanddrum_net::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a baseline chooses.
+/// How a baseline chooses a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
     Random,
     RoundRobin,
-    /// Fewest own jobs in flight.
+    /// The worker with the fewest own requests in flight, relative to its size.
     Least,
-    /// The less loaded of two drawn by chance.
+    /// The less loaded of two random workers.
     TwoChoices,
-    /// Consistent hashing with bounded loads: the function's next worker on the ring with room.
+    /// Consistent hashing with bounded loads: the next worker on the function's ring that is below its bound.
     BoundedHash,
-    /// Sees what is true.
+    /// The worker that would finish first, by the true state of all workers.
     Oracle,
 }
 
@@ -40,45 +40,46 @@
     }
 }
 
-/// Answers are on their way for a while, so the oracle keeps a little of the target in hand.
-const IN_TIME: f64 = 0.95;
-/// With bounded loads a worker takes no more than so many times the mean.
-const BOUND: f64 = 1.25;
+/// The oracle uses only this fraction of the start target, since answers take time to arrive.
+const TARGET_FRACTION: f64 = 0.95;
+/// The bound of a worker's load, as a multiple of its fair share.
+const LOAD_BOUND: f64 = 1.25;
 
-struct Held {
-    job: Request,
-    tries: u32,
+struct PendingRequest {
+    request: Request,
+    executions: u32,
     may_have_run: bool,
 }
 
+/// A decision module with one of the simple policies.
 pub struct Baseline {
-    choice: BaselineKind,
-    chance: Rng,
+    kind: BaselineKind,
+    rng: Rng,
     truth: Shared<GroundTruth>,
     settings: Settings,
     sizes: BTreeMap<WorkerId, f64>,
     in_flight: BTreeMap<WorkerId, u32>,
-    jobs: BTreeMap<RequestId, Held>,
-    /// Jobs that wait for a load, by where and what.
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// Requests that wait for a load, by worker and function.
     loading: BTreeMap<(WorkerId, FunctionId), Vec<RequestId>>,
     next: usize,
 }
 
 impl Baseline {
     pub fn new(
-        choice: BaselineKind,
+        kind: BaselineKind,
         seed: u64,
         settings: Settings,
         truth: Shared<GroundTruth>,
     ) -> Self {
         Baseline {
-            choice,
-            chance: Rng::new(seed),
+            kind,
+            rng: Rng::new(seed),
             truth,
             settings,
             sizes: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             loading: BTreeMap::new(),
             next: 0,
         }
@@ -95,135 +96,142 @@
     fn least(&self, among: impl Iterator<Item = WorkerId>) -> Option<WorkerId> {
         among.min_by(|a, b| self.load(a).total_cmp(&self.load(b)).then(a.cmp(b)))
     }
-    fn choose(&mut self, now: Micros, job: &Request) -> Option<WorkerId> {
+    fn choose(&mut self, now: Micros, request: &Request) -> Option<WorkerId> {
         let all: Vec<WorkerId> = self.sizes.keys().copied().collect();
         if all.is_empty() {
             return None;
         }
-        match self.choice {
-            BaselineKind::Random => all.get(self.chance.index(all.len())).copied(),
+        match self.kind {
+            BaselineKind::Random => all.get(self.rng.index(all.len())).copied(),
             BaselineKind::RoundRobin => {
                 self.next += 1;
                 all.get(self.next % all.len()).copied()
             }
             BaselineKind::Least => {
-                // Ties by chance, or all routers would send to the first.
-                let from = self.chance.index(all.len());
-                let turned = all[from..].iter().chain(&all[..from]).copied();
-                turned.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
+                // Break ties at random; otherwise all routers would choose the first worker.
+                let from = self.rng.index(all.len());
+                let rotated = all[from..].iter().chain(&all[..from]).copied();
+                rotated.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
             }
             BaselineKind::TwoChoices => {
-                let two = [self.chance.index(all.len()), self.chance.index(all.len())];
-                self.least(two.into_iter().map(|n| all[n]))
+                let candidates = [self.rng.index(all.len()), self.rng.index(all.len())];
+                self.least(candidates.into_iter().map(|n| all[n]))
             }
             BaselineKind::BoundedHash => {
                 let ring = |worker: &WorkerId| sanddrum_wire::stable_id(&format!("{}", worker.0));
-                let at = sanddrum_wire::stable_id(&format!("f{}", job.function.0));
-                let mut order: Vec<WorkerId> = all.clone();
-                order.sort_by_key(|worker| ring(worker).wrapping_sub(at));
+                let at = sanddrum_wire::stable_id(&format!("f{}", request.function.0));
+                let mut ring_order: Vec<WorkerId> = all.clone();
+                ring_order.sort_by_key(|worker| ring(worker).wrapping_sub(at));
                 let sum: u32 = self.in_flight.values().sum();
                 let bound = |w: &WorkerId| {
                     let part = self.sizes[w] / self.sizes.values().sum::<f64>();
-                    (f64::from(sum + 1) * part * BOUND).ceil().max(1.0)
+                    (f64::from(sum + 1) * part * LOAD_BOUND).ceil().max(1.0)
                 };
-                let has_room = |w: &&WorkerId| {
+                let is_below_bound = |w: &&WorkerId| {
                     f64::from(self.in_flight.get(w).copied().unwrap_or(0)) < bound(w)
                 };
-                order
+                ring_order
                     .iter()
-                    .find(has_room)
+                    .find(is_below_bound)
                     .copied()
-                    .or(order.first().copied())
+                    .or(ring_order.first().copied())
             }
-            BaselineKind::Oracle => self.best(now, job, &all),
+            BaselineKind::Oracle => self.earliest_finish(now, request, &all),
         }
     }
-    /// The worker that would be done first, from what is true of all of them, other routers' choices included.
-    fn best(&self, now: Micros, job: &Request, all: &[WorkerId]) -> Option<WorkerId> {
+    /// The worker that would finish first, by the true state of all workers, which includes the load of other routers.
+    fn earliest_finish(
+        &self,
+        now: Micros,
+        request: &Request,
+        all: &[WorkerId],
+    ) -> Option<WorkerId> {
         let truth = self.truth.borrow();
-        let work = job.expected_work.unwrap_or(50_000) as f64;
-        let load = job.load_time.unwrap_or(400_000) as f64;
-        let done = |worker: &WorkerId| -> Option<f64> {
+        let work = request.expected_work.unwrap_or(50_000) as f64;
+        let load = request.load_time.unwrap_or(400_000) as f64;
+        let finish_time = |worker: &WorkerId| -> Option<f64> {
             let w = truth
                 .0
                 .get(&worker.0)
                 .filter(|w| w.is_serving && w.free_capacity > 0)?;
-            let pace = w.core_speed.max(0.01);
+            let speed = w.core_speed.max(0.01);
             let queue = (w.backlog - work * (w.cores.max(1) - 1) as f64).max(0.0)
                 / w.cores.max(1) as f64
-                / pace;
+                / speed;
             let f = w
                 .functions
-                .get(&job.function.0)
+                .get(&request.function.0)
                 .copied()
                 .unwrap_or_default();
-            let copies = match (f.concurrency, f.is_loading) {
-                (0, true) => load * 0.6 + f64::from(f.in_flight) * work / pace,
+            let function_wait = match (f.concurrency, f.is_loading) {
+                (0, true) => load * 0.6 + f64::from(f.in_flight) * work / speed,
                 (0, false) => load,
-                (lanes, _) => f64::from(f.in_flight / lanes) * work / pace,
+                (concurrency, _) => f64::from(f.in_flight / concurrency) * work / speed,
             };
-            Some(queue.max(copies) + work / pace)
+            Some(queue.max(function_wait) + work / speed)
         };
-        let timed = all.iter().filter_map(|w| done(w).map(|at| (at, *w)));
-        // What would come after its start target is worth nothing, and would make the next one late.
+        let finish_times = all.iter().filter_map(|w| finish_time(w).map(|at| (at, *w)));
+        // A request that would miss its start target is worth nothing, and would delay the next one.
         let target = self
             .settings
-            .number(&format!("workloads.{}.start-target-us", job.workload.0));
-        // A repeat has used up part of it before: what is gone of its client's time.
-        let patience = self
+            .number(&format!("workloads.{}.start-target-us", request.workload.0));
+        // A retry has already used part of the target: subtract the time that its client has waited.
+        let time_limit = self
             .settings
-            .number(&format!("workloads.{}.time-limit-us", job.workload.0));
-        let gone = patience.map_or(0.0, |patience| patience - (job.deadline - now) as f64);
-        let target = target.unwrap_or(1e6) * IN_TIME - gone.max(0.0);
-        timed
+            .number(&format!("workloads.{}.time-limit-us", request.workload.0));
+        let elapsed = time_limit.map_or(0.0, |time_limit| {
+            time_limit - (request.deadline - now) as f64
+        });
+        let target = target.unwrap_or(1e6) * TARGET_FRACTION - elapsed.max(0.0);
+        finish_times
             .filter(|(at, _)| *at < target)
             .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map(|(_, w)| w)
     }
 
-    fn restartable(&self, workload: WorkloadId) -> bool {
+    fn is_restartable(&self, workload: WorkloadId) -> bool {
         self.settings
             .text(&format!("workloads.{}.effect", workload.0))
             == Some("restartable")
     }
-    fn place(&mut self, now: Micros, id: RequestId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get(&id) else {
+    fn dispatch_or_reject(&mut self, now: Micros, id: RequestId, out: &mut impl Decisions) {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let (job, tries) = (held.job, held.tries);
-        let most = self.settings.number("limits.max-executions").unwrap_or(3.0) as u32;
-        let chosen = if tries < most && now < job.deadline {
-            self.choose(now, &job)
+        let (request, executions) = (pending.request, pending.executions);
+        let max_executions = self.settings.number("limits.max-executions").unwrap_or(3.0) as u32;
+        let chosen = if executions < max_executions && now < request.deadline {
+            self.choose(now, &request)
         } else {
             None
         };
         match chosen {
-            Some(worker) => self.send(now, id, worker, out),
-            None => self.give_up(id, out),
+            Some(worker) => self.dispatch(now, id, worker, out),
+            None => self.reject_or_fail(id, out),
         }
     }
-    fn send(&mut self, now: Micros, id: RequestId, worker: WorkerId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.get_mut(&id) else {
+    fn dispatch(&mut self, now: Micros, id: RequestId, worker: WorkerId, out: &mut impl Decisions) {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        held.tries += 1;
+        pending.executions += 1;
         *self.in_flight.entry(worker).or_default() += 1;
         if let Some(w) = self.truth.borrow_mut().0.get_mut(&worker.0) {
             w.in_flight += 1;
             w.free_capacity = w.free_capacity.saturating_sub(1);
-            w.backlog += held.job.expected_work.unwrap_or(0) as f64;
+            w.backlog += pending.request.expected_work.unwrap_or(0) as f64;
             w.functions
-                .entry(held.job.function.0)
+                .entry(pending.request.function.0)
                 .or_default()
                 .in_flight += 1;
         }
-        out.dispatch(id, worker, held.job.deadline - now);
+        out.dispatch(id, worker, pending.request.deadline - now);
     }
-    fn give_up(&mut self, id: RequestId, out: &mut impl Decisions) {
-        let Some(held) = self.jobs.remove(&id) else {
+    fn reject_or_fail(&mut self, id: RequestId, out: &mut impl Decisions) {
+        let Some(pending) = self.requests.remove(&id) else {
             return;
         };
-        if held.may_have_run && !self.restartable(held.job.workload) {
+        if pending.may_have_run && !self.is_restartable(pending.request.workload) {
             out.fail(id);
         } else {
             out.reject(id, 200_000);
@@ -232,8 +240,8 @@
 }
 
 impl DecisionModule for Baseline {
-    fn handle(&mut self, now: Micros, round: &EventBatch, out: &mut impl Decisions) {
-        for list in &round.endpoint_lists {
+    fn handle(&mut self, now: Micros, events: &EventBatch, out: &mut impl Decisions) {
+        for list in &events.endpoint_lists {
             if list.kind != sanddrum::EndpointListKind::Delta {
                 self.sizes.clear();
             }
@@ -244,93 +252,102 @@
                 }
             }
         }
-        let mut again = BTreeSet::new();
-        for end in &round.attempt_results {
+        let mut to_dispatch = BTreeSet::new();
+        for result in &events.attempt_results {
             self.in_flight
-                .entry(end.worker)
+                .entry(result.worker)
                 .and_modify(|n| *n = n.saturating_sub(1));
-            if end.is_final || end.outcome == Outcome::Finished {
-                self.jobs.remove(&end.request);
+            if result.is_final || result.outcome == Outcome::Finished {
+                self.requests.remove(&result.request);
                 continue;
             }
-            let Some(held) = self.jobs.get_mut(&end.request) else {
+            let Some(pending) = self.requests.get_mut(&result.request) else {
                 continue;
             };
-            held.may_have_run |= !matches!(
-                end.outcome,
+            pending.may_have_run |= !matches!(
+                result.outcome,
                 Outcome::Rejected
                     | Outcome::NoConnection
                     | Outcome::ColdMiss
                     | Outcome::CancelledBeforeStart
             );
-            match end.outcome {
+            match result.outcome {
                 Outcome::ColdMiss => {
-                    // It is loaded there and comes back.
-                    held.tries -= 1;
-                    let (place, id) = ((end.worker, held.job.function), end.request);
-                    let waits = self.loading.entry(place).or_default();
-                    if waits.is_empty() {
-                        out.load(place.0, place.1, 1);
+                    // Load the function there, then send the request again.
+                    pending.executions -= 1;
+                    let (key, id) = ((result.worker, pending.request.function), result.request);
+                    let waiting = self.loading.entry(key).or_default();
+                    if waiting.is_empty() {
+                        out.load(key.0, key.1, 1);
                     }
-                    waits.push(id);
+                    waiting.push(id);
                 }
-                _ => drop(again.insert(end.request)),
+                _ => drop(to_dispatch.insert(result.request)),
             }
         }
-        for order in &round.load_results {
-            let waits = self
+        for load in &events.load_results {
+            let waiting = self
                 .loading
-                .remove(&(order.worker, order.function))
+                .remove(&(load.worker, load.function))
                 .unwrap_or_default();
-            for id in waits {
-                match order.outcome {
+            for id in waiting {
+                match load.outcome {
                     Outcome::Finished
-                        if self.jobs.get(&id).is_some_and(|h| now < h.job.deadline) =>
+                        if self
+                            .requests
+                            .get(&id)
+                            .is_some_and(|h| now < h.request.deadline) =>
                     {
-                        self.send(now, id, order.worker, out)
+                        self.dispatch(now, id, load.worker, out)
                     }
-                    _ => drop(again.insert(id)),
+                    _ => drop(to_dispatch.insert(id)),
                 }
             }
         }
-        self.jobs.retain(|id, _| !round.cancelled.contains(id));
-        for job in &round.requests {
-            self.jobs.insert(
-                job.id,
-                Held {
-                    job: *job,
-                    tries: 0,
+        self.requests.retain(|id, _| !events.cancelled.contains(id));
+        for request in &events.requests {
+            self.requests.insert(
+                request.id,
+                PendingRequest {
+                    request: *request,
+                    executions: 0,
                     may_have_run: false,
                 },
             );
-            again.insert(job.id);
+            to_dispatch.insert(request.id);
         }
-        for id in again {
-            let lost = self
-                .jobs
+        for id in to_dispatch {
+            let must_fail = self
+                .requests
                 .get(&id)
-                .is_some_and(|h| h.may_have_run && !self.restartable(h.job.workload));
-            if lost {
-                self.give_up(id, out);
+                .is_some_and(|h| h.may_have_run && !self.is_restartable(h.request.workload));
+            if must_fail {
+                self.reject_or_fail(id, out);
             } else {
-                self.place(now, id, out);
+                self.dispatch_or_reject(now, id, out);
             }
         }
-        // What waits for a load is given up at its limit.
-        let late: Vec<RequestId> = self
+        // Requests that wait for a load end at their deadline.
+        let expired: Vec<RequestId> = self
             .loading
             .values()
             .flatten()
-            .filter(|id| self.jobs.get(id).is_some_and(|h| h.job.deadline <= now))
+            .filter(|id| {
+                self.requests
+                    .get(id)
+                    .is_some_and(|h| h.request.deadline <= now)
+            })
             .copied()
             .collect();
-        late.into_iter().for_each(|id| self.give_up(id, out));
+        expired
+            .into_iter()
+            .for_each(|id| self.reject_or_fail(id, out));
         let next = self
             .loading
             .values()
             .flatten()
-            .filter_map(|id| self.jobs.get(id))
-            .map(|h| h.job.deadline)
+            .filter_map(|id| self.requests.get(id))
+            .map(|h| h.request.deadline)
             .min();
         if let Some(at) = next {
             out.wake_at(at);
