--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -1,5 +1,5 @@
-//! Clients: an open loop of calls from a seed, each over a connection of its own while it lasts, given up at its
-//! time limit, tried again where that is harmless.
+//! Emulated clients: an open loop of calls that is derived from a seed. Each attempt has a connection of its own while it
+//! lasts; a call ends at its time limit, and is retried where that is safe.
 
 use crate::scenario::Scenario;
 use crate::token_issuer::TokenIssuer;
@@ -8,14 +8,14 @@
 use sanddrum_wire::http;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a scenario changes about the traffic while it runs.
+/// Changes that faults make to the traffic while the scenario runs.
 #[derive(Clone, Debug)]
 pub struct TrafficOverrides {
-    /// Times the usual rate.
+    /// Multiplies the configured rate.
     pub rate_factor: f64,
-    /// This part of the calls goes to functions that were not called before, so many of each workload.
+    /// The fraction of the calls that goes to `HOT_FUNCTIONS` extra functions of each workload.
     pub hot_function_fraction: f64,
-    /// This part of the calls is the last customer's, whatever its share.
+    /// The fraction of the calls that the last customer makes in addition to its share.
     pub last_customer_fraction: f64,
 }
 
@@ -29,32 +29,32 @@
     }
 }
 
-/// Functions that a hot spell calls.
-const HOT: usize = 3;
+/// The number of extra functions of each workload that the hot-functions fault calls.
+const HOT_FUNCTIONS: usize = 3;
 
 struct Call {
-    of: usize,
+    workload_index: usize,
     function: String,
     customer: Option<String>,
     work: Micros,
-    began: Micros,
-    tries: usize,
+    started_at: Micros,
+    attempts: usize,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Next,
-    Again(u64),
-    GiveUp(u64),
-    Leave(ConnectionId),
+enum Timer {
+    NextCall,
+    Retry(u64),
+    TimeOut(u64),
+    Close(ConnectionId),
 }
 
-struct Line {
+struct Connection {
     edge: usize,
     call: Option<u64>,
     out: Outbox<()>,
     bytes: Vec<u8>,
-    up: bool,
+    is_connected: bool,
 }
 
 pub struct Callers {
@@ -62,21 +62,21 @@
     edges: Vec<String>,
     traffic_overrides: Shared<TrafficOverrides>,
     token_issuer: Option<Shared<TokenIssuer>>,
-    chance: Rng,
-    ends: Micros,
+    rng: Rng,
+    traffic_end: Micros,
     popularity: Vec<f64>,
-    /// The edges' parts of the calls, summed up; empty where they are even.
-    parts: Vec<f64>,
+    /// The cumulative shares of the edges in the calls; empty if they are equal.
+    edge_shares: Vec<f64>,
     calls: BTreeMap<u64, (Call, Option<ConnectionId>)>,
     next: u64,
-    lines: BTreeMap<ConnectionId, Line>,
+    connections: BTreeMap<ConnectionId, Connection>,
     idle: Vec<VecDeque<ConnectionId>>,
-    due: BTreeSet<(Micros, Due)>,
-    patience: Micros,
+    timers: BTreeSet<(Micros, Timer)>,
+    extra_wait: Micros,
 }
 
-/// Idle connections kept for one edge.
-const IDLE: usize = 256;
+/// The maximum number of idle connections to one edge.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
 impl Callers {
     pub fn new(
@@ -93,13 +93,13 @@
             sum += (rank as f64).powf(-zipf);
             sum
         });
-        let uneven = l.number("traffic.uneven");
+        let skew = l.number("traffic.uneven");
         let sums = (1..=edges.len()).scan(0.0, |sum, rank| {
-            *sum += (rank as f64).powf(-uneven);
+            *sum += (rank as f64).powf(-skew);
             Some(*sum)
         });
         Callers {
-            parts: if uneven > 0.0 {
+            edge_shares: if skew > 0.0 {
                 sums.collect()
             } else {
                 Vec::new()
@@ -109,34 +109,34 @@
             edges,
             traffic_overrides,
             token_issuer,
-            chance: Rng::new(seed),
-            ends: 0,
+            rng: Rng::new(seed),
+            traffic_end: 0,
             calls: BTreeMap::new(),
             next: 0,
-            lines: BTreeMap::new(),
-            due: BTreeSet::new(),
-            patience: 0,
+            connections: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            extra_wait: 0,
             scenario: scenario.clone(),
         }
     }
-    /// A client whose time is up stays for so long to see how late an answer comes; it makes nothing of it.
+    /// Clients keep waiting this long after the time limit, to record how late an answer is; they ignore the answer.
     #[must_use]
-    pub fn with_patience(self, patience: Micros) -> Self {
-        Callers { patience, ..self }
+    pub fn with_extra_wait(self, extra_wait: Micros) -> Self {
+        Callers { extra_wait, ..self }
     }
-    fn pick(chance: &mut Rng, sums: &[f64]) -> usize {
-        let at = chance.next_f64() * sums.last().copied().unwrap_or(1.0);
+    fn pick(rng: &mut Rng, sums: &[f64]) -> usize {
+        let at = rng.next_f64() * sums.last().copied().unwrap_or(1.0);
         sums.partition_point(|sum| *sum <= at)
             .min(sums.len().saturating_sub(1))
     }
-    fn begin(&mut self, now: Micros, io: &mut dyn Io) {
+    fn start_call(&mut self, now: Micros, io: &mut dyn Io) {
         let traffic_overrides = self.traffic_overrides.borrow().clone();
         let rate = self.scenario.settings.number("traffic.rate") * traffic_overrides.rate_factor;
-        if now >= self.ends || rate <= 0.0 {
+        if now >= self.traffic_end || rate <= 0.0 {
             return;
         }
-        let gap = self.chance.exponential(1e6 / rate) as Micros;
-        self.due.insert((now + gap.max(1), Due::Next));
+        let interval = self.rng.exponential(1e6 / rate) as Micros;
+        self.timers.insert((now + interval.max(1), Timer::NextCall));
         let mut sum = 0.0;
         let shares: Vec<f64> = self
             .scenario
@@ -147,24 +147,28 @@
                 sum
             })
             .collect();
-        let of = Self::pick(&mut self.chance, &shares);
-        let what = &self.scenario.calls[of];
+        let workload_index = Self::pick(&mut self.rng, &shares);
+        let traffic = &self.scenario.calls[workload_index];
         let function = if self
-            .chance
+            .rng
             .random_bool(traffic_overrides.hot_function_fraction)
         {
-            format!("{}hot-{}", what.function_prefix, self.chance.index(HOT))
+            format!(
+                "{}hot-{}",
+                traffic.function_prefix,
+                self.rng.index(HOT_FUNCTIONS)
+            )
         } else {
             format!(
                 "{}{}",
-                what.function_prefix,
-                Self::pick(&mut self.chance, &self.popularity)
+                traffic.function_prefix,
+                Self::pick(&mut self.rng, &self.popularity)
             )
         };
         let work = self
-            .chance
-            .exponential(what.mean_work as f64)
-            .min(what.mean_work as f64 * 6.0)
+            .rng
+            .exponential(traffic.mean_work as f64)
+            .min(traffic.mean_work as f64 * 6.0)
             .max(100.0) as Micros;
         let l = &self.scenario.settings;
         let shares: Vec<f64> = (0..l.count("customers"))
@@ -173,14 +177,14 @@
                 Some(*sum)
             })
             .collect();
-        let greedy = traffic_overrides.last_customer_fraction > 0.0
+        let is_last_customer = traffic_overrides.last_customer_fraction > 0.0
             && self
-                .chance
+                .rng
                 .random_bool(traffic_overrides.last_customer_fraction);
         let customer = match shares.len() {
             0 => None,
-            n if greedy => Some(n - 1),
-            _ => Some(Self::pick(&mut self.chance, &shares)),
+            n if is_last_customer => Some(n - 1),
+            _ => Some(Self::pick(&mut self.rng, &shares)),
         };
         let customer = customer.map(|n| l.text(&format!("customers.{n}.name")).to_string());
         let id = self.next;
@@ -189,172 +193,180 @@
             id,
             (
                 Call {
-                    of,
+                    workload_index,
                     function,
                     customer,
                     work,
-                    began: now,
-                    tries: 0,
+                    started_at: now,
+                    attempts: 0,
                 },
                 None,
             ),
         );
-        self.due
-            .insert((now + self.scenario.calls[of].time_limit, Due::GiveUp(id)));
+        self.timers.insert((
+            now + self.scenario.calls[workload_index].time_limit,
+            Timer::TimeOut(id),
+        ));
         self.attempt(now, id, io);
     }
 
     fn attempt(&mut self, now: Micros, id: u64, io: &mut dyn Io) {
-        let edge = match self.parts.is_empty() {
-            true => self.chance.index(self.edges.len()),
-            false => Self::pick(&mut self.chance, &self.parts),
+        let edge = match self.edge_shares.is_empty() {
+            true => self.rng.index(self.edges.len()),
+            false => Self::pick(&mut self.rng, &self.edge_shares),
         };
         let Some((call, at)) = self.calls.get_mut(&id) else {
             return;
         };
-        let what = &self.scenario.calls[call.of];
-        let left = call.began + what.time_limit - now;
-        // The call, its try, and how long ago it began: what a reader of the traffic needs to know.
-        let trace = format!("c{id}.{}.{}", call.tries, now - call.began);
-        let (limit, mark) = ((left / 1000).to_string(), format!("m{id}"));
+        let traffic = &self.scenario.calls[call.workload_index];
+        let remaining = call.started_at + traffic.time_limit - now;
+        // The number of the call, of its attempt, and the time since its start, for the recorder of the traffic.
+        let trace = format!("c{id}.{}.{}", call.attempts, now - call.started_at);
+        let (limit, idempotency_key) = ((remaining / 1000).to_string(), format!("m{id}"));
         let mut fields = vec![
             ("sanddrum-trace", trace.as_str()),
             ("sanddrum-time-limit-ms", limit.as_str()),
         ];
-        if what.effect == "fingerprinted" {
-            fields.push(("idempotency-key", &mark));
+        if traffic.effect == "fingerprinted" {
+            fields.push(("idempotency-key", &idempotency_key));
         }
         if let Some(customer) = &call.customer {
             fields.push(("sanddrum-customer", customer));
         }
-        let held = self.token_issuer.as_ref().zip(call.customer.as_ref());
-        let token = held
+        let credentials = self.token_issuer.as_ref().zip(call.customer.as_ref());
+        let token = credentials
             .and_then(|(token_issuer, customer)| token_issuer.borrow_mut().token(now, customer));
         let token = token.map(|token| format!("Bearer {token}"));
         if let Some(token) = &token {
             fields.push(("authorization", token));
         }
-        // A hint is right within a factor of two or so.
-        let hint = (call.work as f64 * (0.5 + self.chance.next_f64() * 1.5)) as Micros;
-        let hint = if what.exact_hints { call.work } else { hint }.to_string();
-        if what.hints || what.exact_hints {
+        // The hint is half to twice the real work.
+        let hint = (call.work as f64 * (0.5 + self.rng.next_f64() * 1.5)) as Micros;
+        let hint = if traffic.exact_hints { call.work } else { hint }.to_string();
+        if traffic.hints || traffic.exact_hints {
             fields.push(("sanddrum-work-us", &hint));
         }
-        if call.tries > 0 {
+        if call.attempts > 0 {
             fields.push(("sanddrum-repeat", "1"));
         }
-        let path = format!("/v1/calls/{}/{}", what.workload, call.function);
+        let path = format!("/v1/calls/{}/{}", traffic.workload, call.function);
         let bytes = http::encode_request(
             "POST",
             &path,
             &fields,
             format!("work-us={}", call.work).as_bytes(),
         );
-        call.tries += 1;
+        call.attempts += 1;
         let conn = match self.idle[edge].pop_back() {
             Some(conn) => conn,
             None => {
                 let conn = io.connect(&self.edges[edge]);
-                let line = Line {
+                let connection = Connection {
                     edge,
                     call: None,
                     out: Outbox::new(1 << 20),
                     bytes: Vec::new(),
-                    up: false,
+                    is_connected: false,
                 };
-                self.lines.insert(conn, line);
+                self.connections.insert(conn, connection);
                 conn
             }
         };
         *at = Some(conn);
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.call = Some(id);
-            let _ = line.out.push((), &bytes);
-            if line.up {
-                line.out.flush(conn, io);
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.call = Some(id);
+            let _ = connection.out.push((), &bytes);
+            if connection.is_connected {
+                connection.out.flush(conn, io);
             }
         }
     }
 
     fn answered(&mut self, now: Micros, conn: ConnectionId, answer: &http::Response) {
-        let Some(line) = self.lines.get_mut(&conn) else {
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
+        let Some(id) = connection.call.take() else {
             return;
         };
-        let Some(id) = line.call.take() else { return };
-        if self.idle[line.edge].len() < IDLE {
-            self.idle[line.edge].push_back(conn);
+        if self.idle[connection.edge].len() < MAX_IDLE_CONNECTIONS {
+            self.idle[connection.edge].push_back(conn);
         }
         let wait = answer
             .field("sanddrum-retry-after-ms")
             .and_then(|ms| ms.parse::<Micros>().ok());
         if answer.status == 503 {
-            let heeds = self
-                .chance
+            let respects_retry_after = self
+                .rng
                 .random_bool(self.scenario.settings.number("traffic.heeds"));
-            let usual = self.scenario.settings.duration_us("traffic.retry-wait-us");
+            let default_wait = self.scenario.settings.duration_us("traffic.retry-wait-us");
             let wait = wait
-                .filter(|_| heeds)
-                .map_or(usual, |ms| (ms * 1000).max(usual));
-            return self.again(now, id, wait);
+                .filter(|_| respects_retry_after)
+                .map_or(default_wait, |ms| (ms * 1000).max(default_wait));
+            return self.schedule_retry(now, id, wait);
         }
-        self.over(id);
+        self.finish_call(id);
     }
-    /// Tries again after a while, if there is a try and time left.
-    fn again(&mut self, now: Micros, id: u64, wait: Micros) {
+    /// Schedules a retry after `wait`, if a retry and time are left.
+    fn schedule_retry(&mut self, now: Micros, id: u64, wait: Micros) {
         let retries = self.scenario.settings.integer("traffic.retries");
         let Some((call, at)) = self.calls.get_mut(&id) else {
             return;
         };
         *at = None;
-        // No answer could be back in time: nobody asks for one.
-        let last = self.scenario.calls[call.of].time_limit
+        // Don't retry when no answer could arrive in time.
+        let last = self.scenario.calls[call.workload_index].time_limit
             - self.scenario.settings.duration_us("limits.answer-ahead-us");
-        if call.tries > retries || now + wait >= call.began + last {
-            return self.over(id);
+        if call.attempts > retries || now + wait >= call.started_at + last {
+            return self.finish_call(id);
         }
-        self.due.insert((now + wait, Due::Again(id)));
+        self.timers.insert((now + wait, Timer::Retry(id)));
     }
-    fn over(&mut self, id: u64) {
+    fn finish_call(&mut self, id: u64) {
         if let Some((call, _)) = self.calls.remove(&id) {
-            self.due.remove(&(
-                call.began + self.scenario.calls[call.of].time_limit,
-                Due::GiveUp(id),
+            self.timers.remove(&(
+                call.started_at + self.scenario.calls[call.workload_index].time_limit,
+                Timer::TimeOut(id),
             ));
         }
     }
-    fn lost(&mut self, now: Micros, conn: ConnectionId, how: CloseCause) {
-        let Some(line) = self.lines.remove(&conn) else {
+    fn connection_lost(&mut self, now: Micros, conn: ConnectionId, cause: CloseCause) {
+        let Some(connection) = self.connections.remove(&conn) else {
             return;
         };
-        self.idle[line.edge].retain(|idle| *idle != conn);
-        let Some(id) = line.call else { return };
+        self.idle[connection.edge].retain(|idle| *idle != conn);
+        let Some(id) = connection.call else { return };
         let Some((call, _)) = self.calls.get(&id) else {
             return;
         };
-        // Unreachable, or nothing of it was read: harmless for any workload. Else only where a repeat is.
-        let unsent = how == CloseCause::Refused || !line.up || line.out.is_pending(&());
-        let restartable = self.scenario.calls[call.of].effect == "restartable";
+        // If the edge was unreachable or the request was not fully sent, any workload may be retried; otherwise only
+        // restartable ones.
+        let unsent = cause == CloseCause::Refused
+            || !connection.is_connected
+            || connection.out.is_pending(&());
+        let restartable = self.scenario.calls[call.workload_index].effect == "restartable";
         if unsent || restartable {
             let wait = self.scenario.settings.duration_us("traffic.retry-wait-us");
-            return self.again(now, id, wait);
+            return self.schedule_retry(now, id, wait);
         }
-        self.over(id);
+        self.finish_call(id);
     }
-    fn give_up(&mut self, now: Micros, id: u64, io: &mut dyn Io) {
+    fn time_out(&mut self, now: Micros, id: u64, io: &mut dyn Io) {
         let Some((_, Some(conn))) = self.calls.remove(&id) else {
             return;
         };
-        if self.patience == 0 {
-            return self.leave(conn, io);
+        if self.extra_wait == 0 {
+            return self.close(conn, io);
         }
-        self.lines
+        self.connections
             .get_mut(&conn)
             .into_iter()
-            .for_each(|line| line.call = None);
-        self.due.insert((now + self.patience, Due::Leave(conn)));
+            .for_each(|connection| connection.call = None);
+        self.timers
+            .insert((now + self.extra_wait, Timer::Close(conn)));
     }
-    fn leave(&mut self, conn: ConnectionId, io: &mut dyn Io) {
-        if self.lines.remove(&conn).is_some() {
+    fn close(&mut self, conn: ConnectionId, io: &mut dyn Io) {
+        if self.connections.remove(&conn).is_some() {
             io.close(conn);
         }
     }
@@ -362,59 +374,59 @@
 
 impl Core for Callers {
     fn start(&mut self, now: Micros, _: &mut dyn Io) {
-        self.ends = now + self.scenario.length;
-        self.due.insert((now, Due::Next));
+        self.traffic_end = now + self.scenario.length;
+        self.timers.insert((now, Timer::NextCall));
     }
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         match event {
             Event::Connected { conn } => {
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.up = true;
-                    line.out.flush(conn, io);
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    connection.is_connected = true;
+                    connection.out.flush(conn, io);
                 }
             }
             Event::Writable { conn } => {
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.out.unblock();
-                    line.out.flush(conn, io);
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    connection.out.unblock();
+                    connection.out.flush(conn, io);
                 }
             }
             Event::Bytes { conn, bytes } => {
-                let Some(line) = self.lines.get_mut(&conn) else {
+                let Some(connection) = self.connections.get_mut(&conn) else {
                     return;
                 };
-                line.bytes.extend_from_slice(bytes);
-                match http::parse_response(&line.bytes) {
-                    Ok(Some((answer, took))) => {
-                        line.bytes.drain(..took);
+                connection.bytes.extend_from_slice(bytes);
+                match http::parse_response(&connection.bytes) {
+                    Ok(Some((answer, length))) => {
+                        connection.bytes.drain(..length);
                         self.answered(now, conn, &answer);
                     }
                     Ok(None) => {}
                     Err(_) => {
                         io.reset(conn);
-                        self.lost(now, conn, CloseCause::Reset);
+                        self.connection_lost(now, conn, CloseCause::Reset);
                     }
                 }
             }
-            Event::Closed { conn, cause: how } => self.lost(now, conn, how),
+            Event::Closed { conn, cause } => self.connection_lost(now, conn, cause),
             Event::Accepted { .. } => {}
         }
     }
     fn process(&mut self, now: Micros, io: &mut dyn Io) {
-        while let Some((at, due)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, due));
-            match due {
-                Due::Next => self.begin(now, io),
-                Due::Again(id) => self.attempt(now, id, io),
-                Due::GiveUp(id) => self.give_up(now, id, io),
-                Due::Leave(conn) => self.leave(conn, io),
+        while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
+            self.timers.remove(&(at, timer));
+            match timer {
+                Timer::NextCall => self.start_call(now, io),
+                Timer::Retry(id) => self.attempt(now, id, io),
+                Timer::TimeOut(id) => self.time_out(now, id, io),
+                Timer::Close(conn) => self.close(conn, io),
             }
         }
     }
     fn next_wakeup(&self) -> Option<Micros> {
-        self.due.first().map(|(at, _)| *at)
+        self.timers.first().map(|(at, _)| *at)
     }
     fn is_done(&self) -> bool {
-        self.calls.is_empty() && self.due.is_empty()
+        self.calls.is_empty() && self.timers.is_empty()
     }
 }
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -293,7 +293,7 @@
             self.token_issuer.clone(),
             seed,
         );
-        Box::new(callers.with_patience(patience))
+        Box::new(callers.with_extra_wait(patience))
     }
     /// The key set as edges are to have it now.
     pub fn keys(&self) -> Option<Vec<u8>> {
