--- a/crates/sanddrum-lab/src/faults.rs
+++ b/crates/sanddrum-lab/src/faults.rs
@@ -1,5 +1,5 @@
-//! The control of a process's injected faults: the file of words that the preloaded library of `sanddrum-faults` maps. It
-//! steps the process's wall clock and fails its system calls while the process runs, and reads how often each came.
+//! Controls the faults injected into a process, through a file of words that the preloaded library of `sanddrum-faults`
+//! maps. It steps the wall clock of the running process, makes system calls of it fail, and reads how often each was made.
 
 #[path = "../../sanddrum-faults/src/layout.rs"]
 mod layout;
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The preloaded library's file, as cargo names it.
+/// The file name of the preloaded library, as built by cargo.
 const LIBRARY: &str = "libsanddrum_faults.so";
 
 /// The control block of one process.
@@ -20,15 +20,15 @@
 pub struct FaultControl {
     file: File,
     path: PathBuf,
-    /// It made the file, which goes with it.
+    /// Whether it created the file, and removes it when dropped.
     owns: bool,
 }
 
 impl FaultControl {
-    /// A control block in which no fault is asked for.
+    /// Creates a control block without any fault.
     ///
     /// # Errors
-    /// The file can't be made.
+    /// The file can't be created.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new()
             .read(true)
@@ -43,10 +43,10 @@
             owns: true,
         })
     }
-    /// The control block that another one has made.
+    /// Opens an existing control block.
     ///
     /// # Errors
-    /// There is none.
+    /// The file can't be opened.
     pub fn open(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).open(path)?;
         Ok(FaultControl {
@@ -55,7 +55,7 @@
             owns: false,
         })
     }
-    /// Sets a word; the process sees it from its next call on.
+    /// Sets a word; it takes effect from the next system call of the process.
     ///
     /// # Errors
     /// The file can't be written.
@@ -63,14 +63,14 @@
         self.file
             .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
     }
-    /// Has the wall clock show so many microseconds more (or less) than the machine's.
+    /// Offsets the process's wall clock from the machine's by `by` microseconds.
     ///
     /// # Errors
     /// The file can't be written.
     pub fn step_wall_clock(&self, by: i64) -> io::Result<()> {
         self.set(Word::WallOffset, by as u64)
     }
-    /// What a word holds.
+    /// The value of a word.
     ///
     /// # Errors
     /// The file can't be read.
@@ -79,8 +79,7 @@
         self.file.read_exact_at(&mut bytes, word as u64 * 8)?;
         Ok(u64::from_ne_bytes(bytes))
     }
-    /// Has a process that is about to start load the library, which is built beside the program that runs now, with this
-    /// control block.
+    /// Makes a command preload the library, which is built beside the running program, with this control block.
     ///
     /// # Errors
     /// The library is not built.
@@ -99,18 +98,18 @@
     }
 }
 
-/// The preloaded library, which cargo builds beside a program, or beside its dependencies.
+/// Finds the preloaded library, which cargo builds beside a program or its dependencies.
 fn library(program: &Path) -> io::Result<PathBuf> {
     let folder = program.parent().unwrap_or(Path::new(""));
-    let places = [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)];
-    places
+    let candidates = [folder.join(LIBRARY), folder.join("deps").join(LIBRARY)];
+    candidates
         .into_iter()
-        .find(|place| place.exists())
+        .find(|path| path.exists())
         .ok_or_else(|| {
-            let text = format!(
-                "{LIBRARY} is not beside {}: build the workspace",
+            let message = format!(
+                "{LIBRARY} not found beside {}: build the workspace",
                 program.display()
             );
-            io::Error::new(io::ErrorKind::NotFound, text)
+            io::Error::new(io::ErrorKind::NotFound, message)
         })
 }
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -115,7 +115,7 @@
     let (worst, best) = edge_service_range(log, scenario);
     let cold: Vec<f64> = cold::windows(log, scenario)
         .iter()
-        .map(|window| round(window.part()))
+        .map(|window| round(window.ratio()))
         .collect();
     json!({
         "cold": cold,
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -218,5 +218,5 @@
     };
     let windows = cold::windows(&log, &scenario);
     assert_eq!(windows.len(), 1);
-    assert_eq!(windows[0].part() <= 1.0, within, "{windows:?}");
+    assert_eq!(windows[0].ratio() <= 1.0, within, "{windows:?}");
 }
