--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -74,9 +74,10 @@
                 received -= arrivals[first].1;
                 first += 1;
             }
-            let ratio = initial_capacity
+            let capacity_fraction = initial_capacity
                 + (1.0 - initial_capacity) * (at - started) as f64 / cold_time.max(1) as f64;
-            let allowed = multiple * ratio * capacity * window_length as f64 / mean_work;
+            let allowed =
+                multiple * capacity_fraction * capacity * window_length as f64 / mean_work;
             let window = Window {
                 worker: *worker,
                 at: *at,
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The cores of a scenario, made as they are needed, with the handles through which it scripts their faults.
+//! Creates the cores of a scenario's processes, and holds the handles through which the scenario injects their faults.
 
 use crate::callers::{Callers, TrafficOverrides};
 use crate::plaintext_capture::{bounds, Authority, PlaintextCapture};
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A part of the scene that can be struck.
+/// A process of a scenario, as the target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Who {
     Worker(usize),
@@ -26,6 +26,7 @@
     Callers,
 }
 
+/// The listen addresses of a scenario's processes.
 #[derive(Clone, Debug, Default)]
 pub struct Addresses {
     pub workers: Vec<String>,
@@ -34,6 +35,7 @@
     pub store: String,
 }
 
+/// The processes of a scenario, with what persists over their restarts.
 pub struct Fleet {
     pub scenario: Scenario,
     pub addresses: Addresses,
@@ -41,17 +43,18 @@
     pub store: Shared<StoreFaults>,
     pub list: Shared<DiscoveryFaults>,
     pub traffic_overrides: Shared<TrafficOverrides>,
-    /// Where callers show tokens.
+    /// Issues the clients' tokens, if the scenario uses tokens.
     pub token_issuer: Option<Shared<TokenIssuer>>,
-    /// Where workers are spoken to over TLS: who signs for them, and who did before while both are believed.
+    /// Signs the certificates of workers, if the scenario uses TLS to workers.
     pub authority: Option<Authority>,
+    /// The authority before the last change, while edges trust both.
     previous_authority: Option<Authority>,
-    /// What each worker shows.
+    /// The certificate chain and key of each worker.
     worker_certificates: BTreeMap<usize, (Vec<u8>, Vec<u8>)>,
-    /// Workers that show what somebody else signed.
+    /// Workers that present a certificate of a foreign authority.
     pub impostors: BTreeSet<usize>,
     pub handshakes: Vec<Shared<HandshakeWork>>,
-    /// Where an oracle sees what is true of the workers.
+    /// Where workers publish their true state, if an oracle decides.
     pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
     idempotency_keys: Vec<Shared<IdempotencyKeys>>,
@@ -66,7 +69,7 @@
 
 impl Fleet {
     /// # Errors
-    /// No certificates can be made.
+    /// The certificate authority can't be created.
     pub fn new(
         scenario: Scenario,
         addresses: Addresses,
@@ -78,14 +81,14 @@
         };
         let l = &scenario.settings;
         let token_issuer = (l.text("identity.tokens") != "off").then(|| {
-            let (lasts, renewed) = (
+            let (lifetime, renewal_interval) = (
                 l.duration_us("gateways.token-lasts-us"),
                 l.duration_us("gateways.renewed-every-us"),
             );
             shared(TokenIssuer::new(
                 l.text("identity.audience"),
-                lasts,
-                renewed,
+                lifetime,
+                renewal_interval,
                 scenario.seed,
             ))
         });
@@ -103,9 +106,9 @@
             truth: None,
             handshakes: (0..scenario.workers)
                 .map(|_| {
-                    let takes = l.duration_us("fleet.handshake-us");
+                    let cost = l.duration_us("fleet.handshake-us");
                     shared(HandshakeWork {
-                        cost: takes,
+                        cost,
                         ..HandshakeWork::default()
                     })
                 })
@@ -128,7 +131,7 @@
             addresses,
         })
     }
-    /// Workers of one group know each other's marks.
+    /// The idempotency keys that worker `n` knows; workers of one group share them.
     fn idempotency_keys_of(&self, n: usize) -> Shared<IdempotencyKeys> {
         let groups: Vec<&str> = self
             .scenario
@@ -145,10 +148,10 @@
         };
         self.idempotency_keys[group].clone()
     }
-    /// A worker that has run for long, or one that starts now, empty and cold.
+    /// Creates a worker that has run for long, or a `cold` one that starts now and is empty.
     ///
     /// # Errors
-    /// No certificate can be made for it.
+    /// Its certificate can't be created.
     pub fn worker(&mut self, n: usize, now: Micros, cold: bool) -> std::io::Result<Box<dyn Core>> {
         if cold {
             self.incarnations[n] += 1;
@@ -172,8 +175,8 @@
             None => worker,
         };
         let work = self.handshakes[n].clone();
-        let costs = work.borrow().cost > 0;
-        let worker = if costs {
+        let has_handshake_cost = work.borrow().cost > 0;
+        let worker = if has_handshake_cost {
             worker.with_handshakes(work.clone())
         } else {
             worker
@@ -181,29 +184,30 @@
         if self.authority.is_none() {
             return Ok(Box::new(worker));
         }
-        let papers = self.worker_tls_material(n)?;
-        // Recorded within its TLS, under a host beyond those of any driver.
+        let tls_material = self.worker_tls_material(n)?;
+        // Record the plaintext inside its TLS layer, under a host id that no driver uses.
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
         self.recording.0.borrow_mut().role(host, Role::Worker(n));
-        let rules = TlsOptions {
+        let options = TlsOptions {
             session_cache_size: l.integer("tls.sessions"),
             ..TlsOptions::default()
         };
-        let door = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
-        let tapped = PlaintextCapture::new(worker, host, self.recording.clone());
-        let layer = TlsLayer::new(tapped, bounds(l)).with_inbound(door);
+        let inbound =
+            ReloadableConfig::new(tls_material, options).map_err(std::io::Error::other)?;
+        let captured = PlaintextCapture::new(worker, host, self.recording.clone());
+        let layer = TlsLayer::new(captured, bounds(l)).with_inbound(inbound);
         let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
-        Ok(if costs {
+        Ok(if has_handshake_cost {
             Box::new(HandshakeQueue::new(layer, work, started, cold, from))
         } else {
             Box::new(layer)
         })
     }
-    /// What a worker shows, and whom it trusts.
+    /// The certificate of a worker and the roots that it trusts.
     ///
     /// # Errors
-    /// No certificate can be made for it.
+    /// Its certificate can't be created.
     pub fn worker_tls_material(&mut self, n: usize) -> std::io::Result<TlsMaterial> {
         let Some(authority) = &self.authority else {
             return Ok(TlsMaterial::default());
@@ -213,9 +217,10 @@
             let foreign = Authority::new().map_err(std::io::Error::other)?;
             return foreign.papers(&name).map_err(std::io::Error::other);
         }
-        if let std::collections::btree_map::Entry::Vacant(leaf) = self.worker_certificates.entry(n)
+        if let std::collections::btree_map::Entry::Vacant(certificate) =
+            self.worker_certificates.entry(n)
         {
-            leaf.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
+            certificate.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
         }
         Ok(TlsMaterial {
             roots: self.roots(),
@@ -223,7 +228,7 @@
             ..TlsMaterial::default()
         })
     }
-    /// Whose word edges believe now.
+    /// The root certificates that edges trust now.
     pub fn roots(&self) -> Vec<u8> {
         self.authority
             .iter()
@@ -232,16 +237,16 @@
             .collect::<String>()
             .into_bytes()
     }
-    /// Workers get new certificates, from the authority as it is now.
+    /// Discards the certificates of all workers; new ones are signed by the current authority.
     pub fn renew_certificates(&mut self) {
         self.worker_certificates.clear();
     }
-    /// A new authority takes over; the old one is believed as long as it is kept.
+    /// With `keep_old`, replaces the authority and keeps trusting the old one; without, stops trusting the old one.
     ///
     /// # Errors
-    /// No authority can be made.
-    pub fn change_authority(&mut self, keeps_old: bool) -> std::io::Result<()> {
-        if keeps_old && self.authority.is_some() {
+    /// The new authority can't be created.
+    pub fn change_authority(&mut self, keep_old: bool) -> std::io::Result<()> {
+        if keep_old && self.authority.is_some() {
             self.previous_authority = self
                 .authority
                 .replace(Authority::new().map_err(std::io::Error::other)?);
@@ -250,26 +255,27 @@
         }
         Ok(())
     }
-    /// An edge's core, within the TLS that it speaks to workers.
+    /// Wraps an edge's core in the TLS layer of its connections to workers.
     ///
     /// # Errors
-    /// The authority's certificate can't be read back.
+    /// The authority's certificate can't be parsed.
     pub fn with_tls(&self, edge: Box<dyn Core>) -> std::io::Result<Box<dyn Core>> {
         if self.authority.is_none() {
             return Ok(edge);
         }
         let l = &self.scenario.settings;
-        let papers = TlsMaterial {
+        let tls_material = TlsMaterial {
             roots: self.roots(),
             ..TlsMaterial::default()
         };
-        let rules = TlsOptions {
+        let options = TlsOptions {
             session_cache_size: l.integer("tls.sessions"),
             ..TlsOptions::default()
         };
-        let calls = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
+        let outbound =
+            ReloadableConfig::new(tls_material, options).map_err(std::io::Error::other)?;
         Ok(Box::new(
-            TlsLayer::new(edge, bounds(l)).with_outbound(calls),
+            TlsLayer::new(edge, bounds(l)).with_outbound(outbound),
         ))
     }
     pub fn store(&self) -> Box<dyn Core> {
@@ -277,13 +283,14 @@
     }
     pub fn list(&mut self, now: Micros) -> Box<dyn Core> {
         self.discovery_starts += 1;
-        let (seed, run) = (self.scenario.seed ^ 0x115, self.discovery_starts);
-        let rows = self.scenario.endpoint_records(&self.addresses.workers);
-        let service = DiscoveryService::new(self.scenario.list(), seed, run, self.list.clone());
-        Box::new(service.with_endpoints(now, &rows))
+        let (seed, incarnation) = (self.scenario.seed ^ 0x115, self.discovery_starts);
+        let records = self.scenario.endpoint_records(&self.addresses.workers);
+        let service =
+            DiscoveryService::new(self.scenario.list(), seed, incarnation, self.list.clone());
+        Box::new(service.with_endpoints(now, &records))
     }
-    /// Callers, and how long they stay for an answer when their time is up.
-    pub fn callers(&self, patience: Micros) -> Box<dyn Core> {
+    /// Creates the clients; `extra_wait` is how long they wait for an answer beyond their time limit.
+    pub fn callers(&self, extra_wait: Micros) -> Box<dyn Core> {
         let seed = self.scenario.seed ^ 0xca11;
         let edges = self.addresses.edges.clone();
         let callers = Callers::new(
@@ -293,18 +300,18 @@
             self.token_issuer.clone(),
             seed,
         );
-        Box::new(callers.with_extra_wait(patience))
+        Box::new(callers.with_extra_wait(extra_wait))
     }
-    /// The key set as edges are to have it now.
+    /// The current key set, as edges should have it.
     pub fn keys(&self) -> Option<Vec<u8>> {
         self.token_issuer
             .as_ref()
             .map(|token_issuer| token_issuer.borrow().set.write())
     }
-    /// An edge's settings and seed for its next start.
+    /// An edge's settings, seed and incarnation for its next start.
     ///
     /// # Errors
-    /// An address is none.
+    /// An address is invalid.
     pub fn edge(&mut self, n: usize) -> Result<(LoadedSettings, u64, u64), SettingsError> {
         self.edge_starts[n] += 1;
         let settings = self
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -1,5 +1,6 @@
-//! How the edges behaved as one: what reached workers for each finished job, whether dear work was turned away while
-//! less dear work was served, and how far edges served apart. Read from the traffic, as the verdict is.
+//! Summarizes how the edges performed together: the load on workers for each finished request, whether important work
+//! was rejected while less important work was served, and the range of service over the edges. Like the verdict, it is
+//! computed from the traffic alone.
 
 use crate::cold;
 use crate::recorder::{ClientAttempt, Load, Log};
@@ -8,10 +9,10 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Edges with fewer calls than this tell little of how well they serve.
-const FEW_CALLS: u32 = 50;
+/// The service of edges with fewer calls than this is not significant, so they are left out.
+const MIN_CALLS: u32 = 50;
 
-/// What reached workers from all edges, for each job that they finished.
+/// What all edges sent to workers, for each request that finished.
 pub fn amplification(log: &Log) -> Value {
     let finished = log
         .client_attempts
@@ -35,15 +36,15 @@
     t.answers.first().map(|(_, status)| *status)
 }
 
-/// A workload's work in one second: how much was turned away and how much was served, in microseconds.
+/// The rejected and the served work of one workload in one second, in microseconds.
 #[derive(Clone, Copy, Default)]
 struct Second {
-    turned_away: f64,
+    rejected: f64,
     served: f64,
 }
 
-/// The importance that was turned away while less dear work was served in the same second, anywhere, over all that was
-/// turned away: as much as would have fitted in its place.
+/// The rejected importance that could have been served instead of less important work in the same second, at any edge,
+/// as a fraction of all rejected importance.
 pub fn inversions(log: &Log, scenario: &Scenario) -> f64 {
     let mut seconds: BTreeMap<Micros, Vec<Second>> = BTreeMap::new();
     for t in &log.client_attempts {
@@ -58,35 +59,40 @@
         let work = scenario.calls[n].mean_work as f64;
         match status {
             200 => second[n].served += work,
-            503 => second[n].turned_away += work,
+            503 => second[n].rejected += work,
             _ => {}
         }
     }
-    // What a microsecond of a workload's work earns.
-    let earns =
+    // The importance of a workload for each microsecond of its work.
+    let value =
         |n: &usize| scenario.calls[*n].importance / scenario.calls[*n].mean_work.max(1) as f64;
-    let mut dearest: Vec<usize> = (0..scenario.calls.len()).collect();
-    dearest.sort_by(|a, b| earns(b).total_cmp(&earns(a)));
-    let (mut inverted, mut all) = (0.0, 0.0);
+    let mut by_value: Vec<usize> = (0..scenario.calls.len()).collect();
+    by_value.sort_by(|a, b| value(b).total_cmp(&value(a)));
+    let (mut inverted, mut total) = (0.0, 0.0);
     for second in seconds.values() {
-        let mut left: Vec<f64> = second.iter().map(|s| s.served).collect();
-        for n in &dearest {
-            let mut work = second[*n].turned_away;
-            all += work * earns(n);
-            for cheaper in dearest.iter().rev().filter(|other| earns(other) < earns(n)) {
-                let fits = work.min(left[*cheaper]);
-                left[*cheaper] -= fits;
+        let mut available: Vec<f64> = second.iter().map(|s| s.served).collect();
+        for n in &by_value {
+            let mut work = second[*n].rejected;
+            total += work * value(n);
+            for lower in by_value
+                .iter()
+                .rev()
+                .filter(|other| value(other) < value(n))
+            {
+                let fits = work.min(available[*lower]);
+                available[*lower] -= fits;
                 work -= fits;
-                inverted += fits * earns(n);
+                inverted += fits * value(n);
             }
         }
     }
-    inverted / f64::max(all, f64::MIN_POSITIVE)
+    inverted / f64::max(total, f64::MIN_POSITIVE)
 }
 
-/// The part of its calls, by their first try, that the worst and the best edge answered in time.
+/// The fraction of the calls that the worst and the best edge answered in time; a call counts for the edge of its first
+/// attempt.
 pub fn edge_service_range(log: &Log, scenario: &Scenario) -> (f64, f64) {
-    let mut firsts: BTreeMap<u64, (&str, bool)> = BTreeMap::new();
+    let mut first_attempts: BTreeMap<u64, (&str, bool)> = BTreeMap::new();
     for t in &log.client_attempts {
         let target = scenario
             .calls
@@ -97,19 +103,22 @@
             .answers
             .first()
             .is_some_and(|(at, s)| *s == 200 && at - t.call_started_at <= target);
-        firsts.entry(t.call).or_insert((&t.edge, false)).1 |= served;
+        first_attempts.entry(t.call).or_insert((&t.edge, false)).1 |= served;
     }
-    let mut of: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-    for (edge, served) in firsts.into_values() {
-        let sums = of.entry(edge).or_default();
+    let mut by_edge: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
+    for (edge, served) in first_attempts.into_values() {
+        let sums = by_edge.entry(edge).or_default();
         *sums = (sums.0 + 1, sums.1 + u32::from(served));
     }
-    let parts = of.values().filter(|(calls, _)| *calls >= FEW_CALLS);
-    let parts = parts.map(|(calls, served)| f64::from(*served) / f64::from(*calls));
-    (parts.clone().fold(1.0, f64::min), parts.fold(0.0, f64::max))
+    let fractions = by_edge.values().filter(|(calls, _)| *calls >= MIN_CALLS);
+    let fractions = fractions.map(|(calls, served)| f64::from(*served) / f64::from(*calls));
+    (
+        fractions.clone().fold(1.0, f64::min),
+        fractions.fold(0.0, f64::max),
+    )
 }
 
-/// All of it, as the summary's last line has it.
+/// The whole fleet summary as JSON, as part of the summary of a run.
 pub fn of(log: &Log, scenario: &Scenario) -> Value {
     let round = |part: f64| (part * 1e4).round() / 1e4;
     let (worst, best) = edge_service_range(log, scenario);
