--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -1,5 +1,6 @@
-//! Customers' limits at many edges: the deciding module itself at each edge, beside a fixed even split and no limit at
-//! all, with workers that only count. No network: what is measured is what the edges decide from what they see.
+//! Measures customers' limits with many edges: the quota policy of the product at each edge, compared with a fixed even
+//! split and with no limit. There is no network, and workers only count requests: the simulation measures the decisions
+//! that edges make from the rates reported to them.
 
 use sanddrum::{CustomerId, Micros, RequestId, Settings, Value, WorkerId};
 use sanddrum_limits::{
@@ -9,22 +10,24 @@
 use sanddrum_net::Rng;
 use std::collections::BTreeMap;
 
+/// How the edges enforce limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The product's: each edge's part follows what workers tell.
+    /// The policy of the product: each edge's quota follows the rates that workers report.
     Seen,
-    /// Each edge has an even part of every limit.
+    /// Each edge has an equal share of every limit.
     Even,
+    /// No limits.
     None,
 }
 
-const S: Micros = 1_000_000;
-const STEP: Micros = 10_000;
+const SECOND: Micros = 1_000_000;
+const TIME_STEP: Micros = 10_000;
 const WORKERS: u64 = 20;
-/// Stands for all customers at a worker.
-const ALL: usize = usize::MAX;
+/// Stands for all customers together, in the rates of a worker.
+const ALL_CUSTOMERS: usize = usize::MAX;
 
-/// One kind of calls: whose, at which edge (none: at all, by chance), and how many a second.
+/// A stream of requests: its customer, its edge (`None`: a random one for each request) and its rate per second.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestStream {
     pub customer: usize,
@@ -32,33 +35,34 @@
     pub rate: f64,
 }
 
+/// A simulation of the edges' decisions about customers' limits.
 pub struct QuotaSimulation {
     edges: Vec<QuotaPolicy>,
-    even: Vec<BTreeMap<usize, TokenBucket>>,
-    news: Vec<AdmissionEvents>,
+    even_split_buckets: Vec<BTreeMap<usize, TokenBucket>>,
+    pending_events: Vec<AdmissionEvents>,
     workers: BTreeMap<(u64, usize), RateMeter>,
     settings: Settings,
     policy: Policy,
     capacity: f64,
-    room: f64,
+    available_capacity: f64,
     now: Micros,
     next: u64,
-    chance: Rng,
+    rng: Rng,
 }
 
 #[derive(Default)]
-struct Ruled {
-    taken: Vec<RequestId>,
+struct AdmittedRequests {
+    admitted: Vec<RequestId>,
 }
-impl Admission for Ruled {
-    fn admit(&mut self, job: RequestId) {
-        self.taken.push(job);
+impl Admission for AdmittedRequests {
+    fn admit(&mut self, request: RequestId) {
+        self.admitted.push(request);
     }
     fn reject(&mut self, _: RequestId, _: Rejection) {}
 }
 
 impl QuotaSimulation {
-    /// `capacity` is what the fleet finishes in a second; `set` are settings as the module reads them.
+    /// `capacity` is the number of requests that the fleet finishes in a second; `set` are settings of the module.
     pub fn new(
         edges: usize,
         capacity: f64,
@@ -75,127 +79,134 @@
         let settings = Settings(map);
         QuotaSimulation {
             edges: (0..edges).map(|_| QuotaPolicy::new(&settings)).collect(),
-            even: vec![BTreeMap::new(); edges],
-            news: vec![AdmissionEvents::default(); edges],
+            even_split_buckets: vec![BTreeMap::new(); edges],
+            pending_events: vec![AdmissionEvents::default(); edges],
             workers: BTreeMap::new(),
             settings,
             policy,
             capacity,
-            room: 0.0,
-            now: 1000 * S,
+            available_capacity: 0.0,
+            now: 1000 * SECOND,
             next: 0,
-            chance: Rng::new(seed),
+            rng: Rng::new(seed),
         }
     }
-    fn even_part_has_room(&mut self, edge: usize, customer: usize) -> bool {
+    fn even_split_admits(&mut self, edge: usize, customer: usize) -> bool {
         let Some(rate) = self.settings.number(&format!("customers.{customer}.rate")) else {
             return true;
         };
         let rate = rate / self.edges.len() as f64;
-        let bucket = self.even[edge].entry(customer).or_default();
+        let bucket = self.even_split_buckets[edge].entry(customer).or_default();
         bucket.take(self.now, rate, rate / 2.0).is_ok()
     }
-    /// Plays so long; gives calls asked and finished a second, by customer.
-    pub fn play(&mut self, span: Micros, streams: &[RequestStream]) -> BTreeMap<usize, (f64, f64)> {
-        let mut done: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
-        for _ in 0..span / STEP {
-            self.now += STEP;
-            let mut whose: BTreeMap<RequestId, usize> = BTreeMap::new();
+    /// Simulates a time span, and returns the requests offered and finished per second, by customer.
+    pub fn run(&mut self, span: Micros, streams: &[RequestStream]) -> BTreeMap<usize, (f64, f64)> {
+        let mut counts: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
+        for _ in 0..span / TIME_STEP {
+            self.now += TIME_STEP;
+            let mut customer_of: BTreeMap<RequestId, usize> = BTreeMap::new();
             for stream in streams {
-                let mean = stream.rate * STEP as f64 / S as f64;
-                let mut left = mean + self.chance.next_f64();
-                while left >= 1.0 {
-                    left -= 1.0;
+                let mean = stream.rate * TIME_STEP as f64 / SECOND as f64;
+                let mut remaining = mean + self.rng.next_f64();
+                while remaining >= 1.0 {
+                    remaining -= 1.0;
                     self.next += 1;
                     let edge = stream
                         .edge
-                        .unwrap_or_else(|| self.chance.index(self.edges.len()));
-                    whose.insert(RequestId(self.next), stream.customer);
-                    done.entry(stream.customer).or_default().0 += 1.0;
-                    self.news[edge].requests.push(AdmissionRequest {
+                        .unwrap_or_else(|| self.rng.index(self.edges.len()));
+                    customer_of.insert(RequestId(self.next), stream.customer);
+                    counts.entry(stream.customer).or_default().0 += 1.0;
+                    self.pending_events[edge].requests.push(AdmissionRequest {
                         request: RequestId(self.next),
                         customer: CustomerId(stream.customer),
                     });
                 }
             }
-            self.room =
-                (self.room + self.capacity * STEP as f64 / S as f64).min(self.capacity / 20.0);
-            let mut taken: Vec<(usize, RequestId)> = Vec::new();
+            self.available_capacity = (self.available_capacity
+                + self.capacity * TIME_STEP as f64 / SECOND as f64)
+                .min(self.capacity / 20.0);
+            let mut admitted: Vec<(usize, RequestId)> = Vec::new();
             for n in 0..self.edges.len() {
-                let news = std::mem::take(&mut self.news[n]);
-                let mut ruled = Ruled::default();
+                let pending_events = std::mem::take(&mut self.pending_events[n]);
+                let mut admission = AdmittedRequests::default();
                 match self.policy {
-                    Policy::Seen => self.edges[n].handle(self.now, &news, &mut ruled),
+                    Policy::Seen => self.edges[n].handle(self.now, &pending_events, &mut admission),
                     Policy::None => {
-                        ruled.taken = news.requests.iter().map(|asked| asked.request).collect()
+                        admission.admitted = pending_events
+                            .requests
+                            .iter()
+                            .map(|offered| offered.request)
+                            .collect()
                     }
                     Policy::Even => {
-                        let fit = news
+                        let admitted_requests = pending_events
                             .requests
                             .iter()
-                            .filter(|asked| self.even_part_has_room(n, asked.customer.0));
-                        ruled.taken = fit.map(|asked| asked.request).collect();
+                            .filter(|offered| self.even_split_admits(n, offered.customer.0));
+                        admission.admitted =
+                            admitted_requests.map(|offered| offered.request).collect();
                     }
                 }
-                taken.extend(ruled.taken.into_iter().map(|job| (n, job)));
+                admitted.extend(admission.admitted.into_iter().map(|request| (n, request)));
             }
-            // The fleet serves them in no order of its own.
-            while !taken.is_empty() {
-                let (edge, job) = taken.swap_remove(self.chance.index(taken.len()));
-                let customer = whose[&job];
-                let worker = self.chance.next_u64() % WORKERS;
-                let finished = self.room >= 1.0;
-                self.room -= f64::from(u8::from(finished));
-                let news = &mut self.news[edge];
-                news.finished.push(CustomerId(customer));
-                news.rejected += u32::from(!finished);
+            // The fleet serves the admitted requests in random order.
+            while !admitted.is_empty() {
+                let (edge, request) = admitted.swap_remove(self.rng.index(admitted.len()));
+                let customer = customer_of[&request];
+                let worker = self.rng.next_u64() % WORKERS;
+                let finished = self.available_capacity >= 1.0;
+                self.available_capacity -= f64::from(u8::from(finished));
+                let pending_events = &mut self.pending_events[edge];
+                pending_events.finished.push(CustomerId(customer));
+                pending_events.rejected += u32::from(!finished);
                 if finished {
-                    done.entry(customer).or_default().1 += 1.0;
-                    news.dispatched.push(Dispatch {
+                    counts.entry(customer).or_default().1 += 1.0;
+                    pending_events.dispatched.push(Dispatch {
                         customer: CustomerId(customer),
                         worker: WorkerId(worker),
                     });
-                    let pace = self.workers.entry((worker, customer)).or_default();
-                    pace.record(self.now, S);
-                    let of = pace.per_second(self.now, S);
-                    let all = self.workers.entry((worker, ALL)).or_default();
-                    all.record(self.now, S);
-                    news.reported_rates.push(ReportedRates {
+                    let rate_meter = self.workers.entry((worker, customer)).or_default();
+                    rate_meter.record(self.now, SECOND);
+                    let of = rate_meter.per_second(self.now, SECOND);
+                    let all = self.workers.entry((worker, ALL_CUSTOMERS)).or_default();
+                    all.record(self.now, SECOND);
+                    pending_events.reported_rates.push(ReportedRates {
                         customer: CustomerId(customer),
                         of_customer: of,
-                        of_all: all.per_second(self.now, S),
+                        of_all: all.per_second(self.now, SECOND),
                     });
                 }
             }
         }
-        let seconds = span as f64 / S as f64;
-        done.values_mut()
-            .for_each(|(asked, got)| (*asked, *got) = (*asked / seconds, *got / seconds));
-        done
+        let seconds = span as f64 / SECOND as f64;
+        counts.values_mut().for_each(|(offered, finished)| {
+            (*offered, *finished) = (*offered / seconds, *finished / seconds)
+        });
+        counts
     }
 }
 
-/// What one policy did at one size.
+/// The results of one policy with one number of edges.
 #[derive(Clone, Debug)]
 pub struct LimitsResult {
     pub edges: usize,
     pub policy: Policy,
-    /// Calls of an honest customer that finished, over asked, while another floods.
+    /// The fraction of an honest customer's requests that finish while another customer floods the edges.
     pub honest_fraction: f64,
-    /// A customer at three times its rate limit, spread over all edges: what it got over the limit.
+    /// What a customer at three times its rate limit gets as a multiple of the limit, spread over all edges.
     pub spread_over_limit: f64,
-    /// The same at one edge.
+    /// The same with all its requests at one edge.
     pub single_edge_over_limit: f64,
-    /// The same in the seconds after it moved to another edge, second by second.
+    /// The same after it has moved to another edge, second by second.
     pub moved_over_limit: Vec<f64>,
-    /// Seconds until a customer that begins to ask has nine tenths of its share back from one that had borrowed it.
+    /// Seconds until a customer that starts sending has 90 % of its requests finished, after another has borrowed its share.
     pub recovery_seconds: Option<f64>,
 }
 
-/// Plays the three scenes at one size.
+/// Runs the three simulations with one number of edges: a flood, a rate limit exceeded, and a borrowed share returned.
 pub fn measure_limits(edges: usize, policy: Policy, seed: u64) -> LimitsResult {
     let capacity = 2000.0;
-    let two = [
+    let two_customers = [
         ("customers.count", 2.0),
         ("customers.0.share", 0.6),
         ("customers.1.share", 0.4),
@@ -212,46 +223,55 @@
             rate: 4.0 * capacity,
         },
     ];
-    let mut size = QuotaSimulation::new(edges, capacity, policy, &two, seed);
-    size.play(5 * S, &flood);
-    let got = size.play(10 * S, &flood);
-    let honest = got.get(&0).map_or(0.0, |(asked, got)| got / asked);
+    let mut simulation = QuotaSimulation::new(edges, capacity, policy, &two_customers, seed);
+    simulation.run(5 * SECOND, &flood);
+    let rates = simulation.run(10 * SECOND, &flood);
+    let honest_fraction = rates
+        .get(&0)
+        .map_or(0.0, |(offered, finished)| finished / offered);
 
-    let limited = [&two[..], &[("customers.0.rate", 300.0)]].concat();
-    let over = |edge| {
+    let rate_limited = [&two_customers[..], &[("customers.0.rate", 300.0)]].concat();
+    let exceeding_stream = |edge| {
         [RequestStream {
             customer: 0,
             edge,
             rate: 900.0,
         }]
     };
-    let part = |got: &BTreeMap<usize, (f64, f64)>| got.get(&0).map_or(0.0, |(_, got)| got / 300.0);
-    let mut size = QuotaSimulation::new(edges, capacity, policy, &limited, seed);
-    size.play(10 * S, &over(None));
-    let spread = part(&size.play(10 * S, &over(None)));
-    let mut size = QuotaSimulation::new(edges, capacity, policy, &limited, seed);
-    size.play(10 * S, &over(Some(0)));
-    let at_one = part(&size.play(10 * S, &over(Some(0))));
-    let moved = (0..8)
-        .map(|_| part(&size.play(S, &over(Some(edges - 1)))))
+    let over_limit = |rates: &BTreeMap<usize, (f64, f64)>| {
+        rates.get(&0).map_or(0.0, |(_, finished)| finished / 300.0)
+    };
+    let mut simulation = QuotaSimulation::new(edges, capacity, policy, &rate_limited, seed);
+    simulation.run(10 * SECOND, &exceeding_stream(None));
+    let spread_over_limit = over_limit(&simulation.run(10 * SECOND, &exceeding_stream(None)));
+    let mut simulation = QuotaSimulation::new(edges, capacity, policy, &rate_limited, seed);
+    simulation.run(10 * SECOND, &exceeding_stream(Some(0)));
+    let single_edge_over_limit =
+        over_limit(&simulation.run(10 * SECOND, &exceeding_stream(Some(0))));
+    let moved_over_limit = (0..8)
+        .map(|_| over_limit(&simulation.run(SECOND, &exceeding_stream(Some(edges - 1)))))
         .collect();
 
-    let mut size = QuotaSimulation::new(edges, capacity, policy, &two, seed);
-    size.play(10 * S, &flood[1..]);
-    let mut back = None;
+    let mut simulation = QuotaSimulation::new(edges, capacity, policy, &two_customers, seed);
+    simulation.run(10 * SECOND, &flood[1..]);
+    let mut recovery_seconds = None;
     for n in 1..=40 {
-        let got = size.play(S / 4, &flood);
-        if back.is_none() && got.get(&0).is_some_and(|(asked, got)| got / asked >= 0.9) {
-            back = Some(f64::from(n) / 4.0);
+        let rates = simulation.run(SECOND / 4, &flood);
+        if recovery_seconds.is_none()
+            && rates
+                .get(&0)
+                .is_some_and(|(offered, finished)| finished / offered >= 0.9)
+        {
+            recovery_seconds = Some(f64::from(n) / 4.0);
         }
     }
     LimitsResult {
         edges,
         policy,
-        honest_fraction: honest,
-        spread_over_limit: spread,
-        single_edge_over_limit: at_one,
-        moved_over_limit: moved,
-        recovery_seconds: back,
+        honest_fraction,
+        spread_over_limit,
+        single_edge_over_limit,
+        moved_over_limit,
+        recovery_seconds,
     }
 }
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -1,5 +1,5 @@
-//! One scenario with ever more edges, on the same seeds: what comes of it, and what falls on the list service and the
-//! workers in their worst seconds.
+//! Runs one scenario with several numbers of edges and the same seeds, and compares the service, and the load on the
+//! discovery service and the workers in their worst seconds.
 
 use crate::environment::product_edge;
 use crate::plots::{lines, Line};
@@ -10,17 +10,17 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// What came of one size, each figure as the mean, the least and the most over the seeds.
+/// The results for one number of edges; each triple is the mean, the minimum and the maximum over the seeds.
 #[derive(Clone, Debug)]
 pub struct FleetSizeResult {
     pub edges: usize,
     pub service: [f64; 3],
-    /// The second from which on nine tenths of the calls are in time.
+    /// The second from which at least 90 % of the calls are in time.
     pub recovered_at: [f64; 3],
     pub violations: usize,
-    /// Named figures of worst seconds.
+    /// The loads in the worst seconds, by name.
     pub worst: Vec<(&'static str, [f64; 3])>,
-    /// Calls in time of calls begun, by second.
+    /// The fraction of the calls that were in time, by second.
     pub seconds: Vec<f64>,
 }
 
@@ -32,18 +32,19 @@
     seconds: Vec<f64>,
 }
 
-/// What is told of the worst seconds: its name, whose it is, and its key there.
-const WORST: &[(&str, &str, &str)] = &[
-    ("list calls", "list", "calls"),
-    ("list bytes", "list", "bytes"),
-    ("whole lists", "list", "whole_lists"),
+/// The reported loads: the name, the receiver, and the key of the value in the outcome.
+const PEAK_LOADS: &[(&str, &str, &str)] = &[
+    ("discovery calls", "list", "calls"),
+    ("discovery bytes", "list", "bytes"),
+    ("full snapshots", "list", "whole_lists"),
     ("handshakes", "worker", "handshakes"),
     ("probes", "worker", "probes"),
     ("asks", "worker", "asks"),
     ("orders", "worker", "orders"),
     ("misses", "worker", "misses"),
 ];
-const NEARLY_ALL: f64 = 0.9;
+/// The fraction of calls in time from which service counts as recovered.
+const RECOVERED_SERVICE: f64 = 0.9;
 
 impl SeedResult {
     fn of(outcome: &Outcome) -> SeedResult {
@@ -51,9 +52,12 @@
         let seconds: Vec<f64> = seconds
             .map(|(begun, in_time)| f64::from(*in_time) / f64::from((*begun).max(1)))
             .collect();
-        let low = seconds.iter().rposition(|part| *part < NEARLY_ALL);
-        let worst = WORST.iter().map(|(name, whose, key)| {
-            (*name, outcome.peak_load[whose][key].as_f64().unwrap_or(0.0))
+        let low = seconds.iter().rposition(|part| *part < RECOVERED_SERVICE);
+        let worst = PEAK_LOADS.iter().map(|(name, receiver, key)| {
+            (
+                *name,
+                outcome.peak_load[receiver][key].as_f64().unwrap_or(0.0),
+            )
         });
         SeedResult {
             service: outcome.verdict.service,
@@ -65,18 +69,19 @@
     }
 }
 
-/// The mean, the least and the most.
-fn spread(figures: impl Iterator<Item = f64> + Clone) -> [f64; 3] {
-    let count = figures.clone().count().max(1) as f64;
-    let sum: f64 = figures.clone().sum();
+/// The mean, the minimum and the maximum.
+fn spread(values: impl Iterator<Item = f64> + Clone) -> [f64; 3] {
+    let count = values.clone().count().max(1) as f64;
+    let sum: f64 = values.clone().sum();
     [
         sum / count,
-        figures.clone().fold(f64::MAX, f64::min),
-        figures.fold(f64::MIN, f64::max),
+        values.clone().fold(f64::MAX, f64::min),
+        values.fold(f64::MIN, f64::max),
     ]
 }
 
-/// Plays a scenario at each of these sizes on so many seeds.
+/// Runs a scenario with each number of edges and with `seeds` seeds, on `threads` threads. `progress` is called with the
+/// number of finished runs.
 ///
 /// # Errors
 /// A run could not be set up.
@@ -85,7 +90,7 @@
     edges: &[usize],
     seeds: u64,
     threads: usize,
-    told: impl Fn(usize) + Sync,
+    progress: impl Fn(usize) + Sync,
 ) -> io::Result<Vec<FleetSizeResult>> {
     let all: Vec<(usize, u64)> = edges
         .iter()
@@ -104,7 +109,7 @@
                     });
                     let Ok(mut done) = done.lock() else { return };
                     done.push((*n, *seed, run.map(|outcome| SeedResult::of(&outcome))));
-                    told(done.len());
+                    progress(done.len());
                 }
             });
         }
@@ -131,8 +136,8 @@
             service: spread(of.iter().map(|run| run.service)),
             recovered_at: spread(of.iter().map(|run| run.recovered_at)),
             violations: of.iter().map(|run| run.violations).sum(),
-            worst: (0..WORST.len())
-                .map(|w| (WORST[w].0, spread(of.iter().map(|run| run.worst[w].1))))
+            worst: (0..PEAK_LOADS.len())
+                .map(|w| (PEAK_LOADS[w].0, spread(of.iter().map(|run| run.worst[w].1))))
                 .collect(),
             seconds: (0..longest).map(second).collect(),
         }
@@ -140,7 +145,7 @@
     Ok(edges.iter().map(of).collect())
 }
 
-/// Draws service over time for each size, and the worst seconds against the size.
+/// Plots the service over time for each number of edges, and the worst seconds over the number of edges.
 ///
 /// # Errors
 /// A file can't be written.
@@ -158,26 +163,26 @@
     lines(
         &file,
         "Service by second",
-        ("second", "calls in time of calls begun"),
+        ("second", "calls in time / calls started"),
         &service.collect::<Vec<_>>(),
     )?;
     let worst = |w: usize| Line {
-        name: WORST[w].0.to_string(),
+        name: PEAK_LOADS[w].0.to_string(),
         points: all
             .iter()
             .map(|of| (of.edges as f64, of.worst[w].1[0]))
             .collect(),
     };
-    // Bytes are of another size, and whole lists are counted over the day.
-    let shown: Vec<Line> = (0..WORST.len())
+    // Bytes have another scale, and full snapshots are counted over the whole run.
+    let plotted: Vec<Line> = (0..PEAK_LOADS.len())
         .filter(|w| ![1, 2].contains(w))
         .map(worst)
         .collect();
     let file = folder.join(format!("{name}-worst.svg"));
     lines(
         &file,
-        "Worst second of the list service and of a worker",
-        ("edges", "a second"),
-        &shown,
+        "Worst second of the discovery service and of a worker",
+        ("edges", "count in one second"),
+        &plotted,
     )
 }
