--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -1,5 +1,5 @@
-//! Emulated clients: an open loop of calls that is derived from a seed. Each attempt has a connection of its own while it
-//! lasts; a call ends at its time limit, and is retried where that is safe.
+//! Emulated clients: an open loop of calls that is derived from a seed. Each attempt has a connection of its own while
+//! it lasts; a call ends at its time limit, and is retried where that is safe.
 
 use crate::scenario::Scenario;
 use crate::token_issuer::TokenIssuer;
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -1,4 +1,4 @@
-//! Judges the five rules, and that nothing was lost, from recorded traffic alone.
+//! Checks the five rules, and that no request is lost, from recorded traffic alone.
 
 use crate::recorder::{ClientAttempt, Execution, Log};
 use crate::scenario::{Scenario, WorkloadTraffic};
@@ -230,18 +230,18 @@
             let Some(first) = attempts.first() else {
                 continue;
             };
-            let Some(calls) = self.workloads.get(first.workload.as_str()) else {
+            let Some(traffic) = self.workloads.get(first.workload.as_str()) else {
                 continue;
             };
-            total += calls.importance;
+            total += traffic.importance;
             let finished = attempts
                 .iter()
                 .flat_map(|t| &t.answers)
                 .find(|(_, status)| *status == 200);
             let latency = finished.map(|(at, _)| at - first.call_started_at);
-            let in_time = latency.is_some_and(|l| l <= calls.start_target);
+            let in_time = latency.is_some_and(|l| l <= traffic.start_target);
             if in_time {
-                served += calls.importance;
+                served += traffic.importance;
             }
             if let Some(l) = latency {
                 // An auto-resizing histogram accepts any value.
@@ -324,7 +324,7 @@
             .collect();
         let mut violations = Vec::new();
         for (id, executions) in &executions {
-            let Some(calls) = executions
+            let Some(traffic) = executions
                 .first()
                 .and_then(|execution| self.workloads.get(execution.workload.as_str()))
             else {
@@ -332,7 +332,7 @@
             };
             let mut executions = executions.clone();
             executions.sort_by_key(|execution| execution.received_at);
-            let name = format!("call {} try {} ({})", id.0, id.1, calls.effect);
+            let name = format!("call {} try {} ({})", id.0, id.1, traffic.effect);
             for (n, later) in executions.iter().enumerate() {
                 let Some(earlier) = executions[..n]
                     .iter()
@@ -340,14 +340,14 @@
                 else {
                     continue;
                 };
-                let allowed = match calls.effect.as_str() {
+                let allowed = match traffic.effect.as_str() {
                     "restartable" => true,
                     "fingerprinted" => {
-                        let in_group =
-                            self.group(calls, earlier.worker) == self.group(calls, later.worker);
+                        let in_group = self.group(traffic, earlier.worker)
+                            == self.group(traffic, later.worker);
                         in_group
                             && later.received_at
-                                < earlier.received_at + calls.repeat_window + self.slack
+                                < earlier.received_at + traffic.repeat_window + self.slack
                     }
                     _ => false,
                 };
@@ -359,8 +359,8 @@
                     ));
                 }
             }
-            let harmless = calls.effect == "restartable"
-                || (calls.effect == "fingerprinted" && calls.group == "all");
+            let harmless = traffic.effect == "restartable"
+                || (traffic.effect == "fingerprinted" && traffic.group == "all");
             if let Some(at) = rejected.get(id).filter(|_| !harmless) {
                 if executions
                     .iter()
@@ -374,8 +374,8 @@
             .into_iter()
             .for_each(|(at, what)| self.add_violation(2, at, what));
     }
-    fn group(&self, calls: &WorkloadTraffic, worker: usize) -> usize {
-        match calls.group.as_str() {
+    fn group(&self, traffic: &WorkloadTraffic, worker: usize) -> usize {
+        match traffic.group.as_str() {
             "zone" => self.scenario.zone_of(worker),
             "cell" => worker / self.scenario.settings.integer("fleet.cell-size").max(1),
             _ => 0,
@@ -508,8 +508,8 @@
             .for_each(|(at, what)| self.add_violation(0, at, what));
     }
 
-    /// Rule 5: the load commands of each edge stay within the allowance for the requests that it received. A killed edge
-    /// doesn't remember its earlier load commands and starts from zero.
+    /// Rule 5: the load commands of each edge stay within the allowance for the requests that it received. An edge that
+    /// was killed doesn't remember its earlier load commands and starts from zero.
     fn load_command_rate(&mut self) {
         let l = &self.scenario.settings;
         let window = l.duration_us("copies.load-window-us");
@@ -549,7 +549,8 @@
             commands.sort_unstable();
             attempts.sort_unstable();
             for (n, at) in commands.iter().enumerate() {
-                // Both are recorded at the remote ends, so each window is adjusted by the transit time in the edge's favour.
+                // Both are recorded at the remote ends, so each window is adjusted by the
+                // transit time in the edge's favour.
                 let last_start = starts.iter().filter(|start| *start <= at).max();
                 let since = (at - window + self.slack)
                     .max(last_start.map_or(Micros::MIN, |start| start - 1));
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -19,9 +19,9 @@
     fn kill(&mut self, who: Who);
     /// Starts a process that was killed; workers start cold.
     fn start(&mut self, who: Who) -> io::Result<()>;
-    /// Stops a process without ending it, or continues it.
+    /// Pauses or resumes a process.
     fn freeze(&mut self, who: Who, frozen: bool);
-    /// Resets each of its connections when it writes to it next, so that messages are cut off.
+    /// Resets each of its connections at its next write, in the middle of the data.
     fn reset_on_next_write(&mut self, who: Who);
     /// Sets or removes a fault of the links from one to another.
     fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()>;
@@ -51,7 +51,7 @@
 
 /// Makes the edge of the product.
 pub fn product_edge() -> MakeEdge {
-    Box::new(|start| Box::new(Edge::new(start)))
+    Box::new(|options| Box::new(Edge::new(options)))
 }
 
 /// A scenario on the virtual network.
@@ -136,15 +136,15 @@
                     .hosts
                     .get(&who)
                     .and_then(|host| self.net.saved_state(*host));
-                let start = EdgeOptions {
+                let options = EdgeOptions {
                     settings,
                     seed,
-                    cached_state: cached_state,
+                    cached_state,
                     incarnation,
                     metrics_page: None,
                     platform: None,
                 };
-                self.fleet.with_tls((self.make_edge)(start))?
+                self.fleet.with_tls((self.make_edge)(options))?
             }
         })
     }
--- a/crates/sanddrum-lab/src/experiment.rs
+++ b/crates/sanddrum-lab/src/experiment.rs
@@ -120,10 +120,10 @@
             None => product_edge(),
             Some(choice) => {
                 let truth = truth.clone();
-                Box::new(move |start| {
-                    let values = start.settings.values_for_module();
-                    let module = Baseline::new(choice, start.seed, values, truth.clone());
-                    Box::new(Edge::with_module(start, module))
+                Box::new(move |options| {
+                    let values = options.settings.values_for_module();
+                    let module = Baseline::new(choice, options.seed, values, truth.clone());
+                    Box::new(Edge::with_module(options, module))
                 })
             }
         };
--- a/crates/sanddrum-lab/src/faults.rs
+++ b/crates/sanddrum-lab/src/faults.rs
@@ -1,6 +1,6 @@
-//! Controls the faults injected into a process, through a file of words that the preloaded library of `sanddrum-faults`
-//! maps. It steps the wall clock of the running process, makes its system calls fail, and reads how often each fault was
-//! injected.
+//! Controls the faults injected into a process, through a file of words that the preloaded library of
+//! `sanddrum-faults` maps. It steps the wall clock of the running process, makes its system calls fail, and reads how
+//! often each fault was injected.
 
 #[path = "../../sanddrum-faults/src/layout.rs"]
 mod layout;
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -24,8 +24,8 @@
     let of = |figure: fn(&Load) -> u64| each(log.sum(false, figure));
     json!({
         "executions": each(log.executions.len() as u64),
-        "misses": of(|l| l.misses),
-        "probes": of(|l| l.probes),
+        "misses": of(|l| l.cold_misses),
+        "probes": of(|l| l.health_checks),
         "asks": of(|l| l.load_queries),
         "orders": of(|l| l.load_commands),
         "handshakes": of(|l| l.handshakes),
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -199,7 +199,7 @@
     pub single_edge_over_limit: f64,
     /// The same after it has moved to another edge, second by second.
     pub moved_over_limit: Vec<f64>,
-    /// Seconds until a customer that starts sending has 90 % of its requests finished, after another has borrowed its share.
+    /// Seconds until 90 % of the requests of a customer that starts sending finish, while another uses its share.
     pub recovery_seconds: Option<f64>,
 }
 
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -111,12 +111,12 @@
     pub handshakes: u64,
     /// Calls to the discovery service.
     pub calls: u64,
-    pub whole_lists: u64,
+    pub full_snapshots: u64,
     pub bytes: u64,
-    pub probes: u64,
+    pub health_checks: u64,
     pub load_queries: u64,
     pub load_commands: u64,
-    pub misses: u64,
+    pub cold_misses: u64,
 }
 
 impl Log {
@@ -153,7 +153,7 @@
         edge: String,
         incoming: FrameDecoder,
         outgoing: FrameDecoder,
-        runs: BTreeMap<u64, usize>,
+        execution_indices: BTreeMap<u64, usize>,
     },
     List {
         name: String,
@@ -163,6 +163,7 @@
     },
 }
 
+/// Decodes the traffic of a run into its log.
 #[derive(Default)]
 pub struct Recorder {
     roles: BTreeMap<HostId, Role>,
@@ -173,6 +174,7 @@
     digest: DefaultHasher,
 }
 
+/// The longest message that the recorder decodes.
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 impl Recorder {
@@ -273,7 +275,7 @@
                     edge: String::new(),
                     incoming,
                     outgoing,
-                    runs: BTreeMap::new(),
+                    execution_indices: BTreeMap::new(),
                 }
             }
             (Role::List, Side::Accepted) => Reader::List {
@@ -308,7 +310,7 @@
                 n,
                 edge,
                 incoming,
-                runs,
+                execution_indices,
                 ..
             }) => {
                 incoming.push_bytes(bytes);
@@ -320,7 +322,7 @@
                             let Some((call, number, _)) = trace else {
                                 continue;
                             };
-                            runs.insert(e.id, log.executions.len());
+                            execution_indices.insert(e.id, log.executions.len());
                             let (worker, edge) = (*n, edge.clone());
                             let (workload, answers) = (e.workload, Vec::new());
                             log.executions.push(Execution {
@@ -336,7 +338,9 @@
                         ToWorker::Load(h) if h.instances == 0 => {
                             log.load(Target::Worker(*n), now).load_queries += 1
                         }
-                        ToWorker::HealthCheck(_) => log.load(Target::Worker(*n), now).probes += 1,
+                        ToWorker::HealthCheck(_) => {
+                            log.load(Target::Worker(*n), now).health_checks += 1
+                        }
                         ToWorker::Load(h) => {
                             log.load(Target::Worker(*n), now).load_commands += 1;
                             log.load_commands.push(LoadCommand {
@@ -387,16 +391,19 @@
                 Recorder::record_requests(log, now, edge, outgoing, open);
             }
             Some(Reader::Worker {
-                n, outgoing, runs, ..
+                n,
+                outgoing,
+                execution_indices,
+                ..
             }) => {
                 outgoing.push_bytes(bytes);
                 while let Ok(Some(message)) = outgoing.next_message::<FromWorker>() {
                     let FromWorker::Done(done) = message else {
                         continue;
                     };
-                    log.load(Target::Worker(*n), now).misses +=
+                    log.load(Target::Worker(*n), now).cold_misses +=
                         u64::from(done.status == ExecutionStatus::ColdMiss);
-                    if let Some(run) = runs
+                    if let Some(run) = execution_indices
                         .get(&done.id)
                         .and_then(|at| log.executions.get_mut(*at))
                     {
@@ -415,7 +422,7 @@
                     let FromDiscovery::Endpoints(rows) = message else {
                         continue;
                     };
-                    log.load(Target::List, now).whole_lists += u64::from(rows.is_full_snapshot);
+                    log.load(Target::List, now).full_snapshots += u64::from(rows.is_full_snapshot);
                     for row in rows.endpoints {
                         log.endpoint_updates.push(EndpointUpdate {
                             edge: edge.clone(),
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -49,6 +49,7 @@
     pub link_fault: Fault,
 }
 
+/// A scenario as read from its file, with the settings that it was read from.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub settings: LoadedSettings,
@@ -131,7 +132,7 @@
     /// overrides in error messages. All values of the scenario are read after the overrides are applied.
     ///
     /// # Errors
-    /// The text is not a valid scenario, or an override is unknown, invalid or would have no effect; the error names it.
+    /// The text is not a valid scenario, or an override (which the error names) is unknown, invalid or without effect.
     pub fn read_with(
         file: &str,
         text: &str,
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -33,14 +33,14 @@
         "list": {
             "calls": log.worst(true, |l| l.calls),
             "bytes": log.worst(true, |l| l.bytes),
-            "whole_lists": log.sum(true, |l| l.whole_lists),
+            "whole_lists": log.sum(true, |l| l.full_snapshots),
         },
         "worker": {
             "handshakes": log.worst(false, |l| l.handshakes),
-            "probes": log.worst(false, |l| l.probes),
+            "probes": log.worst(false, |l| l.health_checks),
             "asks": log.worst(false, |l| l.load_queries),
             "orders": log.worst(false, |l| l.load_commands),
-            "misses": log.worst(false, |l| l.misses),
+            "misses": log.worst(false, |l| l.cold_misses),
         },
     })
 }
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -80,8 +80,8 @@
     ]
 }
 
-/// Runs a scenario with each number of edges and with `seeds` seeds, on `threads` threads. `progress` is called with the
-/// number of finished runs.
+/// Runs a scenario with each number of edges and with `seeds` seeds, on `threads` threads. `progress` is called with
+/// the number of finished runs.
 ///
 /// # Errors
 /// A run could not be set up.
