--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -74,7 +74,7 @@
                 "--number",
                 &n.to_string(),
             ]);
-            command.args(["--edges", &scenario.told_edges().to_string()]);
+            command.args(["--edges", &scenario.configured_edges().to_string()]);
             command.args([
                 "--seed",
                 &start.seed.wrapping_add(n as u64 * 101).to_string(),
@@ -179,7 +179,10 @@
     let outcome = play(&mut environment, &recording).map_err(|e| e.to_string())?;
     eprintln!();
     let log = &recording.0.borrow().log;
-    let processes = log.waits.iter().filter(|(name, _)| *name != RUNNER);
+    let processes = log
+        .scheduling_delays
+        .iter()
+        .filter(|(name, _)| *name != RUNNER);
     let waited = processes
         .map(|(_, waits)| waits.worst_second())
         .max()
@@ -243,8 +246,8 @@
             "{} edges: in time {}, at least 90% in time from second {}, rules violated {}",
             size.edges,
             format_range(size.service, 3),
-            format_range(size.from, 1),
-            size.broken
+            format_range(size.recovered_at, 1),
+            size.violations
         );
         for (name, value) in &size.worst {
             println!("    {name}: {}", format_range(*value, 0));
@@ -260,7 +263,7 @@
         sanddrum_lab::plot_sizes(folder, &name, &all)
     });
     match plotted {
-        Ok(()) => ExitCode::from(if all.iter().all(|size| size.broken == 0) {
+        Ok(()) => ExitCode::from(if all.iter().all(|size| size.violations == 0) {
             exit::SUCCESS
         } else {
             exit::CHECK_FAILED
@@ -389,7 +392,7 @@
                 faults.clone(),
             );
             with_faults(
-                list.with_endpoints(now, &scenario.list_rows(&workers)),
+                list.with_endpoints(now, &scenario.endpoint_records(&workers)),
                 faults,
             )
         }
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    hunt::Day, play, play_virtually, product_edge, report, EdgeMode, Environment, Experiment,
-    Outcome, Recording, Scenario, SocketEnvironment, BAD_DAY,
+    hunt::RandomScenario, play, play_virtually, product_edge, report, EdgeMode, Environment,
+    Experiment, Outcome, Recording, Scenario, SocketEnvironment, BAD_DAY,
 };
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Stdio};
@@ -166,7 +166,7 @@
         "--number",
         &n.to_string(),
         "--edges",
-        &scenario.told_edges().to_string(),
+        &scenario.configured_edges().to_string(),
     ]);
     command.stdin(Stdio::null());
     command
@@ -200,7 +200,7 @@
     let names: Vec<String> = scenario
         .calls
         .iter()
-        .map(|c| format!("{}/{}1", c.workload, c.prefix))
+        .map(|c| format!("{}/{}1", c.workload, c.function_prefix))
         .collect();
     let run_until_signal = || -> Result<(), String> {
         let folder = TemporaryFolder::new().map_err(|e| e.to_string())?;
@@ -256,7 +256,7 @@
                     folder_path.join("roots.pem").display()
                 ));
             }
-            if fleet.wallet.is_some() {
+            if fleet.token_issuer.is_some() {
                 let file = folder_path.join(fleet.scenario.settings.text("identity.keys-file"));
                 command
                     .arg("--set")
@@ -362,21 +362,21 @@
     let started = std::time::Instant::now();
     let (next, played, found) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let run_day = |seed: u64| -> Result<(), String> {
-        let day = Day::drawn(seed);
-        let (rules, _) = day.breaks().map_err(|e| format!("day {seed}: {e}"))?;
+        let day = RandomScenario::generate(seed);
+        let (rules, _) = day.violations().map_err(|e| format!("day {seed}: {e}"))?;
         played.fetch_add(1, Ordering::Relaxed);
         if rules.is_empty() {
             return Ok(());
         }
         found.fetch_add(1, Ordering::Relaxed);
-        let minimized = day.shrunk()?;
+        let minimized = day.shrink()?;
         std::fs::create_dir_all(&args.keep).map_err(|e| e.to_string())?;
         let file = args.keep.join(format!("day-{seed}.sx"));
         std::fs::write(&file, minimized.text()).map_err(|e| format!("{}: {e}", file.display()))?;
         println!(
             "{}: {} after {} runs",
             file.display(),
-            minimized.broken.join("; "),
+            minimized.violations.join("; "),
             minimized.runs
         );
         Ok(())
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -3,8 +3,8 @@
 use crate::{exit, fail};
 use clap::Args;
 use sanddrum_lab::{
-    limits_at, measure_edge, run_reconnect_load, write_line_chart, AtSize, ClientProtocol,
-    Dispatcher, EdgeMeasurement, LoadGenerator, LoadGeneratorSpec, LoadMeasurement, MeasureSpec,
+    measure_edge, measure_limits, run_reconnect_load, write_line_chart, ClientProtocol, Dispatcher,
+    EdgeMeasurement, LimitsResult, LoadGenerator, LoadGeneratorSpec, LoadMeasurement, MeasureSpec,
     Policy, ReconnectLoad, ReconnectLoadSpec, Series,
 };
 use sanddrum_net::{EventLoop, NullObserver};
@@ -375,26 +375,31 @@
     for edges in [10, 100, 300] {
         let mut plotted = Vec::new();
         for policy in [Policy::Seen, Policy::Even, Policy::None] {
-            let runs: Vec<AtSize> = (0..args.runs as u64)
-                .map(|seed| limits_at(edges, policy, seed))
+            let runs: Vec<LimitsResult> = (0..args.runs as u64)
+                .map(|seed| measure_limits(edges, policy, seed))
                 .collect();
-            let spread_of = |metric: &dyn Fn(&AtSize) -> f64| {
+            let spread_of = |metric: &dyn Fn(&LimitsResult) -> f64| {
                 format_spread(spread(runs.iter().map(metric).collect()))
             };
             let moved: Vec<String> = (0..8)
-                .map(|n| format!("{:.2}", spread(runs.iter().map(|r| r.moved[n]).collect()).1))
+                .map(|n| {
+                    format!(
+                        "{:.2}",
+                        spread(runs.iter().map(|r| r.moved_over_limit[n]).collect()).1
+                    )
+                })
                 .collect();
-            let back = spread_of(&|r| r.back.unwrap_or(f64::INFINITY));
+            let back = spread_of(&|r| r.recovery_seconds.unwrap_or(f64::INFINITY));
             println!(
                 "  {edges:3} edges, {policy:?}: honest customer during a flood {}; rate limit over all edges {}, at one edge {}; after moving, by second {}; lent quota back after {back} s",
-                spread_of(&|r| r.honest), spread_of(&|r| r.spread), spread_of(&|r| r.at_one), moved.join(" ")
+                spread_of(&|r| r.honest_fraction), spread_of(&|r| r.spread_over_limit), spread_of(&|r| r.single_edge_over_limit), moved.join(" ")
             );
             let name = match policy {
                 Policy::Seen => "decision module",
                 Policy::Even => "even split",
                 Policy::None => continue,
             };
-            let median = |n: usize| spread(runs.iter().map(|r| r.moved[n]).collect()).1;
+            let median = |n: usize| spread(runs.iter().map(|r| r.moved_over_limit[n]).collect()).1;
             let points = (0..8)
                 .map(|n| (n as f64 + 1.0, (median(n) - 1.0).abs()))
                 .collect();
--- a/crates/sanddrum-lab/src/capacity/real_edge.rs
+++ b/crates/sanddrum-lab/src/capacity/real_edge.rs
@@ -139,7 +139,7 @@
     scenario
         .calls
         .iter_mut()
-        .for_each(|calls| calls.exact = true);
+        .for_each(|calls| calls.exact_hints = true);
     let observed: Shared = Rc::new(RefCell::new(ObservedEdge::default()));
     let (recording, shared) = (Recording::default(), observed.clone());
     let make_edge = move |start: EdgeOptions| -> Box<dyn Core> {
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -1,7 +1,7 @@
-//! Judges the five rules, and that nothing was lost, from recorded traffic alone.
+//! Checks the five rules, and that no request is lost, from recorded traffic alone.
 
-use crate::recorder::{Log, Run, Try};
-use crate::scenario::{Calls, Scenario};
+use crate::recorder::{ClientAttempt, Execution, Log};
+use crate::scenario::{Scenario, WorkloadTraffic};
 use crate::scheduling_delay::{SchedulingDelays, RUNNER};
 use hdrhistogram::Histogram;
 use sanddrum_net::Micros;
@@ -9,266 +9,288 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A rule that was broken, once, and how.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
-    /// 1 to 5 as the users number them; nought for an account that does not add up.
+pub struct Violation {
+    /// 1 to 5 as the users number the rules; 0 for a violation of none of them, such as a call under a revoked key.
     pub rule: u8,
     pub at: Micros,
-    pub what: String,
+    pub description: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "rule {} at {:.3} s: {}",
             self.rule,
             self.at as f64 / 1e6,
-            self.what
+            self.description
         )
     }
 }
 
+/// The result of a check: the counts of client attempts by their outcome, the violations and the service level.
 pub struct Verdict {
-    pub taken: u64,
+    pub accepted: u64,
     pub finished: u64,
-    pub pushed_back: u64,
-    pub killed: u64,
-    /// What an edge held when it was killed; its clients may try again.
+    pub rejected: u64,
+    pub failed: u64,
+    /// Attempts in flight at an edge that was killed or paused; their clients may retry.
     pub lost_with_edge: u64,
-    /// Calls of which nothing reached any edge.
+    /// Calls that reached no edge.
     pub unreached: u64,
-    pub broken: Vec<Broken>,
-    /// Importance answered within the start target over importance asked.
+    pub violations: Vec<Violation>,
+    /// The importance of the calls that were answered within their start target, as a fraction of that of all calls.
     pub service: f64,
     pub latency: Histogram<u64>,
-    /// For each customer: calls asked, and those of them in time.
+    /// For each customer: the number of calls, and of those answered in time.
     pub customers: BTreeMap<String, (u64, u64)>,
-    /// For each second: calls begun, and those of them in time.
+    /// For each second: the number of calls started, and of those answered in time.
     pub seconds: Vec<(u32, u32)>,
 }
 
-/// Broken rules told of one kind; the rest is only counted.
-const TOLD: usize = 100;
+/// The most violations that a verdict lists; later ones are dropped.
+const MAX_VIOLATIONS: usize = 100;
 
-struct Judge<'a> {
+struct Checker<'a> {
     log: &'a Log,
     scenario: &'a Scenario,
-    workloads: BTreeMap<&'a str, &'a Calls>,
-    /// What a message takes on its way at most, for comparing times at two ends.
+    workloads: BTreeMap<&'a str, &'a WorkloadTraffic>,
+    /// The longest time that a message may be in transit, for comparing times at its two ends.
     slack: Micros,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
 }
 
-/// Judges a log that began at `start`; `slack` is what a message takes on its way at most.
-pub fn judge(log: &Log, scenario: &Scenario, start: Micros, slack: Micros) -> Verdict {
+/// Checks a log that began at `start`; `slack` is the longest time that a message may be in transit.
+pub fn check_log(log: &Log, scenario: &Scenario, start: Micros, slack: Micros) -> Verdict {
     let workloads = scenario
         .calls
         .iter()
         .map(|c| (c.workload.as_str(), c))
         .collect();
-    let mut judge = Judge {
+    let mut checker = Checker {
         log,
         scenario,
         workloads,
         slack,
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
-    let mut verdict = judge.answers(start);
-    judge.sent_after_the_answer();
-    judge.effects();
-    judge.drains();
-    judge.cold();
-    judge.ration();
-    judge.revoked_keys();
-    judge.broken.sort_by_key(|b| (b.at, b.rule));
-    judge.broken.iter_mut().for_each(|b| b.at -= start);
-    judge.broken.truncate(TOLD);
-    verdict.broken = judge.broken;
+    let mut verdict = checker.answers(start);
+    checker.executions_after_answer();
+    checker.duplicate_executions();
+    checker.use_after_drain();
+    checker.cold_worker_load();
+    checker.load_command_rate();
+    checker.revoked_keys();
+    checker.violations.sort_by_key(|b| (b.at, b.rule));
+    checker.violations.iter_mut().for_each(|b| b.at -= start);
+    checker.violations.truncate(MAX_VIOLATIONS);
+    verdict.violations = checker.violations;
     verdict
 }
 
-impl Judge<'_> {
-    fn breaks(&mut self, rule: u8, at: Micros, what: String) {
-        self.broken.push(Broken { rule, at, what });
+impl Checker<'_> {
+    fn add_violation(&mut self, rule: u8, at: Micros, description: String) {
+        self.violations.push(Violation {
+            rule,
+            at,
+            description,
+        });
     }
-    /// Whether the edge was down, or stood still, at some time between.
+    /// Whether the edge was down or paused at any time between `from` and `to`.
     fn down(&self, edge: &str, from: Micros, to: Micros) -> bool {
-        let all = self.log.down.iter().chain(&self.log.stopped);
-        let mut spells = all.filter(|(name, ..)| name == edge);
-        spells.any(|(_, down, up)| {
+        let all = self.log.edge_downtime.iter().chain(&self.log.edge_pauses);
+        let mut outages = all.filter(|(name, ..)| name == edge);
+        outages.any(|(_, down, up)| {
             *down <= to + self.slack && up.is_none_or(|up| up >= from - self.slack)
         })
     }
 
-    /// Whether the edges are processes that were looked at.
-    fn watched(&self) -> bool {
-        !self.log.waits.is_empty()
+    /// Whether the edges are processes whose scheduling delays were recorded.
+    fn has_scheduling_delays(&self) -> bool {
+        !self.log.scheduling_delays.is_empty()
     }
-    /// How long an answer may have been held up: where processes are watched, by what its link is made late, and by
-    /// what its edge and this process are seen to have waited as the call was read and as its answer was due.
-    fn held_up(&self, t: &Try, came: Micros) -> Micros {
-        if !self.watched() {
+    /// How late an answer may be without a violation. If scheduling delays were recorded: the delay of its link, plus
+    /// what its edge and the lab's process waited for a processor while the request was read and its answer was due.
+    fn allowed_delay(&self, t: &ClientAttempt, received_at: Micros) -> Micros {
+        if !self.has_scheduling_delays() {
             return self.slack;
         }
         let of = |name: &str, from, to| {
             self.log
-                .waits
+                .scheduling_delays
                 .get(name)
                 .map_or(0, |w: &SchedulingDelays| w.between(from, to))
         };
-        // Our loop carries a call once on its way to the edge, and its answer twice: from the edge, and to the client.
+        // The lab's event loop handles a request once on its way to the edge, and its answer twice: from the edge, and
+        // to the client.
         let waited = |ours, from, to| ours * of(RUNNER, from, to) + of(&t.edge, from, to);
         let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
-        let reading = waited(1, t.sent, t.sent + ahead);
-        let reading = waited(1, t.sent, t.sent + reading.max(ahead));
-        self.slack - self.log.holds_up + reading + waited(2, t.sent + t.limit - ahead, came)
+        let reading = waited(1, t.sent_at, t.sent_at + ahead);
+        let reading = waited(1, t.sent_at, t.sent_at + reading.max(ahead));
+        self.slack - self.log.max_scheduling_delay
+            + reading
+            + waited(2, t.sent_at + t.time_limit - ahead, received_at)
     }
-    /// Rule 1, and the account.
+    /// Rule 1 (each request gets exactly one answer, in time), and the counts of the verdict.
     fn answers(&mut self, start: Micros) -> Verdict {
         let latency = Histogram::new_with_max(60_000_000, 3);
-        let mut latency =
-            latency.unwrap_or_else(|_| unreachable!("a minute in three digits is within bounds"));
+        let mut latency = latency.unwrap_or_else(|_| {
+            unreachable!("one minute with three digits is a valid histogram range")
+        });
         latency.auto(true);
         let mut verdict = Verdict {
-            taken: 0,
+            accepted: 0,
             finished: 0,
-            pushed_back: 0,
-            killed: 0,
+            rejected: 0,
+            failed: 0,
             lost_with_edge: 0,
             unreached: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
             service: 0.0,
             latency,
             customers: BTreeMap::new(),
             seconds: Vec::new(),
         };
-        let mut refused = 0;
-        for t in &self.log.tries {
-            verdict.taken += 1;
+        let mut other = 0;
+        for t in &self.log.client_attempts {
+            verdict.accepted += 1;
             let name = format!("call {} try {} at {}", t.call, t.number, t.edge);
             if t.answers.len() > 1 {
-                self.breaks(
+                self.add_violation(
                     1,
                     t.answers[1].0,
                     format!("{name} got {} answers", t.answers.len()),
                 );
             }
-            // What a process answered too late, as clients that stay see it, counts as no answer where it stood still.
-            let late = |at: Micros| at > t.sent + t.limit + self.held_up(t, at);
-            let stood_still =
-                |at| self.watched() && late(at) && self.down(&t.edge, t.sent, t.sent + t.limit);
+            // An answer that a paused process sent too late counts as no answer; clients that keep waiting see it.
+            let late = |at: Micros| at > t.sent_at + t.time_limit + self.allowed_delay(t, at);
+            let was_paused = |at| {
+                self.has_scheduling_delays()
+                    && late(at)
+                    && self.down(&t.edge, t.sent_at, t.sent_at + t.time_limit)
+            };
             match t.answers.first() {
-                Some((at, _)) if stood_still(*at) => verdict.lost_with_edge += 1,
+                Some((at, _)) if was_paused(*at) => verdict.lost_with_edge += 1,
                 Some((at, status)) => {
                     match status {
                         200 => verdict.finished += 1,
-                        // Refused for who asks: it has not run, and the client was told.
-                        401 | 403 | 503 => verdict.pushed_back += 1,
-                        502 | 504 => verdict.killed += 1,
-                        _ => refused += 1,
+                        // Rejected, also by authorization: it has not run, and the client knows that.
+                        401 | 403 | 503 => verdict.rejected += 1,
+                        502 | 504 => verdict.failed += 1,
+                        _ => other += 1,
                     }
                     if late(*at) {
-                        let (late, held) = (at - t.sent - t.limit, self.held_up(t, *at));
+                        let (late, held) =
+                            (at - t.sent_at - t.time_limit, self.allowed_delay(t, *at));
                         let what = format!(
-                            "{name} was answered {late} us after its client's time, held up {held}"
+                            "{name} was answered {late} us after its time limit; allowed delay {held} us"
                         );
-                        self.breaks(1, *at, what);
+                        self.add_violation(1, *at, what);
                     }
                 }
-                None if self.down(&t.edge, t.sent, t.broken.unwrap_or(t.sent + t.limit)) => {
+                None if self.down(
+                    &t.edge,
+                    t.sent_at,
+                    t.closed_at.unwrap_or(t.sent_at + t.time_limit),
+                ) =>
+                {
                     verdict.lost_with_edge += 1
                 }
-                // Its client left before the machine let an edge answer: it was not taken.
-                None if t.limit < self.log.holds_up => verdict.taken -= 1,
+                // Its client left before the machine necessarily let an edge answer, so it doesn't count as accepted.
+                None if t.time_limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
                 None => {
-                    let at = t.broken.unwrap_or(t.sent + t.limit);
-                    self.breaks(
+                    let at = t.closed_at.unwrap_or(t.sent_at + t.time_limit);
+                    self.add_violation(
                         1,
                         at,
                         format!(
-                            "{name} got no answer in the {} us its client waited",
-                            at - t.sent
+                            "{name} got no answer in the {} us that its client waited",
+                            at - t.sent_at
                         ),
                     );
                 }
             }
         }
-        verdict.taken -= refused;
+        verdict.accepted -= other;
         self.service(start, &mut verdict);
         verdict
     }
 
-    /// A call is served if one of its tries finished within the start target of its beginning.
+    /// A call is served if one of its attempts finished within the start target, counted from the start of the call.
     fn service(&self, start: Micros, verdict: &mut Verdict) {
-        let mut calls: BTreeMap<u64, Vec<&Try>> = BTreeMap::new();
+        let mut calls: BTreeMap<u64, Vec<&ClientAttempt>> = BTreeMap::new();
         self.log
-            .tries
+            .client_attempts
             .iter()
             .for_each(|t| calls.entry(t.call).or_default().push(t));
-        let (mut asked, mut earned) = (0.0, 0.0);
-        for tries in calls.values() {
-            let Some(first) = tries.first() else { continue };
-            let Some(calls) = self.workloads.get(first.workload.as_str()) else {
+        let (mut total, mut served) = (0.0, 0.0);
+        for attempts in calls.values() {
+            let Some(first) = attempts.first() else {
+                continue;
+            };
+            let Some(traffic) = self.workloads.get(first.workload.as_str()) else {
                 continue;
             };
-            asked += calls.importance;
-            let finished = tries
+            total += traffic.importance;
+            let finished = attempts
                 .iter()
                 .flat_map(|t| &t.answers)
                 .find(|(_, status)| *status == 200);
-            let latency = finished.map(|(at, _)| at - first.began);
-            let in_time = latency.is_some_and(|l| l <= calls.start_target);
+            let latency = finished.map(|(at, _)| at - first.call_started_at);
+            let in_time = latency.is_some_and(|l| l <= traffic.start_target);
             if in_time {
-                earned += calls.importance;
+                served += traffic.importance;
             }
             if let Some(l) = latency {
-                // An auto-resizing histogram takes any span.
+                // An auto-resizing histogram accepts any value.
                 let _ = verdict.latency.record(l.max(0) as u64);
             }
             if let Some(customer) = &first.customer {
                 let of = verdict.customers.entry(customer.clone()).or_default();
                 *of = (of.0 + 1, of.1 + u64::from(in_time));
             }
-            let second = ((first.began - start) / 1_000_000).max(0) as usize;
+            let second = ((first.call_started_at - start) / 1_000_000).max(0) as usize;
             if verdict.seconds.len() <= second {
                 verdict.seconds.resize(second + 1, (0, 0));
             }
             verdict.seconds[second].0 += 1;
             verdict.seconds[second].1 += u32::from(in_time);
         }
-        // Calls are numbered through, so what is missing was asked and never got to an edge.
+        // Calls are numbered consecutively, so a missing number is a call that never reached an edge.
         let numbered = calls.last_key_value().map_or(0, |(last, _)| last + 1);
         verdict.unreached = numbered - calls.len() as u64;
-        asked *= numbered as f64 / calls.len().max(1) as f64;
-        verdict.service = if asked > 0.0 { earned / asked } else { 1.0 };
+        total *= numbered as f64 / calls.len().max(1) as f64;
+        verdict.service = if total > 0.0 { served / total } else { 1.0 };
     }
 
-    /// Rule 1: nothing more is sent for a job that has its final answer.
-    fn sent_after_the_answer(&mut self) {
+    /// Rule 1: no execution is sent for a request that has its final answer.
+    fn executions_after_answer(&mut self) {
         let answered: BTreeMap<(u64, u32), Micros> = self
             .log
-            .tries
+            .client_attempts
             .iter()
             .filter_map(|t| t.answers.first().map(|(at, _)| ((t.call, t.number), *at)))
             .collect();
-        for run in &self.log.runs {
-            let Some(at) = answered.get(&(run.call, run.number)) else {
+        for execution in &self.log.executions {
+            let Some(at) = answered.get(&(execution.call, execution.number)) else {
                 continue;
             };
-            if run.came > at + self.slack {
-                let (call, n, late) = (run.call, run.number, run.came - at);
+            if execution.received_at > at + self.slack {
+                let (call, n, late) =
+                    (execution.call, execution.number, execution.received_at - at);
                 let what =
-                    format!("call {call} try {n} went to a worker {late} us after its answer");
-                self.breaks(1, run.came, what);
+                    format!("call {call} try {n} was sent to a worker {late} us after its answer");
+                self.add_violation(1, execution.received_at, what);
             }
         }
     }
 
-    /// Rule 2. An execution that reached a worker may have run unless the worker had answered that it did not.
-    fn effects(&mut self) {
-        let not_run = |run: &Run, by: Micros| {
+    /// Rule 2: a request is executed again only if its effect allows that. An execution that reached a worker may have
+    /// run, unless the worker had answered that it did not.
+    fn duplicate_executions(&mut self) {
+        let has_not_run = |execution: &Execution, by: Micros| {
             let no = |e: &ExecutionStatus| {
                 matches!(
                     e,
@@ -277,18 +299,21 @@
                         | ExecutionStatus::Dropped
                 )
             };
-            run.answers
+            execution
+                .answers
                 .first()
                 .is_some_and(|(at, ended)| *at <= by && no(ended))
         };
-        let mut runs: BTreeMap<(u64, u32), Vec<&Run>> = BTreeMap::new();
-        self.log
-            .runs
-            .iter()
-            .for_each(|run| runs.entry((run.call, run.number)).or_default().push(run));
-        let pushed_back: BTreeMap<(u64, u32), Micros> = self
+        let mut executions: BTreeMap<(u64, u32), Vec<&Execution>> = BTreeMap::new();
+        self.log.executions.iter().for_each(|execution| {
+            executions
+                .entry((execution.call, execution.number))
+                .or_default()
+                .push(execution)
+        });
+        let rejected: BTreeMap<(u64, u32), Micros> = self
             .log
-            .tries
+            .client_attempts
             .iter()
             .filter_map(|t| {
                 t.answers
@@ -297,235 +322,252 @@
                     .map(|(at, _)| ((t.call, t.number), *at))
             })
             .collect();
-        let mut broken = Vec::new();
-        for (id, runs) in &runs {
-            let Some(calls) = runs
+        let mut violations = Vec::new();
+        for (id, executions) in &executions {
+            let Some(traffic) = executions
                 .first()
-                .and_then(|run| self.workloads.get(run.workload.as_str()))
+                .and_then(|execution| self.workloads.get(execution.workload.as_str()))
             else {
                 continue;
             };
-            let mut runs = runs.clone();
-            runs.sort_by_key(|run| run.came);
-            let name = format!("call {} try {} ({})", id.0, id.1, calls.effect);
-            for (n, later) in runs.iter().enumerate() {
-                let Some(earlier) = runs[..n].iter().find(|run| !not_run(run, later.came)) else {
+            let mut executions = executions.clone();
+            executions.sort_by_key(|execution| execution.received_at);
+            let name = format!("call {} try {} ({})", id.0, id.1, traffic.effect);
+            for (n, later) in executions.iter().enumerate() {
+                let Some(earlier) = executions[..n]
+                    .iter()
+                    .find(|execution| !has_not_run(execution, later.received_at))
+                else {
                     continue;
                 };
-                let allowed = match calls.effect.as_str() {
+                let allowed = match traffic.effect.as_str() {
                     "restartable" => true,
                     "fingerprinted" => {
-                        let in_group =
-                            self.group(calls, earlier.worker) == self.group(calls, later.worker);
-                        in_group && later.came < earlier.came + calls.repeat_window + self.slack
+                        let in_group = self.group(traffic, earlier.worker)
+                            == self.group(traffic, later.worker);
+                        in_group
+                            && later.received_at
+                                < earlier.received_at + traffic.repeat_window + self.slack
                     }
                     _ => false,
                 };
                 if !allowed {
                     let (from, to) = (earlier.worker, later.worker);
-                    broken.push((
-                        later.came,
-                        format!("{name} went to worker {to} when it may have run at {from}"),
+                    violations.push((
+                        later.received_at,
+                        format!("{name} was sent to worker {to} although it may have run at worker {from}"),
                     ));
                 }
             }
-            let harmless = calls.effect == "restartable"
-                || (calls.effect == "fingerprinted" && calls.group == "all");
-            if let Some(at) = pushed_back.get(id).filter(|_| !harmless) {
-                if runs.iter().any(|run| !not_run(run, *at)) {
-                    broken.push((*at, format!("{name} was pushed back when it may have run")));
+            let harmless = traffic.effect == "restartable"
+                || (traffic.effect == "fingerprinted" && traffic.group == "all");
+            if let Some(at) = rejected.get(id).filter(|_| !harmless) {
+                if executions
+                    .iter()
+                    .any(|execution| !has_not_run(execution, *at))
+                {
+                    violations.push((*at, format!("{name} was rejected although it may have run")));
                 }
             }
         }
-        broken
+        violations
             .into_iter()
-            .for_each(|(at, what)| self.breaks(2, at, what));
+            .for_each(|(at, what)| self.add_violation(2, at, what));
     }
-    fn group(&self, calls: &Calls, worker: usize) -> usize {
-        match calls.group.as_str() {
+    fn group(&self, traffic: &WorkloadTraffic, worker: usize) -> usize {
+        match traffic.group.as_str() {
             "zone" => self.scenario.zone_of(worker),
             "cell" => worker / self.scenario.settings.integer("fleet.cell-size").max(1),
             _ => 0,
         }
     }
 
-    /// Rule 3: nothing new to a worker that the edge was told drains or is gone, but for a grace.
-    fn drains(&mut self) {
-        let grace = self.scenario.grace() + self.slack;
-        let mut told: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
-        for t in &self.log.told {
-            told.entry((&t.edge, &t.worker))
+    /// Rule 3: an edge sends nothing new to a worker that it knows is draining or gone, after a grace period.
+    fn use_after_drain(&mut self) {
+        let grace = self.scenario.drain_grace() + self.slack;
+        let mut updates_by_worker: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
+        for t in &self.log.endpoint_updates {
+            updates_by_worker
+                .entry((&t.edge, &t.worker))
                 .or_default()
                 .push((t.at, t.phase == Phase::Ready));
         }
         let sent = self
             .log
-            .runs
+            .executions
             .iter()
-            .map(|r| (r.came, r.worker, &r.edge, "a job"));
-        let ordered = self
+            .map(|r| (r.received_at, r.worker, &r.edge, "a request"));
+        let commands = self
             .log
-            .orders
+            .load_commands
             .iter()
-            .map(|o| (o.came, o.worker, &o.edge, "an order to load"));
-        let mut broken = Vec::new();
-        for (came, worker, edge, what) in sent.chain(ordered) {
+            .map(|o| (o.received_at, o.worker, &o.edge, "a load command"));
+        let mut violations = Vec::new();
+        for (received_at, worker, edge, what) in sent.chain(commands) {
             let name = Scenario::worker_name(worker);
-            let Some(words) = told.get(&(edge.as_str(), name.as_str())) else {
+            let Some(updates) = updates_by_worker.get(&(edge.as_str(), name.as_str())) else {
                 continue;
             };
-            // The last word that it was fit, and the first after it that it was not.
-            let before = words.iter().take_while(|(at, _)| *at <= came);
-            let fit = before
+            // The last update that it was ready, and the first one after it that it was not.
+            let before = updates.iter().take_while(|(at, _)| *at <= received_at);
+            let ready_since = before
                 .clone()
                 .filter(|(_, ready)| *ready)
                 .map(|(at, _)| *at)
                 .last()
                 .unwrap_or(Micros::MIN);
-            let unfit = before
-                .filter(|(at, ready)| !*ready && *at > fit)
+            let unavailable_since = before
+                .filter(|(at, ready)| !*ready && *at > ready_since)
                 .map(|(at, _)| *at)
                 .next();
-            if let Some(at) = unfit.filter(|at| came > at + grace) {
-                let late = came - at;
-                broken.push((
-                    came,
-                    format!("{edge} sent {what} to {name} {late} us after word that it drains or is gone"),
+            if let Some(at) = unavailable_since.filter(|at| received_at > at + grace) {
+                let late = received_at - at;
+                violations.push((
+                    received_at,
+                    format!("{edge} sent {what} to {name} {late} us after the update that it is draining or gone"),
                 ));
             }
         }
-        broken
+        violations
             .into_iter()
-            .for_each(|(at, what)| self.breaks(3, at, what));
+            .for_each(|(at, what)| self.add_violation(3, at, what));
     }
 
-    /// Rule 4: what reached a cold worker from all edges, against what it bears.
-    fn cold(&mut self) {
+    /// Rule 4: the work that all edges together send to a cold worker stays within what it can bear.
+    fn cold_worker_load(&mut self) {
         let l = &self.scenario.settings;
-        let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
-        let (multiple, fall) = (
+        let (cold_time, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
+        let (multiple, window) = (
             l.number("rules.fall-multiple"),
             l.duration_us("rules.fall-us"),
         );
-        let mut broken = Vec::new();
-        for (worker, started) in &self.log.starts {
+        let mut violations = Vec::new();
+        for (worker, started) in &self.log.worker_starts {
             let spec = self.scenario.worker(*worker, "", "", "");
             let capacity = spec.size();
-            let mut came: Vec<(Micros, f64)> = self
+            let mut arrivals: Vec<(Micros, f64)> = self
                 .log
-                .runs
+                .executions
                 .iter()
-                .filter(|r| r.worker == *worker && (*started..started + cold).contains(&r.came))
+                .filter(|r| {
+                    r.worker == *worker && (*started..started + cold_time).contains(&r.received_at)
+                })
                 .filter_map(|r| {
                     self.workloads
                         .get(r.workload.as_str())
-                        .map(|c| (r.came, c.work as f64))
+                        .map(|c| (r.received_at, c.mean_work as f64))
                 })
                 .collect();
-            came.sort_by_key(|(at, _)| *at);
+            arrivals.sort_by_key(|(at, _)| *at);
             let mut first = 0;
             let mut sum = 0.0;
-            for (at, work) in &came {
+            for (at, work) in &arrivals {
                 sum += work;
-                while came[first].0 <= at - fall {
-                    sum -= came[first].1;
+                while arrivals[first].0 <= at - window {
+                    sum -= arrivals[first].1;
                     first += 1;
                 }
-                let part = from + (1.0 - from) * (at - started) as f64 / cold.max(1) as f64;
-                let bears = multiple * part * capacity * fall as f64;
-                if sum > bears {
-                    broken.push((
+                let part = from + (1.0 - from) * (at - started) as f64 / cold_time.max(1) as f64;
+                let capacity_in_window = multiple * part * capacity * window as f64;
+                if sum > capacity_in_window {
+                    violations.push((
                         *at,
-                        format!("worker {worker} got {sum:.0} us of work while cold; it bears {bears:.0}"),
+                        format!("worker {worker} got {sum:.0} us of work while cold; it can bear {capacity_in_window:.0}"),
                     ));
                     break;
                 }
             }
         }
-        broken
+        violations
             .into_iter()
-            .for_each(|(at, what)| self.breaks(4, at, what));
+            .for_each(|(at, what)| self.add_violation(4, at, what));
     }
 
-    /// No call is taken under a key that was revoked, once every edge has had time to hear of it.
+    /// No call is accepted under a revoked key, once the revocation has had time to reach every edge.
     fn revoked_keys(&mut self) {
-        let mut broken = Vec::new();
-        for t in &self.log.tries {
+        let mut violations = Vec::new();
+        for t in &self.log.client_attempts {
             let since = t.key.as_ref().and_then(|key| self.log.revoked.get(key));
-            let taken = t
+            let accepted = t
                 .answers
                 .first()
                 .is_none_or(|(_, status)| !matches!(status, 401 | 403 | 503));
-            if let Some(since) = since.filter(|since| t.sent > **since && taken) {
-                let late = t.sent - since;
-                broken.push((
-                    t.sent,
+            if let Some(since) = since.filter(|since| t.sent_at > **since && accepted) {
+                let late = t.sent_at - since;
+                violations.push((
+                    t.sent_at,
                     format!(
-                        "call {} was taken under a revoked key, {late} us late",
+                        "call {} was accepted under a revoked key, {late} us after its revocation took effect",
                         t.call
                     ),
                 ));
             }
         }
-        broken
+        violations
             .into_iter()
-            .for_each(|(at, what)| self.breaks(0, at, what));
+            .for_each(|(at, what)| self.add_violation(0, at, what));
     }
 
-    /// Rule 5: orders to load against jobs taken, by edge. One that was killed knows nothing of what it ordered before,
-    /// and begins anew.
-    fn ration(&mut self) {
+    /// Rule 5: the load commands of each edge stay within the allowance for the requests that it received. An edge that
+    /// was killed doesn't remember its earlier load commands and starts from zero.
+    fn load_command_rate(&mut self) {
         let l = &self.scenario.settings;
         let window = l.duration_us("copies.load-window-us");
         if window == 0 {
             return;
         }
         let (free, share) = (l.number("copies.load-free"), l.number("copies.load-share"));
-        let edges: BTreeSet<&str> = self.log.orders.iter().map(|o| o.edge.as_str()).collect();
-        let mut broken = Vec::new();
+        let edges: BTreeSet<&str> = self
+            .log
+            .load_commands
+            .iter()
+            .map(|o| o.edge.as_str())
+            .collect();
+        let mut violations = Vec::new();
         for edge in edges {
-            let mut orders: Vec<Micros> = self
+            let mut commands: Vec<Micros> = self
                 .log
-                .orders
+                .load_commands
                 .iter()
                 .filter(|o| o.edge == edge)
-                .map(|o| o.came)
+                .map(|o| o.received_at)
                 .collect();
-            let mut taken: Vec<Micros> = self
+            let mut attempts: Vec<Micros> = self
                 .log
-                .tries
+                .client_attempts
                 .iter()
                 .filter(|t| t.edge == edge)
-                .map(|t| t.sent)
+                .map(|t| t.sent_at)
                 .collect();
             let starts: Vec<Micros> = self
                 .log
-                .down
+                .edge_downtime
                 .iter()
                 .filter(|(down, ..)| down == edge)
                 .filter_map(|(.., until)| *until)
                 .collect();
-            orders.sort_unstable();
-            taken.sort_unstable();
-            for (n, at) in orders.iter().enumerate() {
-                // Both are seen at the far ends, so each window is drawn in the edge's favour by the way there.
-                let begun = starts.iter().filter(|start| *start <= at).max();
-                let since =
-                    (at - window + self.slack).max(begun.map_or(Micros::MIN, |start| start - 1));
-                let ordered = n + 1 - orders.partition_point(|o| *o <= since);
-                let jobs = taken.partition_point(|t| t <= at)
-                    - taken.partition_point(|t| *t <= at - window - self.slack);
-                let allowed = free + share * jobs as f64;
-                if ordered as f64 > allowed {
-                    broken.push((
+            commands.sort_unstable();
+            attempts.sort_unstable();
+            for (n, at) in commands.iter().enumerate() {
+                // Both are recorded at the remote ends, so each window is adjusted by the
+                // transit time in the edge's favour.
+                let last_start = starts.iter().filter(|start| *start <= at).max();
+                let since = (at - window + self.slack)
+                    .max(last_start.map_or(Micros::MIN, |start| start - 1));
+                let commands_in_window = n + 1 - commands.partition_point(|o| *o <= since);
+                let attempts_in_window = attempts.partition_point(|t| t <= at)
+                    - attempts.partition_point(|t| *t <= at - window - self.slack);
+                let allowed = free + share * attempts_in_window as f64;
+                if commands_in_window as f64 > allowed {
+                    violations.push((
                         *at,
-                        format!("{edge} gave {ordered} orders to load in a window that allows {allowed:.1}"),
+                        format!("{edge} sent {commands_in_window} load commands in a window that allows {allowed:.1}"),
                     ));
                 }
             }
         }
-        broken
+        violations
             .into_iter()
-            .for_each(|(at, what)| self.breaks(5, at, what));
+            .for_each(|(at, what)| self.add_violation(5, at, what));
     }
 }
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The cores of a scenario, made as they are needed, with the handles through which it scripts their faults.
+//! Creates the cores of a scenario's processes, and holds the handles through which the scenario injects their faults.
 
-use crate::callers::{Callers, Mood};
+use crate::callers::{Callers, TrafficOverrides};
 use crate::plaintext_capture::{tls_limits, Authority, PlaintextCapture};
 use crate::recorder::{Recording, Role};
 use crate::scenario::Scenario;
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A part of the scene that can be struck.
+/// A process of a scenario, as the target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Who {
     Worker(usize),
@@ -26,6 +26,7 @@
     Callers,
 }
 
+/// The listen addresses of a scenario's processes.
 #[derive(Clone, Debug, Default)]
 pub struct Addresses {
     pub workers: Vec<String>,
@@ -34,30 +35,32 @@
     pub store: String,
 }
 
+/// The processes of a scenario, with what persists over their restarts.
 pub struct Fleet {
     pub scenario: Scenario,
     pub addresses: Addresses,
     pub workers: Vec<Shared<WorkerFaults>>,
     pub store: Shared<StoreFaults>,
     pub list: Shared<DiscoveryFaults>,
-    pub mood: Shared<Mood>,
-    /// Where callers show tokens.
-    pub wallet: Option<Shared<TokenIssuer>>,
-    /// Where workers are spoken to over TLS: who signs for them, and who did before while both are believed.
+    pub traffic_overrides: Shared<TrafficOverrides>,
+    /// Issues the clients' tokens, if the scenario uses tokens.
+    pub token_issuer: Option<Shared<TokenIssuer>>,
+    /// Signs the certificates of workers, if the scenario uses TLS to workers.
     pub authority: Option<Authority>,
-    former: Option<Authority>,
-    /// What each worker shows.
-    leaves: BTreeMap<usize, (Vec<u8>, Vec<u8>)>,
-    /// Workers that show what somebody else signed.
+    /// The authority before the last change, while edges trust both.
+    previous_authority: Option<Authority>,
+    /// The certificate chain and key of each worker.
+    worker_certificates: BTreeMap<usize, (Vec<u8>, Vec<u8>)>,
+    /// Workers that present a certificate of a foreign authority.
     pub impostors: BTreeSet<usize>,
     pub handshakes: Vec<Shared<HandshakeWork>>,
-    /// Where an oracle sees what is true of the workers.
+    /// Where workers publish their true state, if an oracle decides.
     pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
-    marks: Vec<Shared<IdempotencyKeys>>,
+    idempotency_keys: Vec<Shared<IdempotencyKeys>>,
     incarnations: Vec<u64>,
     edge_starts: Vec<u64>,
-    list_runs: u64,
+    discovery_starts: u64,
 }
 
 fn shared<T>(what: T) -> Shared<T> {
@@ -66,7 +69,7 @@
 
 impl Fleet {
     /// # Errors
-    /// No certificates can be made.
+    /// The certificate authority can't be created.
     pub fn new(
         scenario: Scenario,
         addresses: Addresses,
@@ -77,15 +80,15 @@
             _ => None,
         };
         let l = &scenario.settings;
-        let wallet = (l.text("identity.tokens") != "off").then(|| {
-            let (lasts, renewed) = (
+        let token_issuer = (l.text("identity.tokens") != "off").then(|| {
+            let (lifetime, renewal_interval) = (
                 l.duration_us("gateways.token-lasts-us"),
                 l.duration_us("gateways.renewed-every-us"),
             );
             shared(TokenIssuer::new(
                 l.text("identity.audience"),
-                lasts,
-                renewed,
+                lifetime,
+                renewal_interval,
                 scenario.seed,
             ))
         });
@@ -97,15 +100,15 @@
             .unwrap_or(0);
         Ok(Fleet {
             authority,
-            former: None,
-            leaves: BTreeMap::new(),
+            previous_authority: None,
+            worker_certificates: BTreeMap::new(),
             impostors: BTreeSet::new(),
             truth: None,
             handshakes: (0..scenario.workers)
                 .map(|_| {
-                    let takes = l.duration_us("fleet.handshake-us");
+                    let cost = l.duration_us("fleet.handshake-us");
                     shared(HandshakeWork {
-                        cost: takes,
+                        cost,
                         ..HandshakeWork::default()
                     })
                 })
@@ -116,20 +119,20 @@
                 .collect(),
             store: shared(StoreFaults::default()),
             list: shared(DiscoveryFaults::default()),
-            mood: shared(Mood::default()),
-            marks: (0..scenario.workers.max(1))
+            traffic_overrides: shared(TrafficOverrides::default()),
+            idempotency_keys: (0..scenario.workers.max(1))
                 .map(|_| shared(IdempotencyKeys::new(window)))
                 .collect(),
-            wallet,
+            token_issuer,
             incarnations: vec![1; scenario.workers],
             edge_starts: vec![0; scenario.edges],
-            list_runs: 0,
+            discovery_starts: 0,
             scenario,
             addresses,
         })
     }
-    /// Workers of one group know each other's marks.
-    fn marks_of(&self, n: usize) -> Shared<IdempotencyKeys> {
+    /// The idempotency keys that worker `n` knows; workers of one group share them.
+    fn idempotency_keys_of(&self, n: usize) -> Shared<IdempotencyKeys> {
         let groups: Vec<&str> = self
             .scenario
             .calls
@@ -143,12 +146,12 @@
         } else {
             0
         };
-        self.marks[group].clone()
+        self.idempotency_keys[group].clone()
     }
-    /// A worker that has run for long, or one that starts now, empty and cold.
+    /// Creates a worker that has run for long, or a `cold` one that starts now and is empty.
     ///
     /// # Errors
-    /// No certificate can be made for it.
+    /// Its certificate can't be created.
     pub fn worker(&mut self, n: usize, now: Micros, cold: bool) -> std::io::Result<Box<dyn Core>> {
         if cold {
             self.incarnations[n] += 1;
@@ -165,15 +168,15 @@
             started,
             self.incarnations[n],
             self.workers[n].clone(),
-            self.marks_of(n),
+            self.idempotency_keys_of(n),
         );
         let worker = match &self.truth {
             Some(truth) => worker.with_ground_truth(truth.clone()),
             None => worker,
         };
         let work = self.handshakes[n].clone();
-        let costs = work.borrow().cost > 0;
-        let worker = if costs {
+        let has_handshake_cost = work.borrow().cost > 0;
+        let worker = if has_handshake_cost {
             worker.with_handshakes(work.clone())
         } else {
             worker
@@ -181,30 +184,31 @@
         if self.authority.is_none() {
             return Ok(Box::new(worker));
         }
-        let papers = self.worker_papers(n)?;
-        // Recorded within its TLS, under a host beyond those of any driver.
+        let tls_material = self.worker_tls_material(n)?;
+        // Record the plaintext inside its TLS layer, under a host id that no driver uses.
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
         self.recording.0.borrow_mut().role(host, Role::Worker(n));
-        let rules = TlsOptions {
+        let options = TlsOptions {
             session_cache_size: l.integer("tls.sessions"),
             ..TlsOptions::default()
         };
-        let door = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
-        let tapped = PlaintextCapture::new(worker, host, self.recording.clone());
-        let layer = TlsLayer::new(tapped, tls_limits(l)).with_inbound(door);
+        let inbound =
+            ReloadableConfig::new(tls_material, options).map_err(std::io::Error::other)?;
+        let captured = PlaintextCapture::new(worker, host, self.recording.clone());
+        let layer = TlsLayer::new(captured, tls_limits(l)).with_inbound(inbound);
         let (cold, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
-        Ok(if costs {
+        Ok(if has_handshake_cost {
             Box::new(HandshakeQueue::new(layer, work, started, cold, from))
         } else {
             Box::new(layer)
         })
     }
-    /// What a worker shows, and whom it trusts.
+    /// The certificate of a worker and the roots that it trusts.
     ///
     /// # Errors
-    /// No certificate can be made for it.
-    pub fn worker_papers(&mut self, n: usize) -> std::io::Result<TlsMaterial> {
+    /// Its certificate can't be created.
+    pub fn worker_tls_material(&mut self, n: usize) -> std::io::Result<TlsMaterial> {
         let Some(authority) = &self.authority else {
             return Ok(TlsMaterial::default());
         };
@@ -213,97 +217,101 @@
             let foreign = Authority::new().map_err(std::io::Error::other)?;
             return foreign.tls_material(&name).map_err(std::io::Error::other);
         }
-        if let std::collections::btree_map::Entry::Vacant(leaf) = self.leaves.entry(n) {
-            leaf.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
+        if let std::collections::btree_map::Entry::Vacant(certificate) =
+            self.worker_certificates.entry(n)
+        {
+            certificate.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
         }
         Ok(TlsMaterial {
             roots: self.roots(),
-            certified_key: self.leaves.get(&n).cloned(),
+            certified_key: self.worker_certificates.get(&n).cloned(),
             ..TlsMaterial::default()
         })
     }
-    /// Whose word edges believe now.
+    /// The root certificates that edges trust now.
     pub fn roots(&self) -> Vec<u8> {
         self.authority
             .iter()
-            .chain(&self.former)
+            .chain(&self.previous_authority)
             .map(Authority::roots_pem)
             .collect::<String>()
             .into_bytes()
     }
-    /// Workers get new certificates, from the authority as it is now.
-    pub fn renew_leaves(&mut self) {
-        self.leaves.clear();
+    /// Discards the certificates of all workers; new ones are signed by the current authority.
+    pub fn renew_certificates(&mut self) {
+        self.worker_certificates.clear();
     }
-    /// A new authority takes over; the old one is believed as long as it is kept.
+    /// With `keep_old`, replaces the authority and keeps trusting the old one; without, stops trusting the old one.
     ///
     /// # Errors
-    /// No authority can be made.
-    pub fn change_authority(&mut self, keeps_old: bool) -> std::io::Result<()> {
-        if keeps_old && self.authority.is_some() {
-            self.former = self
+    /// The new authority can't be created.
+    pub fn change_authority(&mut self, keep_old: bool) -> std::io::Result<()> {
+        if keep_old && self.authority.is_some() {
+            self.previous_authority = self
                 .authority
                 .replace(Authority::new().map_err(std::io::Error::other)?);
         } else {
-            self.former = None;
+            self.previous_authority = None;
         }
         Ok(())
     }
-    /// An edge's core, within the TLS that it speaks to workers.
+    /// Wraps an edge's core in the TLS layer of its connections to workers.
     ///
     /// # Errors
-    /// The authority's certificate can't be read back.
-    pub fn within_tls(&self, edge: Box<dyn Core>) -> std::io::Result<Box<dyn Core>> {
+    /// The authority's certificate can't be parsed.
+    pub fn with_tls(&self, edge: Box<dyn Core>) -> std::io::Result<Box<dyn Core>> {
         if self.authority.is_none() {
             return Ok(edge);
         }
         let l = &self.scenario.settings;
-        let papers = TlsMaterial {
+        let tls_material = TlsMaterial {
             roots: self.roots(),
             ..TlsMaterial::default()
         };
-        let rules = TlsOptions {
+        let options = TlsOptions {
             session_cache_size: l.integer("tls.sessions"),
             ..TlsOptions::default()
         };
-        let calls = ReloadableConfig::new(papers, rules).map_err(std::io::Error::other)?;
+        let outbound =
+            ReloadableConfig::new(tls_material, options).map_err(std::io::Error::other)?;
         Ok(Box::new(
-            TlsLayer::new(edge, tls_limits(l)).with_outbound(calls),
+            TlsLayer::new(edge, tls_limits(l)).with_outbound(outbound),
         ))
     }
     pub fn store(&self) -> Box<dyn Core> {
         Box::new(Store::new(self.scenario.store(), self.store.clone()))
     }
     pub fn list(&mut self, now: Micros) -> Box<dyn Core> {
-        self.list_runs += 1;
-        let (seed, run) = (self.scenario.seed ^ 0x115, self.list_runs);
-        let rows = self.scenario.list_rows(&self.addresses.workers);
-        let service = DiscoveryService::new(self.scenario.list(), seed, run, self.list.clone());
-        Box::new(service.with_endpoints(now, &rows))
+        self.discovery_starts += 1;
+        let (seed, incarnation) = (self.scenario.seed ^ 0x115, self.discovery_starts);
+        let records = self.scenario.endpoint_records(&self.addresses.workers);
+        let service =
+            DiscoveryService::new(self.scenario.list(), seed, incarnation, self.list.clone());
+        Box::new(service.with_endpoints(now, &records))
     }
-    /// Callers, and how long they stay for an answer when their time is up.
-    pub fn callers(&self, patience: Micros) -> Box<dyn Core> {
+    /// Creates the clients; `extra_wait` is how long they wait for an answer beyond their time limit.
+    pub fn callers(&self, extra_wait: Micros) -> Box<dyn Core> {
         let seed = self.scenario.seed ^ 0xca11;
         let edges = self.addresses.edges.clone();
         let callers = Callers::new(
             &self.scenario,
             edges,
-            self.mood.clone(),
-            self.wallet.clone(),
+            self.traffic_overrides.clone(),
+            self.token_issuer.clone(),
             seed,
         );
-        Box::new(callers.patient(patience))
+        Box::new(callers.with_extra_wait(extra_wait))
     }
-    /// The key set as edges are to have it now.
+    /// The current key set, as edges should have it.
     pub fn keys(&self) -> Option<Vec<u8>> {
-        self.wallet
+        self.token_issuer
             .as_ref()
-            .map(|wallet| wallet.borrow().key_set.write())
+            .map(|token_issuer| token_issuer.borrow().key_set.write())
     }
-    /// An edge's settings and seed for its next start.
+    /// An edge's settings, seed and incarnation for its next start.
     ///
     /// # Errors
-    /// An address is none.
+    /// An address is invalid.
     pub fn edge(&mut self, n: usize) -> Result<(LoadedSettings, u64, u64), SettingsError> {
         self.edge_starts[n] += 1;
         let settings = self
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: scenarios with scripted troubles, played through the real edge on sockets or in virtual time, and
-//! a checker that judges the users' five rules from the traffic alone.
+//! The lab: runs scenarios with scripted faults through the real edge, on sockets or in virtual time, and checks the
+//! users' five rules from the recorded traffic alone.
 
 #![allow(
     clippy::missing_errors_doc,
@@ -40,12 +40,12 @@
 mod scheduling_delay;
 mod token_issuer;
 
-pub use baselines::{Baseline, Choice};
-pub use callers::{Callers, Mood};
+pub use baselines::{Baseline, BaselineKind};
+pub use callers::{Callers, TrafficOverrides};
 pub use environment::{product_edge, Environment, MakeEdge, VirtualEnvironment};
-pub use experiment::{difference, Difference, Experiment, Figures, Variant, FEW_SEEDS, MEASURES};
+pub use experiment::{difference, Difference, Experiment, RunResult, Variant, FEW_SEEDS, MEASURES};
 pub use fleet::{Addresses, Fleet, Who};
-pub use limits_size::{limits_at, AtSize, Policy, Size, Stream};
+pub use limits_size::{measure_limits, LimitsResult, Policy, QuotaSimulation, RequestStream};
 pub use load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
 pub use measure::{measure_edge, ClientProtocol, Dispatcher, EdgeMeasurement, MeasureSpec};
 pub use plots::{write_line_chart, Series};
@@ -56,30 +56,31 @@
 pub use reconnect_load::{run_reconnect_load, ReconnectLoad, ReconnectLoadSpec};
 pub use recorder::Recording;
 pub use relay::{Fault, Greeting, Relay, RelayControl};
-pub use scenario::{Calls, Scenario, Trouble};
+pub use scenario::{Scenario, ScriptedFault, WorkloadTraffic};
 pub use scenario_runner::{play, Outcome};
 pub use scheduling_delay::{SchedulingDelays, RUNNER};
 pub use schema::{kinds, SCENARIO};
-pub use sizes::{plot_sizes, sizes, OfSize};
+pub use sizes::{plot_sizes, sizes, FleetSizeResult};
 pub use sockets::{EdgeMode, SocketEnvironment};
 
 use sanddrum_net::LinkModel;
 use std::io;
 
-/// The bad day that the demo plays.
+/// The scenario that the demo runs: many faults in one run.
 pub const BAD_DAY: &str = include_str!("../scenarios/bad-day.sx");
 
-/// What is played by a fleet of processes where no scenario is given: the bad day has parts that processes don't play.
+/// The default scenario of a fleet of processes; the bad day has faults that a fleet of processes can't apply.
 pub const FLEET_DAY: &str = include_str!("../scenarios/fleet-day.sx");
 
-/// Plays a scenario in virtual time.
+/// Runs a scenario in virtual time.
 ///
 /// # Errors
 /// The scenario can't be set up.
 pub fn play_virtually(scenario: Scenario, make_edge: MakeEdge) -> io::Result<Outcome> {
     let recording = Recording::default();
-    let mut stage = VirtualEnvironment::new(scenario, LinkModel::default(), &recording, make_edge)?;
-    let mut outcome = play(&mut stage, &recording)?;
+    let mut environment =
+        VirtualEnvironment::new(scenario, LinkModel::default(), &recording, make_edge)?;
+    let mut outcome = play(&mut environment, &recording)?;
     outcome.virtual_time = true;
     Ok(outcome)
 }
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -360,7 +360,7 @@
     /// Records the delay of this event loop and, at intervals, how long each process has waited for a processor.
     fn record_delays(&mut self, loop_delay: Micros) {
         let (now, log) = (self.driver.now(), &mut self.recording.0.borrow_mut().log);
-        log.waits
+        log.scheduling_delays
             .entry(RUNNER.into())
             .or_default()
             .add(now, loop_delay);
@@ -489,12 +489,12 @@
     fn freeze(&mut self, who: Who, frozen: bool) {
         self.signal(who, if frozen { Signal::STOP } else { Signal::CONT });
     }
-    fn tear(&mut self, who: Who) {
+    fn reset_on_next_write(&mut self, who: Who) {
         if let Some(relay) = self.relays.get(&who) {
             relay.control.borrow_mut().reset_connections(None);
         }
     }
-    fn bend(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
         let caller = Self::caller_name(from);
         if let Some(relay) = self.relay(from, to) {
             relay
@@ -514,24 +514,24 @@
         }
         Ok(())
     }
-    fn forget(&mut self, who: Who) {
+    fn clear_saved_state(&mut self, who: Who) {
         let _ = std::fs::remove_file(self.file(who, "state"));
     }
-    fn ask_to_end(&mut self, who: Who) {
+    fn shut_down(&mut self, who: Who) {
         self.signal(who, Signal::TERM);
         self.terminating.insert(who);
     }
-    fn spread_keys(&mut self) -> io::Result<()> {
+    fn distribute_keys(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn spread_papers(&mut self) -> io::Result<()> {
+    fn distribute_certificates(&mut self) -> io::Result<()> {
         Ok(())
     }
-    fn calls_are_over(&self) -> bool {
+    fn is_traffic_finished(&self) -> bool {
         self.callers
             .is_none_or(|host| self.driver.is_core_done(host))
     }
-    fn holds_up(&self) -> Micros {
+    fn max_scheduling_delay(&self) -> Micros {
         SCHEDULING_SLACK
     }
     fn slack(&self) -> Micros {
--- a/crates/sanddrum-lab/src/reconnect_load.rs
+++ b/crates/sanddrum-lab/src/reconnect_load.rs
@@ -118,7 +118,7 @@
         recovery_s: last_low.map_or(0.0, |n| (n as i64 + 1 - RETURN_AT_S).max(0) as f64),
         max_handshakes_per_s: after.iter().flatten().copied().max().unwrap_or(0),
         handshakes,
-        violations: outcome.verdict.broken.len(),
+        violations: outcome.verdict.violations.len(),
         p99_ms: outcome.latency_ms(0.99),
         in_time_fractions,
     }
--- a/crates/sanddrum-lab/src/scheduling_delay.rs
+++ b/crates/sanddrum-lab/src/scheduling_delay.rs
@@ -68,7 +68,7 @@
         let before = before
             .filter(|(sampled_pid, _)| *sampled_pid == pid)
             .map_or(0, |(_, waited)| waited);
-        log.waits
+        log.scheduling_delays
             .entry(name)
             .or_default()
             .add(now, (waited - before).max(0));
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -1,5 +1,5 @@
-//! One scenario with ever more edges, on the same seeds: what comes of it, and what falls on the list service and the
-//! workers in their worst seconds.
+//! Runs one scenario with several numbers of edges and the same seeds, and compares the service, and the load on the
+//! discovery service and the workers in their worst seconds.
 
 use crate::environment::product_edge;
 use crate::plots::{write_line_chart, Series};
@@ -10,73 +10,78 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// What came of one size, each figure as the mean, the least and the most over the seeds.
+/// The results for one number of edges; each triple is the mean, the minimum and the maximum over the seeds.
 #[derive(Clone, Debug)]
-pub struct OfSize {
+pub struct FleetSizeResult {
     pub edges: usize,
     pub service: [f64; 3],
-    /// The second from which on nine tenths of the calls are in time.
-    pub from: [f64; 3],
-    pub broken: usize,
-    /// Named figures of worst seconds.
+    /// The second from which at least 90 % of the calls are in time.
+    pub recovered_at: [f64; 3],
+    pub violations: usize,
+    /// The loads in the worst seconds, by name.
     pub worst: Vec<(&'static str, [f64; 3])>,
-    /// Calls in time of calls begun, by second.
+    /// The fraction of the calls that were in time, by second.
     pub seconds: Vec<f64>,
 }
 
-struct Run {
+struct SeedResult {
     service: f64,
-    from: f64,
-    broken: usize,
+    recovered_at: f64,
+    violations: usize,
     worst: Vec<(&'static str, f64)>,
     seconds: Vec<f64>,
 }
 
-/// What is told of the worst seconds: its name, whose it is, and its key there.
-const WORST: &[(&str, &str, &str)] = &[
-    ("list calls", "list", "calls"),
-    ("list bytes", "list", "bytes"),
-    ("whole lists", "list", "whole_lists"),
+/// The reported loads: the name, the receiver, and the key of the value in the outcome.
+const PEAK_LOADS: &[(&str, &str, &str)] = &[
+    ("discovery calls", "list", "calls"),
+    ("discovery bytes", "list", "bytes"),
+    ("full snapshots", "list", "whole_lists"),
     ("handshakes", "worker", "handshakes"),
     ("probes", "worker", "probes"),
     ("asks", "worker", "asks"),
     ("orders", "worker", "orders"),
     ("misses", "worker", "misses"),
 ];
-const NEARLY_ALL: f64 = 0.9;
+/// The fraction of calls in time from which service counts as recovered.
+const RECOVERED_SERVICE: f64 = 0.9;
 
-impl Run {
-    fn of(outcome: &Outcome) -> Run {
+impl SeedResult {
+    fn of(outcome: &Outcome) -> SeedResult {
         let seconds = outcome.verdict.seconds.iter();
         let seconds: Vec<f64> = seconds
             .map(|(begun, in_time)| f64::from(*in_time) / f64::from((*begun).max(1)))
             .collect();
-        let low = seconds.iter().rposition(|part| *part < NEARLY_ALL);
-        let worst = WORST
-            .iter()
-            .map(|(name, whose, key)| (*name, outcome.harm[whose][key].as_f64().unwrap_or(0.0)));
-        Run {
+        let low = seconds.iter().rposition(|part| *part < RECOVERED_SERVICE);
+        let worst = PEAK_LOADS.iter().map(|(name, receiver, key)| {
+            (
+                *name,
+                outcome.peak_load[receiver][key].as_f64().unwrap_or(0.0),
+            )
+        });
+        SeedResult {
             service: outcome.verdict.service,
-            from: low.map_or(0.0, |n| n as f64 + 1.0),
-            broken: outcome.verdict.broken.len(),
+            recovered_at: low.map_or(0.0, |n| n as f64 + 1.0),
+            violations: outcome.verdict.violations.len(),
             worst: worst.collect(),
             seconds,
         }
     }
 }
 
-/// The mean, the least and the most.
-fn spread(figures: impl Iterator<Item = f64> + Clone) -> [f64; 3] {
-    let count = figures.clone().count().max(1) as f64;
-    let sum: f64 = figures.clone().sum();
+/// The mean, the minimum and the maximum.
+fn spread(values: impl Iterator<Item = f64> + Clone) -> [f64; 3] {
+    let count = values.clone().count().max(1) as f64;
+    let sum: f64 = values.clone().sum();
     [
         sum / count,
-        figures.clone().fold(f64::MAX, f64::min),
-        figures.fold(f64::MIN, f64::max),
+        values.clone().fold(f64::MAX, f64::min),
+        values.fold(f64::MIN, f64::max),
     ]
 }
 
-/// Plays a scenario at each of these sizes on so many seeds.
+/// Runs a scenario with each number of edges and with `seeds` seeds, on `threads` threads. `progress` is called with
+/// the number of finished runs.
 ///
 /// # Errors
 /// A run could not be set up.
@@ -85,8 +90,8 @@
     edges: &[usize],
     seeds: u64,
     threads: usize,
-    told: impl Fn(usize) + Sync,
-) -> io::Result<Vec<OfSize>> {
+    progress: impl Fn(usize) + Sync,
+) -> io::Result<Vec<FleetSizeResult>> {
     let all: Vec<(usize, u64)> = edges
         .iter()
         .flat_map(|n| (0..seeds).map(move |more| (*n, scenario.seed + more)))
@@ -103,8 +108,8 @@
                         crate::play_virtually(scenario, product_edge())
                     });
                     let Ok(mut done) = done.lock() else { return };
-                    done.push((*n, *seed, run.map(|outcome| Run::of(&outcome))));
-                    told(done.len());
+                    done.push((*n, *seed, run.map(|outcome| SeedResult::of(&outcome))));
+                    progress(done.len());
                 }
             });
         }
@@ -118,7 +123,7 @@
         runs.push((n, run?));
     }
     let of = |n: &usize| {
-        let of: Vec<&Run> = runs
+        let of: Vec<&SeedResult> = runs
             .iter()
             .filter(|(at, _)| at == n)
             .map(|(_, run)| run)
@@ -126,13 +131,13 @@
         let longest = of.iter().map(|run| run.seconds.len()).max().unwrap_or(0);
         let second =
             |at: usize| spread(of.iter().filter_map(|run| run.seconds.get(at).copied()))[0];
-        OfSize {
+        FleetSizeResult {
             edges: *n,
             service: spread(of.iter().map(|run| run.service)),
-            from: spread(of.iter().map(|run| run.from)),
-            broken: of.iter().map(|run| run.broken).sum(),
-            worst: (0..WORST.len())
-                .map(|w| (WORST[w].0, spread(of.iter().map(|run| run.worst[w].1))))
+            recovered_at: spread(of.iter().map(|run| run.recovered_at)),
+            violations: of.iter().map(|run| run.violations).sum(),
+            worst: (0..PEAK_LOADS.len())
+                .map(|w| (PEAK_LOADS[w].0, spread(of.iter().map(|run| run.worst[w].1))))
                 .collect(),
             seconds: (0..longest).map(second).collect(),
         }
@@ -140,11 +145,11 @@
     Ok(edges.iter().map(of).collect())
 }
 
-/// Draws service over time for each size, and the worst seconds against the size.
+/// Plots the service over time for each number of edges, and the worst seconds over the number of edges.
 ///
 /// # Errors
 /// A file can't be written.
-pub fn plot_sizes(folder: &Path, name: &str, all: &[OfSize]) -> Result<(), String> {
+pub fn plot_sizes(folder: &Path, name: &str, all: &[FleetSizeResult]) -> Result<(), String> {
     let service = all.iter().map(|of| Series {
         name: format!("{} edges", of.edges),
         points: of
@@ -158,26 +163,26 @@
     write_line_chart(
         &file,
         "Service by second",
-        ("second", "calls in time of calls begun"),
+        ("second", "calls in time / calls started"),
         &service.collect::<Vec<_>>(),
     )?;
     let worst = |w: usize| Series {
-        name: WORST[w].0.to_string(),
+        name: PEAK_LOADS[w].0.to_string(),
         points: all
             .iter()
             .map(|of| (of.edges as f64, of.worst[w].1[0]))
             .collect(),
     };
-    // Bytes are of another size, and whole lists are counted over the day.
-    let shown: Vec<Series> = (0..WORST.len())
+    // Bytes have another scale, and full snapshots are counted over the whole run.
+    let plotted: Vec<Series> = (0..PEAK_LOADS.len())
         .filter(|w| ![1, 2].contains(w))
         .map(worst)
         .collect();
     let file = folder.join(format!("{name}-worst.svg"));
     write_line_chart(
         &file,
-        "Worst second of the list service and of a worker",
-        ("edges", "a second"),
-        &shown,
+        "Worst second of the discovery service and of a worker",
+        ("edges", "count in one second"),
+        &plotted,
     )
 }
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 use sanddrum::*;
 use sanddrum_edge::{DecisionModule, Edge};
-use sanddrum_lab::checker::judge;
-use sanddrum_lab::recorder::{Log, Run, Try};
+use sanddrum_lab::checker::check_log;
+use sanddrum_lab::recorder::{ClientAttempt, Execution, Log};
 use sanddrum_lab::{play_virtually, product_edge, MakeEdge, Scenario};
 use sanddrum_net::{Core, Event, FileError, Io};
 
@@ -164,7 +164,7 @@
     assert!(good.is_good(), "{}", good.text());
     let bad = play_virtually(scenario, defective_edge(defect)).unwrap();
     assert!(
-        bad.verdict.broken.iter().any(|b| b.rule == rule),
+        bad.verdict.violations.iter().any(|b| b.rule == rule),
         "{}",
         bad.text()
     );
@@ -184,29 +184,29 @@
     let scenario = scenario_with("restartable", "");
     let limit = 2_000_000;
     let (workload, edge) = ("job".to_string(), "edge-0".to_string());
-    let attempt = Try {
+    let attempt = ClientAttempt {
         workload: workload.clone(),
         edge: edge.clone(),
-        limit,
+        time_limit: limit,
         answers,
-        ..Try::default()
+        ..ClientAttempt::default()
     };
     let mut log = Log {
-        tries: vec![attempt],
+        client_attempts: vec![attempt],
         ..Log::default()
     };
-    log.runs.extend(executed_at.map(|came| Run {
+    log.executions.extend(executed_at.map(|came| Execution {
         worker: 0,
         edge,
-        came,
+        received_at: came,
         call: 0,
         number: 0,
         workload,
         answers: vec![],
     }));
-    let verdict = judge(&log, &scenario, 0, 100_000);
+    let verdict = check_log(&log, &scenario, 0, 100_000);
     assert_eq!(
-        verdict.broken.iter().map(|b| b.rule).max().unwrap_or(0),
+        verdict.violations.iter().map(|b| b.rule).max().unwrap_or(0),
         rule
     );
 }
@@ -258,7 +258,7 @@
     let scenario = Scenario::read("keys.sx", text, 1).unwrap();
     let good = play_virtually(scenario.clone(), product_edge()).unwrap();
     assert!(
-        good.is_good() && good.verdict.pushed_back > 20,
+        good.is_good() && good.verdict.rejected > 20,
         "{}",
         good.text()
     );
@@ -271,9 +271,9 @@
     let bad = play_virtually(scenario, outdated).unwrap();
     assert!(
         bad.verdict
-            .broken
+            .violations
             .iter()
-            .any(|b| b.what.contains("revoked key")),
+            .any(|b| b.description.contains("revoked key")),
         "{}",
         bad.text()
     );
@@ -282,10 +282,10 @@
 /// Every scenario that a hunt generates is valid and depends only on its seed.
 #[rstest]
 fn a_hunt_generates_valid_and_reproducible_scenarios() {
-    use sanddrum_lab::hunt::Day;
+    use sanddrum_lab::hunt::RandomScenario;
     for seed in 1..=300 {
-        let day = Day::drawn(seed);
-        assert_eq!(day.text(), Day::drawn(seed).text());
+        let day = RandomScenario::generate(seed);
+        assert_eq!(day.text(), RandomScenario::generate(seed).text());
         Scenario::read("day", &day.text(), seed).unwrap();
     }
 }
@@ -293,27 +293,30 @@
 /// Reducing a find removes every part that the violation does not need, but keeps what a valid scenario requires.
 #[rstest]
 fn a_find_is_reduced_to_the_parts_that_break_the_rule() {
-    use sanddrum_lab::hunt::Day;
-    let violations = |day: &Day| -> Result<_, String> {
+    use sanddrum_lab::hunt::RandomScenario;
+    let violations = |day: &RandomScenario| -> Result<_, String> {
         Scenario::read("day", &day.text(), day.seed).map_err(|e| e.to_string())?;
         let broken =
-            day.troubles.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
+            day.faults.iter().any(|t| t.contains("drain")) && day.text().contains("(retries");
         let rules: std::collections::BTreeSet<u8> = broken.then_some(3).into_iter().collect();
         Ok((rules, vec!["rule 3".to_string()]))
     };
     let original = (1..)
-        .map(Day::drawn)
-        .find(|day| day.troubles.len() > 4 && !violations(day).unwrap().0.is_empty());
-    let find = original.unwrap().shrunk_by(violations).unwrap();
-    assert_eq!(find.day.troubles.len(), 1, "{}", find.text());
-    assert!(find.day.troubles[0].contains("drain") && find.text().contains("; rule 3"));
+        .map(RandomScenario::generate)
+        .find(|day| day.faults.len() > 4 && !violations(day).unwrap().0.is_empty());
+    let find = original.unwrap().shrink_with(violations).unwrap();
+    assert_eq!(find.scenario.faults.len(), 1, "{}", find.text());
+    assert!(find.scenario.faults[0].contains("drain") && find.text().contains("; rule 3"));
     assert!(find
-        .day
-        .head
+        .scenario
+        .sections
         .iter()
         .any(|line| line.starts_with("(traffic")));
     assert!(
-        find.day.head.iter().all(|line| !line.starts_with("(rules")),
+        find.scenario
+            .sections
+            .iter()
+            .all(|line| !line.starts_with("(rules")),
         "{}",
         find.text()
     );
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -1,9 +1,9 @@
 //! Tests the checker alone, on traffic logs written by hand.
 
 use rstest::rstest;
-use sanddrum_lab::checker::judge;
+use sanddrum_lab::checker::check_log;
 use sanddrum_lab::cold;
-use sanddrum_lab::recorder::{Log, Order, Run, Try};
+use sanddrum_lab::recorder::{ClientAttempt, Execution, LoadCommand, Log};
 use sanddrum_lab::{Scenario, SchedulingDelays, RUNNER};
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
     #[case] down: Option<(i64, Option<i64>)>,
     #[case] violations: usize,
 ) {
-    let order = |came| Order {
+    let order = |came| LoadCommand {
         worker: 0,
         edge: "edge-0".into(),
-        came,
-        copies: 1,
+        received_at: came,
+        instances: 1,
     };
     let orders = [1_000_000, 1_100_000, 1_200_000, 1_700_000]
         .map(order)
@@ -36,13 +36,18 @@
         .map(|(from, until)| ("edge-0".to_string(), from, until))
         .collect();
     let log = Log {
-        orders,
-        down,
+        load_commands: orders,
+        edge_downtime: down,
         ..Log::default()
     };
     let scenario = Scenario::read("test", LOAD_LIMIT, 1).unwrap();
-    let verdict = judge(&log, &scenario, 0, 0);
-    assert_eq!(verdict.broken.len(), violations, "{:?}", verdict.broken);
+    let verdict = check_log(&log, &scenario, 0, 0);
+    assert_eq!(
+        verdict.violations.len(),
+        violations,
+        "{:?}",
+        verdict.violations
+    );
 }
 
 #[rstest]
@@ -61,22 +66,27 @@
         .map(|(from, until)| (edge.clone(), from, until))
         .collect();
     let sent = 1_000_000;
-    let tries = vec![Try {
+    let tries = vec![ClientAttempt {
         edge,
         workload,
-        began: sent,
-        sent,
-        limit,
-        ..Try::default()
+        call_started_at: sent,
+        sent_at: sent,
+        time_limit: limit,
+        ..ClientAttempt::default()
     }];
     let log = Log {
-        tries,
-        stopped,
-        holds_up: 500_000,
+        client_attempts: tries,
+        edge_pauses: stopped,
+        max_scheduling_delay: 500_000,
         ..Log::default()
     };
-    let verdict = judge(&log, &Scenario::read("test", LOAD_LIMIT, 1).unwrap(), 0, 0);
-    assert_eq!(verdict.broken.len(), violations, "{:?}", verdict.broken);
+    let verdict = check_log(&log, &Scenario::read("test", LOAD_LIMIT, 1).unwrap(), 0, 0);
+    assert_eq!(
+        verdict.violations.len(),
+        violations,
+        "{:?}",
+        verdict.violations
+    );
 }
 
 /// A call is sent at 1 s with a time limit of 3 s, so it expires at 4 s. The scheduling delays are sampled every 50
@@ -110,28 +120,33 @@
     }
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let answers = vec![(answered_at, 504)];
-    let tries = vec![Try {
+    let tries = vec![ClientAttempt {
         edge,
         workload,
-        began: sent,
-        sent,
-        limit: 3_000_000,
+        call_started_at: sent,
+        sent_at: sent,
+        time_limit: 3_000_000,
         answers,
-        ..Try::default()
+        ..ClientAttempt::default()
     }];
     let log = Log {
-        tries,
-        waits,
-        holds_up: 500_000,
+        client_attempts: tries,
+        scheduling_delays: waits,
+        max_scheduling_delay: 500_000,
         ..Log::default()
     };
-    let verdict = judge(
+    let verdict = check_log(
         &log,
         &Scenario::read("test", LOAD_LIMIT, 1).unwrap(),
         0,
         500_000,
     );
-    assert_eq!(verdict.broken.len(), violations, "{:?}", verdict.broken);
+    assert_eq!(
+        verdict.violations.len(),
+        violations,
+        "{:?}",
+        verdict.violations
+    );
 }
 
 /// Clients of edge processes wait past the time limit to see how late an answer is. A late answer from an edge that
@@ -148,30 +163,30 @@
     let stopped = vec![(edge.clone(), from, until)];
     let waits = [(RUNNER.to_string(), SchedulingDelays::default())].into();
     let (began, limit, answers) = (sent, 3_000_000, vec![(7_100_000, 504)]);
-    let tries = vec![Try {
+    let tries = vec![ClientAttempt {
         edge,
         workload,
-        began,
-        sent,
-        limit,
+        call_started_at: began,
+        sent_at: sent,
+        time_limit: limit,
         answers,
-        ..Try::default()
+        ..ClientAttempt::default()
     }];
     let log = Log {
-        tries,
-        stopped,
-        waits,
-        holds_up: 500_000,
+        client_attempts: tries,
+        edge_pauses: stopped,
+        scheduling_delays: waits,
+        max_scheduling_delay: 500_000,
         ..Log::default()
     };
-    let verdict = judge(
+    let verdict = check_log(
         &log,
         &Scenario::read("test", LOAD_LIMIT, 1).unwrap(),
         0,
         500_000,
     );
     assert_eq!(
-        (verdict.broken.len(), verdict.lost_with_edge),
+        (verdict.violations.len(), verdict.lost_with_edge),
         (violations, 1 - violations as u64)
     );
 }
@@ -197,10 +212,10 @@
         (calls "job" (share 1) (work 100ms))"#;
     let started = 50_000_000;
     let arrival = |n: i64| started + offset_from_start + n;
-    let run = |n| Run {
+    let run = |n| Execution {
         worker: 0,
         edge: format!("edge-{}", n % 7),
-        came: arrival(n),
+        received_at: arrival(n),
         call: n as u64,
         number: 0,
         workload: "job".into(),
@@ -214,11 +229,11 @@
             .unwrap();
     }
     let log = Log {
-        runs: (0..requests).map(run).collect(),
-        starts: vec![(0, started)],
+        executions: (0..requests).map(run).collect(),
+        worker_starts: vec![(0, started)],
         ..Log::default()
     };
     let windows = cold::windows(&log, &scenario);
     assert_eq!(windows.len(), 1);
-    assert_eq!(windows[0].part() <= 1.0, is_within_limit, "{windows:?}");
+    assert_eq!(windows[0].ratio() <= 1.0, is_within_limit, "{windows:?}");
 }
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -64,7 +64,7 @@
     .unwrap();
     assert!(outcome.is_good(), "{}", outcome.text());
     assert!(
-        outcome.verdict.finished > 1000 && outcome.verdict.pushed_back > 50,
+        outcome.verdict.finished > 1000 && outcome.verdict.rejected > 50,
         "{}",
         outcome.text()
     );
@@ -77,7 +77,7 @@
     let scenario = Scenario::read("bad-day.sx", &format!("{BAD_DAY}{tls}"), seed).unwrap();
     let outcome = play_virtually(scenario, product_edge()).unwrap();
     assert!(
-        outcome.is_good() && outcome.runs > 4000,
+        outcome.is_good() && outcome.executions > 4000,
         "{}",
         outcome.text()
     );
@@ -95,26 +95,27 @@
     let start = environment.now();
     let outcome = play(&mut environment, &recording).unwrap();
     assert!(
-        outcome.is_good() && outcome.runs > 4000,
+        outcome.is_good() && outcome.executions > 4000,
         "{}",
         outcome.text()
     );
     let (at, act) = outcome
-        .acts
+        .timeline
         .iter()
         .find(|(_, act)| act.starts_with("impostor begins"))
         .unwrap();
     let impostor: usize = act.split(['(', ')']).nth(1).unwrap().parse().unwrap();
     let log = &recording.0.borrow().log;
-    let while_foreign = |run: &&sanddrum_lab::recorder::Run| {
-        run.worker == impostor && (start + at + 50_000..start + at + 3_000_000).contains(&run.came)
+    let while_foreign = |run: &&sanddrum_lab::recorder::Execution| {
+        run.worker == impostor
+            && (start + at + 50_000..start + at + 3_000_000).contains(&run.received_at)
     };
-    assert_eq!(log.runs.iter().filter(while_foreign).count(), 0);
-    let after = |run: &&sanddrum_lab::recorder::Run| {
-        run.worker == impostor && run.came > start + at + 3_000_000
+    assert_eq!(log.executions.iter().filter(while_foreign).count(), 0);
+    let after = |run: &&sanddrum_lab::recorder::Execution| {
+        run.worker == impostor && run.received_at > start + at + 3_000_000
     };
     assert!(
-        log.runs.iter().any(|run| after(&run)),
+        log.executions.iter().any(|run| after(&run)),
         "the worker serves again with its own certificate"
     );
 }
@@ -165,12 +166,12 @@
     let loads = |n: usize| {
         results[n]
             .iter()
-            .map(|result| result.loads)
+            .map(|result| result.load_commands)
             .collect::<Vec<f64>>()
     };
     let same = sanddrum_lab::difference(&loads(0), &loads(1));
     assert_eq!(
-        (same.mean, same.least, same.most, same.is_clear()),
+        (same.mean, same.lower, same.upper, same.is_clear()),
         (0.0, 0.0, 0.0, false)
     );
     assert!(sanddrum_lab::difference(&loads(0), &loads(2)).is_clear());
