--- a/crates/sanddrum-edge/src/admission.rs
+++ b/crates/sanddrum-edge/src/admission.rs
@@ -109,7 +109,8 @@
         results.0.into_iter().filter_map(decision).collect()
     }
 
-    /// Applied before the quotas, as a retry rejected here must not count against its customer's quota.
+    /// Applies the retry budget. This precedes the quotas, as a retry rejected here must not count against its
+    /// customer's quota.
     fn apply_retry_budget(
         &mut self,
         now: Micros,
--- a/crates/sanddrum-edge/src/edge_state/attempts.rs
+++ b/crates/sanddrum-edge/src/edge_state/attempts.rs
@@ -238,15 +238,15 @@
                     .rates_reported(customer, customer_rate, total_rate);
             }
         }
-        let end = AttemptOutcome::from(done);
-        if end.outcome == Outcome::Finished {
-            self.complete_request(now, request, id, &done.body, end.warmth);
+        let result = AttemptOutcome::from(done);
+        if result.outcome == Outcome::Finished {
+            self.complete_request(now, request, id, &done.body, result.warmth);
         }
-        self.finish_attempt(now, id, end);
+        self.finish_attempt(now, id, result);
     }
 
     /// Ends an attempt and reports its result to the decision module, once.
-    pub(super) fn finish_attempt(&mut self, now: Micros, id: AttemptId, end: AttemptOutcome) {
+    pub(super) fn finish_attempt(&mut self, now: Micros, id: AttemptId, result: AttemptOutcome) {
         let Some(attempt) = self.requests.remove_attempt(id) else {
             return;
         };
@@ -257,33 +257,35 @@
             self.worker_connections
                 .release(&mut self.context, now, connection, key);
         }
-        if let Some(report) = &end.report {
+        if let Some(report) = &result.report {
             WorkerConnections::record_load_report(&mut self.context, attempt.worker, report);
         }
-        self.context.metrics.record_outcome(end.outcome);
-        let is_final = self.requests.record_outcome(attempt.request, end.outcome);
+        self.context.metrics.record_outcome(result.outcome);
+        let is_final = self
+            .requests
+            .record_outcome(attempt.request, result.outcome);
         let latency = now - attempt.sent_at;
         tracing::debug!(
             request = attempt.request.0,
             attempt = attempt.index,
             worker = self.worker_connections.worker_name(attempt.worker),
-            outcome = ?end.outcome,
-            warmth = ?end.warmth,
+            outcome = ?result.outcome,
+            warmth = ?result.warmth,
             latency_us = latency,
-            worker_in_flight = end.report.and_then(|report| report.in_flight),
-            worker_queued = end.report.and_then(|report| report.queued),
+            worker_in_flight = result.report.and_then(|report| report.in_flight),
+            worker_queued = result.report.and_then(|report| report.queued),
             "attempt ended"
         );
         self.batch.attempt_results.push(AttemptResult {
             request: attempt.request,
             attempt: attempt.index,
             worker: attempt.worker,
-            outcome: end.outcome,
+            outcome: result.outcome,
             latency,
             is_final,
-            warmth: end.warmth,
-            function_in_flight: end.function_in_flight,
-            report: end.report,
+            warmth: result.warmth,
+            function_in_flight: result.function_in_flight,
+            report: result.report,
         });
     }
 
--- a/crates/sanddrum-edge/src/endpoint_table.rs
+++ b/crates/sanddrum-edge/src/endpoint_table.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// All zones that are not configured share one further id.
+    /// The id of a zone. All zones that are not configured share one additional id.
     fn zone(&self, name: &str) -> ZoneId {
         let known = self.zones.iter().position(|zone| zone == name);
         ZoneId(known.unwrap_or(self.zones.len()))
--- a/crates/sanddrum-edge/src/http_listener/closing.rs
+++ b/crates/sanddrum-edge/src/http_listener/closing.rs
@@ -24,7 +24,7 @@
         self.close(context, conn, io, true)
     }
 
-    /// Closes a connection gracefully, or resets it.
+    /// Closes a connection, gracefully if `is_orderly` and with a reset otherwise.
     pub fn close(
         &mut self,
         context: &mut EdgeContext,
@@ -84,7 +84,7 @@
 
 /// The result of checking a connection.
 enum CheckResult {
-    /// Close it gracefully, or reset it.
+    /// Close it, gracefully if `is_orderly` and with a reset otherwise.
     Close { is_orderly: bool },
     /// Reject its request that was not received in time.
     RejectPartialRequest,
@@ -95,11 +95,13 @@
 impl HttpConnection {
     fn check(&self, context: &EdgeContext, now: Micros) -> CheckResult {
         let limits = &context.limits;
-        let is_orderly = self.outbox.pending_bytes() == 0;
+        let is_written = self.outbox.pending_bytes() == 0;
         if let CloseState::Lingering(until) = self.close_state {
             // A malformed request does not end the requests before it on its connection: they are answered first.
             if until <= now && self.slots.is_empty() {
-                return CheckResult::Close { is_orderly };
+                return CheckResult::Close {
+                    is_orderly: is_written,
+                };
             }
             return CheckResult::RecheckAt(until.max(now + limits.linger_time.max(1)));
         }
@@ -109,10 +111,12 @@
         if request_until.is_some_and(|until| until <= now) {
             return CheckResult::RejectPartialRequest;
         }
-        let waits_for_client = self.slots.is_empty() || !is_orderly;
+        let waits_for_client = self.slots.is_empty() || !is_written;
         let idle_until = self.last_active + limits.client_idle_timeout;
         if waits_for_client && idle_until <= now {
-            return CheckResult::Close { is_orderly };
+            return CheckResult::Close {
+                is_orderly: is_written,
+            };
         }
         let idle_check = if waits_for_client {
             idle_until
--- a/crates/sanddrum-edge/src/timers.rs
+++ b/crates/sanddrum-edge/src/timers.rs
@@ -15,7 +15,8 @@
     LoadTimeout(CommandId),
     /// A health check was not answered in time.
     HealthCheckTimeout(CommandId),
-    /// Checks whether a worker connection is not established in time, idle or due to be retired.
+    /// Checks whether a worker connection was not established in time, has been idle for too long, or is retired and
+    /// has nothing in flight.
     WorkerConnection(WorkerConnectionId),
     /// An attempt whose client no longer waits is still only partly written.
     PartialWrite(WorkerConnectionId, AttemptId),
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -57,9 +57,9 @@
     in_flight: BTreeSet<MessageKey>,
     /// The same messages by the ids that answers carry, on the platform's protocol only.
     keys_by_wire_id: BTreeMap<u64, MessageKey>,
-    /// Ids of messages that have ended, with the time until which a late answer may arrive. They are not reused
-    /// before: a duplicate answer to an earlier attempt would be taken for the answer to a later one, which would then
-    /// count as not run although it runs.
+    /// Ids of messages that have ended, with the time until which a late answer may arrive. Until then an id is not
+    /// reused: a duplicate answer to the earlier attempt would be taken for the answer to the later one, which would
+    /// then count as not run although it runs.
     retired_wire_ids: BTreeMap<u64, Micros>,
     /// Whether it takes no new messages and is closed once nothing is in flight.
     is_retired: bool,
--- a/crates/sanddrum-limits/src/customer.rs
+++ b/crates/sanddrum-limits/src/customer.rs
@@ -113,8 +113,8 @@
                 retry_after: no_token.retry_after,
             })
     }
-    /// This edge's part of the quota is proportional to its part of the customer's rate, or an even split while that is
-    /// unknown.
+    /// Whether one more request is within this edge's part of the in-flight quota. That part is proportional to the
+    /// edge's part of the customer's rate, or an even split while that is unknown.
     fn has_in_flight_capacity(&self, context: &EdgeContext) -> bool {
         let Some(quota) = self.in_flight_quota else {
             return true;
--- a/crates/sanddrum-tls/src/certificates.rs
+++ b/crates/sanddrum-tls/src/certificates.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use x509_parser::prelude::{CertificateRevocationList, FromDer, GeneralName, X509Certificate};
 
-/// Why no configuration can be made: a certificate, key, root or list is invalid, or a server name is.
+/// Why no configuration or connection can be made: a certificate, key, root, list or server name is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsConfigError(pub(crate) String);
 
@@ -133,7 +133,7 @@
     PrivateKeyDer::from_pem_slice(pem)
         .map_err(|_| config_error("key: contains no readable private key"))
 }
-/// Reads the revocation lists of a PEM text; there are none only if it is empty.
+/// Reads the revocation lists of a PEM text. A text that is not empty must contain at least one.
 pub(crate) fn read_revocation_lists(
     pem: &[u8],
 ) -> Result<Vec<CertificateRevocationListDer<'static>>, TlsConfigError> {
--- a/crates/sanddrum-tls/src/config.rs
+++ b/crates/sanddrum-tls/src/config.rs
@@ -58,7 +58,7 @@
 pub struct Expiry {
     /// What expires, for logs and metrics.
     pub item: String,
-    /// When, in microseconds since 1970.
+    /// When it expires, in microseconds since 1970.
     pub at: Micros,
 }
 
@@ -284,8 +284,8 @@
         let name = ServerName::try_from(name.to_string()).map_err(config_error)?;
         ClientConnection::new(self.client.clone(), name).map_err(config_error)
     }
-    /// Verifies again the certificate chain of an established connection's peer: a worker's with its name, a client's
-    /// without one. A peer without certificates passes.
+    /// Verifies the certificate chain of an established connection's peer again. `name` is the expected name of a
+    /// worker, and `None` for a client. A peer without certificates passes.
     ///
     /// # Errors
     /// This configuration would reject the peer.
--- a/crates/sanddrum-tls/src/connection.rs
+++ b/crates/sanddrum-tls/src/connection.rs
@@ -15,7 +15,7 @@
     /// The last event.
     Closed {
         cause: CloseCause,
-        /// Whether to notify the core: not if it closed the connection itself or never learned of it.
+        /// Whether to notify the core: false if it closed the connection itself or was never notified of it.
         notify_core: bool,
         error: Option<String>,
     },
@@ -28,7 +28,7 @@
     /// The name that an outbound peer's certificate must contain. For an inbound peer, a generic name used in messages.
     peer_name: String,
     listener: Option<ListenerId>,
-    /// The limit of `ciphertext`.
+    /// Maximum size of `ciphertext`, in bytes.
     max_buffered: usize,
     /// Whether it counts towards the limit of handshakes in flight.
     pub is_counted: bool,
@@ -92,7 +92,7 @@
     pub fn on_writable(&mut self) {
         self.driver_blocked = false;
     }
-    /// Handles the end of the time that a handshake may take. An established connection ignores it.
+    /// Handles the handshake timeout. An established connection ignores it.
     pub fn on_handshake_timeout(&mut self) {
         if !self.established {
             self.fail(format!("{}: the handshake timed out", self.peer_name));
@@ -185,8 +185,8 @@
             self.ended.get_or_insert((CloseCause::Orderly, None));
         }
     }
-    /// The underlying connection has ended. Without a close_notify before, the stream may be truncated: that counts
-    /// as a reset.
+    /// Handles the end of the underlying connection. If the peer has not sent a close_notify, the stream may be
+    /// truncated, which counts as a reset.
     pub fn on_closed(&mut self, cause: CloseCause) {
         self.driver_closed = true;
         let cause = match (self.established, cause) {
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -3,9 +3,9 @@
 //! ciphertext.
 //!
 //! The contract of `Io::write` holds for the layer too: bytes that it takes from the core may reach the peer, bytes
-//! not taken never do. A connection whose handshake fails was never established: its core gets `Refused`. The data of
-//! one that ends without a close_notify may be truncated: its core gets `Reset`, even if the driver reported an
-//! orderly close (RFC 8446, section 6.1).
+//! not taken never do. A connection whose handshake fails was never established: its core gets `Refused`. If a
+//! connection ends without a close_notify, its data may be truncated: its core gets `Reset`, even if the driver
+//! reported an orderly close (RFC 8446, section 6.1).
 
 mod certificates;
 mod config;
@@ -31,9 +31,9 @@
 pub struct TlsLimits {
     /// A handshake that takes longer fails.
     pub handshake_timeout: Micros,
-    /// Inbound handshakes in flight; further connections are reset at once.
+    /// Maximum number of inbound handshakes in flight; further connections are reset at once.
     pub max_handshakes: usize,
-    /// Ciphertext that is buffered for one socket; the core's writes are short beyond it.
+    /// Maximum number of bytes of ciphertext buffered for one socket; the core's writes are short once it is reached.
     pub max_buffered: usize,
     /// How long before an expiry warnings begin.
     pub expiry_warning: Micros,
@@ -52,7 +52,7 @@
     connections: BTreeMap<ConnectionId, TlsConnection>,
     /// Deadlines of handshakes. Each is retained until it has passed, even if its handshake has completed.
     handshake_deadlines: BTreeSet<(Micros, ConnectionId)>,
-    /// Connections that may have events for the core; delivered once the core is not being called.
+    /// Connections that may have events for the core, which are delivered after the current call of the core returns.
     pending: BTreeSet<ConnectionId>,
     /// Connections established under an earlier configuration, and not verified again by the one in force yet.
     outdated: BTreeSet<ConnectionId>,
@@ -61,8 +61,8 @@
     next_expiry_check: Micros,
 }
 
-/// Connections that are verified again in one call of `process` after a change of the configuration. Sockets are
-/// served in between.
+/// The maximum number of connections that one call of `process` verifies again after a change of the configuration, so
+/// that sockets are served in between.
 const REVERIFY_BATCH: usize = 64;
 /// How often expiries are checked.
 const EXPIRY_CHECK_INTERVAL: Micros = 3_600_000_000;
@@ -532,7 +532,7 @@
         match self.state.connections.get_mut(&conn) {
             Some(connection) => {
                 let taken = connection.write(conn, bytes, self.io);
-                // The driver may have taken all ciphertext already. It then reports no `Writable`: the layer must.
+                // The driver may have taken all ciphertext already. It then reports no `Writable`, so the layer must.
                 if taken < bytes.len() {
                     self.state.pending.insert(conn);
                 }
--- a/crates/sanddrum-tls/src/verify.rs
+++ b/crates/sanddrum-tls/src/verify.rs
@@ -105,7 +105,7 @@
             denied_keys: self.denied_keys.clone(),
         })
     }
-    /// A verifier for clients; `required`: a client without a certificate is rejected.
+    /// A verifier for clients. If `required`, it rejects a client without a certificate.
     pub fn client_verifier(&self, required: bool) -> Result<ClientVerifier, TlsConfigError> {
         let builder = WebPkiClientVerifier::builder_with_provider(
             Self::root_store(self.roots.iter())?,
--- a/crates/sanddrum-upstream/src/config.rs
+++ b/crates/sanddrum-upstream/src/config.rs
@@ -5,11 +5,11 @@
 
 /// The configuration of a [`ConnectionPolicy`](crate::ConnectionPolicy).
 pub(crate) struct Config {
-    /// Handshakes in flight at a time.
+    /// Maximum number of handshakes in flight.
     pub max_handshakes: usize,
-    /// Handshakes in flight at a time to one worker.
+    /// Maximum number of handshakes in flight to one worker.
     pub max_handshakes_per_worker: usize,
-    /// How many workers, the most used ones, are prewarmed.
+    /// How many of the most used workers are prewarmed.
     pub prewarmed_workers: usize,
     /// Edges that share the workers.
     pub router_count: f64,
--- a/crates/sanddrum-upstream/src/idle_timeout.rs
+++ b/crates/sanddrum-upstream/src/idle_timeout.rs
@@ -1,6 +1,7 @@
 //! How long a connection may have been idle and still be used for a request.
 //!
-//! A middlebox may drop an idle connection without notice. That shows only as a reset once the next request is sent.
+//! A middlebox may drop an idle connection without notice. The edge detects this only when the next request on it is
+//! answered with a reset.
 
 use sanddrum::Micros;
 
@@ -18,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct IdleTimeoutEstimate {
     min_significant: Micros,
-    /// The limit as it was set at `since`; none: any idle time is trusted.
+    /// The limit as it was set at `since`; `None` if any idle time is trusted.
     limit: Option<Micros>,
     since: Micros,
 }
@@ -32,7 +33,7 @@
             since: 0,
         }
     }
-    /// Records that a connection was reset under an unanswered request, which was written `since_write` ago after the
+    /// Records that a connection was reset with an unanswered request, which was written `since_write` ago after the
     /// connection had been idle for `idle`. A dropped connection is reset at once; a later reset has another cause,
     /// such as a worker that crashed.
     pub fn record_reset(&mut self, now: Micros, idle: Micros, since_write: Micros) {
--- a/crates/sanddrum-upstream/src/policy/retirement.rs
+++ b/crates/sanddrum-upstream/src/policy/retirement.rs
@@ -6,8 +6,8 @@
 use sanddrum::{Micros, WorkerId};
 
 impl ConnectionPolicy {
-    /// Retires connections that were revoked or are due for rotation. Of the latter, one in use is retired once its
-    /// successor is established or has not been established in time.
+    /// Retires connections that were revoked or are due for rotation. A connection due for rotation that is in use is
+    /// retired once its successor is established or the wait for it has timed out.
     pub(super) fn retire_outdated(&mut self, now: Micros, decisions: &mut impl Decisions) {
         for connection in self.rotation.take_revoked() {
             decisions.retire(connection);
--- a/crates/sanddrum-upstream/src/worker.rs
+++ b/crates/sanddrum-upstream/src/worker.rs
@@ -40,7 +40,7 @@
             last_used_at: 0,
         }
     }
-    /// Clears what earlier failures have set: the process was restarted, and they say nothing about the new one.
+    /// Clears the state left by earlier failures, which says nothing about the restarted process.
     pub fn reset(&mut self) {
         self.backoff.reset();
         self.next_handshake_at = None;
