--- a/crates/sanddrum-edge/src/edge_state/control_commands.rs
+++ b/crates/sanddrum-edge/src/edge_state/control_commands.rs
@@ -12,7 +12,7 @@
 use sanddrum_wire as wire;
 
 impl EdgeState {
-    /// Sends a load command.
+    /// Sends a load command. With zero `instances` it only queries the number of loaded instances.
     pub(super) fn send_load(
         &mut self,
         now: Micros,
--- a/crates/sanddrum-edge/src/metrics.rs
+++ b/crates/sanddrum-edge/src/metrics.rs
@@ -34,7 +34,7 @@
     pub requests_finished: Counter,
     /// Requests cancelled by their clients.
     pub requests_cancelled: Counter,
-    /// Load commands that were sent.
+    /// Load commands, without those that only query the number of loaded instances.
     pub load_commands: Counter,
     /// Health checks that were sent.
     pub health_checks: Counter,
--- a/crates/sanddrum-edge/src/requests.rs
+++ b/crates/sanddrum-edge/src/requests.rs
@@ -46,7 +46,8 @@
     pub client: ConnectionId,
     /// Identifies the request on its connection: its sequence number over HTTP, its request id over FastCGI.
     pub slot: u64,
-    /// When the client stops waiting.
+    /// When the final response is due: shortly before the client stops waiting, or when the deadline of a shutdown is
+    /// reached, if that is earlier.
     pub deadline: Micros,
     /// The validated request. Its body is dropped when the request is closed.
     pub spec: RequestSpec,
--- a/crates/sanddrum-tls/src/config.rs
+++ b/crates/sanddrum-tls/src/config.rs
@@ -47,7 +47,7 @@
 pub struct TlsOptions {
     /// Whether clients present certificates.
     pub client_auth: ClientAuth,
-    /// Sessions that are cached for resumption; zero disables it.
+    /// Maximum number of sessions cached for resumption; zero disables resumption.
     pub session_cache_size: usize,
     /// Authorities that may issue certificates for some names only.
     pub name_constraints: Vec<NameConstraint>,
--- a/crates/sanddrum-tls/src/connection.rs
+++ b/crates/sanddrum-tls/src/connection.rs
@@ -28,7 +28,7 @@
     /// The name that an outbound peer's certificate must contain. For an inbound peer, a generic name used in messages.
     peer_name: String,
     listener: Option<ListenerId>,
-    /// Maximum size of `ciphertext`, in bytes.
+    /// Writes of the core are short if `ciphertext` would grow beyond about this many bytes.
     max_buffered: usize,
     /// Whether it counts towards the limit of handshakes in flight.
     pub is_counted: bool,
--- a/crates/sanddrum-tls/src/lib.rs
+++ b/crates/sanddrum-tls/src/lib.rs
@@ -33,7 +33,7 @@
     pub handshake_timeout: Micros,
     /// Maximum number of inbound handshakes in flight; further connections are reset at once.
     pub max_handshakes: usize,
-    /// Maximum number of bytes of ciphertext buffered for one socket; the core's writes are short once it is reached.
+    /// Writes of the core are short if more than about this many bytes of ciphertext would be buffered for one socket.
     pub max_buffered: usize,
     /// How long before an expiry warnings begin.
     pub expiry_warning: Micros,
--- a/crates/sanddrum-upstream/src/config.rs
+++ b/crates/sanddrum-upstream/src/config.rs
@@ -11,7 +11,7 @@
     pub max_handshakes_per_worker: usize,
     /// How many of the most used workers are prewarmed.
     pub prewarmed_workers: usize,
-    /// Edges that share the workers.
+    /// Number of edges that share the workers.
     pub router_count: f64,
     /// How long a worker warms up after its start.
     pub slow_start: Micros,
