--- a/src/logic/attempt_outcomes.rs
+++ b/src/logic/attempt_outcomes.rs
@@ -95,7 +95,7 @@
     usual: &mut RunningMean,
     calibration: &mut HintCalibration,
 ) {
-    // The initial estimate is no usable baseline: all workers would look fast at first, and congested later.
+    // With the initial estimate as the baseline, all workers would look fast at first and congested later.
     if usual.count * EWMA_WEIGHT >= 1.0 {
         let speed_factor = timing.latency_us / timing.expected_us.max(1.0);
         worker.observe_speed_factor(timing.now, speed_factor.min(MAX_SPEED_FACTOR));
--- a/src/logic/cold_start.rs
+++ b/src/logic/cold_start.rs
@@ -65,8 +65,9 @@
         (is_in_time && beats_load).then_some(worker)
     }
 
-    /// The worker on which to load the function: uncongested workers first, then preferred endpoints, then local
-    /// ones, then those with the fewest requests in flight; ties are broken by rank.
+    /// The worker on which to load the function. Uncongested workers are chosen first, and preferred endpoints before
+    /// fallbacks. Among preferred endpoints, local ones come first, then those with the fewest requests in flight;
+    /// ties are broken by rank. Fallbacks are chosen by rank alone.
     fn load_target(&self) -> Option<LoadTarget> {
         let endpoints = self.preferred.first(2 * PREFERRED_ENDPOINTS).enumerate();
         let loadable = endpoints.filter(|(_, worker)| self.can_load(worker));
@@ -110,7 +111,7 @@
 }
 
 impl Router {
-    /// Takes the first possible option: query, wait in a short queue, wait for a load in progress, load, or answer.
+    /// Takes the first option that applies: query, wait in a short queue, wait for a load in progress, load, or answer.
     pub(super) fn handle_cold_start(
         &mut self,
         placement: &PlacementRequest,
--- a/src/logic/constants.rs
+++ b/src/logic/constants.rs
@@ -21,9 +21,10 @@
 
 // ---- Intervals
 
-/// Sweeps in one tightest latency objective; a sweep reconsiders waiting requests and updates the fleet medians.
+/// The number of sweeps within the shortest latency objective of all workloads. A sweep reconsiders waiting requests
+/// and updates the fleet medians.
 pub(super) const SWEEPS_PER_OBJECTIVE: Micros = 20;
-/// Queries and health checks time out after the tightest latency objective divided by this: workers answer them well
+/// Queries and health checks time out after the shortest latency objective divided by this: workers answer them well
 /// within that time, since they never wait for work.
 pub(super) const CHECK_TIMEOUT_DIVISOR: Micros = 10;
 /// The interval of health checks of an ejected worker grows up to this multiple of the first one.
@@ -75,7 +76,8 @@
 pub(super) const QUEUED_FRACTION_LIMIT: f64 = 0.4;
 /// Loads count as congested above this number in progress at the median worker: few run at a time, the others queue.
 pub(super) const CONGESTED_LOAD_COUNT: f64 = 2.0;
-/// The least number of reports by which overload is detected: among fewer, one congested worker would weigh too much.
+/// Overload is detected from at least this many reports, if there are as many: among fewer, one congested worker would
+/// have too much influence.
 pub(super) const MIN_REPORTS: f64 = 5.0;
 /// Requests are assumed to be queued for cores above this fraction of busy cores.
 pub(super) const BUSY_CORES_THRESHOLD: f64 = 0.95;
@@ -96,15 +98,15 @@
 pub(super) const MIN_ADMITTED_FRACTION: f64 = 0.01;
 /// What an answer in time adds to the retry budget of rejected requests.
 pub(super) const RETRY_CREDIT: f64 = 0.1;
-/// What an answer in time adds to the query budget, and so does a query that finds an instance: together no more
-/// queries than requests in time.
+/// What an answer in time adds to the query budget. A query that finds an instance adds the same amount, so that
+/// queries do not outnumber the requests answered in time.
 pub(super) const QUERY_CREDIT: f64 = 0.5;
-/// Concurrency limit of a worker before anything is observed of it, summed over all routers.
+/// Initial concurrency limit of a worker, summed over all routers.
 pub(super) const INITIAL_CONCURRENCY_LIMIT: f64 = 24.0;
 /// What a full concurrency limit of answers in time adds to it; less than one, since other routers raise theirs, too.
 pub(super) const LIMIT_INCREASE: f64 = 0.25;
-/// Factor by which a cut reduces a worker's concurrency limit: when it is congested, rejects a request or is too slow
-/// for the latency objective.
+/// The concurrency limit of a worker is multiplied by this when the worker is congested, rejects a request or is too
+/// slow for the latency objective.
 pub(super) const LIMIT_DECREASE: f64 = 0.8;
 /// Requests of below-average value per unit of work may use this fraction of a worker's concurrency limit.
 pub(super) const LOW_VALUE_LIMIT_FRACTION: f64 = 0.6;
@@ -120,7 +122,8 @@
 /// workers nearly as well as inspecting all. A function that needs more than both is partitioned, each partition with
 /// its own.
 pub(super) const PREFERRED_ENDPOINTS: usize = 4;
-/// Workers inspected for each preferred endpoint or fallback: there are enough even if half of them may not be used.
+/// Workers inspected to find one preferred endpoint or fallback: more than one, as the retry policy or slow start may
+/// exclude some. Even if half of them are excluded, there are enough.
 pub(super) const INSPECTED_PER_PREFERRED: usize = 4;
 /// Workers of a ranking that are inspected to find preferred endpoints and fallbacks.
 pub(super) const INSPECTED_ENDPOINTS: usize = 2 * PREFERRED_ENDPOINTS * INSPECTED_PER_PREFERRED;
@@ -129,8 +132,8 @@
 /// The least number of preferred endpoints of a function: with only one, random variation would give some workers far
 /// more work than others.
 pub(super) const MIN_PREFERRED: usize = 2;
-/// A function gets enough preferred endpoints to add no more than this fraction of a mean worker's load to each; half
-/// of it where a wrong presumption costs a cold miss instead of a load.
+/// A function gets so many preferred endpoints that it adds no more than this fraction of the mean load of a worker to
+/// each of them. Where a wrong presumption costs a cold miss instead of a load, the limit is half of this.
 pub(super) const PREFERRED_LOAD_FRACTION: f64 = 0.5;
 /// The most instances that a router keeps pre-warmed at one worker.
 pub(super) const MAX_PREWARMED_INSTANCES: i64 = 16;
--- a/src/logic/estimates.rs
+++ b/src/logic/estimates.rs
@@ -25,7 +25,8 @@
         self.uncorrected_work(request) * correction
     }
 
-    /// The same without the correction for hints. Until a request of the function has been answered, the usual work
+    /// Like [`expected_work`](Self::expected_work), without the correction for hints. Until a
+    /// request of the function has been answered, the usual work
     /// of its workload is used.
     pub(super) fn uncorrected_work(&self, request: &Request) -> f64 {
         let function = self.functions.get(request.function);
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -193,7 +193,7 @@
         self.query_budget = (self.query_budget + credit).min(max_budget);
     }
 
-    /// Records the outcome of a health check; only a success is conclusive.
+    /// Records the outcome of a health check. Only a success is used; failures are detected by the check's timer.
     pub(super) fn record_health_check_result(&mut self, result: &HealthCheckResult) {
         if result.outcome != Outcome::Finished {
             return;
--- a/src/logic/overload.rs
+++ b/src/logic/overload.rs
@@ -16,7 +16,7 @@
 }
 
 impl Router {
-    /// Updates the fleet medians and what is derived from them.
+    /// Updates the fleet medians and the overload and panic-mode state.
     pub(super) fn refresh_fleet_view(&mut self) {
         // Only the workers that reported last are sampled: this router may get reports from a small part of the fleet.
         let latest = self.by_report_time.iter().rev();
--- a/src/logic/readiness_lease.rs
+++ b/src/logic/readiness_lease.rs
@@ -74,7 +74,8 @@
         })
     }
 
-    /// Whether a worker may receive new attempts and load commands, by the age of what is known of it.
+    /// Whether the last confirmation of a worker's readiness is recent enough to send it new attempts and load
+    /// commands.
     pub(super) fn holds_readiness_lease(&self, worker: &Worker) -> bool {
         if !self.are_endpoints_overdue() {
             return true;
@@ -94,7 +95,7 @@
             && worker.rejected_at > worker.accepted_at
     }
 
-    /// Records what an attempt's outcome shows of the worker's readiness at the time of its dispatch.
+    /// Records what the outcome of an attempt shows about the worker's readiness when the attempt was dispatched.
     pub(super) fn record_readiness(
         &mut self,
         id: WorkerId,
@@ -106,7 +107,7 @@
         };
         let dispatched_at = attempt.dispatched_at;
         match outcome {
-            // A cold miss, too: a draining worker rejects requests before it checks whether the function is loaded.
+            // A cold miss also shows readiness: a draining worker rejects requests before it checks for an instance.
             Outcome::Finished | Outcome::ColdMiss => {
                 worker.accepted_at = worker.accepted_at.max(dispatched_at);
                 self.last_accepted_at = self.last_accepted_at.max(dispatched_at);
--- a/src/logic/rejection.rs
+++ b/src/logic/rejection.rs
@@ -5,7 +5,7 @@
 use crate::{AnswerReason, Decisions, Micros, Request, RequestId};
 
 impl Router {
-    /// Gives the final answer to a request that can't be served in time, unless an attempt of it is in flight.
+    /// Gives the final answer to a request that cannot be served in time, unless an attempt of it is in flight.
     pub(super) fn answer_unless_in_flight(
         &mut self,
         id: RequestId,
@@ -39,8 +39,9 @@
         self.forget_request(id);
     }
 
-    /// The Retry-After of a rejected request: under overload it grows as less is admitted, otherwise it is a load
-    /// time. Random jitter prevents rejected requests from returning together.
+    /// The Retry-After of a rejected request. Under overload it grows as the admitted fraction falls, otherwise it is
+    /// the expected load time; it is based on no less than the expected work. Random jitter prevents clients from
+    /// retrying together.
     fn retry_after(&mut self, request: &Request) -> Micros {
         let function = self.functions.get(request.function);
         let base_us = if self.is_overloaded() {
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -17,7 +17,7 @@
             .is_none_or(|budget_us| budget_us > random() * work_us)
     }
 
-    /// When a worker started: as listed or, until the list is confirmed again, as presumed.
+    /// When a worker last started, by the endpoint list or by a presumed restart that the list does not cover yet.
     fn started_at(&self, worker: &Worker) -> Micros {
         let presumed = worker.presumed_restart_at;
         if presumed > self.endpoints_confirmed_at() {
@@ -48,8 +48,8 @@
     }
 
     /// Work, in microseconds, that may be dispatched to a worker now; `None` if it is warm. The budget accrues at a
-    /// growing fraction of the worker's part of the work that arrives here, over no more than the collapse window, so
-    /// that all routers together stay near the worker's capacity.
+    /// growing fraction of the worker's proportional share of the work that arrives at this router, and is capped at
+    /// what accrues in one collapse window, so that all routers together stay near the worker's capacity.
     pub(super) fn slow_start_budget(&self, worker: &Worker) -> Option<f64> {
         let endpoint = &worker.endpoint;
         let started_at = self.started_at(worker);
--- a/src/logic/warm_first.rs
+++ b/src/logic/warm_first.rs
@@ -31,8 +31,8 @@
 
 impl<'a> Candidates<'a> {
     /// Chooses an instance with free capacity: one at an uncongested worker, in the local zone, and with the fewest
-    /// requests of this router in flight, in this order. Ties, which most choices are with hundreds of routers, are
-    /// broken at random, in favor of large workers and of those that report few requests in flight.
+    /// requests of this router in flight, in this order. Ties are broken at random, in favor of large workers and of
+    /// those that report few requests in flight; with hundreds of routers, most choices are ties.
     pub(super) fn choose_warm(&self) -> Option<WarmChoice> {
         let is_frequent = self.is_requested_often_elsewhere();
         let presumed = self.presumed_instances(is_frequent);
@@ -54,8 +54,9 @@
         })
     }
 
-    /// Exception: if readiness leases will be needed, ties go to the worker whose lease expires first, so that
-    /// traffic renews as many leases as possible.
+    /// A sort key by which ties are broken before the random choice; equal for all workers unless readiness leases
+    /// will be needed. Exception: in that case the worker whose lease expires first is chosen, so that traffic renews
+    /// as many leases as possible.
     fn lease_rank(&self, worker: &Worker) -> Micros {
         if self.router.will_need_leases() {
             worker.accepted_at
@@ -73,8 +74,8 @@
         requests >= (self.fan_out.preferred * self.fan_out.preferred) as f64
     }
 
-    /// Exception: preferred endpoints that are presumed to have an instance, since among many routers each knows of
-    /// few instances. Preferred endpoints of a function that other routers rarely request are queried instead.
+    /// Exception: preferred endpoints are presumed to have an instance if other routers request the function often,
+    /// since among many routers each knows of few instances. Otherwise the endpoints are queried instead.
     fn presumed_instances(&self, is_frequent: bool) -> Vec<Candidate<'a>> {
         let router = self.router;
         let preferred_count = self.fan_out.preferred;
@@ -107,8 +108,8 @@
         endpoints.filter_map(|w| self.presume_instance(w)).collect()
     }
 
-    /// Endpoints inspected for presumed instances: where a wrong presumption costs a load, at most one fallback for
-    /// each preferred endpoint.
+    /// The number of endpoints inspected for presumed instances. Where a wrong presumption costs a load, it includes
+    /// at most one fallback for each preferred endpoint.
     fn presumption_limit(&self) -> usize {
         if self.router.config.workers_answer_misses {
             self.fan_out.inspected
@@ -133,8 +134,8 @@
         })
     }
 
-    /// Exception: a preferred endpoint that was found without an instance loads one for later requests; so does the
-    /// next uncongested endpoint if the best worker is congested.
+    /// The worker that is commanded to load the function for later requests. Exception: this is a preferred endpoint
+    /// that was found without an instance or, if the best worker is congested, the next uncongested endpoint.
     fn preload_target(&self, best: &Worker, is_frequent: bool) -> Option<WorkerId> {
         let router = self.router;
         if !is_frequent || router.are_loads_congested() {
@@ -163,7 +164,7 @@
         target.map(|(_, worker)| worker.endpoint.worker)
     }
 
-    /// Requests that the loads in progress will serve at a time, assuming one instance per load.
+    /// The number of requests that can run concurrently on the instances being loaded, assuming one per load.
     pub(super) fn pending_load_capacity(&self) -> usize {
         let pending = self.function.pending_workers.iter();
         let loads = pending.filter(|id| {
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker at present: readiness, speed factor, load report and concurrency limit.
+//! What is currently known about one worker: readiness, speed factor, load report and concurrency limit.
 
 use super::constants::{
     BASELINE_RISE_US, BUSY_CORES_THRESHOLD, EWMA_WEIGHT, LIMIT_DECREASE, MAX_FAILURE_SCORE,
