--- a/crates/sanddrum-emulator/src/discovery_service.rs
+++ b/crates/sanddrum-emulator/src/discovery_service.rs
@@ -88,7 +88,7 @@
     /// The workers as the service knows them, including changes that are not published yet.
     members: BTreeMap<String, Member>,
     changes: VecDeque<Change>,
-    /// When to publish the state of which worker.
+    /// The workers whose state is to be published, by name, each with the time of publication.
     publish_queue: BTreeSet<(Micros, String)>,
     pending_watches: VecDeque<PendingWatch>,
     busy_until: Micros,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Answers pending watch requests one after another, as many as the core has finished by now.
+    /// Answers pending watch requests in order while the service's only core is free. Encoding an answer occupies it.
     fn answer_watches(&mut self, now: Micros) {
         while self.busy_until <= now {
             let Some(watch) = self.pending_watches.pop_front() else {
--- a/crates/sanddrum-emulator/src/faults.rs
+++ b/crates/sanddrum-emulator/src/faults.rs
@@ -27,10 +27,10 @@
     /// It finishes the requests that it has accepted, and accepts no new ones.
     #[serde(rename = "drains")]
     pub is_draining: bool,
-    /// It sends a frame that is not a message to each router, once.
+    /// It sends each router one frame that is not a message, and clears this fault.
     #[serde(rename = "garbles")]
     pub garble_once: bool,
-    /// All its instances become obsolete, as after a new release of all functions, once.
+    /// All its instances become obsolete, as after a new release of all functions, and it clears this fault.
     #[serde(rename = "flush")]
     pub invalidate_once: bool,
 }
--- a/crates/sanddrum-emulator/src/ground_truth.rs
+++ b/crates/sanddrum-emulator/src/ground_truth.rs
@@ -1,5 +1,5 @@
-//! The actual state of the emulated workers, which no router can see. An oracle decides with it, as an upper bound for
-//! what routers can achieve.
+//! The actual state of the emulated workers, which no router can see. An oracle bases its decisions on it, which gives
+//! an upper bound for what routers can achieve.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     pub core_speed: f64,
     /// Requests that run or wait.
     pub in_flight: usize,
-    /// Requests that it accepts before it rejects the next one.
+    /// The number of further requests for which it has a core or space in its queue.
     pub free_capacity: usize,
     /// Work of all requests that run or wait, in microseconds of a standard core.
     pub backlog: f64,
--- a/crates/sanddrum-emulator/src/handshakes.rs
+++ b/crates/sanddrum-emulator/src/handshakes.rs
@@ -14,7 +14,8 @@
 pub struct HandshakeWork {
     /// The time that a handshake takes at full capacity.
     pub cost: Micros,
-    /// The costs of started handshakes that are not yet counted as work that can make a warming machine collapse.
+    /// The costs of started handshakes that the worker has yet to record as work, which can make a warming machine
+    /// collapse.
     pub uncounted: Vec<f64>,
     /// The number of handshakes started in each second.
     pub per_second: BTreeMap<Micros, u32>,
--- a/crates/sanddrum-emulator/src/machine.rs
+++ b/crates/sanddrum-emulator/src/machine.rs
@@ -29,7 +29,7 @@
     pub queue_limit: usize,
     /// Memory for loaded instances, in megabytes.
     pub memory_mb: f64,
-    /// Loads that run at the same time; twice as many more may wait.
+    /// Loads that run at the same time. Up to twice as many others may wait.
     pub concurrent_loads: usize,
     /// How long an idle instance stays loaded.
     pub keep_alive: Micros,
@@ -41,8 +41,8 @@
     pub initial_capacity: f64,
     /// How long a machine warms up after its start.
     pub warm_up: Micros,
-    /// How many times its current capacity a warming machine withstands over `collapse_window`; beyond that it
-    /// collapses.
+    /// A warming machine collapses if the work sent to it within `collapse_window` exceeds this multiple of what its
+    /// current capacity can process in that time.
     pub collapse_multiple: f64,
     /// The window over which the work sent to a warming machine is summed.
     pub collapse_window: Micros,
--- a/crates/sanddrum-net/src/core.rs
+++ b/crates/sanddrum-net/src/core.rs
@@ -21,8 +21,8 @@
         _io: &mut dyn Io,
     ) {
     }
-    /// Called for an established connection whose credentials are outdated. The core replaces it when that does no
-    /// harm, or immediately if the peer's credentials were `revoked`.
+    /// Called for an established connection whose credentials are outdated. The core replaces it once that is
+    /// possible without loss, or immediately if the peer's credentials were `revoked`.
     fn on_credentials_changed(
         &mut self,
         _now: Micros,
--- a/crates/sanddrum-net/src/event.rs
+++ b/crates/sanddrum-net/src/event.rs
@@ -53,8 +53,8 @@
         /// The connection.
         conn: ConnectionId,
     },
-    /// The connection has ended. No other event of it follows, and none is sent after the core's own `close` or
-    /// `reset`.
+    /// The connection has ended. No further event is delivered for it. After the core itself has called `close` or
+    /// `reset`, not even this one is.
     Closed {
         /// The connection.
         conn: ConnectionId,
--- a/crates/sanddrum-net/src/event_loop/poll.rs
+++ b/crates/sanddrum-net/src/event_loop/poll.rs
@@ -15,7 +15,7 @@
 /// The number of consecutive failed polls that are retried before the loop gives up, after five seconds.
 const MAX_FAILED_POLLS: u32 = 5_000;
 
-/// The times of the last two polls. Input that only the last poll found has arrived since the previous one.
+/// The times of the last two polls. Input that the last poll found, but not the previous one, arrived between them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollTimes {
     pub last: Micros,
--- a/crates/sanddrum-net/src/event_loop/streams.rs
+++ b/crates/sanddrum-net/src/event_loop/streams.rs
@@ -8,8 +8,8 @@
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, TcpStream};
 
-/// The maximum number of consecutive reads from a connection whose input has waited, to find a close by the peer
-/// after it.
+/// The maximum number of consecutive reads from a connection whose input may have waited during a stall. They find a
+/// close by the peer that follows the input.
 const MAX_READS_WHEN_STALLED: usize = 16;
 
 impl EventLoop {
@@ -100,7 +100,7 @@
                 .poller
                 .modify_with_mode(&stream.socket, interest, PollMode::Level);
             if let Err(error) = modified {
-                // The connection would hang forever, as the poller would report no more events of it.
+                // The connection would hang forever, as the poller would report no more events for it.
                 tracing::warn!(reason = "poller", %error, "cannot update the poller's interest in a connection; connection reset");
                 let conn = stream.conn;
                 self.pending_resets.push(HostConnection { host, conn });
--- a/crates/sanddrum-platform/src/frames/decoder.rs
+++ b/crates/sanddrum-platform/src/frames/decoder.rs
@@ -104,7 +104,7 @@
 
 impl Header {
     /// Decodes the header at the start of `bytes`, or returns `None` until more bytes are received. A wrong marker is
-    /// an error as soon as the first byte is there.
+    /// an error as soon as the first byte has arrived.
     fn decode(bytes: &[u8]) -> Result<Option<Header>, FrameError> {
         match bytes.first() {
             Some(marker) if *marker != WORKER_MARKER => {
@@ -150,7 +150,7 @@
     }
 }
 
-/// The status that a response's code means; `None` for the response to a ping.
+/// The status that a response's code stands for; `None` for the response to a ping.
 fn decode_status(code: u8) -> Result<Option<ExecutionStatus>, FrameError> {
     match code {
         97 => Ok(Some(ExecutionStatus::Finished)),
--- a/crates/sanddrum-platform/src/start_times.rs
+++ b/crates/sanddrum-platform/src/start_times.rs
@@ -26,8 +26,8 @@
 const MAX_CLOCK_OFFSETS: usize = 4;
 /// A smaller change of the offset is not a step: wall clocks are also slewed.
 const MIN_CLOCK_STEP: Micros = 500_000;
-/// A date up to this far ahead of a wall clock is attributed to that clock, running a little slow. A date further
-/// ahead was set by a different clock and says nothing about the age.
+/// A start date may be ahead of a wall clock by up to this much, as the clock may be slow; the age is then zero. A date
+/// further ahead was set by a different clock, and its difference from this clock says nothing about the age.
 const MAX_CLOCK_LAG: Micros = 60_000_000;
 
 /// A start of a worker's process.
--- a/crates/sanddrum-platform/src/startup_config.rs
+++ b/crates/sanddrum-platform/src/startup_config.rs
@@ -32,7 +32,7 @@
     decision_settings: Settings,
 }
 
-/// Why a startup configuration can't be used. Unless the text is not JSON, the message begins with the key.
+/// Why a startup configuration can't be used. Except for text that is not JSON, the message begins with the key.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupConfigError {
     /// The text is not JSON.
--- a/crates/sanddrum-settings/src/checks.rs
+++ b/crates/sanddrum-settings/src/checks.rs
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Checks that functions can be loaded at all, and that loaded instances are kept.
+/// Checks that functions can be loaded at all, and that instances stay loaded for some time.
 fn check_instances(settings: &LoadedSettings) -> Result<(), SettingsError> {
     if settings.text("copies.on-miss") == "miss" && !settings.flag("copies.orders") {
         let message = "no function could ever be loaded: workers only report a cold miss, and \
--- a/crates/sanddrum-settings/src/deployment/limits.rs
+++ b/crates/sanddrum-settings/src/deployment/limits.rs
@@ -216,7 +216,7 @@
             "list-calls",
             ValueType::Number(0.1, 1e6),
             Some("100"),
-            "calls per second to the discovery service by all edges together",
+            "requests per second to the discovery service by all edges together",
         ),
         key(
             "list-check",
--- a/crates/sanddrum-settings/src/deployment/security.rs
+++ b/crates/sanddrum-settings/src/deployment/security.rs
@@ -165,7 +165,7 @@
             "warn-ahead",
             ValueType::Duration,
             Some("336h"),
-            "how long before a certificate or revocation list expires warnings begin",
+            "how long before the expiry of a certificate or revocation list warnings begin",
         ),
     ],
 };
--- a/crates/sanddrum-simulator-adapter/src/decode.rs
+++ b/crates/sanddrum-simulator-adapter/src/decode.rs
@@ -18,7 +18,8 @@
 const OPTION_WORK_HINT: u64 = 1;
 /// Bit of a request's options: the request is a retry by the client.
 const OPTION_CLIENT_RETRY: u64 = 2;
-/// The note of an attempt's outcome is the warmth code plus this times the function's requests in flight.
+/// The note in an attempt's outcome combines two values: the warmth code, plus this multiplied by the number of the
+/// function's requests in flight.
 const WARMTH_CODES: u32 = 8;
 
 /// Whether a batch of messages is complete.
@@ -216,7 +217,8 @@
         Ok(())
     }
 
-    /// The client has received the start of its answer: the deadline no longer applies and no final answer is needed.
+    /// Records that the client has received the start of its answer. The deadline no longer applies and no final answer
+    /// is needed, so the request is reported as cancelled to the decision module.
     fn read_answer_begun(&mut self, fields: Fields) -> Result<(), DecodeError> {
         let request = self.names.request_id(fields.text(2, "rid")?);
         self.batch.cancelled.extend(request);
--- a/crates/sanddrum-wire/src/messages/worker.rs
+++ b/crates/sanddrum-wire/src/messages/worker.rs
@@ -58,8 +58,8 @@
     /// The name of the function to execute.
     #[n(2)]
     pub function: String,
-    /// Microseconds after its arrival at which the answer is no longer useful. The worker drops an execution that has
-    /// not begun by then.
+    /// How long after the execution's arrival an answer is useful, in microseconds. The worker drops an execution that
+    /// has not begun by then.
     #[n(3)]
     pub time_limit_us: i64,
     /// Memory of one instance in MB (2^20 bytes).
--- a/src/logic/worker_view.rs
+++ b/src/logic/worker_view.rs
@@ -58,8 +58,9 @@
         decayed(reported, median, now - self.reported_at, REPORT_DECAY_US)
     }
 
-    /// The fraction of reported requests that is queued or, if that is not reported, whether all cores are busy. If
-    /// requests start loads, a load in progress is a queued request that does not wait for a core, and is subtracted.
+    /// The fraction of reported requests that is queued. If that is not reported, 1 if nearly all cores are busy,
+    /// otherwise 0. If requests start loads, a load in progress is a queued request that does not wait for a core, and
+    /// is subtracted.
     pub(super) fn queued_fraction(&self, requests_start_loads: bool) -> Option<f64> {
         let loads = self.report.loads_in_progress;
         let loads = loads.filter(|_| requests_start_loads).unwrap_or(0.0);
--- a/src/state/function.rs
+++ b/src/state/function.rs
@@ -1,4 +1,4 @@
-//! The state of functions and of their instances at workers, and the indexes over it.
+//! The state of functions and of their instances at workers, with indexes.
 
 use crate::statistics::tie_break;
 use crate::{FunctionId, Micros, RequestId, WorkerId};
@@ -45,7 +45,7 @@
     pub load_us: f64,
     /// When workers were last queried for instances.
     pub queried_at: Option<Micros>,
-    /// How long requests wait for the answers to that query.
+    /// Until when requests wait for the answers to that query.
     pub query_deadline: Micros,
     /// What is known about it at each worker.
     pub workers: BTreeMap<WorkerId, InstanceState>,
@@ -167,8 +167,8 @@
         self.set_instance(id, worker, instance);
     }
 
-    /// Removes expired instances from the index of [`Function::warm_workers`] until it yields none for these arguments:
-    /// they would displace workers with valid ones.
+    /// Removes expired instances from the index until [`Function::warm_workers`] returns none with these arguments.
+    /// Otherwise they would take the slots of workers with valid instances within `limit`.
     pub fn remove_expired(
         &mut self,
         id: FunctionId,
