--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -51,7 +51,8 @@
     pub rejected_at: Micros,
     /// When a connection to it last failed or was reset; zero once it has answered again.
     pub lost_at: Micros,
-    /// When it answered again after that while the endpoint list was too old to show a restart.
+    /// When it answered again after a lost connection while the endpoint list was too old to show whether it had
+    /// restarted. It is then presumed to have restarted.
     pub presumed_restart_at: Micros,
     /// When it last answered a request, a command or a health check.
     pub last_response_at: Micros,
