--- a/crates/sanddrum-lab/src/soak/checker.rs
+++ b/crates/sanddrum-lab/src/soak/checker.rs
@@ -102,7 +102,8 @@
 /// This long after SIGTERM a router starts to close its clients' connections; requests received before then must all
 /// get a response.
 const CLOSES_AFTER_SIGTERM: Micros = 700_000;
-/// SIGKILL follows SIGTERM no sooner than the longest deadline, capped at `KILL_DEADLINE_CAP`, plus `KILL_MARGIN`.
+/// After SIGTERM a router must exit within the longest deadline, capped at `KILL_DEADLINE_CAP`, plus `KILL_MARGIN`. The
+/// lab sends SIGKILL no sooner.
 const KILL_DEADLINE_CAP: Micros = 3_000_000;
 const KILL_MARGIN: Micros = 700_000;
 /// A started router must be ready within this time.
@@ -233,8 +234,8 @@
         .is_some_and(|at| request.sent > at + CLOSES_AFTER_SIGTERM)
 }
 
-/// Returns whether the router must answer a request: not if the lab killed it as an injected fault, nor if it had
-/// exited before the request was sent.
+/// Returns whether a request must be answered by its router. This is not required if the lab killed the router as an
+/// injected fault, or if the router had exited before the request was sent.
 fn must_be_answered(observations: &Observations, request: &Request) -> bool {
     let Some(incarnation) = observations.incarnation_at(request.router, request.sent) else {
         return false;
--- a/crates/sanddrum-lab/src/soak/checker/servers.rs
+++ b/crates/sanddrum-lab/src/soak/checker/servers.rs
@@ -46,18 +46,18 @@
         let from = deemed_delivered_at(observations, drain.announced)
             + settings.drain_grace
             + SOCKET_SLACK;
-        let late = observations
+        let arrivals = observations
             .attempts
             .iter()
             .filter(|a| a.server == drain.server && !a.arrival_unknown);
-        for attempt in late {
+        for attempt in arrivals {
             let Some(request) = observations.requests.get(&attempt.request_id) else {
                 continue;
             };
             let allowance = observations.lab_delay_between(drain.announced, attempt.at)
                 + observations.stopped_between(request.router, drain.announced, attempt.at);
             let after = attempt.at - from - allowance;
-            // A router that has started since knows of the drain from its start configuration: no exception for it.
+            // A router that started after the announcement gets no allowance: its start configuration has the drain.
             if after > 0 {
                 let detail = format!(
                     "{} at server {} {:.3} s after the drain grace period",
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -66,6 +66,7 @@
     pub responses: u64,
 }
 
+/// What a client does with its request or connection after it has started sending.
 enum FollowUp {
     Abort(u16),
     Close,
@@ -379,7 +380,7 @@
             connection.pending_writes.pop_front();
         }
     }
-    /// Performs what the client does after its request, once that is due.
+    /// Performs the connection's follow-up action if it is due.
     fn perform_follow_up(&mut self, now: Micros, conn: ConnectionId, io: &mut dyn Io) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -350,7 +350,7 @@
         }
         Ok(())
     }
-    /// Returns how long after SIGTERM a router is killed.
+    /// Returns how long after SIGTERM a router that is still running is killed.
     fn exit_time_limit(&self) -> Micros {
         self.settings.max_deadline.min(KILL_DEADLINE_CAP) + KILL_MARGIN
     }
@@ -482,8 +482,8 @@
         self.scheduled
             .push((now + span, ScheduledAction::RestoreFeed));
     }
-    /// Makes the feed unreachable for longer than the timeouts in the platform's documentation. Busy servers drain
-    /// just after the outage begins.
+    /// Records an outage of the feed and schedules its end, and random servers that begin to drain just after its
+    /// start. It lasts longer than the timeouts in the platform's documentation. The caller sets the feed's mode.
     fn begin_outage(&mut self, now: Micros, servers: usize, span: Micros, drains_after: Micros) {
         self.observations.borrow_mut().feed_faults.push(FeedFault {
             span: Span {
@@ -504,7 +504,8 @@
             ));
         }
     }
-    /// Moves the feed to its other address and sends all routers a new configuration.
+    /// Moves the feed to its other address, writes the new configuration of each router and makes running routers
+    /// reload it.
     fn move_feed(&mut self, now: Micros) -> io::Result<()> {
         self.fleet.feed_listener = 1 - self.fleet.feed_listener;
         self.feed.borrow_mut().listener = ListenerId(self.fleet.feed_listener);
--- a/crates/sanddrum-lab/src/soak/environment/fault_injection.rs
+++ b/crates/sanddrum-lab/src/soak/environment/fault_injection.rs
@@ -183,7 +183,7 @@
             Word::Send,
             Word::Wait,
         ];
-        // The router changes its poller's registrations with every wait, and each failure costs a connection.
+        // The router calls `epoll_ctl` with every wait and loses a connection with each failure, so this rate is lower.
         self.routers[n]
             .fault_control
             .set(Word::Control, rate / EPOLL_CTL_RATE_DIVISOR)?;
@@ -240,7 +240,8 @@
             }
         }
     }
-    /// Ends all active faults and drops what was scheduled but is not the end of a fault.
+    /// Performs the scheduled actions that end a fault now and drops the others. An outage of the feed whose time is
+    /// not over doesn't end.
     ///
     /// # Errors
     /// A fault control block can't be written.
--- a/crates/sanddrum-lab/src/soak/mod.rs
+++ b/crates/sanddrum-lab/src/soak/mod.rs
@@ -125,7 +125,7 @@
     report(spec.seed, &environment, &planned, &observations, violations)
 }
 
-/// Returns a fleet at addresses that no other run uses, which shows by its first feed address being free.
+/// Returns a fleet at addresses that no other run uses. They are considered free if the first feed address is.
 fn fleet_at_free_addresses(spec: &SoakSpec) -> io::Result<Fleet> {
     let (routers, servers, feed_listener) = (spec.routers, spec.servers, 0);
     let first = Fleet::NETS.start + (spec.seed % Fleet::NETS.len() as u64) as u8;
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -123,7 +123,7 @@
     control: Rc<RefCell<ServerControl>>,
     rng: Rng,
     peers: BTreeMap<ConnectionId, Peer>,
-    /// When each function's instance is loaded.
+    /// When the load of each function's instance finishes or finished.
     loaded: BTreeMap<String, Micros>,
     /// When each core becomes free.
     cores: Vec<Micros>,
