--- a/crates/sanddrum-lab/src/capacity.rs
+++ b/crates/sanddrum-lab/src/capacity.rs
@@ -1,6 +1,6 @@
 //! Capacity benchmarks: what routers, workers, the function store, the discovery service and configuration changes
 //! cost as a deployment grows. Each figure is measured at several sizes and fitted to a slope. Simulated parts run the
-//! product's own cores and decision modules; only what these exchange messages with is simplified.
+//! product's own cores and decision modules; only the peers that these exchange messages with are simplified.
 
 mod charts;
 mod configuration;
--- a/crates/sanddrum-lab/src/capacity/decision_host.rs
+++ b/crates/sanddrum-lab/src/capacity/decision_host.rs
@@ -144,7 +144,7 @@
     pub fn ended(&self) -> u64 {
         self.finished + self.rejected + self.failed
     }
-    /// The counts since an earlier state.
+    /// The difference to earlier counts.
     pub fn since(&self, before: &Counts) -> Counts {
         let mut since = self.clone();
         for (field, before) in since.fields().into_iter().zip(before.clone().fields()) {
@@ -294,7 +294,8 @@
     /// The connections to each listed worker, without retired ones.
     pub(crate) targets: BTreeMap<WorkerId, BTreeSet<WorkerConnectionId>>,
     pub(crate) connections_created: u64,
-    pub(crate) dirty: BTreeSet<WorkerConnectionId>,
+    /// Connections whose queued messages are sent if they are established.
+    pub(crate) connections_to_flush: BTreeSet<WorkerConnectionId>,
     pub(crate) connection_policy: ConnectionPolicy,
     pub(crate) connection_events: ConnectionEvents,
     pub(crate) connection_wake: Option<Micros>,
@@ -322,7 +323,7 @@
             connections: BTreeMap::new(),
             targets: BTreeMap::new(),
             connections_created: 0,
-            dirty: BTreeSet::new(),
+            connections_to_flush: BTreeSet::new(),
             // Derives the same seed as an edge.
             connection_policy: ConnectionPolicy::new(seed ^ 0xc0, settings),
             connection_events: ConnectionEvents::default(),
--- a/crates/sanddrum-lab/src/capacity/derived.rs
+++ b/crates/sanddrum-lab/src/capacity/derived.rs
@@ -3,7 +3,7 @@
 
 use super::{Plan, Point, Role, Sink, Source};
 
-/// The run whose figures over the number of workers are used.
+/// The benchmark run whose points over the number of workers the derived points are computed from.
 const SOURCE_NAME: &str = "router among others, orders on";
 const DERIVED_NAME: &str = "all routers, worked out";
 
--- a/crates/sanddrum-lab/src/capacity/discovery_environment.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -146,7 +146,7 @@
     pub fn now(&self) -> Micros {
         self.net.now()
     }
-    /// Starts a new incarnation of the service with its cached list.
+    /// Starts a new incarnation of the service, which knows the initial rows of all workers.
     pub fn start_service(&mut self) {
         self.service_incarnation += 1;
         let rows: Vec<EndpointRecord> = (0..self.spec.rows)
--- a/crates/sanddrum-lab/src/capacity/discovery_microbench.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_microbench.rs
@@ -52,7 +52,7 @@
     now: Micros,
     snapshot_cost: Micros,
     publish_delay: Micros,
-    callers: u64,
+    routers: u64,
     /// The incarnation of the changing worker.
     incarnation: u64,
 }
@@ -79,7 +79,7 @@
             now,
             snapshot_cost,
             publish_delay,
-            callers: 0,
+            routers: 0,
             incarnation: 1,
         };
         bench.service.on_event(
@@ -108,11 +108,11 @@
         self.service.process(self.now, &mut self.io);
     }
     /// Connects another router, which gets the full list.
-    fn add_caller(&mut self) {
-        let (conn, listener) = (ConnectionId(self.callers), ListenerId(0));
-        self.callers += 1;
+    fn add_router(&mut self) {
+        let (conn, listener) = (ConnectionId(self.routers), ListenerId(0));
+        self.routers += 1;
         self.now += self.snapshot_cost + 1;
-        let name = crate::Scenario::edge_name(self.callers as usize);
+        let name = crate::Scenario::edge_name(self.routers as usize);
         let hello = ToDiscovery::Hello(Hello {
             version: VERSION,
             name,
@@ -198,7 +198,7 @@
             continue;
         };
         let (sent, start) = (bench.io.bytes, ThreadCpuClock::now());
-        (0..SAMPLES).for_each(|_| bench.add_caller());
+        (0..SAMPLES).for_each(|_| bench.add_router());
         let nanoseconds = (ThreadCpuClock::now() - start) as f64 / SAMPLES as f64;
         let bytes = (bench.io.bytes - sent) as f64 / SAMPLES as f64;
         reporter.record(
@@ -220,8 +220,8 @@
         let mut bench = ServiceBench::new(plan, rows);
         let before = resident_bytes()?;
         for at in routers {
-            while bench.callers < *at {
-                bench.add_caller();
+            while bench.routers < *at {
+                bench.add_router();
                 if stop.is_set() {
                     return Ok(());
                 }
--- a/crates/sanddrum-lab/src/capacity/edge_comparison.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_comparison.rs
@@ -42,7 +42,7 @@
     Scenario::read("beside.sx", &text, plan.seed).map_err(|e| e.to_string())
 }
 
-/// Runs both at each size and checks that their decisions are equal.
+/// Runs a real edge and a simulated router at each size and checks that they make the same decisions.
 ///
 /// # Errors
 /// A scenario can't be set up, or the simulated router made different decisions.
@@ -87,11 +87,11 @@
             RunStatus::Stopped => return Ok(()),
         };
         let requests = observed.requests.len().max(1) as f64;
-        let per_request = |figure: fn(&Decision) -> bool| {
+        let per_request = |predicate: fn(&Decision) -> bool| {
             observed
                 .decisions
                 .iter()
-                .filter(|(_, decision)| figure(decision))
+                .filter(|(_, decision)| predicate(decision))
                 .count() as f64
                 / requests
         };
--- a/crates/sanddrum-lab/src/capacity/edge_process.rs
+++ b/crates/sanddrum-lab/src/capacity/edge_process.rs
@@ -89,6 +89,8 @@
     }
 }
 
+/// Returns the resident memory of an idle edge process in bytes and the fraction of a core that it uses, or `None` if
+/// a stop was requested.
 fn measure_idle(
     program: &Path,
     plan: &Plan,
--- a/crates/sanddrum-lab/src/capacity/metered.rs
+++ b/crates/sanddrum-lab/src/capacity/metered.rs
@@ -77,8 +77,10 @@
 /// Counts the frames of a stream without storing them.
 #[derive(Debug, Default)]
 struct FrameCount {
+    /// The part of the next frame's length prefix that has been seen.
     prefix: Vec<u8>,
-    content: usize,
+    /// Bytes of the current frame that have not been seen yet.
+    remaining: usize,
 }
 
 impl FrameCount {
@@ -86,21 +88,21 @@
     fn count_ends(&mut self, mut bytes: &[u8]) -> u64 {
         let mut ended = 0;
         while !bytes.is_empty() {
-            if self.content == 0 {
+            if self.remaining == 0 {
                 let (more, rest) = bytes.split_at(bytes.len().min(4 - self.prefix.len()));
                 self.prefix.extend_from_slice(more);
                 bytes = rest;
                 if let Some(length) = self.prefix.first_chunk::<4>() {
-                    self.content = u32::from_be_bytes(*length) as usize;
+                    self.remaining = u32::from_be_bytes(*length) as usize;
                     self.prefix.clear();
-                    ended += u64::from(self.content == 0);
+                    ended += u64::from(self.remaining == 0);
                 }
                 continue;
             }
-            let taken = self.content.min(bytes.len());
-            self.content -= taken;
+            let taken = self.remaining.min(bytes.len());
+            self.remaining -= taken;
             bytes = &bytes[taken..];
-            ended += u64::from(self.content == 0);
+            ended += u64::from(self.remaining == 0);
         }
         ended
     }
--- a/crates/sanddrum-lab/src/capacity/model.rs
+++ b/crates/sanddrum-lab/src/capacity/model.rs
@@ -357,37 +357,38 @@
     fn has_instance(
         &self,
         now: Micros,
-        at: &SimulatedWorker,
+        worker: &SimulatedWorker,
         functions: &Functions,
         n: usize,
         workers: usize,
     ) -> bool {
-        let keep = at.machine.config.keep_alive.max(1);
+        let keep_alive = worker.machine.config.keep_alive.max(1);
         let fraction = functions.fraction(n);
         let workers_with_instance = (fraction * workers as f64 / MAX_WORKER_SHARE).ceil().clamp(
             MIN_WORKERS_PER_FUNCTION,
             (workers as f64).max(MIN_WORKERS_PER_FUNCTION),
         );
-        let expected = fraction * self.request_rate * (keep as f64 / 1e6) / workers_with_instance;
+        let expected =
+            fraction * self.request_rate * (keep_alive as f64 / 1e6) / workers_with_instance;
         let sample_seed =
-            (now / keep) as u64 ^ (n as u64).rotate_left(20) ^ at.id.0.rotate_left(40);
+            (now / keep_alive) as u64 ^ (n as u64).rotate_left(20) ^ worker.id.0.rotate_left(40);
         Rng::new(self.seed ^ sample_seed).next_f64() < 1.0 - (-expected).exp()
     }
     /// Adds the requests of these routers to a load report.
     fn add_to_report(
         &self,
         now: Micros,
-        at: &SimulatedWorker,
+        worker: &SimulatedWorker,
         report: LoadReport,
         requests: f64,
     ) -> LoadReport {
-        let mut rng = Rng::new(self.seed ^ at.id.0 ^ now as u64);
+        let mut rng = Rng::new(self.seed ^ worker.id.0 ^ now as u64);
         // A Poisson-distributed value from the gaps between arrivals; fast enough, as a worker has few requests.
         let (mut added, mut elapsed) = (0.0, rng.exponential(1.0));
         while elapsed < requests {
             (added, elapsed) = (added + 1.0, elapsed + rng.exponential(1.0));
         }
-        let cores = at.machine.config.cores.max(1) as f64;
+        let cores = worker.machine.config.cores.max(1) as f64;
         LoadReport {
             in_flight: report.in_flight.map(|held| held + added),
             busy: report.busy.map(|busy| (busy + added / cores).min(1.0)),
--- a/crates/sanddrum-lab/src/capacity/output.rs
+++ b/crates/sanddrum-lab/src/capacity/output.rs
@@ -62,13 +62,13 @@
                     .map(|(at, value)| format!("{}: {}", format_value(*at), format_value(*value)));
                 each.collect::<Vec<_>>().join(", ")
             };
-            let cut = match s.not_finished.is_empty() {
+            let not_finished = match s.not_finished.is_empty() {
                 true => String::new(),
                 false => format!("; not finished {}", each(&s.not_finished)),
             };
             let worked_out = if s.worked_out { "; worked out" } else { "" };
             text.push_str(&format!(
-                "{:?} | {} | {} [{}] by {} | {}{cut}{worked_out} | {}\n",
+                "{:?} | {} | {} [{}] by {} | {}{not_finished}{worked_out} | {}\n",
                 s.role,
                 s.play,
                 s.figure,
@@ -122,11 +122,12 @@
         self.replace("slopes.csv", &csv(&rows)?)
     }
     fn replace(&self, name: &str, bytes: &[u8]) -> Result<(), String> {
-        let (beside, file) = (
+        let (temporary, file) = (
             self.folder.join(format!("{name}.new")),
             self.folder.join(name),
         );
-        let written = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, &file));
+        let written =
+            std::fs::write(&temporary, bytes).and_then(|()| std::fs::rename(&temporary, &file));
         written.map_err(|e| format!("{}: {e}", file.display()))
     }
 }
--- a/crates/sanddrum-lab/src/capacity/simulated/connections.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/connections.rs
@@ -98,7 +98,7 @@
                 worker,
                 utilization,
             });
-        host.dirty.insert(id);
+        host.connections_to_flush.insert(id);
         Ok(id)
     }
     /// Queues a message without an answer on a given connection, if that still exists.
@@ -111,7 +111,7 @@
         let host = &mut self.hosts[router];
         if let Some(connection) = host.connections.get_mut(&id) {
             connection.unsent.push((MessageTag::Unanswered, message));
-            host.dirty.insert(id);
+            host.connections_to_flush.insert(id);
         }
     }
     fn new_connection(
@@ -281,7 +281,7 @@
                     connection: id,
                     resumed: false,
                 });
-            host.dirty.insert(id);
+            host.connections_to_flush.insert(id);
             self.routers_to_process.insert(router);
         }
     }
@@ -322,7 +322,7 @@
         let Some(connection) = host.connections.remove(&id) else {
             return;
         };
-        host.dirty.remove(&id);
+        host.connections_to_flush.remove(&id);
         if let Some(target) = host.targets.get_mut(&connection.worker) {
             target.remove(&id);
         }
@@ -363,7 +363,7 @@
     /// Sends the queued messages of established connections.
     pub(super) fn flush(&mut self, router: usize) {
         let now = self.now;
-        for id in std::mem::take(&mut self.hosts[router].dirty) {
+        for id in std::mem::take(&mut self.hosts[router].connections_to_flush) {
             let zone = self.hosts[router].zone;
             let Some(connection) = self.hosts[router]
                 .connections
--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -482,8 +482,8 @@
         self.scheduled
             .push((now + span, ScheduledAction::RestoreFeed));
     }
-    /// Records an outage of the feed and schedules its end, and random servers that begin to drain just after its
-    /// start. It lasts longer than the timeouts in the platform's documentation. The caller sets the feed's mode.
+    /// Records an outage of the feed, which lasts longer than the timeouts in the platform's documentation. Schedules its
+    /// end and the drains of some servers, which begin just after the outage. The caller sets the feed's mode.
     fn begin_outage(&mut self, now: Micros, servers: usize, span: Micros, drains_after: Micros) {
         self.observations.borrow_mut().feed_faults.push(FeedFault {
             span: Span {
--- a/crates/sanddrum-lab/src/soak/environment/fault_injection.rs
+++ b/crates/sanddrum-lab/src/soak/environment/fault_injection.rs
@@ -240,8 +240,8 @@
             }
         }
     }
-    /// Performs the scheduled actions that end a fault now and drops the others. An outage of the feed whose time is
-    /// not over doesn't end.
+    /// Ends the active faults ahead of schedule and drops all other scheduled actions. An outage of the feed does not
+    /// end early.
     ///
     /// # Errors
     /// A fault control block can't be written.
--- a/crates/sanddrum-lab/tests/broken_edges.rs
+++ b/crates/sanddrum-lab/tests/broken_edges.rs
@@ -113,7 +113,8 @@
             router: Router::new(start.seed, &settings),
             defect,
         };
-        // The edge enforces some rules itself, whatever its module decides. That is off here, so that they get broken.
+        // The edge itself prevents violations of some rules, whatever its module decides. This is disabled here, so that
+        // the violations reach the checker.
         Box::new(Edge::with_module(start, module).allowing_violations())
     })
 }
@@ -195,15 +196,16 @@
         client_attempts: vec![attempt],
         ..Log::default()
     };
-    log.executions.extend(executed_at.map(|came| Execution {
-        worker: 0,
-        edge,
-        received_at: came,
-        call: 0,
-        number: 0,
-        workload,
-        answers: vec![],
-    }));
+    log.executions
+        .extend(executed_at.map(|received_at| Execution {
+            worker: 0,
+            edge,
+            received_at,
+            call: 0,
+            number: 0,
+            workload,
+            answers: vec![],
+        }));
     let verdict = check_log(&log, &scenario, 0, 100_000);
     assert_eq!(
         verdict.violations.iter().map(|b| b.rule).max().unwrap_or(0),
--- a/crates/sanddrum-lab/tests/checker.rs
+++ b/crates/sanddrum-lab/tests/checker.rs
@@ -22,21 +22,21 @@
     #[case] down: Option<(i64, Option<i64>)>,
     #[case] violations: usize,
 ) {
-    let order = |came| LoadCommand {
+    let load_command = |received_at| LoadCommand {
         worker: 0,
         edge: "edge-0".into(),
-        received_at: came,
+        received_at,
         instances: 1,
     };
-    let orders = [1_000_000, 1_100_000, 1_200_000, 1_700_000]
-        .map(order)
+    let load_commands = [1_000_000, 1_100_000, 1_200_000, 1_700_000]
+        .map(load_command)
         .to_vec();
     let down = down
         .into_iter()
         .map(|(from, until)| ("edge-0".to_string(), from, until))
         .collect();
     let log = Log {
-        load_commands: orders,
+        load_commands,
         edge_downtime: down,
         ..Log::default()
     };
@@ -66,7 +66,7 @@
         .map(|(from, until)| (edge.clone(), from, until))
         .collect();
     let sent = 1_000_000;
-    let tries = vec![ClientAttempt {
+    let attempts = vec![ClientAttempt {
         edge,
         workload,
         call_started_at: sent,
@@ -75,7 +75,7 @@
         ..ClientAttempt::default()
     }];
     let log = Log {
-        client_attempts: tries,
+        client_attempts: attempts,
         edge_pauses: stopped,
         max_scheduling_delay: 500_000,
         ..Log::default()
@@ -89,8 +89,7 @@
     );
 }
 
-/// A call is sent at 1 s with a time limit of 3 s, so it expires at 4 s. The scheduling delays are sampled every 50
-/// ms.
+/// A request is sent at 1 s with a time limit of 3 s, so it expires at 4 s. Scheduling delays are sampled every 50 ms.
 #[rstest]
 #[case::no_delay(4_001_000, &[], 1)]
 #[case::it_arrived_in_time(3_999_000, &[], 0)]
@@ -108,19 +107,19 @@
     #[case] waited: &[(&str, i64, i64)],
     #[case] violations: usize,
 ) {
-    let mut waits: BTreeMap<String, SchedulingDelays> = BTreeMap::new();
+    let mut delays: BTreeMap<String, SchedulingDelays> = BTreeMap::new();
     for at in (1..=100).map(|n| n * 50_000) {
         for name in ["edge-0", "edge-1", RUNNER] {
             let delay = waited
                 .iter()
                 .filter(|(of, when, _)| *of == name && *when == at)
                 .map(|(.., delay)| *delay);
-            waits.entry(name.into()).or_default().add(at, delay.sum());
+            delays.entry(name.into()).or_default().add(at, delay.sum());
         }
     }
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let answers = vec![(answered_at, 504)];
-    let tries = vec![ClientAttempt {
+    let attempts = vec![ClientAttempt {
         edge,
         workload,
         call_started_at: sent,
@@ -130,8 +129,8 @@
         ..ClientAttempt::default()
     }];
     let log = Log {
-        client_attempts: tries,
-        scheduling_delays: waits,
+        client_attempts: attempts,
+        scheduling_delays: delays,
         max_scheduling_delay: 500_000,
         ..Log::default()
     };
@@ -161,9 +160,9 @@
 ) {
     let (edge, workload, sent) = ("edge-0".to_string(), "job".to_string(), 1_000_000);
     let stopped = vec![(edge.clone(), from, until)];
-    let waits = [(RUNNER.to_string(), SchedulingDelays::default())].into();
+    let delays = [(RUNNER.to_string(), SchedulingDelays::default())].into();
     let (began, limit, answers) = (sent, 3_000_000, vec![(7_100_000, 504)]);
-    let tries = vec![ClientAttempt {
+    let attempts = vec![ClientAttempt {
         edge,
         workload,
         call_started_at: began,
@@ -173,9 +172,9 @@
         ..ClientAttempt::default()
     }];
     let log = Log {
-        client_attempts: tries,
+        client_attempts: attempts,
         edge_pauses: stopped,
-        scheduling_delays: waits,
+        scheduling_delays: delays,
         max_scheduling_delay: 500_000,
         ..Log::default()
     };
@@ -212,7 +211,7 @@
         (calls "job" (share 1) (work 100ms))"#;
     let started = 50_000_000;
     let arrival = |n: i64| started + offset_from_start + n;
-    let run = |n| Execution {
+    let execution = |n| Execution {
         worker: 0,
         edge: format!("edge-{}", n % 7),
         received_at: arrival(n),
@@ -229,7 +228,7 @@
             .unwrap();
     }
     let log = Log {
-        executions: (0..requests).map(run).collect(),
+        executions: (0..requests).map(execution).collect(),
         worker_starts: vec![(0, started)],
         ..Log::default()
     };
--- a/crates/sanddrum-lab/tests/fleet_summary.rs
+++ b/crates/sanddrum-lab/tests/fleet_summary.rs
@@ -15,10 +15,10 @@
         (calls "important" (share 0.5) (work 20ms)) (calls "minor" (share 0.5) (work 10ms))"#;
     Scenario::read("test", text, 1).unwrap_or_else(|e| panic!("{e}"))
 }
-/// Tries of a workload that were answered with this status in this second.
-fn tries(workload: &str, second: Micros, status: u16, count: u64) -> Vec<ClientAttempt> {
+/// Client attempts of a workload that were answered with this status in this second.
+fn client_attempts(workload: &str, second: Micros, status: u16, count: u64) -> Vec<ClientAttempt> {
     let at = second * 1_000_000 + 500;
-    let call = |n: u64| ClientAttempt {
+    let attempt = |n: u64| ClientAttempt {
         call: n + (at as u64 + u64::from(status)) * 1000 + workload.len() as u64 * 100,
         workload: workload.into(),
         edge: format!("edge-{}", n % 2),
@@ -26,7 +26,7 @@
         answers: vec![(at, status)],
         ..ClientAttempt::default()
     };
-    (0..count).map(call).collect()
+    (0..count).map(attempt).collect()
 }
 
 #[rstest]
@@ -38,11 +38,11 @@
     #[case] answered: &[(&str, Micros, u16, u64)],
     #[case] expected: f64,
 ) {
-    let tries = answered
+    let attempts = answered
         .iter()
-        .flat_map(|(workload, at, status, n)| tries(workload, *at, *status, *n));
+        .flat_map(|(workload, at, status, n)| client_attempts(workload, *at, *status, *n));
     let log = Log {
-        client_attempts: tries.collect(),
+        client_attempts: attempts.collect(),
         ..Log::default()
     };
     assert!((inversions(&log, &scenario()) - expected).abs() < 1e-9);
@@ -50,7 +50,7 @@
 
 #[rstest]
 fn the_range_of_service_over_edges_is_reported() {
-    let mut all = tries("important", 1, 200, 200);
+    let mut all = client_attempts("important", 1, 200, 200);
     all.iter_mut()
         .filter(|t| t.edge == "edge-1")
         .step_by(4)
--- a/crates/sanddrum-lab/tests/stories.rs
+++ b/crates/sanddrum-lab/tests/stories.rs
@@ -99,12 +99,12 @@
         "{}",
         outcome.text()
     );
-    let (at, act) = outcome
+    let (at, event) = outcome
         .timeline
         .iter()
-        .find(|(_, act)| act.starts_with("impostor begins"))
+        .find(|(_, event)| event.starts_with("impostor begins"))
         .unwrap();
-    let impostor: usize = act.split(['(', ')']).nth(1).unwrap().parse().unwrap();
+    let impostor: usize = event.split(['(', ')']).nth(1).unwrap().parse().unwrap();
     let log = &recording.0.borrow().log;
     let while_foreign = |run: &&sanddrum_lab::recorder::Execution| {
         run.worker == impostor
