--- a/crates/sanddrum-lab/src/capacity/discovery_environment.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_environment.rs
@@ -333,7 +333,7 @@
         &self.spec
     }
     /// The number of events processed so far.
-    pub fn steps(&self) -> u64 {
+    pub fn processed_events(&self) -> u64 {
         self.net.processed_events()
     }
 
--- a/crates/sanddrum-lab/src/capacity/discovery_load.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_load.rs
@@ -111,7 +111,7 @@
 
 /// The largest size of a row in transit, in bytes.
 const ROW_BYTES: u64 = 60;
-/// How many copies of a row may exist at a time: at the service, in transit and at the reader.
+/// How many copies of a row for one router may exist at a time, in the service's output, in transit or at the router.
 const MAX_COPIES: u64 = 2;
 /// Only the workers that are simulated send heartbeats, so the others must not time out.
 const NO_HEARTBEAT_TIMEOUT: Micros = 86_400 * SECOND;
@@ -134,11 +134,11 @@
         &format!("{routers} routers with lists of {rows} rows"),
         bytes,
     )?;
-    let (least, last) = (
+    let (min_delay, max_delay) = (
         l.duration_us("list-service-plays.notice-least-us"),
         l.duration_us("list-service-plays.notice-most-us"),
     );
-    if least > last {
+    if min_delay > max_delay {
         let what = "list-service-plays.notice-least is above notice-most";
         return Err(l.error_at(
             &key_name("notice-least-us"),
--- a/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
+++ b/crates/sanddrum-lab/src/capacity/discovery_scenarios.rs
@@ -9,7 +9,7 @@
 /// A list that hasn't reached all routers by then is considered never to arrive.
 pub(super) const MAX_WAIT: Micros = 3_600 * SECOND;
 const SETTLE_TIME: Micros = 30 * SECOND;
-/// A scenario yields about a dozen figures, so its limit on real time is that of this many points.
+/// A scenario's limit on real time is this many times that of a point, because it yields about a dozen figures.
 const TIME_LIMIT_POINTS: u32 = 4;
 /// Changes of a worker that fails and returns.
 const CHANGES_PER_FAILURE: f64 = 2.0;
@@ -53,7 +53,7 @@
         })
     }
     /// Records the load on the service in the worst second since `from`.
-    fn worst(
+    fn record_worst_second(
         &mut self,
         play: &str,
         environment: &DiscoveryEnvironment,
@@ -77,14 +77,14 @@
         Ok(())
     }
     /// Records the load in the worst second and in total since `from`.
-    fn seconds(
+    fn record_worst_and_total(
         &mut self,
         play: &str,
         environment: &DiscoveryEnvironment,
         from: Micros,
         source: Source,
     ) -> Result<(), String> {
-        self.worst(play, environment, from, source)?;
+        self.record_worst_second(play, environment, from, source)?;
         for (name, unit, scale, figure) in METRICS {
             let all = environment
                 .stats
@@ -168,7 +168,7 @@
         });
         let source = source_from(&all_updated);
         self.reporter
-            .seconds(play, &self.environment, from, source)?;
+            .record_worst_and_total(play, &self.environment, from, source)?;
         let (full_lists, last) = {
             let followers = self.environment.followers.borrow();
             let update_times = followers
@@ -292,7 +292,7 @@
                 .record("changes", figure, unit, value, source)?;
         }
         self.reporter
-            .worst("changes", &self.environment, from, source)?;
+            .record_worst_second("changes", &self.environment, from, source)?;
         Ok(ran.is_ok().then_some(Traffic {
             messages: messages / published,
             bytes: bytes / published,
@@ -394,12 +394,12 @@
         let per_second = failed_connects as f64 / seconds(self.environment.now() - from).max(1.0);
         let restarted = self.environment.now();
         self.environment.start_service();
-        let run = self.environment.service_incarnation();
+        let service_incarnation = self.environment.service_incarnation();
         let all_updated = outage.and_then(|()| {
             self.environment.run_until_true(MAX_WAIT, |f| {
                 f.routers
                     .iter()
-                    .all(|router| router.known_version.service_incarnation == run)
+                    .all(|router| router.known_version.service_incarnation == service_incarnation)
             })
         });
         let source = source_from(&all_updated);
@@ -411,7 +411,7 @@
             source,
         )?;
         self.reporter
-            .seconds(play, &self.environment, restarted, source)?;
+            .record_worst_and_total(play, &self.environment, restarted, source)?;
         let last = self
             .environment
             .followers
@@ -449,7 +449,7 @@
         let ran = self.wait_until_all_updated();
         let source = source_from(&ran);
         self.reporter
-            .seconds(play, &self.environment, from, source)?;
+            .record_worst_and_total(play, &self.environment, from, source)?;
         let last = self
             .environment
             .followers
--- a/crates/sanddrum-lab/src/capacity/real_edge.rs
+++ b/crates/sanddrum-lab/src/capacity/real_edge.rs
@@ -69,9 +69,9 @@
 }
 
 impl TimedCore {
-    fn time<T>(&mut self, what: impl FnOnce(&mut dyn Core) -> T) -> T {
+    fn time<T>(&mut self, operation: impl FnOnce(&mut dyn Core) -> T) -> T {
         let start_time = ThreadCpuClock::now();
-        let result = what(&mut *self.core);
+        let result = operation(&mut *self.core);
         let elapsed = self.clock.elapsed_since(start_time);
         self.observed.borrow_mut().edge_nanoseconds += elapsed;
         result
@@ -173,11 +173,13 @@
 /// The scenario's edge can't be set up.
 pub fn simulated_fleet(scenario: &Scenario, observed: &ObservedEdge) -> Result<Fleet, String> {
     let address = "127.0.0.1:1";
-    let alone = Scenario {
+    let single_edge = Scenario {
         edges: 1,
         ..scenario.clone()
     };
-    let edge = alone.edge(0, address, address).map_err(|e| e.to_string())?;
+    let edge = single_edge
+        .edge(0, address, address)
+        .map_err(|e| e.to_string())?;
     let (l, links) = (&scenario.settings, uniform_links());
     let count = l.integer("traffic.functions");
     let functions = Functions::new(l, count, Popularity::Zipf(1.0), scenario.seed);
@@ -205,7 +207,7 @@
             hint: request.expected_work,
         })
     };
-    let calls = observed
+    let arrivals = observed
         .requests
         .iter()
         .map(to_arrival)
@@ -216,7 +218,7 @@
         zones: scenario.zones.len(),
         model,
         functions: Rc::new(functions),
-        arrivals: Arrivals::Given(calls),
+        arrivals: Arrivals::Given(arrivals),
         lists: ListSource::Given(observed.lists.clone()),
         loads: LoadTimes::Store {
             us_per_mb: l.number("store.per-mb-us"),
--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -267,7 +267,7 @@
 ) -> Fleet {
     let l = &plan.settings;
     let shape = Popularity::Zipf(l.number("model.zipf"));
-    let rest = size.calls * (size.routers - 1) as f64;
+    let background_rate = size.calls * (size.routers - 1) as f64;
     Fleet::new(FleetSpec {
         modules: vec![(module_seed(plan, 0), settings)],
         workers: size.workers,
@@ -281,7 +281,7 @@
         lists: ListSource::AtStart,
         loads: LoadTimes::Random,
         background: background.then_some(BackgroundRouters {
-            request_rate: rest,
+            request_rate: background_rate,
             seed: plan.seed,
         }),
         seed: plan.seed,
@@ -446,7 +446,7 @@
     edge_comparison::run(plan, sink, stop)?;
     edge_process::run(plan, sink, stop)?;
     for workers in sizes("workers") {
-        list_changes(
+        measure_list_costs(
             plan,
             sink,
             stop,
@@ -513,7 +513,12 @@
 }
 
 /// Measures the cost of a change and of a full endpoint list for a router with its usual request rate.
-fn list_changes(plan: &Plan, sink: &mut Sink, stop: &Stop, size: &Size) -> Result<(), String> {
+fn measure_list_costs(
+    plan: &Plan,
+    sink: &mut Sink,
+    stop: &Stop,
+    size: &Size,
+) -> Result<(), String> {
     let changes = plan.settings.integer("router-plays.list-changes");
     if stop.is_set() || changes == 0 {
         return Ok(());
--- a/crates/sanddrum-lab/src/capacity/simulated.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated.rs
@@ -213,7 +213,7 @@
     },
     Scripted(ScriptedEvent),
     /// Checks whether a draining worker has finished its work.
-    Drained {
+    CheckDrained {
         worker: usize,
         since: Micros,
     },
@@ -497,7 +497,7 @@
                 self.routers_to_process.insert(router);
             }
             Event::Scripted(event) => self.apply_scripted(event),
-            Event::Drained { worker, since } => self.check_drained(worker, since),
+            Event::CheckDrained { worker, since } => self.check_drained(worker, since),
             Event::WorkerBack(worker) => {
                 self.break_connections(worker);
                 self.workers[worker].restart(self.now);
--- a/crates/sanddrum-lab/src/capacity/simulated/connections.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/connections.rs
@@ -68,7 +68,7 @@
                 )
             })
             .min();
-        let id = match least.filter(|(carried, ..)| *carried < streams) {
+        let id = match least.filter(|(in_flight, ..)| *in_flight < streams) {
             Some((.., id)) => id,
             None => self.new_connection(router, worker)?,
         };
@@ -393,23 +393,23 @@
     /// are no longer ready.
     pub(super) fn apply_endpoint_list(&mut self, router: usize, list: &EndpointList) {
         for row in &list.endpoints {
-            let (worker, ready) = (row.worker, row.state != WorkerState::Gone);
+            let (worker, is_present) = (row.worker, row.state != WorkerState::Gone);
             let host = &mut self.hosts[router];
-            if !ready {
+            if !is_present {
                 host.connection_events.removed_workers.push(worker);
             }
             host.connection_events.listed_workers.push(ListedWorker {
                 worker,
                 size: row.size,
                 started_at: row.started_at,
-                is_ready: ready,
+                is_ready: is_present,
             });
             host.targets.entry(worker).or_default();
             if row.state == WorkerState::Ready {
                 continue;
             }
             self.unsend_from_worker(router, worker);
-            if !ready {
+            if !is_present {
                 let connections = self.hosts[router]
                     .targets
                     .remove(&worker)
--- a/crates/sanddrum-lab/src/capacity/simulated/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/routers.rs
@@ -306,18 +306,18 @@
         self.starts.record(arrived, rare, loads, None);
         self.close_request(router, id);
     }
-    /// Whether a load command for the request's function was sent between the request's arrival and `sent`.
+    /// Whether a load command for the request's function was sent between the request's arrival and `until`.
     pub(super) fn waited_for_load(
         &self,
         router: usize,
         request: &HostedRequest,
-        sent: Micros,
+        until: Micros,
     ) -> bool {
         let function = self.functions.all[request.function].id;
         self.hosts[router]
             .last_load_sent
             .get(&function)
-            .is_some_and(|at| (request.arrived..sent).contains(at))
+            .is_some_and(|at| (request.arrived..until).contains(at))
     }
     /// Closes a request and withdraws its unsent attempts.
     pub(super) fn close_request(&mut self, router: usize, id: RequestId) {
--- a/crates/sanddrum-lab/src/capacity/simulated/workers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/workers.rs
@@ -11,11 +11,11 @@
         let latency = self.latency_between(zone, self.workers[n].zone);
         let worker = &mut self.workers[n];
         worker.machine.advance(now);
-        let named = match &message {
+        let needed_function = match &message {
             Message::Execute { function, .. } | Message::Load { function, .. } => Some(*function),
             _ => None,
         };
-        if let (Some(background), Some(function)) = (self.background, named) {
+        if let (Some(background), Some(function)) = (self.background, needed_function) {
             worker.add_background_instances(now, background, &functions, function, count);
         }
         match message {
@@ -206,7 +206,7 @@
                 let since = self.now;
                 self.schedule(
                     self.now + self.model.drain_grace,
-                    Event::Drained { worker: n, since },
+                    Event::CheckDrained { worker: n, since },
                 );
             }
             ScriptedEvent::ZoneLost(zone) => {
@@ -238,7 +238,7 @@
         if !self.workers[n].machine.is_idle() && self.now < since + MAX_DRAIN_TIME {
             self.schedule(
                 self.now + DRAIN_CHECK_INTERVAL,
-                Event::Drained { worker: n, since },
+                Event::CheckDrained { worker: n, since },
             );
             return;
         }
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -228,7 +228,7 @@
     fleet.starts = StartStats::new(warm, until, l.duration_us("capacity.start-within-us"));
     match conditions {
         Conditions::Calm => {}
-        Conditions::Failures => failures(plan, &mut fleet, size, warm, until),
+        Conditions::Failures => schedule_failures(plan, &mut fleet, size, warm, until),
         Conditions::ZoneLost => {
             let quarter = (until - warm) / 4;
             fleet.schedule_event(warm + quarter, ScriptedEvent::ZoneLost(zones / 2));
@@ -262,7 +262,7 @@
 
 /// Schedules a day's failures and replacements, scaled to the number of workers but at least one of each, at random
 /// times of the run.
-fn failures(plan: &Plan, fleet: &mut Fleet, size: &Size, from: Micros, until: Micros) {
+fn schedule_failures(plan: &Plan, fleet: &mut Fleet, size: &Size, from: Micros, until: Micros) {
     let l = &plan.settings;
     let scaled = |name: &str| {
         let all = l.number(&format!("capacity.{name}"));
@@ -313,11 +313,11 @@
         }
         drop(sender);
         let mut finished_runs: BTreeMap<(usize, Conditions), Run> = BTreeMap::new();
-        let taken = receiver
+        let recorded = receiver
             .into_iter()
             .try_for_each(|(size, conditions, run)| {
                 let run = run?;
-                points(sink, &size, conditions.name(), &run)?;
+                record_points(sink, &size, conditions.name(), &run)?;
                 finished_runs.insert((size.workers, conditions), run);
                 if conditions == Conditions::ZoneLost {
                     Ok(())
@@ -325,8 +325,8 @@
                     extrapolate_day(sink, &size, &finished_runs)
                 }
             });
-        // Stops the other runs if the results can't be written.
-        taken.inspect_err(|_| stop.set())
+        // Stops the other runs if one has failed or the results can't be written.
+        recorded.inspect_err(|_| stop.set())
     })
 }
 
@@ -381,7 +381,7 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-fn points(sink: &mut Sink, size: &Size, play: &str, run: &Run) -> Result<(), String> {
+fn record_points(sink: &mut Sink, size: &Size, play: &str, run: &Run) -> Result<(), String> {
     let source = match run.status {
         RunStatus::Done => Source::Played,
         RunStatus::OutOfTime => Source::NotFinished,
--- a/crates/sanddrum-lab/tests/capacity.rs
+++ b/crates/sanddrum-lab/tests/capacity.rs
@@ -277,8 +277,8 @@
         request_rate,
     };
     let functions = Functions::new(&plan.settings, 20_000, shape, 1);
-    let a_minute = |n: usize| functions.fraction(n) * request_rate * 60.0;
-    let rare = (0..20_000).filter(|n| a_minute(*n) < 1.0).count();
+    let per_minute = |n: usize| functions.fraction(n) * request_rate * 60.0;
+    let rare = (0..20_000).filter(|n| per_minute(*n) < 1.0).count();
     assert_eq!(
         (rare, functions.all.iter().filter(|f| f.rare).count()),
         (18_000, 18_000)
--- a/crates/sanddrum-lab/tests/capacity_list.rs
+++ b/crates/sanddrum-lab/tests/capacity_list.rs
@@ -347,7 +347,7 @@
 /// The bound is four times `list-calls` plus half of that for random variation (docs/measurements.md), independent of
 /// the number of routers: when all start without or with cached lists, and when the service restarts after an outage.
 #[rstest]
-#[case::no_more_than_start_in_five_seconds(80)]
+#[case::routers_that_can_start_in_five_seconds(80)]
 #[case::four_times_as_many(320)]
 #[case::sixteen_times(1280)]
 fn calls_in_the_worst_second_do_not_grow_with_the_fleet(#[case] routers: usize) {
