--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -483,7 +483,7 @@
             .push((now + span, ScheduledAction::RestoreFeed));
     }
     /// Records an outage of the feed, which lasts longer than the timeouts in the platform's documentation. Schedules its
-    /// end and the drains of some servers, which begin just after the outage. The caller sets the feed's mode.
+    /// end and the drains of some servers, which begin just after its start. The caller sets the feed's mode.
     fn begin_outage(&mut self, now: Micros, servers: usize, span: Micros, drains_after: Micros) {
         self.observations.borrow_mut().feed_faults.push(FeedFault {
             span: Span {
