--- a/crates/sanddrum-lab/src/capacity/simulated/connections.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/connections.rs
@@ -68,7 +68,7 @@
                 )
             })
             .min();
-        let id = match least.filter(|(carried, ..)| *carried < streams) {
+        let id = match least.filter(|(in_flight, ..)| *in_flight < streams) {
             Some((.., id)) => id,
             None => self.new_connection(router, worker)?,
         };
@@ -98,7 +98,7 @@
                 worker,
                 utilization,
             });
-        host.dirty.insert(id);
+        host.connections_to_flush.insert(id);
         Ok(id)
     }
     /// Queues a message without an answer on a given connection, if that still exists.
@@ -111,7 +111,7 @@
         let host = &mut self.hosts[router];
         if let Some(connection) = host.connections.get_mut(&id) {
             connection.unsent.push((MessageTag::Unanswered, message));
-            host.dirty.insert(id);
+            host.connections_to_flush.insert(id);
         }
     }
     fn new_connection(
@@ -281,7 +281,7 @@
                     connection: id,
                     resumed: false,
                 });
-            host.dirty.insert(id);
+            host.connections_to_flush.insert(id);
             self.routers_to_process.insert(router);
         }
     }
@@ -322,7 +322,7 @@
         let Some(connection) = host.connections.remove(&id) else {
             return;
         };
-        host.dirty.remove(&id);
+        host.connections_to_flush.remove(&id);
         if let Some(target) = host.targets.get_mut(&connection.worker) {
             target.remove(&id);
         }
@@ -363,7 +363,7 @@
     /// Sends the queued messages of established connections.
     pub(super) fn flush(&mut self, router: usize) {
         let now = self.now;
-        for id in std::mem::take(&mut self.hosts[router].dirty) {
+        for id in std::mem::take(&mut self.hosts[router].connections_to_flush) {
             let zone = self.hosts[router].zone;
             let Some(connection) = self.hosts[router]
                 .connections
@@ -393,23 +393,23 @@
     /// are no longer ready.
     pub(super) fn apply_endpoint_list(&mut self, router: usize, list: &EndpointList) {
         for row in &list.endpoints {
-            let (worker, ready) = (row.worker, row.state != WorkerState::Gone);
+            let (worker, is_present) = (row.worker, row.state != WorkerState::Gone);
             let host = &mut self.hosts[router];
-            if !ready {
+            if !is_present {
                 host.connection_events.removed_workers.push(worker);
             }
             host.connection_events.listed_workers.push(ListedWorker {
                 worker,
                 size: row.size,
                 started_at: row.started_at,
-                is_ready: ready,
+                is_ready: is_present,
             });
             host.targets.entry(worker).or_default();
             if row.state == WorkerState::Ready {
                 continue;
             }
             self.unsend_from_worker(router, worker);
-            if !ready {
+            if !is_present {
                 let connections = self.hosts[router]
                     .targets
                     .remove(&worker)
