--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -6,8 +6,8 @@
 use clap::{Args, ValueEnum};
 use sanddrum_emulator::{DiscoveryService, IdempotencyKeys, Shared, Store, Worker};
 use sanddrum_lab::{
-    play, FaultControlled, MakeProcessCommand, Outcome, ProcessEnvironment, ProcessOptions,
-    Recording, Scenario, Who, FAULTS_FILE, FLEET_DAY, LATE_THRESHOLD, RUNNER,
+    play, Component, FaultControlled, MakeProcessCommand, Outcome, ProcessEnvironment,
+    ProcessOptions, Recording, Scenario, FAULTS_FILE, FLEET_DAY, LATE_THRESHOLD, RUNNER,
 };
 use sanddrum_net::{Core, EventLoop, NullObserver};
 use serde::de::DeserializeOwned;
@@ -56,8 +56,8 @@
     let file = start.address_file.with_file_name("scenario.sx");
     let mut command = Command::new(program);
     let seed = scenario.seed.to_string();
-    match start.who {
-        Who::Edge(n) => {
+    match start.component {
+        Component::Edge(n) => {
             command
                 .args(["edge", "--scenario", "--settings"])
                 .arg(&file);
@@ -83,8 +83,8 @@
         }
         part => {
             let (kind, number) = match part {
-                Who::Worker(n) => ("worker", n),
-                Who::List => ("list", 0),
+                Component::Worker(n) => ("worker", n),
+                Component::List => ("list", 0),
                 _ => ("store", 0),
             };
             command.args(["lab", "part", kind]).arg(&file);
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -182,10 +182,10 @@
                         _ => other += 1,
                     }
                     if late(*at) {
-                        let (late, held) =
+                        let (late, allowed_delay) =
                             (at - t.sent_at - t.time_limit, self.allowed_delay(t, *at));
                         let what = format!(
-                            "{name} was answered {late} us after its time limit; allowed delay {held} us"
+                            "{name} was answered {late} us after its time limit; allowed delay {allowed_delay} us"
                         );
                         self.add_violation(1, *at, what);
                     }
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -1,6 +1,6 @@
 //! The environments that run a scenario: the same operations on the virtual network, on sockets and on processes.
 
-use crate::fleet::{Addresses, Fleet, Who};
+use crate::fleet::{Addresses, Component, Fleet};
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
@@ -16,21 +16,26 @@
     fn now(&self) -> Micros;
     fn fleet(&mut self) -> &mut Fleet;
     fn run_until(&mut self, at: Micros) -> io::Result<()>;
-    fn kill(&mut self, who: Who);
+    fn kill(&mut self, component: Component);
     /// Starts a process that was killed; workers start cold.
-    fn start(&mut self, who: Who) -> io::Result<()>;
+    fn start(&mut self, component: Component) -> io::Result<()>;
     /// Pauses or resumes a process.
-    fn freeze(&mut self, who: Who, frozen: bool);
-    /// Resets each of its connections at its next write, in the middle of the data.
-    fn reset_on_next_write(&mut self, who: Who);
-    /// Sets or removes a fault of the links from one to another.
-    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()>;
-    /// Resets the connections from one to another.
-    fn break_link(&mut self, from: Who, to: Who) -> io::Result<()>;
-    /// Deletes the state that it saved for its next start.
-    fn clear_saved_state(&mut self, who: Who);
-    /// Starts its graceful shutdown.
-    fn shut_down(&mut self, who: Who);
+    fn freeze(&mut self, component: Component, frozen: bool);
+    /// Resets each of the component's connections at the next write, in the middle of the data.
+    fn reset_on_next_write(&mut self, component: Component);
+    /// Sets or removes a fault of the links between two components.
+    fn set_link_fault(
+        &mut self,
+        from: Component,
+        to: Component,
+        fault: Option<Fault>,
+    ) -> io::Result<()>;
+    /// Resets the connections between two components.
+    fn break_link(&mut self, from: Component, to: Component) -> io::Result<()>;
+    /// Deletes the state that the component saved for its next start.
+    fn clear_saved_state(&mut self, component: Component);
+    /// Starts the component's graceful shutdown.
+    fn shut_down(&mut self, component: Component);
     /// Delivers the changed key set to the edges.
     fn distribute_keys(&mut self) -> io::Result<()>;
     /// Delivers changed certificates and roots to workers and edges, one file after the other.
@@ -39,17 +44,17 @@
     fn is_traffic_finished(&self) -> bool;
     /// The longest time that a message may be in transit in this environment.
     fn slack(&self) -> Micros;
-    /// The longest time that the machine may delay a process here. A client that waited less than this for an answer
-    /// proves nothing about the edge.
+    /// The longest time that the machine may delay a process here. An answer that is late
+    /// by less than this doesn't show a fault of the edge.
     fn max_scheduling_delay(&self) -> Micros {
         0
     }
 }
 
-/// Makes the edges of a scenario run.
+/// Creates the edges of a scenario run.
 pub type MakeEdge = Box<dyn Fn(EdgeOptions) -> Box<dyn Core>>;
 
-/// Makes the edge of the product.
+/// Returns a function that creates the real edge.
 pub fn product_edge() -> MakeEdge {
     Box::new(|options| Box::new(Edge::new(options)))
 }
@@ -58,12 +63,12 @@
 pub struct VirtualEnvironment {
     net: VirtualNet,
     fleet: Fleet,
-    hosts: BTreeMap<Who, HostId>,
+    hosts: BTreeMap<Component, HostId>,
     make_edge: MakeEdge,
     slack: Micros,
 }
 
-/// The start of virtual time; well above zero, because times at zero stand for long ago.
+/// The start of virtual time; well above zero, because a time of zero means long ago.
 const START_TIME: Micros = 1_000_000_000;
 
 impl VirtualEnvironment {
@@ -112,29 +117,29 @@
             environment.fleet.scenario.edges,
         );
         let all = (0..workers)
-            .map(Who::Worker)
-            .chain((0..edges).map(Who::Edge));
-        for who in [Who::List, Who::Store]
+            .map(Component::Worker)
+            .chain((0..edges).map(Component::Edge));
+        for component in [Component::List, Component::Store]
             .into_iter()
             .chain(all)
-            .chain([Who::Callers])
+            .chain([Component::Callers])
         {
-            environment.add_host(who, recording)?;
+            environment.add_host(component, recording)?;
         }
         Ok(environment)
     }
-    fn core(&mut self, who: Who, cold: bool) -> io::Result<Box<dyn Core>> {
+    fn core(&mut self, component: Component, cold: bool) -> io::Result<Box<dyn Core>> {
         let now = self.net.now();
-        Ok(match who {
-            Who::Worker(n) => self.fleet.worker(n, now, cold)?,
-            Who::List => self.fleet.list(now),
-            Who::Store => self.fleet.store(),
-            Who::Callers => self.fleet.callers(0),
-            Who::Edge(n) => {
+        Ok(match component {
+            Component::Worker(n) => self.fleet.worker(n, now, cold)?,
+            Component::List => self.fleet.list(now),
+            Component::Store => self.fleet.store(),
+            Component::Callers => self.fleet.callers(0),
+            Component::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
                 let cached_state = self
                     .hosts
-                    .get(&who)
+                    .get(&component)
                     .and_then(|host| self.net.saved_state(*host));
                 let options = EdgeOptions {
                     settings,
@@ -148,44 +153,44 @@
             }
         })
     }
-    fn add_host(&mut self, who: Who, recording: &Recording) -> io::Result<()> {
+    fn add_host(&mut self, component: Component, recording: &Recording) -> io::Result<()> {
         let a = &self.fleet.addresses;
-        let (zone, listener) = match who {
-            Who::Worker(n) => (self.fleet.scenario.zone_of(n), Some(a.workers[n].clone())),
-            Who::Edge(n) => (self.fleet.scenario.zone_of(n), Some(a.edges[n].clone())),
-            Who::List => (0, Some(a.list.clone())),
-            Who::Store => (0, Some(a.store.clone())),
-            Who::Callers => (0, None),
+        let (zone, listener) = match component {
+            Component::Worker(n) => (self.fleet.scenario.zone_of(n), Some(a.workers[n].clone())),
+            Component::Edge(n) => (self.fleet.scenario.zone_of(n), Some(a.edges[n].clone())),
+            Component::List => (0, Some(a.list.clone())),
+            Component::Store => (0, Some(a.store.clone())),
+            Component::Callers => (0, None),
         };
-        let role = match who {
+        let role = match component {
             // With TLS, the worker's traffic is recorded inside its TLS layer instead.
-            Who::Worker(_) if self.fleet.authority.is_some() => Role::Other,
-            Who::Worker(n) => Role::Worker(n),
-            Who::List => Role::List,
-            Who::Callers => Role::Callers,
-            Who::Edge(_) | Who::Store => Role::Other,
+            Component::Worker(_) if self.fleet.authority.is_some() => Role::Other,
+            Component::Worker(n) => Role::Worker(n),
+            Component::List => Role::List,
+            Component::Callers => Role::Callers,
+            Component::Edge(_) | Component::Store => Role::Other,
         };
         // The recorder must know the role before the first connection.
         recording
             .0
             .borrow_mut()
             .role(HostId(self.hosts.len()), role);
-        if let (Who::Edge(n), Some(listener)) = (who, &listener) {
+        if let (Component::Edge(n), Some(listener)) = (component, &listener) {
             recording
                 .0
                 .borrow_mut()
                 .edge(listener, &Scenario::edge_name(n));
         }
-        let core = self.core(who, false)?;
+        let core = self.core(component, false)?;
         let listeners: Vec<&str> = listener.iter().map(String::as_str).collect();
         let host = self.net.add(zone, &listeners, core);
-        self.hosts.insert(who, host);
-        self.deliver_keys(who);
+        self.hosts.insert(component, host);
+        self.deliver_keys(component);
         Ok(())
     }
-    fn deliver_keys(&mut self, who: Who) {
-        if let (Who::Edge(_), Some(host), Some(keys)) =
-            (who, self.hosts.get(&who), self.fleet.keys())
+    fn deliver_keys(&mut self, component: Component) {
+        if let (Component::Edge(_), Some(host), Some(keys)) =
+            (component, self.hosts.get(&component), self.fleet.keys())
         {
             self.net.deliver_file(*host, KEYS_FILE, Ok(&keys));
         }
@@ -207,33 +212,33 @@
         self.net.run_until(at);
         Ok(())
     }
-    fn kill(&mut self, who: Who) {
-        if let (Some(truth), Who::Worker(n)) = (&self.fleet.truth, who) {
+    fn kill(&mut self, component: Component) {
+        if let (Some(truth), Component::Worker(n)) = (&self.fleet.truth, component) {
             truth
                 .borrow_mut()
                 .0
                 .remove(&sanddrum_wire::stable_id(&Scenario::worker_name(n)));
         }
-        if let Some(host) = self.hosts.get(&who) {
+        if let Some(host) = self.hosts.get(&component) {
             self.net.kill(*host);
         }
     }
-    fn start(&mut self, who: Who) -> io::Result<()> {
-        let core = self.core(who, true)?;
-        if let Some(host) = self.hosts.get(&who) {
+    fn start(&mut self, component: Component) -> io::Result<()> {
+        let core = self.core(component, true)?;
+        if let Some(host) = self.hosts.get(&component) {
             self.net.replace(*host, core);
         }
-        self.deliver_keys(who);
+        self.deliver_keys(component);
         Ok(())
     }
     fn distribute_keys(&mut self) -> io::Result<()> {
-        (0..self.fleet.scenario.edges).for_each(|n| self.deliver_keys(Who::Edge(n)));
+        (0..self.fleet.scenario.edges).for_each(|n| self.deliver_keys(Component::Edge(n)));
         Ok(())
     }
     fn distribute_certificates(&mut self) -> io::Result<()> {
         let roots = self.fleet.roots();
         for n in 0..self.fleet.scenario.edges {
-            if let Some(host) = self.hosts.get(&Who::Edge(n)) {
+            if let Some(host) = self.hosts.get(&Component::Edge(n)) {
                 self.net.deliver_file(*host, OUTBOUND_FILES[0], Ok(&roots));
             }
         }
@@ -243,14 +248,19 @@
                 .worker_tls_material(n)?
                 .certified_key
                 .unwrap_or_default();
-            if let Some(host) = self.hosts.get(&Who::Worker(n)) {
+            if let Some(host) = self.hosts.get(&Component::Worker(n)) {
                 self.net.deliver_file(*host, INBOUND_FILES[1], Ok(&chain));
                 self.net.deliver_file(*host, INBOUND_FILES[2], Ok(&key));
             }
         }
         Ok(())
     }
-    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(
+        &mut self,
+        from: Component,
+        to: Component,
+        fault: Option<Fault>,
+    ) -> io::Result<()> {
         let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) else {
             return Ok(());
         };
@@ -307,35 +317,35 @@
         self.net.set_link_fault(to, from, backward);
         Ok(())
     }
-    fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
+    fn break_link(&mut self, from: Component, to: Component) -> io::Result<()> {
         if let (Some(from), Some(to)) = (self.hosts.get(&from), self.hosts.get(&to)) {
             self.net.reset_between(*from, *to);
         }
         Ok(())
     }
-    fn clear_saved_state(&mut self, who: Who) {
-        if let Some(host) = self.hosts.get(&who) {
+    fn clear_saved_state(&mut self, component: Component) {
+        if let Some(host) = self.hosts.get(&component) {
             self.net.clear_saved_state(*host);
         }
     }
-    fn shut_down(&mut self, who: Who) {
-        if let Some(host) = self.hosts.get(&who) {
+    fn shut_down(&mut self, component: Component) {
+        if let Some(host) = self.hosts.get(&component) {
             self.net.shut_down(*host);
         }
     }
-    fn freeze(&mut self, who: Who, frozen: bool) {
-        if let Some(host) = self.hosts.get(&who) {
+    fn freeze(&mut self, component: Component, frozen: bool) {
+        if let Some(host) = self.hosts.get(&component) {
             self.net.freeze(*host, frozen);
         }
     }
-    fn reset_on_next_write(&mut self, who: Who) {
-        if let Some(host) = self.hosts.get(&who) {
+    fn reset_on_next_write(&mut self, component: Component) {
+        if let Some(host) = self.hosts.get(&component) {
             self.net.reset_on_next_write(*host);
         }
     }
     fn is_traffic_finished(&self) -> bool {
         self.hosts
-            .get(&Who::Callers)
+            .get(&Component::Callers)
             .is_none_or(|host| self.net.is_core_done(*host))
     }
     fn slack(&self) -> Micros {
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -18,7 +18,7 @@
 
 /// A process of a scenario, as the target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum Component {
     Worker(usize),
     Edge(usize),
     List,
@@ -220,7 +220,11 @@
         if let std::collections::btree_map::Entry::Vacant(certificate) =
             self.worker_certificates.entry(n)
         {
-            certificate.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
+            certificate.insert(
+                authority
+                    .issue_certificate(&name)
+                    .map_err(std::io::Error::other)?,
+            );
         }
         Ok(TlsMaterial {
             roots: self.roots(),
--- a/crates/sanddrum-lab/src/lib.rs
+++ b/crates/sanddrum-lab/src/lib.rs
@@ -44,7 +44,7 @@
 pub use callers::{Callers, TrafficOverrides};
 pub use environment::{product_edge, Environment, MakeEdge, VirtualEnvironment};
 pub use experiment::{difference, Difference, Experiment, RunResult, Variant, FEW_SEEDS, MEASURES};
-pub use fleet::{Addresses, Fleet, Who};
+pub use fleet::{Addresses, Component, Fleet};
 pub use limits_size::{measure_limits, LimitsResult, Policy, QuotaSimulation, RequestStream};
 pub use load_generator::{LoadGenerator, LoadGeneratorSpec, LoadMeasurement};
 pub use measure::{measure_edge, ClientProtocol, Dispatcher, EdgeMeasurement, MeasureSpec};
--- a/crates/sanddrum-lab/src/plaintext_capture.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -219,8 +219,8 @@
     ///
     /// # Errors
     /// The name isn't valid in a certificate.
-    pub fn leaf(&self, name: &str) -> Result<(Vec<u8>, Vec<u8>), String> {
-        let leaf = || -> Result<(String, String), rcgen::Error> {
+    pub fn issue_certificate(&self, name: &str) -> Result<(Vec<u8>, Vec<u8>), String> {
+        let issue = || -> Result<(String, String), rcgen::Error> {
             let key = KeyPair::generate()?;
             Ok((
                 Self::params(vec![name.to_string()])?
@@ -229,7 +229,7 @@
                 key.serialize_pem(),
             ))
         };
-        let (chain, key) = leaf().map_err(|e| e.to_string())?;
+        let (chain, key) = issue().map_err(|e| e.to_string())?;
         Ok((chain.into_bytes(), key.into_bytes()))
     }
     /// A certificate and key for this name, with the authority as its only root.
@@ -239,7 +239,7 @@
     pub fn tls_material(&self, name: &str) -> Result<TlsMaterial, String> {
         Ok(TlsMaterial {
             roots: self.roots_pem().into_bytes(),
-            certified_key: Some(self.leaf(name)?),
+            certified_key: Some(self.issue_certificate(name)?),
             ..TlsMaterial::default()
         })
     }
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -4,7 +4,7 @@
 //! verifies the traffic that crosses the relays.
 
 use crate::environment::Environment;
-use crate::fleet::{Addresses, Fleet, Who};
+use crate::fleet::{Addresses, Component, Fleet};
 use crate::port_reservation::{
     is_near_file_limit, raise_file_limit, required_descriptors, ReservedPort,
 };
@@ -32,7 +32,7 @@
 
 /// What the command line of a process is built from.
 pub struct ProcessOptions<'a> {
-    pub who: Who,
+    pub component: Component,
     pub fleet: &'a Fleet,
     /// A worker starts now, with no function loaded; otherwise it counts as started long ago.
     pub cold: bool,
@@ -70,18 +70,18 @@
     fleet: Fleet,
     folder: PathBuf,
     make_command: MakeProcessCommand,
-    relays: BTreeMap<Who, ProcessRelay>,
+    relays: BTreeMap<Component, ProcessRelay>,
     /// Carries the connections of workers to the discovery service.
     registration_relay: ProcessRelay,
     callers: Option<HostId>,
-    children: BTreeMap<Who, Child>,
+    children: BTreeMap<Component, Child>,
     /// Processes that don't listen yet, with the time of their start.
-    pending: BTreeMap<Who, Micros>,
-    starts: BTreeMap<Who, u64>,
+    pending: BTreeMap<Component, Micros>,
+    starts: BTreeMap<Component, u64>,
     /// Contents of each faults file.
-    written_faults: BTreeMap<Who, String>,
+    written_faults: BTreeMap<Component, String>,
     /// Processes that were asked to terminate; their relays stop listening once they have exited.
-    terminating: BTreeSet<Who>,
+    terminating: BTreeSet<Component>,
     /// The longest delay of this process's own event loop.
     pub max_loop_delay: Micros,
     /// How often that delay exceeded [`LATE_THRESHOLD`].
@@ -96,13 +96,13 @@
     last_delay_sample: Micros,
 }
 
-fn process_name(who: Who) -> String {
-    match who {
-        Who::Worker(n) => Scenario::worker_name(n),
-        Who::Edge(n) => Scenario::edge_name(n),
-        Who::List => "list".into(),
-        Who::Store => "store".into(),
-        Who::Callers => "callers".into(),
+fn process_name(component: Component) -> String {
+    match component {
+        Component::Worker(n) => Scenario::worker_name(n),
+        Component::Edge(n) => Scenario::edge_name(n),
+        Component::List => "list".into(),
+        Component::Store => "store".into(),
+        Component::Callers => "callers".into(),
     }
 }
 
@@ -130,9 +130,12 @@
         raise_file_limit(required_descriptors(workers, edges))?;
         let mut driver = EventLoop::new(Box::new(recording.clone()))?;
         let all = (0..workers)
-            .map(Who::Worker)
-            .chain((0..edges).map(Who::Edge));
-        let all: Vec<Who> = [Who::List, Who::Store].into_iter().chain(all).collect();
+            .map(Component::Worker)
+            .chain((0..edges).map(Component::Edge));
+        let all: Vec<Component> = [Component::List, Component::Store]
+            .into_iter()
+            .chain(all)
+            .collect();
         let mut relays = BTreeMap::new();
         let mut hosts = 0;
         let mut relay =
@@ -150,27 +153,27 @@
                     control,
                 })
             };
-        for who in &all {
-            let (role, greeting) = match who {
-                Who::Worker(n) => (Role::Worker(*n), Greeting::Worker),
-                Who::List => (Role::List, Greeting::Discovery),
+        for component in &all {
+            let (role, greeting) = match component {
+                Component::Worker(n) => (Role::Worker(*n), Greeting::Worker),
+                Component::List => (Role::List, Greeting::Discovery),
                 _ => (Role::Other, Greeting::Anonymous),
             };
-            relays.insert(*who, relay(role, greeting, &mut driver)?);
+            relays.insert(*component, relay(role, greeting, &mut driver)?);
         }
         let registration_relay = relay(Role::Other, Greeting::Discovery, &mut driver)?;
-        let at = |who: Who| {
+        let at = |component: Component| {
             relays
-                .get(&who)
+                .get(&component)
                 .map_or(String::new(), |relay: &ProcessRelay| {
                     relay.port.address.to_string()
                 })
         };
         let addresses = Addresses {
-            workers: (0..workers).map(|n| at(Who::Worker(n))).collect(),
-            edges: (0..edges).map(|n| at(Who::Edge(n))).collect(),
-            list: at(Who::List),
-            store: at(Who::Store),
+            workers: (0..workers).map(|n| at(Component::Worker(n))).collect(),
+            edges: (0..edges).map(|n| at(Component::Edge(n))).collect(),
+            list: at(Component::List),
+            store: at(Component::Store),
         };
         for (n, address) in addresses.edges.iter().enumerate() {
             recording
@@ -212,8 +215,8 @@
         // The discovery service and the store start first, then the workers, then the edges: each process finds those
         // that it connects to.
         for group in [&all[..2], &all[2..2 + workers], &all[2 + workers..]] {
-            for who in group {
-                environment.spawn(*who, false)?;
+            for component in group {
+                environment.spawn(*component, false)?;
             }
             environment.wait_until_listening()?;
         }
@@ -237,11 +240,12 @@
         );
         Ok(())
     }
-    fn file(&self, who: Who, what: &str) -> PathBuf {
-        self.folder.join(format!("{}.{what}", process_name(who)))
+    fn file(&self, component: Component, what: &str) -> PathBuf {
+        self.folder
+            .join(format!("{}.{what}", process_name(component)))
     }
-    fn spawn(&mut self, who: Who, cold: bool) -> io::Result<()> {
-        let count = self.starts.entry(who).or_default();
+    fn spawn(&mut self, component: Component, cold: bool) -> io::Result<()> {
+        let count = self.starts.entry(component).or_default();
         *count += 1;
         let incarnation = *count;
         let seed = self
@@ -250,24 +254,27 @@
             .seed
             .wrapping_mul(1009)
             .wrapping_add(incarnation * 7919);
-        let files = ["address", "faults", "state"].map(|what| self.file(who, what));
+        let files = ["address", "faults", "state"].map(|what| self.file(component, what));
         let [address_file, faults_file, state_file] = &files;
         let _ = std::fs::remove_file(address_file);
-        if let (Who::Worker(n), true) = (who, cold) {
+        if let (Component::Worker(n), true) = (component, cold) {
             *self.fleet.workers[n].borrow_mut() = WorkerFaults::default();
         }
-        self.written_faults.remove(&who);
-        self.write_faults(who)?;
+        self.written_faults.remove(&component);
+        self.write_faults(component)?;
         let at = |relay: &ProcessRelay| relay.port.address.to_string();
-        let list = if let Who::Worker(_) = who {
+        let list = if let Component::Worker(_) = component {
             at(&self.registration_relay)
         } else {
-            at(&self.relays[&Who::List])
+            at(&self.relays[&Component::List])
         };
-        let (store, known_as) = (at(&self.relays[&Who::Store]), at(&self.relays[&who]));
+        let (store, known_as) = (
+            at(&self.relays[&Component::Store]),
+            at(&self.relays[&component]),
+        );
         let fleet = &self.fleet;
         let options = ProcessOptions {
-            who,
+            component,
             fleet,
             cold,
             incarnation,
@@ -282,53 +289,53 @@
         let mut command = (self.make_command)(&options);
         // The process exits when this pipe closes, so that it never outlives this process, however that ends.
         let child = command.stdin(Stdio::piped()).spawn()?;
-        self.children.insert(who, child);
-        self.pending.insert(who, self.driver.now());
+        self.children.insert(component, child);
+        self.pending.insert(component, self.driver.now());
         Ok(())
     }
     /// Connects the relays of processes that now listen, and closes those of terminated processes that have exited.
     fn poll_processes(&mut self) -> io::Result<()> {
-        for (who, since) in std::mem::take(&mut self.pending) {
-            if let Ok(at) = std::fs::read_to_string(self.file(who, "address")) {
-                self.set_relay_target(who, Some(at.trim().to_string()))?;
+        for (component, since) in std::mem::take(&mut self.pending) {
+            if let Ok(at) = std::fs::read_to_string(self.file(component, "address")) {
+                self.set_relay_target(component, Some(at.trim().to_string()))?;
                 continue;
             }
             let exited = self
                 .children
-                .get_mut(&who)
+                .get_mut(&component)
                 .map(Child::try_wait)
                 .transpose()?
                 .flatten();
             if let Some(status) = exited {
                 return Err(io::Error::other(format!(
                     "{} exited before it listened: {status}",
-                    process_name(who)
+                    process_name(component)
                 )));
             }
             if self.driver.now() > since + STARTUP_TIMEOUT {
                 return Err(io::Error::other(format!(
                     "{} did not listen within {} s",
-                    process_name(who),
+                    process_name(component),
                     STARTUP_TIMEOUT / 1_000_000
                 )));
             }
-            self.pending.insert(who, since);
+            self.pending.insert(component, since);
         }
-        for who in self.terminating.iter().copied().collect::<Vec<_>>() {
-            if self.has_exited(who)? {
-                self.terminating.remove(&who);
-                self.set_relay_target(who, None)?;
+        for component in self.terminating.iter().copied().collect::<Vec<_>>() {
+            if self.has_exited(component)? {
+                self.terminating.remove(&component);
+                self.set_relay_target(component, None)?;
             }
         }
         Ok(())
     }
     /// Makes the relays of a process forward to this address, or stop listening.
-    fn set_relay_target(&mut self, who: Who, to: Option<String>) -> io::Result<()> {
+    fn set_relay_target(&mut self, component: Component, to: Option<String>) -> io::Result<()> {
         let relays = self
             .relays
-            .get(&who)
+            .get(&component)
             .into_iter()
-            .chain((who == Who::List).then_some(&self.registration_relay));
+            .chain((component == Component::List).then_some(&self.registration_relay));
         for relay in relays {
             let listeners = if to.is_some() {
                 vec![relay.port.listen()?]
@@ -349,11 +356,11 @@
         Ok(())
     }
     /// The faults of an emulated process, as it reads them from its faults file.
-    fn faults_json(&self, who: Who) -> Option<String> {
-        match who {
-            Who::Worker(n) => serde_json::to_string(&*self.fleet.workers[n].borrow()).ok(),
-            Who::Store => serde_json::to_string(&*self.fleet.store.borrow()).ok(),
-            Who::List => serde_json::to_string(&*self.fleet.list.borrow()).ok(),
+    fn faults_json(&self, component: Component) -> Option<String> {
+        match component {
+            Component::Worker(n) => serde_json::to_string(&*self.fleet.workers[n].borrow()).ok(),
+            Component::Store => serde_json::to_string(&*self.fleet.store.borrow()).ok(),
+            Component::List => serde_json::to_string(&*self.fleet.list.borrow()).ok(),
             _ => None,
         }
     }
@@ -368,32 +375,35 @@
             return;
         }
         self.last_delay_sample = now;
-        for (who, child) in &self.children {
+        for (component, child) in &self.children {
             self.delay_monitor
-                .sample(log, now, process_name(*who), child.id());
+                .sample(log, now, process_name(*component), child.id());
         }
     }
     /// Writes the faults file of an emulated process if its faults have changed.
-    fn write_faults(&mut self, who: Who) -> io::Result<()> {
-        let Some(text) = self.faults_json(who) else {
+    fn write_faults(&mut self, component: Component) -> io::Result<()> {
+        let Some(text) = self.faults_json(component) else {
             return Ok(());
         };
-        if let Who::Worker(n) = who {
+        if let Component::Worker(n) = component {
             // These faults take effect once; `text` already contains them.
             let mut faults = self.fleet.workers[n].borrow_mut();
             (faults.invalidate_once, faults.garble_once) = (false, false);
         }
-        if self.written_faults.get(&who) != Some(&text) {
-            let (file, temporary) = (self.file(who, "faults"), self.file(who, "beside"));
+        if self.written_faults.get(&component) != Some(&text) {
+            let (file, temporary) = (
+                self.file(component, "faults"),
+                self.file(component, "beside"),
+            );
             std::fs::write(&temporary, &text)?;
             std::fs::rename(&temporary, &file)?;
-            self.written_faults.insert(who, text);
+            self.written_faults.insert(component, text);
         }
         Ok(())
     }
-    fn signal(&self, who: Who, signal: Signal) {
+    fn signal(&self, component: Component, signal: Signal) {
         self.children
-            .get(&who)
+            .get(&component)
             .iter()
             .for_each(|child| send_signal(child, signal));
     }
@@ -401,10 +411,10 @@
     ///
     /// # Errors
     /// The system can't report its status.
-    fn has_exited(&mut self, who: Who) -> io::Result<bool> {
+    fn has_exited(&mut self, component: Component) -> io::Result<bool> {
         Ok(self
             .children
-            .get_mut(&who)
+            .get_mut(&component)
             .map(Child::try_wait)
             .transpose()?
             .flatten()
@@ -412,11 +422,11 @@
     }
     /// The name that a relay knows a calling process by, where the protocol has a greeting. Clients send no greeting, so
     /// the faults of their links apply to every caller.
-    fn caller_name(from: Who) -> Option<String> {
-        matches!(from, Who::Edge(_) | Who::Worker(_)).then(|| process_name(from))
+    fn caller_name(from: Component) -> Option<String> {
+        matches!(from, Component::Edge(_) | Component::Worker(_)).then(|| process_name(from))
     }
-    fn relay(&self, from: Who, to: Who) -> Option<&ProcessRelay> {
-        let is_registration = matches!((from, to), (Who::Worker(_), Who::List));
+    fn relay(&self, from: Component, to: Component) -> Option<&ProcessRelay> {
+        let is_registration = matches!((from, to), (Component::Worker(_), Component::List));
         if is_registration {
             Some(&self.registration_relay)
         } else {
@@ -445,10 +455,10 @@
     }
     fn run_until(&mut self, at: Micros) -> io::Result<()> {
         let emulated = (0..self.fleet.workers.len())
-            .map(Who::Worker)
-            .chain([Who::Store, Who::List]);
-        for who in emulated.collect::<Vec<_>>() {
-            self.write_faults(who)?;
+            .map(Component::Worker)
+            .chain([Component::Store, Component::List]);
+        for component in emulated.collect::<Vec<_>>() {
+            self.write_faults(component)?;
         }
         while self.driver.now() < at {
             let settled = self.pending.is_empty() && self.terminating.is_empty();
@@ -474,27 +484,32 @@
         }
         Ok(())
     }
-    fn kill(&mut self, who: Who) {
-        if let Some(mut child) = self.children.remove(&who) {
+    fn kill(&mut self, component: Component) {
+        if let Some(mut child) = self.children.remove(&component) {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.pending.remove(&who);
-        self.terminating.remove(&who);
-        let _ = self.set_relay_target(who, None);
+        self.pending.remove(&component);
+        self.terminating.remove(&component);
+        let _ = self.set_relay_target(component, None);
     }
-    fn start(&mut self, who: Who) -> io::Result<()> {
-        self.spawn(who, true)
+    fn start(&mut self, component: Component) -> io::Result<()> {
+        self.spawn(component, true)
     }
-    fn freeze(&mut self, who: Who, frozen: bool) {
-        self.signal(who, if frozen { Signal::STOP } else { Signal::CONT });
+    fn freeze(&mut self, component: Component, frozen: bool) {
+        self.signal(component, if frozen { Signal::STOP } else { Signal::CONT });
     }
-    fn reset_on_next_write(&mut self, who: Who) {
-        if let Some(relay) = self.relays.get(&who) {
+    fn reset_on_next_write(&mut self, component: Component) {
+        if let Some(relay) = self.relays.get(&component) {
             relay.control.borrow_mut().reset_connections(None);
         }
     }
-    fn set_link_fault(&mut self, from: Who, to: Who, fault: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(
+        &mut self,
+        from: Component,
+        to: Component,
+        fault: Option<Fault>,
+    ) -> io::Result<()> {
         let caller = Self::caller_name(from);
         if let Some(relay) = self.relay(from, to) {
             relay
@@ -504,7 +519,7 @@
         }
         Ok(())
     }
-    fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
+    fn break_link(&mut self, from: Component, to: Component) -> io::Result<()> {
         let caller = Self::caller_name(from);
         if let Some(relay) = self.relay(from, to) {
             relay
@@ -514,12 +529,12 @@
         }
         Ok(())
     }
-    fn clear_saved_state(&mut self, who: Who) {
-        let _ = std::fs::remove_file(self.file(who, "state"));
+    fn clear_saved_state(&mut self, component: Component) {
+        let _ = std::fs::remove_file(self.file(component, "state"));
     }
-    fn shut_down(&mut self, who: Who) {
-        self.signal(who, Signal::TERM);
-        self.terminating.insert(who);
+    fn shut_down(&mut self, component: Component) {
+        self.signal(component, Signal::TERM);
+        self.terminating.insert(component);
     }
     fn distribute_keys(&mut self) -> io::Result<()> {
         Ok(())
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -93,7 +93,7 @@
     /// Revoked keys, and the time from which no edge may accept a call under them.
     pub revoked: BTreeMap<String, Micros>,
     pub bytes: u64,
-    /// What the discovery service and each worker received from all edges, by second.
+    /// The load that all edges together put on the discovery service and on each worker, by second.
     pub loads: BTreeMap<(Target, Micros), Load>,
 }
 
@@ -112,6 +112,7 @@
     /// Calls to the discovery service.
     pub calls: u64,
     pub full_snapshots: u64,
+    /// Bytes that the discovery service sent to edges.
     pub bytes: u64,
     pub health_checks: u64,
     pub load_queries: u64,
@@ -124,7 +125,7 @@
         self.loads.entry((target, now / 1_000_000)).or_default()
     }
     /// The maximum of a count in any second, at the discovery service (`list`) or at any worker.
-    pub fn worst(&self, list: bool, count: impl Fn(&Load) -> u64) -> u64 {
+    pub fn max_per_second(&self, list: bool, count: impl Fn(&Load) -> u64) -> u64 {
         let seconds = self
             .loads
             .iter()
@@ -184,7 +185,7 @@
     pub fn edge(&mut self, address: &str, name: &str) {
         self.edges.insert(address.into(), name.into());
     }
-    /// A hash of all recorded traffic with its times and places; equal timelines have equal digests.
+    /// A hash of all recorded traffic with its times, hosts and connections; equal timelines have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest.finish()
     }
--- a/crates/sanddrum-lab/src/scenario.rs
+++ b/crates/sanddrum-lab/src/scenario.rs
@@ -43,9 +43,11 @@
     pub zone: Option<String>,
     /// The severity, in the unit of the kind.
     pub size: f64,
-    /// For link faults: the connecting and the accepting side, the zone of the accepting side, and the fault.
+    /// For link faults: the connecting and the accepting side.
     pub link: (String, String),
+    /// For link faults: only processes of the accepting side in this zone are affected.
     pub to_zone: Option<String>,
+    /// For link faults: the fault of the link.
     pub link_fault: Fault,
 }
 
@@ -108,7 +110,7 @@
                 "write it as fleet.edges=1000",
             ));
         };
-        if let Some((_, remedy)) = PER_EDGE_SETTINGS.iter().find(|(own, _)| *own == name) {
+        if let Some((_, remedy)) = PER_EDGE_SETTINGS.iter().find(|(key, _)| *key == name) {
             return Err(rejected(
                 format!("the lab sets {name} for each edge"),
                 remedy,
@@ -249,7 +251,7 @@
     pub fn zone_of(&self, n: usize) -> usize {
         n % self.zones.len().max(1)
     }
-    /// How long after the news of a drain an edge may still use the worker.
+    /// How long an edge may still use a worker after it has been notified that the worker is draining or gone.
     pub fn drain_grace(&self) -> Micros {
         self.settings.duration_us("rules.drain-grace-us")
     }
--- a/crates/sanddrum-lab/src/scenario_runner.rs
+++ b/crates/sanddrum-lab/src/scenario_runner.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::{check_log, Verdict};
 use crate::environment::Environment;
-use crate::fleet::Who;
+use crate::fleet::Component;
 use crate::recorder::{Log, Recording};
 use crate::relay::Fault;
 use crate::scenario::{Scenario, ScriptedFault};
@@ -21,26 +21,27 @@
     pub timeline: Vec<(Micros, String)>,
     pub executions: usize,
     pub load_commands: usize,
-    /// The load on the discovery service and on the worst worker, in their worst seconds.
+    /// The highest load within one second on the discovery service and on any worker; see `peak_load`.
     pub peak_load: Value,
     /// How the edges performed together; see `fleet_summary`.
     pub fleet_summary: Value,
 }
 
-/// The load that all edges together put on the discovery service and on the worst worker, in their worst seconds.
+/// The highest load within one second that all edges together put on the discovery service and on any worker; each
+/// count may be of another second and another worker.
 fn peak_load(log: &Log) -> Value {
     json!({
         "list": {
-            "calls": log.worst(true, |l| l.calls),
-            "bytes": log.worst(true, |l| l.bytes),
+            "calls": log.max_per_second(true, |l| l.calls),
+            "bytes": log.max_per_second(true, |l| l.bytes),
             "whole_lists": log.sum(true, |l| l.full_snapshots),
         },
         "worker": {
-            "handshakes": log.worst(false, |l| l.handshakes),
-            "probes": log.worst(false, |l| l.health_checks),
-            "asks": log.worst(false, |l| l.load_queries),
-            "orders": log.worst(false, |l| l.load_commands),
-            "misses": log.worst(false, |l| l.cold_misses),
+            "handshakes": log.max_per_second(false, |l| l.handshakes),
+            "probes": log.max_per_second(false, |l| l.health_checks),
+            "asks": log.max_per_second(false, |l| l.load_queries),
+            "orders": log.max_per_second(false, |l| l.load_commands),
+            "misses": log.max_per_second(false, |l| l.cold_misses),
         },
     })
 }
@@ -50,7 +51,7 @@
     recording: &'a Recording,
     scenario: Scenario,
     start: Micros,
-    faulted: BTreeSet<Who>,
+    faulted: BTreeSet<Component>,
     timeline: Vec<(Micros, String)>,
 }
 
@@ -84,8 +85,8 @@
     let scenario = environment.fleet().scenario.clone();
     let start = environment.now();
     // The longest time that a message may be in transit, link delays of the scenario included.
-    let link_delays = scenario.faults.iter().map(|t| match t.link_fault {
-        Fault::Delay(by) if t.kind == "link" => by,
+    let link_delays = scenario.faults.iter().map(|fault| match fault.link_fault {
+        Fault::Delay(by) if fault.kind == "link" => by,
         _ => 0,
     });
     let (seed, slack) = (
@@ -129,12 +130,12 @@
 impl Runner<'_> {
     fn run(&mut self) -> io::Result<()> {
         let mut schedule: Vec<(Micros, bool, usize)> = Vec::new();
-        for (n, t) in self.scenario.faults.iter().enumerate() {
-            schedule.push((t.at, true, n));
-            schedule.push((t.at + t.duration, false, n));
+        for (n, fault) in self.scenario.faults.iter().enumerate() {
+            schedule.push((fault.at, true, n));
+            schedule.push((fault.at + fault.duration, false, n));
         }
         schedule.sort_by_key(|(at, begins, n)| (*at, *begins, *n));
-        let mut targets: Vec<Vec<Who>> = vec![Vec::new(); self.scenario.faults.len()];
+        let mut targets: Vec<Vec<Component>> = vec![Vec::new(); self.scenario.faults.len()];
         for (at, begins, n) in schedule {
             if at > self.scenario.length && begins {
                 continue;
@@ -155,7 +156,8 @@
                 let targets = std::mem::take(&mut targets[n]);
                 self.end(&fault, &targets)?;
                 self.change_certificates(&fault, &targets, false)?;
-                self.faulted.retain(|who| !targets.contains(who));
+                self.faulted
+                    .retain(|component| !targets.contains(component));
             }
         }
         self.environment
@@ -177,14 +179,14 @@
         self.environment.run_until(next)
     }
 
-    fn targets(&self, n: usize, t: &ScriptedFault) -> Vec<Who> {
-        if UNTARGETED_FAULTS.contains(&t.kind.as_str()) {
+    fn targets(&self, n: usize, fault: &ScriptedFault) -> Vec<Component> {
+        if UNTARGETED_FAULTS.contains(&fault.kind.as_str()) {
             return Vec::new();
         }
-        let edges = if t.kind.starts_with("link") {
-            t.link.0 == "edges" || t.link == ("callers".into(), "edges".into())
+        let edges = if fault.kind.starts_with("link") {
+            fault.link.0 == "edges" || fault.link == ("callers".into(), "edges".into())
         } else {
-            t.kind.starts_with("edge-")
+            fault.kind.starts_with("edge-")
         };
         let count = if edges {
             self.scenario.edges
@@ -192,23 +194,33 @@
             self.scenario.workers
         };
         let in_zone = |n: &usize| {
-            t.zone
+            fault
+                .zone
                 .as_ref()
                 .is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)])
         };
-        let who = |n| if edges { Who::Edge(n) } else { Who::Worker(n) };
-        let mut candidates: Vec<Who> = (0..count)
+        let component = |n| {
+            if edges {
+                Component::Edge(n)
+            } else {
+                Component::Worker(n)
+            }
+        };
+        let mut candidates: Vec<Component> = (0..count)
             .filter(in_zone)
-            .map(who)
+            .map(component)
             .filter(|w| !self.faulted.contains(w))
             .collect();
-        let all = ["zone-loss", "flush", "link", "link-break"].contains(&t.kind.as_str())
-            && t.fraction.is_none()
-            && t.count.is_none();
-        let wanted = match (t.count, t.fraction) {
+        let affects_all = ["zone-loss", "flush", "link", "link-break"]
+            .contains(&fault.kind.as_str())
+            && fault.fraction.is_none()
+            && fault.count.is_none();
+        let wanted = match (fault.count, fault.fraction) {
             (Some(count), _) => count,
-            (None, Some(part)) => ((candidates.len() as f64 * part).round() as usize).max(1),
-            _ if all => candidates.len(),
+            (None, Some(fraction)) => {
+                ((candidates.len() as f64 * fraction).round() as usize).max(1)
+            }
+            _ if affects_all => candidates.len(),
             _ => 1,
         };
         let mut rng = Rng::new(self.scenario.seed ^ (0x7a46 + n as u64));
@@ -218,7 +230,7 @@
         candidates
     }
 
-    fn record(&mut self, what: &str, targets: &[Who]) {
+    fn record(&mut self, what: &str, targets: &[Component]) {
         let now = self.environment.now() - self.start;
         let targets = if targets.is_empty() {
             String::new()
@@ -230,22 +242,24 @@
     }
     fn set_worker_faults(
         &mut self,
-        targets: &[Who],
+        targets: &[Component],
         set: impl Fn(&mut sanddrum_emulator::WorkerFaults),
     ) {
-        for who in targets {
-            if let Who::Worker(n) = who {
+        for component in targets {
+            if let Component::Worker(n) = component {
                 set(&mut self.environment.fleet().workers[*n].borrow_mut());
             }
         }
     }
-    fn kill(&mut self, targets: &[Who]) {
-        targets.iter().for_each(|who| self.environment.kill(*who));
+    fn kill(&mut self, targets: &[Component]) {
+        targets
+            .iter()
+            .for_each(|component| self.environment.kill(*component));
         self.record_downtime(targets);
     }
-    fn edges(targets: &[Who]) -> impl Iterator<Item = String> + '_ {
-        let number = |who: &Who| {
-            if let Who::Edge(n) = who {
+    fn edges(targets: &[Component]) -> impl Iterator<Item = String> + '_ {
+        let number = |component: &Component| {
+            if let Component::Edge(n) = component {
                 Some(*n)
             } else {
                 None
@@ -253,20 +267,20 @@
         };
         targets.iter().filter_map(number).map(Scenario::edge_name)
     }
-    fn record_downtime(&mut self, targets: &[Who]) {
+    fn record_downtime(&mut self, targets: &[Component]) {
         let now = self.environment.now();
         let down = Self::edges(targets).map(|edge| (edge, now, None));
         self.recording.0.borrow_mut().log.edge_downtime.extend(down);
     }
-    fn restart(&mut self, targets: &[Who]) -> io::Result<()> {
-        for who in targets {
-            self.environment.kill(*who);
-            self.environment.start(*who)?;
+    fn restart(&mut self, targets: &[Component]) -> io::Result<()> {
+        for component in targets {
+            self.environment.kill(*component);
+            self.environment.start(*component)?;
             let now = self.environment.now();
             let log = &mut self.recording.0.borrow_mut().log;
-            match who {
-                Who::Worker(n) => log.worker_starts.push((*n, now)),
-                Who::Edge(n) => {
+            match component {
+                Component::Worker(n) => log.worker_starts.push((*n, now)),
+                Component::Edge(n) => {
                     let name = Scenario::edge_name(*n);
                     if let Some(downtime) = log
                         .edge_downtime
@@ -286,16 +300,16 @@
     /// Applies faults of certificates. An impostor is a worker that restarts with a certificate of a foreign authority.
     fn change_certificates(
         &mut self,
-        t: &ScriptedFault,
-        targets: &[Who],
+        fault: &ScriptedFault,
+        targets: &[Component],
         begins: bool,
     ) -> io::Result<()> {
-        match (t.kind.as_str(), begins) {
+        match (fault.kind.as_str(), begins) {
             ("certificates", true) => self.environment.fleet().renew_certificates(),
             ("roots", _) => self.environment.fleet().change_authority(begins)?,
             ("impostor", _) => {
-                for who in targets {
-                    if let Who::Worker(n) = who {
+                for component in targets {
+                    if let Component::Worker(n) = component {
                         let impostors = &mut self.environment.fleet().impostors;
                         if begins {
                             impostors.insert(*n)
@@ -311,13 +325,13 @@
         self.environment.distribute_certificates()
     }
 
-    fn change_keys(&mut self, t: &ScriptedFault) -> io::Result<()> {
+    fn change_keys(&mut self, fault: &ScriptedFault) -> io::Result<()> {
         let now = self.environment.now();
         if let Some(token_issuer) = self.environment.fleet().token_issuer.clone() {
             let mut token_issuer = token_issuer.borrow_mut();
-            match t.kind.as_str() {
+            match fault.kind.as_str() {
                 "key-new" => token_issuer.add_key(),
-                "key-rotate" => token_issuer.rotate_keys(now, t.duration),
+                "key-rotate" => token_issuer.rotate_keys(now, fault.duration),
                 _ => token_issuer.revoke_oldest_key(now),
             }
             let reach = self
@@ -339,26 +353,30 @@
     }
 
     /// The links from the targets to the accepting side of the fault, or from the clients to the targets.
-    fn links(&self, t: &ScriptedFault, targets: &[Who]) -> Vec<(Who, Who)> {
+    fn links(&self, fault: &ScriptedFault, targets: &[Component]) -> Vec<(Component, Component)> {
         let zone = |n: &usize| {
-            t.to_zone
+            fault
+                .to_zone
                 .as_ref()
                 .is_none_or(|z| *z == self.scenario.zones[self.scenario.zone_of(*n)])
         };
-        let others: Vec<Who> = match t.link.1.as_str() {
-            "list" => vec![Who::List],
-            "store" => vec![Who::Store],
+        let others: Vec<Component> = match fault.link.1.as_str() {
+            "list" => vec![Component::List],
+            "store" => vec![Component::Store],
             "workers" => (0..self.scenario.workers)
                 .filter(zone)
-                .map(Who::Worker)
+                .map(Component::Worker)
                 .collect(),
             _ => (0..self.scenario.edges)
                 .filter(zone)
-                .map(Who::Edge)
+                .map(Component::Edge)
                 .collect(),
         };
-        if t.link.0 == "callers" {
-            return targets.iter().map(|who| (Who::Callers, *who)).collect();
+        if fault.link.0 == "callers" {
+            return targets
+                .iter()
+                .map(|component| (Component::Callers, *component))
+                .collect();
         }
         targets
             .iter()
@@ -366,36 +384,36 @@
             .collect()
     }
 
-    fn begin(&mut self, t: &ScriptedFault, targets: &[Who]) -> io::Result<()> {
-        self.record(&format!("{} begins", t.kind), targets);
-        let size = t.size;
-        match t.kind.as_str() {
+    fn begin(&mut self, fault: &ScriptedFault, targets: &[Component]) -> io::Result<()> {
+        self.record(&format!("{} begins", fault.kind), targets);
+        let size = fault.size;
+        match fault.kind.as_str() {
             "crash" | "edge-crash" | "edge-anew" | "zone-loss" => self.kill(targets),
             "edge-end" => {
                 targets
                     .iter()
-                    .for_each(|who| self.environment.shut_down(*who));
+                    .for_each(|component| self.environment.shut_down(*component));
                 self.record_downtime(targets);
             }
-            "list-stop" => self.environment.freeze(Who::List, true),
+            "list-stop" => self.environment.freeze(Component::List, true),
             "link" => {
-                for (from, to) in self.links(t, targets) {
+                for (from, to) in self.links(fault, targets) {
                     self.environment
-                        .set_link_fault(from, to, Some(t.link_fault))?;
+                        .set_link_fault(from, to, Some(fault.link_fault))?;
                 }
             }
             "link-break" => {
-                for (from, to) in self.links(t, targets) {
+                for (from, to) in self.links(fault, targets) {
                     self.environment.break_link(from, to)?;
                 }
             }
             "silent" => targets
                 .iter()
-                .for_each(|who| self.environment.freeze(*who, true)),
+                .for_each(|component| self.environment.freeze(*component, true)),
             "edge-stop" => {
                 targets
                     .iter()
-                    .for_each(|who| self.environment.freeze(*who, true));
+                    .for_each(|component| self.environment.freeze(*component, true));
                 let now = self.environment.now();
                 let stopped = Self::edges(targets).map(|edge| (edge, now, None));
                 self.recording
@@ -414,10 +432,10 @@
             "flush" => self.set_worker_faults(targets, |f| f.invalidate_once = true),
             "tear" => targets
                 .iter()
-                .for_each(|who| self.environment.reset_on_next_write(*who)),
+                .for_each(|component| self.environment.reset_on_next_write(*component)),
             "store-stall" => self.environment.fleet().store.borrow_mut().is_stalled = true,
             "store-refuse" => self.environment.fleet().store.borrow_mut().rejects_all = true,
-            "list-away" => self.kill(&[Who::List]),
+            "list-away" => self.kill(&[Component::List]),
             "list-lag" => self.environment.fleet().list.borrow_mut().delay = (size * 1e6) as Micros,
             "overload" => {
                 self.environment
@@ -445,21 +463,21 @@
         Ok(())
     }
 
-    fn end(&mut self, t: &ScriptedFault, targets: &[Who]) -> io::Result<()> {
-        match t.kind.as_str() {
+    fn end(&mut self, fault: &ScriptedFault, targets: &[Component]) -> io::Result<()> {
+        match fault.kind.as_str() {
             "crash" | "edge-crash" | "edge-end" | "zone-loss" | "silent" | "drain" => {
                 self.restart(targets)?
             }
             "edge-anew" => {
                 targets
                     .iter()
-                    .for_each(|who| self.environment.clear_saved_state(*who));
+                    .for_each(|component| self.environment.clear_saved_state(*component));
                 self.restart(targets)?;
             }
             "edge-stop" => {
                 targets
                     .iter()
-                    .for_each(|who| self.environment.freeze(*who, false));
+                    .for_each(|component| self.environment.freeze(*component, false));
                 let (now, names) = (
                     self.environment.now(),
                     Self::edges(targets).collect::<BTreeSet<_>>(),
@@ -471,9 +489,9 @@
                     .filter(|(edge, _, until)| until.is_none() && names.contains(edge));
                 open.for_each(|pause| pause.2 = Some(now));
             }
-            "list-stop" => self.environment.freeze(Who::List, false),
+            "list-stop" => self.environment.freeze(Component::List, false),
             "link" => {
-                for (from, to) in self.links(t, targets) {
+                for (from, to) in self.links(fault, targets) {
                     self.environment.set_link_fault(from, to, None)?;
                 }
             }
@@ -483,7 +501,7 @@
             "load-fails" => self.set_worker_faults(targets, |f| f.load_failure = 0.0),
             "store-stall" => self.environment.fleet().store.borrow_mut().is_stalled = false,
             "store-refuse" => self.environment.fleet().store.borrow_mut().rejects_all = false,
-            "list-away" => self.restart(&[Who::List])?,
+            "list-away" => self.restart(&[Component::List])?,
             "list-lag" => self.environment.fleet().list.borrow_mut().delay = 0,
             "overload" => {
                 self.environment
@@ -508,7 +526,7 @@
             }
             _ => return Ok(()),
         }
-        self.record(&format!("{} ends", t.kind), targets);
+        self.record(&format!("{} ends", fault.kind), targets);
         Ok(())
     }
 }
@@ -534,8 +552,8 @@
                 "p99": self.latency_ms(0.99),
                 "p999": self.latency_ms(0.999),
             },
-            "customers": v.customers.iter().map(|(name, (asked, in_time))| {
-                (name.clone(), json!((*in_time as f64 / (*asked).max(1) as f64 * 1e4).round() / 1e4))
+            "customers": v.customers.iter().map(|(name, (calls, in_time))| {
+                (name.clone(), json!((*in_time as f64 / (*calls).max(1) as f64 * 1e4).round() / 1e4))
             }).collect::<serde_json::Map<String, Value>>(),
             "seconds": v.seconds,
             "worst_second": self.peak_load,
@@ -621,9 +639,9 @@
             "service {:.3}; latency of finished calls {p50} ms (p50), {p99} ms (p99), {p999} ms (p999)",
             v.service
         );
-        for (name, (asked, in_time)) in &v.customers {
-            let part = *in_time as f64 / (*asked).max(1) as f64;
-            let _ = writeln!(out, "  {name}: {in_time} of {asked} in time ({part:.3})");
+        for (name, (calls, in_time)) in &v.customers {
+            let part = *in_time as f64 / (*calls).max(1) as f64;
+            let _ = writeln!(out, "  {name}: {in_time} of {calls} in time ({part:.3})");
         }
         for b in &v.violations {
             let _ = writeln!(out, "BROKEN {b}");
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -2,7 +2,7 @@
 //! edges run on it too, or as processes.
 
 use crate::environment::{Environment, MakeEdge};
-use crate::fleet::{Addresses, Fleet, Who};
+use crate::fleet::{Addresses, Component, Fleet};
 use crate::recorder::{Recording, Role};
 use crate::relay::Fault;
 use crate::scenario::Scenario;
@@ -38,7 +38,7 @@
 pub struct SocketEnvironment {
     driver: EventLoop,
     fleet: Fleet,
-    hosts: BTreeMap<Who, HostId>,
+    hosts: BTreeMap<Component, HostId>,
     edge_mode: EdgeMode,
     children: BTreeMap<usize, Child>,
     folder: PathBuf,
@@ -59,7 +59,7 @@
         folder: PathBuf,
     ) -> io::Result<Self> {
         let mut environment = Self::without_clients(scenario, recording, edge_mode, folder, &[])?;
-        environment.set_up(Who::Callers, None, recording)?;
+        environment.set_up(Component::Callers, None, recording)?;
         Ok(environment)
     }
     /// Starts the fleet without clients. The first edges listen on these addresses, any others on ports that the
@@ -77,25 +77,25 @@
         let driver = EventLoop::new(Box::new(recording.clone()))?;
         let (workers, edges) = (scenario.workers, scenario.edges);
         let mut bound = BTreeMap::new();
-        let mut bind = |who: Who| -> io::Result<String> {
-            let requested = if let Who::Edge(n) = who {
+        let mut bind = |component: Component| -> io::Result<String> {
+            let requested = if let Component::Edge(n) = component {
                 edge_addresses.get(n).copied()
             } else {
                 None
             };
             let (listener, at) = EventLoop::bind(requested.unwrap_or("127.0.0.1:0"))?;
-            bound.insert(who, listener);
+            bound.insert(component, listener);
             Ok(at)
         };
         let addresses = Addresses {
             workers: (0..workers)
-                .map(|n| bind(Who::Worker(n)))
+                .map(|n| bind(Component::Worker(n)))
                 .collect::<io::Result<_>>()?,
             edges: (0..edges)
-                .map(|n| bind(Who::Edge(n)))
+                .map(|n| bind(Component::Edge(n)))
                 .collect::<io::Result<_>>()?,
-            list: bind(Who::List)?,
-            store: bind(Who::Store)?,
+            list: bind(Component::List)?,
+            store: bind(Component::Store)?,
         };
         let fleet = Fleet::new(scenario, addresses, recording)?;
         let mut environment = SocketEnvironment {
@@ -109,11 +109,11 @@
         environment.distribute_keys()?;
         environment.distribute_certificates()?;
         let all = (0..workers)
-            .map(Who::Worker)
-            .chain((0..edges).map(Who::Edge));
-        for who in [Who::List, Who::Store].into_iter().chain(all) {
-            let listener = bound.remove(&who);
-            environment.set_up(who, listener, recording)?;
+            .map(Component::Worker)
+            .chain((0..edges).map(Component::Edge));
+        for component in [Component::List, Component::Store].into_iter().chain(all) {
+            let listener = bound.remove(&component);
+            environment.set_up(component, listener, recording)?;
         }
         // Edges that are processes take a moment to start; clients are started once all edges accept connections.
         environment.wait_for_edges()?;
@@ -121,11 +121,11 @@
     }
     fn set_up(
         &mut self,
-        who: Who,
+        component: Component,
         listener: Option<std::net::TcpListener>,
         recording: &Recording,
     ) -> io::Result<()> {
-        if let Who::Edge(n) = who {
+        if let Component::Edge(n) = component {
             let address = self.fleet.addresses.edges[n].clone();
             recording
                 .0
@@ -136,29 +136,29 @@
                 return self.spawn(n);
             }
         }
-        let role = match who {
+        let role = match component {
             // Under TLS, the worker's plaintext is recorded inside its TLS layer.
-            Who::Worker(_) if self.fleet.authority.is_some() => Role::Other,
-            Who::Worker(n) => Role::Worker(n),
-            Who::List => Role::List,
-            Who::Callers => Role::Callers,
-            Who::Edge(_) | Who::Store => Role::Other,
+            Component::Worker(_) if self.fleet.authority.is_some() => Role::Other,
+            Component::Worker(n) => Role::Worker(n),
+            Component::List => Role::List,
+            Component::Callers => Role::Callers,
+            Component::Edge(_) | Component::Store => Role::Other,
         };
         recording
             .0
             .borrow_mut()
             .role(HostId(self.hosts.len()), role);
-        let core = self.core(who, false)?;
-        let state = self.state_file(who);
+        let core = self.core(component, false)?;
+        let state = self.state_file(component);
         let host = self
             .driver
             .add(core, listener.into_iter().collect(), state)?;
-        self.hosts.insert(who, host);
-        self.watch_keys(who, host);
-        self.watch_certificates(who, host);
+        self.hosts.insert(component, host);
+        self.watch_keys(component, host);
+        self.watch_certificates(component, host);
         Ok(())
     }
-    fn watch_certificates(&mut self, who: Who, host: HostId) {
+    fn watch_certificates(&mut self, component: Component, host: HostId) {
         if self.fleet.authority.is_none() {
             return;
         }
@@ -167,9 +167,9 @@
             .scenario
             .settings
             .duration_us("tls.watch-every-us");
-        match who {
+        match component {
             // An impostor keeps the certificate that it started with.
-            Who::Worker(n) if !self.fleet.impostors.contains(&n) => {
+            Component::Worker(n) if !self.fleet.impostors.contains(&n) => {
                 let name = Scenario::worker_name(n);
                 self.driver.watch_file(
                     host,
@@ -184,7 +184,7 @@
                     every,
                 );
             }
-            Who::Edge(_) => self.driver.watch_file(
+            Component::Edge(_) => self.driver.watch_file(
                 host,
                 OUTBOUND_FILES[0],
                 self.folder.join("roots.pem"),
@@ -197,8 +197,8 @@
         self.folder
             .join(self.fleet.scenario.settings.text("identity.keys-file"))
     }
-    fn watch_keys(&mut self, who: Who, host: HostId) {
-        if self.fleet.token_issuer.is_some() && matches!(who, Who::Edge(_)) {
+    fn watch_keys(&mut self, component: Component, host: HostId) {
+        if self.fleet.token_issuer.is_some() && matches!(component, Component::Edge(_)) {
             let every = self
                 .fleet
                 .scenario
@@ -208,9 +208,9 @@
                 .watch_file(host, KEYS_FILE, self.keys_file(), every);
         }
     }
-    fn state_file(&self, who: Who) -> Option<PathBuf> {
-        match who {
-            Who::Edge(n) => Some(
+    fn state_file(&self, component: Component) -> Option<PathBuf> {
+        match component {
+            Component::Edge(n) => Some(
                 self.folder
                     .join(format!("{}.state", Scenario::edge_name(n))),
             ),
@@ -219,7 +219,7 @@
     }
     fn spawn(&mut self, n: usize) -> io::Result<()> {
         let (_, seed, _) = self.fleet.edge(n).map_err(io::Error::other)?;
-        let state = self.state_file(Who::Edge(n)).unwrap_or_default();
+        let state = self.state_file(Component::Edge(n)).unwrap_or_default();
         if let EdgeMode::Processes(command) = &self.edge_mode {
             let child = command(n, &self.fleet, &state, seed).spawn()?;
             self.children.insert(n, child);
@@ -243,17 +243,17 @@
         let next = self.driver.now() + 300_000;
         self.driver.run_until(next)
     }
-    fn core(&mut self, who: Who, cold: bool) -> io::Result<Box<dyn Core>> {
+    fn core(&mut self, component: Component, cold: bool) -> io::Result<Box<dyn Core>> {
         let now = self.driver.now();
-        Ok(match who {
-            Who::Worker(n) => self.fleet.worker(n, now, cold)?,
-            Who::List => self.fleet.list(now),
-            Who::Store => self.fleet.store(),
-            Who::Callers => self.fleet.callers(0),
-            Who::Edge(n) => {
+        Ok(match component {
+            Component::Worker(n) => self.fleet.worker(n, now, cold)?,
+            Component::List => self.fleet.list(now),
+            Component::Store => self.fleet.store(),
+            Component::Callers => self.fleet.callers(0),
+            Component::Edge(n) => {
                 let (settings, seed, incarnation) = self.fleet.edge(n).map_err(io::Error::other)?;
                 let cached_state = self
-                    .state_file(who)
+                    .state_file(component)
                     .and_then(|file| std::fs::read(file).ok());
                 let options = EdgeOptions {
                     settings,
@@ -271,14 +271,14 @@
             }
         })
     }
-    fn address(&self, who: Who) -> Option<&str> {
+    fn address(&self, component: Component) -> Option<&str> {
         let a = &self.fleet.addresses;
-        match who {
-            Who::Worker(n) => Some(&a.workers[n]),
-            Who::Edge(n) => Some(&a.edges[n]),
-            Who::List => Some(&a.list),
-            Who::Store => Some(&a.store),
-            Who::Callers => None,
+        match component {
+            Component::Worker(n) => Some(&a.workers[n]),
+            Component::Edge(n) => Some(&a.edges[n]),
+            Component::List => Some(&a.list),
+            Component::Store => Some(&a.store),
+            Component::Callers => None,
         }
     }
     /// Whether a signal asked for shutdown.
@@ -340,24 +340,24 @@
     fn run_until(&mut self, at: Micros) -> io::Result<()> {
         self.driver.run_until(at)
     }
-    fn kill(&mut self, who: Who) {
-        if let Who::Edge(n) = who {
+    fn kill(&mut self, component: Component) {
+        if let Component::Edge(n) = component {
             if let Some(mut child) = self.children.remove(&n) {
                 let _ = child.kill();
                 let _ = child.wait();
             }
         }
-        if let Some(host) = self.hosts.get(&who) {
+        if let Some(host) = self.hosts.get(&component) {
             self.driver.kill(*host);
         }
     }
-    fn start(&mut self, who: Who) -> io::Result<()> {
-        if let Who::Edge(n) = who {
+    fn start(&mut self, component: Component) -> io::Result<()> {
+        if let Component::Edge(n) = component {
             if matches!(self.edge_mode, EdgeMode::Processes(_)) {
                 return self.spawn(n);
             }
         }
-        let Some(address) = self.address(who).map(String::from) else {
+        let Some(address) = self.address(component).map(String::from) else {
             return Ok(());
         };
         let until = self.driver.now() + PORT_WAIT;
@@ -371,12 +371,12 @@
                 }
             }
         };
-        let core = self.core(who, true)?;
-        if let Some(host) = self.hosts.get(&who).copied() {
-            let state = self.state_file(who);
+        let core = self.core(component, true)?;
+        if let Some(host) = self.hosts.get(&component).copied() {
+            let state = self.state_file(component);
             self.driver.replace(host, core, vec![listener], state)?;
-            self.watch_keys(who, host);
-            self.watch_certificates(who, host);
+            self.watch_keys(component, host);
+            self.watch_certificates(component, host);
         }
         Ok(())
     }
@@ -409,47 +409,47 @@
         }
         Ok(())
     }
-    fn set_link_fault(&mut self, _: Who, _: Who, _: Option<Fault>) -> io::Result<()> {
+    fn set_link_fault(&mut self, _: Component, _: Component, _: Option<Fault>) -> io::Result<()> {
         Err(io::Error::other(
             "link faults are supported only by lab fleet and by lab run --virtual",
         ))
     }
-    fn break_link(&mut self, from: Who, to: Who) -> io::Result<()> {
+    fn break_link(&mut self, from: Component, to: Component) -> io::Result<()> {
         self.set_link_fault(from, to, None)
     }
-    fn clear_saved_state(&mut self, who: Who) {
-        self.state_file(who)
+    fn clear_saved_state(&mut self, component: Component) {
+        self.state_file(component)
             .iter()
             .for_each(|file| drop(std::fs::remove_file(file)));
     }
-    fn shut_down(&mut self, who: Who) {
-        if let (Who::Edge(n), EdgeMode::Processes(_)) = (who, &self.edge_mode) {
+    fn shut_down(&mut self, component: Component) {
+        if let (Component::Edge(n), EdgeMode::Processes(_)) = (component, &self.edge_mode) {
             self.children
                 .get(&n)
                 .iter()
                 .for_each(|child| send_signal(child, Signal::TERM));
         }
     }
-    fn freeze(&mut self, who: Who, frozen: bool) {
-        if let Some(child) = if let Who::Edge(n) = who {
+    fn freeze(&mut self, component: Component, frozen: bool) {
+        if let Some(child) = if let Component::Edge(n) = component {
             self.children.get(&n)
         } else {
             None
         } {
             return send_signal(child, if frozen { Signal::STOP } else { Signal::CONT });
         }
-        if let Some(host) = self.hosts.get(&who) {
+        if let Some(host) = self.hosts.get(&component) {
             self.driver.freeze(*host, frozen);
         }
     }
-    fn reset_on_next_write(&mut self, who: Who) {
-        if let Some(host) = self.hosts.get(&who) {
+    fn reset_on_next_write(&mut self, component: Component) {
+        if let Some(host) = self.hosts.get(&component) {
             self.driver.reset_on_next_write(*host);
         }
     }
     fn is_traffic_finished(&self) -> bool {
         self.hosts
-            .get(&Who::Callers)
+            .get(&Component::Callers)
             .is_none_or(|host| self.driver.is_core_done(*host))
     }
     fn slack(&self) -> Micros {
