--- a/crates/sanddrum-lab/src/baselines.rs
+++ b/crates/sanddrum-lab/src/baselines.rs
@@ -1,6 +1,7 @@
 //! Baselines to compare the decision module with, through the same interface: common load-balancing policies, which use
 //! less information, and an oracle, which sees the true state of the workers. Each accepts every request, loads missing
-//! functions, retries what may be retried and stops at the limits; they differ only in how they choose a worker.
+//! functions, and retries a request where that is safe, up to the limit of executions and the deadline; they differ
+//! only in how they choose a worker.
 
 use sanddrum::{
     Decisions, EventBatch, FunctionId, Micros, Outcome, Request, RequestId, Settings, WorkerId,
@@ -16,7 +17,7 @@
 pub enum BaselineKind {
     Random,
     RoundRobin,
-    /// The worker with the fewest own requests in flight, relative to its size.
+    /// The worker with the fewest of this router's requests in flight, relative to its size.
     Least,
     /// The less loaded of two random workers.
     TwoChoices,
@@ -62,7 +63,7 @@
     requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests that wait for a load, by worker and function.
     loading: BTreeMap<(WorkerId, FunctionId), Vec<RequestId>>,
-    next: usize,
+    next_worker: usize,
 }
 
 impl Baseline {
@@ -81,7 +82,7 @@
             in_flight: BTreeMap::new(),
             requests: BTreeMap::new(),
             loading: BTreeMap::new(),
-            next: 0,
+            next_worker: 0,
         }
     }
     fn load(&self, worker: &WorkerId) -> f64 {
@@ -93,7 +94,7 @@
             .unwrap_or(1.0)
             .max(f64::MIN_POSITIVE)
     }
-    fn least(&self, among: impl Iterator<Item = WorkerId>) -> Option<WorkerId> {
+    fn least_loaded(&self, among: impl Iterator<Item = WorkerId>) -> Option<WorkerId> {
         among.min_by(|a, b| self.load(a).total_cmp(&self.load(b)).then(a.cmp(b)))
     }
     fn choose(&mut self, now: Micros, request: &Request) -> Option<WorkerId> {
@@ -104,8 +105,8 @@
         match self.kind {
             BaselineKind::Random => all.get(self.rng.index(all.len())).copied(),
             BaselineKind::RoundRobin => {
-                self.next += 1;
-                all.get(self.next % all.len()).copied()
+                self.next_worker += 1;
+                all.get(self.next_worker % all.len()).copied()
             }
             BaselineKind::Least => {
                 // Break ties at random; otherwise all routers would choose the first worker.
@@ -115,7 +116,7 @@
             }
             BaselineKind::TwoChoices => {
                 let candidates = [self.rng.index(all.len()), self.rng.index(all.len())];
-                self.least(candidates.into_iter().map(|n| all[n]))
+                self.least_loaded(candidates.into_iter().map(|n| all[n]))
             }
             BaselineKind::BoundedHash => {
                 let ring = |worker: &WorkerId| sanddrum_wire::stable_id(&format!("{}", worker.0));
@@ -124,8 +125,10 @@
                 ring_order.sort_by_key(|worker| ring(worker).wrapping_sub(at));
                 let sum: u32 = self.in_flight.values().sum();
                 let bound = |w: &WorkerId| {
-                    let part = self.sizes[w] / self.sizes.values().sum::<f64>();
-                    (f64::from(sum + 1) * part * LOAD_BOUND).ceil().max(1.0)
+                    let fair_share = self.sizes[w] / self.sizes.values().sum::<f64>();
+                    (f64::from(sum + 1) * fair_share * LOAD_BOUND)
+                        .ceil()
+                        .max(1.0)
                 };
                 let is_below_bound = |w: &&WorkerId| {
                     f64::from(self.in_flight.get(w).copied().unwrap_or(0)) < bound(w)
@@ -171,7 +174,7 @@
             Some(queue.max(function_wait) + work / speed)
         };
         let finish_times = all.iter().filter_map(|w| finish_time(w).map(|at| (at, *w)));
-        // A request that would miss its start target is worth nothing, and would delay the next one.
+        // A request that would miss its start target has no value, and would only delay other requests.
         let target = self
             .settings
             .number(&format!("workloads.{}.start-target-us", request.workload.0));
@@ -296,7 +299,7 @@
                         if self
                             .requests
                             .get(&id)
-                            .is_some_and(|h| now < h.request.deadline) =>
+                            .is_some_and(|pending| now < pending.request.deadline) =>
                     {
                         self.dispatch(now, id, load.worker, out)
                     }
@@ -317,17 +320,16 @@
             to_dispatch.insert(request.id);
         }
         for id in to_dispatch {
-            let must_fail = self
-                .requests
-                .get(&id)
-                .is_some_and(|h| h.may_have_run && !self.is_restartable(h.request.workload));
+            let must_fail = self.requests.get(&id).is_some_and(|pending| {
+                pending.may_have_run && !self.is_restartable(pending.request.workload)
+            });
             if must_fail {
                 self.reject_or_fail(id, out);
             } else {
                 self.dispatch_or_reject(now, id, out);
             }
         }
-        // Requests that wait for a load end at their deadline.
+        // Requests that still wait for a load at their deadline are rejected, or fail.
         let expired: Vec<RequestId> = self
             .loading
             .values()
@@ -335,7 +337,7 @@
             .filter(|id| {
                 self.requests
                     .get(id)
-                    .is_some_and(|h| h.request.deadline <= now)
+                    .is_some_and(|pending| pending.request.deadline <= now)
             })
             .copied()
             .collect();
@@ -347,7 +349,7 @@
             .values()
             .flatten()
             .filter_map(|id| self.requests.get(id))
-            .map(|h| h.request.deadline)
+            .map(|pending| pending.request.deadline)
             .min();
         if let Some(at) = next {
             out.wake_at(at);
--- a/crates/sanddrum-lab/src/callers.rs
+++ b/crates/sanddrum-lab/src/callers.rs
@@ -64,12 +64,14 @@
     token_issuer: Option<Shared<TokenIssuer>>,
     rng: Rng,
     traffic_end: Micros,
+    /// The cumulative popularity of the functions of a workload.
     popularity: Vec<f64>,
-    /// The cumulative shares of the edges in the calls; empty if they are equal.
+    /// The cumulative fractions of the calls that each edge gets; empty if they are equal.
     edge_shares: Vec<f64>,
     calls: BTreeMap<u64, (Call, Option<ConnectionId>)>,
-    next: u64,
+    next_call: u64,
     connections: BTreeMap<ConnectionId, Connection>,
+    /// The idle connections to each edge.
     idle: Vec<VecDeque<ConnectionId>>,
     timers: BTreeSet<(Micros, Timer)>,
     extra_wait: Micros,
@@ -112,7 +114,7 @@
             rng: Rng::new(seed),
             traffic_end: 0,
             calls: BTreeMap::new(),
-            next: 0,
+            next_call: 0,
             connections: BTreeMap::new(),
             timers: BTreeSet::new(),
             extra_wait: 0,
@@ -187,8 +189,8 @@
             _ => Some(Self::pick(&mut self.rng, &shares)),
         };
         let customer = customer.map(|n| l.text(&format!("customers.{n}.name")).to_string());
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_call;
+        self.next_call += 1;
         self.calls.insert(
             id,
             (
--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -99,7 +99,7 @@
         });
     }
     /// Whether the edge was down or paused at any time between `from` and `to`.
-    fn down(&self, edge: &str, from: Micros, to: Micros) -> bool {
+    fn was_down(&self, edge: &str, from: Micros, to: Micros) -> bool {
         let all = self.log.edge_downtime.iter().chain(&self.log.edge_pauses);
         let mut outages = all.filter(|(name, ..)| name == edge);
         outages.any(|(_, down, up)| {
@@ -111,9 +111,10 @@
     fn has_scheduling_delays(&self) -> bool {
         !self.log.scheduling_delays.is_empty()
     }
-    /// How late an answer may be without a violation. If scheduling delays were recorded: the delay of its link, plus
-    /// what its edge and the lab's process waited for a processor while the request was read and its answer was due.
-    fn allowed_delay(&self, t: &ClientAttempt, received_at: Micros) -> Micros {
+    /// How late an answer may be without a violation. If scheduling delays were recorded, this is the delay of the link
+    /// plus the time that the edge and the lab's process waited for a processor, both while the request was read and
+    /// from shortly before its time limit until the answer arrived.
+    fn allowed_delay(&self, attempt: &ClientAttempt, received_at: Micros) -> Micros {
         if !self.has_scheduling_delays() {
             return self.slack;
         }
@@ -125,13 +126,13 @@
         };
         // The lab's event loop handles a request once on its way to the edge, and its answer twice: from the edge, and
         // to the client.
-        let waited = |ours, from, to| ours * of(RUNNER, from, to) + of(&t.edge, from, to);
+        let waited = |passes, from, to| passes * of(RUNNER, from, to) + of(&attempt.edge, from, to);
         let ahead = self.scenario.settings.duration_us("limits.answer-ahead-us");
-        let reading = waited(1, t.sent_at, t.sent_at + ahead);
-        let reading = waited(1, t.sent_at, t.sent_at + reading.max(ahead));
+        let reading = waited(1, attempt.sent_at, attempt.sent_at + ahead);
+        let reading = waited(1, attempt.sent_at, attempt.sent_at + reading.max(ahead));
         self.slack - self.log.max_scheduling_delay
             + reading
-            + waited(2, t.sent_at + t.time_limit - ahead, received_at)
+            + waited(2, attempt.sent_at + attempt.time_limit - ahead, received_at)
     }
     /// Rule 1 (each request gets exactly one answer, in time), and the counts of the verdict.
     fn answers(&mut self, start: Micros) -> Verdict {
@@ -154,24 +155,34 @@
             seconds: Vec::new(),
         };
         let mut other = 0;
-        for t in &self.log.client_attempts {
+        for attempt in &self.log.client_attempts {
             verdict.accepted += 1;
-            let name = format!("call {} try {} at {}", t.call, t.number, t.edge);
-            if t.answers.len() > 1 {
+            let name = format!(
+                "call {} try {} at {}",
+                attempt.call, attempt.number, attempt.edge
+            );
+            if attempt.answers.len() > 1 {
                 self.add_violation(
                     1,
-                    t.answers[1].0,
-                    format!("{name} got {} answers", t.answers.len()),
+                    attempt.answers[1].0,
+                    format!("{name} got {} answers", attempt.answers.len()),
                 );
             }
-            // An answer that a paused process sent too late counts as no answer; clients that keep waiting see it.
-            let late = |at: Micros| at > t.sent_at + t.time_limit + self.allowed_delay(t, at);
+            // A client that keeps waiting also receives an answer that a paused edge sends too late; such an answer
+            // doesn't count.
+            let late = |at: Micros| {
+                at > attempt.sent_at + attempt.time_limit + self.allowed_delay(attempt, at)
+            };
             let was_paused = |at| {
                 self.has_scheduling_delays()
                     && late(at)
-                    && self.down(&t.edge, t.sent_at, t.sent_at + t.time_limit)
+                    && self.was_down(
+                        &attempt.edge,
+                        attempt.sent_at,
+                        attempt.sent_at + attempt.time_limit,
+                    )
             };
-            match t.answers.first() {
+            match attempt.answers.first() {
                 Some((at, _)) if was_paused(*at) => verdict.lost_with_edge += 1,
                 Some((at, status)) => {
                     match status {
@@ -182,32 +193,39 @@
                         _ => other += 1,
                     }
                     if late(*at) {
-                        let (late, allowed_delay) =
-                            (at - t.sent_at - t.time_limit, self.allowed_delay(t, *at));
+                        let (late, allowed_delay) = (
+                            at - attempt.sent_at - attempt.time_limit,
+                            self.allowed_delay(attempt, *at),
+                        );
                         let what = format!(
                             "{name} was answered {late} us after its time limit; allowed delay {allowed_delay} us"
                         );
                         self.add_violation(1, *at, what);
                     }
                 }
-                None if self.down(
-                    &t.edge,
-                    t.sent_at,
-                    t.closed_at.unwrap_or(t.sent_at + t.time_limit),
+                None if self.was_down(
+                    &attempt.edge,
+                    attempt.sent_at,
+                    attempt
+                        .closed_at
+                        .unwrap_or(attempt.sent_at + attempt.time_limit),
                 ) =>
                 {
                     verdict.lost_with_edge += 1
                 }
-                // Its client left before the machine necessarily let an edge answer, so it doesn't count as accepted.
-                None if t.time_limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
+                // The client left so early that scheduling delays alone may have kept the edge from answering, so the
+                // attempt doesn't count as accepted.
+                None if attempt.time_limit < self.log.max_scheduling_delay => verdict.accepted -= 1,
                 None => {
-                    let at = t.closed_at.unwrap_or(t.sent_at + t.time_limit);
+                    let at = attempt
+                        .closed_at
+                        .unwrap_or(attempt.sent_at + attempt.time_limit);
                     self.add_violation(
                         1,
                         at,
                         format!(
                             "{name} got no answer in the {} us that its client waited",
-                            at - t.sent_at
+                            at - attempt.sent_at
                         ),
                     );
                 }
@@ -224,7 +242,7 @@
         self.log
             .client_attempts
             .iter()
-            .for_each(|t| calls.entry(t.call).or_default().push(t));
+            .for_each(|attempt| calls.entry(attempt.call).or_default().push(attempt));
         let (mut total, mut served) = (0.0, 0.0);
         for attempts in calls.values() {
             let Some(first) = attempts.first() else {
@@ -236,7 +254,7 @@
             total += traffic.importance;
             let finished = attempts
                 .iter()
-                .flat_map(|t| &t.answers)
+                .flat_map(|attempt| &attempt.answers)
                 .find(|(_, status)| *status == 200);
             let latency = finished.map(|(at, _)| at - first.call_started_at);
             let in_time = latency.is_some_and(|l| l <= traffic.start_target);
@@ -271,7 +289,12 @@
             .log
             .client_attempts
             .iter()
-            .filter_map(|t| t.answers.first().map(|(at, _)| ((t.call, t.number), *at)))
+            .filter_map(|attempt| {
+                attempt
+                    .answers
+                    .first()
+                    .map(|(at, _)| ((attempt.call, attempt.number), *at))
+            })
             .collect();
         for execution in &self.log.executions {
             let Some(at) = answered.get(&(execution.call, execution.number)) else {
@@ -315,11 +338,12 @@
             .log
             .client_attempts
             .iter()
-            .filter_map(|t| {
-                t.answers
+            .filter_map(|attempt| {
+                attempt
+                    .answers
                     .first()
                     .filter(|(_, s)| *s == 503)
-                    .map(|(at, _)| ((t.call, t.number), *at))
+                    .map(|(at, _)| ((attempt.call, attempt.number), *at))
             })
             .collect();
         let mut violations = Vec::new();
@@ -386,11 +410,11 @@
     fn use_after_drain(&mut self) {
         let grace = self.scenario.drain_grace() + self.slack;
         let mut updates_by_worker: BTreeMap<(&str, &str), Vec<(Micros, bool)>> = BTreeMap::new();
-        for t in &self.log.endpoint_updates {
+        for update in &self.log.endpoint_updates {
             updates_by_worker
-                .entry((&t.edge, &t.worker))
+                .entry((&update.edge, &update.worker))
                 .or_default()
-                .push((t.at, t.phase == Phase::Ready));
+                .push((update.at, update.phase == Phase::Ready));
         }
         let sent = self
             .log
@@ -433,7 +457,7 @@
             .for_each(|(at, what)| self.add_violation(3, at, what));
     }
 
-    /// Rule 4: the work that all edges together send to a cold worker stays within what it can bear.
+    /// Rule 4: the work that all edges together send to a cold worker stays within its capacity.
     fn cold_worker_load(&mut self) {
         let l = &self.scenario.settings;
         let (cold_time, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
@@ -467,12 +491,13 @@
                     sum -= arrivals[first].1;
                     first += 1;
                 }
-                let part = from + (1.0 - from) * (at - started) as f64 / cold_time.max(1) as f64;
-                let capacity_in_window = multiple * part * capacity * window as f64;
+                let capacity_fraction =
+                    from + (1.0 - from) * (at - started) as f64 / cold_time.max(1) as f64;
+                let capacity_in_window = multiple * capacity_fraction * capacity * window as f64;
                 if sum > capacity_in_window {
                     violations.push((
                         *at,
-                        format!("worker {worker} got {sum:.0} us of work while cold; it can bear {capacity_in_window:.0}"),
+                        format!("worker {worker} got {sum:.0} us of work while cold; its capacity is {capacity_in_window:.0}"),
                     ));
                     break;
                 }
@@ -486,19 +511,22 @@
     /// No call is accepted under a revoked key, once the revocation has had time to reach every edge.
     fn revoked_keys(&mut self) {
         let mut violations = Vec::new();
-        for t in &self.log.client_attempts {
-            let since = t.key.as_ref().and_then(|key| self.log.revoked.get(key));
-            let accepted = t
+        for attempt in &self.log.client_attempts {
+            let since = attempt
+                .key
+                .as_ref()
+                .and_then(|key| self.log.revoked.get(key));
+            let accepted = attempt
                 .answers
                 .first()
                 .is_none_or(|(_, status)| !matches!(status, 401 | 403 | 503));
-            if let Some(since) = since.filter(|since| t.sent_at > **since && accepted) {
-                let late = t.sent_at - since;
+            if let Some(since) = since.filter(|since| attempt.sent_at > **since && accepted) {
+                let late = attempt.sent_at - since;
                 violations.push((
-                    t.sent_at,
+                    attempt.sent_at,
                     format!(
                         "call {} was accepted under a revoked key, {late} us after its revocation took effect",
-                        t.call
+                        attempt.call
                     ),
                 ));
             }
@@ -536,8 +564,8 @@
                 .log
                 .client_attempts
                 .iter()
-                .filter(|t| t.edge == edge)
-                .map(|t| t.sent_at)
+                .filter(|attempt| attempt.edge == edge)
+                .map(|attempt| attempt.sent_at)
                 .collect();
             let starts: Vec<Micros> = self
                 .log
@@ -555,8 +583,8 @@
                 let since = (at - window + self.slack)
                     .max(last_start.map_or(Micros::MIN, |start| start - 1));
                 let commands_in_window = n + 1 - commands.partition_point(|o| *o <= since);
-                let attempts_in_window = attempts.partition_point(|t| t <= at)
-                    - attempts.partition_point(|t| *t <= at - window - self.slack);
+                let attempts_in_window = attempts.partition_point(|sent| sent <= at)
+                    - attempts.partition_point(|sent| *sent <= at - window - self.slack);
                 let allowed = free + share * attempts_in_window as f64;
                 if commands_in_window as f64 > allowed {
                     violations.push((
--- a/crates/sanddrum-lab/src/cold.rs
+++ b/crates/sanddrum-lab/src/cold.rs
@@ -1,21 +1,22 @@
-//! Compares what cold workers received from all edges together with what the settings allow: N requests of mean work
-//! within the window of the settings, plus what random variation explains.
+//! Compares the work that cold workers received from all edges together with the work that the settings allow: N
+//! requests of mean work within the window that the settings give, plus an allowance for random variation.
 
 use crate::recorder::Log;
 use crate::scenario::Scenario;
 use sanddrum_net::Micros;
 
-/// Random variation explains an excess over N of this many times the square root of N, plus this many requests.
+/// The allowance for random variation: `DEVIATION_FACTOR` times the square root of N, plus `DEVIATION_REQUESTS`.
 const DEVIATION_FACTOR: f64 = 2.0;
 const DEVIATION_REQUESTS: f64 = 2.0;
 
-/// The worst time window of a worker while it was cold.
+/// The time window in which a cold worker received the most work compared with what was allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
     pub worker: usize,
     pub at: Micros,
-    /// The requests, in units of mean work, that it received in the window that ends at `at`, and those allowed.
+    /// The work that it received in the window that ends at `at`, in requests of mean work.
     pub received: f64,
+    /// The work that was allowed in this window, in requests of mean work.
     pub allowed: f64,
 }
 
@@ -53,12 +54,17 @@
         let spec = scenario.worker(*worker, "", "", "");
         let capacity = spec.size();
         let is_cold = |at: &Micros| (*started..started + cold_time).contains(at);
-        let runs = log
+        let executions = log
             .executions
             .iter()
-            .filter(|run| run.worker == *worker && is_cold(&run.received_at));
-        let mut arrivals: Vec<(Micros, f64)> = runs
-            .filter_map(|run| Some((run.received_at, work_of(&run.workload)? / mean_work)))
+            .filter(|execution| execution.worker == *worker && is_cold(&execution.received_at));
+        let mut arrivals: Vec<(Micros, f64)> = executions
+            .filter_map(|execution| {
+                Some((
+                    execution.received_at,
+                    work_of(&execution.workload)? / mean_work,
+                ))
+            })
             .collect();
         arrivals.sort_by_key(|(at, _)| *at);
         let mut worst = Window {
--- a/crates/sanddrum-lab/src/faults.rs
+++ b/crates/sanddrum-lab/src/faults.rs
@@ -21,7 +21,7 @@
 pub struct FaultControl {
     file: File,
     path: PathBuf,
-    /// Whether it created the file, and removes it when dropped.
+    /// Whether this value created the file; it then removes the file when dropped.
     owns: bool,
 }
 
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -57,14 +57,17 @@
     /// Where workers publish their true state, if an oracle decides.
     pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
+    /// The idempotency keys of each group of workers that shares them.
     idempotency_keys: Vec<Shared<IdempotencyKeys>>,
+    /// The incarnation of each worker.
     incarnations: Vec<u64>,
+    /// How often each edge was started.
     edge_starts: Vec<u64>,
     discovery_starts: u64,
 }
 
-fn shared<T>(what: T) -> Shared<T> {
-    Rc::new(RefCell::new(what))
+fn shared<T>(value: T) -> Shared<T> {
+    Rc::new(RefCell::new(value))
 }
 
 impl Fleet {
@@ -148,7 +151,7 @@
         };
         self.idempotency_keys[group].clone()
     }
-    /// Creates a worker that has run for long, or a `cold` one that starts now and is empty.
+    /// Creates a worker that has been running for a long time, or a `cold` one that starts now with nothing loaded.
     ///
     /// # Errors
     /// Its certificate can't be created.
--- a/crates/sanddrum-lab/src/fleet_summary.rs
+++ b/crates/sanddrum-lab/src/fleet_summary.rs
@@ -12,16 +12,16 @@
 /// The service of edges with fewer calls than this is not significant, so they are left out.
 const MIN_CALLS: u32 = 50;
 
-/// What all edges sent to workers, for each request that finished.
+/// The messages of each kind that all edges sent to workers, per request that finished.
 pub fn amplification(log: &Log) -> Value {
     let finished = log
         .client_attempts
         .iter()
-        .filter(|t| status(t) == Some(200))
+        .filter(|attempt| status(attempt) == Some(200))
         .count()
         .max(1) as f64;
     let each = |sum: u64| (sum as f64 / finished * 1e3).round() / 1e3;
-    let of = |figure: fn(&Load) -> u64| each(log.sum(false, figure));
+    let of = |count: fn(&Load) -> u64| each(log.sum(false, count));
     json!({
         "executions": each(log.executions.len() as u64),
         "misses": of(|l| l.cold_misses),
@@ -32,8 +32,8 @@
     })
 }
 
-fn status(t: &ClientAttempt) -> Option<u16> {
-    t.answers.first().map(|(_, status)| *status)
+fn status(attempt: &ClientAttempt) -> Option<u16> {
+    attempt.answers.first().map(|(_, status)| *status)
 }
 
 /// The rejected and the served work of one workload in one second, in microseconds.
@@ -47,11 +47,15 @@
 /// as a fraction of all rejected importance.
 pub fn inversions(log: &Log, scenario: &Scenario) -> f64 {
     let mut seconds: BTreeMap<Micros, Vec<Second>> = BTreeMap::new();
-    for t in &log.client_attempts {
-        let Some((at, status)) = t.answers.first() else {
+    for attempt in &log.client_attempts {
+        let Some((at, status)) = attempt.answers.first() else {
             continue;
         };
-        let Some(n) = scenario.calls.iter().position(|c| c.workload == t.workload) else {
+        let Some(n) = scenario
+            .calls
+            .iter()
+            .position(|c| c.workload == attempt.workload)
+        else {
             continue;
         };
         let second = seconds.entry(at / 1_000_000).or_default();
@@ -93,17 +97,20 @@
 /// attempt.
 pub fn edge_service_range(log: &Log, scenario: &Scenario) -> (f64, f64) {
     let mut first_attempts: BTreeMap<u64, (&str, bool)> = BTreeMap::new();
-    for t in &log.client_attempts {
+    for attempt in &log.client_attempts {
         let target = scenario
             .calls
             .iter()
-            .find(|c| c.workload == t.workload)
+            .find(|c| c.workload == attempt.workload)
             .map_or(0, |c| c.start_target);
-        let served = t
+        let served = attempt
             .answers
             .first()
-            .is_some_and(|(at, s)| *s == 200 && at - t.call_started_at <= target);
-        first_attempts.entry(t.call).or_insert((&t.edge, false)).1 |= served;
+            .is_some_and(|(at, s)| *s == 200 && at - attempt.call_started_at <= target);
+        first_attempts
+            .entry(attempt.call)
+            .or_insert((&attempt.edge, false))
+            .1 |= served;
     }
     let mut by_edge: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
     for (edge, served) in first_attempts.into_values() {
--- a/crates/sanddrum-lab/src/hunt.rs
+++ b/crates/sanddrum-lab/src/hunt.rs
@@ -1,4 +1,4 @@
-//! Searches random scenarios for rule violations, and shrinks a scenario that has one as far as possible.
+//! Searches random scenarios for rule violations, and reduces a scenario that has one to the parts that it needs.
 
 use crate::scenario::Scenario;
 use crate::{kinds, play_virtually, product_edge, Outcome};
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -193,13 +193,15 @@
     pub policy: Policy,
     /// The fraction of an honest customer's requests that finish while another customer floods the edges.
     pub honest_fraction: f64,
-    /// What a customer at three times its rate limit gets as a multiple of the limit, spread over all edges.
+    /// The rate that a customer gets as a multiple of its limit when it sends three times the limit, spread over all
+    /// edges.
     pub spread_over_limit: f64,
     /// The same with all its requests at one edge.
     pub single_edge_over_limit: f64,
-    /// The same after it has moved to another edge, second by second.
+    /// The same in each second after the customer moved all its requests to another edge.
     pub moved_over_limit: Vec<f64>,
-    /// Seconds until 90 % of the requests of a customer that starts sending finish, while another uses its share.
+    /// Seconds until 90 % of a customer's requests finish, when it starts to send while another customer uses its
+    /// share.
     pub recovery_seconds: Option<f64>,
 }
 
--- a/crates/sanddrum-lab/src/load_generator.rs
+++ b/crates/sanddrum-lab/src/load_generator.rs
@@ -72,7 +72,7 @@
 }
 
 struct Connection {
-    up: bool,
+    is_connected: bool,
     /// The time that the request in flight was scheduled for.
     scheduled_at: Option<Micros>,
     outbox: Outbox<()>,
@@ -94,7 +94,7 @@
     pub measurement: Rc<RefCell<LoadMeasurement>>,
 }
 
-/// Most requests that wait for a free connection; any more are dropped and counted.
+/// Maximum number of requests that wait for a free connection; further ones are dropped and counted.
 const MAX_BACKLOG: usize = 1_000_000;
 
 impl LoadGenerator {
@@ -146,7 +146,7 @@
         connection.scheduled_at = Some(scheduled_at);
         self.in_flight += 1;
         let _ = connection.outbox.push((), &self.requests[n]);
-        if connection.up {
+        if connection.is_connected {
             connection.outbox.flush(conn, io);
         }
     }
@@ -156,7 +156,7 @@
             None => io.connect(&self.spec.edge),
         };
         let connection = Connection {
-            up: false,
+            is_connected: false,
             scheduled_at: None,
             outbox: Outbox::new(1 << 20),
             bytes: Vec::new(),
@@ -217,7 +217,7 @@
         match event {
             Event::Connected { conn } => {
                 if let Some(connection) = self.connections.get_mut(&conn) {
-                    connection.up = true;
+                    connection.is_connected = true;
                     match self.spec.rate > 0.0 {
                         true => self.free.push(conn),
                         false => self.send(conn, now, io),
--- a/crates/sanddrum-lab/src/plaintext_capture.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -3,8 +3,7 @@
 use crate::recorder::Recording;
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use sanddrum_net::{
-    ConnectionId, Core, Event, FileError, HostId, Io, Micros, PeerIdentity, Side as TapSide,
-    TrafficObserver,
+    ConnectionId, Core, Event, FileError, HostId, Io, Micros, PeerIdentity, Side, TrafficObserver,
 };
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{ClientAuth, ReloadableConfig, TlsLimits, TlsMaterial, TlsOptions};
@@ -94,9 +93,7 @@
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
         match &event {
-            Event::Accepted { conn, .. } => {
-                recording.opened(now, host, *conn, TapSide::Accepted, "")
-            }
+            Event::Accepted { conn, .. } => recording.opened(now, host, *conn, Side::Accepted, ""),
             Event::Bytes { conn, bytes } => recording.received(now, host, *conn, bytes),
             Event::Closed { conn, .. } => recording.closed(now, host, *conn),
             Event::Connected { .. } | Event::Writable { .. } => {}
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -1,6 +1,6 @@
 //! Plays a scenario with real processes: edges, workers, the discovery service and the store each run as a process of
-//! the program on loopback, and every link between two of them goes through a relay. This module starts, kills,
-//! stops, continues and terminates the processes. The clients and the relays run in this process, and the checker
+//! the program on loopback, and every link between two of them goes through a relay. This module starts, pauses,
+//! resumes, terminates and kills the processes. The clients and the relays run in this process, and the checker
 //! verifies the traffic that crosses the relays.
 
 use crate::environment::Environment;
@@ -77,8 +77,9 @@
     children: BTreeMap<Component, Child>,
     /// Processes that don't listen yet, with the time of their start.
     pending: BTreeMap<Component, Micros>,
+    /// How often each process was started.
     starts: BTreeMap<Component, u64>,
-    /// Contents of each faults file.
+    /// The last contents written to each faults file.
     written_faults: BTreeMap<Component, String>,
     /// Processes that were asked to terminate; their relays stop listening once they have exited.
     terminating: BTreeSet<Component>,
@@ -240,9 +241,9 @@
         );
         Ok(())
     }
-    fn file(&self, component: Component, what: &str) -> PathBuf {
+    fn file(&self, component: Component, extension: &str) -> PathBuf {
         self.folder
-            .join(format!("{}.{what}", process_name(component)))
+            .join(format!("{}.{extension}", process_name(component)))
     }
     fn spawn(&mut self, component: Component, cold: bool) -> io::Result<()> {
         let count = self.starts.entry(component).or_default();
@@ -254,7 +255,7 @@
             .seed
             .wrapping_mul(1009)
             .wrapping_add(incarnation * 7919);
-        let files = ["address", "faults", "state"].map(|what| self.file(component, what));
+        let files = ["address", "faults", "state"].map(|extension| self.file(component, extension));
         let [address_file, faults_file, state_file] = &files;
         let _ = std::fs::remove_file(address_file);
         if let (Component::Worker(n), true) = (component, cold) {
@@ -287,7 +288,7 @@
             state_file,
         };
         let mut command = (self.make_command)(&options);
-        // The process exits when this pipe closes, so that it never outlives this process, however that ends.
+        // The process exits when this pipe closes, so that it never outlives this process, however this one ends.
         let child = command.stdin(Stdio::piped()).spawn()?;
         self.children.insert(component, child);
         self.pending.insert(component, self.driver.now());
@@ -420,8 +421,8 @@
             .flatten()
             .is_some())
     }
-    /// The name that a relay knows a calling process by, where the protocol has a greeting. Clients send no greeting, so
-    /// the faults of their links apply to every caller.
+    /// The name by which a relay identifies a connecting process, if the protocol has a greeting. Clients send no
+    /// greeting, so the faults of their links apply to all connections of the relay.
     fn caller_name(from: Component) -> Option<String> {
         matches!(from, Component::Edge(_) | Component::Worker(_)).then(|| process_name(from))
     }
--- a/crates/sanddrum-lab/src/reconnect_load.rs
+++ b/crates/sanddrum-lab/src/reconnect_load.rs
@@ -1,6 +1,6 @@
 //! Measures the load of reconnecting: a zone is lost and returns cold, and every edge reconnects over TLS. This runs
-//! in virtual time, with real handshakes that take up the workers' time, either as the connection module decides or
-//! with connections opened on demand.
+//! in virtual time, with real TLS handshakes that cost the workers time. Connections are opened either as the
+//! connection module decides or on demand.
 
 use crate::environment::{product_edge, Environment, VirtualEnvironment};
 use crate::recorder::Recording;
@@ -14,7 +14,7 @@
     pub edges: usize,
     pub workers: usize,
     pub rate: usize,
-    /// Time that a handshake takes a worker.
+    /// Time of a handshake on one core of a worker.
     pub handshake_ms: usize,
     /// Opens connections only when something is to be sent, without limits on concurrent handshakes and without
     /// backoff.
@@ -27,13 +27,13 @@
     pub service: f64,
     /// For each second, the fraction of its requests that were answered in time.
     pub in_time_fractions: Vec<f64>,
-    /// Seconds from the zone's return until that fraction no longer falls more than 0.05 below its mean in the 3 s
-    /// before the loss.
+    /// Seconds from the zone's return until the fraction in time stays within 0.05 of its mean in the 3 s before the
+    /// loss, or above it.
     pub recovery_s: f64,
-    /// Most handshakes of one worker within a second, after the zone's return.
+    /// Highest number of handshakes of any worker within one second after the zone's return.
     pub max_handshakes_per_s: u32,
     pub handshakes: u32,
-    /// Invariants that were violated.
+    /// Number of rule violations.
     pub violations: usize,
     pub p99_ms: f64,
 }
@@ -79,13 +79,13 @@
     let recording = Recording::default();
     let mut environment =
         VirtualEnvironment::new(scenario, LinkModel::default(), &recording, product_edge())?;
-    let begun_s = environment.now() / 1_000_000;
+    let start_s = environment.now() / 1_000_000;
     let outcome = play(&mut environment, &recording)?;
     let handshake_work = &environment.fleet().handshakes;
     let in_second = |second: i64| {
         handshake_work
             .iter()
-            .filter_map(move |w| w.borrow().per_second.get(&(begun_s + second)).copied())
+            .filter_map(move |w| w.borrow().per_second.get(&(start_s + second)).copied())
     };
     Ok(summarize(
         &outcome,
@@ -100,7 +100,8 @@
 }
 
 fn summarize(outcome: &Outcome, after: Vec<Vec<u32>>, handshakes: u32) -> ReconnectLoad {
-    let fraction = |(begun, in_time): &(u32, u32)| f64::from(*in_time) / f64::from((*begun).max(1));
+    let fraction =
+        |(started, in_time): &(u32, u32)| f64::from(*in_time) / f64::from((*started).max(1));
     let in_time_fractions: Vec<f64> = outcome.verdict.seconds.iter().map(fraction).collect();
     let range = |from: i64, to: i64| {
         in_time_fractions
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -404,11 +404,11 @@
                     };
                     log.load(Target::Worker(*n), now).cold_misses +=
                         u64::from(done.status == ExecutionStatus::ColdMiss);
-                    if let Some(run) = execution_indices
+                    if let Some(execution) = execution_indices
                         .get(&done.id)
                         .and_then(|at| log.executions.get_mut(*at))
                     {
-                        run.answers.push((now, done.status));
+                        execution.answers.push((now, done.status));
                     }
                 }
             }
--- a/crates/sanddrum-lab/src/relay.rs
+++ b/crates/sanddrum-lab/src/relay.rs
@@ -1,6 +1,6 @@
 //! A relay on the link between two processes, whose faults a test controls. It accepts connections, connects each to
-//! the process behind it, and forwards, delays, slows down or withholds the bytes. Of these it reads no more than the
-//! greeting that names the caller.
+//! the process behind it, and forwards, delays, slows down or withholds the bytes. The only part of them that it
+//! decodes is the greeting with the caller's name.
 
 use sanddrum_emulator::Shared;
 use sanddrum_net::{CloseCause, ConnectionId, Core, Event, Io, Micros, Outbox};
@@ -35,7 +35,7 @@
     Discovery,
 }
 
-/// State shared by a test, which changes it, and its relay.
+/// The state that controls a relay; tests and environments change it while the relay runs.
 #[derive(Clone, Debug, Default)]
 pub struct RelayControl {
     /// Address that the process behind the relay listens on; none while it isn't running.
--- a/crates/sanddrum-lab/src/report.rs
+++ b/crates/sanddrum-lab/src/report.rs
@@ -10,14 +10,18 @@
     let fold = |pick: fn(f64, f64) -> f64, from: f64| each.iter().copied().fold(from, pick);
     (mean, fold(f64::min, f64::MAX), fold(f64::max, f64::MIN))
 }
-fn number(n: f64) -> String {
+fn format_number(n: f64) -> String {
     match n.abs() {
         a if a >= 1000.0 => format!("{n:.0}"),
         a if a >= 10.0 => format!("{n:.1}"),
         _ => format!("{n:.3}"),
     }
 }
-fn compared(all: &[Vec<RunResult>], n: usize, of: fn(&RunResult) -> f64) -> Option<Difference> {
+fn difference_from_first(
+    all: &[Vec<RunResult>],
+    n: usize,
+    of: fn(&RunResult) -> f64,
+) -> Option<Difference> {
     let each = |n: usize| all.get(n).map(|f| f.iter().map(of).collect::<Vec<f64>>());
     (n > 0)
         .then(|| Some(difference(&each(0)?, &each(n)?)))
@@ -53,13 +57,17 @@
                 out,
                 "  {:24} {} ({} to {})",
                 variant.name,
-                number(mean),
-                number(min),
-                number(max)
+                format_number(mean),
+                format_number(min),
+                format_number(max)
             );
-            if let Some(d) = compared(all, n, of) {
+            if let Some(d) = difference_from_first(all, n, of) {
                 let clear = if d.is_clear() { "" } else { "  not clear" };
-                let (mean, min, max) = (number(d.mean), number(d.lower), number(d.upper));
+                let (mean, min, max) = (
+                    format_number(d.mean),
+                    format_number(d.lower),
+                    format_number(d.upper),
+                );
                 let _ = write!(out, "   {mean} [{min}, {max}]{clear}");
             }
             out.push('\n');
@@ -101,18 +109,22 @@
             let _ = write!(
                 rows,
                 "<td>{}<small> {} to {}</small>",
-                number(mean),
-                number(min),
-                number(max)
+                format_number(mean),
+                format_number(min),
+                format_number(max)
             );
-            if let Some(d) = compared(all, n, of) {
+            if let Some(d) = difference_from_first(all, n, of) {
                 let better = (d.mean > 0.0) == more_is_better;
                 let class = match (d.is_clear(), better) {
                     (false, _) => "unclear",
                     (true, true) => "better",
                     (true, false) => "worse",
                 };
-                let (mean, min, max) = (number(d.mean), number(d.lower), number(d.upper));
+                let (mean, min, max) = (
+                    format_number(d.mean),
+                    format_number(d.lower),
+                    format_number(d.upper),
+                );
                 let _ = write!(rows, "<br><span class={class}>{mean} [{min}, {max}]</span>");
             }
             rows.push_str("</td>");
--- a/crates/sanddrum-lab/src/scheduling_delay.rs
+++ b/crates/sanddrum-lab/src/scheduling_delay.rs
@@ -5,7 +5,7 @@
 use sanddrum_net::Micros;
 use std::collections::BTreeMap;
 
-/// Most samples per second, over all processes: bounds the time that this process spends on them.
+/// Maximum number of samples per second over all processes; it limits the time that this process spends sampling.
 const MAX_SAMPLES_PER_SECOND: usize = 400;
 /// Shortest interval between two samples of a process, however few processes there are.
 const MIN_SAMPLING_INTERVAL: Micros = 25_000;
--- a/crates/sanddrum-lab/src/sizes.rs
+++ b/crates/sanddrum-lab/src/sizes.rs
@@ -15,10 +15,10 @@
 pub struct FleetSizeResult {
     pub edges: usize,
     pub service: [f64; 3],
-    /// The second from which at least 90 % of the calls are in time.
+    /// The second from which at least 90 % of the calls were answered in time until the end of the run.
     pub recovered_at: [f64; 3],
     pub violations: usize,
-    /// The loads in the worst seconds, by name.
+    /// The highest load within one second, by the name of the load; for full snapshots the sum over the run.
     pub worst: Vec<(&'static str, [f64; 3])>,
     /// The fraction of the calls that were in time, by second.
     pub seconds: Vec<f64>,
@@ -145,7 +145,7 @@
     Ok(edges.iter().map(of).collect())
 }
 
-/// Plots the service over time for each number of edges, and the worst seconds over the number of edges.
+/// Plots the service over time for each number of edges, and the peak loads over the number of edges.
 ///
 /// # Errors
 /// A file can't be written.
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -162,7 +162,7 @@
         if self.fleet.authority.is_none() {
             return;
         }
-        let every = self
+        let interval = self
             .fleet
             .scenario
             .settings
@@ -175,20 +175,20 @@
                     host,
                     INBOUND_FILES[1],
                     self.folder.join(format!("{name}.pem")),
-                    every,
+                    interval,
                 );
                 self.driver.watch_file(
                     host,
                     INBOUND_FILES[2],
                     self.folder.join(format!("{name}.key")),
-                    every,
+                    interval,
                 );
             }
             Component::Edge(_) => self.driver.watch_file(
                 host,
                 OUTBOUND_FILES[0],
                 self.folder.join("roots.pem"),
-                every,
+                interval,
             ),
             _ => {}
         }
@@ -199,13 +199,13 @@
     }
     fn watch_keys(&mut self, component: Component, host: HostId) {
         if self.fleet.token_issuer.is_some() && matches!(component, Component::Edge(_)) {
-            let every = self
+            let interval = self
                 .fleet
                 .scenario
                 .settings
                 .duration_us("identity.watch-every-us");
             self.driver
-                .watch_file(host, KEYS_FILE, self.keys_file(), every);
+                .watch_file(host, KEYS_FILE, self.keys_file(), interval);
         }
     }
     fn state_file(&self, component: Component) -> Option<PathBuf> {
