--- a/crates/sanddrum-lab/src/checker.rs
+++ b/crates/sanddrum-lab/src/checker.rs
@@ -457,7 +457,7 @@
             .for_each(|(at, what)| self.add_violation(3, at, what));
     }
 
-    /// Rule 4: the work that all edges together send to a cold worker stays within its capacity.
+    /// Rule 4: the work that all edges together send to a cold worker stays below the load at which it collapses.
     fn cold_worker_load(&mut self) {
         let l = &self.scenario.settings;
         let (cold_time, from) = (l.duration_us("rules.cold-us"), l.number("rules.cold-from"));
@@ -493,11 +493,11 @@
                 }
                 let capacity_fraction =
                     from + (1.0 - from) * (at - started) as f64 / cold_time.max(1) as f64;
-                let capacity_in_window = multiple * capacity_fraction * capacity * window as f64;
-                if sum > capacity_in_window {
+                let max_work_in_window = multiple * capacity_fraction * capacity * window as f64;
+                if sum > max_work_in_window {
                     violations.push((
                         *at,
-                        format!("worker {worker} got {sum:.0} us of work while cold; its capacity is {capacity_in_window:.0}"),
+                        format!("worker {worker} got {sum:.0} us of work while cold; the limit is {max_work_in_window:.0}"),
                     ));
                     break;
                 }
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -174,12 +174,12 @@
         recording
             .0
             .borrow_mut()
-            .role(HostId(self.hosts.len()), role);
+            .set_role(HostId(self.hosts.len()), role);
         if let (Component::Edge(n), Some(listener)) = (component, &listener) {
             recording
                 .0
                 .borrow_mut()
-                .edge(listener, &Scenario::edge_name(n));
+                .set_edge_name(listener, &Scenario::edge_name(n));
         }
         let core = self.core(component, false)?;
         let listeners: Vec<&str> = listener.iter().map(String::as_str).collect();
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -191,7 +191,10 @@
         // Record the plaintext inside its TLS layer, under a host id that no driver uses.
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
-        self.recording.0.borrow_mut().role(host, Role::Worker(n));
+        self.recording
+            .0
+            .borrow_mut()
+            .set_role(host, Role::Worker(n));
         let options = TlsOptions {
             session_cache_size: l.integer("tls.sessions"),
             ..TlsOptions::default()
--- a/crates/sanddrum-lab/src/processes.rs
+++ b/crates/sanddrum-lab/src/processes.rs
@@ -141,7 +141,7 @@
         let mut hosts = 0;
         let mut relay =
             |role: Role, greeting: Greeting, driver: &mut EventLoop| -> io::Result<ProcessRelay> {
-                recording.0.borrow_mut().role(HostId(hosts), role);
+                recording.0.borrow_mut().set_role(HostId(hosts), role);
                 hosts += 1;
                 let (control, port) = (
                     Rc::new(RefCell::new(RelayControl::default())),
@@ -180,7 +180,7 @@
             recording
                 .0
                 .borrow_mut()
-                .edge(address, &Scenario::edge_name(n));
+                .set_edge_name(address, &Scenario::edge_name(n));
         }
         let fleet = Fleet::new(scenario, addresses, recording)?;
         let mut environment = ProcessEnvironment {
@@ -234,7 +234,7 @@
         recording
             .0
             .borrow_mut()
-            .role(HostId(self.relays.len() + 1), Role::Callers);
+            .set_role(HostId(self.relays.len() + 1), Role::Callers);
         self.callers = Some(
             self.driver
                 .add(self.fleet.callers(SCHEDULING_SLACK), vec![], None)?,
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -179,10 +179,10 @@
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 impl Recorder {
-    pub fn role(&mut self, host: HostId, role: Role) {
+    pub fn set_role(&mut self, host: HostId, role: Role) {
         self.roles.insert(host, role);
     }
-    pub fn edge(&mut self, address: &str, name: &str) {
+    pub fn set_edge_name(&mut self, address: &str, name: &str) {
         self.edges.insert(address.into(), name.into());
     }
     /// A hash of all recorded traffic with its times, hosts and connections; equal timelines have equal digests.
--- a/crates/sanddrum-lab/src/sockets.rs
+++ b/crates/sanddrum-lab/src/sockets.rs
@@ -130,7 +130,7 @@
             recording
                 .0
                 .borrow_mut()
-                .edge(&address, &Scenario::edge_name(n));
+                .set_edge_name(&address, &Scenario::edge_name(n));
             if matches!(self.edge_mode, EdgeMode::Processes(_)) {
                 drop(listener);
                 return self.spawn(n);
@@ -147,7 +147,7 @@
         recording
             .0
             .borrow_mut()
-            .role(HostId(self.hosts.len()), role);
+            .set_role(HostId(self.hosts.len()), role);
         let core = self.core(component, false)?;
         let state = self.state_file(component);
         let host = self
