--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -18,7 +18,7 @@
 
 /// A process of a scenario, as the target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum Component {
     Worker(usize),
     Edge(usize),
     List,
@@ -57,14 +57,17 @@
     /// Where workers publish their true state, if an oracle decides.
     pub truth: Option<Shared<GroundTruth>>,
     recording: Recording,
+    /// The idempotency keys of each group of workers that shares them.
     idempotency_keys: Vec<Shared<IdempotencyKeys>>,
+    /// The incarnation of each worker.
     incarnations: Vec<u64>,
+    /// How often each edge was started.
     edge_starts: Vec<u64>,
     discovery_starts: u64,
 }
 
-fn shared<T>(what: T) -> Shared<T> {
-    Rc::new(RefCell::new(what))
+fn shared<T>(value: T) -> Shared<T> {
+    Rc::new(RefCell::new(value))
 }
 
 impl Fleet {
@@ -148,7 +151,7 @@
         };
         self.idempotency_keys[group].clone()
     }
-    /// Creates a worker that has run for long, or a `cold` one that starts now and is empty.
+    /// Creates a worker that has been running for a long time, or a `cold` one that starts now with nothing loaded.
     ///
     /// # Errors
     /// Its certificate can't be created.
@@ -188,7 +191,10 @@
         // Record the plaintext inside its TLS layer, under a host id that no driver uses.
         let l = &self.scenario.settings;
         let host = HostId(usize::MAX - n);
-        self.recording.0.borrow_mut().role(host, Role::Worker(n));
+        self.recording
+            .0
+            .borrow_mut()
+            .set_role(host, Role::Worker(n));
         let options = TlsOptions {
             session_cache_size: l.integer("tls.sessions"),
             ..TlsOptions::default()
@@ -220,7 +226,11 @@
         if let std::collections::btree_map::Entry::Vacant(certificate) =
             self.worker_certificates.entry(n)
         {
-            certificate.insert(authority.leaf(&name).map_err(std::io::Error::other)?);
+            certificate.insert(
+                authority
+                    .issue_certificate(&name)
+                    .map_err(std::io::Error::other)?,
+            );
         }
         Ok(TlsMaterial {
             roots: self.roots(),
--- a/crates/sanddrum-lab/src/plaintext_capture.rs
+++ b/crates/sanddrum-lab/src/plaintext_capture.rs
@@ -3,8 +3,7 @@
 use crate::recorder::Recording;
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use sanddrum_net::{
-    ConnectionId, Core, Event, FileError, HostId, Io, Micros, PeerIdentity, Side as TapSide,
-    TrafficObserver,
+    ConnectionId, Core, Event, FileError, HostId, Io, Micros, PeerIdentity, Side, TrafficObserver,
 };
 use sanddrum_settings::LoadedSettings;
 use sanddrum_tls::{ClientAuth, ReloadableConfig, TlsLimits, TlsMaterial, TlsOptions};
@@ -94,9 +93,7 @@
     fn on_event(&mut self, now: Micros, event: Event<'_>, io: &mut dyn Io) {
         let (host, recording) = (self.host, &mut self.recording);
         match &event {
-            Event::Accepted { conn, .. } => {
-                recording.opened(now, host, *conn, TapSide::Accepted, "")
-            }
+            Event::Accepted { conn, .. } => recording.opened(now, host, *conn, Side::Accepted, ""),
             Event::Bytes { conn, bytes } => recording.received(now, host, *conn, bytes),
             Event::Closed { conn, .. } => recording.closed(now, host, *conn),
             Event::Connected { .. } | Event::Writable { .. } => {}
@@ -219,8 +216,8 @@
     ///
     /// # Errors
     /// The name isn't valid in a certificate.
-    pub fn leaf(&self, name: &str) -> Result<(Vec<u8>, Vec<u8>), String> {
-        let leaf = || -> Result<(String, String), rcgen::Error> {
+    pub fn issue_certificate(&self, name: &str) -> Result<(Vec<u8>, Vec<u8>), String> {
+        let issue = || -> Result<(String, String), rcgen::Error> {
             let key = KeyPair::generate()?;
             Ok((
                 Self::params(vec![name.to_string()])?
@@ -229,7 +226,7 @@
                 key.serialize_pem(),
             ))
         };
-        let (chain, key) = leaf().map_err(|e| e.to_string())?;
+        let (chain, key) = issue().map_err(|e| e.to_string())?;
         Ok((chain.into_bytes(), key.into_bytes()))
     }
     /// A certificate and key for this name, with the authority as its only root.
@@ -239,7 +236,7 @@
     pub fn tls_material(&self, name: &str) -> Result<TlsMaterial, String> {
         Ok(TlsMaterial {
             roots: self.roots_pem().into_bytes(),
-            certified_key: Some(self.leaf(name)?),
+            certified_key: Some(self.issue_certificate(name)?),
             ..TlsMaterial::default()
         })
     }
