--- a/crates/sanddrum-cli/src/call.rs
+++ b/crates/sanddrum-cli/src/call.rs
@@ -44,7 +44,7 @@
     /// Time limit of the request in milliseconds
     #[arg(long, value_name = "MS")]
     pub time_limit: Option<u64>,
-    /// Idempotency key, by which a repeat of a fingerprinted request is recognized
+    /// Idempotency key, by which a repeated request is recognized if its workload is fingerprinted
     #[arg(long)]
     pub idempotency_key: Option<String>,
 }
@@ -111,12 +111,12 @@
         (Some(chain), Some(key)) => Some((read(chain)?, read(key)?)),
         _ => None,
     };
-    let papers = TlsMaterial {
+    let material = TlsMaterial {
         roots: read(roots)?,
         certified_key: own,
         ..TlsMaterial::default()
     };
-    let terms = TlsConfig::new(&papers, &TlsOptions::default()).map_err(|e| e.to_string())?;
+    let config = TlsConfig::new(&material, &TlsOptions::default()).map_err(|e| e.to_string())?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -125,7 +125,7 @@
         .edge
         .rsplit_once(':')
         .map_or(args.edge.as_str(), |(host, _)| host);
-    terms
+    config
         .client_connection(now, args.name.as_deref().unwrap_or(host))
         .map_err(|e| e.to_string())
 }
--- a/crates/sanddrum-cli/src/capacity.rs
+++ b/crates/sanddrum-cli/src/capacity.rs
@@ -11,9 +11,9 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct CapacityArgs {
-    /// Capacity plan; by default a built-in plan with the operators' expected sizes
+    /// Capacity plan; by default a the built-in plan with the sizes that operators expect
     pub file: Option<PathBuf>,
-    /// Run only this play; may be given several times
+    /// Run only this benchmark; may be given several times
     #[arg(long, value_name = "PLAY", value_parser = play_names())]
     pub only: Vec<String>,
     /// Use the short built-in plan, which takes seconds
--- a/crates/sanddrum-cli/src/config.rs
+++ b/crates/sanddrum-cli/src/config.rs
@@ -32,7 +32,7 @@
     sanddrum_settings::read(&name, &text)
 }
 
-/// Prints every effective value with its origin and description.
+/// Prints every effective setting with its origin and description.
 pub fn show(file: &Path, scenario: bool) -> ExitCode {
     let loaded = match load(file, scenario) {
         Ok(loaded) => loaded,
--- a/crates/sanddrum-cli/src/edge.rs
+++ b/crates/sanddrum-cli/src/edge.rs
@@ -45,10 +45,10 @@
     /// Number of edges in the deployment
     #[arg(long)]
     pub edges: Option<usize>,
-    /// File that keeps the last worker list across restarts
+    /// File in which the edge caches the last endpoint list, for use after a restart
     #[arg(long, value_name = "FILE")]
     pub state_file: Option<PathBuf>,
-    /// Override any other setting, such as limits.max-open=500; may be given several times
+    /// Override any setting, such as limits.max-open=500; may be given several times
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
     /// Write the listening address to this file once the edge listens
@@ -113,7 +113,7 @@
     Ok(loaded)
 }
 
-/// Reads the cached endpoint list of the state file. A truncated file or one of another kind is renamed, and ignored.
+/// Reads the cached endpoint list of the state file. An invalid file is renamed and ignored.
 fn read_cached_state(file: &Path) -> Option<Vec<u8>> {
     let bytes = std::fs::read(file).ok()?;
     match endpoint_cache::read(&bytes) {
@@ -128,7 +128,7 @@
 }
 
 pub fn run(args: &EdgeArgs) -> ExitCode {
-    // Before anything else: until the handlers are installed, a signal, SIGHUP included, would terminate the process.
+    // The signal handlers are installed first: until then, any signal, even SIGHUP, would terminate the process.
     let driver = retry_transient_errors(|| {
         let mut driver = EventLoop::new(Box::new(NullObserver))?;
         driver.catch_signals()?;
@@ -155,7 +155,7 @@
     }
 }
 
-/// Settings that name the files of the TLS layer for connections to workers, in the order of [`CALL_FILES`].
+/// Settings that name the files of the TLS layer for connections to workers, in the order of [`OUTBOUND_FILES`].
 const WORKER_TLS_SETTINGS: [&str; 5] = [
     "tls.roots-file",
     "tls.certificate-file",
@@ -163,7 +163,7 @@
     "tls.revoked-file",
     "tls.denied-file",
 ];
-/// The same for the client listener, in the order of [`DOOR_FILES`].
+/// Settings that name the files of the TLS layer for the client listener, in the order of [`INBOUND_FILES`].
 const CLIENT_TLS_SETTINGS: [&str; 5] = [
     "door.roots-file",
     "door.certificate-file",
@@ -177,7 +177,7 @@
 fn load_tls_side(
     settings: &LoadedSettings,
     keys: [&str; 5],
-    rules: TlsOptions,
+    options: TlsOptions,
 ) -> Result<ReloadableConfig, String> {
     let read = |key: &str| -> Result<Vec<u8>, String> {
         match settings.contains(key) {
@@ -190,13 +190,13 @@
         true => Some((read(keys[1])?, read(keys[2])?)),
         false => None,
     };
-    let papers = TlsMaterial {
+    let material = TlsMaterial {
         roots: read(keys[0])?,
         certified_key: own,
         revocation_lists: read(keys[3])?,
         denied_keys: read(keys[4])?,
     };
-    let side = ReloadableConfig::new(papers, rules).map_err(|e| e.to_string())?;
+    let side = ReloadableConfig::new(material, options).map_err(|e| e.to_string())?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -206,7 +206,8 @@
         .map_err(|e| format!("{} ({}): {e}", settings.text(keys[1]), keys[1]))?;
     Ok(side)
 }
-fn limited_authorities(settings: &LoadedSettings) -> Vec<NameConstraint> {
+/// Authorities whose certificates are accepted only for certain names, with these names.
+fn name_constraints(settings: &LoadedSettings) -> Vec<NameConstraint> {
     let authorities = settings.names("authorities").into_iter().enumerate();
     authorities
         .map(|(n, authority)| NameConstraint {
@@ -240,15 +241,15 @@
     let mut layer = TlsLayer::new(edge, sanddrum_lab::tls_limits(settings));
     let sessions = settings.integer("tls.sessions");
     if workers {
-        let rules = TlsOptions {
+        let options = TlsOptions {
             session_cache_size: sessions,
-            name_constraints: limited_authorities(settings),
+            name_constraints: name_constraints(settings),
             ..TlsOptions::default()
         };
-        layer = layer.with_outbound(load_tls_side(settings, WORKER_TLS_SETTINGS, rules)?);
+        layer = layer.with_outbound(load_tls_side(settings, WORKER_TLS_SETTINGS, options)?);
     }
     if clients {
-        let callers = match settings.text("door.certificates") {
+        let client_auth = match settings.text("door.certificates") {
             "required" => ClientAuth::Required,
             "optional" => ClientAuth::Optional,
             _ => ClientAuth::Disabled,
@@ -257,7 +258,7 @@
             settings,
             CLIENT_TLS_SETTINGS,
             TlsOptions {
-                client_auth: callers,
+                client_auth,
                 session_cache_size: sessions,
                 ..TlsOptions::default()
             },
--- a/crates/sanddrum-cli/src/fleet.rs
+++ b/crates/sanddrum-cli/src/fleet.rs
@@ -24,7 +24,7 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct FleetArgs {
-    /// Scenario file; by default a built-in one with half a minute of restarts and broken links
+    /// Scenario file; by default the built-in one: half a minute of restarts and broken connections
     pub file: Option<PathBuf>,
     /// Number of edges, instead of the scenario's
     #[arg(long)]
@@ -40,7 +40,7 @@
     pub set: Vec<String>,
 }
 
-/// Starts every process as this program with other arguments.
+/// Returns a function that makes the command of each process: this program with the arguments of its component.
 fn process_commands(set: &[String]) -> Result<MakeProcessCommand, String> {
     let (program, set) = (
         std::env::current_exe().map_err(|e| e.to_string())?,
@@ -131,21 +131,21 @@
         args.seed
     );
     match run_processes(scenario, &args.set) {
-        Ok((outcome, late, latest, short_of_files, waited)) => {
-            let prefix = if waited > MAX_PROCESSOR_WAIT_US {
+        Ok((outcome, late_iterations, max_loop_delay, near_file_limit, max_wait)) => {
+            let prefix = if max_wait > MAX_PROCESSOR_WAIT_US {
                 "the machine was the limit: "
             } else {
                 ""
             };
-            let (ms, limit_ms) = (waited / 1000, MAX_PROCESSOR_WAIT_US / 1000);
+            let (ms, limit_ms) = (max_wait / 1000, MAX_PROCESSOR_WAIT_US / 1000);
             println!("{prefix}a process waited up to {ms} ms for a processor within a second (limit {limit_ms} ms)");
-            if short_of_files {
+            if near_file_limit {
                 println!("the machine was the limit: the relays nearly used up the limit of open files; use fewer edges or workers");
             }
-            if late > 0 {
+            if late_iterations > 0 {
                 println!(
-                    "the machine was the limit: this process ran late {late} times, by up to {} ms (limit {} ms)",
-                    latest / 1000,
+                    "the machine was the limit: this process ran late {late_iterations} times, by up to {} ms (limit {} ms)",
+                    max_loop_delay / 1000,
                     LATE_THRESHOLD / 1000
                 );
             }
@@ -158,6 +158,9 @@
 /// A process that waited longer than this for a processor within one second was held up by the machine.
 const MAX_PROCESSOR_WAIT_US: i64 = 100_000;
 
+/// Runs the scenario with processes. Returns its outcome, how often this process ran late and by how many microseconds
+/// at most, whether the limit of open files was nearly reached, and the longest wait of any process for a processor
+/// within one second, in microseconds.
 fn run_processes(
     scenario: Scenario,
     set: &[String],
@@ -183,7 +186,7 @@
         .scheduling_delays
         .iter()
         .filter(|(name, _)| *name != RUNNER);
-    let waited = processes
+    let max_wait = processes
         .map(|(_, waits)| waits.worst_second())
         .max()
         .unwrap_or(0);
@@ -192,7 +195,7 @@
         environment.late_iterations,
         environment.max_loop_delay,
         environment.near_file_limit,
-        waited,
+        max_wait,
     ))
 }
 
@@ -292,7 +295,7 @@
     /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Incarnation: how often the component has been started
+    /// Incarnation: number of this start of the component, from 1
     #[arg(long, default_value_t = 1)]
     pub incarnation: u64,
     /// Start cold, without loaded functions, instead of as a worker that has run for long
@@ -301,7 +304,7 @@
     /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: String,
-    /// Address at which others reach it, if it is not the listening address
+    /// Address at which other components reach this one; the listening address by default
     #[arg(long)]
     pub known_as: Option<String>,
     /// Address of the discovery service
--- a/crates/sanddrum-cli/src/keys.rs
+++ b/crates/sanddrum-cli/src/keys.rs
@@ -16,7 +16,7 @@
 
 #[derive(Subcommand, Clone, Debug)]
 pub enum Keys {
-    /// Create a key: the first key of a set signs immediately, a further one is added as coming
+    /// Create a key: the first key of a set signs immediately, a further key waits as the coming key until rotate
     #[command(
         after_help = "Example:\n  sanddrum keys new keys.json --secrets secrets/ --name 2027-01"
     )]
@@ -30,7 +30,7 @@
         #[arg(long)]
         name: String,
     },
-    /// Sign with the coming key from now on, and retire the current signing key
+    /// Make the coming key the signing key, and retire the current signing key
     Rotate {
         /// Key set file
         file: PathBuf,
--- a/crates/sanddrum-cli/src/lab.rs
+++ b/crates/sanddrum-cli/src/lab.rs
@@ -90,14 +90,14 @@
         Err(problem) => return fail(exit::USAGE, problem),
     };
     let seconds = scenario.length / 1_000_000;
-    let how = if args.in_virtual_time {
+    let transport = if args.in_virtual_time {
         "in virtual time"
     } else {
         "on loopback sockets"
     };
     let (workers, edges) = (scenario.workers, scenario.edges);
     println!(
-        "{name}: {workers} workers, {edges} edges, {seconds} s of requests, seed {}, {how}",
+        "{name}: {workers} workers, {edges} edges, {seconds} s of requests, seed {}, {transport}",
         args.seed
     );
     let result = if args.in_virtual_time {
@@ -174,14 +174,14 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct StandArgs {
-    /// Scenario whose fleet is started; by default that of the demo
+    /// Scenario file whose workers and services are started; by default the built-in one of the demo
     pub file: Option<PathBuf>,
     /// Address of the edge's client listener
     #[arg(long, default_value = "127.0.0.1:8080", value_name = "ADDRESS")]
     pub listen: String,
 }
 
-/// Runs a scenario's fleet with one edge and without its traffic until a signal arrives.
+/// Runs the components of a scenario, with one edge and without generated traffic, until a signal arrives.
 pub fn stand(args: &StandArgs) -> ExitCode {
     let read = args
         .file
@@ -285,7 +285,7 @@
 
 #[derive(Args, Clone, Debug)]
 pub struct ExperimentArgs {
-    /// Scenario file with variants
+    /// Scenario file that names the variants to compare
     pub file: PathBuf,
     /// Number of seeds for each variant; the scenario's by default
     #[arg(long)]
@@ -348,7 +348,7 @@
     /// Number of parallel runs; the number of processors by default
     #[arg(long)]
     pub threads: Option<usize>,
-    /// Folder for the scenarios that violate a rule
+    /// Folder in which scenarios that violate a rule are saved, reduced to what the violation needs
     #[arg(long, value_name = "FOLDER", default_value = "finds")]
     pub keep: PathBuf,
 }
@@ -360,24 +360,26 @@
         .or(std::thread::available_parallelism().map(usize::from).ok())
         .unwrap_or(1);
     let started = std::time::Instant::now();
-    let (next, played, found) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-    let run_day = |seed: u64| -> Result<(), String> {
-        let day = RandomScenario::generate(seed);
-        let (rules, _) = day.violations().map_err(|e| format!("day {seed}: {e}"))?;
-        played.fetch_add(1, Ordering::Relaxed);
+    let (next, runs, violating) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
+    let run_scenario = |seed: u64| -> Result<(), String> {
+        let scenario = RandomScenario::generate(seed);
+        let (rules, _) = scenario
+            .violations()
+            .map_err(|e| format!("scenario with seed {seed}: {e}"))?;
+        runs.fetch_add(1, Ordering::Relaxed);
         if rules.is_empty() {
             return Ok(());
         }
-        found.fetch_add(1, Ordering::Relaxed);
-        let minimized = day.shrink()?;
+        violating.fetch_add(1, Ordering::Relaxed);
+        let shrunk = scenario.shrink()?;
         std::fs::create_dir_all(&args.keep).map_err(|e| e.to_string())?;
         let file = args.keep.join(format!("day-{seed}.sx"));
-        std::fs::write(&file, minimized.text()).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(&file, shrunk.text()).map_err(|e| format!("{}: {e}", file.display()))?;
         println!(
             "{}: {} after {} runs",
             file.display(),
-            minimized.violations.join("; "),
-            minimized.runs
+            shrunk.violations.join("; "),
+            shrunk.runs
         );
         Ok(())
     };
@@ -389,16 +391,16 @@
                     if n >= args.days {
                         break;
                     }
-                    if let Err(problem) = run_day(args.from + n) {
+                    if let Err(problem) = run_scenario(args.from + n) {
                         eprintln!("{problem}");
                     }
                 }
             });
         }
     });
-    let (played, found) = (played.into_inner(), found.into_inner());
-    println!("{played} runs, {found} with a rule violation");
-    ExitCode::from(if found == 0 {
+    let (runs, violating) = (runs.into_inner(), violating.into_inner());
+    println!("{runs} runs, {violating} with a rule violation");
+    ExitCode::from(if violating == 0 {
         exit::SUCCESS
     } else {
         exit::CHECK_FAILED
--- a/crates/sanddrum-cli/src/load.rs
+++ b/crates/sanddrum-cli/src/load.rs
@@ -32,7 +32,7 @@
     /// Number of client connections
     #[arg(long, default_value_t = 64)]
     pub connections: usize,
-    /// Request body; an emulated worker spends the given work on it
+    /// Request body; with work-us=N, an emulated worker works on the request for N microseconds
     #[arg(long, default_value = "work-us=1000")]
     pub body: String,
     /// Seed of the random choices
@@ -131,7 +131,9 @@
     /// Number of runs of each kind, which are interleaved
     #[arg(long, default_value_t = 5)]
     pub runs: usize,
-    /// Measure only this part: rate, tokens, flood, tls, door, bodies, fleet, idle, limits, storm
+    /// Measure only this part: rate (throughput and latency), tokens, flood (invalid tokens), tls (to workers), door
+    /// (client listener), bodies (large bodies), fleet (growing fleets), idle (idle clients), limits (customer limits)
+    /// or storm (all edges reconnect)
     #[arg(long)]
     pub part: Option<String>,
     /// Numbers of edges, for the part storm
@@ -143,7 +145,7 @@
     /// Requests per second, for the part storm
     #[arg(long, default_value_t = 1500, value_name = "CALLS")]
     pub storm_rate: usize,
-    /// Time that a handshake takes a worker, for the part storm
+    /// Time in milliseconds that a worker spends on a TLS handshake, for the part storm
     #[arg(long, default_value_t = 2, value_name = "MS")]
     pub handshake_ms: usize,
     /// Folder for plots
@@ -192,10 +194,10 @@
     }
 }
 
-fn spec(args: &MeasureArgs, decides: Dispatcher) -> MeasureSpec {
+fn spec(args: &MeasureArgs, dispatcher: Dispatcher) -> MeasureSpec {
     let length = i64::from(args.length) * 1_000_000;
     MeasureSpec {
-        dispatcher: decides,
+        dispatcher,
         workers: 10,
         functions: 100,
         connections: 64,
@@ -232,10 +234,10 @@
 /// the module's rate.
 fn rate(args: &MeasureArgs) -> Result<(), String> {
     let pairs = |rate: f64| -> Result<Vec<(EdgeMeasurement, EdgeMeasurement)>, String> {
-        let one = |decides| {
+        let one = |dispatcher| {
             measure_edge(&MeasureSpec {
                 rate,
-                ..spec(args, decides)
+                ..spec(args, dispatcher)
             })
         };
         (0..args.runs)
@@ -309,12 +311,12 @@
         (100, 10_000),
         (1000, 10_000),
     ] {
-        let one = |decides| {
+        let one = |dispatcher| {
             measure_edge(&MeasureSpec {
                 workers,
                 functions,
                 rate: 2000.0,
-                ..spec(args, decides)
+                ..spec(args, dispatcher)
             })
         };
         let runs: Vec<(EdgeMeasurement, EdgeMeasurement)> = (0..args.runs)
@@ -389,9 +391,9 @@
                     )
                 })
                 .collect();
-            let back = spread_of(&|r| r.recovery_seconds.unwrap_or(f64::INFINITY));
+            let recovery = spread_of(&|r| r.recovery_seconds.unwrap_or(f64::INFINITY));
             println!(
-                "  {edges:3} edges, {policy:?}: honest customer during a flood {}; rate limit over all edges {}, at one edge {}; after moving, by second {}; lent quota back after {back} s",
+                "  {edges:3} edges, {policy:?}: honest customer during a flood {}; rate limit over all edges {}, at one edge {}; after moving, by second {}; lent quota back after {recovery} s",
                 spread_of(&|r| r.honest_fraction), spread_of(&|r| r.spread_over_limit), spread_of(&|r| r.single_edge_over_limit), moved.join(" ")
             );
             let name = match policy {
@@ -531,11 +533,16 @@
         ("certificate, full handshakes", Certificate, true, false),
         ("certificate, resumed sessions", Certificate, true, true),
     ];
-    let one = |(_, door, fresh, resumes): (&str, ClientProtocol, bool, bool)| {
+    let one = |(_, client_protocol, connection_per_request, resume_sessions): (
+        &str,
+        ClientProtocol,
+        bool,
+        bool,
+    )| {
         measure_edge(&MeasureSpec {
-            client_protocol: door,
-            connection_per_request: fresh,
-            resume_sessions: resumes,
+            client_protocol,
+            connection_per_request,
+            resume_sessions,
             connections: 16,
             ..spec(args, Dispatcher::Module)
         })
@@ -577,10 +584,10 @@
 /// Measures the cost of large bodies, in plain text and over TLS on both sides.
 fn bodies(args: &MeasureArgs) -> Result<(), String> {
     let body_bytes = 1 << 20;
-    let one = |door, tls| {
+    let one = |client_protocol, tls_to_workers| {
         measure_edge(&MeasureSpec {
-            client_protocol: door,
-            tls_to_workers: tls,
+            client_protocol,
+            tls_to_workers,
             body_bytes,
             connections: 4,
             ..spec(args, Dispatcher::Module)
@@ -620,9 +627,9 @@
 
 /// Measures honest clients while another client sends tokens with invalid signatures as fast as they are rejected.
 fn flood(args: &MeasureArgs) -> Result<(), String> {
-    let one = |flood| {
+    let one = |bad_token_connections| {
         measure_edge(&MeasureSpec {
-            bad_token_connections: flood,
+            bad_token_connections,
             rate: 2000.0,
             tokens: 20,
             ..spec(args, Dispatcher::Module)
--- a/crates/sanddrum-cli/src/main.rs
+++ b/crates/sanddrum-cli/src/main.rs
@@ -29,9 +29,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the built-in scenario on loopback sockets and check it from the traffic
+    /// Run the built-in scenario on loopback sockets and check the observed traffic for rule violations
     Demo(DemoArgs),
-    /// Run scenarios, load and measurements
+    /// Run scenarios, generate load and measure costs
     #[command(subcommand)]
     Lab(Lab),
     /// Check and print settings files
@@ -67,7 +67,7 @@
     /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Use TLS with verified names between edges and workers
+    /// Use TLS between edges and workers, with verified certificate names
     #[arg(long)]
     tls: bool,
 }
@@ -89,7 +89,7 @@
     Sizes(fleet::SizesArgs),
     /// Run one emulated component of a scenario as a process: a worker, the discovery service or the store
     Part(fleet::PartArgs),
-    /// Run a small fleet on loopback, with one edge on a known port, until interrupted
+    /// Run a scenario's workers and services on loopback without traffic, with one edge on a known port, until interrupted
     #[command(after_help = "Example:\n  sanddrum lab stand --listen 127.0.0.1:8080")]
     Stand(lab::StandArgs),
     /// Generate open-loop load on an edge and report latencies
@@ -97,7 +97,7 @@
         after_help = "Example:\n  sanddrum lab load trace-pass trace- --functions 8 --rate 200 --body work-us=5000"
     )]
     Load(load::LoadArgs),
-    /// Run random scenarios in search of a rule violation; each find is minimized and saved as a scenario
+    /// Run random scenarios in search of a rule violation; each scenario that violates one is minimized and saved
     #[command(after_help = "Example:\n  sanddrum lab hunt --seconds 600 --from 1 --keep finds/")]
     Hunt(lab::HuntArgs),
     /// Run variants of a scenario on the same seeds and compare them by confidence intervals
@@ -107,15 +107,15 @@
                             (variant \"random\" (decides random))."
     )]
     Experiment(lab::ExperimentArgs),
-    /// Run routers as processes under overlapping faults and check them by what their peers observed
+    /// Run routers as processes under overlapping faults and check them by what their clients and servers observed
     #[command(after_help = "Examples:
   sanddrum lab soak --platform --seed 7           a minute of faults among 30 routers
   sanddrum lab soak --platform --replay 7 --keep  repeat the run with seed 7 and keep its logs")]
     Soak(soak::SoakArgs),
     /// Measure what each part of a deployment costs as it grows, and the slope of each cost
     #[command(after_help = "Examples:
-  sanddrum lab capacity --out capacity            all plays at the operators' expected sizes
-  sanddrum lab capacity --short --only router     one play, at sizes that take seconds")]
+  sanddrum lab capacity --out capacity            all benchmarks, at the sizes that operators expect
+  sanddrum lab capacity --short --only router     one benchmark, at sizes that take seconds")]
     Capacity(capacity::CapacityArgs),
     /// Measure the cost of an edge on this machine, compared with a plain forwarder
     Measure(load::MeasureArgs),
@@ -131,7 +131,7 @@
         #[arg(long)]
         scenario: bool,
     },
-    /// Print every effective value with its origin
+    /// Print every effective setting, where its value comes from and what it means
     Show {
         /// Settings file, or a scenario with --scenario
         file: PathBuf,
--- a/crates/sanddrum-cli/src/retry.rs
+++ b/crates/sanddrum-cli/src/retry.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A startup step fails for good after this time: the platform expects a router to be ready within ten seconds.
+/// A startup step is not retried any more after this time: the platform expects a router to be ready within ten seconds.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(5);
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
--- a/crates/sanddrum-cli/src/soak.rs
+++ b/crates/sanddrum-cli/src/soak.rs
@@ -70,7 +70,7 @@
     Ok(report)
 }
 
-/// Violations printed one by one; of further ones only the number is given.
+/// Number of violations that are printed one by one; the verdict counts all of them.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 fn print_report(args: &SoakArgs, report: &SoakReport) -> ExitCode {
--- a/crates/sanddrum-cli/tests/clock_steps.rs
+++ b/crates/sanddrum-cli/tests/clock_steps.rs
@@ -13,7 +13,7 @@
 const HOUR_US: i64 = 3_600_000_000;
 /// Number of requests, each for a function of its own, so that each may go to either server.
 const REQUESTS: usize = 120;
-/// A server that counts as warm gets half of the requests; one in slow start gets at most about a fifth of that half.
+/// A warm server gets half of the requests; one in slow start gets at most about a fifth of that half.
 const MAX_IN_SLOW_START: usize = REQUESTS / 4;
 
 /// By how much the router's wall clock is stepped before the start and while running, and whether the servers' clock
--- a/crates/sanddrum-cli/tests/discovery_outage.rs
+++ b/crates/sanddrum-cli/tests/discovery_outage.rs
@@ -1,7 +1,7 @@
-//! The discovery service is unavailable for longer than the platform's time limits while a busy model server starts
-//! to drain (incident 624c95). Runs the router as a process with several kinds of outages, signals and clock steps.
-//! Once the drain counts as announced and the grace period is over, the router must send that server nothing new and
-//! keep using the others.
+//! Regression tests for incident 624c95: the discovery service is unavailable for longer than the platform's time
+//! limits while a busy model server starts to drain. The router runs as a process with several kinds of outages,
+//! signals and clock steps. After the maximum notification delay and the grace period, the router must send nothing
+//! new to that server and keep using the others.
 
 mod outage;
 mod router_harness;
@@ -18,12 +18,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change that discovery would have announced counts as announced at most this long after the start of the outage.
-const ANNOUNCED_AFTER: Duration = Duration::from_secs(7);
+/// The longest that an outage may delay a notification. After this time from the start of the outage, the router must
+/// act as if it had received the change that discovery would have announced.
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(7);
 const GRACE: Duration = Duration::from_millis(250);
 /// Tolerance added to the time limits of the rules on real sockets.
 const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
-/// How long the router is observed once the drain counts as announced and the grace period is over.
+/// How long the router is observed after the maximum notification delay and the grace period.
 const OBSERVATION: Duration = Duration::from_secs(2);
 const SERVERS: usize = 3;
 /// Number of functions. Each server has one instance of each, which runs one request at a time.
@@ -116,7 +117,7 @@
             .publish(&member(&format!("s{server}"), address, phase));
     }
 
-    /// The server that received the most since this instant. The router chooses which servers it uses, so a fixed one
+    /// The server that received the most requests and load commands since this instant. The router chooses which servers it uses, so a fixed one
     /// might be idle.
     fn busiest_server(&self, since: Instant) -> usize {
         let sends = |server: &usize| self.servers[*server].sends_since(since);
@@ -207,7 +208,7 @@
     let outage_start = Instant::now();
     setup.begin(fault);
     setup.set_phase(draining, "terminating");
-    let counted_from = outage_start + ANNOUNCED_AFTER + GRACE + SOCKET_TOLERANCE;
+    let counted_from = outage_start + MAX_NOTIFICATION_DELAY + GRACE + SOCKET_TOLERANCE;
     setup.call_until(counted_from);
     let (served, not_served) = setup.call_until(counted_from + OBSERVATION);
     OutageResult {
--- a/crates/sanddrum-cli/tests/fleet.rs
+++ b/crates/sanddrum-cli/tests/fleet.rs
@@ -6,21 +6,23 @@
 use rstest::rstest;
 use scenario_run::run_scenario;
 
-/// Eight edges and nine workers in three zones; the workers are cold when the traffic starts.
-const HEAD: &str = r#"
+/// Eight edges and nine workers in three zones; the workers are cold when the traffic starts. CONFIGURED_EDGES is
+/// replaced by the number of edges that the edges are configured with, as a factor of the real one.
+const SCENARIO_HEAD: &str = r#"
     (deployment (name "small") (zones "a" "b" "c"))
     (workload "job" (start-target 1s) (time-limit 3s) (effect restartable))
     (function "f-*" (workload "job") (memory 100MB) (lanes 2))
     (copies (keep-alive 30s) (on-miss miss) (load-window 2s) (load-free 20) (load-share 20%))
     (rules (cold-from 20%) (cold 2s) (drain-grace 2s))
     (limits (list-retry-most 500ms))
-    (fleet (workers 9) (edges 8) (cores 4) (memory 5GB) TOLD)
+    (fleet (workers 9) (edges 8) (cores 4) (memory 5GB) CONFIGURED_EDGES)
     (list-service (notice-least 50ms) (notice-most 200ms) (silent-after 2s))
     (calls "job" (share 1) (work 20ms))
     (traffic (length 9s) (rate 90) (functions 12) (zipf 1.0) (retries 2) (retry-wait 100ms))
 "#;
 
-/// The faults, and the second from which on at least 90% of the requests are served in time again.
+/// Each case has a name, the injected faults, and the second from which on at least 90% of the requests are served in
+/// time again.
 #[rstest]
 #[case::everything_starts_cold("cold", "", 5)]
 #[case::all_edges_crash(
@@ -106,7 +108,7 @@
     #[case] faults: &str,
     #[case] recovered_by: usize,
 ) {
-    let scenario = format!("{}{faults}", HEAD.replace("TOLD", ""));
+    let scenario = format!("{}{faults}", SCENARIO_HEAD.replace("CONFIGURED_EDGES", ""));
     assert_keeps_the_rules_and_recovers(name, &scenario, recovered_by);
 }
 
@@ -116,7 +118,7 @@
 #[case::a_third_of_the_real_number("third", "0.34")]
 fn a_wrong_number_of_edges_breaks_nothing(#[case] name: &str, #[case] factor: &str) {
     let faults = r#"(trouble "edge-anew" (part 70%) (at 3s) (length 300ms)) (trouble "crash" (count 3) (at 3s) (length 300ms))"#;
-    let head = HEAD.replace("TOLD", &format!("(edges-told {factor})"));
+    let head = SCENARIO_HEAD.replace("CONFIGURED_EDGES", &format!("(edges-told {factor})"));
     assert_keeps_the_rules_and_recovers(name, &format!("{head}{faults}"), 7);
 }
 
