--- a/crates/sanddrum-cli/src/certs.rs
+++ b/crates/sanddrum-cli/src/certs.rs
@@ -27,7 +27,7 @@
     Make {
         /// Folder of the authority and the certificates
         folder: PathBuf,
-        /// Names to issue certificates for, as in the worker list
+        /// Names to issue certificates for, as in the endpoint list
         #[arg(required = true)]
         names: Vec<String>,
         /// Last year in which the certificates are valid
@@ -205,8 +205,8 @@
             ..
         } = described;
         let days = (not_after - now() as i64) as f64 / 86_400e6;
-        let what = if is_ca { "authority" } else { "for" };
-        text += &format!("{what} {}\n  signed by {issuer}\n", names.join(", "));
+        let kind = if is_ca { "authority" } else { "for" };
+        text += &format!("{kind} {}\n  signed by {issuer}\n", names.join(", "));
         text += &match days < 0.0 {
             true => format!("  expired {:.1} days ago\n", -days),
             false => format!("  expires in {days:.1} days\n"),
--- a/crates/sanddrum-cli/src/logs.rs
+++ b/crates/sanddrum-cli/src/logs.rs
@@ -41,7 +41,7 @@
 }
 
 /// Lines are cut to this length: a writable pipe takes up to this many bytes at once (POSIX: PIPE_BUF on Linux).
-const LONGEST_LINE: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
 
 /// Number of lines dropped since the last one that was written.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -77,7 +77,7 @@
                 return Ok(line.len());
             }
         }
-        let cut = &line[..line.len().min(LONGEST_LINE)];
+        let cut = &line[..line.len().min(MAX_LINE_BYTES)];
         stderr.lock().write_all(cut)?;
         if cut.len() < line.len() {
             stderr.lock().write_all(b"\n")?;
--- a/crates/sanddrum-cli/tests/fleet.rs
+++ b/crates/sanddrum-cli/tests/fleet.rs
@@ -7,7 +7,7 @@
 use scenario_run::run_scenario;
 
 /// Eight edges and nine workers in three zones; the workers are cold when the traffic starts. CONFIGURED_EDGES is
-/// replaced by the number of edges that the edges are configured with, as a factor of the real one.
+/// replaced by the setting `edges-told`, or by nothing if the edges are configured with the real number of edges.
 const SCENARIO_HEAD: &str = r#"
     (deployment (name "small") (zones "a" "b" "c"))
     (workload "job" (start-target 1s) (time-limit 3s) (effect restartable))
@@ -130,11 +130,11 @@
         "{}",
         run.text
     );
-    assert!(run.service(recovered_by..9) >= 0.9, "{}", run.text);
+    assert!(run.in_time_fraction(recovered_by..9) >= 0.9, "{}", run.text);
     let virtual_run = run_scenario(&format!("{name}-virtual"), scenario, &["run", "--virtual"]);
     assert_eq!(virtual_run.exit, Some(0), "{}", virtual_run.text);
     assert!(
-        virtual_run.service(recovered_by..9) >= 0.9,
+        virtual_run.in_time_fraction(recovered_by..9) >= 0.9,
         "{}",
         virtual_run.text
     );
--- a/crates/sanddrum-cli/tests/outage/mod.rs
+++ b/crates/sanddrum-cli/tests/outage/mod.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Behaves as the platform's model servers were measured to: a draining server rejects every request, but answers
-    /// a load command with success if the instances are already loaded.
+    /// Behaves like the platform's model servers, according to measurements of them: a draining server rejects every
+    /// request, but answers a load command with success if the instances are already loaded.
     fn answer(
         &self,
         received: Instant,
@@ -123,7 +123,7 @@
     Truncating,
 }
 
-/// The control feed: numbered events and its present state.
+/// The control feed: its numbered events and its current state.
 pub struct Discovery {
     pub address: String,
     state: Mutex<FeedState>,
--- a/crates/sanddrum-cli/tests/overload.rs
+++ b/crates/sanddrum-cli/tests/overload.rs
@@ -8,7 +8,7 @@
 
 /// Eight edges and nine workers with one core each, which serve 225 requests per second. The request rate rises
 /// fourfold in the fifth second.
-const HEAD: &str = r#"
+const SCENARIO_HEAD: &str = r#"
     (deployment (name "small") (zones "a" "b" "c"))
     (workload "dear" (start-target 1s) (time-limit 3s) (effect restartable) (importance 5))
     (workload "cheap" (start-target 1s) (time-limit 3s) (effect restartable) (importance 1))
@@ -25,7 +25,8 @@
 "#;
 const FOURFOLD_LOAD: &str = r#"(trouble "overload" (at 4s) (length 4s) (size 4))"#;
 
-/// The faults during the overload, and the second from which on at least 95% of the requests are served in time again.
+/// Each case has a name, the faults injected during the overload, and the second from which on at least 95% of the
+/// requests are served in time again.
 #[rstest]
 #[case::no_other_fault("alone", "", 10)]
 #[case::a_zone_is_lost_and_returns_cold(
@@ -90,7 +91,7 @@
     #[case] faults: &str,
     #[case] recovered_by: usize,
 ) {
-    let scenario = format!("{HEAD}{FOURFOLD_LOAD}{faults}");
+    let scenario = format!("{SCENARIO_HEAD}{FOURFOLD_LOAD}{faults}");
     let run = run_scenario(
         &format!("over-{name}-virtual"),
         &scenario,
@@ -98,10 +99,14 @@
     );
     assert_eq!(run.exit, Some(0), "{}", run.text);
     assert!(run.executions_per_request() < 1.5, "{}", run.text);
-    assert!(run.service(recovered_by..13) >= 0.95, "{}", run.text);
+    assert!(
+        run.in_time_fraction(recovered_by..13) >= 0.95,
+        "{}",
+        run.text
+    );
 
     // With processes, the timing of the requests depends on the machine. These runs are longer, so that the measured
-    // fractions do not depend on chance, and a run in which the machine was the limit is repeated, at most twice. The
+    // fractions vary less at random, and a run in which the machine was the limit is repeated, at most twice. The
     // rules have to hold in every run.
     let scenario = scenario.replace("(length 13s)", "(length 21s)");
     let runs = (0..3).map(|n| run_scenario(&format!("over-{name}-{n}"), &scenario, &["fleet"]));
@@ -121,18 +126,20 @@
     let finished = run.summary["finished"].as_f64().unwrap();
     let repeated = (run.executions_per_request() - 1.0) * finished;
     let finished_early = finished - run.in_time(13..21) as f64;
-    let steady_at_the_end = (15..20).all(|n| run.service(n..n + 2) >= 0.95);
-    repeated < 0.5 * finished_early && run.service(recovered_by..21) >= 0.95 && steady_at_the_end
+    let steady_at_the_end = (15..20).all(|n| run.in_time_fraction(n..n + 2) >= 0.95);
+    repeated < 0.5 * finished_early
+        && run.in_time_fraction(recovered_by..21) >= 0.95
+        && steady_at_the_end
 }
 
 /// All workers are cold, and the fleet is overloaded from the first request on.
 #[rstest]
 fn a_cold_fleet_under_overload_warms_up() {
-    let scenario = format!(r#"{HEAD}(trouble "overload" (at 0s) (length 6s) (size 3))"#);
+    let scenario = format!(r#"{SCENARIO_HEAD}(trouble "overload" (at 0s) (length 6s) (size 3))"#);
     for command in [&["fleet"][..], &["run", "--virtual"][..]] {
         let run = run_scenario(&format!("over-cold-{}", command.len()), &scenario, command);
         assert_eq!(run.exit, Some(0), "{}", run.text);
-        assert!(run.service(9..13) >= 0.95, "{}", run.text);
+        assert!(run.in_time_fraction(9..13) >= 0.95, "{}", run.text);
     }
 }
 
@@ -142,7 +149,7 @@
     let customers =
         r#"(customer "modest" (share 50%)) (customer "greedy" (share 50%)) (sharing (shares yes))"#;
     let excess_demand = r#"(trouble "greedy-customer" (at 4s) (length 4s) (size 0.6))"#;
-    let scenario = format!("{HEAD}{customers}{FOURFOLD_LOAD}{excess_demand}");
+    let scenario = format!("{SCENARIO_HEAD}{customers}{FOURFOLD_LOAD}{excess_demand}");
     for command in [&["fleet"][..], &["run", "--virtual"][..]] {
         let run = run_scenario(
             &format!("over-greedy-{}", command.len()),
@@ -156,6 +163,6 @@
             "{}",
             run.text
         );
-        assert!(run.service(10..13) >= 0.95, "{}", run.text);
+        assert!(run.in_time_fraction(10..13) >= 0.95, "{}", run.text);
     }
 }
--- a/crates/sanddrum-cli/tests/overrides.rs
+++ b/crates/sanddrum-cli/tests/overrides.rs
@@ -64,7 +64,7 @@
     assert!(run.text.contains("--set fleet.edges"), "{}", run.text);
 }
 
-/// An emulated component that runs as a process gets the overrides too; the file alone would not
+/// An emulated component that runs as a process gets the overrides as arguments, because its scenario file does not
 /// contain them.
 #[rstest]
 fn a_component_process_rejects_an_unknown_override() {
--- a/crates/sanddrum-cli/tests/processes.rs
+++ b/crates/sanddrum-cli/tests/processes.rs
@@ -116,7 +116,7 @@
     }
 }
 
-fn send_call(socket: &mut TcpStream) {
+fn send_request(socket: &mut TcpStream) {
     socket
         .write_all(&http::encode_request("POST", "/v1/calls/job/f1", &[], b""))
         .unwrap();
@@ -153,7 +153,7 @@
     let folder = Folder::new("sigterm");
     let mut edge = Edge::start(&folder, "127.0.0.1:0");
     let mut client = TcpStream::connect(&edge.address).unwrap();
-    send_call(&mut client);
+    send_request(&mut client);
     assert_eq!(health_status(&edge.address), 503, "no endpoint list yet");
     edge.signal("TERM");
     let status = read_response(&mut client).status;
@@ -166,7 +166,7 @@
     let folder = Folder::new("sigkill");
     let mut edge = Edge::start(&folder, "127.0.0.1:0");
     let mut client = TcpStream::connect(&edge.address).unwrap();
-    send_call(&mut client);
+    send_request(&mut client);
     assert_eq!(health_status(&edge.address), 503, "no endpoint list yet");
     edge.signal("KILL");
     assert_eq!(edge.wait_for_exit(), None);
@@ -403,7 +403,7 @@
     };
     assert!(
         call("ours").contains("(503)"),
-        "the call must be accepted, though without a worker: {}",
+        "the request must be accepted, though there is no worker: {}",
         call("ours")
     );
     assert!(!call("theirs").contains("(503)"));
--- a/crates/sanddrum-cli/tests/router_faults.rs
+++ b/crates/sanddrum-cli/tests/router_faults.rs
@@ -25,8 +25,8 @@
 
 #[rstest]
 fn requests_with_interleaved_bodies_on_one_connection_are_all_served() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
-    let router = Router::start("in-turn", &feed_at, &worker_at, "once");
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let router = Router::start("in-turn", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
     next_poll(&mut feed);
     let mut web = WebServer::connect(&router.address);
@@ -71,22 +71,22 @@
 
 #[rstest]
 fn a_full_list_of_the_largest_fleet_is_accepted() {
-    let ((_first, first_at), (mut second, second_at), (feeds, feed_at)) =
+    let ((_first, first_address), (mut second, second_address), (feeds, feed_address)) =
         (listener(), Worker::listen(), listener());
-    let router = Router::start("large-list", &feed_at, &first_at, "once");
+    let router = Router::start("large-list", &feed_address, &first_address, "once");
     let mut feed = accept(&feeds);
     next_poll(&mut feed);
     // The largest fleet has 3,200 model servers, which drain here; one further server is in service.
     let draining_member = |n: usize| {
-        let at = format!("10.{}.{}.9:8080", n / 250, n % 250);
-        let mut draining = member(&format!("s-{n:08x}"), &at, "terminating");
+        let address = format!("10.{}.{}.9:8080", n / 250, n % 250);
+        let mut draining = member(&format!("s-{n:08x}"), &address, "terminating");
         draining["flavor"] = json!("std");
         draining["cell"] = json!(n / 8);
         draining["up_since_ms"] = json!(1_700_000_000_000_i64 + n as i64);
         draining
     };
     let mut members: Vec<Value> = (0..3_200).map(draining_member).collect();
-    members.push(member("stands", &second_at, "in_service"));
+    members.push(member("s-in-service", &second_address, "in_service"));
     let list = json!({"n": 2, "members": {"revision": 2, "complete": true, "members": members}});
     feed.write_all(&feed_response(2, json!([list]))).unwrap();
     assert_eq!(
@@ -103,12 +103,12 @@
 
 #[rstest]
 fn a_configuration_half_written_at_sighup_is_applied_once_it_is_complete() {
-    let ((_worker, worker_at), (feeds, feed_at), (moved, moved_at)) =
+    let ((_worker, worker_address), (feeds, feed_address), (moved, moved_address)) =
         (listener(), listener(), listener());
-    let router = Router::start("half-configured", &feed_at, &worker_at, "once");
+    let router = Router::start("half-configured", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
     next_poll(&mut feed);
-    let complete = configuration(&moved_at, &worker_at, "once").to_string();
+    let complete = configuration(&moved_address, &worker_address, "once").to_string();
     std::fs::write(&router.file, &complete[..complete.len() / 2]).unwrap();
     router.signal("HUP");
     // The log shows that the incomplete file was read.
@@ -121,11 +121,12 @@
 
 #[rstest]
 fn an_unread_log_does_not_block_requests() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
-    let (free, at) = listener();
-    drop(free);
-    let mut json = configuration(&feed_at, &worker_at, "once");
-    json["listen"] = json!(at);
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    // Binding and closing a listener finds a free port for the router.
+    let (closed, address) = listener();
+    drop(closed);
+    let mut json = configuration(&feed_address, &worker_address, "once");
+    json["listen"] = json!(address);
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-log-{}.json", std::process::id()));
     std::fs::write(&file, json.to_string()).unwrap();
     let mut command = Router::command(&file);
@@ -133,7 +134,7 @@
     let unread_log = child.stderr.take().unwrap();
     let mut feed = accept(&feeds);
     next_poll(&mut feed);
-    let mut web = WebServer::connect(&at);
+    let mut web = WebServer::connect(&address);
     // Several lines per request are logged at this level, far more in total than a pipe buffers.
     for n in 1..=400u64 {
         web.send_request(1, &format!("{n:016x}"));
@@ -149,8 +150,8 @@
 
 #[rstest]
 fn a_second_sigterm_does_not_abort_open_requests() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
-    let mut router = Router::start("twice", &feed_at, &worker_at, "once");
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
+    let mut router = Router::start("twice", &feed_address, &worker_address, "once");
     let mut feed = accept(&feeds);
     next_poll(&mut feed);
     let mut web = WebServer::connect(&router.address);
@@ -177,12 +178,12 @@
 
 #[rstest]
 fn a_router_starts_although_socket_creation_fails_at_first() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-socket-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
     faults.set(Word::Socket, 1_000_000).unwrap();
     let startup = std::thread::spawn({
-        let configuration = configuration(&feed_at, &worker_at, "once");
+        let configuration = configuration(&feed_address, &worker_address, "once");
         move || {
             let router = Router::start_with("no-socket", &configuration, Some(&faults));
             (router, faults)
@@ -203,12 +204,12 @@
 
 #[rstest]
 fn a_temporary_poller_failure_ends_neither_the_router_nor_open_requests() {
-    let ((mut worker, worker_at), (feeds, feed_at)) = (Worker::listen(), listener());
+    let ((mut worker, worker_address), (feeds, feed_address)) = (Worker::listen(), listener());
     let file = std::env::temp_dir().join(format!("sanddrum-hunt-poller-{}", std::process::id()));
     let faults = FaultControl::create(&file).unwrap();
     let router = Router::start_with(
         "poller",
-        &configuration(&feed_at, &worker_at, "once"),
+        &configuration(&feed_address, &worker_address, "once"),
         Some(&faults),
     );
     let mut feed = accept(&feeds);
--- a/crates/sanddrum-cli/tests/scenario_run/mod.rs
+++ b/crates/sanddrum-cli/tests/scenario_run/mod.rs
@@ -13,7 +13,7 @@
 impl ScenarioRun {
     /// Fraction of the requests sent within these seconds that were answered in time.
     #[allow(dead_code)] // not used by every test that includes this module
-    pub fn service(&self, seconds: std::ops::Range<usize>) -> f64 {
+    pub fn in_time_fraction(&self, seconds: std::ops::Range<usize>) -> f64 {
         let sums = seconds.fold((0, 0), |(sent, in_time), n| {
             let second = &self.summary["seconds"][n];
             (
--- a/crates/sanddrum-cli/tests/stalls.rs
+++ b/crates/sanddrum-cli/tests/stalls.rs
@@ -156,7 +156,7 @@
     let router = Router::start_with("place", &configuration, None);
     let mut feed = accept(&feeds);
     next_poll(&mut feed);
-    // As many clients as the router has room for, each with one completed request. The first has been idle the
+    // As many clients as the router accepts, each with one completed request. The first has been idle the
     // longest.
     let mut clients: Vec<WebServer> = (0..max_clients)
         .map(|_| WebServer::connect(&router.address))
