--- a/crates/sanddrum-cli/src/main.rs
+++ b/crates/sanddrum-cli/src/main.rs
@@ -89,7 +89,8 @@
     Sizes(fleet::SizesArgs),
     /// Run one emulated component of a scenario as a process: a worker, the discovery service or the store
     Part(fleet::PartArgs),
-    /// Run a scenario's workers and services on loopback without traffic, with one edge on a known port, until interrupted
+    /// Run a scenario's workers and services on loopback without traffic, with one edge on a known port, until
+    /// interrupted
     #[command(after_help = "Example:\n  sanddrum lab stand --listen 127.0.0.1:8080")]
     Stand(lab::StandArgs),
     /// Generate open-loop load on an edge and report latencies
--- a/crates/sanddrum-cli/src/platform.rs
+++ b/crates/sanddrum-cli/src/platform.rs
@@ -9,7 +9,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The startup configuration is reloaded on SIGHUP. The event loop also polls a watched file at an interval, which is therefore long.
+/// The startup configuration is reloaded on SIGHUP. The event loop also polls a watched file at an interval, which is
+/// therefore long.
 const CONFIGURATION_CHECK_INTERVAL_US: i64 = 3_600_000_000;
 
 /// Reads the configuration file that RELAY_CONFIG names. RELAY_NAME and RELAY_LISTEN override the router's name and
--- a/crates/sanddrum-cli/tests/discovery_outage.rs
+++ b/crates/sanddrum-cli/tests/discovery_outage.rs
@@ -117,8 +117,8 @@
             .publish(&member(&format!("s{server}"), address, phase));
     }
 
-    /// The server that received the most requests and load commands since this instant. The router chooses which servers it uses, so a fixed one
-    /// might be idle.
+    /// The server that received the most requests and load commands since this instant. The router chooses which
+    /// servers it uses, so a fixed one might be idle.
     fn busiest_server(&self, since: Instant) -> usize {
         let sends = |server: &usize| self.servers[*server].sends_since(since);
         let busiest = (0..SERVERS).max_by_key(sends).unwrap();
