--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -24,11 +24,12 @@
 /// Whether and when the edge closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
-    /// It is open.
+    /// The connection stays open.
     Open,
-    /// New requests are rejected, and it is closed once all responses are written.
+    /// New requests are rejected, and the connection is closed once all responses are written.
     AfterResponses,
-    /// The same, but at this instant at the latest: the rest of a request that is too large is not read.
+    /// Like `AfterResponses`, but the connection is closed at this instant at the latest: the rest of a request that
+    /// is too large is not read.
     ByDeadline(Micros),
     /// The client does not read its responses: the connection is reset.
     NotReading,
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -26,12 +26,12 @@
 /// Whether and when the edge closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
-    /// It is open.
+    /// The connection stays open.
     Open,
-    /// It is closed once all responses are written.
+    /// The connection is closed once all responses are written.
     AfterFlush,
-    /// It stays open until this instant, and received bytes are dropped: closing it with unread bytes could reset it
-    /// before the client has read the response (RFC 9112, section 9.6).
+    /// The connection stays open until this instant, and received bytes are dropped: closing it with unread bytes
+    /// could reset it before the client has read the response (RFC 9112, section 9.6).
     Lingering(Micros),
 }
 
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -75,7 +75,7 @@
     pub late_arrival_window: Micros,
     /// Maximum time for which the control feed holds a poll.
     pub feed_poll_wait: Micros,
-    /// How long after that time the control feed's answer may arrive.
+    /// How long after `feed_poll_wait` has passed the control feed's answer may still arrive.
     pub feed_answer_timeout: Micros,
     /// How long after the end of an attempt its answer may still arrive.
     pub late_answer_window: Micros,
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -55,7 +55,7 @@
     decoder: MessageDecoder,
     /// Messages that await their answers.
     in_flight: BTreeSet<MessageKey>,
-    /// The same messages by the ids that answers carry, on the platform's protocol only.
+    /// The messages in `in_flight` by the ids that answers carry, on the platform's protocol only.
     keys_by_wire_id: BTreeMap<u64, MessageKey>,
     /// Ids of messages that have ended, with the time until which a late answer may arrive. Until then an id is not
     /// reused: a duplicate answer to the earlier attempt would be taken for the answer to the later one, which would
--- a/crates/sanddrum-lab/src/capacity/decision_host.rs
+++ b/crates/sanddrum-lab/src/capacity/decision_host.rs
@@ -208,7 +208,7 @@
 pub(crate) struct HostedRequest {
     pub function: usize,
     pub work: f64,
-    pub due: Micros,
+    pub deadline: Micros,
     pub arrived: Micros,
     pub attempts: Vec<u64>,
     pub in_flight: usize,
--- a/crates/sanddrum-lab/src/capacity/plan.rs
+++ b/crates/sanddrum-lab/src/capacity/plan.rs
@@ -6,7 +6,7 @@
 
 /// The sizes that the operators expect; takes 12 to 20 minutes.
 pub const DEFAULT_PLAN: &str = include_str!("../../scenarios/capacity.sx");
-/// The same benchmarks at sizes that take seconds.
+/// The benchmarks of [`DEFAULT_PLAN`] at sizes that take seconds.
 pub const SHORT_PLAN: &str = include_str!("../../scenarios/capacity-short.sx");
 
 const DEPLOYMENT: Section = Section {
--- a/crates/sanddrum-lab/src/capacity/simulated.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated.rs
@@ -567,7 +567,7 @@
         let id = host.add_request(HostedRequest {
             function,
             work,
-            due,
+            deadline: due,
             arrived: now,
             attempts: Vec::new(),
             in_flight: 0,
--- a/crates/sanddrum-lab/src/capacity/simulated/routers.rs
+++ b/crates/sanddrum-lab/src/capacity/simulated/routers.rs
@@ -64,7 +64,10 @@
                 let Some(request) = host.requests.get_mut(&id) else {
                     return;
                 };
-                let (index, limit) = (request.attempts.len(), limit.min(request.due - now).max(0));
+                let (index, limit) = (
+                    request.attempts.len(),
+                    limit.min(request.deadline - now).max(0),
+                );
                 request.attempts.push(attempt_id);
                 request.in_flight += 1;
                 let (function, work, closed) = (request.function, request.work, request.closed);
--- a/crates/sanddrum-lab/src/capacity/start_target.rs
+++ b/crates/sanddrum-lab/src/capacity/start_target.rs
@@ -330,8 +330,8 @@
     })
 }
 
-/// Computes the fractions over a whole day, in which the failures of the run with failed and replaced workers are
-/// spread over the day.
+/// Extrapolates to a whole day the fractions of requests that started within the target: the run with failed and
+/// replaced workers counts for its own duration, and the run without failures for the rest of the day.
 fn extrapolate_day(
     sink: &mut Sink,
     size: &Size,
--- a/crates/sanddrum-lab/src/environment.rs
+++ b/crates/sanddrum-lab/src/environment.rs
@@ -104,7 +104,7 @@
         let seed = scenario.seed;
         let net = VirtualNet::new(seed, START_TIME, links, Box::new(recording.clone()));
         let mut fleet = Fleet::new(scenario, addresses, recording)?;
-        fleet.truth = truth;
+        fleet.ground_truth = truth;
         let mut environment = VirtualEnvironment {
             net,
             fleet,
@@ -213,7 +213,7 @@
         Ok(())
     }
     fn kill(&mut self, component: Component) {
-        if let (Some(truth), Component::Worker(n)) = (&self.fleet.truth, component) {
+        if let (Some(truth), Component::Worker(n)) = (&self.fleet.ground_truth, component) {
             truth
                 .borrow_mut()
                 .0
--- a/crates/sanddrum-lab/src/fleet.rs
+++ b/crates/sanddrum-lab/src/fleet.rs
@@ -55,7 +55,7 @@
     pub impostors: BTreeSet<usize>,
     pub handshakes: Vec<Shared<HandshakeWork>>,
     /// Where workers publish their true state, if an oracle decides.
-    pub truth: Option<Shared<GroundTruth>>,
+    pub ground_truth: Option<Shared<GroundTruth>>,
     recording: Recording,
     /// The idempotency keys of each group of workers that shares them.
     idempotency_keys: Vec<Shared<IdempotencyKeys>>,
@@ -106,7 +106,7 @@
             previous_authority: None,
             worker_certificates: BTreeMap::new(),
             impostors: BTreeSet::new(),
-            truth: None,
+            ground_truth: None,
             handshakes: (0..scenario.workers)
                 .map(|_| {
                     let cost = l.duration_us("fleet.handshake-us");
@@ -173,8 +173,8 @@
             self.workers[n].clone(),
             self.idempotency_keys_of(n),
         );
-        let worker = match &self.truth {
-            Some(truth) => worker.with_ground_truth(truth.clone()),
+        let worker = match &self.ground_truth {
+            Some(ground_truth) => worker.with_ground_truth(ground_truth.clone()),
             None => worker,
         };
         let work = self.handshakes[n].clone();
--- a/crates/sanddrum-lab/src/limits_size.rs
+++ b/crates/sanddrum-lab/src/limits_size.rs
@@ -196,9 +196,9 @@
     /// The rate that a customer gets as a multiple of its limit when it sends three times the limit, spread over all
     /// edges.
     pub spread_over_limit: f64,
-    /// The same with all its requests at one edge.
+    /// The rate as a multiple of the limit when the customer sends all its requests to one edge.
     pub single_edge_over_limit: f64,
-    /// The same in each second after the customer moved all its requests to another edge.
+    /// The rate as a multiple of the limit, for each second after the customer moved all its requests to another edge.
     pub moved_over_limit: Vec<f64>,
     /// Seconds until 90 % of a customer's requests finish, when it starts to send while another customer uses its
     /// share.
--- a/crates/sanddrum-lab/src/recorder.rs
+++ b/crates/sanddrum-lab/src/recorder.rs
@@ -84,7 +84,7 @@
     pub worker_starts: Vec<(usize, Micros)>,
     /// When edges were down: the name, from, and until (if they restarted).
     pub edge_downtime: Vec<(String, Micros, Option<Micros>)>,
-    /// When edges were paused, likewise: they answer nothing meanwhile but keep their state.
+    /// When edges were paused: they answer nothing meanwhile but keep their state.
     pub edge_pauses: Vec<(String, Micros, Option<Micros>)>,
     /// The longest time that the machine may delay a process.
     pub max_scheduling_delay: Micros,
--- a/crates/sanddrum-lab/src/soak/checker/servers.rs
+++ b/crates/sanddrum-lab/src/soak/checker/servers.rs
@@ -43,7 +43,7 @@
     violations: &mut Vec<Violation>,
 ) {
     for drain in &observations.drains {
-        let from = deemed_delivered_at(observations, drain.announced)
+        let from = deemed_delivered_at(observations, drain.announced_at)
             + settings.drain_grace
             + SOCKET_SLACK;
         let arrivals = observations
@@ -54,8 +54,8 @@
             let Some(request) = observations.requests.get(&attempt.request_id) else {
                 continue;
             };
-            let allowance = observations.lab_delay_between(drain.announced, attempt.at)
-                + observations.stopped_between(request.router, drain.announced, attempt.at);
+            let allowance = observations.lab_delay_between(drain.announced_at, attempt.at)
+                + observations.stopped_between(request.router, drain.announced_at, attempt.at);
             let after = attempt.at - from - allowance;
             // A router that started after the announcement gets no allowance: its start configuration has the drain.
             if after > 0 {
@@ -82,21 +82,21 @@
     violations: &mut Vec<Violation>,
 ) {
     for drain in &observations.drains {
-        let from = deemed_delivered_at(observations, drain.announced)
+        let from = deemed_delivered_at(observations, drain.announced_at)
             + settings.drain_grace
             + SOCKET_SLACK;
         let longest_stop = observations
             .stops
             .values()
             .flatten()
-            .map(|span| span.overlap(drain.announced, Micros::MAX))
+            .map(|span| span.overlap(drain.announced_at, Micros::MAX))
             .max()
             .unwrap_or(0);
         let commands = observations.load_commands.iter();
         let late = commands.filter(|command| {
             // The sending router is not known, so the longest stop of any router is allowed for.
             let allowance =
-                observations.lab_delay_between(drain.announced, command.at) + longest_stop;
+                observations.lab_delay_between(drain.announced_at, command.at) + longest_stop;
             command.server == drain.server
                 && !command.arrival_unknown
                 && command.at > from + allowance
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -39,11 +39,11 @@
 /// What clients know of a router, and what they may send to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouterTarget {
-    /// Clients open new connections to it.
+    /// Whether clients open new connections to this router.
     pub opens_connections: bool,
-    /// Clients send requests to it.
+    /// Whether clients send requests to this router.
     pub sends_requests: bool,
-    /// Clients send health checks until one succeeds.
+    /// Whether clients send health checks to this router until one succeeds.
     pub checks_health: bool,
     pub ready_at: Option<Micros>,
 }
@@ -76,7 +76,7 @@
 struct Connection {
     router: RouterId,
     is_connected: bool,
-    /// It is not shared with other requests.
+    /// Whether the connection serves a single request and is not shared.
     is_exclusive: bool,
     is_health_check: bool,
     sends_garbage: bool,
--- a/crates/sanddrum-lab/src/soak/environment.rs
+++ b/crates/sanddrum-lab/src/soak/environment.rs
@@ -429,7 +429,7 @@
             let mut observations = self.observations.borrow_mut();
             observations.drains.push(Drain {
                 server: old.server,
-                announced: now,
+                announced_at: now,
             });
             observations.starts.push(Start {
                 server: id,
@@ -458,7 +458,7 @@
         self.feed.borrow_mut().change(vec![draining_member]);
         self.observations.borrow_mut().drains.push(Drain {
             server: slot.server,
-            announced: now,
+            announced_at: now,
         });
     }
     fn begin_feed_fault(
--- a/crates/sanddrum-lab/src/soak/observations.rs
+++ b/crates/sanddrum-lab/src/soak/observations.rs
@@ -66,7 +66,7 @@
     pub effect: Effect,
     pub time_limit: Micros,
     pub sent: Micros,
-    /// It was the first request on its connection.
+    /// Whether this was the first request on its connection.
     pub first_on_connection: bool,
     /// How long its connection had been idle before the request was sent.
     pub idle_before: Micros,
@@ -115,7 +115,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     pub server: ServerId,
-    pub announced: Micros,
+    pub announced_at: Micros,
 }
 
 /// One process of a router, from its start to its exit.
--- a/crates/sanddrum-lab/src/soak/servers.rs
+++ b/crates/sanddrum-lab/src/soak/servers.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerControl {
     pub mode: ServerMode,
-    /// It finishes its open requests and rejects new ones until it is gone.
+    /// Whether the server is draining: it finishes its open requests and rejects new ones until it is gone.
     pub is_draining: bool,
     /// The server read nothing for a while: what it reads until this time may have arrived long before, also on new
     /// connections.
@@ -138,7 +138,7 @@
     conn: ConnectionId,
     request_id: u64,
     bytes: Vec<u8>,
-    /// It completes a request in flight.
+    /// Whether this response completes a request in flight.
     completes_request: bool,
 }
 
--- a/crates/sanddrum-tls/src/reloadable.rs
+++ b/crates/sanddrum-tls/src/reloadable.rs
@@ -13,7 +13,7 @@
     "tls-revoked",
     "tls-denied",
 ];
-/// The same for inbound connections.
+/// The names of the files for inbound connections, in the order of [`OUTBOUND_FILES`].
 pub const INBOUND_FILES: [&str; 5] = [
     "door-roots",
     "door-certificate",
--- a/crates/sanddrum-upstream/src/policy/opening.rs
+++ b/crates/sanddrum-upstream/src/policy/opening.rs
@@ -11,9 +11,9 @@
 /// What to do now about a requested connection.
 enum Action {
     Open,
-    /// It stays queued until another handshake completes.
+    /// The connection stays queued until another handshake completes.
     Queue,
-    /// It stays queued until this instant.
+    /// The connection stays queued until this instant.
     WaitUntil(Micros),
     Reject(RejectReason),
 }
--- a/crates/sanddrum-upstream/src/policy/prewarming.rs
+++ b/crates/sanddrum-upstream/src/policy/prewarming.rs
@@ -43,7 +43,7 @@
             .collect()
     }
 
-    /// Those of the most used workers to which no connection is established or requested.
+    /// The most used workers, without those to which a connection is established or requested.
     fn used_but_unconnected(&self, now: Micros, requested: &BTreeSet<WorkerId>) -> Vec<WorkerId> {
         let window = self.config.idle_timeout;
         let mut by_use: Vec<(f64, WorkerId)> = self
--- a/crates/sanddrum-wire/src/messages/worker.rs
+++ b/crates/sanddrum-wire/src/messages/worker.rs
@@ -199,7 +199,7 @@
     /// request counts as one on arrival and decays exponentially with a time constant of one second.
     #[n(6)]
     pub customer_rate: Option<f64>,
-    /// The same rate for the requests of all customers.
+    /// Requests per second of all customers on this worker, computed like `customer_rate`.
     #[n(7)]
     pub total_rate: Option<f64>,
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -171,11 +171,11 @@
 /// A worker's load report. Values that the worker does not report are absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests from all routers that it has accepted and not yet answered.
+    /// Requests from all routers that the worker has accepted and not yet answered.
     pub in_flight: Option<f64>,
-    /// Those of them that are queued.
+    /// Requests from all routers that are queued at the worker; `in_flight` includes them.
     pub queued: Option<f64>,
-    /// Fraction of its cores that is busy, 0 to 1.
+    /// Fraction of the worker's cores that is busy, 0 to 1.
     pub busy: Option<f64>,
     /// Mean latency of recent requests, in milliseconds.
     pub latency_ms: Option<f64>,
--- a/src/logic/observations.rs
+++ b/src/logic/observations.rs
@@ -13,11 +13,11 @@
 /// The result of an attempt as far as it matters for admission.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Timeliness {
-    /// It succeeded within the latency objective.
+    /// The attempt succeeded within the latency objective.
     InTime,
-    /// It ended after the latency objective.
+    /// The attempt ended after the latency objective.
     Late,
-    /// It failed within the latency objective.
+    /// The attempt failed within the latency objective.
     Failed,
 }
 
--- a/src/logic/readiness_lease.rs
+++ b/src/logic/readiness_lease.rs
@@ -6,10 +6,10 @@
 //! goes through three phases until the next confirmation:
 //!
 //! 1. *Current*: this router is not considered notified of any later change yet.
-//! 2. *Overdue*, once it may be considered notified of one (`min_notification_delay`): a worker that rejects an attempt
-//!    may be draining, and receives nothing more unless it has accepted a later attempt.
-//! 3. *Stale*, once it is always considered notified of one (`max_notification_delay`): a worker has to hold a lease of
-//!    its own, which is renewed by each attempt that it accepts, from the time of the dispatch.
+//! 2. *Overdue*, once this router may be considered notified of a later change (`min_notification_delay`): a worker
+//!    that rejects an attempt may be draining, and receives nothing more unless it has accepted a later attempt.
+//! 3. *Stale*, once this router is always considered notified of a later change (`max_notification_delay`): a worker
+//!    has to hold a lease of its own, which is renewed by each attempt that it accepts, from the time of the dispatch.
 //!
 //! Only accepted attempts renew a lease: a draining worker still answers queries, and load commands for loaded
 //! instances.
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -43,7 +43,7 @@
     pub backoff_until: Micros,
     /// Its last load report.
     pub report: LoadReport,
-    /// When that report arrived; zero if there is none.
+    /// When the last load report arrived; zero if there is none.
     pub reported_at: Micros,
     /// When the newest attempt that it accepted was dispatched.
     pub accepted_at: Micros,
