--- a/crates/sanddrum-edge/src/endpoint_cache.rs
+++ b/crates/sanddrum-edge/src/endpoint_cache.rs
@@ -37,10 +37,10 @@
 /// Why a saved state can't be used.
 #[derive(Debug, Error)]
 pub enum CacheError {
-    /// It does not start with the magic number.
+    /// The saved state does not start with the magic number.
     #[error("it is not an endpoint cache of this version")]
     WrongMagic,
-    /// It ends before the end of the checksum.
+    /// The saved state ends before the end of the checksum.
     #[error("it is truncated")]
     Truncated,
     /// The content does not match the checksum.
--- a/crates/sanddrum-edge/src/http_listener.rs
+++ b/crates/sanddrum-edge/src/http_listener.rs
@@ -51,7 +51,7 @@
     close_state: CloseState,
     is_paused: bool,
     continue_sent: bool,
-    /// It is closed after its next response, or at once if it is idle.
+    /// Whether the connection is closed after its next response, or at once if it is idle.
     is_retired: bool,
 }
 
--- a/crates/sanddrum-edge/src/invariants.rs
+++ b/crates/sanddrum-edge/src/invariants.rs
@@ -85,7 +85,7 @@
     RequestTimeout,
     /// No request was open for the idle timeout.
     Idle,
-    /// Its input can't be decoded, so that its open requests can no longer be distinguished.
+    /// The connection's input can't be decoded, so that its open requests can no longer be distinguished.
     Unreadable,
     /// The client does not read its responses.
     NotReading,
--- a/crates/sanddrum-edge/src/listener.rs
+++ b/crates/sanddrum-edge/src/listener.rs
@@ -14,11 +14,11 @@
 /// The order in which idle connections are closed at the connection limit: lowest variant first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionRank {
-    /// It has sent no request within the first-request timeout.
+    /// The client has sent no request within the first-request timeout.
     Silent,
-    /// It has sent a request.
+    /// The client has sent a request.
     Idle,
-    /// It was accepted recently, and its first request may still arrive.
+    /// The connection was accepted recently, and its first request may still arrive.
     New,
 }
 
--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -29,9 +29,9 @@
 enum Transport {
     /// The connection policy has not opened it yet.
     Pending,
-    /// It is being opened.
+    /// The connection is being opened.
     Connecting(ConnectionId),
-    /// It is open and its handshake is complete.
+    /// The connection is open and its handshake is complete.
     Connected(ConnectionId),
 }
 
@@ -123,9 +123,9 @@
 /// How a connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionLoss {
-    /// It was closed by either side or could not be opened.
+    /// The connection was closed by either side or could not be opened.
     Closed(CloseCause),
-    /// The edge reset it after a protocol violation by the worker.
+    /// The edge reset the connection after a protocol violation by the worker.
     ProtocolError,
 }
 
--- a/crates/sanddrum-emulator/src/faults.rs
+++ b/crates/sanddrum-emulator/src/faults.rs
@@ -12,10 +12,10 @@
 /// The faults of a worker. The serialized names are those of the lab's fault files.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerFaults {
-    /// It accepts requests but answers nothing, not even health checks.
+    /// The worker accepts requests but answers nothing, not even health checks.
     #[serde(rename = "hangs")]
     pub is_hung: bool,
-    /// How many times slower than usual it is; zero and one mean normal speed.
+    /// How many times slower than usual the worker is; zero and one mean normal speed.
     #[serde(rename = "slower")]
     pub slowdown: f64,
     /// Probability that the answer to an attempt is lost, 0 to 1.
@@ -24,10 +24,10 @@
     /// Probability that a load fails, 0 to 1.
     #[serde(rename = "load_fails")]
     pub load_failure: f64,
-    /// It finishes the requests that it has accepted, and accepts no new ones.
+    /// The worker finishes the requests that it has accepted, and accepts no new ones.
     #[serde(rename = "drains")]
     pub is_draining: bool,
-    /// It sends each router one frame that is not a message, and clears this fault.
+    /// The worker sends each router one frame that is not a message, and clears this fault.
     #[serde(rename = "garbles")]
     pub garble_once: bool,
     /// All its instances become obsolete, as after a new release of all functions, and it clears this fault.
--- a/crates/sanddrum-fastcgi/src/responder.rs
+++ b/crates/sanddrum-fastcgi/src/responder.rs
@@ -45,15 +45,15 @@
 /// Why a request is rejected although its records can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its parameters can't be decoded.
+    /// The request's parameters can't be decoded.
     Params,
-    /// Its parameters exceed [`ResponderLimits::max_params_bytes`].
+    /// The request's parameters exceed [`ResponderLimits::max_params_bytes`].
     ParamsTooLong,
-    /// Its body exceeds [`ResponderLimits::max_body_bytes`].
+    /// The request's body exceeds [`ResponderLimits::max_body_bytes`].
     BodyTooLong,
     /// [`ResponderLimits::max_open_requests`] requests are already open.
     TooManyOpen,
-    /// Its role is not the Responder's.
+    /// The request's role is not Responder.
     Role,
 }
 
--- a/crates/sanddrum-identity/src/keys.rs
+++ b/crates/sanddrum-identity/src/keys.rs
@@ -62,7 +62,7 @@
     /// compared.
     #[error("not a valid key set: {0}")]
     Unreadable(String),
-    /// Its version is lower than one that was in force.
+    /// The key set's version is lower than one that was in force.
     #[error("version {version} is older than version {min_version}, which was already in force")]
     Older {
         /// The version of the rejected set.
@@ -70,10 +70,10 @@
         /// The lowest acceptable version.
         min_version: u64,
     },
-    /// It differs from the key set in force but has the same version.
+    /// The rejected key set differs from the one in force but has the same version.
     #[error("version {0} is already in force with different content; increase the version")]
     SameVersion(u64),
-    /// It lacks a key that still verifies tokens.
+    /// The key set lacks a key that still verifies tokens.
     #[error("key {0} is missing but still verifies tokens; retire or revoke it first")]
     MissingKey(String),
     /// A key that was revoked is in another state.
--- a/crates/sanddrum-identity/src/token/error.rs
+++ b/crates/sanddrum-identity/src/token/error.rs
@@ -8,33 +8,33 @@
 pub enum TokenError {
     /// A token is required, but the request has none.
     Missing,
-    /// It is longer than the limit.
+    /// The token is longer than the limit.
     TooLong,
-    /// It is not a JWS in compact form.
+    /// The token is not a JWS in compact form.
     Malformed,
-    /// Its algorithm is not EdDSA.
+    /// The token's algorithm is not EdDSA.
     Algorithm,
-    /// It names no key.
+    /// The token names no key.
     NoKey,
-    /// It names a key that is not in the key set.
+    /// The token names a key that is not in the key set.
     UnknownKey,
-    /// Its key is not in use yet.
+    /// The token's key is not in use yet.
     KeyNotYetValid,
-    /// Its key has retired.
+    /// The token's key has retired.
     KeyRetired,
-    /// Its key is revoked.
+    /// The token's key is revoked.
     KeyRevoked,
-    /// Its signature does not match its key.
+    /// The token's signature does not match its key.
     Signature,
-    /// It is for another audience.
+    /// The token is for another audience.
     Audience,
-    /// It has expired.
+    /// The token has expired.
     Expired,
-    /// It is not valid yet.
+    /// The token is not valid yet.
     NotYetValid,
-    /// It expires later than the longest accepted lifetime allows.
+    /// The token expires later than the longest accepted lifetime allows.
     LifetimeTooLong,
-    /// It lacks a subject, an id, an expiry or an audience.
+    /// The token lacks a subject, an id, an expiry or an audience.
     Claims,
     /// The budget for signature verifications is used up; the client may retry.
     Busy,
--- a/crates/sanddrum-lab/src/soak/clients.rs
+++ b/crates/sanddrum-lab/src/soak/clients.rs
@@ -76,7 +76,7 @@
 struct Connection {
     router: RouterId,
     is_connected: bool,
-    /// Whether the connection serves a single request and is not shared.
+    /// Whether the connection is not shared with other requests.
     is_exclusive: bool,
     is_health_check: bool,
     sends_garbage: bool,
--- a/crates/sanddrum-lab/src/soak/observations.rs
+++ b/crates/sanddrum-lab/src/soak/observations.rs
@@ -88,7 +88,8 @@
     pub deadline: Micros,
     /// The server rejected it without running it.
     pub never_ran: bool,
-    /// Its arrival time is unknown: it may have waited in the receive buffer of a server that wasn't reading.
+    /// Whether the arrival time is unknown: the attempt may have waited in the receive buffer of a server that wasn't
+    /// reading.
     pub arrival_unknown: bool,
 }
 
@@ -97,7 +98,7 @@
 pub struct LoadCommand {
     pub server: ServerId,
     pub at: Micros,
-    /// Its arrival time is unknown.
+    /// Whether the arrival time of the load command is unknown.
     pub arrival_unknown: bool,
 }
 
@@ -107,7 +108,7 @@
     pub server: ServerId,
     pub at: Micros,
     pub size: f64,
-    /// It had been running long before the run began.
+    /// Whether the server had been running long before the run began.
     pub before_run: bool,
 }
 
--- a/crates/sanddrum-limits/src/events.rs
+++ b/crates/sanddrum-limits/src/events.rs
@@ -55,7 +55,7 @@
     InFlight,
     /// The fleet is overloaded and the customer uses more than its share of the capacity.
     CapacityShare,
-    /// It is a retry, the fleet is overloaded and the retry budget is exhausted.
+    /// The request is a retry, the fleet is overloaded and the retry budget is exhausted.
     RetryBudget,
 }
 
--- a/crates/sanddrum-upstream/src/worker.rs
+++ b/crates/sanddrum-upstream/src/worker.rs
@@ -51,7 +51,7 @@
         let idle = (now - self.last_used_at).max(0) as f64;
         self.uses * (1.0 - idle / window.max(1) as f64).max(0.0)
     }
-    /// Records that something was sent to it.
+    /// Records that something was sent to the worker.
     pub fn record_use(&mut self, now: Micros, window: Micros) {
         self.uses = self.recent_uses(now, window) + 1.0;
         self.last_used_at = now;
--- a/crates/sanddrum-wire/src/http.rs
+++ b/crates/sanddrum-wire/src/http.rs
@@ -33,7 +33,7 @@
 }
 
 impl HttpError {
-    /// The status code of the response to such a request.
+    /// The status code of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
--- a/crates/sanddrum-wire/src/messages/discovery.rs
+++ b/crates/sanddrum-wire/src/messages/discovery.rs
@@ -51,13 +51,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Phase {
-    /// It accepts new requests.
+    /// The worker accepts new requests.
     #[n(0)]
     Ready,
-    /// It finishes the requests it has and accepts no new ones.
+    /// The worker finishes the requests it has and accepts no new ones.
     #[n(1)]
     Draining,
-    /// It has left the list.
+    /// The worker has left the list.
     #[default]
     #[n(2)]
     Gone,
--- a/crates/sanddrum-wire/src/messages/worker.rs
+++ b/crates/sanddrum-wire/src/messages/worker.rs
@@ -137,10 +137,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ExecutionStatus {
-    /// It succeeded.
+    /// The execution or load succeeded.
     #[n(0)]
     Finished,
-    /// It failed, and it ran or may have run.
+    /// The execution or load failed, and it ran or may have run.
     #[n(1)]
     Error,
     /// The worker rejected it: no capacity, or draining. It has not run.
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,11 +9,11 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Idempotency {
-    /// It may be executed any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
     /// Workers recognize a repeated request by its idempotency key, within a scope and a time window.
     ByKey,
-    /// It may be executed at most once.
+    /// The request may be executed at most once.
     #[default]
     NonIdempotent,
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -33,11 +33,11 @@
 /// Whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It accepts new work.
+    /// The worker accepts new work.
     Ready,
-    /// It finishes its requests and accepts no new ones.
+    /// The worker finishes its requests and accepts no new ones.
     Draining,
-    /// It is no longer in the fleet.
+    /// The worker is no longer in the fleet.
     #[default]
     Gone,
 }
@@ -47,13 +47,13 @@
 pub struct Endpoint {
     /// The worker's identifier.
     pub worker: WorkerId,
-    /// Its availability zone.
+    /// The worker's availability zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: CellId,
-    /// Its kind of machine.
+    /// The worker's kind of machine.
     pub kind: KindId,
-    /// Its capacity relative to that of other workers.
+    /// The worker's capacity relative to that of other workers.
     pub size: f64,
     /// Whether it accepts new work.
     pub state: WorkerState,
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -5,11 +5,11 @@
 /// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptStatus {
-    /// It has been dispatched.
+    /// The attempt has been dispatched.
     InFlight,
-    /// It has been cancelled; its outcome has not been reported yet.
+    /// The attempt has been cancelled; its outcome has not been reported yet.
     Cancelling,
-    /// It has ended.
+    /// The attempt has ended.
     Ended(Outcome),
 }
 
@@ -22,7 +22,8 @@
     pub dispatched_at: Micros,
     /// Its current state.
     pub status: AttemptStatus,
-    /// It was dispatched behind other requests at a busy instance, so its latency does not measure the worker's speed.
+    /// Whether the attempt was dispatched behind other requests at a busy instance, so that its latency does not
+    /// measure the worker's speed.
     pub was_queued: bool,
 }
 
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -39,7 +39,7 @@
     pub concurrency_limit: f64,
     /// When the concurrency limit was last reduced.
     pub limit_cut_at: Micros,
-    /// No request is dispatched to it before this instant.
+    /// No request is dispatched to the worker before this instant.
     pub backoff_until: Micros,
     /// Its last load report.
     pub report: LoadReport,
@@ -60,13 +60,13 @@
     pub unanswered_check_at: Option<Micros>,
     /// The number of consecutive unanswered health checks.
     pub unanswered_checks: u32,
-    /// It did not answer or could not be reached, and gets no new requests until it answers.
+    /// Whether the worker did not answer or could not be reached; it gets no new requests until it answers.
     pub is_ejected: bool,
     /// The number of errors, halved by each success.
     pub failure_score: u32,
     /// The function that failed last.
     pub last_failed_function: FunctionId,
-    /// It counts as congested until this instant.
+    /// The worker counts as congested until this instant.
     pub congested_until: Micros,
     /// The work, in microseconds, that may be dispatched while it warms up; negative if overdrawn.
     pub slow_start_budget_us: f64,
