--- a/crates/sanddrum-edge/src/worker_connections.rs
+++ b/crates/sanddrum-edge/src/worker_connections.rs
@@ -29,9 +29,9 @@
 enum Transport {
     /// The connection policy has not opened it yet.
     Pending,
-    /// It is being opened.
+    /// The connection is being opened.
     Connecting(ConnectionId),
-    /// It is open and its handshake is complete.
+    /// The connection is open and its handshake is complete.
     Connected(ConnectionId),
 }
 
@@ -55,7 +55,7 @@
     decoder: MessageDecoder,
     /// Messages that await their answers.
     in_flight: BTreeSet<MessageKey>,
-    /// The same messages by the ids that answers carry, on the platform's protocol only.
+    /// The messages in `in_flight` by the ids that answers carry, on the platform's protocol only.
     keys_by_wire_id: BTreeMap<u64, MessageKey>,
     /// Ids of messages that have ended, with the time until which a late answer may arrive. Until then an id is not
     /// reused: a duplicate answer to the earlier attempt would be taken for the answer to the later one, which would
@@ -123,9 +123,9 @@
 /// How a connection was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionLoss {
-    /// It was closed by either side or could not be opened.
+    /// The connection was closed by either side or could not be opened.
     Closed(CloseCause),
-    /// The edge reset it after a protocol violation by the worker.
+    /// The edge reset the connection after a protocol violation by the worker.
     ProtocolError,
 }
 
--- a/crates/sanddrum-lab/src/soak/observations.rs
+++ b/crates/sanddrum-lab/src/soak/observations.rs
@@ -66,7 +66,7 @@
     pub effect: Effect,
     pub time_limit: Micros,
     pub sent: Micros,
-    /// It was the first request on its connection.
+    /// Whether this was the first request on its connection.
     pub first_on_connection: bool,
     /// How long its connection had been idle before the request was sent.
     pub idle_before: Micros,
@@ -88,7 +88,8 @@
     pub deadline: Micros,
     /// The server rejected it without running it.
     pub never_ran: bool,
-    /// Its arrival time is unknown: it may have waited in the receive buffer of a server that wasn't reading.
+    /// Whether the arrival time is unknown: the attempt may have waited in the receive buffer of a server that wasn't
+    /// reading.
     pub arrival_unknown: bool,
 }
 
@@ -97,7 +98,7 @@
 pub struct LoadCommand {
     pub server: ServerId,
     pub at: Micros,
-    /// Its arrival time is unknown.
+    /// Whether the arrival time of the load command is unknown.
     pub arrival_unknown: bool,
 }
 
@@ -107,7 +108,7 @@
     pub server: ServerId,
     pub at: Micros,
     pub size: f64,
-    /// It had been running long before the run began.
+    /// Whether the server had been running long before the run began.
     pub before_run: bool,
 }
 
@@ -115,7 +116,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     pub server: ServerId,
-    pub announced: Micros,
+    pub announced_at: Micros,
 }
 
 /// One process of a router, from its start to its exit.
--- a/crates/sanddrum-wire/src/messages/worker.rs
+++ b/crates/sanddrum-wire/src/messages/worker.rs
@@ -137,10 +137,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ExecutionStatus {
-    /// It succeeded.
+    /// The execution or load succeeded.
     #[n(0)]
     Finished,
-    /// It failed, and it ran or may have run.
+    /// The execution or load failed, and it ran or may have run.
     #[n(1)]
     Error,
     /// The worker rejected it: no capacity, or draining. It has not run.
@@ -199,7 +199,7 @@
     /// request counts as one on arrival and decays exponentially with a time constant of one second.
     #[n(6)]
     pub customer_rate: Option<f64>,
-    /// The same rate for the requests of all customers.
+    /// Requests per second of all customers on this worker, computed like `customer_rate`.
     #[n(7)]
     pub total_rate: Option<f64>,
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -33,11 +33,11 @@
 /// Whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It accepts new work.
+    /// The worker accepts new work.
     Ready,
-    /// It finishes its requests and accepts no new ones.
+    /// The worker finishes its requests and accepts no new ones.
     Draining,
-    /// It is no longer in the fleet.
+    /// The worker is no longer in the fleet.
     #[default]
     Gone,
 }
@@ -47,13 +47,13 @@
 pub struct Endpoint {
     /// The worker's identifier.
     pub worker: WorkerId,
-    /// Its availability zone.
+    /// The worker's availability zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The worker's cell.
     pub cell: CellId,
-    /// Its kind of machine.
+    /// The worker's kind of machine.
     pub kind: KindId,
-    /// Its capacity relative to that of other workers.
+    /// The worker's capacity relative to that of other workers.
     pub size: f64,
     /// Whether it accepts new work.
     pub state: WorkerState,
@@ -171,11 +171,11 @@
 /// A worker's load report. Values that the worker does not report are absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests from all routers that it has accepted and not yet answered.
+    /// Requests from all routers that the worker has accepted and not yet answered.
     pub in_flight: Option<f64>,
-    /// Those of them that are queued.
+    /// Requests from all routers that are queued at the worker; `in_flight` includes them.
     pub queued: Option<f64>,
-    /// Fraction of its cores that is busy, 0 to 1.
+    /// Fraction of the worker's cores that is busy, 0 to 1.
     pub busy: Option<f64>,
     /// Mean latency of recent requests, in milliseconds.
     pub latency_ms: Option<f64>,
