--- a/crates/sanddrum-lab/src/capacity/router.rs
+++ b/crates/sanddrum-lab/src/capacity/router.rs
@@ -99,7 +99,8 @@
     run,
 };
 
-/// Approximate memory of a simulated worker with its instances and row in the endpoint list; measured, with a margin.
+/// Estimated memory of a simulated worker, in bytes, with its instances and its row in the endpoint list; `check` uses
+/// it to reject, before anything runs, sizes that need more than half of the machine's memory.
 const BYTES_PER_WORKER: u64 = 8 << 10;
 const BYTES_PER_FUNCTION: u64 = 512;
 /// Approximate memory of the router's module for each worker in the endpoint list.
