--- a/crates/sanddrum-edge/src/control_feed.rs
+++ b/crates/sanddrum-edge/src/control_feed.rs
@@ -7,7 +7,7 @@
 use sanddrum::{EndpointConfirmation, EndpointListKind, Micros};
 use sanddrum_net::{ConnectionId, Io, Rng};
 use sanddrum_platform::control_feed::{
-    self, FeedEvent, FeedEvents, NOTIFIED_AFTER, NOTIFIED_WITHIN,
+    self, FeedEvent, FeedEvents, MAX_NOTIFICATION_DELAY, MIN_NOTIFICATION_DELAY,
 };
 use sanddrum_platform::start_times::{ClockReading, StartTimes};
 use sanddrum_settings::LoadedSettings;
@@ -64,7 +64,7 @@
     start_times: StartTimes,
     /// The number of the last event that was applied, from which a new connection continues.
     last_event: u64,
-    /// Whether the last answer counted an event that it did not contain.
+    /// Whether the last answer stated a higher last event number than those of the events that it contained.
     missed_event: bool,
     conn: Option<ConnectionId>,
     received: Vec<u8>,
@@ -94,7 +94,7 @@
             conn: None,
             received: Vec::new(),
             poll: None,
-            freshness: EndpointFreshness::new(NOTIFIED_AFTER),
+            freshness: EndpointFreshness::new(MIN_NOTIFICATION_DELAY),
             has_just_connected: false,
             last_error: None,
             backoff: Backoff::new(backoff("least"), backoff("most")),
@@ -108,13 +108,13 @@
         self.freshness.start(now);
     }
 
-    /// The instant up to which the endpoint list is confirmed, with the platform's bounds on how late the feed reports
-    /// changes when it is unavailable.
+    /// The instant up to which the endpoint list is confirmed, and when the platform considers this router notified of
+    /// later changes that the feed could not deliver.
     pub fn confirmation(&self) -> EndpointConfirmation {
         EndpointConfirmation {
             confirmed_at: self.freshness.confirmed_at(),
-            min_notification_delay: NOTIFIED_AFTER,
-            max_notification_delay: NOTIFIED_WITHIN,
+            min_notification_delay: MIN_NOTIFICATION_DELAY,
+            max_notification_delay: MAX_NOTIFICATION_DELAY,
         }
     }
 
@@ -123,20 +123,20 @@
         self.last_event
     }
 
-    /// Updates the list's freshness for an answer to the outstanding poll. An answer with a missing event confirms
+    /// Updates the list's freshness for an answer to the outstanding poll. An answer that lacks an event confirms
     /// nothing.
     pub fn record_answer(
         &mut self,
         now: Micros,
         has_events: bool,
-        is_delayed: bool,
+        is_poll_overdue: bool,
     ) -> Option<FreshnessChange> {
         let poll = self.poll.take()?;
         if self.missed_event {
             return None;
         }
         self.freshness
-            .record_answer(now, poll, has_events, is_delayed);
+            .record_answer(now, poll, has_events, is_poll_overdue);
         self.last_error = None;
         self.freshness.take_change(now)
     }
@@ -166,9 +166,9 @@
         changes
     }
 
-    /// Advances `last_event` to the last event of an answer. If the answer counts an event that it does not contain,
-    /// the client polls for that event once more, so that it is not lost. If it is missing again, it is skipped: the
-    /// feed would otherwise be polled in an endless loop.
+    /// Advances `last_event` to the last event of an answer. If the feed's last event number is higher, an event is
+    /// missing from the answer, and the client polls for it once more so that it is not lost. If it is missing again,
+    /// it is skipped: the feed would otherwise be polled in an endless loop.
     fn advance(&mut self, events: &FeedEvents) {
         let numbers = events.events.iter().map(|event| event.number);
         let newest = numbers.fold(self.last_event, u64::max);
@@ -237,7 +237,7 @@
         self.poll = Some(Poll { sent_at: now, wait });
         let answer_due = now + max_wait + context.limits.feed_answer_timeout;
         self.schedule_timer(context, answer_due);
-        let stale_at = self.freshness.confirmed_at() + NOTIFIED_AFTER + 1;
+        let stale_at = self.freshness.confirmed_at() + MIN_NOTIFICATION_DELAY + 1;
         context.timers.schedule(stale_at, Timer::Discovery);
     }
 
--- a/crates/sanddrum-edge/src/discovery.rs
+++ b/crates/sanddrum-edge/src/discovery.rs
@@ -191,14 +191,14 @@
             .is_some_and(|connection| connection.conn == conn)
     }
 
-    /// Handles the connection's establishment.
+    /// Handles a connection that has been established.
     pub fn on_connected(&mut self, io: &mut dyn Io) {
         if let Some(connection) = &mut self.connection {
             connection.flush(io);
         }
     }
 
-    /// Handles the connection's becoming writable.
+    /// Handles a connection that has become writable.
     pub fn on_writable(&mut self, io: &mut dyn Io) {
         if let Some(connection) = &mut self.connection {
             connection.outbox.unblock();
--- a/crates/sanddrum-edge/src/edge_state.rs
+++ b/crates/sanddrum-edge/src/edge_state.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Makes violations of invariants be counted without being prevented.
+    /// From now on, violations of invariants are counted but not prevented.
     pub fn allow_violations(&mut self) {
         self.context.violations.allow();
     }
--- a/crates/sanddrum-edge/src/edge_state/discovery.rs
+++ b/crates/sanddrum-edge/src/edge_state/discovery.rs
@@ -295,11 +295,11 @@
         }
     }
 
-    fn record_feed_answer(&mut self, now: Micros, has_events: bool, is_delayed: bool) {
+    fn record_feed_answer(&mut self, now: Micros, has_events: bool, is_poll_overdue: bool) {
         let Some(feed) = &mut self.control_feed else {
             return;
         };
-        let change = feed.record_answer(now, has_events, is_delayed);
+        let change = feed.record_answer(now, has_events, is_poll_overdue);
         self.batch.endpoint_confirmation = Some(feed.confirmation());
         if let Some(FreshnessChange::Current) = change {
             tracing::warn!(
--- a/crates/sanddrum-edge/src/edge_state/http.rs
+++ b/crates/sanddrum-edge/src/edge_state/http.rs
@@ -134,7 +134,7 @@
         path: &str,
         io: &mut dyn Io,
     ) -> Result<RequestSpec, RequestError> {
-        let target = call_target(request, path)?;
+        let target = parse_target(request, path)?;
         self.check_accepts_requests()?;
         let customer = self
             .identity
@@ -218,8 +218,8 @@
     }
 }
 
-/// Parses the workload and function from the path of a request.
-fn call_target<'a>(request: &Request, path: &'a str) -> Result<RequestTarget<'a>, RequestError> {
+/// Parses the workload and function from the path of a request, and checks its method.
+fn parse_target<'a>(request: &Request, path: &'a str) -> Result<RequestTarget<'a>, RequestError> {
     let (workload, function) = path
         .strip_prefix("/v1/calls/")
         .and_then(|names| names.split_once('/'))
--- a/crates/sanddrum-edge/src/endpoint_freshness.rs
+++ b/crates/sanddrum-edge/src/endpoint_freshness.rs
@@ -61,10 +61,16 @@
 
     /// Records an answer to a poll. An answer without events was held for the whole wait, so it confirms the list up
     /// to the end of that wait. An answer with events was sent when the first of them occurred, which is estimated
-    /// from the delay of earlier answers. If this process was delayed, the answer may have been waiting unread for any
-    /// time, and it confirms the list only up to the time at which the poll was sent.
-    pub fn record_answer(&mut self, now: Micros, poll: Poll, has_events: bool, is_delayed: bool) {
-        let confirmed_until = if has_events && is_delayed {
+    /// from the delay of earlier answers. If `is_poll_overdue`, because this process was delayed, the answer may have
+    /// been waiting unread for any time, and it confirms the list only up to the time at which the poll was sent.
+    pub fn record_answer(
+        &mut self,
+        now: Micros,
+        poll: Poll,
+        has_events: bool,
+        is_poll_overdue: bool,
+    ) {
+        let confirmed_until = if has_events && is_poll_overdue {
             poll.sent_at
         } else if has_events {
             (now - self.answer_delay).max(poll.sent_at)
--- a/crates/sanddrum-edge/src/fastcgi_listener.rs
+++ b/crates/sanddrum-edge/src/fastcgi_listener.rs
@@ -267,8 +267,9 @@
         Some(FastCgiEvent::Cancelled(closed.cancelled))
     }
 
-    /// Bounds the bytes buffered for partially received requests over all connections. Beyond the limit, the partial
-    /// requests of this connection, which has just received more, are rejected; none of them was accepted yet.
+    /// Enforces the limit on the bytes buffered for partially received requests, summed over all connections. If it is
+    /// exceeded, all partially received requests of this connection, which received bytes last, are rejected. None of
+    /// them has been accepted yet.
     pub fn limit_partial_bytes(&mut self, context: &mut EdgeContext, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
--- a/crates/sanddrum-edge/src/functions.rs
+++ b/crates/sanddrum-edge/src/functions.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Functions described only by requests are kept for this many keep-alive periods after the last one.
+/// Functions described only by requests are retained for this many keep-alive periods after the last such request.
 const RETENTION_KEEP_ALIVES: Micros = 8;
 
 /// The resource needs of an instance of a function.
@@ -102,7 +102,7 @@
     patterns: Vec<Pattern>,
     workloads: Vec<Workload>,
     known: BTreeMap<FunctionId, Function>,
-    /// How long a function is kept after a request last described it.
+    /// How long a function is retained after a request last described it.
     retention: Micros,
     next_sweep: Micros,
 }
--- a/crates/sanddrum-edge/src/identity.rs
+++ b/crates/sanddrum-edge/src/identity.rs
@@ -302,8 +302,8 @@
             return Err(AuthError::Certificate(CertificateError::Missing));
         }
         let token_customer = self.verify_token(now, conn, request)?;
-        // An unproved customer name is accepted only if neither tokens nor certificates are in use.
-        let accepts_unproved = self.token_policy == TokenPolicy::Off
+        // An unverified customer name is accepted only if neither tokens nor certificates are in use.
+        let accepts_unverified = self.token_policy == TokenPolicy::Off
             && self.certificate_policy == CertificatePolicy::Off;
         let stated = StatedCustomers {
             unverified: request.field("sanddrum-customer"),
@@ -311,7 +311,7 @@
             certificate: certificate_customer.as_deref(),
         };
         stated
-            .resolve(accepts_unproved)
+            .resolve(accepts_unverified)
             .map_err(AuthError::Certificate)
     }
 
--- a/crates/sanddrum-edge/src/invariants.rs
+++ b/crates/sanddrum-edge/src/invariants.rs
@@ -79,7 +79,7 @@
 /// Why the edge closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CloseReason {
-    /// The limit on client connections is reached, and this one has no open request.
+    /// The limit on client connections was reached when a new client connected, and this one had no open request.
     Evicted,
     /// No valid request, or only part of one, was received in time.
     RequestTimeout,
@@ -137,12 +137,12 @@
 }
 
 impl Violations {
-    /// Makes violations be counted without being prevented.
+    /// From now on, violations are counted but not prevented. For tests of checkers.
     pub fn allow(&mut self) {
         self.are_allowed = true;
     }
 
-    /// Whether violations are not prevented.
+    /// Whether violations are counted but not prevented: the caller then carries out the action nevertheless.
     pub fn are_allowed(&self) -> bool {
         self.are_allowed
     }
--- a/crates/sanddrum-edge/src/limits.rs
+++ b/crates/sanddrum-edge/src/limits.rs
@@ -13,7 +13,7 @@
 /// The limits in the `limits` section of the settings; docs/settings.md documents the purpose of each.
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
-    /// How long before the client's deadline the final response is due.
+    /// How long before the end of the client's time limit the final response is due, so that it still arrives in time.
     pub response_lead_time: Micros,
     /// Maximum number of open requests.
     pub max_open_requests: usize,
@@ -23,8 +23,8 @@
     pub client_idle_timeout: Micros,
     /// Maximum time to receive a request.
     pub request_timeout: Micros,
-    /// How long a new client connection without a request is evicted last if the limit is reached; afterwards it is
-    /// evicted first.
+    /// A client connection without a request is the last to be evicted at the connection limit for this long after it
+    /// was accepted, and the first afterwards.
     pub first_request_timeout: Micros,
     /// How long a connection stays open after the response to a malformed request.
     pub linger_time: Micros,
--- a/crates/sanddrum-platform/src/control_feed.rs
+++ b/crates/sanddrum-platform/src/control_feed.rs
@@ -10,14 +10,14 @@
 /// The relative capacity of a worker whose size the feed does not state.
 const DEFAULT_SIZE: f64 = 1.0;
 
-/// How long after the feed's connection broke, or after the wait of an unanswered poll ended, the platform may
-/// consider the router notified of changes that the feed could not deliver, in microseconds (the platform's page on
-/// the days that count, section *Bad peers*).
-pub const NOTIFIED_AFTER: Micros = 2_000_000;
-
-/// How long after the feed broke off or went silent, at the latest, the platform considers the router notified of such
-/// changes, in microseconds (the platform's protocol page, section *Figures*).
-pub const NOTIFIED_WITHIN: Micros = 7_000_000;
+/// The earliest time after the feed's connection broke, or after the wait of an unanswered poll ended, at which the
+/// platform considers the router notified of changes that the feed could not deliver, in microseconds (the platform's
+/// page on the days that count, section *Bad peers*).
+pub const MIN_NOTIFICATION_DELAY: Micros = 2_000_000;
+
+/// The latest time after the feed's connection broke, or the feed stopped answering, at which the platform considers the
+/// router notified of such changes, in microseconds (the platform's protocol page, section *Figures*).
+pub const MAX_NOTIFICATION_DELAY: Micros = 7_000_000;
 
 /// A worker as the feed describes it.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/deploy/plays.sh
+++ b/deploy/plays.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Plays short days of the operators' bench on several seeds, one line a play, and fails if one play did.
-# Usage: deploy/plays.sh "DAY ..." "SEED ..." WHY [SITE [NODES [SIDE_BY_SIDE]]]; its build has to stand (--no-build).
+# Runs short test days of the operators' bench with several seeds, prints one line per run, and fails if any run failed.
+# Usage: deploy/plays.sh "DAY ..." "SEED ..." WHY [SITE [NODES [SIDE_BY_SIDE]]]. The bench runs with --no-build, so its
+# build must already exist.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 days=$1 seeds=$2 why=$3
@@ -27,7 +28,7 @@
 rules = {rule: n for rule, n in row["rules"].items() if n}
 kinds, rough = day.split("+"), seen["rough"]
 unanswered = rough.get("requests never taken up or never answered", 0)
-# As the bench counts them, and those that have used no processor time to speak of.
+# Idle processes as the bench counts them, and those that have used almost no processor time.
 idle = sum(n for what, n in rough.items() if "idle" in what) + sum(used < 0.001 for used in real["cpu_s"])
 bad = []
 if rules or d["breaks"]: bad.append("rule")
@@ -35,7 +36,7 @@
 if max(real["files"]) > files or max(real["memory_mb"]) > memory: bad.append("limit")
 if ready[-1] > 30 or ready[int(0.9 * (len(ready) - 1))] > 10: bad.append("ready")
 if not row["sound"] or "BROKEN" in said: bad.append("unsound")
-# On days of throng the operators don't count the floor on service.
+# On days of kind "throng" the operators do not require the minimum fraction of requests served.
 if row["served"] < row["served_least"] and "throng" not in kinds: bad.append("served")
 print(f"{day} seed {seed} snapshot {snapshot}: rules {rules or 'kept'} {json.dumps(d['breaks']) if d['breaks'] else ''}"
       f" lost {row['rules'].get('lost', 0)} unanswered {unanswered} idle processes {idle} crash {row['fault'] or 'none'}"
--- a/deploy/sites/lay.sh
+++ b/deploy/sites/lay.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Lays what the bench wants beside a site file: the kit's own files, which stay out of the repository.
+# Copies the files that the bench expects next to a site file. They belong to the operators' kit and are not committed.
 set -euo pipefail
 cd "$(dirname "$0")"
 cp ../../../given/kit/more/node/sites/{real.json,wire.json,unlock.txt} .
--- a/src/config.rs
+++ b/src/config.rs
@@ -29,7 +29,7 @@
     Cell,
     /// No worker, not even the one that received the key before.
     #[default]
-    Nowhere,
+    NoWorker,
 }
 
 /// The unit that a workload's priority weight applies to.
@@ -108,7 +108,7 @@
     pub slow_start_initial_fraction: f64,
     /// How long a worker can be overloaded before it collapses, in microseconds; at least 1.
     pub collapse_window_us: f64,
-    /// How long a draining worker may still get new work after this router counts as notified of the drain.
+    /// How long a draining worker may still get new work after this router is considered notified of the drain.
     pub drain_grace: Micros,
     /// The time-out for opening a connection to a worker.
     pub connect_timeout: Micros,
@@ -157,7 +157,7 @@
             Some("all") => KeyScope::Fleet,
             Some("zone") => KeyScope::Zone,
             Some("cell") => KeyScope::Cell,
-            _ => KeyScope::Nowhere,
+            _ => KeyScope::NoWorker,
         }
     }
 
--- a/src/events.rs
+++ b/src/events.rs
@@ -83,15 +83,15 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// How current an endpoint list is known to be, and when this router counts as notified of a later change, whether or
-/// not it has received that change.
+/// How current an endpoint list is known to be, and how long after a later change this router is considered notified of
+/// that change, whether or not it has received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointConfirmation {
     /// The list includes all changes before this instant.
     pub confirmed_at: Micros,
-    /// The shortest time after a change at which this router may count as notified of it.
+    /// From this long after a change, this router may be considered notified of it.
     pub min_notification_delay: Micros,
-    /// The longest time after a change at which this router counts as notified of it.
+    /// From this long after a change, this router is always considered notified of it.
     pub max_notification_delay: Micros,
 }
 
@@ -121,7 +121,8 @@
 /// Why a request is rejected or fails without another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerReason {
-    /// The request was shed because the fleet is overloaded.
+    /// The request is not placed: it is shed because the fleet is overloaded, or it has too little time, attempts or
+    /// retry budget left.
     Overloaded,
     /// The retry policy allows no worker for another attempt.
     NoWorker,
--- a/src/logic/load_budget.rs
+++ b/src/logic/load_budget.rs
@@ -1,4 +1,5 @@
-//! Load budget (rule 5): how many load commands may be sent in a window.
+//! Load budget: how many load commands may be sent in a window. A router must not send more than a fixed number plus a
+//! fraction of the requests admitted in the same window (rule 5).
 
 use super::Router;
 use crate::state::InstanceCommand;
--- a/src/logic/readiness_lease.rs
+++ b/src/logic/readiness_lease.rs
@@ -1,13 +1,14 @@
-//! Readiness leases (rule 3 while the discovery service is unavailable): how long a worker is considered ready without
-//! confirmation.
+//! Readiness leases: how long a worker is considered ready without confirmation while the discovery service is
+//! unavailable. A worker that is draining or gone must get nothing new once this router is considered notified of that
+//! and a grace period has passed (rule 3), even if the router could not receive the change.
 //!
 //! An endpoint list says nothing about later changes. If the host reports until when its list is confirmed, the list
 //! goes through three phases until the next confirmation:
 //!
-//! 1. *Current*: this router cannot count as notified of later changes yet.
-//! 2. *Overdue*, once it may count as notified of them (`min_notification_delay`): a worker that rejects an attempt may be
-//!    draining, and receives nothing more unless it has accepted a later attempt.
-//! 3. *Stale*, once it counts as notified of them at the latest (`max_notification_delay`): a worker has to hold a lease of
+//! 1. *Current*: this router is not considered notified of any later change yet.
+//! 2. *Overdue*, once it may be considered notified of one (`min_notification_delay`): a worker that rejects an attempt
+//!    may be draining, and receives nothing more unless it has accepted a later attempt.
+//! 3. *Stale*, once it is always considered notified of one (`max_notification_delay`): a worker has to hold a lease of
 //!    its own, which is renewed by each attempt that it accepts, from the time of the dispatch.
 //!
 //! Only accepted attempts renew a lease: a draining worker still answers queries, and load commands for loaded
@@ -33,12 +34,12 @@
             .map_or(0, |confirmation| confirmation.confirmed_at)
     }
 
-    /// Whether this router may count as notified of changes that it has not received.
+    /// Whether this router may be considered notified of changes that it has not received.
     pub(super) fn are_endpoints_overdue(&self) -> bool {
         self.is_list_older_than(|confirmation| confirmation.min_notification_delay)
     }
 
-    /// Whether this router counts as notified of changes that it has not received.
+    /// Whether this router is considered notified of changes that it has not received.
     pub(super) fn are_endpoints_stale(&self) -> bool {
         self.is_list_older_than(|confirmation| {
             self.lease_duration(confirmation.max_notification_delay)
@@ -58,9 +59,9 @@
             .is_some_and(|confirmation| self.now >= confirmation.confirmed_at + age(&confirmation))
     }
 
-    /// How long information stays valid if this router counts as notified of changes after `notification_delay`. An
-    /// attempt may be sent as late as the connect timeout after its dispatch; the part that the drain grace does not
-    /// cover is subtracted.
+    /// How long information stays valid if this router is considered notified of changes after `notification_delay`.
+    /// An attempt may be sent as late as the connect timeout after its dispatch; the part that the drain grace does
+    /// not cover is subtracted.
     fn lease_duration(&self, notification_delay: Micros) -> Micros {
         let uncovered = (self.config.connect_timeout - self.config.drain_grace).max(0);
         (notification_delay - uncovered).max(notification_delay / MIN_LEASE_DIVISOR)
--- a/src/logic/retry_policy.rs
+++ b/src/logic/retry_policy.rs
@@ -1,5 +1,6 @@
-//! Retry policy (rules 2 and 3): where a request may have another attempt, whether it may be hedged, and whether its
-//! client may retry it.
+//! Retry policy: where a request may have another attempt, whether it may be hedged, and whether its client may retry
+//! it. A request must not run more often than its idempotency allows (rule 2), and a worker that is draining or gone
+//! must get no new attempts (rule 3).
 
 use super::Router;
 use crate::config::{Idempotency, KeyScope};
@@ -47,7 +48,7 @@
             KeyScope::Fleet => true,
             KeyScope::Zone => first_endpoint().is_some_and(|from| from.zone == to.zone),
             KeyScope::Cell => first_endpoint().is_some_and(|from| from.cell == to.cell),
-            KeyScope::Nowhere => false,
+            KeyScope::NoWorker => false,
         }
     }
 
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start (rule 4): a restarted worker receives a growing fraction of the work while it warms up.
+//! Slow start: a restarted worker receives a growing fraction of the work while it warms up. All routers together must
+//! not send it so much more work than its current capacity that it collapses (rule 4).
 
 use super::constants::SLOW_START_HEADROOM;
 use super::Router;
